--- a/cmd/petreltide/compare.go
+++ b/cmd/petreltide/compare.go
@@ -196,7 +196,7 @@
 	look.Revision, look.Loads, look.LoadedMb = st.Revision, st.Loads, st.LoadedMb
 	look.Leader = fmt.Sprintf("%s under epoch %d", st.Holder, st.Epoch)
 	for _, r := range st.Replicas {
-		look.Replicas[r.ID] = fmt.Sprintf("%s (leaving %v, dark %v)", r.Incarnation, r.Leaving, r.Unreachable)
+		look.Replicas[r.ID] = fmt.Sprintf("%s (leaving %v, dark %v)", r.Incarnation, r.Draining, r.Unreachable)
 	}
 	for _, d := range st.Gateways {
 		ds := gateway.Status{}
--- a/cmd/petreltide/member.go
+++ b/cmd/petreltide/member.go
@@ -108,6 +108,6 @@
 		if waits == "" {
 			waits = "nothing: it is being written off"
 		}
-		fmt.Fprintf(out, "order  %s %s %s waits for %s\n", st.Member.Act, st.Member.Name, st.Member.ID, waits)
+		fmt.Fprintf(out, "order  %s %s %s waits for %s\n", st.Member.Action, st.Member.Name, st.Member.ID, waits)
 	}
 }
--- a/cmd/petreltide/print.go
+++ b/cmd/petreltide/print.go
@@ -28,7 +28,7 @@
 		printReplicas(w, st.Replicas)
 	}
 	for _, t := range st.Pending {
-		fmt.Fprintf(w, "pending   ticket %d epoch %d: %s %s at %s\n", t.Number, t.Epoch, t.Step, t.Unit, t.Replica)
+		fmt.Fprintf(w, "pending   ticket %d epoch %d: %s %s at %s\n", t.Number, t.Epoch, t.Action, t.Unit, t.Replica)
 	}
 	printPolicies(w, st)
 	for code, n := range st.Faults {
@@ -68,18 +68,18 @@
 	for i := range replicas {
 		r := &replicas[i]
 		var heldMb int64
-		for _, mb := range r.Holds {
+		for _, mb := range r.Resident {
 			heldMb += mb
 		}
-		fmt.Fprintf(w, "replica   %s zone %s %s: %d held, %d of %d MB\n", r.ID, r.Zone, listedState(r), len(r.Holds), heldMb, r.RoomMb)
+		fmt.Fprintf(w, "replica   %s zone %s %s: %d held, %d of %d MB\n", r.ID, r.Zone, listedState(r), len(r.Resident), heldMb, r.CapacityMb)
 	}
 }
 
 // listedState says whether a replica that the platform lists takes calls.
 func listedState(r *statemachine.Replica) string {
 	switch {
-	case r.Leaving:
-		return fmt.Sprintf("leaving (%d ms left when noticed)", r.LeftMs)
+	case r.Draining:
+		return fmt.Sprintf("leaving (%d ms left when noticed)", r.RemainingMs)
 	case r.Unreachable:
 		return "dark"
 	}
--- a/cmd/petreltide/status.go
+++ b/cmd/petreltide/status.go
@@ -93,7 +93,7 @@
 		line += fmt.Sprintf(": %d held, %d of %d MB", len(r.Units), r.HeldMb, r.RoomMb)
 	}
 	if r.Order != nil {
-		line += fmt.Sprintf("; ticket %d: %s %s", r.Order.Number, r.Order.Step, r.Order.Unit)
+		line += fmt.Sprintf("; ticket %d: %s %s", r.Order.Number, r.Order.Action, r.Order.Unit)
 	}
 	return line
 }
--- a/cmd/petreltide/status_test.go
+++ b/cmd/petreltide/status_test.go
@@ -73,9 +73,9 @@
 
 func fleetStatus(gatewayAddr string) controlnode.Status {
 	left := int64(850)
-	load := statemachine.Ticket{Number: 12, Replica: "i-2", Incarnation: "i-2", Step: statemachine.Load, Unit: "m2", SizeMb: 20}
+	load := statemachine.ReplicaCommand{Number: 12, Replica: "i-2", Incarnation: "i-2", Action: statemachine.Load, Unit: "m2", SizeMb: 20}
 	return controlnode.Status{
-		Holder: "core-1-ab", Epoch: 41, Pending: []statemachine.Ticket{load}, Replicas: []statemachine.Replica{},
+		Holder: "core-1-ab", Epoch: 41, Pending: []statemachine.ReplicaCommand{load}, Replicas: []statemachine.Replica{},
 		Demand: []controller.GatewayNote{{Gateway: "front-1", Zone: "a", Addr: gatewayAddr}, {Gateway: "front-2", Zone: "b", Addr: "127.0.0.1:1"}},
 		Fleet: &controlnode.Fleet{
 			Version: 9, Gateways: []string{"front-1", "front-2"},
@@ -87,7 +87,7 @@
 				{ID: "i-2", Service: "scribe", Zone: "b", State: controlnode.ReplicaUnreachable, AgoMs: 4000, Units: []string{"m1"}, HeldMb: 80, RoomMb: 100, Order: &load},
 				{ID: "i-3", Service: "quill", Zone: "b", State: controlnode.ReplicaUnheard, AgoMs: -1, Units: []string{}},
 			},
-			Leadership: &controller.Note{Holder: "core-1-ab", Fence: 41, OrdersInMs: 700, Orders: []controller.OrderNote{{Ticket: load, SentAgoMs: -1}},
+			Leadership: &controller.Note{Holder: "core-1-ab", Fence: 41, OrdersInMs: 700, Orders: []controller.OrderNote{{ReplicaCommand: load, SentAgoMs: -1}},
 				Store: []controller.StoreNote{{Service: "scribe", Left: 3, Running: 1, AtOnce: 7, Began: 4, WindowMs: 5000}},
 				Needs: map[string]controller.NeedNote{"m1": {Rate: 2.5}}},
 		},
--- a/internal/api/wire/frame.go
+++ b/internal/api/wire/frame.go
@@ -39,7 +39,7 @@
 
 // ReplicaRow is a replica's own word and what the control node makes of its silence.
 type ReplicaRow struct {
-	registry.Row
+	registry.ReplicaStatus
 	Unreachable bool `json:"dark,omitempty"`
 	// Index is the ledger entry that last said what it holds; Units follow the greatest.
 	Index uint64 `json:"index,omitempty"`
--- a/internal/api/wire/wire.go
+++ b/internal/api/wire/wire.go
@@ -121,23 +121,23 @@
 
 // Message is one message between control nodes; exactly one field is set.
 type Message struct {
-	Chain     *chain.Msg               `json:"chain,omitempty"`
-	Result    *Result                  `json:"result,omitempty"`
-	Report    *Report                  `json:"report,omitempty"`
-	Silence   *failuredetector.Silence `json:"silence,omitempty"`
-	Heard     *Heard                   `json:"heard,omitempty"`
-	Confirmed *Confirmed               `json:"confirmed,omitempty"`
-	Outlier   *outlier.Table           `json:"outlier,omitempty"`
+	Chain     *chain.Msg                       `json:"chain,omitempty"`
+	Result    *Result                          `json:"result,omitempty"`
+	Report    *Report                          `json:"report,omitempty"`
+	Silence   *failuredetector.SuspicionReport `json:"silence,omitempty"`
+	Heard     *Heard                           `json:"heard,omitempty"`
+	Confirmed *Confirmed                       `json:"confirmed,omitempty"`
+	Outlier   *outlier.Table                   `json:"outlier,omitempty"`
 }
 
 // Heard is what a control node has heard of replicas and gateways, told to the other control nodes. Wants asks for
 // all rows again.
 type Heard struct {
-	By          string          `json:"by"`
-	Incarnation string          `json:"inc"`
-	Notes       []registry.Note `json:"notes,omitempty"`
-	Wants       bool            `json:"wants,omitempty"`
-	Gateways    []string        `json:"desks,omitempty"`
+	By          string                 `json:"by"`
+	Incarnation string                 `json:"inc"`
+	Notes       []registry.GossipEntry `json:"notes,omitempty"`
+	Wants       bool                   `json:"wants,omitempty"`
+	Gateways    []string               `json:"desks,omitempty"`
 	// Confirm names replicas that leave: whoever knows of it says so.
 	Confirm []string `json:"confirm,omitempty"`
 }
@@ -162,11 +162,11 @@
 
 // ReplicaState is what a replica answers when it is asked what it holds and does.
 type ReplicaState struct {
-	ID          string                 `json:"id"`
-	Incarnation string                 `json:"inc"`
-	Holds       []statemachine.Holding `json:"holds"`
-	Last        *OrderState            `json:"last,omitempty"`
-	Active      int                    `json:"active"`
+	ID          string                      `json:"id"`
+	Incarnation string                      `json:"inc"`
+	Holds       []statemachine.ResidentUnit `json:"holds"`
+	Last        *OrderState                 `json:"last,omitempty"`
+	Active      int                         `json:"active"`
 
 	// Of replicas that do not name their last order: whether one is under way, how many they took, and
 	// which units they hold.
@@ -177,8 +177,8 @@
 
 // Order is one order to a replica: a ticket of the ledger, under the epoch of the controller that sends it.
 type Order struct {
-	Ticket statemachine.Ticket `json:"ticket"`
-	Epoch  uint64              `json:"epoch"`
+	Ticket statemachine.ReplicaCommand `json:"ticket"`
+	Epoch  uint64                      `json:"epoch"`
 	// Holder is who leads; Expected is how many orders the replica has taken, where it is known.
 	Holder   string  `json:"holder,omitempty"`
 	Expected *uint64 `json:"expected,omitempty"`
--- a/internal/controlplane/chain/copy.go
+++ b/internal/controlplane/chain/copy.go
@@ -48,7 +48,7 @@
 
 func (n *Node) copyNow() *Copy {
 	view, _ := n.viewAt(n.commit)
-	return &Copy{Index: n.commit, View: view, State: n.state.Freeze()}
+	return &Copy{Index: n.commit, View: view, State: n.state.Snapshot()}
 }
 
 func (n *Node) takeEntry(e Entry) {
@@ -71,7 +71,7 @@
 	if c.State == nil || n.copying() {
 		return
 	}
-	n.base, n.entries, n.state, n.commit, n.caughtUp = Copy{Index: c.Index, View: c.View}, nil, c.State.Freeze(), c.Index, false
+	n.base, n.entries, n.state, n.commit, n.caughtUp = Copy{Index: c.Index, View: c.View}, nil, c.State.Snapshot(), c.Index, false
 	n.synced, n.queued = 0, c.Index
 	n.saveSeq++
 	n.saving[n.saveSeq] = &saving{startUs: n.nowUs, upto: c.Index, copied: c.Index, bulk: true}
--- a/internal/controlplane/chain/explore_test.go
+++ b/internal/controlplane/chain/explore_test.go
@@ -58,7 +58,7 @@
 func (n *Node) clone() *Node {
 	c := *n
 	c.entries = slices.Clone(n.entries)
-	c.state = n.state.Freeze()
+	c.state = n.state.Snapshot()
 	c.saving = map[uint64]*saving{}
 	for seq, s := range n.saving {
 		held := *s
--- a/internal/controlplane/chain/kept_test.go
+++ b/internal/controlplane/chain/kept_test.go
@@ -43,7 +43,7 @@
 		clear(y.cuts)
 		y.settles(40*clock.Sec, "healed")
 		for _, s := range y.spots {
-			if _, seen := s.node.state.Changes[id]; !seen || !s.node.Kept(index) {
+			if _, seen := s.node.state.Outcomes[id]; !seen || !s.node.Kept(index) {
 				t.Fatalf("seed %d: %s has it %v, kept %v", seed, s.me.ID, seen, s.node.Kept(index))
 			}
 		}
--- a/internal/controlplane/chain/member.go
+++ b/internal/controlplane/chain/member.go
@@ -8,8 +8,8 @@
 // votersLeast: with fewer, the loss of one would stop the chain.
 const votersLeast = 3
 
-func (n *Node) order(act statemachine.MemberAct) *statemachine.MemberChange {
-	if m := n.state.Member; m != nil && m.Act == act {
+func (n *Node) order(act statemachine.MembershipAction) *statemachine.MembershipChange {
+	if m := n.state.Membership; m != nil && m.Action == act {
 		return m
 	}
 	return nil
@@ -68,7 +68,7 @@
 
 // MemberCarried says that the order about members that stands is carried out in this view.
 func (n *Node) MemberCarried() bool {
-	o := n.state.Member
+	o := n.state.Membership
 	if o == nil || !n.serving() {
 		return false
 	}
@@ -76,7 +76,7 @@
 	for _, v := range n.view.Voters {
 		named = named || (v.Name == o.Name && v.ID != o.ID && n.view.Seated(v.ID))
 	}
-	switch o.Act {
+	switch o.Action {
 	case statemachine.AddMember, statemachine.ReplaceMember:
 		return named && !n.view.Votes(o.ID)
 	}
@@ -85,13 +85,13 @@
 
 // MemberWaits says, in words, what the order about members waits for.
 func (n *Node) MemberWaits() string {
-	o := n.state.Member
+	o := n.state.Membership
 	switch {
 	case o == nil || n.MemberCarried():
 		return ""
-	case o.Act == statemachine.AddMember:
+	case o.Action == statemachine.AddMember:
 		return "an empty office named " + o.Name + " that holds a copy and hears every member"
-	case o.Act == statemachine.ReplaceMember:
+	case o.Action == statemachine.ReplaceMember:
 		return "an empty office named " + o.Name + ", beside or in place of " + o.ID + ", that holds a copy and hears every member"
 	case len(n.view.Voters) <= votersLeast:
 		return "another vote: without " + o.ID + " fewer than three would be left"
@@ -100,7 +100,7 @@
 }
 
 // FitMember finds the identity an order is about, or the reason for which it must not be taken.
-func (n *Node) FitMember(m *statemachine.MemberChange, evenAlive bool) *fault.Fault {
+func (n *Node) FitMember(m *statemachine.MembershipChange, evenAlive bool) *fault.Fault {
 	unfit := func(format string, args ...any) *fault.Fault {
 		return fault.New(fault.MembershipUnfit, "name", format, args...)
 	}
@@ -113,8 +113,8 @@
 			voter = &n.view.Voters[i]
 		}
 	}
-	switch m.Act {
-	case statemachine.CancelMember:
+	switch m.Action {
+	case statemachine.CancelMembership:
 		return nil
 	case statemachine.AddMember:
 		if voter != nil {
@@ -130,9 +130,9 @@
 		}
 		m.ID = voter.ID
 	default:
-		return fault.New(fault.NotFound, "act", "%q: want add, replace, remove or cancel", m.Act)
+		return fault.New(fault.NotFound, "act", "%q: want add, replace, remove or cancel", m.Action)
 	}
-	if m.Act == statemachine.ReplaceMember {
+	if m.Action == statemachine.ReplaceMember {
 		if n.view.Seated(voter.ID) && !evenAlive {
 			return unfit("%s is alive and has its seat: say --even-alive to replace it all the same", voter.ID)
 		}
--- a/internal/controlplane/chain/node.go
+++ b/internal/controlplane/chain/node.go
@@ -142,7 +142,7 @@
 			}
 			n.base = Copy{Index: r.Copy.Index, View: r.Copy.View}
 			n.entries = nil
-			n.state, n.commit, n.caughtUp = r.Copy.State.Freeze(), r.Copy.Index, false
+			n.state, n.commit, n.caughtUp = r.Copy.State.Snapshot(), r.Copy.Index, false
 		case r.Whole != 0:
 			n.caughtUp = r.Whole == n.view.Number
 		case r.Entry != nil:
--- a/internal/controlplane/chain/view.go
+++ b/internal/controlplane/chain/view.go
@@ -110,9 +110,9 @@
 			want.Order = append(without(n.view.Order, n.replacedBy(seat.Member)), seat)
 			changed = true
 		} else if n.mayRemove() {
-			want.Order = without(n.view.Order, n.state.Member.ID)
+			want.Order = without(n.view.Order, n.state.Membership.ID)
 			for _, v := range n.view.Voters {
-				if v.ID == n.state.Member.ID {
+				if v.ID == n.state.Membership.ID {
 					want.Voters = withoutVote(n.view.Voters, v.ID)
 				}
 			}
--- a/internal/controlplane/controller/basis.go
+++ b/internal/controlplane/controller/basis.go
@@ -21,10 +21,10 @@
 
 // recordedBasis is the basis that the ledger keeps of a replica; nil where its count is not known.
 func recordedBasis(r *statemachine.Replica) *basis {
-	if r == nil || r.Orders == nil {
+	if r == nil || r.CommandsTaken == nil {
 		return nil
 	}
-	return &basis{orders: *r.Orders, units: slices.Sorted(maps.Keys(r.Holds))}
+	return &basis{orders: *r.CommandsTaken, units: slices.Sorted(maps.Keys(r.Resident))}
 }
 
 // reportedBasis is what a report shows; nil while an order is under way, as what is held will change.
@@ -36,14 +36,14 @@
 }
 
 // after is the state once an order that was taken on this basis is done.
-func (b *basis) after(t statemachine.Ticket) *basis {
+func (b *basis) after(t statemachine.ReplicaCommand) *basis {
 	if b == nil {
 		return nil
 	}
 	units := slices.DeleteFunc(slices.Clone(b.units), func(unit string) bool {
-		return unit == t.Unit || (t.Step == statemachine.Unload && strings.HasPrefix(unit, t.Unit+"/"))
+		return unit == t.Unit || (t.Action == statemachine.Unload && strings.HasPrefix(unit, t.Unit+"/"))
 	})
-	if t.Step == statemachine.Load {
+	if t.Action == statemachine.Load {
 		units = append(units, t.Unit)
 	}
 	slices.Sort(units)
@@ -51,9 +51,9 @@
 }
 
 // admits says whether an order may be sent on this basis: a load must find room, a place, and its model.
-func (b *basis) admits(doc *configuration.Declaration, r *statemachine.Replica, t statemachine.Ticket) bool {
+func (b *basis) admits(doc *configuration.Declaration, r *statemachine.Replica, t statemachine.ReplicaCommand) bool {
 	svc := doc.Service(r.Service)
-	if t.Step != statemachine.Load || svc == nil || svc.Engine == nil {
+	if t.Action != statemachine.Load || svc == nil || svc.Engine == nil {
 		return true
 	}
 	model, adapter := configuration.Units(t.Unit)
@@ -67,7 +67,7 @@
 	if adapter != "" && (adapters >= svc.Engine.AdaptersMost || !slices.Contains(b.units, model)) {
 		return false
 	}
-	return sumMb <= r.RoomMb
+	return sumMb <= r.CapacityMb
 }
 
 // outdatedReport says whether a report shows a state from before an order that the replica is known to have taken.
@@ -85,7 +85,7 @@
 }
 
 // withResult adds to a settled order what the replica holds after it, where that is known.
-func (f *Controller) withResult(s *statemachine.State, t statemachine.Ticket, settled statemachine.Settled) statemachine.Settled {
+func (f *Controller) withResult(s *statemachine.State, t statemachine.ReplicaCommand, settled statemachine.CommandResult) statemachine.CommandResult {
 	o, r := f.routed.orders[t.Number], s.Replicas[t.Replica]
 	if o == nil || o.result == nil || r == nil {
 		return settled
@@ -95,6 +95,6 @@
 		return settled
 	}
 	orders := o.result.orders
-	settled.Orders, settled.Holds = &orders, holdings(s.Doc, svc, o.result.units)
+	settled.CommandsTaken, settled.Resident = &orders, holdings(s.Doc, svc, o.result.units)
 	return settled
 }
--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -69,7 +69,7 @@
 	view       uint64
 	viewUs     int64
 	checked    bool
-	jury       *failuredetector.Jury
+	jury       *failuredetector.SuspicionQuorum
 	bucket     placement.Bucket
 	issuingMb  int64
 	orderUs    map[uint64]int64
@@ -111,7 +111,7 @@
 func NewWith(me string, opts Options) *Controller {
 	return &Controller{
 		me: me, opts: opts, replicas: map[string]*told{}, gateways: map[string]*gatewayRow{},
-		jury: failuredetector.NewJury(), orderUs: map[uint64]int64{}, Faults: map[fault.Code]uint64{}, routed: newRouted(), outliers: outlier.NewFleet(opts.Outlier),
+		jury: failuredetector.NewSuspicionQuorum(), orderUs: map[uint64]int64{}, Faults: map[fault.Code]uint64{}, routed: newRouted(), outliers: outlier.NewFleet(opts.Outlier),
 	}
 }
 
@@ -120,7 +120,7 @@
 
 // IsLeader says whether this controller leads, by its own claim in the ledger.
 func (f *Controller) IsLeader(s *statemachine.State) bool {
-	return f.claimed > 0 && s.Epoch == f.claimed && s.Holder == f.me
+	return f.claimed > 0 && s.Epoch == f.claimed && s.Leader == f.me
 }
 
 // sorted gives a map's keys in order.
@@ -135,7 +135,7 @@
 	case ev.Report != nil:
 		f.reported(seen, ev.NowUs, ev.Report)
 	case ev.Silence != nil:
-		f.jury.Say(ev.NowUs, *ev.Silence)
+		f.jury.Report(ev.NowUs, *ev.Silence)
 	case ev.Listed != nil:
 		f.listed(ev.NowUs, *ev.Listed)
 	case ev.Told != nil && seen.isRouted():
@@ -165,7 +165,7 @@
 // reported takes a gateway's report, and acts at once where calls wait for a unit that has no place.
 func (f *Controller) reported(seen Seen, nowUs int64, report *wire.Report) {
 	f.gateways[report.Gateway] = &gatewayRow{report: *report, atUs: nowUs}
-	f.jury.Say(nowUs, failuredetector.Silence{By: report.Gateway, Silent: report.Silent})
+	f.jury.Report(nowUs, failuredetector.SuspicionReport{Reporter: report.Gateway, Suspects: report.Silent})
 	f.hearOutcomes(seen, report)
 	if seen.isRouted() && f.unplaced(seen, report) {
 		f.moved = true
@@ -214,7 +214,7 @@
 	f.claimUs = seen.NowUs
 	f.claimed = seen.State.Epoch + 1
 	f.do(Effect{Write: &statemachine.Change{
-		ID: fmt.Sprintf("claim-%s-%d", f.me, f.claimed), Epoch: f.claimed, Claim: &statemachine.Claim{Holder: f.me},
+		ID: fmt.Sprintf("claim-%s-%d", f.me, f.claimed), Epoch: f.claimed, Claim: &statemachine.Claim{Leader: f.me},
 	}})
 }
 
--- a/internal/controlplane/controller/controller_test.go
+++ b/internal/controlplane/controller/controller_test.go
@@ -111,7 +111,7 @@
 	r.list.Version++
 	r.list.Replicas[0].State = wire.ListedDraining
 	r.pass(2 * clock.Sec)
-	if usable() != 2 || !r.s.Replicas["r1"].Leaving {
+	if usable() != 2 || !r.s.Replicas["r1"].Draining {
 		t.Fatalf("a leaving replica is still counted: %d", usable())
 	}
 }
@@ -137,7 +137,7 @@
 				last.State = wire.OrderRunning
 			case "sent, done":
 				last.State = wire.OrderDone
-				two.states["r1"].Holds = []statemachine.Holding{{Unit: "m", SizeMb: 60}}
+				two.states["r1"].Holds = []statemachine.ResidentUnit{{Unit: "m", SizeMb: 60}}
 			case "sent, failed":
 				last.State = wire.OrderFailed
 			case "overtaken":
@@ -147,18 +147,18 @@
 			}
 			two.states["r1"].Last = last
 			two.pass(2 * clock.Sec)
-			if two.s.Epoch != 2 || two.s.Holder != "two" {
+			if two.s.Epoch != 2 || two.s.Leader != "two" {
 				t.Fatal("leadership was not taken over")
 			}
 			_, stillPending := two.s.Pending["r1"]
-			_, held := two.s.Replicas["r1"].Holds["m"]
+			_, held := two.s.Replicas["r1"].Resident["m"]
 			switch at {
 			case "written, not sent":
-				if len(two.orders) == 0 || two.orders[0].Ticket.Number != ticket.Number || !stillPending || two.s.TakenMb("r1") != 60 {
+				if len(two.orders) == 0 || two.orders[0].Ticket.Number != ticket.Number || !stillPending || two.s.ReservedMb("r1") != 60 {
 					t.Fatalf("orders %+v", two.orders)
 				}
 			case "sent, running":
-				if len(two.orders) != 0 || !stillPending || two.s.TakenMb("r1") != 60 {
+				if len(two.orders) != 0 || !stillPending || two.s.ReservedMb("r1") != 60 {
 					t.Fatalf("orders %+v, pending %v", two.orders, stillPending)
 				}
 			case "sent, done":
@@ -170,7 +170,7 @@
 					t.Fatalf("pending %v held %v", stillPending, held)
 				}
 			}
-			late := one.s.Apply(one.s.Index+1, statemachine.Change{ID: "late", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Tickets: []statemachine.Ticket{{Replica: "r2", Incarnation: "i", Revision: 1, Step: statemachine.Load, Unit: "m"}}}})
+			late := one.s.Apply(one.s.Index+1, statemachine.Change{ID: "late", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Commands: []statemachine.ReplicaCommand{{Replica: "r2", Incarnation: "i", Revision: 1, Action: statemachine.Load, Unit: "m"}}}})
 			if late.Fault == nil {
 				t.Fatal("the frozen predecessor's write was taken")
 			}
--- a/internal/controlplane/controller/events.go
+++ b/internal/controlplane/controller/events.go
@@ -17,7 +17,7 @@
 	Told    *Told
 	Ordered *Ordered
 	Report  *wire.Report
-	Silence *failuredetector.Silence
+	Silence *failuredetector.SuspicionReport
 	Policy  *PolicyDone
 	Wrote   *statemachine.Outcome
 }
@@ -96,7 +96,7 @@
 	Fresh  bool
 	Writes bool
 	View   uint64
-	Roster *registry.Roster
+	Roster *registry.Registry
 	// Outliers are the newest verdicts of whoever judged last.
 	Outliers outlier.Table
 }
--- a/internal/controlplane/controller/fuzz_test.go
+++ b/internal/controlplane/controller/fuzz_test.go
@@ -27,8 +27,8 @@
 		}
 		r.pass(clock.Sec)
 		for id, replica := range r.s.Replicas {
-			if taken := r.s.TakenMb(id); replica.RoomMb > 0 && taken < 0 {
-				t.Fatalf("%s takes %d MB of %d", id, taken, replica.RoomMb)
+			if taken := r.s.ReservedMb(id); replica.CapacityMb > 0 && taken < 0 {
+				t.Fatalf("%s takes %d MB of %d", id, taken, replica.CapacityMb)
 			}
 		}
 	})
--- a/internal/controlplane/controller/gateways.go
+++ b/internal/controlplane/controller/gateways.go
@@ -36,7 +36,7 @@
 func (f *Controller) dropGateways(seen Seen, update *statemachine.LeaderUpdate) {
 	for _, id := range sorted(f.gateways) {
 		if seen.NowUs-f.gateways[id].atUs > gatewayGoneUs {
-			update.Gateways = append(update.Gateways, id)
+			update.RemovedGateways = append(update.RemovedGateways, id)
 			delete(f.gateways, id)
 		}
 	}
@@ -53,7 +53,7 @@
 
 // silent: both watchers that the ring names miss its beats, and its own reports have stopped too.
 func (f *Controller) silent(nowUs int64, id string) bool {
-	return nowUs-f.gateways[id].atUs > reportLateUs && f.jury.Gone(nowUs, id)
+	return nowUs-f.gateways[id].atUs > reportLateUs && f.jury.Suspected(nowUs, id)
 }
 
 // live names the gateways that take calls, in order.
--- a/internal/controlplane/controller/hear.go
+++ b/internal/controlplane/controller/hear.go
@@ -40,7 +40,7 @@
 }
 
 // fitHoldings: what takes less than no room would make room for too much.
-func fitHoldings(holds []statemachine.Holding) bool {
+func fitHoldings(holds []statemachine.ResidentUnit) bool {
 	seen := map[string]bool{}
 	for _, h := range holds {
 		if h.Unit == "" || h.SizeMb < 0 || seen[h.Unit] {
@@ -111,7 +111,7 @@
 	}
 	for _, id := range seen.State.ReplicaIDs() {
 		if !listed[id] {
-			update.Gone = append(update.Gone, id)
+			update.RemovedReplicas = append(update.RemovedReplicas, id)
 			delete(f.replicas, id)
 		}
 	}
@@ -122,8 +122,8 @@
 func (f *Controller) noteListed(seen Seen, l wire.Listed, update *statemachine.LeaderUpdate) {
 	row, have := f.replicas[l.ID], seen.State.Replicas[l.ID]
 	leaving := l.State != wire.ListedReady
-	n := statemachine.ReplicaNote{
-		ID: l.ID, Addr: l.Addr, Zone: l.Zone, RoomMb: l.RoomMb, Slots: l.Slots, Leaving: leaving, LeftMs: leftMs(have, leaving, l.LeftMs),
+	n := statemachine.ReplicaUpdate{
+		ID: l.ID, Addr: l.Addr, Zone: l.Zone, CapacityMb: l.RoomMb, Slots: l.Slots, Draining: leaving, RemainingMs: leftMs(have, leaving, l.LeftMs),
 	}
 	spoke := row != nil && row.atUs > 0
 	n.Unreachable = spoke && seen.NowUs-row.atUs > unreachableAfterUs
@@ -144,25 +144,25 @@
 		n.Unreachable = have.Unreachable
 	}
 	if spoke && !n.Unreachable {
-		n.Told, n.Holds = f.retold(seen.State, have, row)
+		n.ResidentKnown, n.Resident = f.retold(seen.State, have, row)
 	}
 	if rowDiffers(have, n) || have.Incarnation != n.Incarnation {
-		update.Fleet = append(update.Fleet, n)
+		update.Replicas = append(update.Replicas, n)
 	}
 }
 
 // retold takes a replica's own word for its holdings, but only while no order is pending and
 // its last order is the one the ledger settled, so that an old report undoes nothing.
-func (f *Controller) retold(s *statemachine.State, have *statemachine.Replica, row *told) (bool, []statemachine.Holding) {
+func (f *Controller) retold(s *statemachine.State, have *statemachine.Replica, row *told) (bool, []statemachine.ResidentUnit) {
 	if have == nil || have.Incarnation != row.state.Incarnation {
 		return true, row.state.Holds
 	}
 	if _, pending := s.Pending[have.ID]; pending || row.heardUs <= row.movedUs {
 		return false, nil
 	}
-	same := len(row.state.Holds) == len(have.Holds)
+	same := len(row.state.Holds) == len(have.Resident)
 	for _, h := range row.state.Holds {
-		if have.Holds[h.Unit] != h.SizeMb {
+		if have.Resident[h.Unit] != h.SizeMb {
 			same = false
 		}
 	}
@@ -183,12 +183,12 @@
 		last := row.state.Last
 		switch {
 		case last.Number == t.Number && last.State == wire.OrderDone:
-			update.Settled = append(update.Settled, f.withResult(s, t, statemachine.Settled{Number: t.Number, Done: true}))
+			update.Results = append(update.Results, f.withResult(s, t, statemachine.CommandResult{Number: t.Number, Succeeded: true}))
 		case last.Number == t.Number && last.State == wire.OrderFailed:
 			f.count(fault.ReplicaFailed)
-			update.Settled = append(update.Settled, f.withResult(s, t, statemachine.Settled{Number: t.Number, Why: last.Why}))
+			update.Results = append(update.Results, f.withResult(s, t, statemachine.CommandResult{Number: t.Number, Reason: last.Why}))
 		case last.Number > t.Number:
-			update.Settled = append(update.Settled, statemachine.Settled{Number: t.Number, Why: "voided by a newer order"})
+			update.Results = append(update.Results, statemachine.CommandResult{Number: t.Number, Reason: "voided by a newer order"})
 		default:
 			continue
 		}
--- a/internal/controlplane/controller/late_test.go
+++ b/internal/controlplane/controller/late_test.go
@@ -17,9 +17,9 @@
 		Routes: []configuration.Route{{Name: "r", Host: "h", Prefix: "/", Repeat: configuration.Streaming, TimeoutMs: 1000, AttemptsMost: 1, Split: []configuration.Weighted{{Service: "s", Weight: 1}}}}}
 	for i, c := range []statemachine.Change{
 		{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: doc}},
-		{ID: "k", Epoch: 1, Claim: &statemachine.Claim{Holder: "before"}},
-		{ID: "d", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Fleet: []statemachine.ReplicaNote{{ID: "r1", Incarnation: "r1", Addr: "a", RoomMb: 100, Slots: 4, Service: "s", Told: true}}}},
-		{ID: "t", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Tickets: []statemachine.Ticket{{Revision: 1, Replica: "r1", Incarnation: "r1", Step: statemachine.Load, Unit: "m"}}}},
+		{ID: "k", Epoch: 1, Claim: &statemachine.Claim{Leader: "before"}},
+		{ID: "d", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: "r1", Incarnation: "r1", Addr: "a", CapacityMb: 100, Slots: 4, Service: "s", ResidentKnown: true}}}},
+		{ID: "t", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Commands: []statemachine.ReplicaCommand{{Revision: 1, Replica: "r1", Incarnation: "r1", Action: statemachine.Load, Unit: "m"}}}},
 	} {
 		if out := s.Apply(uint64(i+1), c); out.Fault != nil || len(out.Faults) > 0 {
 			t.Fatal(c.ID, out.Fault, out.Faults)
@@ -35,7 +35,7 @@
 	f := New("me")
 	f.routed.bornUs = clock.Sec
 	doneUs := 60 * clock.Sec
-	done := statemachine.LeaderUpdate{Settled: []statemachine.Settled{{Number: s.Pending["r1"].Number, Done: true}}}
+	done := statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: s.Pending["r1"].Number, Succeeded: true}}}
 	s.Apply(5, statemachine.Change{ID: "e", Epoch: 1, LeaderUpdate: &done})
 	f.Saw(doneUs, 1, done, s)
 	f.leave()
@@ -50,11 +50,11 @@
 		{"said well after", 0, doneUs + 4*clock.Sec, true},
 	} {
 		soft := registry.New(3 * clock.Sec)
-		soft.LateUs = c.lateUs
-		soft.Hear(c.atUs, registry.Row{ID: "r1", Service: "s", Addr: "a", Slots: 4, Seq: 9})
+		soft.ReadDelayUs = c.lateUs
+		soft.HandleHeartbeat(c.atUs, registry.ReplicaStatus{ID: "r1", Service: "s", Addr: "a", Slots: 4, Seq: 9})
 		update := &statemachine.LeaderUpdate{}
 		f.noteRoster(Seen{NowUs: c.atUs, State: s, Roster: soft}, update)
-		if taken := len(update.Fleet) > 0; taken != c.taken {
+		if taken := len(update.Replicas) > 0; taken != c.taken {
 			t.Errorf("%s: taken %v, want %v", c.name, taken, c.taken)
 		}
 	}
@@ -68,14 +68,14 @@
 	f.Step(Seen{NowUs: clock.Sec, State: s, Roster: registry.New(clock.Sec)}, Event{NowUs: clock.Sec})
 
 	number := s.Pending["r1"].Number
-	s.Apply(5, statemachine.Change{ID: "before", Epoch: 2, Claim: &statemachine.Claim{Holder: "other"}})
-	s.Apply(6, statemachine.Change{ID: "settled", Epoch: 2, LeaderUpdate: &statemachine.LeaderUpdate{Settled: []statemachine.Settled{{Number: number, Done: true}}}})
+	s.Apply(5, statemachine.Change{ID: "before", Epoch: 2, Claim: &statemachine.Claim{Leader: "other"}})
+	s.Apply(6, statemachine.Change{ID: "settled", Epoch: 2, LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: number, Succeeded: true}}}})
 	nowUs := 60 * clock.Sec
 	head := func() {
 		f.Step(Seen{NowUs: nowUs, State: s, Head: true, Fresh: true, Writes: true, Roster: registry.New(clock.Sec)}, Event{NowUs: nowUs})
 	}
 	head()
-	s.Apply(7, statemachine.Change{ID: "mine", Epoch: 3, Claim: &statemachine.Claim{Holder: "me"}})
+	s.Apply(7, statemachine.Change{ID: "mine", Epoch: 3, Claim: &statemachine.Claim{Leader: "me"}})
 	head()
 	if !f.IsLeader(s) {
 		t.Fatal("it does not lead")
--- a/internal/controlplane/controller/note.go
+++ b/internal/controlplane/controller/note.go
@@ -8,7 +8,7 @@
 // OrderNote is an order that stands at a replica. SentAgoMs is below 0 while it has not been sent by this
 // holder; Said is what the replica answered: running, done, busy, in_doubt, or nothing yet.
 type OrderNote struct {
-	statemachine.Ticket
+	statemachine.ReplicaCommand
 	SentAgoMs int64  `json:"sentAgoMs"`
 	Said      string `json:"said,omitempty"`
 }
@@ -47,7 +47,7 @@
 	if s.Doc == nil || !s.Doc.Routed() || !f.IsLeader(s) {
 		return nil
 	}
-	n := &Note{Holder: s.Holder, Fence: s.Epoch, Orders: f.orderNotes(nowUs, s), Store: f.storeNotes(nowUs, s), Needs: map[string]NeedNote{}}
+	n := &Note{Holder: s.Leader, Fence: s.Epoch, Orders: f.orderNotes(nowUs, s), Store: f.storeNotes(nowUs, s), Needs: map[string]NeedNote{}}
 	if lastUs := f.lastTurnUs(nowUs, s); lastUs > 0 {
 		n.OrdersInMs = (lastUs + clock.Ms - 1) / clock.Ms
 	}
@@ -61,7 +61,7 @@
 func (f *Controller) orderNotes(nowUs int64, s *statemachine.State) []OrderNote {
 	notes := []OrderNote{}
 	for _, id := range sorted(s.Pending) {
-		row := OrderNote{Ticket: s.Pending[id], SentAgoMs: -1}
+		row := OrderNote{ReplicaCommand: s.Pending[id], SentAgoMs: -1}
 		if o := f.routed.orders[row.Number]; o != nil && o.sentUs > 0 {
 			row.SentAgoMs, row.Said = (nowUs-o.sentUs)/clock.Ms, o.said
 		}
--- a/internal/controlplane/controller/note_test.go
+++ b/internal/controlplane/controller/note_test.go
@@ -16,8 +16,8 @@
 		f.demand(map[string]int{"m1": 2, "m2/a1": 1}, map[string]float64{"m1": 4, "m2": 8, "m3": 1, "m5": 2})
 		f.pass(100 * clock.Ms)
 		n := note(f.head)
-		if n == nil || n.Holder != f.s.Holder || n.Fence != f.s.Epoch || len(n.Orders) != len(f.s.Pending) || len(n.Store) != 1 {
-			t.Fatalf("%+v of holder %s, epoch %d, pending %v", n, f.s.Holder, f.s.Epoch, f.s.Pending)
+		if n == nil || n.Holder != f.s.Leader || n.Fence != f.s.Epoch || len(n.Orders) != len(f.s.Pending) || len(n.Store) != 1 {
+			t.Fatalf("%+v of holder %s, epoch %d, pending %v", n, f.s.Leader, f.s.Epoch, f.s.Pending)
 		}
 		store := n.Store[0]
 		if left := f.fs[f.head].storeLeft(f.nowUs, f.s, f.s.Doc.Service("s")); store.Left != left || store.Left+store.Running > store.AtOnce || store.WindowMs != 5000 {
--- a/internal/controlplane/controller/orders.go
+++ b/internal/controlplane/controller/orders.go
@@ -36,7 +36,7 @@
 	f.forgetOrders(seen.State)
 	for _, id := range sorted(seen.State.Pending) {
 		t := seen.State.Pending[id]
-		if e := seen.Roster.Row(id); e != nil && !e.Gone {
+		if e := seen.Roster.Entry(id); e != nil && !e.Removed {
 			f.pursue(seen, t, e, f.standingOrder(seen.NowUs, t))
 		}
 	}
@@ -55,7 +55,7 @@
 }
 
 // standingOrder gives what is known of a ticket's order. One of another holder's tickets is asked about first.
-func (f *Controller) standingOrder(nowUs int64, t statemachine.Ticket) *standingOrder {
+func (f *Controller) standingOrder(nowUs int64, t statemachine.ReplicaCommand) *standingOrder {
 	if o := f.routed.orders[t.Number]; o != nil {
 		return o
 	}
@@ -68,7 +68,7 @@
 }
 
 // pursue takes the next step that is due for a standing order.
-func (f *Controller) pursue(seen Seen, t statemachine.Ticket, e *registry.Entry, o *standingOrder) {
+func (f *Controller) pursue(seen Seen, t statemachine.ReplicaCommand, e *registry.Entry, o *standingOrder) {
 	nowUs := seen.NowUs
 	switch {
 	case o.said == wire.OrderRunning && o.askUs > 0 && nowUs >= o.askUs && f.known(seen.State, t):
@@ -83,7 +83,7 @@
 }
 
 // trustTime settles a load that was taken by its stated time; what the replica shows later is held against it.
-func (f *Controller) trustTime(seen Seen, t statemachine.Ticket, o *standingOrder) {
+func (f *Controller) trustTime(seen Seen, t statemachine.ReplicaCommand, o *standingOrder) {
 	f.routed.trustedUs[unitAt{t.Replica, t.Unit}] = seen.NowUs + trustSpans*f.lookUs(seen.State, t) + wordLateUs
 	o.result = o.basis.after(t)
 	f.settled(t.Replica, t, wire.OrderDone, "")
@@ -91,7 +91,7 @@
 }
 
 // askOutcome asks a replica for its report once that is due, and again where none came.
-func (f *Controller) askOutcome(nowUs int64, t statemachine.Ticket, e *registry.Entry, o *standingOrder) {
+func (f *Controller) askOutcome(nowUs int64, t statemachine.ReplicaCommand, e *registry.Entry, o *standingOrder) {
 	if nowUs >= o.askUs && !o.asked {
 		o.asked, o.askedUs = true, nowUs
 		f.do(Effect{Ask: &Ask{AskedUs: nowUs, Replica: t.Replica, Addr: e.Addr}})
@@ -102,11 +102,11 @@
 
 // begin sends an order for the first time, or again on a new basis: an unload once its replica is quiet, and any
 // once the replica's count is known.
-func (f *Controller) begin(seen Seen, t statemachine.Ticket, e *registry.Entry, o *standingOrder) {
+func (f *Controller) begin(seen Seen, t statemachine.ReplicaCommand, e *registry.Entry, o *standingOrder) {
 	if o.seenUs == 0 {
 		o.seenUs = seen.NowUs
 	}
-	if t.Step == statemachine.Unload && !f.quiet(seen.NowUs, t, o.seenUs) {
+	if t.Action == statemachine.Unload && !f.quiet(seen.NowUs, t, o.seenUs) {
 		return
 	}
 	if o.basis == nil {
@@ -121,7 +121,7 @@
 
 // quiet: every gateway has had time to hear that a unit is to go, and none has calls there that have not begun;
 // a replica would turn them away.
-func (f *Controller) quiet(nowUs int64, t statemachine.Ticket, sinceUs int64) bool {
+func (f *Controller) quiet(nowUs int64, t statemachine.ReplicaCommand, sinceUs int64) bool {
 	if nowUs-sinceUs < quietLeastUs {
 		return false
 	}
@@ -139,7 +139,7 @@
 
 // sendOrder sends an order on its basis. A load that is sent again, or long after its ticket, is counted
 // against the store's window once more.
-func (f *Controller) sendOrder(seen Seen, t statemachine.Ticket, e *registry.Entry, o *standingOrder) {
+func (f *Controller) sendOrder(seen Seen, t statemachine.ReplicaCommand, e *registry.Entry, o *standingOrder) {
 	if o.saidUs > 0 || seen.NowUs-o.notedUs > sendLateUs {
 		f.routed.noteLoad(seen.NowUs, seen.State, t)
 		o.notedUs = seen.NowUs
@@ -175,20 +175,20 @@
 
 // known: an order that was taken ends after a time that the configuration states; what the replica says of
 // itself soon after would show it if it had not.
-func (f *Controller) known(s *statemachine.State, t statemachine.Ticket) bool {
+func (f *Controller) known(s *statemachine.State, t statemachine.ReplicaCommand) bool {
 	have := s.Replicas[t.Replica]
-	return t.Step == statemachine.Load && (strings.Contains(t.Unit, "/") || have == nil || !have.Had[t.Unit])
+	return t.Action == statemachine.Load && (strings.Contains(t.Unit, "/") || have == nil || !have.EverLoaded[t.Unit])
 }
 
 // lookUs is how long after an order was taken its end may be seen.
-func (f *Controller) lookUs(s *statemachine.State, t statemachine.Ticket) int64 {
+func (f *Controller) lookUs(s *statemachine.State, t statemachine.ReplicaCommand) int64 {
 	have := s.Replicas[t.Replica]
 	switch {
-	case t.Step == statemachine.Unload:
+	case t.Action == statemachine.Unload:
 		return unloadFirstUs
 	case strings.Contains(t.Unit, "/"):
 		return adapterDoneUs
-	case have != nil && have.Had[t.Unit]:
+	case have != nil && have.EverLoaded[t.Unit]:
 		return warmFirstUs
 	}
 	if _, loadMs, ok := s.Doc.EngineUnitMb(have.Service, t.Unit); ok {
@@ -198,7 +198,7 @@
 }
 
 // settled gives the ledger's way of settling what it needs: the replica's last order.
-func (f *Controller) settled(replica string, t statemachine.Ticket, state, why string) {
+func (f *Controller) settled(replica string, t statemachine.ReplicaCommand, state, why string) {
 	row := f.replicas[replica]
 	if row == nil {
 		row = &told{}
@@ -229,7 +229,7 @@
 
 // look judges an order by what the replica holds. A report lags a little, so that it ends an order only
 // by what it shows, or by showing nothing for long enough.
-func (f *Controller) look(seen Seen, t statemachine.Ticket, o *standingOrder, told *wire.ReplicaState) {
+func (f *Controller) look(seen Seen, t statemachine.ReplicaCommand, o *standingOrder, told *wire.ReplicaState) {
 	nowUs, have := seen.NowUs, seen.State.Replicas[t.Replica]
 	if have == nil {
 		return
@@ -259,12 +259,12 @@
 
 // showsDone: a replica's report shows that an order was carried out. A busy replica that was not heard to have
 // taken an unload may hold nothing of the unit for another reason.
-func showsDone(t statemachine.Ticket, told *wire.ReplicaState, taken bool) bool {
+func showsDone(t statemachine.ReplicaCommand, told *wire.ReplicaState, taken bool) bool {
 	_, holds := slices.BinarySearch(told.Units, t.Unit)
-	if t.Step == statemachine.Load {
+	if t.Action == statemachine.Load {
 		return holds
 	}
-	return t.Step == statemachine.Unload && !holds && (!told.Busy || taken)
+	return t.Action == statemachine.Unload && !holds && (!told.Busy || taken)
 }
 
 // sendAgain has an order that the replica does not have sent on the state that it reported; one that it has only
@@ -278,7 +278,7 @@
 
 // lookAgain waits for a report that is new enough. One that never comes ends the order: its replica's count will
 // be asked for before the next one.
-func (f *Controller) lookAgain(nowUs int64, t statemachine.Ticket, o *standingOrder) {
+func (f *Controller) lookAgain(nowUs int64, t statemachine.ReplicaCommand, o *standingOrder) {
 	if o.outdatedUs == 0 {
 		o.outdatedUs = nowUs
 	}
@@ -290,7 +290,7 @@
 }
 
 // conclude settles an order with what the replica holds after it, where that is known.
-func (f *Controller) conclude(t statemachine.Ticket, o *standingOrder, state, why string, result *basis) {
+func (f *Controller) conclude(t statemachine.ReplicaCommand, o *standingOrder, state, why string, result *basis) {
 	o.askUs, o.said, o.result = 0, state, result
 	f.settled(t.Replica, t, state, why)
 }
--- a/internal/controlplane/controller/orders_explore_test.go
+++ b/internal/controlplane/controller/orders_explore_test.go
@@ -213,7 +213,7 @@
 	r := m.lives[ids[m.choose(len(ids))]]
 	delete(m.lives, r.id)
 	for _, o := range m.controlNodes {
-		o.roster.Leave(m.nowUs, r.id)
+		o.roster.Remove(m.nowUs, r.id)
 	}
 	m.birth(r.addr, map[string]bool{})
 }
--- a/internal/controlplane/controller/orders_model_test.go
+++ b/internal/controlplane/controller/orders_model_test.go
@@ -76,7 +76,7 @@
 	holds    map[string]int64
 	disk     map[string]bool
 	taken    uint64
-	underway *statemachine.Ticket
+	underway *statemachine.ReplicaCommand
 	doneUs   int64
 	beatUs   int64
 	sequence uint64
@@ -102,12 +102,12 @@
 // modelControlNode is one control node: its controller, and what it has heard of replicas.
 type modelControlNode struct {
 	controller *Controller
-	roster     *registry.Roster
+	roster     *registry.Registry
 	// frozen is the ledger as this control node had it when it was cut off from the others, nil while it is not.
 	frozen   *statemachine.State
 	cutUs    int64
 	holdBeat bool
-	beats    []registry.Row
+	beats    []registry.ReplicaStatus
 }
 
 // orderModel runs two real controllers over one real ledger against model replicas and a model network. Every
@@ -191,11 +191,11 @@
 func (m *orderModel) apply(c statemachine.Change) statemachine.Outcome {
 	m.index++
 	out := m.state.Apply(m.index, c)
-	if c.LeaderUpdate == nil || len(c.LeaderUpdate.Tickets)+len(c.LeaderUpdate.Settled) == 0 {
+	if c.LeaderUpdate == nil || len(c.LeaderUpdate.Commands)+len(c.LeaderUpdate.Results) == 0 {
 		return out
 	}
 	if out.Fault == nil {
-		m.settled += len(c.LeaderUpdate.Settled)
+		m.settled += len(c.LeaderUpdate.Results)
 	}
 	for _, o := range m.controlNodes {
 		if o.frozen == nil {
@@ -323,7 +323,7 @@
 	if o.Expected != nil {
 		count = fmt.Sprintf("count %d", *o.Expected)
 	}
-	return fmt.Sprintf("ticket %d: %s %s at %s, fence %d, %s", o.Ticket.Number, o.Ticket.Step, o.Ticket.Unit, o.Ticket.Replica, o.Epoch, count)
+	return fmt.Sprintf("ticket %d: %s %s at %s, fence %d, %s", o.Ticket.Number, o.Ticket.Action, o.Ticket.Unit, o.Ticket.Replica, o.Epoch, count)
 }
 
 // arrive is an order at a replica: it answers by what it holds, and the checkers judge what was asked of it.
@@ -341,25 +341,25 @@
 	switch {
 	case r.underway != nil, order.Expected != nil && *order.Expected != r.taken:
 		return wire.OrderBusy
-	case held == (t.Step == statemachine.Load):
+	case held == (t.Action == statemachine.Load):
 		return wire.OrderDone
-	case t.Step == statemachine.Load && !m.checkRoom(r, t):
+	case t.Action == statemachine.Load && !m.checkRoom(r, t):
 		return wire.OrderFailed
 	}
 	r.taken++
 	m.taken++
 	r.underway = &t
 	r.doneUs = m.nowUs + m.spanUs(r, t)
-	m.note("%s takes %s %s as its order %d", r.id, t.Step, t.Unit, r.taken)
+	m.note("%s takes %s %s as its order %d", r.id, t.Action, t.Unit, r.taken)
 	return wire.OrderRunning
 }
 
 // spanUs is how long an order takes; a load from the store counts against its window.
-func (m *orderModel) spanUs(r *modelReplica, t statemachine.Ticket) int64 {
+func (m *orderModel) spanUs(r *modelReplica, t statemachine.ReplicaCommand) int64 {
 	switch {
-	case t.Step == statemachine.Unload && m.longUnload:
+	case t.Action == statemachine.Unload && m.longUnload:
 		return modelLongUnloadUs
-	case t.Step == statemachine.Unload:
+	case t.Action == statemachine.Unload:
 		return modelUnloadUs
 	case strings.Contains(t.Unit, "/"):
 		return 20 * clock.Ms
@@ -394,7 +394,7 @@
 
 // checkRoom is LIMIT: no replica is ordered to load beyond its room or its places. False where an adapter's
 // model is not there, which a replica refuses.
-func (m *orderModel) checkRoom(r *modelReplica, t statemachine.Ticket) bool {
+func (m *orderModel) checkRoom(r *modelReplica, t statemachine.ReplicaCommand) bool {
 	model, adapter := configuration.Units(t.Unit)
 	if _, there := r.holds[model]; adapter != "" && !there {
 		return false
@@ -441,7 +441,7 @@
 func (r *modelReplica) advance(nowUs int64) {
 	if t := r.underway; t != nil && nowUs >= r.doneUs {
 		r.underway = nil
-		if t.Step == statemachine.Load {
+		if t.Action == statemachine.Load {
 			r.holds[t.Unit] = t.SizeMb
 			r.disk[t.Unit] = true
 		} else {
@@ -492,7 +492,7 @@
 func (m *orderModel) beat(r *modelReplica) {
 	r.beatUs = m.nowUs
 	r.sequence++
-	row := registry.Row{ID: r.id, Service: modelService, Addr: r.addr, Zone: "a", Slots: 8, Seq: r.sequence, Units: r.units()}
+	row := registry.ReplicaStatus{ID: r.id, Service: modelService, Addr: r.addr, Zone: "a", Slots: 8, Seq: r.sequence, Units: r.units()}
 	for _, o := range m.controlNodes {
 		o.beats = append(o.beats, row)
 	}
@@ -506,13 +506,13 @@
 	}
 	n := min(len(o.beats), 2+len(m.lives))
 	for _, row := range o.beats[:n] {
-		o.roster.Hear(m.nowUs, row)
+		o.roster.HandleHeartbeat(m.nowUs, row)
 	}
 	o.beats = slices.Clone(o.beats[n:])
 }
 
 // propose asks the head for an order that the ledger takes for fitting: the policy may be any.
-func (m *orderModel) propose(step statemachine.Step, replica int, unit string) {
+func (m *orderModel) propose(step statemachine.Action, replica int, unit string) {
 	ids := m.state.ReplicaIDs()
 	if len(ids) == 0 {
 		return
@@ -520,7 +520,7 @@
 	m.proposeAt(step, ids[replica%len(ids)], unit)
 }
 
-func (m *orderModel) proposeAt(step statemachine.Step, replica, unit string) {
+func (m *orderModel) proposeAt(step statemachine.Action, replica, unit string) {
 	p := placement.Proposal{Step: step, Replica: replica, Unit: unit}
 	m.note("propose %s %s at %s", p.Step, p.Unit, p.Replica)
 	c := m.controlNodes[m.head].controller
@@ -544,7 +544,7 @@
 	}
 	m.note("office%d is cut off", m.head)
 	o := m.controlNodes[m.head]
-	o.frozen, o.cutUs = m.state.Freeze(), m.nowUs
+	o.frozen, o.cutUs = m.state.Snapshot(), m.nowUs
 	m.old, m.head = -1, 1-m.head
 }
 
@@ -552,7 +552,7 @@
 func (m *orderModel) cutOther() {
 	if o := m.controlNodes[1-m.head]; o.frozen == nil {
 		m.note("office%d is cut off", 1-m.head)
-		o.frozen, o.cutUs = m.state.Freeze(), 0
+		o.frozen, o.cutUs = m.state.Snapshot(), 0
 	}
 }
 
@@ -597,11 +597,11 @@
 func (m *orderModel) unsettled() string {
 	for _, id := range sorted(m.state.Pending) {
 		t := m.state.Pending[id]
-		return fmt.Sprintf("ticket %d stands (%s %s at %s)", t.Number, t.Step, t.Unit, id)
+		return fmt.Sprintf("ticket %d stands (%s %s at %s)", t.Number, t.Action, t.Unit, id)
 	}
 	for _, id := range slices.Sorted(maps.Keys(m.lives)) {
 		row, r := m.state.Replicas[id], m.lives[id]
-		if row == nil || r.underway != nil || !maps.Equal(row.Holds, r.holds) {
+		if row == nil || r.underway != nil || !maps.Equal(row.Resident, r.holds) {
 			return fmt.Sprintf("the ledger has %+v of %s, which holds %v", row, id, r.holds)
 		}
 	}
--- a/internal/controlplane/controller/outliers.go
+++ b/internal/controlplane/controller/outliers.go
@@ -7,7 +7,7 @@
 
 // serviceOf is the service of an incarnation of a replica, "" where it is not known or has ended.
 func (s Seen) serviceOf(id string) string {
-	if e := s.Roster.Row(id); e != nil && !e.Gone {
+	if e := s.Roster.Entry(id); e != nil && !e.Removed {
 		return e.Service
 	}
 	return ""
@@ -30,7 +30,7 @@
 	}
 	replicas := map[string]int{}
 	for _, id := range seen.Roster.IDs() {
-		if e := seen.Roster.Row(id); !e.Gone && !e.Unreachable && !e.Draining {
+		if e := seen.Roster.Entry(id); !e.Removed && !e.Unreachable && !e.Draining {
 			replicas[e.Service]++
 		}
 	}
--- a/internal/controlplane/controller/outliers_test.go
+++ b/internal/controlplane/controller/outliers_test.go
@@ -18,13 +18,13 @@
 		f := NewWith("me", Options{Outlier: outlier.Options{Off: off}})
 		f.claimed = 1
 		s := statemachine.NewState()
-		s.Epoch, s.Holder, s.Doc = 1, "me", fleetDoc()
+		s.Epoch, s.Leader, s.Doc = 1, "me", fleetDoc()
 		seen := Seen{NowUs: clock.Sec, State: s, Roster: registry.New(3 * clock.Sec)}
 		service := s.Doc.Services[0].Name
 		for i := range 8 {
-			seen.Roster.Hear(seen.NowUs, registry.Row{ID: fmt.Sprint("r", i), Service: service, Addr: fmt.Sprint("r", i), Zone: "a", Slots: 4, Seq: 1})
+			seen.Roster.HandleHeartbeat(seen.NowUs, registry.ReplicaStatus{ID: fmt.Sprint("r", i), Service: service, Addr: fmt.Sprint("r", i), Zone: "a", Slots: 4, Seq: 1})
 		}
-		s.Replicas["r0"] = &statemachine.Replica{ID: "r0", Service: service, Holds: map[string]int64{"m0": 1}}
+		s.Replicas["r0"] = &statemachine.Replica{ID: "r0", Service: service, Resident: map[string]int64{"m0": 1}}
 		var table *outlier.Table
 		for i := range 20 {
 			seen.NowUs += 200 * clock.Ms
--- a/internal/controlplane/controller/policy.go
+++ b/internal/controlplane/controller/policy.go
@@ -62,12 +62,12 @@
 // replica is one replica as the placement policies read it.
 func (f *Controller) replica(s *statemachine.State, r *statemachine.Replica) placement.Replica {
 	row := placement.Replica{
-		ID: r.ID, Zone: r.Zone, RoomMb: r.RoomMb, FreeMb: r.RoomMb - s.TakenMb(r.ID), Slots: r.Slots,
-		Holds: sorted(r.Holds), Usable: r.Usable(s.Doc),
+		ID: r.ID, Zone: r.Zone, RoomMb: r.CapacityMb, FreeMb: r.CapacityMb - s.ReservedMb(r.ID), Slots: r.Slots,
+		Holds: sorted(r.Resident), Usable: r.AcceptsLoads(s.Doc),
 	}
 	if t, pending := s.Pending[r.ID]; pending {
 		row.Busy = true
-		if t.Step == statemachine.Load {
+		if t.Action == statemachine.Load {
 			row.Loading = t.Unit
 		}
 	}
--- a/internal/controlplane/controller/resident.go
+++ b/internal/controlplane/controller/resident.go
@@ -59,12 +59,12 @@
 // placed: some replica that calls may go to holds a unit or loads it.
 func (f *Controller) placed(s *statemachine.State, unit string) bool {
 	for _, t := range s.Pending {
-		if t.Unit == unit && t.Step == statemachine.Load {
+		if t.Unit == unit && t.Action == statemachine.Load {
 			return true
 		}
 	}
 	for id, r := range s.Replicas {
-		if _, holds := r.Holds[unit]; holds && !r.Leaving && !r.Unreachable && !f.outliers.Kept(id) && s.Pending[id].Unit != unit {
+		if _, holds := r.Resident[unit]; holds && !r.Draining && !r.Unreachable && !f.outliers.Kept(id) && s.Pending[id].Unit != unit {
 			return true
 		}
 	}
@@ -175,10 +175,10 @@
 // home is one replica as the placement policy reads it.
 func (f *Controller) home(seen Seen, r *statemachine.Replica, runs, unread map[string]int) placement.Home {
 	h := placement.Home{
-		ID: r.ID, Usable: !r.Leaving && !r.Unreachable && !f.outliers.Kept(r.ID), FreeMb: r.RoomMb - seen.State.TakenMb(r.ID), Holds: r.Holds, Had: r.Had,
+		ID: r.ID, Usable: !r.Draining && !r.Unreachable && !f.outliers.Kept(r.ID), FreeMb: r.CapacityMb - seen.State.ReservedMb(r.ID), Holds: r.Resident, Had: r.EverLoaded,
 		Runs: runs, Unread: unread, AgeMs: map[string]int64{},
 	}
-	for unit := range r.Holds {
+	for unit := range r.Resident {
 		if atUs, ok := f.routed.cameUs[unitAt{r.ID, unit}]; ok {
 			h.AgeMs[unit] = (seen.NowUs - atUs) / clock.Ms
 		}
@@ -189,7 +189,7 @@
 	h.Busy = !f.mayOrder(seen.NowUs, r.ID)
 	if t, pending := seen.State.Pending[r.ID]; pending {
 		h.Busy = true
-		if t.Step == statemachine.Load {
+		if t.Action == statemachine.Load {
 			h.Coming = t.Unit
 		} else {
 			h.Going = t.Unit
@@ -199,7 +199,7 @@
 }
 
 // came remembers when a unit came to a replica.
-func (f *Controller) came(nowUs int64, t statemachine.Ticket) {
+func (f *Controller) came(nowUs int64, t statemachine.ReplicaCommand) {
 	f.routed.cameUs[unitAt{t.Replica, t.Unit}] = nowUs
 	if len(f.routed.cameUs) > cameMost {
 		f.routed.cameUs = map[unitAt]int64{}
--- a/internal/controlplane/controller/routed.go
+++ b/internal/controlplane/controller/routed.go
@@ -91,16 +91,16 @@
 	if foreign := epoch != f.claimed || !f.IsLeader(s); !f.turns.saw(nowUs, foreign, d, s) {
 		f.routed.foreignUs = nowUs
 	}
-	f.routed.missed(nowUs, s, len(d.Tickets))
-	for _, t := range d.Tickets {
+	f.routed.missed(nowUs, s, len(d.Commands))
+	for _, t := range d.Commands {
 		f.routed.noteLoad(nowUs, s, t)
 	}
-	for _, done := range d.Settled {
+	for _, done := range d.Results {
 		delete(f.routed.orders, done.Number)
 	}
-	if len(d.Settled) > 0 {
+	if len(d.Results) > 0 {
 		for id, r := range s.Replicas {
-			if r.Index == s.Index {
+			if r.ModifiedIndex == s.Index {
 				f.routed.changedUs[id] = nowUs
 			}
 		}
@@ -123,11 +123,11 @@
 func (f *Controller) beginDuty(seen Seen) {
 	r := &f.routed
 	r.leaderSinceUs = seen.NowUs
-	if seen.State.NextTicket > 1 {
+	if seen.State.NextNumber > 1 {
 		r.foreignUs = max(r.foreignUs, r.bornUs)
 	}
 	f.turns.unseen(seen.NowUs, seen.State)
-	if f.turns.next != seen.State.NextTicket {
+	if f.turns.next != seen.State.NextNumber {
 		f.turns.follow(seen.State)
 		r.foreignUs = seen.NowUs
 	}
--- a/internal/controlplane/controller/routed_test.go
+++ b/internal/controlplane/controller/routed_test.go
@@ -29,7 +29,7 @@
 	id, addr string
 	holds    map[string]int64
 	disk     map[string]bool
-	busy     statemachine.Ticket
+	busy     statemachine.ReplicaCommand
 	doneUs   int64
 	seq      uint64
 	taken    uint64
@@ -48,7 +48,7 @@
 	atUs   int64
 	holder string
 	epoch  uint64
-	t      statemachine.Ticket
+	t      statemachine.ReplicaCommand
 	asked  bool
 }
 
@@ -60,7 +60,7 @@
 	s        *statemachine.State
 	index    uint64
 	fs       [2]*Controller
-	rosters  [2]*registry.Roster
+	rosters  [2]*registry.Registry
 	head     int
 	old      int
 	oldUs    int64
@@ -117,7 +117,7 @@
 func (f *fleet) apply(c statemachine.Change) statemachine.Outcome {
 	f.index++
 	out := f.s.Apply(f.index, c)
-	if c.LeaderUpdate != nil && len(c.LeaderUpdate.Tickets)+len(c.LeaderUpdate.Settled) > 0 {
+	if c.LeaderUpdate != nil && len(c.LeaderUpdate.Commands)+len(c.LeaderUpdate.Results) > 0 {
 		for i := range f.fs {
 			if f.fs[i] != nil {
 				f.fs[i].Saw(f.nowUs, c.Epoch, *c.LeaderUpdate, f.s)
@@ -205,9 +205,9 @@
 	switch {
 	case m.busy.Unit != "", o.Expected != nil && *o.Expected != m.taken:
 		return wire.OrderBusy
-	case held == (t.Step == statemachine.Load):
+	case held == (t.Action == statemachine.Load):
 		return wire.OrderDone
-	case t.Step == statemachine.Unload:
+	case t.Action == statemachine.Unload:
 		m.taken++
 		m.busy, m.doneUs = t, f.nowUs+f.r.Int63n(300*clock.Ms)
 		return wire.OrderRunning
@@ -280,7 +280,7 @@
 		for _, id := range slices.Sorted(maps.Keys(f.machines)) {
 			m := f.machines[id]
 			if m.busy.Unit != "" && f.nowUs >= m.doneUs {
-				if m.busy.Step == statemachine.Load {
+				if m.busy.Action == statemachine.Load {
 					m.holds[m.busy.Unit] = m.busy.SizeMb
 					m.disk[m.busy.Unit] = true
 				} else {
@@ -290,13 +290,13 @@
 						}
 					}
 				}
-				m.busy = statemachine.Ticket{}
+				m.busy = statemachine.ReplicaCommand{}
 			}
 			if f.nowUs-m.beatUs >= 200*clock.Ms && !m.silent {
 				m.beatUs = f.nowUs
 				m.seq++
 				for _, r := range f.rosters {
-					r.Hear(f.nowUs, registry.Row{ID: m.id, Service: "s", Addr: m.addr, Zone: "a", Slots: 8, Seq: m.seq, Units: m.units()})
+					r.HandleHeartbeat(f.nowUs, registry.ReplicaStatus{ID: m.id, Service: "s", Addr: m.addr, Zone: "a", Slots: 8, Seq: m.seq, Units: m.units()})
 				}
 			}
 		}
@@ -327,7 +327,7 @@
 		return
 	}
 	for _, r := range f.rosters {
-		r.Leave(f.nowUs, m.id)
+		r.Remove(f.nowUs, m.id)
 	}
 	f.birth(m.addr, disk)
 }
@@ -411,7 +411,7 @@
 		s := statemachine.NewState()
 		s.Apply(1, statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: fleetDoc()}})
 		f, ros, index := New("one"), registry.New(3*clock.Sec), uint64(1)
-		row := registry.Row{ID: "r", Service: "s", Addr: "r", Slots: 8, Seq: 1, Units: []string{"m0"}}
+		row := registry.ReplicaStatus{ID: "r", Service: "s", Addr: "r", Slots: 8, Seq: 1, Units: []string{"m0"}}
 		nowUs := clock.Sec
 		sentUs := int64(0)
 		var step func(ev Event)
@@ -430,7 +430,7 @@
 		}
 		for range 8 {
 			nowUs += 25 * clock.Ms
-			ros.Hear(nowUs, row)
+			ros.HandleHeartbeat(nowUs, row)
 			row.Seq++
 			step(Event{})
 		}
@@ -438,7 +438,7 @@
 			t.Fatalf("%s: the replica is not written down", name)
 		}
 		index++
-		out := s.Apply(index, statemachine.Change{ID: "t", Epoch: s.Epoch, LeaderUpdate: &statemachine.LeaderUpdate{Tickets: []statemachine.Ticket{{Replica: "r", Incarnation: "r", Revision: s.Revision, Step: statemachine.Unload, Unit: "m0"}}}})
+		out := s.Apply(index, statemachine.Change{ID: "t", Epoch: s.Epoch, LeaderUpdate: &statemachine.LeaderUpdate{Commands: []statemachine.ReplicaCommand{{Replica: "r", Incarnation: "r", Revision: s.Revision, Action: statemachine.Unload, Unit: "m0"}}}})
 		if len(out.Faults) > 0 {
 			t.Fatal(out.Faults)
 		}
@@ -459,15 +459,15 @@
 func TestOnlyTicketsThatWereNotSeenCloseTheStore(t *testing.T) {
 	s := statemachine.NewState()
 	s.Apply(1, statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: fleetDoc()}})
-	s.Apply(2, statemachine.Change{ID: "k", Epoch: 1, Claim: &statemachine.Claim{Holder: "one"}})
+	s.Apply(2, statemachine.Change{ID: "k", Epoch: 1, Claim: &statemachine.Claim{Leader: "one"}})
 	opts := Options{LeaseUs: fleetLeaseUs, StoreWindowUs: fleetWindowUs, StoreOvershoot: fleetOver}
 	from, late := NewWith("one", opts), NewWith("two", opts)
 	svc := s.Doc.Service("s")
 	index := uint64(2)
 	load := func(nowUs int64, id string) {
 		index++
-		update := statemachine.LeaderUpdate{Fleet: []statemachine.ReplicaNote{{ID: id, Incarnation: id, RoomMb: fleetRoomMb, Slots: 8, Service: "s"}},
-			Tickets: []statemachine.Ticket{{Replica: id, Incarnation: id, Revision: s.Revision, Step: statemachine.Load, Unit: "m0"}}}
+		update := statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: id, Incarnation: id, CapacityMb: fleetRoomMb, Slots: 8, Service: "s"}},
+			Commands: []statemachine.ReplicaCommand{{Replica: id, Incarnation: id, Revision: s.Revision, Action: statemachine.Load, Unit: "m0"}}}
 		if out := s.Apply(index, statemachine.Change{ID: fmt.Sprint("d", index), Epoch: s.Epoch, LeaderUpdate: &update}); len(out.Faults) > 0 {
 			t.Fatal(out.Faults)
 		}
@@ -485,7 +485,7 @@
 		t.Errorf("%d loads are left a window later, want %d", left, most-1)
 	}
 	load(8*clock.Sec, "r1")
-	late.Saw(8*clock.Sec, s.Epoch, statemachine.LeaderUpdate{Tickets: make([]statemachine.Ticket, 1)}, s)
+	late.Saw(8*clock.Sec, s.Epoch, statemachine.LeaderUpdate{Commands: make([]statemachine.ReplicaCommand, 1)}, s)
 	if late.routed.missedUs >= 8*clock.Sec {
 		t.Error("a ticket that was seen counts as missed")
 	}
--- a/internal/controlplane/controller/rows.go
+++ b/internal/controlplane/controller/rows.go
@@ -17,20 +17,20 @@
 // outdated: what a replica said may be older than the last order that changed what it holds, as words lie
 // in sockets, links and frozen machines for a while.
 func (r *routed) outdated(e *registry.Entry) bool {
-	return e.SaidUs <= max(r.changedUs[e.ID], r.bornUs)+wordLateUs
+	return e.ConfirmedUs <= max(r.changedUs[e.ID], r.bornUs)+wordLateUs
 }
 
 // noteRoster writes down what tickets need to know of replicas: their incarnations, their room and what they hold.
 // It changes with notices, incarnations and loads, not with heartbeats.
 func (f *Controller) noteRoster(seen Seen, update *statemachine.LeaderUpdate) {
-	now := notedAt{seen.Roster.Rev, seen.State.HoldsIndex, seen.State.Revision, f.routed.noted.atUs}
+	now := notedAt{seen.Roster.Revision, seen.State.ReplicasIndex, seen.State.Revision, f.routed.noted.atUs}
 	if now == f.routed.noted && seen.NowUs-now.atUs < noteEveryUs {
 		return
 	}
 	now.atUs = seen.NowUs
 	f.routed.noted = now
 	for _, id := range seen.Roster.IDs() {
-		f.noteEntry(seen, seen.Roster.Row(id), update)
+		f.noteEntry(seen, seen.Roster.Entry(id), update)
 	}
 	for _, id := range seen.State.ReplicaIDs() {
 		f.noteUnseen(seen, id, update)
@@ -41,43 +41,43 @@
 func (f *Controller) noteEntry(seen Seen, e *registry.Entry, update *statemachine.LeaderUpdate) {
 	have := seen.State.Replicas[e.ID]
 	svc := seen.State.Doc.Service(e.Service)
-	if e.Gone || svc == nil || svc.Engine == nil {
+	if e.Removed || svc == nil || svc.Engine == nil {
 		if have != nil {
-			update.Gone = append(update.Gone, e.ID)
+			update.RemovedReplicas = append(update.RemovedReplicas, e.ID)
 			delete(f.routed.changedUs, e.ID)
 		}
 		return
 	}
-	n := statemachine.ReplicaNote{
-		ID: e.ID, Incarnation: e.ID, Addr: e.Addr, Zone: e.Zone, RoomMb: svc.Engine.RoomMb, Slots: e.Slots, Leaving: e.Draining,
-		LeftMs: leftMs(have, e.Draining, e.LeftMs), Unreachable: e.Unreachable, Service: e.Service,
+	n := statemachine.ReplicaUpdate{
+		ID: e.ID, Incarnation: e.ID, Addr: e.Addr, Zone: e.Zone, CapacityMb: svc.Engine.RoomMb, Slots: e.Slots, Draining: e.Draining,
+		RemainingMs: leftMs(have, e.Draining, e.RemainingMs), Unreachable: e.Unreachable, Service: e.Service,
 	}
 	f.noteUnits(seen, e, svc, &n)
 	if rowDiffers(have, n) {
-		update.Fleet = append(update.Fleet, n)
+		update.Replicas = append(update.Replicas, n)
 	}
 }
 
 // noteUnits adds what a replica holds where the ledger has something else and the replica's word is new enough.
 // Where it is not, the next write compares again.
-func (f *Controller) noteUnits(seen Seen, e *registry.Entry, svc *configuration.Service, n *statemachine.ReplicaNote) {
+func (f *Controller) noteUnits(seen Seen, e *registry.Entry, svc *configuration.Service, n *statemachine.ReplicaUpdate) {
 	have := seen.State.Replicas[e.ID]
 	_, pending := seen.State.Pending[e.ID]
 	units := f.routed.withTrusted(seen.NowUs, have, e.Units)
 	switch {
 	case have == nil:
-		n.Told, n.Holds, n.Orders = true, holdings(seen.State.Doc, svc, units), new(uint64)
+		n.ResidentKnown, n.Resident, n.CommandsTaken = true, holdings(seen.State.Doc, svc, units), new(uint64)
 	case pending || sameUnits(have, units):
 	case f.routed.outdated(e):
 		f.routed.noted = notedAt{}
 	default:
-		n.Told, n.Holds = true, holdings(seen.State.Doc, svc, units)
+		n.ResidentKnown, n.Resident = true, holdings(seen.State.Doc, svc, units)
 	}
 }
 
 // noteUnseen takes a replica out of the ledger once no control node has heard of it for long enough.
 func (f *Controller) noteUnseen(seen Seen, id string, update *statemachine.LeaderUpdate) {
-	if seen.Roster.Row(id) != nil {
+	if seen.Roster.Entry(id) != nil {
 		delete(f.routed.unseenUs, id)
 		return
 	}
@@ -85,7 +85,7 @@
 	if !known {
 		f.routed.unseenUs[id] = seen.NowUs
 	} else if seen.NowUs-sinceUs > forgottenUs {
-		update.Gone = append(update.Gone, id)
+		update.RemovedReplicas = append(update.RemovedReplicas, id)
 		delete(f.routed.unseenUs, id)
 		delete(f.routed.changedUs, id)
 	}
@@ -93,15 +93,15 @@
 
 // rowDiffers: the ledger has no row of a replica, or one that says something else than the note. The incarnation is not
 // looked at.
-func rowDiffers(have *statemachine.Replica, n statemachine.ReplicaNote) bool {
-	return have == nil || have.Addr != n.Addr || have.Zone != n.Zone || have.RoomMb != n.RoomMb ||
-		have.Slots != n.Slots || have.Leaving != n.Leaving || have.Unreachable != n.Unreachable || n.Told
+func rowDiffers(have *statemachine.Replica, n statemachine.ReplicaUpdate) bool {
+	return have == nil || have.Addr != n.Addr || have.Zone != n.Zone || have.CapacityMb != n.CapacityMb ||
+		have.Slots != n.Slots || have.Draining != n.Draining || have.Unreachable != n.Unreachable || n.ResidentKnown
 }
 
 // leftMs is how long a replica under notice has: as was first written down, so that the row stays as it is.
 func leftMs(have *statemachine.Replica, leaving bool, saidMs int64) int64 {
-	if leaving && have != nil && have.Leaving {
-		return have.LeftMs
+	if leaving && have != nil && have.Draining {
+		return have.RemainingMs
 	}
 	return saidMs
 }
@@ -112,7 +112,7 @@
 	if have == nil || len(r.trustedUs) == 0 {
 		return units
 	}
-	for unit := range have.Holds {
+	for unit := range have.Resident {
 		key := unitAt{have.ID, unit}
 		untilUs, trusted := r.trustedUs[key]
 		if !trusted {
@@ -129,11 +129,11 @@
 
 // sameUnits: the ledger's row holds just these units.
 func sameUnits(have *statemachine.Replica, units []string) bool {
-	if len(have.Holds) != len(units) {
+	if len(have.Resident) != len(units) {
 		return false
 	}
 	for _, u := range units {
-		if _, holds := have.Holds[u]; !holds {
+		if _, holds := have.Resident[u]; !holds {
 			return false
 		}
 	}
@@ -141,14 +141,14 @@
 }
 
 // holdings gives each unit its size; one that no engine names is taken to fill what is left.
-func holdings(doc *configuration.Declaration, svc *configuration.Service, units []string) []statemachine.Holding {
-	all := []statemachine.Holding{}
+func holdings(doc *configuration.Declaration, svc *configuration.Service, units []string) []statemachine.ResidentUnit {
+	all := []statemachine.ResidentUnit{}
 	for _, u := range units {
 		sizeMb, _, ok := doc.EngineUnitMb(svc.Name, u)
 		if !ok {
 			sizeMb = svc.Engine.RoomMb / 2
 		}
-		all = append(all, statemachine.Holding{Unit: u, SizeMb: sizeMb})
+		all = append(all, statemachine.ResidentUnit{Unit: u, SizeMb: sizeMb})
 	}
 	return all
 }
--- a/internal/controlplane/controller/share.go
+++ b/internal/controlplane/controller/share.go
@@ -12,10 +12,10 @@
 	gateways := f.live(seen.NowUs)
 	for _, id := range s.ReplicaIDs() {
 		r := s.Replicas[id]
-		if r.Leaving || r.Unreachable || r.Incarnation == "" {
+		if r.Draining || r.Unreachable || r.Incarnation == "" {
 			continue
 		}
-		for _, unit := range sorted(r.Holds) {
+		for _, unit := range sorted(r.Resident) {
 			if s.Doc.Model(unit) == nil {
 				continue
 			}
@@ -30,17 +30,17 @@
 
 // grantAsk gives what a gateway should be granted for a model at a replica; it is needed where the gateway has no
 // grant of these lives, or less than half of one left.
-func (f *Controller) grantAsk(s *statemachine.State, r *statemachine.Replica, model, gateway string) (ask statemachine.GrantAsk, needed bool) {
+func (f *Controller) grantAsk(s *statemachine.State, r *statemachine.Replica, model, gateway string) (ask statemachine.GrantRequest, needed bool) {
 	report := f.gateways[gateway].report
 	want := min(max(uint64(report.Arrivals[model]*2*attemptSeconds), attemptsLeast), attemptsMost)
-	ask = statemachine.GrantAsk{Gateway: gateway, GatewayIncarnation: report.Incarnation, Replica: r.ID, Incarnation: r.Incarnation, Model: model, Count: want}
+	ask = statemachine.GrantRequest{Gateway: gateway, GatewayIncarnation: report.Incarnation, Replica: r.ID, Incarnation: r.Incarnation, Model: model, Count: want}
 	g := statemachine.Grant{Gateway: gateway, Replica: r.ID, Model: model}
 	have, ok := s.Grants[g.Key()]
 	if !ok || have.GatewayIncarnation != report.Incarnation || have.Incarnation != r.Incarnation {
 		return ask, true
 	}
 	left, told := report.Left[r.ID+"|"+model]
-	return ask, told && left.Ticket == have.Ticket && left.Left*2 <= want
+	return ask, told && left.Ticket == have.Number && left.Left*2 <= want
 }
 
 // What a gateway's calls weigh when a replica's slots are divided: one that runs there counts whole.
@@ -63,17 +63,17 @@
 	}
 	for _, id := range s.ReplicaIDs() {
 		r := s.Replicas[id]
-		if r.Leaving || r.Unreachable {
+		if r.Draining || r.Unreachable {
 			continue
 		}
 		shares := divide(r.Slots, gateways, f.weights(r, gateways))
 		if !f.worthwhile(r, shares) {
 			continue
 		}
-		if update.Shares == nil {
-			update.Shares = map[string]map[string]int{}
+		if update.Quotas == nil {
+			update.Quotas = map[string]map[string]int{}
 		}
-		update.Shares[id] = shares
+		update.Quotas[id] = shares
 	}
 }
 
@@ -83,7 +83,7 @@
 	for i, gateway := range gateways {
 		report := f.gateways[gateway].report
 		weights[i] = idleWeight + float64(report.InFlight[r.ID])
-		for _, unit := range sorted(r.Holds) {
+		for _, unit := range sorted(r.Resident) {
 			weights[i] += float64(report.Waiting[unit]) * waitingWeight
 			weights[i] += report.Arrivals[unit] * arrivalWeight
 		}
@@ -133,12 +133,12 @@
 // worthwhile: new shares differ enough from those in force to be written down, or give a slot to a gateway that
 // has used up what it had.
 func (f *Controller) worthwhile(r *statemachine.Replica, shares map[string]int) bool {
-	if len(r.Shares) != len(shares) {
+	if len(r.Quotas) != len(shares) {
 		return true
 	}
 	moved := 0
 	for gateway, n := range shares {
-		had, ok := r.Shares[gateway]
+		had, ok := r.Quotas[gateway]
 		if !ok {
 			return true
 		}
@@ -162,7 +162,7 @@
 	f.markUs = seen.NowUs
 	f.marks = append(f.marks, seen.State.Index)
 	if len(f.marks) > keyMarks {
-		update.Forget = f.marks[0]
+		update.ForgetKeysBefore = f.marks[0]
 		f.marks = f.marks[1:]
 	}
 }
--- a/internal/controlplane/controller/slow_test.go
+++ b/internal/controlplane/controller/slow_test.go
@@ -16,7 +16,7 @@
 	s := statemachine.NewState()
 	s.Apply(1, statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: fleetDoc()}})
 	f, ros, index := New("one"), registry.New(3*clock.Sec), uint64(1)
-	row := registry.Row{ID: "r", Service: "s", Addr: "r", Slots: 8, Seq: 1}
+	row := registry.ReplicaStatus{ID: "r", Service: "s", Addr: "r", Slots: 8, Seq: 1}
 	nowUs := clock.Sec
 	var step func(ev Event)
 	step = func(ev Event) {
@@ -37,27 +37,27 @@
 		for endUs := nowUs + us; nowUs < endUs; {
 			nowUs += 25 * clock.Ms
 			row.Seq++
-			ros.Hear(nowUs, row)
+			ros.HandleHeartbeat(nowUs, row)
 			step(Event{})
 		}
 	}
 	pass(6 * clock.Sec)
 	index++
-	out := s.Apply(index, statemachine.Change{ID: "t", Epoch: s.Epoch, LeaderUpdate: &statemachine.LeaderUpdate{Tickets: []statemachine.Ticket{{Replica: "r", Incarnation: "r", Revision: s.Revision, Step: statemachine.Load, Unit: "m0"}}}})
+	out := s.Apply(index, statemachine.Change{ID: "t", Epoch: s.Epoch, LeaderUpdate: &statemachine.LeaderUpdate{Commands: []statemachine.ReplicaCommand{{Replica: "r", Incarnation: "r", Revision: s.Revision, Action: statemachine.Load, Unit: "m0"}}}})
 	if len(out.Faults) > 0 {
 		t.Fatal(out.Faults)
 	}
 	_, loadMs, _ := s.Doc.EngineUnitMb("s", "m0")
 	pass(loadMs*1000 + 500*clock.Ms)
-	if s.Replicas["r"].Holds["m0"] == 0 {
+	if s.Replicas["r"].Resident["m0"] == 0 {
 		t.Fatal("the load was not settled by its time")
 	}
 	pass(2*loadMs*1000 + wordLateUs/2)
-	if s.Replicas["r"].Holds["m0"] == 0 {
+	if s.Replicas["r"].Resident["m0"] == 0 {
 		t.Fatal("its room was given out again while it may still be under way")
 	}
 	pass(3*loadMs*1000 + 2*wordLateUs + clock.Sec)
-	if s.Replicas["r"].Holds["m0"] != 0 {
+	if s.Replicas["r"].Resident["m0"] != 0 {
 		t.Fatal("a load that never came keeps its room for ever")
 	}
 }
--- a/internal/controlplane/controller/store.go
+++ b/internal/controlplane/controller/store.go
@@ -25,14 +25,14 @@
 	if r.known == 0 {
 		r.known = 1
 	}
-	if s.NextTicket > r.known+uint64(news) {
+	if s.NextNumber > r.known+uint64(news) {
 		r.missedUs = nowUs
 	}
-	r.known = s.NextTicket
+	r.known = s.NextNumber
 }
 
 // noteLoad counts a ticket against the store's window, if its load reads from the store.
-func (r *routed) noteLoad(nowUs int64, s *statemachine.State, t statemachine.Ticket) {
+func (r *routed) noteLoad(nowUs int64, s *statemachine.State, t statemachine.ReplicaCommand) {
 	if !fromStore(s.Replicas[t.Replica], t) {
 		return
 	}
@@ -55,8 +55,8 @@
 
 // fromStore: a ticket loads a model that its replica never had, so that the weights come from the store. Adapters,
 // and models that the replica had before, come from elsewhere.
-func fromStore(have *statemachine.Replica, t statemachine.Ticket) bool {
-	return t.Step == statemachine.Load && !strings.Contains(t.Unit, "/") && (have == nil || !have.Had[t.Unit])
+func fromStore(have *statemachine.Replica, t statemachine.ReplicaCommand) bool {
+	return t.Action == statemachine.Load && !strings.Contains(t.Unit, "/") && (have == nil || !have.EverLoaded[t.Unit])
 }
 
 // storeLoads counts a service's pending loads from the store.
--- a/internal/controlplane/controller/tickets.go
+++ b/internal/controlplane/controller/tickets.go
@@ -32,7 +32,7 @@
 	for _, t := range s.Pending {
 		row := f.replicas[t.Replica]
 		seen := row != nil && row.atUs > 0 && row.state.Incarnation == t.Incarnation && row.state.Last != nil && row.state.Last.Number >= t.Number
-		if t.Step == statemachine.Load && !seen {
+		if t.Action == statemachine.Load && !seen {
 			sumMb += t.SizeMb
 		}
 	}
--- a/internal/controlplane/controller/turns.go
+++ b/internal/controlplane/controller/turns.go
@@ -21,7 +21,7 @@
 
 // follow begins with what the ledger holds: of what came before nothing is known but that it was before.
 func (t *turns) follow(s *statemachine.State) {
-	t.next, t.replicas = s.NextTicket, map[uint64]string{}
+	t.next, t.replicas = s.NextNumber, map[uint64]string{}
 	for id, p := range s.Pending {
 		t.replicas[p.Number] = id
 	}
@@ -41,7 +41,7 @@
 		maps.DeleteFunc(t.atUs, func(id string, _ int64) bool { return s.Replicas[id] == nil })
 		maps.DeleteFunc(t.replicas, func(_ uint64, id string) bool { return s.Replicas[id] == nil })
 	}
-	for _, done := range d.Settled {
+	for _, done := range d.Results {
 		id, known := t.replicas[done.Number]
 		delete(t.replicas, done.Number)
 		whole = whole && known
@@ -50,7 +50,7 @@
 		}
 	}
 	issued := uint64(0)
-	for _, asked := range d.Tickets {
+	for _, asked := range d.Commands {
 		p, stands := s.Pending[asked.Replica]
 		if !stands || p.Number < t.next {
 			continue
@@ -61,10 +61,10 @@
 			t.atUs[p.Replica] = nowUs
 		}
 	}
-	if whole = whole && s.NextTicket == t.next+issued; !whole {
+	if whole = whole && s.NextNumber == t.next+issued; !whole {
 		t.follow(s)
 	}
-	t.next = s.NextTicket
+	t.next = s.NextNumber
 	return whole
 }
 
--- a/internal/controlplane/controller/turns_test.go
+++ b/internal/controlplane/controller/turns_test.go
@@ -78,22 +78,22 @@
 			}
 		}
 		apply(0, statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: fleetDoc()}})
-		apply(0, statemachine.Change{ID: "k1", Epoch: 1, Claim: &statemachine.Claim{Holder: "one"}})
+		apply(0, statemachine.Change{ID: "k1", Epoch: 1, Claim: &statemachine.Claim{Leader: "one"}})
 		seen := Seen{State: s, Writes: true, Roster: registry.New(3 * clock.Sec)}
 		tick := func(nowUs int64) {
 			seen.NowUs = nowUs
 			f.Step(seen, Event{NowUs: nowUs})
 		}
 		tick(clock.Sec)
-		note := func(id string) statemachine.ReplicaNote {
-			return statemachine.ReplicaNote{ID: id, Incarnation: id, RoomMb: fleetRoomMb, Slots: 8, Service: "s"}
+		note := func(id string) statemachine.ReplicaUpdate {
+			return statemachine.ReplicaUpdate{ID: id, Incarnation: id, CapacityMb: fleetRoomMb, Slots: 8, Service: "s"}
 		}
-		apply(8*clock.Sec, statemachine.Change{ID: "d1", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Fleet: []statemachine.ReplicaNote{note("r0"), note("r1")},
-			Tickets: []statemachine.Ticket{{Replica: "r0", Incarnation: "r0", Revision: s.Revision, Step: statemachine.Load, Unit: "m0"}}}})
-		apply(9*clock.Sec, statemachine.Change{ID: "d2", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Settled: []statemachine.Settled{{Number: 1, Done: true}}}})
+		apply(8*clock.Sec, statemachine.Change{ID: "d1", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{note("r0"), note("r1")},
+			Commands: []statemachine.ReplicaCommand{{Replica: "r0", Incarnation: "r0", Revision: s.Revision, Action: statemachine.Load, Unit: "m0"}}}})
+		apply(9*clock.Sec, statemachine.Change{ID: "d2", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: 1, Succeeded: true}}}})
 		seen.Head, seen.Fresh = true, true
 		tick(9500 * clock.Ms)
-		apply(9500*clock.Ms, statemachine.Change{ID: "k2", Epoch: 2, Claim: &statemachine.Claim{Holder: "two"}})
+		apply(9500*clock.Ms, statemachine.Change{ID: "k2", Epoch: 2, Claim: &statemachine.Claim{Leader: "two"}})
 		tick(9600 * clock.Ms)
 		wait := map[string]int64{"r0": 9*clock.Sec + fleetLeaseUs + leaseSlackUs - 9600*clock.Ms, "r1": 0}
 		if deaf {
--- a/internal/controlplane/controller/write.go
+++ b/internal/controlplane/controller/write.go
@@ -57,12 +57,12 @@
 		}
 	}
 	for _, t := range tickets {
-		if t.Step == statemachine.Load {
+		if t.Action == statemachine.Load {
 			f.bucket.Spend(t.SizeMb)
 			f.issuingMb += t.SizeMb
 		}
 	}
-	update.Tickets = tickets
+	update.Commands = tickets
 }
 
 // judged notes what the checker said to the proposals, which are done with.
@@ -87,7 +87,7 @@
 	if f.takeProposals(s.Revision) {
 		tickets, verdicts := placement.CheckRouted(s, f.leftFor(seen.NowUs, s), f.proposed)
 		f.judged(verdicts)
-		update.Tickets = tickets
+		update.Commands = tickets
 		f.intend(seen.NowUs, verdicts)
 	}
 }
@@ -108,13 +108,13 @@
 // writeUpdate writes a change, unless there is nothing in it.
 func (f *Controller) writeUpdate(seen Seen, update *statemachine.LeaderUpdate) {
 	if !seen.isRouted() && !f.checked && f.list != nil && f.listAtUs > f.viewUs {
-		update.Checked = f.view
+		update.CheckedInView = f.view
 		f.checked = true
 	}
-	if update.Blank() {
+	if update.IsEmpty() {
 		return
 	}
-	f.moved = f.moved || len(update.Settled)+len(update.Fleet)+len(update.Gone) > 0
+	f.moved = f.moved || len(update.Results)+len(update.Replicas)+len(update.RemovedReplicas) > 0
 	f.writes++
 	f.writing = fmt.Sprintf("duty-%s-%d-%d", f.me, f.claimed, f.writes)
 	f.writeUs = seen.NowUs
--- a/internal/controlplane/controlnode/config.go
+++ b/internal/controlplane/controlnode/config.go
@@ -238,7 +238,7 @@
 		return
 	}
 	if out, seen := h.seen(r.Context(), c.ID); seen {
-		out.Again = false
+		out.Repeated = false
 		h.reply(r.Context(), w, c.ID, wire.Result{Outcome: out})
 		return
 	}
@@ -255,9 +255,9 @@
 		return
 	}
 	h.configAt(ctx, r.Outcome.Revision)
-	a := Applied{Change: id[3:], Revision: r.Outcome.Revision, Again: r.Outcome.Again, State: "everywhere"}
+	a := Applied{Change: id[3:], Revision: r.Outcome.Revision, Again: r.Outcome.Repeated, State: "everywhere"}
 	status := http.StatusOK
-	if r.Outcome.Member {
+	if r.Outcome.IsMembership {
 		a.State = "ordered"
 	} else if !r.Everywhere {
 		a.State = string(fault.NotEverywhere)
--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -31,8 +31,8 @@
 	Follow     *wire.Follow
 	Report     *Reported
 	Controller *controller.Event
-	Beat       *failuredetector.Beat
-	Heard      *registry.Row
+	Beat       *failuredetector.Heartbeat
+	Heard      *registry.ReplicaStatus
 	Left       string
 	// Reply names the answer that is owed for Heard or Left; 0 where nobody waits.
 	Reply         uint64
@@ -51,7 +51,7 @@
 type Effect struct {
 	Message    *Message
 	Save       *chain.Save
-	Push       *distribution.Push
+	Push       *distribution.UpdatePush
 	Frame      *distribution.FramePush
 	Result     *wire.Result
 	Lease      *Leased
@@ -77,10 +77,10 @@
 // Core is a control node's whole reducer: the chain, the tail's feed and the head's controller.
 type Core struct {
 	Node           *chain.Node
-	Room           *distribution.Room
+	Room           *distribution.UpdatePublisher
 	Controller     *controller.Controller
 	effects        []Effect
-	Watch          *failuredetector.Watch
+	Watch          *failuredetector.Monitor
 	silentUs       int64
 	memberUs       int64
 	checked        uint64
@@ -110,7 +110,7 @@
 // NewCoreWith is a control node around its part of the chain.
 func NewCoreWith(node *chain.Node, opts CoreOptions) *Core {
 	return &Core{
-		Node: node, Room: distribution.New(), Controller: controller.NewWith(node.Me().ID, opts.Controller), Watch: failuredetector.New(), soft: newSoft(opts.UnreachableUs),
+		Node: node, Room: distribution.NewUpdatePublisher(), Controller: controller.NewWith(node.Me().ID, opts.Controller), Watch: failuredetector.NewMonitor(), soft: newSoft(opts.UnreachableUs),
 		bornUs: node.NowUs(), bornLast: node.Last(),
 	}
 }
@@ -133,14 +133,14 @@
 	case ev.Leave:
 		c.chain(chain.Event{NowUs: ev.NowUs, Leave: true})
 	case ev.Follow != nil:
-		c.Room.Gate(ev.NowUs, c.Node.Open(ev.NowUs))
+		c.Room.SetActive(ev.NowUs, c.Node.Open(ev.NowUs))
 		c.Room.Follow(ev.NowUs, *ev.Follow)
 	case ev.Report != nil:
 		c.report(ev.NowUs, *ev.Report)
 	case ev.Controller != nil:
 		c.controller(*ev.Controller)
 	case ev.Beat != nil:
-		c.Watch.Heard(ev.NowUs, *ev.Beat)
+		c.Watch.Receive(ev.NowUs, *ev.Beat)
 	case ev.Heard != nil:
 		c.word(ev.NowUs, *ev.Heard, ev.Reply)
 	case ev.Left != "":
@@ -158,12 +158,12 @@
 		c.memberDone(ev.NowUs)
 		c.settleDepartures(ev.NowUs)
 	}
-	c.Room.Gate(ev.NowUs, c.Node.Open(ev.NowUs))
-	for _, p := range c.Room.Pushes(c.Node.State(), c.Node.View()) {
+	c.Room.SetActive(ev.NowUs, c.Node.Open(ev.NowUs))
+	for _, p := range c.Room.Updates(c.Node.State(), c.Node.View()) {
 		push := p
 		c.effects = append(c.effects, Effect{Push: &push})
 	}
-	for _, a := range c.Room.Answers(ev.NowUs) {
+	for _, a := range c.Room.ReleasedResults(ev.NowUs) {
 		c.answer(a.Origin, a.Result)
 	}
 	c.tellControlNodes(ev.NowUs)
@@ -196,16 +196,16 @@
 		return
 	}
 	c.memberUs = nowUs
-	id := c.Node.State().MemberID
-	c.chain(chain.Event{NowUs: nowUs, Submit: &statemachine.Change{ID: "done-" + id, Member: &statemachine.MemberChange{Act: statemachine.MemberDone, Name: id}}})
+	id := c.Node.State().MembershipID
+	c.chain(chain.Event{NowUs: nowUs, Submit: &statemachine.Change{ID: "done-" + id, Membership: &statemachine.MembershipChange{Action: statemachine.MembershipDone, Name: id}}})
 }
 
 func (c *Core) saySilence(nowUs int64) {
-	if nowUs-c.silentUs < failuredetector.BeatUs {
+	if nowUs-c.silentUs < failuredetector.HeartbeatIntervalUs {
 		return
 	}
 	c.silentUs = nowUs
-	s := &failuredetector.Silence{By: c.Node.Me().ID, Silent: c.Watch.Silent(nowUs)}
+	s := &failuredetector.SuspicionReport{Reporter: c.Node.Me().ID, Suspects: c.Watch.Suspects(nowUs)}
 	if c.Node.IsHead() {
 		c.controller(controller.Event{NowUs: nowUs, Silence: s})
 	} else if head := c.Node.View().Head(); head.Addr != "" {
@@ -214,9 +214,9 @@
 }
 
 func (c *Core) report(nowUs int64, r Reported) {
-	c.Room.Gate(nowUs, c.Node.Open(nowUs))
+	c.Room.SetActive(nowUs, c.Node.Open(nowUs))
 	view := c.Node.View().Number
-	lease := c.Room.Report(nowUs, view, c.Node.State().NewsIndex, c.checked == view, r.Report)
+	lease := c.Room.Report(nowUs, view, c.Node.State().UpdateIndex, c.checked == view, r.Report)
 	lease.Ring = c.Room.Ring(nowUs, c.Node.View())
 	c.effects = append(c.effects, Effect{Lease: &Leased{Reply: r.Reply, Lease: lease}})
 	if !c.Node.Open(nowUs) {
@@ -245,7 +245,7 @@
 		case e.Applied != nil:
 			c.applied(ev.NowUs, *e.Applied)
 		case e.Viewed != nil:
-			c.Room.Gate(ev.NowUs, c.Node.Open(ev.NowUs))
+			c.Room.SetActive(ev.NowUs, c.Node.Open(ev.NowUs))
 			c.effects = append(c.effects, Effect{Note: "view", Trouble: viewText(*e.Viewed)})
 		case e.Rejected != nil:
 			c.rejected(ev.NowUs, e.Rejected)
@@ -270,11 +270,11 @@
 
 func (c *Core) applied(nowUs int64, a chain.Applied) {
 	change := a.Entry.Change
-	if change.LeaderUpdate != nil && change.LeaderUpdate.Checked > 0 {
-		c.checked = change.LeaderUpdate.Checked
+	if change.LeaderUpdate != nil && change.LeaderUpdate.CheckedInView > 0 {
+		c.checked = change.LeaderUpdate.CheckedInView
 	}
 	c.effects = append(c.effects, Effect{Applied: &a})
-	if change.LeaderUpdate != nil && len(change.LeaderUpdate.Tickets)+len(change.LeaderUpdate.Settled) > 0 {
+	if change.LeaderUpdate != nil && len(change.LeaderUpdate.Commands)+len(change.LeaderUpdate.Results) > 0 {
 		sawUs := nowUs
 		if a.Entry.Index <= c.bornLast {
 			sawUs = c.bornUs
@@ -289,8 +289,8 @@
 		return
 	}
 	if change.Config != nil && a.Outcome.Fault == nil && change.Config.Version == 0 {
-		c.Room.Gate(nowUs, c.Node.Open(nowUs))
-		c.Room.Hold(change.Origin, a.Outcome, c.Node.State().NewsIndex)
+		c.Room.SetActive(nowUs, c.Node.Open(nowUs))
+		c.Room.AwaitAcknowledgements(change.Origin, a.Outcome, c.Node.State().UpdateIndex)
 		return
 	}
 	c.answer(change.Origin, wire.Result{Outcome: a.Outcome, Everywhere: true})
@@ -298,8 +298,8 @@
 
 // Seen is the outcome of a change that was taken before and may be acknowledged here again.
 func (c *Core) Seen(id string) (statemachine.Outcome, bool) {
-	out, seen := c.Node.State().Changes[id]
-	out.Again = true
+	out, seen := c.Node.State().Outcomes[id]
+	out.Repeated = true
 	return out, seen && c.Node.Kept(out.Index)
 }
 
@@ -347,35 +347,35 @@
 
 // Status is what a control node knows of itself, the chain and the fleet. It is this control node's own view, and may be old.
 type Status struct {
-	ControlNode chain.Member               `json:"office"`
-	Phase       chain.Phase                `json:"phase"`
-	View        chain.View                 `json:"view"`
-	Open        bool                       `json:"open"`
-	WaitsFor    string                     `json:"waitsFor,omitempty"`
-	Commit      uint64                     `json:"commit"`
-	Last        uint64                     `json:"last"`
-	Epoch       uint64                     `json:"epoch"`
-	Holder      string                     `json:"holder"`
-	IsLeader    bool                       `json:"onDuty"`
-	Revision    uint64                     `json:"revision"`
-	Emptied     []string                   `json:"emptied,omitempty"`
-	Peers       []chain.PeerNote           `json:"partners"`
-	Gateways    []distribution.GatewayNote `json:"desks,omitempty"`
-	Demand      []controller.GatewayNote   `json:"demand,omitempty"`
-	Replicas    []statemachine.Replica     `json:"replicas"`
-	Pending     []statemachine.Ticket      `json:"pending"`
-	Counts      any                        `json:"counts,omitempty"`
-	Policy      controller.PolicyNote      `json:"policy"`
-	Shadows     []controller.PolicyNote    `json:"shadows,omitempty"`
-	Faults      map[fault.Code]uint64      `json:"faults,omitempty"`
-	Refused     map[fault.Code]uint64      `json:"refused,omitempty"`
-	Keys        int                        `json:"keys"`
-	Member      *statemachine.MemberChange `json:"member,omitempty"`
-	MemberOn    string                     `json:"memberWaitsFor,omitempty"`
-	Grants      int                        `json:"grants"`
-	Loads       uint64                     `json:"loads"`
-	LoadedMb    int64                      `json:"loadedMb"`
-	Fleet       *Fleet                     `json:"fleet,omitempty"`
+	ControlNode chain.Member                   `json:"office"`
+	Phase       chain.Phase                    `json:"phase"`
+	View        chain.View                     `json:"view"`
+	Open        bool                           `json:"open"`
+	WaitsFor    string                         `json:"waitsFor,omitempty"`
+	Commit      uint64                         `json:"commit"`
+	Last        uint64                         `json:"last"`
+	Epoch       uint64                         `json:"epoch"`
+	Holder      string                         `json:"holder"`
+	IsLeader    bool                           `json:"onDuty"`
+	Revision    uint64                         `json:"revision"`
+	Emptied     []string                       `json:"emptied,omitempty"`
+	Peers       []chain.PeerNote               `json:"partners"`
+	Gateways    []distribution.GatewayStatus   `json:"desks,omitempty"`
+	Demand      []controller.GatewayNote       `json:"demand,omitempty"`
+	Replicas    []statemachine.Replica         `json:"replicas"`
+	Pending     []statemachine.ReplicaCommand  `json:"pending"`
+	Counts      any                            `json:"counts,omitempty"`
+	Policy      controller.PolicyNote          `json:"policy"`
+	Shadows     []controller.PolicyNote        `json:"shadows,omitempty"`
+	Faults      map[fault.Code]uint64          `json:"faults,omitempty"`
+	Refused     map[fault.Code]uint64          `json:"refused,omitempty"`
+	Keys        int                            `json:"keys"`
+	Member      *statemachine.MembershipChange `json:"member,omitempty"`
+	MemberOn    string                         `json:"memberWaitsFor,omitempty"`
+	Grants      int                            `json:"grants"`
+	Loads       uint64                         `json:"loads"`
+	LoadedMb    int64                          `json:"loadedMb"`
+	Fleet       *Fleet                         `json:"fleet,omitempty"`
 	// Outliers are the replicas that gateways are kept from, wholly or in part.
 	Outliers []outlier.Row `json:"outliers,omitempty"`
 }
@@ -385,18 +385,18 @@
 	s := c.Node.State()
 	st := Status{
 		ControlNode: c.Node.Me(), Phase: c.Node.Phase(), View: c.Node.View(), Open: c.Node.Open(nowUs), WaitsFor: c.Node.WaitsFor(),
-		Commit: c.Node.Commit(), Last: c.Node.Last(), Epoch: s.Epoch, Holder: s.Holder, IsLeader: c.Controller.IsLeader(s),
+		Commit: c.Node.Commit(), Last: c.Node.Last(), Epoch: s.Epoch, Holder: s.Leader, IsLeader: c.Controller.IsLeader(s),
 		Revision: s.Revision, Peers: c.Node.Peers(), Gateways: c.Room.Gateways(nowUs), Demand: c.Controller.Gateways(nowUs),
 		Counts: c.Controller.Counts(), Policy: c.Controller.Policy, Shadows: c.Controller.Shadows,
-		Faults: copyOf(c.Controller.Faults), Refused: copyOf(s.Refused), Keys: len(s.Keys), Member: s.Member, MemberOn: c.Node.MemberWaits(), Grants: len(s.Grants), Loads: s.Loads, LoadedMb: s.LoadedMb,
-		Pending: []statemachine.Ticket{}, Replicas: []statemachine.Replica{}, Fleet: c.fleet(nowUs), Outliers: c.soft.Outliers.Rows,
+		Faults: copyOf(c.Controller.Faults), Refused: copyOf(s.RefusalCounts), Keys: len(s.Keys), Member: s.Membership, MemberOn: c.Node.MemberWaits(), Grants: len(s.Grants), Loads: s.TotalLoads, LoadedMb: s.TotalLoadedMb,
+		Pending: []statemachine.ReplicaCommand{}, Replicas: []statemachine.Replica{}, Fleet: c.fleet(nowUs), Outliers: c.soft.Outliers.Rows,
 	}
 	if s.Doc != nil {
 		st.Emptied = s.Doc.Emptied
 	}
 	for _, id := range s.ReplicaIDs() {
 		r := *s.Replicas[id]
-		r.Holds, r.Shares = copyOf(r.Holds), copyOf(r.Shares)
+		r.Resident, r.Quotas = copyOf(r.Resident), copyOf(r.Quotas)
 		st.Replicas = append(st.Replicas, r)
 	}
 	for _, t := range s.Pending {
--- a/internal/controlplane/controlnode/departures.go
+++ b/internal/controlplane/controlnode/departures.go
@@ -36,9 +36,9 @@
 
 // word takes what a replica says of itself. That it is there is acknowledged by a control node in contact with a
 // quorum; that it leaves, only once a quorum knows.
-func (c *Core) word(nowUs int64, row registry.Row, reply uint64) {
+func (c *Core) word(nowUs int64, row registry.ReplicaStatus, reply uint64) {
 	c.heard(nowUs, row)
-	if row.Draining || row.LeftMs > 0 {
+	if row.Draining || row.RemainingMs > 0 {
 		c.departs(nowUs, row.ID, false, reply)
 		return
 	}
@@ -92,8 +92,8 @@
 			continue
 		}
 		message.Confirm = append(message.Confirm, id)
-		if !slices.ContainsFunc(message.Notes, func(n registry.Note) bool { return n.ID == id }) {
-			message.Notes = append(message.Notes, c.soft.Roster.NotesOf(nowUs, id)...)
+		if !slices.ContainsFunc(message.Notes, func(n registry.GossipEntry) bool { return n.ID == id }) {
+			message.Notes = append(message.Notes, c.soft.Roster.GossipOf(nowUs, id)...)
 		}
 	}
 }
@@ -110,8 +110,8 @@
 func (c *Core) confirm(h wire.Heard) {
 	known := wire.Confirmed{By: c.Node.Me().ID, Incarnation: h.Incarnation}
 	for _, id := range h.Confirm {
-		if e := c.soft.Roster.Row(id); e != nil && (e.Gone || e.Draining) {
-			known.Leaving = append(known.Leaving, wire.KnownLeaving{ID: id, Gone: e.Gone})
+		if e := c.soft.Roster.Entry(id); e != nil && (e.Removed || e.Draining) {
+			known.Leaving = append(known.Leaving, wire.KnownLeaving{ID: id, Gone: e.Removed})
 		}
 	}
 	if len(known.Leaving) == 0 {
@@ -158,7 +158,7 @@
 
 // Heard takes what a replica says of itself; true acknowledges it. It is known here all the same where this
 // control node is out of contact and cannot acknowledge it.
-func (h *Host) Heard(ctx context.Context, row registry.Row) bool {
+func (h *Host) Heard(ctx context.Context, row registry.ReplicaStatus) bool {
 	return h.word(ctx, Event{Heard: &row})
 }
 
--- a/internal/controlplane/controlnode/departures_test.go
+++ b/internal/controlplane/controlnode/departures_test.go
@@ -97,7 +97,7 @@
 }
 
 func beatOf(id string, seq uint64, draining bool) Event {
-	return Event{Heard: &registry.Row{ID: id, Service: "s", Addr: id, Slots: 4, Seq: seq, Draining: draining}}
+	return Event{Heard: &registry.ReplicaStatus{ID: id, Service: "s", Addr: id, Slots: 4, Seq: seq, Draining: draining}}
 }
 
 // A control node that is cut off acknowledges no replica: not that it is there, not that it leaves, not that it has left.
@@ -153,7 +153,7 @@
 		}
 		know := 0
 		for _, c := range tr.cores {
-			if e := c.soft.Roster.Row("r"); e != nil && (e.Draining || e.Gone) && e.Gone == (ev.Left != "") {
+			if e := c.soft.Roster.Entry("r"); e != nil && (e.Draining || e.Removed) && e.Removed == (ev.Left != "") {
 				know++
 			}
 		}
@@ -207,7 +207,7 @@
 func TestAControlNodeCutOffRefusesNoOrderAboutMembers(t *testing.T) {
 	tr := newTrio(t)
 	ask := func(i int) fault.Code {
-		bad := tr.cores[i].fitMember(tr.nowUs, &statemachine.MemberChange{Act: statemachine.AddMember, Name: "oa1"}, false)
+		bad := tr.cores[i].fitMember(tr.nowUs, &statemachine.MembershipChange{Action: statemachine.AddMember, Name: "oa1"}, false)
 		if bad == nil {
 			return ""
 		}
--- a/internal/controlplane/controlnode/fleet.go
+++ b/internal/controlplane/controlnode/fleet.go
@@ -50,21 +50,21 @@
 // where it named one; Stage is its own word and known where it was heard; HeldMb counts what is held and what
 // may come by the order that stands.
 type ReplicaNote struct {
-	ID      string               `json:"id"`
-	Service string               `json:"service"`
-	Addr    string               `json:"addr"`
-	Zone    string               `json:"zone"`
-	Release string               `json:"release,omitempty"`
-	State   ReplicaState         `json:"state"`
-	Stage   string               `json:"stage,omitempty"`
-	AgoMs   int64                `json:"agoMs"`
-	LeftMs  *int64               `json:"leftMs,omitempty"`
-	ColdMs  int64                `json:"coldMs,omitempty"`
-	Slots   int                  `json:"slots"`
-	Units   []string             `json:"units"`
-	HeldMb  int64                `json:"heldMb"`
-	RoomMb  int64                `json:"roomMb,omitempty"`
-	Order   *statemachine.Ticket `json:"order,omitempty"`
+	ID      string                       `json:"id"`
+	Service string                       `json:"service"`
+	Addr    string                       `json:"addr"`
+	Zone    string                       `json:"zone"`
+	Release string                       `json:"release,omitempty"`
+	State   ReplicaState                 `json:"state"`
+	Stage   string                       `json:"stage,omitempty"`
+	AgoMs   int64                        `json:"agoMs"`
+	LeftMs  *int64                       `json:"leftMs,omitempty"`
+	ColdMs  int64                        `json:"coldMs,omitempty"`
+	Slots   int                          `json:"slots"`
+	Units   []string                     `json:"units"`
+	HeldMb  int64                        `json:"heldMb"`
+	RoomMb  int64                        `json:"roomMb,omitempty"`
+	Order   *statemachine.ReplicaCommand `json:"order,omitempty"`
 }
 
 // fleet is nil where the declaration in force has no routes.
@@ -86,7 +86,7 @@
 		}
 	}
 	for _, id := range s.ReplicaIDs() {
-		if c.soft.Roster.Row(id) == nil {
+		if c.soft.Roster.Entry(id) == nil {
 			f.Replicas = append(f.Replicas, c.replicaNote(nowUs, id))
 		}
 	}
@@ -106,24 +106,24 @@
 	s := c.Node.State()
 	row := ReplicaNote{ID: id, State: ReplicaUnheard, AgoMs: -1, Units: []string{}}
 	if have := s.Replicas[id]; have != nil {
-		row.Service, row.Addr, row.Zone, row.Slots, row.RoomMb = have.Service, have.Addr, have.Zone, have.Slots, have.RoomMb
-		row.HeldMb = s.TakenMb(id)
-		row.Units = slices.Sorted(maps.Keys(have.Holds))
+		row.Service, row.Addr, row.Zone, row.Slots, row.RoomMb = have.Service, have.Addr, have.Zone, have.Slots, have.CapacityMb
+		row.HeldMb = s.ReservedMb(id)
+		row.Units = slices.Sorted(maps.Keys(have.Resident))
 	}
 	if t, pending := s.Pending[id]; pending {
 		row.Order = &t
 	}
-	e := c.soft.Roster.Row(id)
+	e := c.soft.Roster.Entry(id)
 	if e == nil {
 		return row
 	}
 	row.Service, row.Addr, row.Zone, row.Release, row.Stage = e.Service, e.Addr, e.Zone, e.Release, e.Stage
-	row.AgoMs, row.ColdMs, row.Slots = (nowUs-e.HeardUs)/1000, e.ColdMs, e.Slots
+	row.AgoMs, row.ColdMs, row.Slots = (nowUs-e.LastHeartbeatUs)/1000, e.WarmUpMs, e.Slots
 	if e.Units != nil {
 		row.Units = append([]string{}, e.Units...)
 	}
 	switch {
-	case e.Gone:
+	case e.Removed:
 		row.State = ReplicaGone
 	case e.Unreachable:
 		row.State = ReplicaUnreachable
--- a/internal/controlplane/controlnode/fleet_test.go
+++ b/internal/controlplane/controlnode/fleet_test.go
@@ -31,24 +31,24 @@
 		}}},
 		Routes: []configuration.Route{{Name: "r", Host: "h", Prefix: "/", Repeat: configuration.Idempotent, TimeoutMs: 1, AttemptsMost: 1, Split: []configuration.Weighted{{Service: "s", Weight: 1}}, Source: json.RawMessage(`{"long":1}`)}},
 	}}})
-	s.Apply(2, statemachine.Change{ID: "claim", Epoch: 1, Claim: &statemachine.Claim{Holder: "o"}})
-	known := func(id string) statemachine.ReplicaNote {
-		return statemachine.ReplicaNote{ID: id, Incarnation: id, Addr: id, Zone: "z", RoomMb: 100, Slots: 4, Service: "s", Told: true, Holds: []statemachine.Holding{{Unit: "m", SizeMb: 30}}}
+	s.Apply(2, statemachine.Change{ID: "claim", Epoch: 1, Claim: &statemachine.Claim{Leader: "o"}})
+	known := func(id string) statemachine.ReplicaUpdate {
+		return statemachine.ReplicaUpdate{ID: id, Incarnation: id, Addr: id, Zone: "z", CapacityMb: 100, Slots: 4, Service: "s", ResidentKnown: true, Resident: []statemachine.ResidentUnit{{Unit: "m", SizeMb: 30}}}
 	}
-	s.Apply(3, statemachine.Change{ID: "fleet", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Fleet: []statemachine.ReplicaNote{known("ready"), known("never")}}})
-	out := s.Apply(4, statemachine.Change{ID: "ticket", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Tickets: []statemachine.Ticket{{Replica: "ready", Incarnation: "ready", Revision: 1, Step: statemachine.Load, Unit: "n"}}}})
+	s.Apply(3, statemachine.Change{ID: "fleet", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{known("ready"), known("never")}}})
+	out := s.Apply(4, statemachine.Change{ID: "ticket", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Commands: []statemachine.ReplicaCommand{{Replica: "ready", Incarnation: "ready", Revision: 1, Action: statemachine.Load, Unit: "n"}}}})
 	if len(out.Faults) > 0 {
 		t.Fatal(out.Faults)
 	}
-	row := func(id string, seq uint64) registry.Row {
-		return registry.Row{ID: id, Service: "s", Addr: id, Zone: "z", Slots: 4, Seq: seq, Units: []string{"m"}, Stage: "decode"}
+	row := func(id string, seq uint64) registry.ReplicaStatus {
+		return registry.ReplicaStatus{ID: id, Service: "s", Addr: id, Zone: "z", Slots: 4, Seq: seq, Units: []string{"m"}, Stage: "decode"}
 	}
 	nowUs := 10 * clock.Sec
 	c.heard(nowUs-4*clock.Sec, row("dark", 1))
 	c.heard(nowUs-2*clock.Sec, row("gone", 1))
 	c.gone(nowUs-clock.Sec, "gone")
 	notice := row("notice", 1)
-	notice.Draining, notice.LeftMs = true, 900
+	notice.Draining, notice.RemainingMs = true, 900
 	c.heard(nowUs-200*clock.Ms, notice)
 	leaving := row("leaving", 1)
 	leaving.Draining, leaving.Service, leaving.Units = true, "plain", nil
--- a/internal/controlplane/controlnode/forms_test.go
+++ b/internal/controlplane/controlnode/forms_test.go
@@ -32,7 +32,7 @@
 	"frame":             wire.Frame{},
 	"report":            wire.Report{},
 	"lease":             wire.Lease{},
-	"beat":              failuredetector.Beat{},
+	"beat":              failuredetector.Heartbeat{},
 	"replica-state":     wire.ReplicaState{},
 	"order":             wire.Order{},
 	"replica-list":      wire.List{},
--- a/internal/controlplane/controlnode/host.go
+++ b/internal/controlplane/controlnode/host.go
@@ -270,7 +270,7 @@
 		case e.Save != nil:
 			h.saves.put(*e.Save)
 		case e.Push != nil:
-			h.push(e.Push.Gateway, e.Push.News)
+			h.push(e.Push.Gateway, e.Push.Update)
 		case e.Frame != nil:
 			h.frame(e.Frame.Gateway, e.Frame.Frame)
 		case e.Result != nil:
@@ -436,7 +436,7 @@
 		h.act.Spawn(func() { h.askReplica(ask) })
 	case e.Order != nil:
 		order := *e.Order
-		_ = h.log.Log("event", "order", "ticket", order.Order.Ticket.Number, "step", string(order.Order.Ticket.Step),
+		_ = h.log.Log("event", "order", "ticket", order.Order.Ticket.Number, "step", string(order.Order.Ticket.Action),
 			"unit", order.Order.Ticket.Unit, "replica", order.Order.Ticket.Replica, "epoch", order.Order.Epoch)
 		h.act.Spawn(func() { h.order(order) })
 	case e.Run != nil:
--- a/internal/controlplane/controlnode/incarnation_test.go
+++ b/internal/controlplane/controlnode/incarnation_test.go
@@ -98,13 +98,13 @@
 	p.pass(clock.Sec)
 	s := p.head().Node.State()
 	p.write(statemachine.Change{ID: "d1", Epoch: s.Epoch, LeaderUpdate: &statemachine.LeaderUpdate{
-		Fleet:   []statemachine.ReplicaNote{{ID: "r", Incarnation: "r", RoomMb: 100, Slots: 4, Service: "s"}},
-		Tickets: []statemachine.Ticket{{Replica: "r", Incarnation: "r", Revision: s.Revision, Step: statemachine.Load, Unit: "m"}},
+		Replicas: []statemachine.ReplicaUpdate{{ID: "r", Incarnation: "r", CapacityMb: 100, Slots: 4, Service: "s"}},
+		Commands: []statemachine.ReplicaCommand{{Replica: "r", Incarnation: "r", Revision: s.Revision, Action: statemachine.Load, Unit: "m"}},
 	}})
-	p.write(statemachine.Change{ID: "d2", Epoch: s.Epoch, LeaderUpdate: &statemachine.LeaderUpdate{Settled: []statemachine.Settled{{Number: s.NextTicket - 1, Done: true}}}})
+	p.write(statemachine.Change{ID: "d2", Epoch: s.Epoch, LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: s.NextNumber - 1, Succeeded: true}}}})
 	p.pass(clock.Sec)
-	if s := p.head().Node.State(); s.NextTicket < 2 || len(s.Pending) > 0 || s.Replicas["r"] == nil {
-		t.Fatalf("next ticket %d, pending %v", s.NextTicket, s.Pending)
+	if s := p.head().Node.State(); s.NextNumber < 2 || len(s.Pending) > 0 || s.Replicas["r"] == nil {
+		t.Fatalf("next ticket %d, pending %v", s.NextNumber, s.Pending)
 	}
 	p.cores = [2]*Core{}
 	p.pass(2 * clock.Sec)
--- a/internal/controlplane/controlnode/keep_test.go
+++ b/internal/controlplane/controlnode/keep_test.go
@@ -23,7 +23,7 @@
 	}
 	large := statemachine.NewState()
 	for i := range 20_000 {
-		large.Changes[fmt.Sprintf("change-%d", i)] = statemachine.Outcome{ID: fmt.Sprintf("change-%d", i)}
+		large.Outcomes[fmt.Sprintf("change-%d", i)] = statemachine.Outcome{ID: fmt.Sprintf("change-%d", i)}
 	}
 	h.act.Spawn(h.saver)
 	const copies = 20
--- a/internal/controlplane/controlnode/malformed_test.go
+++ b/internal/controlplane/controlnode/malformed_test.go
@@ -105,13 +105,13 @@
 		{ID: "an empty edit", Config: &statemachine.ConfigChange{Base: 3, Version: 9, Edit: &configuration.Edit{}}},
 		{ID: "claim", Epoch: 1, Claim: &statemachine.Claim{}},
 		{ID: "duty", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{
-			Fleet: []statemachine.ReplicaNote{{}, {ID: "r", Incarnation: "r", RoomMb: -1, Slots: -1, Told: true, Holds: []statemachine.Holding{{}, {Unit: "m", SizeMb: -1}}}},
-			Gone:  []string{"", "none"}, Tickets: []statemachine.Ticket{{}, {Replica: "r", Incarnation: "r", Step: statemachine.Load}}, Settled: []statemachine.Settled{{}, {Number: 1 << 63}},
-			Grants: []statemachine.GrantAsk{{Replica: "r", Incarnation: "r", Count: 1}}, Shares: map[string]map[string]int{"r": nil, "none": {"d": -1}}, Gateways: []string{""}, Forget: 1 << 63,
+			Replicas:        []statemachine.ReplicaUpdate{{}, {ID: "r", Incarnation: "r", CapacityMb: -1, Slots: -1, ResidentKnown: true, Resident: []statemachine.ResidentUnit{{}, {Unit: "m", SizeMb: -1}}}},
+			RemovedReplicas: []string{"", "none"}, Commands: []statemachine.ReplicaCommand{{}, {Replica: "r", Incarnation: "r", Action: statemachine.Load}}, Results: []statemachine.CommandResult{{}, {Number: 1 << 63}},
+			Grants: []statemachine.GrantRequest{{Replica: "r", Incarnation: "r", Count: 1}}, Quotas: map[string]map[string]int{"r": nil, "none": {"d": -1}}, RemovedGateways: []string{""}, ForgetKeysBefore: 1 << 63,
 		}},
 		{ID: "key", Key: &statemachine.KeyChange{}},
-		{ID: "end", Key: &statemachine.KeyChange{End: "x", Free: true}},
-		{ID: "member", Member: &statemachine.MemberChange{}},
+		{ID: "end", Key: &statemachine.KeyChange{End: "x", Release: true}},
+		{ID: "member", Membership: &statemachine.MembershipChange{}},
 	}
 }
 
@@ -133,8 +133,8 @@
 		for _, c := range strangeChanges() {
 			tr := newTrio(t)
 			if before {
-				tr.step(0, Event{Submit: &statemachine.Change{ID: "claimed", Epoch: 1, Claim: &statemachine.Claim{Holder: "oa0"}}})
-				tr.step(0, Event{Submit: &statemachine.Change{ID: "fleet", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Fleet: []statemachine.ReplicaNote{{ID: "q", Incarnation: "q", RoomMb: 10, Slots: 1}}}}})
+				tr.step(0, Event{Submit: &statemachine.Change{ID: "claimed", Epoch: 1, Claim: &statemachine.Claim{Leader: "oa0"}}})
+				tr.step(0, Event{Submit: &statemachine.Change{ID: "fleet", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: "q", Incarnation: "q", CapacityMb: 10, Slots: 1}}}}})
 			}
 			if broken := survives(tr, 0, Event{Submit: &c}); broken != "" {
 				t.Errorf("%q, with a replica %v: %.900s", c.ID, before, broken)
@@ -192,7 +192,7 @@
 	tr := newTrio(t)
 	for _, ev := range []Event{
 		{Report: &Reported{}}, {GatewayReport: &wire.Report{}}, {Follow: &wire.Follow{}}, {Subscribe: &wire.Follow{}}, {Subscribe: &wire.Follow{Revision: 1 << 63}},
-		{Beat: &failuredetector.Beat{}}, {Message: &wire.Message{}}, {Message: &wire.Message{Chain: &chain.Msg{}}}, {Unfollow: &Unfollow{}}, {Left: "none"},
+		{Beat: &failuredetector.Heartbeat{}}, {Message: &wire.Message{}}, {Message: &wire.Message{Chain: &chain.Msg{}}}, {Unfollow: &Unfollow{}}, {Left: "none"},
 		{GatewayReport: &wire.Report{Gateway: "d", Arrivals: map[string]float64{"": -1e300}, InFlight: map[string]int{"": -1 << 62}, Attempts: map[string]int{"": -1}}},
 	} {
 		if broken := survives(tr, 0, ev); broken != "" {
--- a/internal/controlplane/controlnode/members.go
+++ b/internal/controlplane/controlnode/members.go
@@ -11,7 +11,7 @@
 
 // fitMember finds the identity that an order is about, or why it must not be taken. Only a control node whose view
 // and state are the chain's of now may refuse it.
-func (c *Core) fitMember(nowUs int64, m *statemachine.MemberChange, evenAlive bool) *fault.Fault {
+func (c *Core) fitMember(nowUs int64, m *statemachine.MembershipChange, evenAlive bool) *fault.Fault {
 	if !c.Node.Current(nowUs) {
 		return fault.New(fault.NotServing, "", "this office has no word of the chain: ask another")
 	}
@@ -22,7 +22,7 @@
 // it must not be carried out; what was taken waits until it is safe.
 func (h *Host) member(w http.ResponseWriter, r *http.Request) {
 	id, bad := changeOf(r)
-	m := statemachine.MemberChange{Act: statemachine.MemberAct(r.PathValue("act")), Name: r.PathValue("name")}
+	m := statemachine.MembershipChange{Action: statemachine.MembershipAction(r.PathValue("act")), Name: r.PathValue("name")}
 	if bad == nil {
 		var seen bool
 		var first statemachine.Outcome
@@ -32,7 +32,7 @@
 		}
 		evenAlive := r.URL.Query().Get("even-alive") == "true"
 		type fit struct {
-			change statemachine.MemberChange
+			change statemachine.MembershipChange
 			bad    *fault.Fault
 		}
 		asked := m
@@ -50,5 +50,5 @@
 		writeFault(w, bad)
 		return
 	}
-	h.change(w, r, statemachine.Change{ID: id, Member: &m})
+	h.change(w, r, statemachine.Change{ID: id, Membership: &m})
 }
--- a/internal/controlplane/controlnode/orders_test.go
+++ b/internal/controlplane/controlnode/orders_test.go
@@ -122,8 +122,8 @@
 	patch(http.StatusOK)
 	h.act.Do(t.Context(), func() {
 		s := h.core.Node.State()
-		delete(s.Changes, "op-mine")
-		s.Forgotten = 1
+		delete(s.Outcomes, "op-mine")
+		s.ForgottenVersion = 1
 	})
 	patch(http.StatusServiceUnavailable)
 }
--- a/internal/controlplane/controlnode/replicas.go
+++ b/internal/controlplane/controlnode/replicas.go
@@ -36,8 +36,8 @@
 // soft is a control node's soft state: the replicas it has heard of, the gateways that follow it, and what the
 // other control nodes have been told.
 type soft struct {
-	Roster *registry.Roster
-	Hub    *distribution.Hub
+	Roster *registry.Registry
+	Hub    *distribution.FramePublisher
 	// Outliers are the newest verdicts on replicas, this control node's own or the head's.
 	Outliers outlier.Table
 	told     map[string]*told
@@ -52,7 +52,7 @@
 	if unreachableUs == 0 {
 		unreachableUs = unreachableDefaultUs
 	}
-	return soft{Roster: registry.New(unreachableUs), Hub: distribution.NewHub(), told: map[string]*told{}, departures: map[string]*departure{}}
+	return soft{Roster: registry.New(unreachableUs), Hub: distribution.NewFramePublisher(), told: map[string]*told{}, departures: map[string]*departure{}}
 }
 
 // woke notes when this control node was not run for a while: for a moment after, what it reads may be as old as that.
@@ -61,21 +61,21 @@
 		c.sleptUs, c.wokeUs = c.stepUs, nowUs
 	}
 	c.stepUs = nowUs
-	c.soft.Roster.LateUs = 0
+	c.soft.Roster.ReadDelayUs = 0
 	if c.wokeUs > 0 && nowUs-c.wokeUs < wakingUs {
-		c.soft.Roster.LateUs = nowUs - c.sleptUs
+		c.soft.Roster.ReadDelayUs = nowUs - c.sleptUs
 	}
 }
 
 // heard takes a replica's own word.
-func (c *Core) heard(nowUs int64, row registry.Row) {
-	if c.soft.Roster.Hear(nowUs, row) {
+func (c *Core) heard(nowUs int64, row registry.ReplicaStatus) {
+	if c.soft.Roster.HandleHeartbeat(nowUs, row) {
 		c.soft.urgent = true
 	}
 }
 
 func (c *Core) gone(nowUs int64, id string) {
-	if c.soft.Roster.Leave(nowUs, id) {
+	if c.soft.Roster.Remove(nowUs, id) {
 		c.soft.urgent = true
 	}
 }
@@ -84,7 +84,7 @@
 func (c *Core) heardFrom(nowUs int64, h wire.Heard) {
 	c.soft.Roster.Merge(nowUs, h.Notes)
 	c.confirm(h)
-	if c.soft.Roster.Wants() {
+	if c.soft.Roster.TakeResyncRequest() {
 		c.soft.wants = true
 	}
 	if h.Wants {
@@ -92,7 +92,7 @@
 		c.soft.urgent = true
 	}
 	for _, gateway := range h.Gateways {
-		c.soft.Hub.Heard(nowUs, gateway)
+		c.soft.Hub.RecordGateway(nowUs, gateway)
 	}
 }
 
@@ -107,7 +107,7 @@
 	if due {
 		c.soft.tellUs = nowUs
 		c.soft.Roster.Sweep(nowUs)
-		heard.Gateways = c.soft.Hub.Main()
+		heard.Gateways = c.soft.Hub.PrimarySubscribers()
 	}
 	for _, p := range c.Node.Peers() {
 		if !p.Sound {
@@ -119,8 +119,8 @@
 			c.soft.told[p.Member.ID] = t
 		}
 		mine := heard
-		mine.Notes = c.soft.Roster.Notes(nowUs, t.since, due)
-		t.since = c.soft.Roster.Rev
+		mine.Notes = c.soft.Roster.GossipSince(nowUs, t.since, due)
+		t.since = c.soft.Roster.Revision
 		if asks {
 			c.askAbout(nowUs, p.Member.ID, &mine)
 		}
@@ -129,7 +129,7 @@
 		}
 	}
 	if due {
-		c.soft.Roster.Told(nowUs)
+		c.soft.Roster.MarkGossiped(nowUs)
 	}
 	if asks {
 		c.askedAbout(nowUs)
@@ -159,8 +159,8 @@
 	if nowUs-c.controlNodesUs >= controlNodesEveryUs {
 		c.controlNodesUs, c.known = nowUs, c.controlNodes(nowUs)
 	}
-	for _, p := range c.soft.Hub.Frames(distribution.Seen{
-		NowUs: nowUs, Me: c.Node.Me().ID, State: c.Node.State(), View: c.Node.View(), ControlNodes: c.known, Settled: c.settled(), Behind: !c.Node.Current(nowUs), Roster: c.soft.Roster, Outliers: c.soft.Outliers,
+	for _, p := range c.soft.Hub.Frames(distribution.FrameInput{
+		NowUs: nowUs, Self: c.Node.Me().ID, State: c.Node.State(), View: c.Node.View(), ControlNodes: c.known, Committed: c.settled(), Behind: !c.Node.Current(nowUs), Registry: c.soft.Roster, Outliers: c.soft.Outliers,
 	}) {
 		push := p
 		c.effects = append(c.effects, Effect{Frame: &push})
@@ -195,7 +195,7 @@
 
 // routedReport takes a gateway's report, or passes it on to the controller where it came to another control node.
 func (c *Core) routedReport(nowUs int64, r wire.Report) {
-	c.soft.Hub.Heard(nowUs, r.Gateway)
+	c.soft.Hub.RecordGateway(nowUs, r.Gateway)
 	if c.Node.IsHead() {
 		c.controller(controller.Event{NowUs: nowUs, Report: &r})
 	} else if head := c.Node.View().Head(); head.Addr != "" && head.ID != c.Node.Me().ID {
--- a/internal/controlplane/controlnode/web.go
+++ b/internal/controlplane/controlnode/web.go
@@ -53,7 +53,7 @@
 		}
 		return nil, fault.New(fault.NotServing, "", "stopping")
 	})
-	rpc.Serve(mux, rpc.BeatPath, func(_ context.Context, b *failuredetector.Beat) (*wire.Receipt, error) {
+	rpc.Serve(mux, rpc.BeatPath, func(_ context.Context, b *failuredetector.Heartbeat) (*wire.Receipt, error) {
 		h.tell(Event{Beat: b})
 		return &wire.Receipt{}, nil
 	})
@@ -155,7 +155,7 @@
 }
 
 func (h *Host) state(w http.ResponseWriter, r *http.Request) {
-	frozen, ran := actor.Ask(r.Context(), h.act, func() *statemachine.State { return h.core.Node.State().Freeze() })
+	frozen, ran := actor.Ask(r.Context(), h.act, func() *statemachine.State { return h.core.Node.State().Snapshot() })
 	if !ran {
 		writeFault(w, fault.New(fault.NotServing, "", "stopping"))
 		return
--- a/internal/controlplane/distribution/feed_test.go
+++ b/internal/controlplane/distribution/feed_test.go
@@ -9,16 +9,16 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-func opened(s *statemachine.State) *Room {
-	r := New()
-	r.Gate(1, true)
+func opened(s *statemachine.State) *UpdatePublisher {
+	r := NewUpdatePublisher()
+	r.SetActive(1, true)
 	r.Follow(2, wire.Follow{Gateway: "front", Incarnation: "i1"})
 	return r
 }
 
 func stateAt(revision, news uint64) *statemachine.State {
 	s := statemachine.NewState()
-	s.Revision, s.NewsIndex, s.Index = revision, news, news
+	s.Revision, s.UpdateIndex, s.Index = revision, news, news
 	s.Doc = &configuration.Declaration{Name: "d"}
 	return s
 }
@@ -31,16 +31,16 @@
 func TestDeclarationIsPushedUntilItIsAcknowledged(t *testing.T) {
 	s := stateAt(3, 30)
 	r := opened(s)
-	if p := r.Pushes(s, chain.View{}); len(p) != 1 || p[0].News.Doc == nil {
+	if p := r.Updates(s, chain.View{}); len(p) != 1 || p[0].Update.Doc == nil {
 		t.Fatalf("first push: %+v", p)
 	}
-	s.NewsIndex = 31
-	if p := r.Pushes(s, chain.View{}); len(p) != 1 || p[0].News.Doc == nil {
+	s.UpdateIndex = 31
+	if p := r.Updates(s, chain.View{}); len(p) != 1 || p[0].Update.Doc == nil {
 		t.Fatal("the declaration was left out though nobody acknowledged it")
 	}
-	r.Report(10, 1, s.NewsIndex, true, report(31, 3))
-	s.NewsIndex = 32
-	if p := r.Pushes(s, chain.View{}); len(p) != 1 || p[0].News.Doc != nil {
+	r.Report(10, 1, s.UpdateIndex, true, report(31, 3))
+	s.UpdateIndex = 32
+	if p := r.Updates(s, chain.View{}); len(p) != 1 || p[0].Update.Doc != nil {
 		t.Fatal("an acknowledged declaration is sent again")
 	}
 }
@@ -55,7 +55,7 @@
 	if !r.Report(200_000, 1, 11, true, report(10, 1)).OK {
 		t.Fatal("a gateway a moment behind loses its lease at once")
 	}
-	if r.Report(200_000+behindUs+1, 1, 11, true, report(10, 1)).OK {
+	if r.Report(200_000+maxBehindUs+1, 1, 11, true, report(10, 1)).OK {
 		t.Fatal("a gateway that stays behind keeps its lease")
 	}
 	lapsedUs := 200_000 + GatewayLeaseUs + 1
@@ -72,32 +72,32 @@
 	r := opened(s)
 	startUs := 2 * GatewayLeaseUs
 	r.Report(startUs, 1, 10, true, report(10, 1))
-	r.Hold("op", statemachine.Outcome{ID: "c"}, 11)
-	if a := r.Answers(startUs + 10); len(a) != 0 {
+	r.AwaitAcknowledgements("op", statemachine.Outcome{ID: "c"}, 11)
+	if a := r.ReleasedResults(startUs + 10); len(a) != 0 {
 		t.Fatal("answered before the gateway acknowledged")
 	}
-	if a := r.Answers(startUs + GatewayLeaseUs - 1); len(a) != 0 {
+	if a := r.ReleasedResults(startUs + GatewayLeaseUs - 1); len(a) != 0 {
 		t.Fatal("answered while the gateway still had its lease")
 	}
-	if a := r.Answers(startUs + GatewayLeaseUs); len(a) != 1 {
+	if a := r.ReleasedResults(startUs + GatewayLeaseUs); len(a) != 1 {
 		t.Fatal("not answered though the lease ran out")
 	}
 	r.Report(startUs+GatewayLeaseUs+1, 1, 11, true, report(11, 1))
-	r.Hold("op", statemachine.Outcome{ID: "d"}, 12)
+	r.AwaitAcknowledgements("op", statemachine.Outcome{ID: "d"}, 12)
 	r.Report(startUs+GatewayLeaseUs+2, 1, 12, true, report(12, 1))
-	if a := r.Answers(startUs + GatewayLeaseUs + 3); len(a) != 1 {
+	if a := r.ReleasedResults(startUs + GatewayLeaseUs + 3); len(a) != 1 {
 		t.Fatal("not answered though every gateway acknowledged")
 	}
 }
 
 func TestANewTailWaitsOutLeasesItDoesNotKnow(t *testing.T) {
-	r := New()
-	r.Gate(1000, true)
-	r.Hold("op", statemachine.Outcome{ID: "c"}, 5)
-	if a := r.Answers(1000 + GatewayLeaseUs - 1); len(a) != 0 {
+	r := NewUpdatePublisher()
+	r.SetActive(1000, true)
+	r.AwaitAcknowledgements("op", statemachine.Outcome{ID: "c"}, 5)
+	if a := r.ReleasedResults(1000 + GatewayLeaseUs - 1); len(a) != 0 {
 		t.Fatal("a new tail answered while its predecessor's leases may run")
 	}
-	if a := r.Answers(1000 + GatewayLeaseUs); len(a) != 1 {
+	if a := r.ReleasedResults(1000 + GatewayLeaseUs); len(a) != 1 {
 		t.Fatal("never answered")
 	}
 }
@@ -111,7 +111,7 @@
 	if !r.Report(200, 1, 10, true, report(10, 1)).OK {
 		t.Fatal("no lease after it was")
 	}
-	if !r.Report(checkUs+10, 1, 10, false, report(10, 1)).OK {
+	if !r.Report(checkGraceUs+10, 1, 10, false, report(10, 1)).OK {
 		t.Fatal("no lease although the platform may be down")
 	}
 }
--- a/internal/controlplane/distribution/hub_test.go
+++ b/internal/controlplane/distribution/hub_test.go
@@ -23,8 +23,8 @@
 	s.Apply(1, statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: doc}})
 	update := &statemachine.LeaderUpdate{}
 	for _, id := range ids {
-		update.Fleet = append(update.Fleet, statemachine.ReplicaNote{ID: id, Incarnation: id, Addr: id, RoomMb: 100, Slots: 4, Service: "s", Told: true, Holds: []statemachine.Holding{{Unit: "m1", SizeMb: 10}}})
-		update.Tickets = append(update.Tickets, statemachine.Ticket{Revision: 1, Replica: id, Incarnation: id, Step: statemachine.Load, Unit: "m2"})
+		update.Replicas = append(update.Replicas, statemachine.ReplicaUpdate{ID: id, Incarnation: id, Addr: id, CapacityMb: 100, Slots: 4, Service: "s", ResidentKnown: true, Resident: []statemachine.ResidentUnit{{Unit: "m1", SizeMb: 10}}})
+		update.Commands = append(update.Commands, statemachine.ReplicaCommand{Revision: 1, Replica: id, Incarnation: id, Action: statemachine.Load, Unit: "m2"})
 	}
 	if out := s.Apply(2, statemachine.Change{ID: "d", LeaderUpdate: update}); out.Fault != nil || len(out.Faults) > 0 {
 		t.Fatal(out.Fault, out.Faults)
@@ -37,15 +37,15 @@
 func TestFramesTellOnlyWhatIsNewsAndSpareStreamsLessOften(t *testing.T) {
 	s := routedLedger(t, "r1", "r2", "r3")
 	soft := registry.New(3 * clock.Sec)
-	h := NewHub()
+	h := NewFramePublisher()
 	nowUs := clock.Sec
 	hear := func(id string, seq uint64, units ...string) {
-		soft.Hear(nowUs, registry.Row{ID: id, Service: "s", Addr: id, Slots: 4, Seq: seq, Units: units})
+		soft.HandleHeartbeat(nowUs, registry.ReplicaStatus{ID: id, Service: "s", Addr: id, Slots: 4, Seq: seq, Units: units})
 	}
 	frames := func(passUs int64) map[string]*wire.Frame {
 		nowUs += passUs
 		out := map[string]*wire.Frame{}
-		for _, p := range h.Frames(Seen{NowUs: nowUs, State: s, Settled: true, Roster: soft}) {
+		for _, p := range h.Frames(FrameInput{NowUs: nowUs, State: s, Committed: true, Registry: soft}) {
 			out[p.Gateway] = p.Frame
 		}
 		return out
@@ -60,7 +60,7 @@
 		t.Fatal("the first frames are not whole")
 	}
 	number := s.Pending["r2"].Number
-	s.Apply(3, statemachine.Change{ID: "e", LeaderUpdate: &statemachine.LeaderUpdate{Settled: []statemachine.Settled{{Number: number, Done: true}}}})
+	s.Apply(3, statemachine.Change{ID: "e", LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: number, Succeeded: true}}}})
 	after := frames(50 * clock.Ms)
 	if after["spare"] != nil {
 		t.Error("a spare stream was brought on at once")
@@ -80,7 +80,7 @@
 		t.Error("the spare stream was not brought on in its time")
 	}
 	h.Follow(nowUs, wire.Follow{Gateway: "late", Incarnation: "i"})
-	s.Apply(4, statemachine.Change{ID: "f", LeaderUpdate: &statemachine.LeaderUpdate{Settled: []statemachine.Settled{{Number: s.Pending["r1"].Number, Done: true}}}})
+	s.Apply(4, statemachine.Change{ID: "f", LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: s.Pending["r1"].Number, Succeeded: true}}}})
 	joined := frames(clock.Ms)
 	if joined["main"] == nil || joined["main"].Orders == nil || joined["main"].Orders.Number != joined["late"].Orders.Number {
 		t.Error("a stream joined at another point than the others stand at: what came and went between would stay")
@@ -91,9 +91,9 @@
 // heartbeat: what the ledger says of replicas that nobody has heard went out in whole frames alone.
 func TestGatewaysThatFollowedBeforeTheChainSettledLearnOfAllReplicasInTheLedger(t *testing.T) {
 	soft := registry.New(3 * clock.Sec)
-	h := NewHub()
+	h := NewFramePublisher()
 	nowUs := clock.Sec
-	seen := Seen{State: statemachine.NewState(), Roster: soft}
+	seen := FrameInput{State: statemachine.NewState(), Registry: soft}
 	frame := func(passUs int64) *wire.Frame {
 		nowUs += passUs
 		seen.NowUs = nowUs
@@ -104,7 +104,7 @@
 		}
 		return nil
 	}
-	soft.Hear(nowUs, registry.Row{ID: "r2", Service: "s", Addr: "r2", Slots: 4, Seq: 1, Units: []string{"m1"}})
+	soft.HandleHeartbeat(nowUs, registry.ReplicaStatus{ID: "r2", Service: "s", Addr: "r2", Slots: 4, Seq: 1, Units: []string{"m1"}})
 	h.Follow(nowUs, wire.Follow{Gateway: "d", Incarnation: "i"})
 	if first := frame(0); first == nil || !first.Whole || len(first.Replicas) != 1 || first.Revision != 0 {
 		t.Fatal("the first frame is not what a control node knows that has just started")
@@ -113,7 +113,7 @@
 	if before := frame(clock.Ms); before != nil && before.Revision != 0 {
 		t.Fatal("a declaration was told that may not be the chain's")
 	}
-	seen.Settled = true
+	seen.Committed = true
 	settled := frame(20 * clock.Ms)
 	if settled == nil || settled.Doc == nil {
 		t.Fatal("the declaration did not go out once the chain had settled")
@@ -131,12 +131,12 @@
 	if again := frame(20 * clock.Ms); again != nil {
 		t.Errorf("told again: %v", again.Replicas)
 	}
-	soft.Hear(nowUs, registry.Row{ID: "r1", Service: "s", Addr: "r1", Slots: 4, Seq: 1, Units: []string{"m1"}})
+	soft.HandleHeartbeat(nowUs, registry.ReplicaStatus{ID: "r1", Service: "s", Addr: "r1", Slots: 4, Seq: 1, Units: []string{"m1"}})
 	if heard := frame(20 * clock.Ms); heard == nil || len(heard.Replicas) != 1 || heard.Replicas[0].ID != "r1" || heard.Replicas[0].Stale {
 		t.Error("a replica's first word did not take the place of the ledger's")
 	}
-	seen.State.Apply(3, statemachine.Change{ID: "e", LeaderUpdate: &statemachine.LeaderUpdate{Gone: []string{"r3"}}})
-	if left := frame(20 * clock.Ms); left == nil || len(left.Replicas) != 1 || left.Replicas[0].ID != "r3" || !left.Replicas[0].Gone {
+	seen.State.Apply(3, statemachine.Change{ID: "e", LeaderUpdate: &statemachine.LeaderUpdate{RemovedReplicas: []string{"r3"}}})
+	if left := frame(20 * clock.Ms); left == nil || len(left.Replicas) != 1 || left.Replicas[0].ID != "r3" || !left.Replicas[0].Removed {
 		t.Error("a replica that the ledger has let go was not taken back")
 	}
 }
@@ -145,23 +145,23 @@
 func TestTheLedgerBringsNoReplicaBackThatHasEnded(t *testing.T) {
 	s := routedLedger(t, "r1", "r2")
 	soft := registry.New(3 * clock.Sec)
-	h := NewHub()
+	h := NewFramePublisher()
 	nowUs := clock.Sec
 	frame := func(passUs int64) *wire.Frame {
 		nowUs += passUs
-		for _, p := range h.Frames(Seen{NowUs: nowUs, State: s, Settled: true, Roster: soft}) {
+		for _, p := range h.Frames(FrameInput{NowUs: nowUs, State: s, Committed: true, Registry: soft}) {
 			return p.Frame
 		}
 		return nil
 	}
-	soft.Hear(nowUs, registry.Row{ID: "r1", Service: "s", Addr: "r1", Slots: 4, Seq: 1, Units: []string{"m1"}})
+	soft.HandleHeartbeat(nowUs, registry.ReplicaStatus{ID: "r1", Service: "s", Addr: "r1", Slots: 4, Seq: 1, Units: []string{"m1"}})
 	h.Follow(nowUs, wire.Follow{Gateway: "d", Incarnation: "i"})
 	frame(0)
-	soft.Leave(nowUs, "r1")
-	if f := frame(20 * clock.Ms); f == nil || len(f.Replicas) != 1 || !f.Replicas[0].Gone {
+	soft.Remove(nowUs, "r1")
+	if f := frame(20 * clock.Ms); f == nil || len(f.Replicas) != 1 || !f.Replicas[0].Removed {
 		t.Fatal("its end was not told")
 	}
-	for passed := int64(0); soft.Row("r1") != nil; passed += clock.Sec {
+	for passed := int64(0); soft.Entry("r1") != nil; passed += clock.Sec {
 		if passed > 300*clock.Sec {
 			t.Fatal("it is never forgotten")
 		}
@@ -169,10 +169,10 @@
 		soft.Sweep(nowUs)
 	}
 	frame(clock.Sec)
-	s.Apply(3, statemachine.Change{ID: "e", LeaderUpdate: &statemachine.LeaderUpdate{Settled: []statemachine.Settled{{Number: s.Pending["r1"].Number, Done: true}}}})
+	s.Apply(3, statemachine.Change{ID: "e", LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: s.Pending["r1"].Number, Succeeded: true}}}})
 	if f := frame(clock.Sec); f != nil {
 		for _, r := range f.Replicas {
-			if r.ID == "r1" && !r.Gone {
+			if r.ID == "r1" && !r.Removed {
 				t.Error("it came back")
 			}
 		}
--- a/internal/controlplane/failuredetector/watch.go
+++ b/internal/controlplane/failuredetector/watch.go
@@ -9,12 +9,12 @@
 
 // How nodes watch each other.
 const (
-	// Watchers is how many nodes watch each one; all of them must report silence before it counts as failed.
-	Watchers = 2
-	// BeatUs is the time between two heartbeats, SilentUs how long none may come, and ForgetUs when a silent node is let go.
-	BeatUs   = 200 * clock.Ms
-	SilentUs = 900 * clock.Ms
-	ForgetUs = 20 * clock.Sec
+	// WatchersPerNode is how many nodes watch each one; all of them must report silence before it counts as failed.
+	WatchersPerNode = 2
+	// HeartbeatIntervalUs is the time between two heartbeats, SuspectAfterUs how long none may come, and ForgetAfterUs when a silent node is let go.
+	HeartbeatIntervalUs = 200 * clock.Ms
+	SuspectAfterUs      = 900 * clock.Ms
+	ForgetAfterUs       = 20 * clock.Sec
 )
 
 // Node is one place on the ring. ID tells processes apart that followed each other at one address.
@@ -23,19 +23,19 @@
 	Addr string `json:"addr"`
 }
 
-// Beat is a heartbeat; Last says that no more will come, since the node ends in order.
-type Beat struct {
-	ID   string `json:"id"`
-	Last bool   `json:"last,omitempty"`
+// Heartbeat is a heartbeat; Last says that no more will come, since the node ends in order.
+type Heartbeat struct {
+	ID    string `json:"id"`
+	Final bool   `json:"last,omitempty"`
 }
 
-// Silence is what one watcher reports: who has fallen silent, as it sees it.
-type Silence struct {
-	By     string   `json:"by"`
-	Silent []string `json:"silent"`
+// SuspicionReport is what one watcher reports: who has fallen silent, as it sees it.
+type SuspicionReport struct {
+	Reporter string   `json:"by"`
+	Suspects []string `json:"silent"`
 }
 
-func place(id string) uint64 {
+func ringPosition(id string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id))
 	x := h.Sum64()
@@ -45,27 +45,27 @@
 	return x
 }
 
-// Named are the watchers of id: those that follow its place on the ring.
-func Named(ring []Node, id string) []Node {
+// WatchersOf are the watchers of id: those that follow its place on the ring.
+func WatchersOf(ring []Node, id string) []Node {
 	others := []Node{}
 	for _, n := range ring {
 		if n.ID != id {
 			others = append(others, n)
 		}
 	}
-	own := place(id)
+	own := ringPosition(id)
 	sort.Slice(others, func(i, j int) bool {
-		a, b := place(others[i].ID)-own, place(others[j].ID)-own
+		a, b := ringPosition(others[i].ID)-own, ringPosition(others[j].ID)-own
 		if a != b {
 			return a < b
 		}
 		return others[i].ID < others[j].ID
 	})
-	return others[:min(Watchers, len(others))]
+	return others[:min(WatchersPerNode, len(others))]
 }
 
-// Left are those of before that are not among now.
-func Left(before, now []Node) []Node {
+// Departed are those of before that are not among now.
+func Departed(before, now []Node) []Node {
 	left := []Node{}
 	for _, b := range before {
 		kept := false
@@ -79,44 +79,44 @@
 	return left
 }
 
-// Watch remembers who beats at this node. It is asked who has fallen silent.
-type Watch struct {
-	heardUs map[string]int64
-	lastUs  int64
+// Monitor remembers who beats at this node. It is asked who has fallen silent.
+type Monitor struct {
+	lastHeartbeatUs map[string]int64
+	lastCallUs      int64
 }
 
-// New is a watch that has heard nobody.
-func New() *Watch { return &Watch{heardUs: map[string]int64{}} }
+// NewMonitor is a watch that has heard nobody.
+func NewMonitor() *Monitor { return &Monitor{lastHeartbeatUs: map[string]int64{}} }
 
-// Heard takes a heartbeat.
-func (w *Watch) Heard(nowUs int64, b Beat) {
-	w.awake(nowUs)
-	if b.Last {
-		delete(w.heardUs, b.ID)
+// Receive takes a heartbeat.
+func (m *Monitor) Receive(nowUs int64, b Heartbeat) {
+	m.shiftAfterPause(nowUs)
+	if b.Final {
+		delete(m.lastHeartbeatUs, b.ID)
 		return
 	}
-	w.heardUs[b.ID] = nowUs
+	m.lastHeartbeatUs[b.ID] = nowUs
 }
 
-// awake: a watcher that was itself frozen has heard nobody, which says nothing of them.
-func (w *Watch) awake(nowUs int64) {
-	if w.lastUs > 0 && nowUs-w.lastUs > BeatUs*2 {
-		for id, heardUs := range w.heardUs {
-			w.heardUs[id] = heardUs + nowUs - w.lastUs
+// shiftAfterPause: a watcher that was itself frozen has heard nobody, which says nothing of them.
+func (m *Monitor) shiftAfterPause(nowUs int64) {
+	if m.lastCallUs > 0 && nowUs-m.lastCallUs > HeartbeatIntervalUs*2 {
+		for id, heardUs := range m.lastHeartbeatUs {
+			m.lastHeartbeatUs[id] = heardUs + nowUs - m.lastCallUs
 		}
 	}
-	w.lastUs = nowUs
+	m.lastCallUs = nowUs
 }
 
-// Silent are the nodes that were heard once and not for SilentUs, in order.
-func (w *Watch) Silent(nowUs int64) []string {
-	w.awake(nowUs)
+// Suspects are the nodes that were heard once and not for SuspectAfterUs, in order.
+func (m *Monitor) Suspects(nowUs int64) []string {
+	m.shiftAfterPause(nowUs)
 	silent := []string{}
-	for id, heardUs := range w.heardUs {
+	for id, heardUs := range m.lastHeartbeatUs {
 		switch {
-		case nowUs-heardUs > ForgetUs:
-			delete(w.heardUs, id)
-		case nowUs-heardUs > SilentUs:
+		case nowUs-heardUs > ForgetAfterUs:
+			delete(m.lastHeartbeatUs, id)
+		case nowUs-heardUs > SuspectAfterUs:
 			silent = append(silent, id)
 		}
 	}
@@ -124,38 +124,42 @@
 	return silent
 }
 
-// Jury counts who says that a node is silent; one watcher alone may itself be cut off.
-type Jury struct {
-	said map[string]said
+// SuspicionQuorum counts who says that a node is silent; one watcher alone may itself be cut off.
+type SuspicionQuorum struct {
+	reports map[string]timedReport
 }
 
-type said struct {
-	silent []string
-	atUs   int64
+type timedReport struct {
+	suspects   []string
+	receivedUs int64
 }
 
-// NewJury is a jury to which nobody has spoken.
-func NewJury() *Jury { return &Jury{said: map[string]said{}} }
+// NewSuspicionQuorum is a jury to which nobody has spoken.
+func NewSuspicionQuorum() *SuspicionQuorum {
+	return &SuspicionQuorum{reports: map[string]timedReport{}}
+}
 
-// Say takes a watcher's newest report in the place of its last.
-func (j *Jury) Say(nowUs int64, s Silence) { j.said[s.By] = said{s.Silent, nowUs} }
+// Report takes a watcher's newest report in the place of its last.
+func (q *SuspicionQuorum) Report(nowUs int64, s SuspicionReport) {
+	q.reports[s.Reporter] = timedReport{s.Suspects, nowUs}
+}
 
-// Gone says whether enough watchers have lately reported a node as silent.
-func (j *Jury) Gone(nowUs int64, id string) bool {
+// Suspected says whether enough watchers have lately reported a node as silent.
+func (q *SuspicionQuorum) Suspected(nowUs int64, id string) bool {
 	votes := 0
-	for by, s := range j.said {
-		if nowUs-s.atUs > ForgetUs {
-			delete(j.said, by)
+	for by, s := range q.reports {
+		if nowUs-s.receivedUs > ForgetAfterUs {
+			delete(q.reports, by)
 			continue
 		}
-		if nowUs-s.atUs > SilentUs {
+		if nowUs-s.receivedUs > SuspectAfterUs {
 			continue
 		}
-		for _, silent := range s.silent {
+		for _, silent := range s.suspects {
 			if silent == id {
 				votes++
 			}
 		}
 	}
-	return votes >= Watchers
+	return votes >= WatchersPerNode
 }
--- a/internal/controlplane/failuredetector/watch_test.go
+++ b/internal/controlplane/failuredetector/watch_test.go
@@ -16,53 +16,53 @@
 	}
 	loads, moved := map[string]int{}, 0
 	for _, n := range ring {
-		named := Named(ring, n.ID)
-		if len(named) != Watchers || named[0].ID == n.ID || named[1].ID == n.ID || named[0] == named[1] {
+		named := WatchersOf(ring, n.ID)
+		if len(named) != WatchersPerNode || named[0].ID == n.ID || named[1].ID == n.ID || named[0] == named[1] {
 			t.Fatalf("%s is watched by %v", n.ID, named)
 		}
 		for _, w := range named {
 			loads[w.ID]++
 		}
 		if n.ID != "n3" {
-			moved += len(Left(named, Named(append(append([]Node{}, ring[:3]...), ring[4:]...), n.ID)))
+			moved += len(Departed(named, WatchersOf(append(append([]Node{}, ring[:3]...), ring[4:]...), n.ID)))
 		}
 	}
-	if moved > 2*Watchers {
+	if moved > 2*WatchersPerNode {
 		t.Fatalf("%d watchers moved as one node left", moved)
 	}
 	for id, n := range loads {
-		if n > Watchers {
+		if n > WatchersPerNode {
 			t.Fatalf("%s watches %d", id, n)
 		}
 	}
 }
 
 func TestAFrozenWatcherAccusesNobody(t *testing.T) {
-	w := New()
-	w.Heard(clock.Sec, Beat{ID: "a"})
-	if got := w.Silent(60 * clock.Sec); len(got) != 0 {
+	w := NewMonitor()
+	w.Receive(clock.Sec, Heartbeat{ID: "a"})
+	if got := w.Suspects(60 * clock.Sec); len(got) != 0 {
 		t.Fatalf("just woken, it accuses %v", got)
 	}
-	for nowUs := 60 * clock.Sec; nowUs < 62*clock.Sec; nowUs += BeatUs {
-		w.Silent(nowUs)
+	for nowUs := 60 * clock.Sec; nowUs < 62*clock.Sec; nowUs += HeartbeatIntervalUs {
+		w.Suspects(nowUs)
 	}
-	if diff := cmp.Diff([]string{"a"}, w.Silent(62*clock.Sec)); diff != "" {
+	if diff := cmp.Diff([]string{"a"}, w.Suspects(62*clock.Sec)); diff != "" {
 		t.Fatal(diff)
 	}
-	w.Heard(62*clock.Sec, Beat{ID: "a", Last: true})
-	if got := w.Silent(62*clock.Sec + 1); len(got) != 0 {
+	w.Receive(62*clock.Sec, Heartbeat{ID: "a", Final: true})
+	if got := w.Suspects(62*clock.Sec + 1); len(got) != 0 {
 		t.Fatal("it accuses one that took its leave")
 	}
 }
 
 func TestOneWatcherAloneConvictsNobody(t *testing.T) {
-	j := NewJury()
-	j.Say(1, Silence{By: "x", Silent: []string{"a"}})
-	if j.Gone(2, "a") {
+	j := NewSuspicionQuorum()
+	j.Report(1, SuspicionReport{Reporter: "x", Suspects: []string{"a"}})
+	if j.Suspected(2, "a") {
 		t.Fatal("one vote")
 	}
-	j.Say(2, Silence{By: "y", Silent: []string{"a"}})
-	if !j.Gone(3, "a") || j.Gone(3, "b") || j.Gone(3+SilentUs, "a") {
+	j.Report(2, SuspicionReport{Reporter: "y", Suspects: []string{"a"}})
+	if !j.Suspected(3, "a") || j.Suspected(3, "b") || j.Suspected(3+SuspectAfterUs, "a") {
 		t.Fatal("two fresh votes convict, stale ones do not")
 	}
 }
--- a/internal/controlplane/placement/check.go
+++ b/internal/controlplane/placement/check.go
@@ -17,14 +17,14 @@
 
 // Check takes or refuses each proposal against a running account of room, rate and pending
 // orders, so that two proposals of one answer cannot both use the same room.
-func Check(s *statemachine.State, freeTokensMb float64, proposals []Proposal) (tickets []statemachine.Ticket, verdicts []Verdict) {
+func Check(s *statemachine.State, freeTokensMb float64, proposals []Proposal) (tickets []statemachine.ReplicaCommand, verdicts []Verdict) {
 	a := &account{s: s, taken: map[string]bool{}, loads: s.PendingLoads(), tokensMb: freeTokensMb}
 	return a.checkAll(proposals, a.checkDeclared)
 }
 
 // CheckRouted takes or refuses each proposal for services with engines, against a running account of
 // room, places, pending orders and what the store still gives.
-func CheckRouted(s *statemachine.State, storeLeft int, proposals []Proposal) (tickets []statemachine.Ticket, verdicts []Verdict) {
+func CheckRouted(s *statemachine.State, storeLeft int, proposals []Proposal) (tickets []statemachine.ReplicaCommand, verdicts []Verdict) {
 	a := &account{s: s, taken: map[string]bool{}, storeLeft: storeLeft}
 	return a.checkAll(proposals, a.checkRouted)
 }
@@ -42,7 +42,7 @@
 }
 
 // checkAll gives a verdict on each proposal, in order, and the tickets of those that were taken.
-func (a *account) checkAll(proposals []Proposal, check func(Proposal) (statemachine.Ticket, *fault.Fault)) (tickets []statemachine.Ticket, verdicts []Verdict) {
+func (a *account) checkAll(proposals []Proposal, check func(Proposal) (statemachine.ReplicaCommand, *fault.Fault)) (tickets []statemachine.ReplicaCommand, verdicts []Verdict) {
 	for _, p := range proposals {
 		t, f := check(p)
 		verdicts = append(verdicts, Verdict{Proposal: p, Fault: f})
@@ -56,10 +56,10 @@
 }
 
 // checkDeclared checks a proposal for a replica that the platform lists.
-func (a *account) checkDeclared(p Proposal) (statemachine.Ticket, *fault.Fault) {
+func (a *account) checkDeclared(p Proposal) (statemachine.ReplicaCommand, *fault.Fault) {
 	r := a.s.Replicas[p.Replica]
 	if r == nil {
-		return statemachine.Ticket{}, fault.New(fault.ReplicaUnknown, p.Replica, "no such replica")
+		return statemachine.ReplicaCommand{}, fault.New(fault.ReplicaUnknown, p.Replica, "no such replica")
 	}
 	t, f := a.step(r, p)
 	switch {
@@ -84,14 +84,14 @@
 
 // step checks that a replica may get an order, and that the step is one: an unload of what is held there, whose
 // ticket is whole with that, or a load.
-func (a *account) step(r *statemachine.Replica, p Proposal) (statemachine.Ticket, *fault.Fault) {
-	t := statemachine.Ticket{Revision: a.s.Revision, Replica: r.ID, Incarnation: r.Incarnation, Step: p.Step, Unit: p.Unit, Why: p.Why}
+func (a *account) step(r *statemachine.Replica, p Proposal) (statemachine.ReplicaCommand, *fault.Fault) {
+	t := statemachine.ReplicaCommand{Revision: a.s.Revision, Replica: r.ID, Incarnation: r.Incarnation, Action: p.Step, Unit: p.Unit, Reason: p.Why}
 	if _, pending := a.s.Pending[p.Replica]; pending || a.taken[p.Replica] {
 		return t, fault.New(fault.ReplicaBusy, p.Replica, "an order is pending")
 	}
 	switch p.Step {
 	case statemachine.Unload:
-		heldMb, held := r.Holds[p.Unit]
+		heldMb, held := r.Resident[p.Unit]
 		if !held {
 			return t, fault.New(fault.NotHeld, p.Replica, "%s is not held", p.Unit)
 		}
@@ -105,7 +105,7 @@
 
 // adapterLeft: a model does not go from a replica while adapters of it are there.
 func (a *account) adapterLeft(r *statemachine.Replica, p Proposal) *fault.Fault {
-	for unit := range r.Holds {
+	for unit := range r.Resident {
 		if adapter := a.s.Doc.Adapter(unit); adapter != nil && adapter.Model == p.Unit {
 			return fault.New(fault.TicketRefused, p.Replica, "adapter %s of %s is still held", unit, p.Unit)
 		}
@@ -115,14 +115,14 @@
 
 // mayHold: a listed replica stays, does not hold a unit yet, has its model if it is an adapter, and has room for it.
 func (a *account) mayHold(r *statemachine.Replica, p Proposal, sizeMb int64) *fault.Fault {
-	if !r.Usable(a.s.Doc) {
+	if !r.AcceptsLoads(a.s.Doc) {
 		return fault.New(fault.ReplicaLeaving, p.Replica, "it is leaving, dark or in an emptied zone")
 	}
-	if _, held := r.Holds[p.Unit]; held {
+	if _, held := r.Resident[p.Unit]; held {
 		return fault.New(fault.AlreadyHeld, p.Replica, "%s is already held", p.Unit)
 	}
 	if adapter := a.s.Doc.Adapter(p.Unit); adapter != nil {
-		if _, base := r.Holds[adapter.Model]; !base {
+		if _, base := r.Resident[adapter.Model]; !base {
 			return fault.New(fault.NotHeld, p.Replica, "adapter %s needs model %s there", adapter.Name, adapter.Model)
 		}
 	}
@@ -131,8 +131,8 @@
 
 // room: a unit fits beside all that is held or on its way.
 func (a *account) room(r *statemachine.Replica, p Proposal, sizeMb int64) *fault.Fault {
-	if takenMb := a.s.TakenMb(r.ID); takenMb+sizeMb > r.RoomMb {
-		return fault.New(fault.NoRoom, p.Replica, "%s takes %d MB, %d of %d MB are taken", p.Unit, sizeMb, takenMb, r.RoomMb)
+	if takenMb := a.s.ReservedMb(r.ID); takenMb+sizeMb > r.CapacityMb {
+		return fault.New(fault.NoRoom, p.Replica, "%s takes %d MB, %d of %d MB are taken", p.Unit, sizeMb, takenMb, r.CapacityMb)
 	}
 	return nil
 }
--- a/internal/controlplane/placement/placement.go
+++ b/internal/controlplane/placement/placement.go
@@ -25,10 +25,10 @@
 
 // Proposal is one load or unload that a policy wants. Unit is a model, or an adapter as model/adapter.
 type Proposal struct {
-	Step    statemachine.Step `json:"step"`
-	Replica string            `json:"replica"`
-	Unit    string            `json:"unit"`
-	Why     string            `json:"why,omitempty"`
+	Step    statemachine.Action `json:"step"`
+	Replica string              `json:"replica"`
+	Unit    string              `json:"unit"`
+	Why     string              `json:"why,omitempty"`
 	// For is the unit that an unload makes room for.
 	For string `json:"for,omitempty"`
 }
@@ -169,7 +169,7 @@
 		}
 		switch key {
 		case "step":
-			p.Step = statemachine.Step(value)
+			p.Step = statemachine.Action(value)
 		case "replica":
 			p.Replica = value
 		case "unit":
--- a/internal/controlplane/placement/resident_adapters.go
+++ b/internal/controlplane/placement/resident_adapters.go
@@ -125,7 +125,7 @@
 }
 
 // propose gives a replica its proposal of this run.
-func (p *resident) propose(i int, step statemachine.Step, unit, why string) {
+func (p *resident) propose(i int, step statemachine.Action, unit, why string) {
 	p.taken[i] = true
 	p.out = append(p.out, Proposal{Step: step, Replica: p.in.Homes[i].ID, Unit: unit, Why: why})
 }
--- a/internal/controlplane/placement/resident_test.go
+++ b/internal/controlplane/placement/resident_test.go
@@ -40,24 +40,24 @@
 		t.Fatal(out.Fault)
 	}
 	for i := range 1 + r.Intn(9) {
-		n := statemachine.ReplicaNote{ID: fmt.Sprint("r", i), Incarnation: "i", Addr: "a", Zone: "z", RoomMb: 100, Slots: 8, Service: "s", Told: true, Leaving: r.Intn(10) == 0, Unreachable: r.Intn(10) == 0}
+		n := statemachine.ReplicaUpdate{ID: fmt.Sprint("r", i), Incarnation: "i", Addr: "a", Zone: "z", CapacityMb: 100, Slots: 8, Service: "s", ResidentKnown: true, Draining: r.Intn(10) == 0, Unreachable: r.Intn(10) == 0}
 		left, places := int64(100), e.AdaptersMost
 		for _, m := range r.Perm(len(e.Models)) {
 			if m := e.Models[m]; m.SizeMb <= left && r.Intn(3) > 0 {
-				n.Holds = append(n.Holds, statemachine.Holding{Unit: m.Name, SizeMb: m.SizeMb})
+				n.Resident = append(n.Resident, statemachine.ResidentUnit{Unit: m.Name, SizeMb: m.SizeMb})
 				left -= m.SizeMb
 				for a := 1; a <= m.Adapters; a++ {
 					if places > 0 && m.AdapterMb <= left && r.Intn(2) == 0 {
-						n.Holds = append(n.Holds, statemachine.Holding{Unit: fmt.Sprint(m.Name, "/a", a), SizeMb: m.AdapterMb})
+						n.Resident = append(n.Resident, statemachine.ResidentUnit{Unit: fmt.Sprint(m.Name, "/a", a), SizeMb: m.AdapterMb})
 						places, left = places-1, left-m.AdapterMb
 					}
 				}
 			}
 		}
 		if r.Intn(20) == 0 && left > 3 {
-			n.Holds = append(n.Holds, statemachine.Holding{Unit: "of an older configuration", SizeMb: 3})
+			n.Resident = append(n.Resident, statemachine.ResidentUnit{Unit: "of an older configuration", SizeMb: 3})
 		}
-		h.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Fleet: []statemachine.ReplicaNote{n}}})
+		h.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{n}}})
 		h.ages[n.ID] = map[string]int64{}
 	}
 	h.in = Service{Name: "s", Engine: e, Models: map[string]Need{}, Adapters: map[string]Need{}, StoreLeft: r.Intn(4), Spares: r.Intn(3)}
@@ -82,15 +82,15 @@
 	h.in.Homes = nil
 	for _, id := range h.s.ReplicaIDs() {
 		r := h.s.Replicas[id]
-		home := Home{ID: id, Usable: !r.Leaving && !r.Unreachable, FreeMb: r.RoomMb - h.s.TakenMb(id), Holds: maps.Clone(r.Holds), Had: maps.Clone(r.Had),
+		home := Home{ID: id, Usable: !r.Draining && !r.Unreachable, FreeMb: r.CapacityMb - h.s.ReservedMb(id), Holds: maps.Clone(r.Resident), Had: maps.Clone(r.EverLoaded),
 			Runs: map[string]int{}, Unread: map[string]int{}, AgeMs: h.ages[id]}
 		if t, pending := h.s.Pending[id]; pending {
 			home.Busy = true
-			if home.Coming = t.Unit; t.Step == statemachine.Unload {
+			if home.Coming = t.Unit; t.Action == statemachine.Unload {
 				home.Coming, home.Going = "", t.Unit
 			}
 		}
-		for unit := range r.Holds {
+		for unit := range r.Resident {
 			if fresh {
 				home.Runs[unit], home.Unread[unit] = h.r.Intn(3), max(0, h.r.Intn(4)-2)
 				h.ages[id][unit] = h.r.Int63n(4000)
@@ -132,7 +132,7 @@
 					t.Fatalf("seed %d: the checker refuses %+v: %v", seed, v.Proposal, v.Fault)
 				}
 			}
-			out := h.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Tickets: tickets}})
+			out := h.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Commands: tickets}})
 			if len(out.Faults) > 0 {
 				t.Fatalf("seed %d: the ledger refuses: %v", seed, out.Faults)
 			}
@@ -169,7 +169,7 @@
 			h.waitingFirst(t, seed, proposals)
 			for _, id := range slices.Sorted(maps.Keys(h.s.Pending)) {
 				if h.r.Intn(2) == 0 {
-					h.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Settled: []statemachine.Settled{{Number: h.s.Pending[id].Number, Done: h.r.Intn(4) > 0}}}})
+					h.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: h.s.Pending[id].Number, Succeeded: h.r.Intn(4) > 0}}}})
 				}
 			}
 		}
@@ -233,7 +233,7 @@
 		usable := false
 		for _, id := range h.s.ReplicaIDs() {
 			r := h.s.Replicas[id]
-			usable = usable || (!r.Leaving && !r.Unreachable)
+			usable = usable || (!r.Draining && !r.Unreachable)
 		}
 		quiet := 0
 		said := []Proposal{}
@@ -252,9 +252,9 @@
 			proposals, _ := Resident(h.in)
 			said = append(said, proposals...)
 			tickets, _ := CheckRouted(h.s, h.in.StoreLeft, proposals)
-			h.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Tickets: tickets}})
+			h.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Commands: tickets}})
 			for _, id := range slices.Sorted(maps.Keys(h.s.Pending)) {
-				h.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Settled: []statemachine.Settled{{Number: h.s.Pending[id].Number, Done: true}}}})
+				h.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: h.s.Pending[id].Number, Succeeded: true}}}})
 			}
 			quiet++
 			if len(tickets) > 0 {
--- a/internal/controlplane/placement/routed.go
+++ b/internal/controlplane/placement/routed.go
@@ -7,19 +7,19 @@
 )
 
 // checkRouted checks a proposal for a replica that makes itself known.
-func (a *account) checkRouted(p Proposal) (statemachine.Ticket, *fault.Fault) {
+func (a *account) checkRouted(p Proposal) (statemachine.ReplicaCommand, *fault.Fault) {
 	r := a.s.Replicas[p.Replica]
 	if r == nil || r.Service == "" {
-		return statemachine.Ticket{}, fault.New(fault.ReplicaUnknown, p.Replica, "no such replica of a service with an engine")
+		return statemachine.ReplicaCommand{}, fault.New(fault.ReplicaUnknown, p.Replica, "no such replica of a service with an engine")
 	}
 	t, f := a.step(r, p)
 	if f != nil || p.Step == statemachine.Unload {
 		return t, f
 	}
-	if r.Leaving || r.Unreachable {
+	if r.Draining || r.Unreachable {
 		return t, fault.New(fault.ReplicaLeaving, p.Replica, "it is leaving or dark")
 	}
-	if _, held := r.Holds[p.Unit]; held {
+	if _, held := r.Resident[p.Unit]; held {
 		return t, fault.New(fault.AlreadyHeld, p.Replica, "%s is already held", p.Unit)
 	}
 	sizeMb, _, known := a.s.Doc.EngineUnitMb(r.Service, p.Unit)
@@ -29,7 +29,7 @@
 	if f := a.room(r, p, sizeMb); f != nil {
 		return t, f
 	}
-	if _, adapter := configuration.Units(p.Unit); adapter == "" && !r.Had[p.Unit] {
+	if _, adapter := configuration.Units(p.Unit); adapter == "" && !r.EverLoaded[p.Unit] {
 		if a.storeLeft <= 0 {
 			return t, fault.New(fault.StoreRate, p.Replica, "the store gives nothing more now")
 		}
--- a/internal/controlplane/registry/contest.go
+++ b/internal/controlplane/registry/contest.go
@@ -13,19 +13,19 @@
 	undecided
 )
 
-// contestShare is the part of UnreachableUs, in tenths, within which two incarnations were heard at about the same time: one
+// conflictTenths is the part of UnreachableAfterUs, in tenths, within which two incarnations were heard at about the same time: one
 // and a half heartbeats where an incarnation is unreachable after two and a half.
-const contestShare = 6
+const conflictTenths = 6
 
-func (r *Roster) contest(row *Row, heardUs int64) precedence {
-	withinUs := r.UnreachableUs * contestShare / 10
+func (r *Registry) resolveConflict(row *ReplicaStatus, heardUs int64) precedence {
+	withinUs := r.UnreachableAfterUs * conflictTenths / 10
 	result := later
-	for _, other := range r.rows {
+	for _, other := range r.entries {
 		switch {
-		case other.Addr != row.Addr || other.Gone:
-		case heardUs < other.HeardUs-withinUs:
+		case other.Addr != row.Addr || other.Removed:
+		case heardUs < other.LastHeartbeatUs-withinUs:
 			result = earlier
-		case heardUs < other.HeardUs+withinUs:
+		case heardUs < other.LastHeartbeatUs+withinUs:
 			return undecided
 		}
 	}
--- a/internal/controlplane/registry/note.go
+++ b/internal/controlplane/registry/note.go
@@ -4,107 +4,107 @@
 	"petreltide/internal/process/clock"
 )
 
-// Note is what one control node tells another of a replica: the whole row where it may be news, else only
+// GossipEntry is what one control node tells another of a replica: the whole row where it may be news, else only
 // that it was heard, and a checksum of what it said.
-type Note struct {
+type GossipEntry struct {
 	ID       string `json:"id"`
 	Seq      uint64 `json:"seq"`
 	Checksum uint32 `json:"mark"`
-	AgoMs    int64  `json:"agoMs"`
-	// SaidMs ago is since when what it says surely holds: a word may have lain unread.
-	SaidMs int64 `json:"saidMs"`
-	Row    *Row  `json:"row,omitempty"`
+	AgeMs    int64  `json:"agoMs"`
+	// ConfirmedAgeMs ago is since when what it says surely holds: a word may have lain unread.
+	ConfirmedAgeMs int64          `json:"saidMs"`
+	Status         *ReplicaStatus `json:"row,omitempty"`
 }
 
 // Merge takes another control node's notes. Where one tells of a row that this control node does not have as new,
 // it asks for all rows. Ends come first, as another incarnation may have its address by now.
-func (r *Roster) Merge(nowUs int64, notes []Note) (changed bool) {
+func (r *Registry) Merge(nowUs int64, notes []GossipEntry) (changed bool) {
 	for _, n := range notes {
-		if n.Row != nil && n.Row.Gone {
-			changed = r.Leave(nowUs, n.ID) || changed
+		if n.Status != nil && n.Status.Removed {
+			changed = r.Remove(nowUs, n.ID) || changed
 		}
 	}
 	for _, n := range notes {
-		heardUs, saidUs := nowUs-n.AgoMs*1000, nowUs-r.LateUs-n.SaidMs*1000
-		if n.Row != nil {
-			if n.Row.Gone {
+		heardUs, saidUs := nowUs-n.AgeMs*1000, nowUs-r.ReadDelayUs-n.ConfirmedAgeMs*1000
+		if n.Status != nil {
+			if n.Status.Removed {
 				continue
 			}
-			changed = r.hear(nowUs, heardUs, saidUs, *n.Row) || changed
+			changed = r.receive(nowUs, heardUs, saidUs, *n.Status) || changed
 			continue
 		}
-		e := r.rows[n.ID]
-		if e == nil || (!e.Gone && n.Seq > e.seen && n.Checksum != e.checksum) {
-			r.want = true
+		e := r.entries[n.ID]
+		if e == nil || (!e.Removed && n.Seq > e.lastSeq && n.Checksum != e.checksum) {
+			r.needsResync = true
 			continue
 		}
-		if !e.Gone && n.Seq > e.seen {
-			e.seen = n.Seq
-			e.HeardUs, e.SaidUs = max(e.HeardUs, heardUs), max(e.SaidUs, saidUs)
-			if e.Unreachable && nowUs-heardUs < r.UnreachableUs {
+		if !e.Removed && n.Seq > e.lastSeq {
+			e.lastSeq = n.Seq
+			e.LastHeartbeatUs, e.ConfirmedUs = max(e.LastHeartbeatUs, heardUs), max(e.ConfirmedUs, saidUs)
+			if e.Unreachable && nowUs-heardUs < r.UnreachableAfterUs {
 				e.Unreachable, changed = false, true
-				r.touch(e)
+				r.recordChange(e)
 			}
 		}
 	}
 	return changed
 }
 
-// Wants is true once after a note told of something this control node has missed.
-func (r *Roster) Wants() bool {
-	w := r.want
-	r.want = false
+// TakeResyncRequest is true once after a note told of something this control node has missed.
+func (r *Registry) TakeResyncRequest() bool {
+	w := r.needsResync
+	r.needsResync = false
 	return w
 }
 
-// Notes are for other control nodes that have had everything up to a revision of this roster, or who ask for all
+// GossipSince are for other control nodes that have had everything up to a revision of this roster, or who ask for all
 // with 0: rows that changed, and a sign of life of those that this control node itself heard since it last told.
 // What has ended is told for some seconds: no later word would show that it was missed.
-func (r *Roster) Notes(nowUs int64, since uint64, alive bool) []Note {
-	notes := []Note{}
+func (r *Registry) GossipSince(nowUs int64, since uint64, alive bool) []GossipEntry {
+	notes := []GossipEntry{}
 	for _, id := range r.IDs() {
-		e := r.rows[id]
-		news := e.Rev > since || (alive && e.Gone && nowUs-e.HeardUs < goneUs)
-		if !news && (!alive || e.Gone || e.Unreachable || e.directUs <= e.toldUs) {
+		e := r.entries[id]
+		news := e.Revision > since || (alive && e.Removed && nowUs-e.LastHeartbeatUs < removedGossipUs)
+		if !news && (!alive || e.Removed || e.Unreachable || e.lastDirectUs <= e.gossipedUs) {
 			continue
 		}
-		n := e.note(nowUs)
+		n := e.gossip(nowUs)
 		if news {
-			n.Row = e.told()
+			n.Status = e.gossipStatus()
 		}
 		notes = append(notes, n)
 	}
 	return notes
 }
 
-// NotesOf is the whole row of one replica, if it is known.
-func (r *Roster) NotesOf(nowUs int64, id string) []Note {
-	e := r.rows[id]
+// GossipOf is the whole row of one replica, if it is known.
+func (r *Registry) GossipOf(nowUs int64, id string) []GossipEntry {
+	e := r.entries[id]
 	if e == nil {
 		return nil
 	}
-	n := e.note(nowUs)
-	n.Row = e.told()
-	return []Note{n}
+	n := e.gossip(nowUs)
+	n.Status = e.gossipStatus()
+	return []GossipEntry{n}
 }
 
-func (e *Entry) note(nowUs int64) Note {
-	return Note{ID: e.ID, Seq: e.seen, Checksum: e.checksum, AgoMs: (nowUs - e.HeardUs) / 1000, SaidMs: (nowUs - e.SaidUs) / 1000}
+func (e *Entry) gossip(nowUs int64) GossipEntry {
+	return GossipEntry{ID: e.ID, Seq: e.lastSeq, Checksum: e.checksum, AgeMs: (nowUs - e.LastHeartbeatUs) / 1000, ConfirmedAgeMs: (nowUs - e.ConfirmedUs) / 1000}
 }
 
-// told is the row as other control nodes are told it.
-func (e *Entry) told() *Row {
-	row := e.Row
-	row.Seq = e.seen
-	if e.EndUs > 0 && row.LeftMs > 0 {
-		row.LeftMs = max(1, (e.EndUs-e.HeardUs)/clock.Ms)
+// gossipStatus is the row as other control nodes are told it.
+func (e *Entry) gossipStatus() *ReplicaStatus {
+	row := e.ReplicaStatus
+	row.Seq = e.lastSeq
+	if e.EndUs > 0 && row.RemainingMs > 0 {
+		row.RemainingMs = max(1, (e.EndUs-e.LastHeartbeatUs)/clock.Ms)
 	}
 	return &row
 }
 
-// Told ends one telling of signs of life to all other control nodes.
-func (r *Roster) Told(nowUs int64) {
-	for _, e := range r.rows {
-		e.toldUs = nowUs
+// MarkGossiped ends one telling of signs of life to all other control nodes.
+func (r *Registry) MarkGossiped(nowUs int64) {
+	for _, e := range r.entries {
+		e.gossipedUs = nowUs
 	}
 }
--- a/internal/controlplane/registry/roster.go
+++ b/internal/controlplane/registry/roster.go
@@ -9,64 +9,64 @@
 )
 
 const (
-	rowsMost = 20_000
-	forgetUs = 60 * clock.Sec
-	goneUs   = 10 * clock.Sec
+	maxEntries      = 20_000
+	forgetUs        = 60 * clock.Sec
+	removedGossipUs = 10 * clock.Sec
 )
 
-// Roster is one control node's soft state of all replicas: heard from them directly or from other control nodes.
+// Registry is one control node's soft state of all replicas: heard from them directly or from other control nodes.
 // It is never written to disk; who is heard last, by Seq, is right.
-type Roster struct {
-	Rev           uint64
-	UnreachableUs int64
-	// LateUs is how long what is read now may have lain unread: a control node that wakes from a freeze finds
+type Registry struct {
+	Revision           uint64
+	UnreachableAfterUs int64
+	// ReadDelayUs is how long what is read now may have lain unread: a control node that wakes from a freeze finds
 	// words in its sockets that were true before it.
-	LateUs  int64
-	rows    map[string]*Entry
-	sweepUs int64
-	want    bool
-	log     []touched
-	sorted  []string
+	ReadDelayUs int64
+	entries     map[string]*Entry
+	lastSweepUs int64
+	needsResync bool
+	changes     []changeRecord
+	sortedIDs   []string
 }
 
-// touched is one entry of the list of what changed, kept so that nobody need look through all rows.
-type touched struct {
-	rev uint64
-	id  string
+// changeRecord is one entry of the list of what changed, kept so that nobody need look through all rows.
+type changeRecord struct {
+	revision uint64
+	id       string
 }
 
-const logMost = 8192
+const maxChangeLog = 8192
 
 // New is an empty roster, which calls a replica unreachable after unreachableUs without a heartbeat.
-func New(unreachableUs int64) *Roster {
-	return &Roster{UnreachableUs: unreachableUs, rows: map[string]*Entry{}}
+func New(unreachableUs int64) *Registry {
+	return &Registry{UnreachableAfterUs: unreachableUs, entries: map[string]*Entry{}}
 }
 
-func (r *Roster) touch(e *Entry) {
-	e.checksum = e.Row.checksum()
-	r.Rev++
-	e.Rev = r.Rev
-	r.log = append(r.log, touched{r.Rev, e.ID})
-	if len(r.log) > logMost {
-		r.log = append([]touched(nil), r.log[logMost/2:]...)
+func (r *Registry) recordChange(e *Entry) {
+	e.checksum = e.ReplicaStatus.checksum()
+	r.Revision++
+	e.Revision = r.Revision
+	r.changes = append(r.changes, changeRecord{r.Revision, e.ID})
+	if len(r.changes) > maxChangeLog {
+		r.changes = append([]changeRecord(nil), r.changes[maxChangeLog/2:]...)
 	}
 }
 
-// Since are the rows that changed after a revision, each once, in no order.
-func (r *Roster) Since(rev uint64) []string {
-	if len(r.log) == 0 || r.log[0].rev > rev+1 {
+// ChangedSince are the rows that changed after a revision, each once, in no order.
+func (r *Registry) ChangedSince(rev uint64) []string {
+	if len(r.changes) == 0 || r.changes[0].revision > rev+1 {
 		ids := []string{}
-		for id, e := range r.rows {
-			if e.Rev > rev {
+		for id, e := range r.entries {
+			if e.Revision > rev {
 				ids = append(ids, id)
 			}
 		}
 		return ids
 	}
-	at := sort.Search(len(r.log), func(i int) bool { return r.log[i].rev > rev })
+	at := sort.Search(len(r.changes), func(i int) bool { return r.changes[i].revision > rev })
 	seen, ids := map[string]bool{}, []string{}
-	for _, t := range r.log[at:] {
-		if !seen[t.id] && r.rows[t.id] != nil {
+	for _, t := range r.changes[at:] {
+		if !seen[t.id] && r.entries[t.id] != nil {
 			seen[t.id] = true
 			ids = append(ids, t.id)
 		}
@@ -74,118 +74,118 @@
 	return ids
 }
 
-// Hear takes what a replica said; changed is true where others must learn of it.
-func (r *Roster) Hear(nowUs int64, row Row) (changed bool) {
-	changed = r.hear(nowUs, nowUs, nowUs-r.LateUs, row)
-	if e := r.rows[row.ID]; e != nil {
-		e.directUs = nowUs
+// HandleHeartbeat takes what a replica said; changed is true where others must learn of it.
+func (r *Registry) HandleHeartbeat(nowUs int64, row ReplicaStatus) (changed bool) {
+	changed = r.receive(nowUs, nowUs, nowUs-r.ReadDelayUs, row)
+	if e := r.entries[row.ID]; e != nil {
+		e.lastDirectUs = nowUs
 	}
 	return changed
 }
 
-func (r *Roster) hear(nowUs, heardUs, saidUs int64, row Row) bool {
-	e := r.rows[row.ID]
+func (r *Registry) receive(nowUs, heardUs, saidUs int64, row ReplicaStatus) bool {
+	e := r.entries[row.ID]
 	if e == nil {
-		if len(r.rows) >= rowsMost || row.ID == "" {
+		if len(r.entries) >= maxEntries || row.ID == "" {
 			return false
 		}
-		switch r.contest(&row, heardUs) {
+		switch r.resolveConflict(&row, heardUs) {
 		case undecided:
 			return false
 		case earlier:
-			row.Gone, heardUs = true, nowUs
+			row.Removed, heardUs = true, nowUs
 		}
-		for _, other := range r.rows {
-			if other.Addr == row.Addr && !other.Gone && !row.Gone {
-				r.Leave(nowUs, other.ID)
+		for _, other := range r.entries {
+			if other.Addr == row.Addr && !other.Removed && !row.Removed {
+				r.Remove(nowUs, other.ID)
 			}
 		}
-		e = &Entry{Row: row, HeardUs: heardUs, SaidUs: saidUs, seen: row.Seq}
-		e.ends(heardUs, row.LeftMs)
-		r.rows[row.ID], r.sorted = e, nil
-		r.touch(e)
+		e = &Entry{ReplicaStatus: row, LastHeartbeatUs: heardUs, ConfirmedUs: saidUs, lastSeq: row.Seq}
+		e.setEnd(heardUs, row.RemainingMs)
+		r.entries[row.ID], r.sortedIDs = e, nil
+		r.recordChange(e)
 		return true
 	}
-	if e.Gone {
+	if e.Removed {
 		return false
 	}
-	if row.Seq <= e.seen && !row.Gone {
+	if row.Seq <= e.lastSeq && !row.Removed {
 		return false
 	}
-	e.seen = max(e.seen, row.Seq)
-	e.HeardUs, e.SaidUs = max(e.HeardUs, heardUs), max(e.SaidUs, saidUs)
-	changed := !e.same(&row)
-	if e.Unreachable && nowUs-heardUs < r.UnreachableUs {
+	e.lastSeq = max(e.lastSeq, row.Seq)
+	e.LastHeartbeatUs, e.ConfirmedUs = max(e.LastHeartbeatUs, heardUs), max(e.ConfirmedUs, saidUs)
+	changed := !e.equivalent(&row)
+	if e.Unreachable && nowUs-heardUs < r.UnreachableAfterUs {
 		e.Unreachable, changed = false, true
 	}
-	leftMs, draining, stage := e.LeftMs, e.Draining, e.Stage
-	e.Row = row
-	e.ends(heardUs, row.LeftMs)
+	leftMs, draining, stage := e.RemainingMs, e.Draining, e.Stage
+	e.ReplicaStatus = row
+	e.setEnd(heardUs, row.RemainingMs)
 	if row.Stage == "" {
 		e.Stage = stage
 	}
-	if draining && row.Draining && leftMs > 0 && row.LeftMs == 0 {
-		e.LeftMs = leftMs
+	if draining && row.Draining && leftMs > 0 && row.RemainingMs == 0 {
+		e.RemainingMs = leftMs
 	}
 	if changed {
-		r.touch(e)
+		r.recordChange(e)
 	}
 	return changed
 }
 
-// Leave notes that an incarnation of a replica has ended; no later word of it counts.
-func (r *Roster) Leave(nowUs int64, id string) bool {
-	e := r.rows[id]
+// Remove notes that an incarnation of a replica has ended; no later word of it counts.
+func (r *Registry) Remove(nowUs int64, id string) bool {
+	e := r.entries[id]
 	if e == nil {
-		if len(r.rows) >= rowsMost || id == "" {
+		if len(r.entries) >= maxEntries || id == "" {
 			return false
 		}
-		e = &Entry{Row: Row{ID: id}}
-		r.rows[id], r.sorted = e, nil
+		e = &Entry{ReplicaStatus: ReplicaStatus{ID: id}}
+		r.entries[id], r.sortedIDs = e, nil
 	}
-	if e.Gone {
+	if e.Removed {
 		return false
 	}
-	e.Gone, e.HeardUs = true, nowUs
+	e.Removed, e.LastHeartbeatUs = true, nowUs
 	e.Seq++
-	e.seen = e.Seq
-	r.touch(e)
+	e.lastSeq = e.Seq
+	r.recordChange(e)
 	return true
 }
 
 // Sweep marks those not heard for too long as unreachable and forgets those long gone.
-func (r *Roster) Sweep(nowUs int64) {
-	if nowUs-r.sweepUs > r.UnreachableUs/2 && r.sweepUs > 0 {
-		for _, e := range r.rows {
-			e.HeardUs = min(e.HeardUs+nowUs-r.sweepUs, nowUs)
+func (r *Registry) Sweep(nowUs int64) {
+	if nowUs-r.lastSweepUs > r.UnreachableAfterUs/2 && r.lastSweepUs > 0 {
+		for _, e := range r.entries {
+			e.LastHeartbeatUs = min(e.LastHeartbeatUs+nowUs-r.lastSweepUs, nowUs)
 		}
 	}
-	r.sweepUs = nowUs
-	for id, e := range r.rows {
+	r.lastSweepUs = nowUs
+	for id, e := range r.entries {
 		switch {
-		case nowUs-e.HeardUs > forgetUs:
-			if !e.Gone {
-				r.Rev++
+		case nowUs-e.LastHeartbeatUs > forgetUs:
+			if !e.Removed {
+				r.Revision++
 			}
-			delete(r.rows, id)
-			r.sorted = nil
-		case !e.Gone && !e.Unreachable && nowUs-e.HeardUs > r.UnreachableUs:
+			delete(r.entries, id)
+			r.sortedIDs = nil
+		case !e.Removed && !e.Unreachable && nowUs-e.LastHeartbeatUs > r.UnreachableAfterUs:
 			e.Unreachable = true
-			r.touch(e)
+			r.recordChange(e)
 		}
 	}
 }
 
 // IDs are all incarnations in order; the list must not be changed.
-func (r *Roster) IDs() []string {
-	if r.sorted == nil {
-		r.sorted = slices.Sorted(maps.Keys(r.rows))
+func (r *Registry) IDs() []string {
+	if r.sortedIDs == nil {
+		r.sortedIDs = slices.Sorted(maps.Keys(r.entries))
 	}
-	return r.sorted
+	return r.sortedIDs
 }
 
-// Row is the entry of one incarnation; nil where it is not known.
-func (r *Roster) Row(id string) *Entry { return r.rows[id] }
+// Entry is the entry of one incarnation; nil where it is not known.
+func (r *Registry) Entry(id string) *Entry { return r.entries[id] }
 
 // Len is how many incarnations are known, those that have ended among them.
-func (r *Roster) Len() int { return len(r.rows) }
+func (r *Registry) Len() int { return len(r.entries) }
--- a/internal/controlplane/registry/roster_test.go
+++ b/internal/controlplane/registry/roster_test.go
@@ -12,45 +12,45 @@
 
 const unreachableUs = 3 * clock.Sec
 
-func word(id, addr string, seq uint64, edit ...func(*Row)) Row {
-	row := Row{ID: id, Service: "s", Addr: addr, Zone: "a", Slots: 4, Seq: seq}
+func word(id, addr string, seq uint64, edit ...func(*ReplicaStatus)) ReplicaStatus {
+	row := ReplicaStatus{ID: id, Service: "s", Addr: addr, Zone: "a", Slots: 4, Seq: seq}
 	for _, e := range edit {
 		e(&row)
 	}
 	return row
 }
 
-func draining(leftMs int64) func(*Row) {
-	return func(r *Row) { r.Draining, r.LeftMs = true, leftMs }
+func draining(leftMs int64) func(*ReplicaStatus) {
+	return func(r *ReplicaStatus) { r.Draining, r.RemainingMs = true, leftMs }
 }
 
-func holds(units ...string) func(*Row) { return func(r *Row) { r.Units = units } }
+func holds(units ...string) func(*ReplicaStatus) { return func(r *ReplicaStatus) { r.Units = units } }
 
 type heard struct {
-	row     Row
+	row     ReplicaStatus
 	changed bool
 }
 
 func TestOnlyNewerWordsOfAnIncarnationCount(t *testing.T) {
 	for name, c := range map[string]struct {
 		words []heard
-		want  Row
+		want  ReplicaStatus
 	}{
 		"a late word":             {[]heard{{word("r", "1", 5, draining(0)), true}, {word("r", "1", 4), false}, {word("r", "1", 5), false}}, word("r", "1", 5, draining(0))},
 		"the same again":          {[]heard{{word("r", "1", 1), true}, {word("r", "1", 2), false}}, word("r", "1", 2)},
 		"what it holds":           {[]heard{{word("r", "1", 1), true}, {word("r", "1", 2, holds("m", "m/a1")), true}}, word("r", "1", 2, holds("m", "m/a1"))},
 		"a notice":                {[]heard{{word("r", "1", 1), true}, {word("r", "1", 2, draining(900)), true}, {word("r", "1", 3, draining(500)), false}}, word("r", "1", 3, draining(500))},
 		"a notice without a time": {[]heard{{word("r", "1", 1, draining(900)), true}, {word("r", "1", 2, draining(0)), true}}, word("r", "1", 2, draining(900))},
-		"cold, then warm":         {[]heard{{word("r", "1", 1, func(r *Row) { r.ColdMs = 80 }), true}, {word("r", "1", 2, func(r *Row) { r.ColdMs = 40 }), false}, {word("r", "1", 3), true}}, word("r", "1", 3)},
+		"cold, then warm":         {[]heard{{word("r", "1", 1, func(r *ReplicaStatus) { r.WarmUpMs = 80 }), true}, {word("r", "1", 2, func(r *ReplicaStatus) { r.WarmUpMs = 40 }), false}, {word("r", "1", 3), true}}, word("r", "1", 3)},
 	} {
 		r := New(unreachableUs)
 		for i, w := range c.words {
-			before := r.Rev
-			if got := r.Hear(int64(i), w.row); got != w.changed || (r.Rev > before) != w.changed {
-				t.Errorf("%s: word %d changed it: %v, revision %d after %d", name, i, got, r.Rev, before)
+			before := r.Revision
+			if got := r.HandleHeartbeat(int64(i), w.row); got != w.changed || (r.Revision > before) != w.changed {
+				t.Errorf("%s: word %d changed it: %v, revision %d after %d", name, i, got, r.Revision, before)
 			}
 		}
-		if diff := cmp.Diff(c.want, r.Row("r").Row); diff != "" {
+		if diff := cmp.Diff(c.want, r.Entry("r").ReplicaStatus); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
 	}
@@ -58,58 +58,58 @@
 
 func TestAnIncarnationThatEndedStaysEnded(t *testing.T) {
 	r, other := New(unreachableUs), New(unreachableUs)
-	r.Hear(1, word("r", "1", 3))
-	other.Merge(1, r.Notes(1, 0, true))
-	if !r.Leave(2, "r") || r.Leave(3, "r") {
+	r.HandleHeartbeat(1, word("r", "1", 3))
+	other.Merge(1, r.GossipSince(1, 0, true))
+	if !r.Remove(2, "r") || r.Remove(3, "r") {
 		t.Fatal("it ends once")
 	}
-	if r.Hear(3, word("r", "1", 900)) || !r.Row("r").Gone {
+	if r.HandleHeartbeat(3, word("r", "1", 900)) || !r.Entry("r").Removed {
 		t.Error("a late word brought it back")
 	}
-	other.Hear(3, word("r", "1", 4))
-	if !other.Merge(4, r.Notes(4, 0, true)) || !other.Row("r").Gone {
+	other.HandleHeartbeat(3, word("r", "1", 4))
+	if !other.Merge(4, r.GossipSince(4, 0, true)) || !other.Entry("r").Removed {
 		t.Error("the other control node does not learn of its end")
 	}
-	if other.Merge(5, []Note{{ID: "r", Seq: 9, Row: &Row{ID: "r", Addr: "1", Seq: 9}}}) || !other.Row("r").Gone {
+	if other.Merge(5, []GossipEntry{{ID: "r", Seq: 9, Status: &ReplicaStatus{ID: "r", Addr: "1", Seq: 9}}}) || !other.Entry("r").Removed {
 		t.Error("a word from elsewhere brought it back")
 	}
-	if !r.Leave(6, "never-heard") || r.Hear(7, word("never-heard", "9", 1)) {
+	if !r.Remove(6, "never-heard") || r.HandleHeartbeat(7, word("never-heard", "9", 1)) {
 		t.Error("an end that came before every word does not hold")
 	}
 	r.Sweep(7)
 	for us := int64(7); us < forgetUs+2*clock.Sec; us += clock.Sec {
 		r.Sweep(us)
 	}
-	if r.Row("r") != nil {
+	if r.Entry("r") != nil {
 		t.Error("it is kept for ever")
 	}
 }
 
 func TestAnIncarnationAtAnAddressEndsTheOneBefore(t *testing.T) {
 	r := New(unreachableUs)
-	r.Hear(0, word("old", "1", 7))
-	r.Hear(2*clock.Sec, word("new", "1", 1))
-	if !r.Row("old").Gone || r.Row("new").Gone {
+	r.HandleHeartbeat(0, word("old", "1", 7))
+	r.HandleHeartbeat(2*clock.Sec, word("new", "1", 1))
+	if !r.Entry("old").Removed || r.Entry("new").Removed {
 		t.Fatal("two incarnations at one address")
 	}
-	r.Hear(2*clock.Sec, word("beside", "2", 1))
-	if r.Row("new").Gone {
+	r.HandleHeartbeat(2*clock.Sec, word("beside", "2", 1))
+	if r.Entry("new").Removed {
 		t.Fatal("one at another address ended it")
 	}
 
 	// A control node that came back empty hears the new incarnation, and then another control node's word of the old one.
 	lagging, back := New(unreachableUs), New(unreachableUs)
-	lagging.Hear(0, word("old", "1", 7))
-	back.Hear(3*clock.Sec, word("new", "1", 1))
-	back.Merge(3*clock.Sec, lagging.Notes(3*clock.Sec, 0, true))
-	if back.Row("new").Gone {
+	lagging.HandleHeartbeat(0, word("old", "1", 7))
+	back.HandleHeartbeat(3*clock.Sec, word("new", "1", 1))
+	back.Merge(3*clock.Sec, lagging.GossipSince(3*clock.Sec, 0, true))
+	if back.Entry("new").Removed {
 		t.Fatal("a late word of the incarnation before ended the one that came after")
 	}
-	if e := back.Row("old"); e == nil || !e.Gone {
+	if e := back.Entry("old"); e == nil || !e.Removed {
 		t.Fatal("the incarnation before counts as there")
 	}
-	lagging.Merge(3*clock.Sec, back.Notes(3*clock.Sec, 0, true))
-	if lagging.Row("new") == nil || lagging.Row("new").Gone || !lagging.Row("old").Gone {
+	lagging.Merge(3*clock.Sec, back.GossipSince(3*clock.Sec, 0, true))
+	if lagging.Entry("new") == nil || lagging.Entry("new").Removed || !lagging.Entry("old").Removed {
 		t.Fatal("the other control node does not learn of the new incarnation")
 	}
 }
@@ -120,36 +120,36 @@
 		frozen.Sweep(us)
 		awake.Sweep(us)
 	}
-	for _, r := range []*Roster{frozen, awake} {
-		r.Hear(2*clock.Sec, word("lives", "1", 1))
-		r.Hear(2*clock.Sec, word("died", "2", 1))
+	for _, r := range []*Registry{frozen, awake} {
+		r.HandleHeartbeat(2*clock.Sec, word("lives", "1", 1))
+		r.HandleHeartbeat(2*clock.Sec, word("died", "2", 1))
 	}
-	since := awake.Rev
+	since := awake.Revision
 	for us := 2 * clock.Sec; us <= 12*clock.Sec; us += 250 * clock.Ms {
-		awake.Hear(us, word("lives", "1", uint64(us)))
+		awake.HandleHeartbeat(us, word("lives", "1", uint64(us)))
 		awake.Sweep(us)
 	}
-	if !awake.Row("died").Unreachable || awake.Row("lives").Unreachable {
+	if !awake.Entry("died").Unreachable || awake.Entry("lives").Unreachable {
 		t.Fatal("silence is not seen")
 	}
-	if notes := awake.Notes(12*clock.Sec, since, true); len(notes) != 2 || notes[0].ID != "died" || notes[0].Row == nil || notes[1].Row != nil {
+	if notes := awake.GossipSince(12*clock.Sec, since, true); len(notes) != 2 || notes[0].ID != "died" || notes[0].Status == nil || notes[1].Status != nil {
 		t.Errorf("%+v", notes)
 	}
 	frozen.Sweep(12 * clock.Sec)
-	if frozen.Row("lives").Unreachable || frozen.Row("died").Unreachable {
+	if frozen.Entry("lives").Unreachable || frozen.Entry("died").Unreachable {
 		t.Error("it was the control node that was silent")
 	}
-	awake.Merge(12*clock.Sec, frozen.Notes(12*clock.Sec, frozen.Rev, true))
-	if !awake.Row("died").Unreachable {
+	awake.Merge(12*clock.Sec, frozen.GossipSince(12*clock.Sec, frozen.Revision, true))
+	if !awake.Entry("died").Unreachable {
 		t.Error("a control node that was frozen tells of a replica as heard lately")
 	}
 	for us := 12 * clock.Sec; us <= 16*clock.Sec; us += 250 * clock.Ms {
 		frozen.Sweep(us)
 	}
-	if !frozen.Row("died").Unreachable {
+	if !frozen.Entry("died").Unreachable {
 		t.Error("and it never finds out")
 	}
-	if !awake.Hear(17*clock.Sec, word("died", "2", 2)) || awake.Row("died").Unreachable {
+	if !awake.HandleHeartbeat(17*clock.Sec, word("died", "2", 2)) || awake.Entry("died").Unreachable {
 		t.Error("it spoke again")
 	}
 }
@@ -160,7 +160,7 @@
 	lost, asked := 0, 0
 	for seed := int64(0); seed < 300; seed++ {
 		r := rand.New(rand.NewSource(seed))
-		controlNodes := []*Roster{New(unreachableUs), New(unreachableUs), New(unreachableUs)}
+		controlNodes := []*Registry{New(unreachableUs), New(unreachableUs), New(unreachableUs)}
 		since := map[[2]int]uint64{}
 		wants := [3]bool{}
 		seqs, ended := map[string]uint64{}, map[string]bool{}
@@ -170,8 +170,8 @@
 					if i == j {
 						continue
 					}
-					notes, wanted := from.Notes(nowUs, since[[2]int{i, j}], true), wants[i]
-					since[[2]int{i, j}] = from.Rev
+					notes, wanted := from.GossipSince(nowUs, since[[2]int{i, j}], true), wants[i]
+					since[[2]int{i, j}] = from.Revision
 					if r.Intn(100) < lose {
 						lost++
 						continue
@@ -183,7 +183,7 @@
 				}
 			}
 			for i, o := range controlNodes {
-				if wants[i] = o.Wants(); wants[i] {
+				if wants[i] = o.TakeResyncRequest(); wants[i] {
 					asked++
 				}
 			}
@@ -196,11 +196,11 @@
 			seqs[id]++
 			switch o := controlNodes[r.Intn(3)]; {
 			case r.Intn(25) == 0:
-				o.Leave(nowUs, id)
+				o.Remove(nowUs, id)
 				ended[id] = true
 			case incarnation >= 6 && n < 40, incarnation < 3 && n >= 30:
 			default:
-				o.Hear(nowUs, word(id, addr, seqs[id], func(row *Row) {
+				o.HandleHeartbeat(nowUs, word(id, addr, seqs[id], func(row *ReplicaStatus) {
 					row.Draining = r.Intn(4) == 0
 					row.Units = []string{"m", "n"}[:r.Intn(3)]
 				}))
@@ -216,13 +216,13 @@
 			nowUs += 10 * clock.Ms
 			tell(nowUs, 0)
 		}
-		view := func(o *Roster) map[string]Row {
-			all := map[string]Row{}
+		view := func(o *Registry) map[string]ReplicaStatus {
+			all := map[string]ReplicaStatus{}
 			for _, id := range o.IDs() {
-				row := o.Row(id).Row
+				row := o.Entry(id).ReplicaStatus
 				row.Seq = 0
-				if row.Gone {
-					row = Row{ID: id, Gone: true}
+				if row.Removed {
+					row = ReplicaStatus{ID: id, Removed: true}
 				}
 				all[id] = row
 			}
@@ -235,13 +235,13 @@
 		}
 		addrs := map[string]string{}
 		for id, row := range view(controlNodes[0]) {
-			if ended[id] && !row.Gone {
+			if ended[id] && !row.Removed {
 				t.Fatalf("seed %d: %s has ended and is there", seed, id)
 			}
-			if other := addrs[row.Addr]; !row.Gone && other != "" {
+			if other := addrs[row.Addr]; !row.Removed && other != "" {
 				t.Fatalf("seed %d: %s and %s at one address", seed, id, other)
 			}
-			if !row.Gone {
+			if !row.Removed {
 				addrs[row.Addr] = id
 			}
 		}
@@ -255,23 +255,23 @@
 // The time that a replica has left runs on between its words, and what nobody heard of takes no room without end.
 func TestTheTimeLeftRunsOnAndEndsAreBounded(t *testing.T) {
 	r, other := New(unreachableUs), New(unreachableUs)
-	r.Hear(clock.Sec, word("r", "1", 1, draining(900), func(r *Row) { r.Stage = "decode" }))
-	r.Hear(2*clock.Sec, word("r", "1", 2, draining(0)))
-	other.Merge(2*clock.Sec, r.Notes(2*clock.Sec, 0, true))
-	if e := r.Row("r"); e.EndUs != clock.Sec+900*clock.Ms || e.Stage != "decode" {
+	r.HandleHeartbeat(clock.Sec, word("r", "1", 1, draining(900), func(r *ReplicaStatus) { r.Stage = "decode" }))
+	r.HandleHeartbeat(2*clock.Sec, word("r", "1", 2, draining(0)))
+	other.Merge(2*clock.Sec, r.GossipSince(2*clock.Sec, 0, true))
+	if e := r.Entry("r"); e.EndUs != clock.Sec+900*clock.Ms || e.Stage != "decode" {
 		t.Errorf("it ends at %d us in stage %q", e.EndUs, e.Stage)
 	}
-	if e := other.Row("r"); e.EndUs > 2*clock.Sec+clock.Ms {
+	if e := other.Entry("r"); e.EndUs > 2*clock.Sec+clock.Ms {
 		t.Errorf("elsewhere it ends at %d us", e.EndUs)
 	}
-	r.Hear(3*clock.Sec, word("r", "1", 3, draining(500)))
-	if e := r.Row("r"); e.EndUs != 3*clock.Sec+500*clock.Ms {
+	r.HandleHeartbeat(3*clock.Sec, word("r", "1", 3, draining(500)))
+	if e := r.Entry("r"); e.EndUs != 3*clock.Sec+500*clock.Ms {
 		t.Errorf("a later word says %d us", e.EndUs)
 	}
-	for i := range rowsMost + 10 {
-		r.Leave(4*clock.Sec, fmt.Sprint("x", i))
+	for i := range maxEntries + 10 {
+		r.Remove(4*clock.Sec, fmt.Sprint("x", i))
 	}
-	if r.Len() > rowsMost || r.Leave(4*clock.Sec, "") {
+	if r.Len() > maxEntries || r.Remove(4*clock.Sec, "") {
 		t.Errorf("%d rows", r.Len())
 	}
 }
--- a/internal/controlplane/statemachine/bounds_test.go
+++ b/internal/controlplane/statemachine/bounds_test.go
@@ -29,43 +29,43 @@
 
 // A full table refuses; it never forgets a key before its time, and an old key still answers.
 func TestAFullTableOfKeysRefusesAndForgetsNothing(t *testing.T) {
-	s := full(t, KeysMost)
-	if out := s.Apply(s.Index+1, claim(KeysMost)); out.Fault == nil || out.Fault.Code != fault.KeysFull {
+	s := full(t, MaxKeys)
+	if out := s.Apply(s.Index+1, claim(MaxKeys)); out.Fault == nil || out.Fault.Code != fault.KeysFull {
 		t.Fatalf("%+v", out)
 	}
-	for _, i := range []int{0, 1, KeysMost / 2, KeysMost - 1} {
+	for _, i := range []int{0, 1, MaxKeys / 2, MaxKeys - 1} {
 		again := claim(i)
 		again.Key.Call = "another"
-		if out := s.Apply(s.Index+1, again); !out.Again || out.Key == nil {
+		if out := s.Apply(s.Index+1, again); !out.Repeated || out.Key == nil {
 			t.Fatalf("key %d: %+v", i, out)
 		}
 	}
-	if len(s.Keys) != KeysMost || len(s.KeyOrder) != KeysMost {
+	if len(s.Keys) != MaxKeys || len(s.KeyOrder) != MaxKeys {
 		t.Fatalf("%d keys, %d in order", len(s.Keys), len(s.KeyOrder))
 	}
-	s.Apply(s.Index+1, Change{ID: "claim", Epoch: 1, Claim: &Claim{Holder: "one"}})
-	s.Apply(s.Index+1, Change{ID: "forget", Epoch: 1, LeaderUpdate: &LeaderUpdate{Forget: s.Keys[s.KeyOrder[100]].Index}})
-	if len(s.Keys) != KeysMost-100 {
+	s.Apply(s.Index+1, Change{ID: "claim", Epoch: 1, Claim: &Claim{Leader: "one"}})
+	s.Apply(s.Index+1, Change{ID: "forget", Epoch: 1, LeaderUpdate: &LeaderUpdate{ForgetKeysBefore: s.Keys[s.KeyOrder[100]].Index}})
+	if len(s.Keys) != MaxKeys-100 {
 		t.Fatalf("%d keys after 100 were forgotten", len(s.Keys))
 	}
-	if out := s.Apply(s.Index+1, claim(KeysMost)); out.Fault != nil {
+	if out := s.Apply(s.Index+1, claim(MaxKeys)); out.Fault != nil {
 		t.Fatal(out.Fault)
 	}
 }
 
-// The history of changes answers for the last ChangesMost; an older change sent again gets no clear answer, as it may
+// The history of changes answers for the last MaxOutcomes; an older change sent again gets no clear answer, as it may
 // have been taken, and is never taken a second time.
 func TestAChangeOlderThanTheHistoryIsNotTakenTwice(t *testing.T) {
 	s := NewState()
 	doc := &configuration.Declaration{}
 	first := Change{ID: "c0", Config: &ConfigChange{Base: 0, Doc: doc}}
-	for i := 0; i <= ChangesMost; i++ {
+	for i := 0; i <= MaxOutcomes; i++ {
 		s.Apply(s.Index+1, Change{ID: fmt.Sprint("c", i), Config: &ConfigChange{Base: uint64(i), Doc: doc}})
 	}
-	if len(s.Changes) != ChangesMost || s.Revision != ChangesMost+1 {
-		t.Fatalf("%d changes kept at revision %d", len(s.Changes), s.Revision)
+	if len(s.Outcomes) != MaxOutcomes || s.Revision != MaxOutcomes+1 {
+		t.Fatalf("%d changes kept at revision %d", len(s.Outcomes), s.Revision)
 	}
-	if out := s.Apply(s.Index+1, first); out.Fault == nil || out.Fault.Code != fault.InDoubt || s.Revision != ChangesMost+1 {
+	if out := s.Apply(s.Index+1, first); out.Fault == nil || out.Fault.Code != fault.InDoubt || s.Revision != MaxOutcomes+1 {
 		t.Fatalf("%+v at revision %d", out, s.Revision)
 	}
 }
@@ -75,17 +75,17 @@
 	must(t, s, load("r0", "a"))
 	must(t, s, claim(1))
 	before := string(s.Encode())
-	frozen := s.Freeze()
+	frozen := s.Snapshot()
 	if diff := cmp.Diff(before, string(frozen.Encode())); diff != "" {
 		t.Fatal(diff)
 	}
-	must(t, s, Change{ID: "s", Epoch: 1, LeaderUpdate: &LeaderUpdate{Settled: []Settled{{Number: 1, Done: true}}, Shares: map[string]map[string]int{"r1": {"d": 2}},
-		Grants: []GrantAsk{{Gateway: "d", GatewayIncarnation: "i", Replica: "r1", Incarnation: "i", Model: "a", Count: 9}}, Gone: []string{"r2"}}})
+	must(t, s, Change{ID: "s", Epoch: 1, LeaderUpdate: &LeaderUpdate{Results: []CommandResult{{Number: 1, Succeeded: true}}, Quotas: map[string]map[string]int{"r1": {"d": 2}},
+		Grants: []GrantRequest{{Gateway: "d", GatewayIncarnation: "i", Replica: "r1", Incarnation: "i", Model: "a", Count: 9}}, RemovedReplicas: []string{"r2"}}})
 	for i := 2; i < 40; i++ {
 		must(t, s, claim(i))
 	}
 	must(t, s, Change{ID: "end", Key: &KeyChange{Key: claim(1).Key.Key, Gateway: "front-3", GatewayIncarnation: "0123456789ab", Call: claim(1).Key.Call, End: "yes"}})
-	must(t, s, Change{ID: "f", Epoch: 1, LeaderUpdate: &LeaderUpdate{Forget: s.Index}})
+	must(t, s, Change{ID: "f", Epoch: 1, LeaderUpdate: &LeaderUpdate{ForgetKeysBefore: s.Index}})
 	must(t, s, Change{ID: "c2", Config: &ConfigChange{Base: 1, Doc: &configuration.Declaration{Name: "next"}}})
 	if diff := cmp.Diff(before, string(frozen.Encode())); diff != "" {
 		t.Fatalf("what went on changed the frozen one: %s", diff)
@@ -93,14 +93,14 @@
 }
 
 func BenchmarkFreezeFull(b *testing.B) {
-	s := full(b, KeysMost)
+	s := full(b, MaxKeys)
 	for b.Loop() {
-		s.Freeze()
+		s.Snapshot()
 	}
 }
 
 func BenchmarkEncodeFull(b *testing.B) {
-	s := full(b, KeysMost)
+	s := full(b, MaxKeys)
 	for b.Loop() {
 		s.Encode()
 	}
@@ -121,7 +121,7 @@
 		if out := s.Apply(i+1, Change{ID: fmt.Sprint("e", i), Config: &ConfigChange{Base: i, Version: i + 1, Edit: &configuration.Edit{Version: i + 1, Routes: route(int(i))}}}); out.Fault != nil {
 			t.Fatal(out.Fault)
 		}
-		if raw := len(s.Encode()); raw > editBytesMost+300<<10 {
+		if raw := len(s.Encode()); raw > maxEditBytes+300<<10 {
 			t.Fatalf("%d bytes after %d edits", raw, i)
 		}
 	}
@@ -141,14 +141,14 @@
 func TestRememberedOutcomesNameOnlyTheirFirstFaults(t *testing.T) {
 	s := ready(t)
 	doc := &configuration.Declaration{}
-	for i := range 10 * faultsMost {
+	for i := range 10 * maxRememberedFaults {
 		doc.Models = append(doc.Models, configuration.Model{Name: fmt.Sprint("m", i), SizeMb: 1 << 40})
 	}
 	change := Change{ID: "large", Config: &ConfigChange{Base: s.Revision, Doc: doc}}
-	if out := s.Apply(s.Index+1, change); out.Fault == nil || len(out.Fault.Faults) != 10*faultsMost {
+	if out := s.Apply(s.Index+1, change); out.Fault == nil || len(out.Fault.Faults) != 10*maxRememberedFaults {
 		t.Fatalf("%+v", out.Fault)
 	}
-	if out := s.Apply(s.Index+1, change); out.Fault == nil || !out.Again || len(out.Fault.Faults) != faultsMost {
+	if out := s.Apply(s.Index+1, change); out.Fault == nil || !out.Repeated || len(out.Fault.Faults) != maxRememberedFaults {
 		t.Fatalf("%+v", out.Fault)
 	}
 }
--- a/internal/controlplane/statemachine/grants.go
+++ b/internal/controlplane/statemachine/grants.go
@@ -4,7 +4,7 @@
 
 // Grant lets a gateway number its calls to a replica from From up to, not including, To.
 type Grant struct {
-	Ticket             uint64 `json:"ticket"`
+	Number             uint64 `json:"ticket"`
 	Epoch              uint64 `json:"epoch"`
 	Gateway            string `json:"desk"`
 	GatewayIncarnation string `json:"deskInc"`
@@ -18,8 +18,8 @@
 // Key names the one grant that a gateway has for a model at a replica.
 func (g Grant) Key() string { return g.Gateway + "|" + g.Replica + "|" + g.Model }
 
-// GrantAsk asks for the next Count numbers.
-type GrantAsk struct {
+// GrantRequest asks for the next Count numbers.
+type GrantRequest struct {
 	Gateway            string `json:"desk"`
 	GatewayIncarnation string `json:"deskInc"`
 	Replica            string `json:"replica"`
@@ -28,18 +28,18 @@
 	Count              uint64 `json:"count"`
 }
 
-func (s *State) dropGateway(id string) {
+func (s *State) removeGateway(id string) {
 	for key, g := range s.Grants {
 		if g.Gateway == id {
 			delete(s.Grants, key)
 		}
 	}
 	for _, r := range s.Replicas {
-		delete(r.Shares, id)
+		delete(r.Quotas, id)
 	}
 }
 
-func (s *State) grant(epoch uint64, a GrantAsk) *fault.Fault {
+func (s *State) issueGrant(epoch uint64, a GrantRequest) *fault.Fault {
 	r := s.Replicas[a.Replica]
 	if r == nil || r.Incarnation != a.Incarnation {
 		return fault.New(fault.ReplicaUnknown, a.Replica, "no such replica or another incarnation")
@@ -48,10 +48,10 @@
 		return fault.New(fault.TicketRefused, a.Replica, "count %d", a.Count)
 	}
 	g := Grant{
-		Ticket: s.NextTicket, Epoch: epoch, Gateway: a.Gateway, GatewayIncarnation: a.GatewayIncarnation,
+		Number: s.NextNumber, Epoch: epoch, Gateway: a.Gateway, GatewayIncarnation: a.GatewayIncarnation,
 		Replica: a.Replica, Incarnation: a.Incarnation, Model: a.Model, From: r.NextAttempt, To: r.NextAttempt + a.Count,
 	}
-	s.NextTicket++
+	s.NextNumber++
 	r.NextAttempt = g.To
 	s.Grants[g.Key()] = g
 	return nil
--- a/internal/controlplane/statemachine/keys.go
+++ b/internal/controlplane/statemachine/keys.go
@@ -2,8 +2,8 @@
 
 import "petreltide/internal/api/fault"
 
-// KeyRow is who first used a caller's idempotency key, and how that call ended.
-type KeyRow struct {
+// KeyRecord is who first used a caller's idempotency key, and how that call ended.
+type KeyRecord struct {
 	Gateway            string `json:"desk"`
 	GatewayIncarnation string `json:"deskInc"`
 	Call               string `json:"call"`
@@ -18,7 +18,7 @@
 	GatewayIncarnation string `json:"deskInc"`
 	Call               string `json:"call"`
 	End                string `json:"end,omitempty"`
-	Free               bool   `json:"free,omitempty"`
+	Release            bool   `json:"free,omitempty"`
 }
 
 func (s *State) applyKey(out *Outcome, c Change) {
@@ -26,7 +26,7 @@
 	row, seen := s.Keys[k.Key]
 	mine := seen && row.GatewayIncarnation == k.GatewayIncarnation && row.Call == k.Call
 	switch {
-	case k.Free:
+	case k.Release:
 		if mine && row.Ended == "" {
 			delete(s.Keys, k.Key)
 		}
@@ -38,13 +38,13 @@
 	case seen:
 		held := row
 		out.Key = &held
-		out.Again = !mine
+		out.Repeated = !mine
 	default:
-		if len(s.Keys) >= KeysMost {
+		if len(s.Keys) >= MaxKeys {
 			out.Fault = fault.New(fault.KeysFull, "key", "%d keys are kept", len(s.Keys))
 			return
 		}
-		row = KeyRow{Gateway: k.Gateway, GatewayIncarnation: k.GatewayIncarnation, Call: k.Call, Index: s.Index}
+		row = KeyRecord{Gateway: k.Gateway, GatewayIncarnation: k.GatewayIncarnation, Call: k.Call, Index: s.Index}
 		s.Keys[k.Key] = row
 		s.KeyOrder = append(s.KeyOrder, k.Key)
 		out.Key = &row
--- a/internal/controlplane/statemachine/leader_update.go
+++ b/internal/controlplane/statemachine/leader_update.go
@@ -4,25 +4,25 @@
 
 // Claim takes the leadership of the controller under the next epoch.
 type Claim struct {
-	Holder string `json:"holder"`
+	Leader string `json:"holder"`
 }
 
 // LeaderUpdate is one write of the controller that leads: what it knows of replicas, and the orders it issues and settles.
 type LeaderUpdate struct {
-	Fleet    []ReplicaNote             `json:"fleet,omitempty"`
-	Gone     []string                  `json:"gone,omitempty"`
-	Tickets  []Ticket                  `json:"tickets,omitempty"`
-	Settled  []Settled                 `json:"settled,omitempty"`
-	Grants   []GrantAsk                `json:"grants,omitempty"`
-	Shares   map[string]map[string]int `json:"shares,omitempty"`
-	Gateways []string                  `json:"goneDesks,omitempty"`
-	Forget   uint64                    `json:"forgetKeysBefore,omitempty"`
-	Checked  uint64                    `json:"checkedInView,omitempty"`
+	Replicas         []ReplicaUpdate           `json:"fleet,omitempty"`
+	RemovedReplicas  []string                  `json:"gone,omitempty"`
+	Commands         []ReplicaCommand          `json:"tickets,omitempty"`
+	Results          []CommandResult           `json:"settled,omitempty"`
+	Grants           []GrantRequest            `json:"grants,omitempty"`
+	Quotas           map[string]map[string]int `json:"shares,omitempty"`
+	RemovedGateways  []string                  `json:"goneDesks,omitempty"`
+	ForgetKeysBefore uint64                    `json:"forgetKeysBefore,omitempty"`
+	CheckedInView    uint64                    `json:"checkedInView,omitempty"`
 }
 
-// Blank says whether an update would change nothing.
-func (d *LeaderUpdate) Blank() bool {
-	return len(d.Fleet)+len(d.Gone)+len(d.Tickets)+len(d.Settled)+len(d.Grants)+len(d.Shares)+len(d.Gateways) == 0 && d.Forget+d.Checked == 0
+// IsEmpty says whether an update would change nothing.
+func (u *LeaderUpdate) IsEmpty() bool {
+	return len(u.Replicas)+len(u.RemovedReplicas)+len(u.Commands)+len(u.Results)+len(u.Grants)+len(u.Quotas)+len(u.RemovedGateways) == 0 && u.ForgetKeysBefore+u.CheckedInView == 0
 }
 
 func (s *State) applyClaim(out *Outcome, c Change) {
@@ -31,7 +31,7 @@
 		return
 	}
 	s.Epoch = c.Epoch
-	s.Holder = c.Claim.Holder
+	s.Leader = c.Claim.Leader
 }
 
 func (s *State) applyLeaderUpdate(out *Outcome, c Change) {
@@ -41,46 +41,46 @@
 	}
 	sheet := &fault.Sheet{}
 	news := false
-	for _, n := range c.LeaderUpdate.Fleet {
-		s.noteReplica(n)
+	for _, n := range c.LeaderUpdate.Replicas {
+		s.upsertReplica(n)
 		news = true
 	}
-	for _, id := range c.LeaderUpdate.Gone {
-		s.dropReplica(id)
+	for _, id := range c.LeaderUpdate.RemovedReplicas {
+		s.removeReplica(id)
 		news = true
 	}
-	for _, d := range c.LeaderUpdate.Settled {
-		news = s.settle(d) || news
+	for _, d := range c.LeaderUpdate.Results {
+		news = s.resolveCommand(d) || news
 	}
-	for _, t := range c.LeaderUpdate.Tickets {
-		if f := s.issue(c.Epoch, t); f != nil {
+	for _, t := range c.LeaderUpdate.Commands {
+		if f := s.issueCommand(c.Epoch, t); f != nil {
 			sheet.Add(f)
 		}
 	}
-	s.forgetKeys(c.LeaderUpdate.Forget)
-	for _, gateway := range c.LeaderUpdate.Gateways {
-		s.dropGateway(gateway)
+	s.forgetKeys(c.LeaderUpdate.ForgetKeysBefore)
+	for _, gateway := range c.LeaderUpdate.RemovedGateways {
+		s.removeGateway(gateway)
 	}
 	for _, g := range c.LeaderUpdate.Grants {
-		if f := s.grant(c.Epoch, g); f != nil {
+		if f := s.issueGrant(c.Epoch, g); f != nil {
 			sheet.Add(f)
 			continue
 		}
 		news = true
 	}
-	for id, shares := range c.LeaderUpdate.Shares {
-		if r := s.Replicas[id]; r != nil && sumOf(shares) <= r.Slots {
-			r.Shares = shares
+	for id, shares := range c.LeaderUpdate.Quotas {
+		if r := s.Replicas[id]; r != nil && totalQuota(shares) <= r.Slots {
+			r.Quotas = shares
 			news = true
 		}
 	}
 	if news {
-		s.NewsIndex = s.Index
+		s.UpdateIndex = s.Index
 	}
 	out.Faults = sheet.Faults
 }
 
-func sumOf(shares map[string]int) int {
+func totalQuota(shares map[string]int) int {
 	sum := 0
 	for _, n := range shares {
 		sum += n
