--- a/internal/controlplane/statemachine/ledger_test.go
+++ b/internal/controlplane/statemachine/ledger_test.go
@@ -15,12 +15,12 @@
 	s := NewState()
 	doc := &configuration.Declaration{Store: configuration.Store{Loads: 2}, Models: []configuration.Model{{Name: "a", SizeMb: 60}, {Name: "b", SizeMb: 50}}}
 	must(t, s, Change{ID: "c1", Config: &ConfigChange{Doc: doc}})
-	must(t, s, Change{ID: "claim", Epoch: 1, Claim: &Claim{Holder: "one"}})
-	notes := []ReplicaNote{}
+	must(t, s, Change{ID: "claim", Epoch: 1, Claim: &Claim{Leader: "one"}})
+	notes := []ReplicaUpdate{}
 	for i := 0; i < 4; i++ {
-		notes = append(notes, ReplicaNote{ID: fmt.Sprintf("r%d", i), Incarnation: "i", RoomMb: 100, Slots: 4})
+		notes = append(notes, ReplicaUpdate{ID: fmt.Sprintf("r%d", i), Incarnation: "i", CapacityMb: 100, Slots: 4})
 	}
-	must(t, s, Change{ID: "n", Epoch: 1, LeaderUpdate: &LeaderUpdate{Fleet: notes}})
+	must(t, s, Change{ID: "n", Epoch: 1, LeaderUpdate: &LeaderUpdate{Replicas: notes}})
 	return s
 }
 
@@ -34,7 +34,7 @@
 }
 
 func load(replica, unit string) Change {
-	return Change{ID: replica + unit, Epoch: 1, LeaderUpdate: &LeaderUpdate{Tickets: []Ticket{{Replica: replica, Incarnation: "i", Revision: 1, Step: Load, Unit: unit}}}}
+	return Change{ID: replica + unit, Epoch: 1, LeaderUpdate: &LeaderUpdate{Commands: []ReplicaCommand{{Replica: replica, Incarnation: "i", Revision: 1, Action: Load, Unit: unit}}}}
 }
 
 func code(out Outcome) fault.Code {
@@ -57,52 +57,52 @@
 	if got := code(s.Apply(s.Index+1, load("r2", "a"))); got != fault.StoreRate {
 		t.Fatalf("a third load got %q", got)
 	}
-	must(t, s, Change{ID: "d", Epoch: 1, LeaderUpdate: &LeaderUpdate{Settled: []Settled{{Number: 1, Done: true}, {Number: 2}}}})
-	if diff := cmp.Diff(map[string]int64{"a": 60}, s.Replicas["r0"].Holds); diff != "" {
+	must(t, s, Change{ID: "d", Epoch: 1, LeaderUpdate: &LeaderUpdate{Results: []CommandResult{{Number: 1, Succeeded: true}, {Number: 2}}}})
+	if diff := cmp.Diff(map[string]int64{"a": 60}, s.Replicas["r0"].Resident); diff != "" {
 		t.Fatal(diff)
 	}
 	if got := code(s.Apply(s.Index+1, load("r0", "b"))); got != fault.NoRoom {
 		t.Fatalf("beyond room got %q", got)
 	}
-	must(t, s, Change{ID: "u", Epoch: 1, LeaderUpdate: &LeaderUpdate{Tickets: []Ticket{{Replica: "r0", Incarnation: "i", Revision: 1, Step: Unload, Unit: "a"}}}})
-	if s.TakenMb("r0") != 60 {
+	must(t, s, Change{ID: "u", Epoch: 1, LeaderUpdate: &LeaderUpdate{Commands: []ReplicaCommand{{Replica: "r0", Incarnation: "i", Revision: 1, Action: Unload, Unit: "a"}}}})
+	if s.ReservedMb("r0") != 60 {
 		t.Fatal("an unconfirmed unload gave its room back")
 	}
-	if len(s.Replicas["r1"].Holds) != 0 {
+	if len(s.Replicas["r1"].Resident) != 0 {
 		t.Fatal("a failed load is held")
 	}
 }
 
 func TestOlderEpochsAreRefused(t *testing.T) {
 	s := ready(t)
-	must(t, s, Change{ID: "claim2", Epoch: 2, Claim: &Claim{Holder: "two"}})
+	must(t, s, Change{ID: "claim2", Epoch: 2, Claim: &Claim{Leader: "two"}})
 	if got := code(s.Apply(s.Index+1, load("r0", "a"))); got != fault.StaleEpoch {
 		t.Fatalf("a frozen controller's ticket got %q", got)
 	}
-	if got := code(s.Apply(s.Index+1, Change{ID: "claim2b", Epoch: 2, Claim: &Claim{Holder: "one"}})); got != fault.StaleEpoch {
+	if got := code(s.Apply(s.Index+1, Change{ID: "claim2b", Epoch: 2, Claim: &Claim{Leader: "one"}})); got != fault.StaleEpoch {
 		t.Fatalf("a second claim of one epoch got %q", got)
 	}
-	if s.Holder != "two" || len(s.Pending) != 0 {
+	if s.Leader != "two" || len(s.Pending) != 0 {
 		t.Fatal("a refused write took effect")
 	}
 }
 
 func TestAttemptNumbersAreSpentOnce(t *testing.T) {
 	s := ready(t)
-	ask := func(gateway string, n uint64) GrantAsk {
-		return GrantAsk{Gateway: gateway, GatewayIncarnation: "d", Replica: "r0", Incarnation: "i", Model: "a", Count: n}
+	ask := func(gateway string, n uint64) GrantRequest {
+		return GrantRequest{Gateway: gateway, GatewayIncarnation: "d", Replica: "r0", Incarnation: "i", Model: "a", Count: n}
 	}
-	must(t, s, Change{ID: "g1", Epoch: 1, LeaderUpdate: &LeaderUpdate{Grants: []GrantAsk{ask("x", 10), ask("y", 5)}}})
+	must(t, s, Change{ID: "g1", Epoch: 1, LeaderUpdate: &LeaderUpdate{Grants: []GrantRequest{ask("x", 10), ask("y", 5)}}})
 	first := s.Grants[Grant{Gateway: "x", Replica: "r0", Model: "a"}.Key()]
-	must(t, s, Change{ID: "g2", Epoch: 1, LeaderUpdate: &LeaderUpdate{Grants: []GrantAsk{ask("x", 10)}, Gateways: []string{"y"}}})
+	must(t, s, Change{ID: "g2", Epoch: 1, LeaderUpdate: &LeaderUpdate{Grants: []GrantRequest{ask("x", 10)}, RemovedGateways: []string{"y"}}})
 	second := s.Grants[Grant{Gateway: "x", Replica: "r0", Model: "a"}.Key()]
-	if first.To > second.From || second.From < 16 || first.Ticket == second.Ticket {
+	if first.To > second.From || second.From < 16 || first.Number == second.Number {
 		t.Fatalf("%+v then %+v", first, second)
 	}
 	if _, kept := s.Grants[Grant{Gateway: "y", Replica: "r0", Model: "a"}.Key()]; kept {
 		t.Fatal("a gone gateway keeps its grant")
 	}
-	must(t, s, Change{ID: "n2", Epoch: 1, LeaderUpdate: &LeaderUpdate{Fleet: []ReplicaNote{{ID: "r0", Incarnation: "new", RoomMb: 100, Slots: 4}}}})
+	must(t, s, Change{ID: "n2", Epoch: 1, LeaderUpdate: &LeaderUpdate{Replicas: []ReplicaUpdate{{ID: "r0", Incarnation: "new", CapacityMb: 100, Slots: 4}}}})
 	if len(s.Grants) != 0 {
 		t.Fatal("grants outlive the replica they were for")
 	}
@@ -117,7 +117,7 @@
 		t.Fatalf("%+v", lost)
 	}
 	again := s.Apply(s.Index+1, Change{ID: "x", Config: &ConfigChange{Base: 1, Doc: doc}})
-	if !again.Again || again.Revision != won.Revision || s.Revision != 2 {
+	if !again.Repeated || again.Revision != won.Revision || s.Revision != 2 {
 		t.Fatalf("the same change again: %+v", again)
 	}
 }
@@ -127,22 +127,22 @@
 	claim := func(key, call string) Outcome {
 		return s.Apply(s.Index+1, Change{ID: call, Key: &KeyChange{Key: key, Gateway: "d", GatewayIncarnation: "i", Call: call}})
 	}
-	if out := claim("k", "one"); out.Again || out.Key == nil {
+	if out := claim("k", "one"); out.Repeated || out.Key == nil {
 		t.Fatalf("%+v", out)
 	}
-	if out := claim("k", "one"); out.Again {
+	if out := claim("k", "one"); out.Repeated {
 		t.Fatal("a gateway's own claim, sent again, must not look like another's")
 	}
-	if out := claim("k", "two"); !out.Again || out.Key.Call != "one" {
+	if out := claim("k", "two"); !out.Repeated || out.Key.Call != "one" {
 		t.Fatalf("%+v", out)
 	}
 	s.Apply(s.Index+1, Change{ID: "e", Key: &KeyChange{Key: "k", Gateway: "d", GatewayIncarnation: "i", Call: "one", End: "yes"}})
-	s.Apply(s.Index+1, Change{ID: "f", Key: &KeyChange{Key: "k", Gateway: "d", GatewayIncarnation: "i", Call: "one", Free: true}})
-	if out := claim("k", "three"); !out.Again || out.Key.Ended != "yes" {
+	s.Apply(s.Index+1, Change{ID: "f", Key: &KeyChange{Key: "k", Gateway: "d", GatewayIncarnation: "i", Call: "one", Release: true}})
+	if out := claim("k", "three"); !out.Repeated || out.Key.Ended != "yes" {
 		t.Fatal("an ended key was freed")
 	}
-	for i := len(s.Keys); i < KeysMost; i++ {
-		s.Keys[fmt.Sprint("x", i)] = KeyRow{}
+	for i := len(s.Keys); i < MaxKeys; i++ {
+		s.Keys[fmt.Sprint("x", i)] = KeyRecord{}
 	}
 	if out := claim("new", "four"); code(out) != fault.KeysFull {
 		t.Fatalf("a full table took a key: %+v", out)
@@ -164,7 +164,7 @@
 func TestTicketsProposedUnderAnotherDeclarationAreRefused(t *testing.T) {
 	s := ready(t)
 	for _, revision := range []uint64{0, 2} {
-		out := s.Apply(s.Index+1, Change{ID: "t", Epoch: 1, LeaderUpdate: &LeaderUpdate{Tickets: []Ticket{{Replica: "r0", Incarnation: "i", Revision: revision, Step: Load, Unit: "a"}}}})
+		out := s.Apply(s.Index+1, Change{ID: "t", Epoch: 1, LeaderUpdate: &LeaderUpdate{Commands: []ReplicaCommand{{Replica: "r0", Incarnation: "i", Revision: revision, Action: Load, Unit: "a"}}}})
 		if len(out.Faults) != 1 || out.Faults[0].Code != fault.StaleBase || len(s.Pending) != 0 {
 			t.Fatalf("revision %d: %+v, pending %v", revision, out.Faults, s.Pending)
 		}
--- a/internal/controlplane/statemachine/repeat_test.go
+++ b/internal/controlplane/statemachine/repeat_test.go
@@ -33,7 +33,7 @@
 func TestATakenOrderIsNotRefusedHoweverManyCameAfterIt(t *testing.T) {
 	s := NewState()
 	const forgotten = 100
-	orders := numbered(t, s, ChangesMost+forgotten)
+	orders := numbered(t, s, MaxOutcomes+forgotten)
 	version := s.Version()
 	for i, c := range orders {
 		want := fault.Code("")
@@ -41,7 +41,7 @@
 			want = fault.InDoubt
 		}
 		out := apply(s, c)
-		if code(out) != want || out.Again != (want == "") {
+		if code(out) != want || out.Repeated != (want == "") {
 			t.Fatalf("order %d of %d sent again: %+v", i+1, len(orders), out)
 		}
 	}
@@ -57,8 +57,8 @@
 			t.Errorf("another order under number %d: %+v, want %q", rival.version, out, rival.want)
 		}
 	}
-	if s.Version() != version || len(s.Changes) > ChangesMost {
-		t.Errorf("version %d, %d outcomes", s.Version(), len(s.Changes))
+	if s.Version() != version || len(s.Outcomes) > MaxOutcomes {
+		t.Errorf("version %d, %d outcomes", s.Version(), len(s.Outcomes))
 	}
 	back, err := Decode(s.Encode())
 	if err != nil {
@@ -103,16 +103,16 @@
 		version := uint64(10 + n)
 		return order(2, version, versionDoc(version, versionRoute("b", 1, "s")), nil)
 	}
-	for n := range AheadMost {
+	for n := range MaxEarlyRefusals {
 		if out := apply(s, early(n)); code(out) != fault.StaleBase {
 			t.Fatalf("refusal %d: %+v", n, out)
 		}
 	}
-	frozen := s.Freeze()
-	if out := apply(s, early(AheadMost)); code(out) != fault.InDoubt {
+	frozen := s.Snapshot()
+	if out := apply(s, early(MaxEarlyRefusals)); code(out) != fault.InDoubt {
 		t.Fatalf("beyond the bound: %+v", out)
 	}
-	if out := apply(s, early(0)); code(out) != fault.StaleBase || !out.Again {
+	if out := apply(s, early(0)); code(out) != fault.StaleBase || !out.Repeated {
 		t.Fatalf("refused again: %+v", out)
 	}
 	senseless := order(9, 9, versionDoc(9, versionRoute("b", 1, "s")), nil)
@@ -120,19 +120,19 @@
 		t.Fatalf("a number that is not above its base can never be taken: %+v", out)
 	}
 	numbered(t, s, 2)
-	for n := range AheadMost {
+	for n := range MaxEarlyRefusals {
 		if out := apply(s, early(n)); code(out) != fault.StaleBase {
 			t.Fatalf("refused, and now %d: %+v", n, out)
 		}
 	}
-	if out := apply(s, early(AheadMost)); out.Fault != nil {
+	if out := apply(s, early(MaxEarlyRefusals)); out.Fault != nil {
 		t.Fatalf("it was left without a clear answer and is fit now: %+v", out)
 	}
-	if diff := cmp.Diff(0, len(s.Ahead)); diff != "" {
+	if diff := cmp.Diff(0, len(s.EarlyRefusals)); diff != "" {
 		t.Errorf("refusals that stand for themselves are kept: %s", diff)
 	}
-	if len(frozen.Ahead) != AheadMost || frozen.Ahead[0].Base != 2 {
-		t.Errorf("a frozen state has changed: %d refusals", len(frozen.Ahead))
+	if len(frozen.EarlyRefusals) != MaxEarlyRefusals || frozen.EarlyRefusals[0].Base != 2 {
+		t.Errorf("a frozen state has changed: %d refusals", len(frozen.EarlyRefusals))
 	}
 }
 
@@ -145,7 +145,7 @@
 		t.Fatalf("%+v, version %d in force", out, s.Version())
 	}
 	for i, c := range orders {
-		if out := apply(s, c); out.Fault != nil || !out.Again {
+		if out := apply(s, c); out.Fault != nil || !out.Repeated {
 			t.Errorf("order %s sent again: %+v", fmt.Sprint(i+1), out)
 		}
 	}
--- a/internal/controlplane/statemachine/tickets.go
+++ b/internal/controlplane/statemachine/tickets.go
@@ -7,94 +7,94 @@
 	"petreltide/internal/api/fault"
 )
 
-// Step is what an order asks of a replica.
-type Step string
+// Action is what an order asks of a replica.
+type Action string
 
 // The steps of an order.
 const (
-	Load   Step = "load"
-	Unload Step = "unload"
+	Load   Action = "load"
+	Unload Action = "unload"
 )
 
-// Ticket is an order that stands: at most one for each replica, numbered without gaps, fenced by its epoch.
-type Ticket struct {
+// ReplicaCommand is an order that stands: at most one for each replica, numbered without gaps, fenced by its epoch.
+type ReplicaCommand struct {
 	Number      uint64 `json:"number"`
 	Epoch       uint64 `json:"epoch"`
 	Revision    uint64 `json:"revision"`
 	Replica     string `json:"replica"`
 	Incarnation string `json:"inc"`
-	Step        Step   `json:"step"`
+	Action      Action `json:"step"`
 	Unit        string `json:"unit"`
 	SizeMb      int64  `json:"sizeMb"`
-	Why         string `json:"why,omitempty"`
+	Reason      string `json:"why,omitempty"`
 }
 
-// Settled ends a ticket. With Orders, Holds is all that the replica holds once it has taken that many orders;
+// CommandResult ends a ticket. With Orders, Holds is all that the replica holds once it has taken that many orders;
 // without, nothing is known but that the ticket was done or was not.
-type Settled struct {
-	Number uint64    `json:"number"`
-	Done   bool      `json:"done"`
-	Why    string    `json:"why,omitempty"`
-	Orders *uint64   `json:"orders,omitempty"`
-	Holds  []Holding `json:"holds,omitempty"`
+type CommandResult struct {
+	Number        uint64         `json:"number"`
+	Succeeded     bool           `json:"done"`
+	Reason        string         `json:"why,omitempty"`
+	CommandsTaken *uint64        `json:"orders,omitempty"`
+	Resident      []ResidentUnit `json:"holds,omitempty"`
 }
 
 // PendingLoads is how many loads stand.
 func (s *State) PendingLoads() int {
 	n := 0
 	for _, t := range s.Pending {
-		if t.Step == Load {
+		if t.Action == Load {
 			n++
 		}
 	}
 	return n
 }
 
-func (s *State) settle(d Settled) bool {
+func (s *State) resolveCommand(d CommandResult) bool {
 	for id, t := range s.Pending {
 		if t.Number != d.Number {
 			continue
 		}
 		delete(s.Pending, id)
-		s.OrdersIndex = s.Index
+		s.CommandsIndex = s.Index
 		r := s.Replicas[id]
 		if r == nil || r.Incarnation != t.Incarnation {
 			return false
 		}
-		if d.Done {
-			s.carryOut(r, t)
+		if d.Succeeded {
+			s.applyCommand(r, t)
 		}
-		r.Orders = nil
-		if d.Orders != nil {
-			r.hold(d.Holds, d.Orders)
+		r.CommandsTaken = nil
+		if d.CommandsTaken != nil {
+			r.setResident(d.Resident, d.CommandsTaken)
 		}
-		if !d.Done && d.Orders == nil {
+		if !d.Succeeded && d.CommandsTaken == nil {
 			return false
 		}
-		r.Index, s.HoldsIndex = s.Index, s.Index
+		r.ModifiedIndex, s.ReplicasIndex = s.Index, s.Index
 		return true
 	}
 	return false
 }
 
-// carryOut changes what a replica holds as a ticket says.
-func (s *State) carryOut(r *Replica, t Ticket) {
-	if t.Step == Load {
-		r.Holds[t.Unit] = t.SizeMb
-		r.had(t.Unit)
-		s.Loads++
-		s.LoadedMb += t.SizeMb
+// applyCommand changes what a replica holds as a ticket says.
+func (s *State) applyCommand(r *Replica, t ReplicaCommand) {
+	if t.Action == Load {
+		r.Resident[t.Unit] = t.SizeMb
+		r.recordLoaded(t.Unit)
+		s.TotalLoads++
+		s.TotalLoadedMb += t.SizeMb
 		return
 	}
-	delete(r.Holds, t.Unit)
-	for unit := range r.Holds {
+	delete(r.Resident, t.Unit)
+	for unit := range r.Resident {
 		if r.Service != "" && strings.HasPrefix(unit, t.Unit+"/") {
-			delete(r.Holds, unit)
+			delete(r.Resident, unit)
 		}
 	}
 }
 
-func (s *State) issue(epoch uint64, t Ticket) *fault.Fault {
+func (s *State) issueCommand(epoch uint64, t ReplicaCommand) *fault.Fault {
 	r := s.Replicas[t.Replica]
 	if r == nil || r.Incarnation != t.Incarnation {
 		return fault.New(fault.ReplicaUnknown, t.Replica, "no such replica or another incarnation")
@@ -105,8 +105,8 @@
 	if _, busy := s.Pending[t.Replica]; busy {
 		return fault.New(fault.ReplicaBusy, t.Replica, "an order is pending")
 	}
-	_, held := r.Holds[t.Unit]
-	switch t.Step {
+	_, held := r.Resident[t.Unit]
+	switch t.Action {
 	case Load:
 		if held {
 			return fault.New(fault.AlreadyHeld, t.Replica, "%s is already held", t.Unit)
@@ -114,16 +114,16 @@
 		if s.Doc == nil {
 			return fault.New(fault.PolicyNonsense, t.Unit, "no declaration yet")
 		}
-		sizeMb, known := s.unitMb(r, t.Unit)
+		sizeMb, known := s.unitSizeMb(r, t.Unit)
 		if !known {
 			return fault.New(fault.PolicyNonsense, t.Unit, "no such model or adapter")
 		}
 		t.SizeMb = sizeMb
-		if f := s.adapterFits(r, t.Unit); f != nil {
+		if f := s.checkAdapter(r, t.Unit); f != nil {
 			return f
 		}
-		if takenMb := s.TakenMb(t.Replica); takenMb+sizeMb > r.RoomMb {
-			return fault.New(fault.NoRoom, t.Replica, "%s takes %d MB, %d of %d MB are taken", t.Unit, sizeMb, takenMb, r.RoomMb)
+		if takenMb := s.ReservedMb(t.Replica); takenMb+sizeMb > r.CapacityMb {
+			return fault.New(fault.NoRoom, t.Replica, "%s takes %d MB, %d of %d MB are taken", t.Unit, sizeMb, takenMb, r.CapacityMb)
 		}
 		if !s.Doc.Routed() && s.PendingLoads() >= s.Doc.Store.Loads {
 			return fault.New(fault.StoreRate, t.Replica, "%d loads are running", s.PendingLoads())
@@ -132,21 +132,21 @@
 		if !held {
 			return fault.New(fault.NotHeld, t.Replica, "%s is not held", t.Unit)
 		}
-		t.SizeMb = r.Holds[t.Unit]
+		t.SizeMb = r.Resident[t.Unit]
 	default:
-		return fault.New(fault.PolicyNonsense, t.Replica, "no such step %q", t.Step)
+		return fault.New(fault.PolicyNonsense, t.Replica, "no such step %q", t.Action)
 	}
-	t.Number, t.Epoch = s.NextTicket, epoch
-	s.NextTicket++
+	t.Number, t.Epoch = s.NextNumber, epoch
+	s.NextNumber++
 	s.Pending[t.Replica] = t
-	s.OrdersIndex = s.Index
-	if t.Step == Unload {
-		s.NewsIndex = s.Index
+	s.CommandsIndex = s.Index
+	if t.Action == Unload {
+		s.UpdateIndex = s.Index
 	}
 	return nil
 }
 
-func (s *State) unitMb(r *Replica, unit string) (int64, bool) {
+func (s *State) unitSizeMb(r *Replica, unit string) (int64, bool) {
 	if r.Service != "" {
 		sizeMb, _, known := s.Doc.EngineUnitMb(r.Service, unit)
 		return sizeMb, known
@@ -155,20 +155,20 @@
 	return sizeMb, known
 }
 
-// adapterFits: an adapter of a service's model needs the model there, and one of the replica's places.
-func (s *State) adapterFits(r *Replica, unit string) *fault.Fault {
+// checkAdapter: an adapter of a service's model needs the model there, and one of the replica's places.
+func (s *State) checkAdapter(r *Replica, unit string) *fault.Fault {
 	model, adapter := configuration.Units(unit)
 	if r.Service == "" || adapter == "" {
 		return nil
 	}
-	if _, held := r.Holds[model]; !held {
+	if _, held := r.Resident[model]; !held {
 		return fault.New(fault.NotHeld, r.ID, "adapter %s needs model %s there", adapter, model)
 	}
 	most, n := 0, 0
 	if svc := s.Doc.Service(r.Service); svc != nil && svc.Engine != nil {
 		most = svc.Engine.AdaptersMost
 	}
-	for held := range r.Holds {
+	for held := range r.Resident {
 		if strings.Contains(held, "/") {
 			n++
 		}
--- a/internal/controlplane/statemachine/version_test.go
+++ b/internal/controlplane/statemachine/version_test.go
@@ -71,8 +71,8 @@
 		if out.Fault != nil {
 			code = out.Fault.Code
 		}
-		if code != c.code || out.Again != c.again || s.Version() != c.version {
-			t.Errorf("%s: %q %v, again %v, version %d in force", c.name, code, out.Fault, out.Again, s.Version())
+		if code != c.code || out.Repeated != c.again || s.Version() != c.version {
+			t.Errorf("%s: %q %v, again %v, version %d in force", c.name, code, out.Fault, out.Repeated, s.Version())
 		}
 		if changed := s.Revision > taken; changed != (c.code == "" && !c.again) {
 			t.Errorf("%s: it changed what is in force: %v", c.name, changed)
@@ -164,7 +164,7 @@
 					}
 					doc = next
 				}
-				if folds++; len(edits) > editsMost {
+				if folds++; len(edits) > maxEdits {
 					t.Fatalf("seed %d: %d edits are kept", seed, len(edits))
 				}
 				if diff := cmp.Diff(s.Doc, doc, ignored...); diff != "" {
@@ -194,12 +194,12 @@
 	if out := s.Apply(index, order(0, 1, doc, nil)); out.Fault != nil {
 		t.Fatal(out.Fault)
 	}
-	do(LeaderUpdate{Fleet: []ReplicaNote{{ID: "r", Incarnation: "r", RoomMb: 100, Slots: 1, Service: "s", Told: true}}})
-	ticket := func(step Step, unit string) Ticket {
-		return Ticket{Replica: "r", Incarnation: "r", Revision: s.Revision, Step: step, Unit: unit}
+	do(LeaderUpdate{Replicas: []ReplicaUpdate{{ID: "r", Incarnation: "r", CapacityMb: 100, Slots: 1, Service: "s", ResidentKnown: true}}})
+	ticket := func(step Action, unit string) ReplicaCommand {
+		return ReplicaCommand{Replica: "r", Incarnation: "r", Revision: s.Revision, Action: step, Unit: unit}
 	}
 	for _, c := range []struct {
-		step Step
+		step Action
 		unit string
 		code fault.Code
 		done bool
@@ -209,7 +209,7 @@
 		{Unload, "n", "", true}, {Load, "m/a2", "", true}, {Load, "m/a3", fault.NoRoom, false}, {Unload, "m/a1", "", true}, {Load, "m/a3", "", true},
 		{Unload, "m", "", true}, {Unload, "m/a3", fault.NotHeld, false}, {Load, "o", "", true},
 	} {
-		faults := do(LeaderUpdate{Tickets: []Ticket{ticket(c.step, c.unit)}})
+		faults := do(LeaderUpdate{Commands: []ReplicaCommand{ticket(c.step, c.unit)}})
 		code := fault.Code("")
 		if len(faults) > 0 {
 			code = faults[0].Code
@@ -221,24 +221,24 @@
 			continue
 		}
 		stands := s.Pending["r"]
-		if c.step == Load && s.TakenMb("r") < s.Replicas["r"].Holds["m"]+stands.SizeMb {
+		if c.step == Load && s.ReservedMb("r") < s.Replicas["r"].Resident["m"]+stands.SizeMb {
 			t.Errorf("%s in doubt has lost its room", c.unit)
 		}
-		if busy := do(LeaderUpdate{Tickets: []Ticket{ticket(Load, "o")}}); len(busy) != 1 || busy[0].Code != fault.ReplicaBusy {
+		if busy := do(LeaderUpdate{Commands: []ReplicaCommand{ticket(Load, "o")}}); len(busy) != 1 || busy[0].Code != fault.ReplicaBusy {
 			t.Errorf("two orders at once: %v", busy)
 		}
-		do(LeaderUpdate{Settled: []Settled{{Number: stands.Number, Done: c.done}}})
+		do(LeaderUpdate{Results: []CommandResult{{Number: stands.Number, Succeeded: c.done}}})
 	}
-	want := &Replica{ID: "r", Incarnation: "r", RoomMb: 100, Slots: 1, Service: "s", Holds: map[string]int64{"o": 30}, Had: map[string]bool{"m": true, "n": true, "o": true}, NextAttempt: 1}
+	want := &Replica{ID: "r", Incarnation: "r", CapacityMb: 100, Slots: 1, Service: "s", Resident: map[string]int64{"o": 30}, EverLoaded: map[string]bool{"m": true, "n": true, "o": true}, NextAttempt: 1}
 	if diff := cmp.Diff(want, s.Replicas["r"], cmpopts.IgnoreFields(Replica{}, "Index")); diff != "" {
 		t.Error(diff)
 	}
 	stale := ticket(Load, "n")
 	stale.Revision--
-	if faults := do(LeaderUpdate{Tickets: []Ticket{stale}}); len(faults) != 1 || faults[0].Code != fault.StaleBase {
+	if faults := do(LeaderUpdate{Commands: []ReplicaCommand{stale}}); len(faults) != 1 || faults[0].Code != fault.StaleBase {
 		t.Errorf("proposed under an older revision: %v", faults)
 	}
-	if faults := do(LeaderUpdate{Fleet: []ReplicaNote{{ID: "r", Incarnation: "r2", RoomMb: 100, Slots: 1, Service: "s"}}, Tickets: []Ticket{ticket(Load, "n")}}); len(faults) != 1 || faults[0].Code != fault.ReplicaUnknown || len(s.Replicas["r"].Had) != 0 {
+	if faults := do(LeaderUpdate{Replicas: []ReplicaUpdate{{ID: "r", Incarnation: "r2", CapacityMb: 100, Slots: 1, Service: "s"}}, Commands: []ReplicaCommand{ticket(Load, "n")}}); len(faults) != 1 || faults[0].Code != fault.ReplicaUnknown || len(s.Replicas["r"].EverLoaded) != 0 {
 		t.Errorf("for an incarnation that has ended: %v", faults)
 	}
 }
--- a/internal/controlplane/statemachine/versions.go
+++ b/internal/controlplane/statemachine/versions.go
@@ -18,7 +18,7 @@
 }
 
 func (s *State) applyConfig(out Outcome, c Change) Outcome {
-	if first, seen := s.earlierOutcome(c.ID); seen {
+	if first, seen := s.rememberedOutcome(c.ID); seen {
 		return first
 	}
 	if c.Config.Version > 0 {
@@ -27,18 +27,18 @@
 	if s.Version() > 0 {
 		out.Fault = fault.New(fault.InvalidConfig, "version", "version %d is in force: send a numbered one", s.Version())
 	} else if c.Config.Base != s.Revision {
-		if out = s.staleBase(out, c.Config.Base, s.Revision, c.Config.Base+1); out.Fault.Code == fault.InDoubt {
+		if out = s.refuseStaleBase(out, c.Config.Base, s.Revision, c.Config.Base+1); out.Fault.Code == fault.InDoubt {
 			return out
 		}
 	} else if c.Config.Doc == nil {
 		out.Fault = fault.New(fault.InvalidConfig, "", "no declaration")
-	} else if f := s.fits(c.Config.Doc); f != nil {
+	} else if f := s.checkModelSizes(c.Config.Doc); f != nil {
 		out.Fault = f
 	} else {
 		s.Revision++
 		s.Doc = c.Config.Doc
-		s.NewsIndex = s.Index
-		s.dropPassed(s.Revision)
+		s.UpdateIndex = s.Index
+		s.dropPassedRefusals(s.Revision)
 	}
 	out.Revision = s.Revision
 	s.remember(out)
@@ -54,14 +54,14 @@
 }
 
 // applyVersion takes an operator's numbered version. What was taken is remembered, and so is a refusal that would not
-// be given again (see staleBase). Any other refusal is judged anew, and found again: versions only rise, and what is
+// be given again (see refuseStaleBase). Any other refusal is judged anew, and found again: versions only rise, and what is
 // invalid on top of one version stays invalid on top of it. Only what is in force without a number may change and leave
 // the version as it is: a refusal on top of that is remembered too.
 func (s *State) applyVersion(out Outcome, c Change) Outcome {
 	out.Revision = s.Version()
 	doc := c.Config.Doc
 	if c.Config.Base != s.Version() {
-		return s.staleBase(out, c.Config.Base, s.Version(), c.Config.Version)
+		return s.refuseStaleBase(out, c.Config.Base, s.Version(), c.Config.Version)
 	}
 	var bad *fault.Fault
 	switch {
@@ -90,34 +90,34 @@
 		return out
 	}
 	if c.Config.Edit != nil {
-		s.keepEdit(Edited{From: s.Revision, Edit: c.Config.Edit})
+		s.retainEdit(AppliedEdit{From: s.Revision, Edit: c.Config.Edit})
 	} else {
 		s.Edits = nil
 	}
 	s.Revision++
 	s.Doc = doc.Indexed()
-	s.NewsIndex = s.Index
+	s.UpdateIndex = s.Index
 	out.Revision = s.Version()
-	s.dropPassed(s.Version())
+	s.dropPassedRefusals(s.Version())
 	s.remember(out)
 	return out
 }
 
 const (
-	editsMost     = 32
-	editBytesMost = 1 << 20
-	faultsMost    = 16
+	maxEdits            = 32
+	maxEditBytes        = 1 << 20
+	maxRememberedFaults = 16
 )
 
-// Edited is the edit that led from one revision to the next, and what it takes in a copy.
-type Edited struct {
+// AppliedEdit is the edit that led from one revision to the next, and what it takes in a copy.
+type AppliedEdit struct {
 	From  uint64              `json:"from"`
 	Edit  *configuration.Edit `json:"edit"`
 	Bytes int                 `json:"bytes"`
 }
 
-// keepEdit keeps the newest edits, as many as there is room for.
-func (s *State) keepEdit(e Edited) {
+// retainEdit keeps the newest edits, as many as there is room for.
+func (s *State) retainEdit(e AppliedEdit) {
 	raw, err := json.Marshal(e.Edit)
 	if err != nil {
 		panic(err)
@@ -125,7 +125,7 @@
 	e.Bytes = len(raw)
 	all := append(slices.Clone(s.Edits), e)
 	from, bytes := len(all), 0
-	for from > 0 && len(all)-from < editsMost && bytes+all[from-1].Bytes <= editBytesMost {
+	for from > 0 && len(all)-from < maxEdits && bytes+all[from-1].Bytes <= maxEditBytes {
 		from--
 		bytes += all[from].Bytes
 	}
@@ -143,10 +143,10 @@
 	return edits, revision <= s.Revision && uint64(len(edits)) == s.Revision-revision
 }
 
-func (s *State) fits(d *configuration.Declaration) *fault.Fault {
+func (s *State) checkModelSizes(d *configuration.Declaration) *fault.Fault {
 	var mostMb int64
 	for _, r := range s.Replicas {
-		mostMb = max(mostMb, r.RoomMb)
+		mostMb = max(mostMb, r.CapacityMb)
 	}
 	sheet := &fault.Sheet{}
 	if mostMb > 0 {
--- a/internal/controlplane/storage/cluster_test.go
+++ b/internal/controlplane/storage/cluster_test.go
@@ -422,7 +422,7 @@
 	if c.change == nil {
 		return
 	}
-	out, seen := n.State().Changes[c.change.ID]
+	out, seen := n.State().Outcomes[c.change.ID]
 	if !seen || !n.Kept(out.Index) {
 		return
 	}
--- a/internal/dataplane/controlclient/fold.go
+++ b/internal/dataplane/controlclient/fold.go
@@ -30,15 +30,15 @@
 		r, ok := s.rows[id]
 		switch {
 		case !ok:
-		case !known, best.Stale && !r.Stale, r.Gone && !r.Stale && !best.Gone:
+		case !known, best.Stale && !r.Stale, r.Removed && !r.Stale && !best.Removed:
 			best, known = r, true
-		case best.Gone || (r.Stale && !best.Stale):
+		case best.Removed || (r.Stale && !best.Stale):
 		default:
 			best = newer(best, r)
 		}
 	}
 	have, had := m.best[id]
-	if !known || best.Gone {
+	if !known || best.Removed {
 		delete(m.best, id)
 		changed = had
 	} else {
@@ -52,7 +52,7 @@
 }
 
 func sameRow(a, b wire.ReplicaRow) bool {
-	return a.Service == b.Service && a.Addr == b.Addr && a.Zone == b.Zone && a.Slots == b.Slots && a.Draining == b.Draining && a.LeftMs == b.LeftMs &&
+	return a.Service == b.Service && a.Addr == b.Addr && a.Zone == b.Zone && a.Slots == b.Slots && a.Draining == b.Draining && a.RemainingMs == b.RemainingMs &&
 		a.Unreachable == b.Unreachable && a.Stale == b.Stale && slices.Equal(a.Units, b.Units)
 }
 
--- a/internal/dataplane/controlclient/mirror_test.go
+++ b/internal/dataplane/controlclient/mirror_test.go
@@ -26,8 +26,8 @@
 	addr    string
 	state   *statemachine.State
 	applied int
-	roster  *registry.Roster
-	hub     *distribution.Hub
+	roster  *registry.Registry
+	hub     *distribution.FramePublisher
 	settled bool
 	behind  bool
 	view    uint64
@@ -36,11 +36,11 @@
 }
 
 func newCore(addr string) *core {
-	return &core{addr: addr, state: statemachine.NewState(), roster: registry.New(3 * clock.Sec), hub: distribution.NewHub(), settled: true, view: 1}
+	return &core{addr: addr, state: statemachine.NewState(), roster: registry.New(3 * clock.Sec), hub: distribution.NewFramePublisher(), settled: true, view: 1}
 }
 
-func (c *core) seen(nowUs int64) distribution.Seen {
-	return distribution.Seen{NowUs: nowUs, State: c.state, View: chain.View{Number: c.view}, Settled: c.settled, Behind: c.behind, Roster: c.roster, Outliers: c.outliers,
+func (c *core) seen(nowUs int64) distribution.FrameInput {
+	return distribution.FrameInput{NowUs: nowUs, State: c.state, View: chain.View{Number: c.view}, Committed: c.settled, Behind: c.behind, Registry: c.roster, Outliers: c.outliers,
 		ControlNodes: []chain.Member{{ID: "one", Addr: "one"}, {ID: "two", Addr: "two"}}}
 }
 
@@ -56,7 +56,7 @@
 	if err != nil {
 		panic(err)
 	}
-	*c = core{addr: c.addr, state: back, applied: c.applied, roster: registry.New(3 * clock.Sec), hub: distribution.NewHub(), view: c.view}
+	*c = core{addr: c.addr, state: back, applied: c.applied, roster: registry.New(3 * clock.Sec), hub: distribution.NewFramePublisher(), view: c.view}
 }
 
 // screen is a gateway's mirror with its streams to the control nodes; frames travel as JSON.
@@ -200,20 +200,20 @@
 }
 
 func (c *chronicle) update(id string) {
-	have, t := c.head.Replicas[id], statemachine.Ticket{}
+	have, t := c.head.Replicas[id], statemachine.ReplicaCommand{}
 	if pending, is := c.head.Pending[id]; is {
-		c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Settled: []statemachine.Settled{{Number: pending.Number, Done: c.r.Intn(5) > 0}}}})
+		c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: pending.Number, Succeeded: c.r.Intn(5) > 0}}}})
 		return
 	}
 	if have == nil {
-		c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Fleet: []statemachine.ReplicaNote{{ID: id, Incarnation: id, Addr: id, Zone: "a", RoomMb: 100, Slots: 4, Service: "s", Told: true}}}})
+		c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: id, Incarnation: id, Addr: id, Zone: "a", CapacityMb: 100, Slots: 4, Service: "s", ResidentKnown: true}}}})
 		return
 	}
-	t = statemachine.Ticket{Replica: id, Incarnation: id, Revision: c.head.Revision, Step: statemachine.Load, Unit: []string{"m1", "m2", "m3", "m1/a1"}[c.r.Intn(4)]}
-	if _, held := have.Holds[t.Unit]; held {
-		t.Step = statemachine.Unload
+	t = statemachine.ReplicaCommand{Replica: id, Incarnation: id, Revision: c.head.Revision, Action: statemachine.Load, Unit: []string{"m1", "m2", "m3", "m1/a1"}[c.r.Intn(4)]}
+	if _, held := have.Resident[t.Unit]; held {
+		t.Action = statemachine.Unload
 	}
-	c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Tickets: []statemachine.Ticket{t}}})
+	c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Commands: []statemachine.ReplicaCommand{t}}})
 }
 
 var asGatewaysSee = cmp.Options{cmpopts.IgnoreFields(scheduling.Snapshot{}, "Number", "AtUs"), cmpopts.IgnoreFields(configuration.Declaration{}, "Index"), cmpopts.EquateEmpty()}
@@ -234,9 +234,9 @@
 			for i, from := range cores {
 				for j, to := range cores {
 					if i != j {
-						to.roster.Merge(nowUs, from.roster.Notes(nowUs, since[[2]int{i, j}], true))
-						since[[2]int{i, j}] = from.roster.Rev
-						if to.roster.Wants() {
+						to.roster.Merge(nowUs, from.roster.GossipSince(nowUs, since[[2]int{i, j}], true))
+						since[[2]int{i, j}] = from.roster.Revision
+						if to.roster.TakeResyncRequest() {
 							since[[2]int{i, j}] = 0
 						}
 					}
@@ -260,10 +260,10 @@
 				}
 			case 3, 4:
 				seqs[id]++
-				cores[r.Intn(2)].roster.Hear(nowUs, registry.Row{ID: id, Service: "s", Addr: id, Zone: "a", Slots: 4, Seq: seqs[id], Draining: r.Intn(5) == 0, Units: []string{"m1", "m2"}[:r.Intn(3)]})
+				cores[r.Intn(2)].roster.HandleHeartbeat(nowUs, registry.ReplicaStatus{ID: id, Service: "s", Addr: id, Zone: "a", Slots: 4, Seq: seqs[id], Draining: r.Intn(5) == 0, Units: []string{"m1", "m2"}[:r.Intn(3)]})
 			case 5:
 				if n%5 == 0 {
-					cores[r.Intn(2)].roster.Leave(nowUs, id)
+					cores[r.Intn(2)].roster.Remove(nowUs, id)
 				}
 			case 6:
 				if n%10 == 0 {
@@ -280,7 +280,7 @@
 				cores[r.Intn(2)].view += uint64(r.Intn(2))
 			case 8:
 				if id := "r0"; c.head.Replicas[id] != nil && n > 100 {
-					c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Gone: []string{id}}})
+					c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{RemovedReplicas: []string{id}}})
 				}
 			}
 			for _, o := range cores {
@@ -302,10 +302,10 @@
 				o.apply(c.log, len(c.log))
 				o.settled, o.view = true, 1000
 				for id, seq := range seqs {
-					if e := o.roster.Row(id); e != nil && !e.Gone {
-						row := e.Row
+					if e := o.roster.Entry(id); e != nil && !e.Removed {
+						row := e.ReplicaStatus
 						row.Seq = seq + uint64(nowUs)
-						o.roster.Hear(nowUs, row)
+						o.roster.HandleHeartbeat(nowUs, row)
 					}
 				}
 			}
@@ -349,7 +349,7 @@
 		o.restart()
 		o.settled = true
 	}
-	two.roster.Hear(clock.Sec, registry.Row{ID: "heard", Service: "s", Addr: "heard", Zone: "a", Slots: 4, Seq: 1})
+	two.roster.HandleHeartbeat(clock.Sec, registry.ReplicaStatus{ID: "heard", Service: "s", Addr: "heard", Zone: "a", Slots: 4, Seq: 1})
 	s := newScreen(t, "desk", one, two)
 	pass := func(fromUs int64) []string {
 		for us := fromUs; us < fromUs+clock.Sec; us += 100 * clock.Ms {
@@ -360,7 +360,7 @@
 	if ids := pass(clock.Sec); !slices.Equal(ids, []string{"heard", "silent"}) || !s.snap.Replicas["silent"].Stale || s.snap.Replicas["heard"].Stale {
 		t.Fatal(ids)
 	}
-	c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Gone: []string{"silent", "heard"}}})
+	c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{RemovedReplicas: []string{"silent", "heard"}}})
 	for _, o := range []*core{one, two} {
 		o.apply(c.log, len(c.log))
 	}
@@ -404,7 +404,7 @@
 		}
 		step(MirrorEvent{NowUs: clock.Sec})
 		step(MirrorEvent{NowUs: clock.Sec, Stream: stream, Frame: &wire.Frame{Whole: true, Revision: 5, Doc: doc}})
-		c.frame.Replicas = []wire.ReplicaRow{{Row: registry.Row{ID: "r", Seq: 1}}}
+		c.frame.Replicas = []wire.ReplicaRow{{ReplicaStatus: registry.ReplicaStatus{ID: "r", Seq: 1}}}
 		step(MirrorEvent{NowUs: clock.Sec + 1, Stream: stream, Frame: c.frame})
 		if m.revision != c.revision || m.doc.Route("a").TimeoutMs != c.ms || closed != c.dropped {
 			t.Errorf("%s: revision %d, %d ms, dropped %v", name, m.revision, m.doc.Route("a").TimeoutMs, closed)
@@ -414,7 +414,7 @@
 
 func TestWhereTwoControlNodesDiffer(t *testing.T) {
 	row := func(seq uint64, edit func(*wire.ReplicaRow)) wire.ReplicaRow {
-		r := wire.ReplicaRow{Row: registry.Row{ID: "r", Service: "s", Addr: "r", Slots: 4, Seq: seq, Units: []string{fmt.Sprint("held at ", seq)}}}
+		r := wire.ReplicaRow{ReplicaStatus: registry.ReplicaStatus{ID: "r", Service: "s", Addr: "r", Slots: 4, Seq: seq, Units: []string{fmt.Sprint("held at ", seq)}}}
 		if edit != nil {
 			edit(&r)
 		}
@@ -422,7 +422,7 @@
 	}
 	unreachable := func(r *wire.ReplicaRow) { r.Unreachable = true }
 	stale := func(r *wire.ReplicaRow) { r.Stale = true }
-	gone := func(r *wire.ReplicaRow) { r.Gone = true }
+	gone := func(r *wire.ReplicaRow) { r.Removed = true }
 	leaving := func(r *wire.ReplicaRow) { r.Draining = true }
 	at := func(seq uint64, edit func(*wire.ReplicaNews)) *wire.ReplicaNews {
 		n := &wire.ReplicaNews{ID: "r", Incarnation: "r", Addr: "r", Service: "s", Slots: 4, Share: 4, Holds: []string{fmt.Sprint("held at ", seq)}}
--- a/internal/dataplane/controlclient/publish.go
+++ b/internal/dataplane/controlclient/publish.go
@@ -94,7 +94,7 @@
 // newsOf is a replica's row as the decider reads it.
 func (m *Mirror) newsOf(r wire.ReplicaRow) *wire.ReplicaNews {
 	news := &wire.ReplicaNews{
-		ID: r.ID, Incarnation: r.ID, Addr: r.Addr, Zone: r.Zone, Service: r.Service, Slots: r.Slots, Leaving: r.Draining, LeftMs: r.LeftMs,
+		ID: r.ID, Incarnation: r.ID, Addr: r.Addr, Zone: r.Zone, Service: r.Service, Slots: r.Slots, Leaving: r.Draining, LeftMs: r.RemainingMs,
 		Unreachable: r.Unreachable, Stale: r.Stale, Holds: r.Units, Share: r.Slots,
 	}
 	if o, stands := m.orders[r.ID]; stands && o.Unload {
--- a/internal/dataplane/controlclient/subscriber.go
+++ b/internal/dataplane/controlclient/subscriber.go
@@ -23,7 +23,7 @@
 	Where  *wire.Where
 	News   *wire.News
 	Lease  *wire.Lease
-	Beat   *failuredetector.Beat
+	Beat   *failuredetector.Heartbeat
 	Closed uint64
 }
 
@@ -70,16 +70,18 @@
 	leasedUs int64
 	ring     []failuredetector.Node
 	named    []failuredetector.Node
-	watch    *failuredetector.Watch
+	watch    *failuredetector.Monitor
 	beatUs   int64
 	effects  []Effect
 }
 
 // New is a subscriber that knows nothing but its seeds.
-func New(opts Options) *Subscriber { return &Subscriber{opts: opts, watch: failuredetector.New()} }
+func New(opts Options) *Subscriber {
+	return &Subscriber{opts: opts, watch: failuredetector.NewMonitor()}
+}
 
 // Silent are the nodes that this one watches and has not heard for too long.
-func (l *Subscriber) Silent(nowUs int64) []string { return l.watch.Silent(nowUs) }
+func (l *Subscriber) Silent(nowUs int64) []string { return l.watch.Suspects(nowUs) }
 
 // Where is what it was last told of the control nodes and their view.
 func (l *Subscriber) Where() wire.Where { return l.where }
@@ -117,7 +119,7 @@
 	case ev.Lease != nil:
 		l.lease(ev.NowUs, *ev.Lease)
 	case ev.Beat != nil:
-		l.watch.Heard(ev.NowUs, *ev.Beat)
+		l.watch.Receive(ev.NowUs, *ev.Beat)
 	case ev.Closed != 0:
 		if ev.Closed == l.follow {
 			l.open = false
@@ -170,10 +172,10 @@
 		l.seekUs = nowUs
 		l.effects = append(l.effects, Effect{AskWhere: l.ControlNodes()})
 	}
-	if nowUs-l.beatUs >= failuredetector.BeatUs && len(l.ring) > 0 {
+	if nowUs-l.beatUs >= failuredetector.HeartbeatIntervalUs && len(l.ring) > 0 {
 		l.beatUs = nowUs
-		named := failuredetector.Named(l.ring, l.opts.Gateway)
-		l.effects = append(l.effects, Effect{Beats: named, Farewells: failuredetector.Left(l.named, named)})
+		named := failuredetector.WatchersOf(l.ring, l.opts.Gateway)
+		l.effects = append(l.effects, Effect{Beats: named, Farewells: failuredetector.Departed(l.named, named)})
 		l.named = named
 	}
 	tail := l.Tail()
--- a/internal/dataplane/gateway/control.go
+++ b/internal/dataplane/gateway/control.go
@@ -41,10 +41,10 @@
 			h.act.Spawn(func() { h.report(tail, report) })
 		case e.Beats != nil:
 			for _, n := range e.Beats {
-				h.act.Spawn(func() { h.beat(n.Addr, failuredetector.Beat{ID: h.set.Name}) })
+				h.act.Spawn(func() { h.beat(n.Addr, failuredetector.Heartbeat{ID: h.set.Name}) })
 			}
 			for _, n := range e.Farewells {
-				h.act.Spawn(func() { h.beat(n.Addr, failuredetector.Beat{ID: h.set.Name, Last: true}) })
+				h.act.Spawn(func() { h.beat(n.Addr, failuredetector.Heartbeat{ID: h.set.Name, Final: true}) })
 			}
 		case e.Snapshot != nil:
 			h.snap.Store(e.Snapshot)
@@ -62,10 +62,10 @@
 
 func (h *Host) tellSubscriber(ev controlclient.Event) { h.act.Tell(func() { h.subscribe(ev) }) }
 
-func (h *Host) beat(addr string, b failuredetector.Beat) {
-	ctx, done := context.WithTimeout(h.act.Ctx, time.Duration(failuredetector.BeatUs)*time.Microsecond)
+func (h *Host) beat(addr string, b failuredetector.Heartbeat) {
+	ctx, done := context.WithTimeout(h.act.Ctx, time.Duration(failuredetector.HeartbeatIntervalUs)*time.Microsecond)
 	defer done()
-	_, _ = rpc.NewCaller[failuredetector.Beat, wire.Receipt](h.inner, addr, rpc.BeatPath).Call(ctx, &b)
+	_, _ = rpc.NewCaller[failuredetector.Heartbeat, wire.Receipt](h.inner, addr, rpc.BeatPath).Call(ctx, &b)
 }
 
 func (h *Host) askWhere(addr string) {
--- a/internal/dataplane/gateway/handler.go
+++ b/internal/dataplane/gateway/handler.go
@@ -46,7 +46,7 @@
 		}
 		return &wire.Where{}, nil
 	})
-	rpc.Serve(mux, rpc.BeatPath, func(_ context.Context, b *failuredetector.Beat) (*wire.Receipt, error) {
+	rpc.Serve(mux, rpc.BeatPath, func(_ context.Context, b *failuredetector.Heartbeat) (*wire.Receipt, error) {
 		h.tellSubscriber(controlclient.Event{Beat: b})
 		return &wire.Receipt{}, nil
 	})
--- a/internal/dataplane/gateway/keys.go
+++ b/internal/dataplane/gateway/keys.go
@@ -22,7 +22,7 @@
 		out.Fault.Run, out.Fault.RetryMs = fault.RunNone, 2000
 		return out.Fault
 	}
-	if out.Key == nil || !out.Again {
+	if out.Key == nil || !out.Repeated {
 		return nil
 	}
 	f := fault.New(fault.KeyRunning, "Idempotency-Key", "a call with this key was taken by desk %s", out.Key.Gateway)
@@ -37,7 +37,7 @@
 }
 
 func (h *Host) keyChange(key string, c *scheduling.Call, end string) {
-	change := statemachine.Change{ID: "key-" + end + "-" + c.ID, Key: &statemachine.KeyChange{Key: key, Gateway: h.set.Name, GatewayIncarnation: h.incarnation, Call: c.ID, End: end, Free: end == ""}}
+	change := statemachine.Change{ID: "key-" + end + "-" + c.ID, Key: &statemachine.KeyChange{Key: key, Gateway: h.set.Name, GatewayIncarnation: h.incarnation, Call: c.ID, End: end, Release: end == ""}}
 	h.calls.Add(1)
 	h.act.Spawn(func() {
 		defer h.calls.Add(-1)
--- a/internal/dataplane/scheduling/decider_test.go
+++ b/internal/dataplane/scheduling/decider_test.go
@@ -19,7 +19,7 @@
 	}}
 	for _, id := range []string{"r1", "r2"} {
 		n.Replicas = append(n.Replicas, wire.ReplicaNews{ID: id, Incarnation: "i", Addr: id, Zone: map[string]string{"r1": "a", "r2": "b"}[id], Holds: []string{"m"}, Share: share})
-		n.Grants = append(n.Grants, statemachine.Grant{Ticket: 1, Replica: id, Incarnation: "i", Model: "m", From: 1, To: 1000})
+		n.Grants = append(n.Grants, statemachine.Grant{Number: 1, Replica: id, Incarnation: "i", Model: "m", From: 1, To: 1000})
 	}
 	if edit != nil {
 		edit(&n)
--- a/internal/dataplane/scheduling/terms.go
+++ b/internal/dataplane/scheduling/terms.go
@@ -19,8 +19,8 @@
 	d.gaugeUntil(s.Revision)
 	for key, g := range s.Grants {
 		r := d.runs[key]
-		if r == nil || r.ticket < g.Ticket {
-			d.runs[key] = &run{ticket: g.Ticket, next: g.From, to: g.To}
+		if r == nil || r.ticket < g.Number {
+			d.runs[key] = &run{ticket: g.Number, next: g.From, to: g.To}
 		}
 	}
 	for key := range d.runs {
--- a/tests/fleet/bounds.go
+++ b/tests/fleet/bounds.go
@@ -116,7 +116,7 @@
 		return err
 	}
 	if err := watched("filling 200,000 keys", func() error {
-		c.run(ctx, 128, func() bool { return c.n.Load() < statemachine.KeysMost })
+		c.run(ctx, 128, func() bool { return c.n.Load() < statemachine.MaxKeys })
 		return nil
 	}); err != nil {
 		return err
--- a/tests/fleet/day.go
+++ b/tests/fleet/day.go
@@ -122,7 +122,7 @@
 // isHeld: some replica that stays holds a model.
 func isHeld(head controlNodeStatus, model string) bool {
 	for _, r := range head.Replicas {
-		if _, ok := r.Holds[model]; ok && !r.Leaving && !r.Unreachable {
+		if _, ok := r.Resident[model]; ok && !r.Draining && !r.Unreachable {
 			return true
 		}
 	}
--- a/tests/fleet/measure.go
+++ b/tests/fleet/measure.go
@@ -51,7 +51,7 @@
 		return holderOf{}, errors.New("nobody is on duty")
 	}
 	for _, r := range head.Replicas {
-		if _, held := r.Holds[model]; held && !r.Leaving && !r.Unreachable {
+		if _, held := r.Resident[model]; held && !r.Draining && !r.Unreachable {
 			return holderOf{r.ID, r.Incarnation, r.Addr}, nil
 		}
 	}
--- a/tests/history/walk_test.go
+++ b/tests/history/walk_test.go
@@ -187,10 +187,10 @@
 	s := o.core.Node.State()
 	switch o.walk.plant {
 	case "forgetful":
-		clear(s.Changes)
-		s.ChangeIDs = nil
+		clear(s.Outcomes)
+		s.OutcomeIDs = nil
 	case "forgets-refusals":
-		s.Ahead = nil
+		s.EarlyRefusals = nil
 	}
 }
 
--- a/tests/modelserver/core.go
+++ b/tests/modelserver/core.go
@@ -40,17 +40,17 @@
 // OrderSeen is one order as the replica saw it; Why says why it was not taken, and Over that it asked for more than the
 // room there is.
 type OrderSeen struct {
-	Replica     string            `json:"replica"`
-	Incarnation string            `json:"inc"`
-	Number      uint64            `json:"number"`
-	Epoch       uint64            `json:"epoch"`
-	Under       uint64            `json:"under"`
-	Step        statemachine.Step `json:"step"`
-	Unit        string            `json:"unit"`
-	AtUs        int64             `json:"atUs"`
-	Taken       bool              `json:"taken"`
-	Why         string            `json:"why,omitempty"`
-	Over        bool              `json:"over,omitempty"`
+	Replica     string              `json:"replica"`
+	Incarnation string              `json:"inc"`
+	Number      uint64              `json:"number"`
+	Epoch       uint64              `json:"epoch"`
+	Under       uint64              `json:"under"`
+	Step        statemachine.Action `json:"step"`
+	Unit        string              `json:"unit"`
+	AtUs        int64               `json:"atUs"`
+	Taken       bool                `json:"taken"`
+	Why         string              `json:"why,omitempty"`
+	Over        bool                `json:"over,omitempty"`
 }
 
 // Options are one incarnation of a replica. With Fetch a load also waits for Fetched; Journal may be nil.
@@ -73,7 +73,7 @@
 	opts         Options
 	holds        map[string]int64
 	last         *wire.OrderState
-	order        *statemachine.Ticket
+	order        *statemachine.ReplicaCommand
 	doneUs       int64
 	fetched      bool
 	attempts     map[string]*Run
@@ -91,14 +91,14 @@
 
 // State is what the replica says when it is asked.
 func (c *Core) State() wire.ReplicaState {
-	st := wire.ReplicaState{ID: c.opts.ID, Incarnation: c.opts.Incarnation, Active: len(c.attempts), Holds: []statemachine.Holding{}}
+	st := wire.ReplicaState{ID: c.opts.ID, Incarnation: c.opts.Incarnation, Active: len(c.attempts), Holds: []statemachine.ResidentUnit{}}
 	units := make([]string, 0, len(c.holds))
 	for u := range c.holds {
 		units = append(units, u)
 	}
 	sort.Strings(units)
 	for _, u := range units {
-		st.Holds = append(st.Holds, statemachine.Holding{Unit: u, SizeMb: c.holds[u]})
+		st.Holds = append(st.Holds, statemachine.ResidentUnit{Unit: u, SizeMb: c.holds[u]})
 	}
 	if c.last != nil {
 		last := *c.last
@@ -119,7 +119,7 @@
 // Take judges an order. fetch is true when the weights must come from the store.
 func (c *Core) Take(nowUs int64, o wire.Order) (st wire.OrderState, fetch bool) {
 	t := o.Ticket
-	seen := OrderSeen{Replica: c.opts.ID, Incarnation: c.opts.Incarnation, Number: t.Number, Epoch: t.Epoch, Under: o.Epoch, Step: t.Step, Unit: t.Unit, AtUs: nowUs}
+	seen := OrderSeen{Replica: c.opts.ID, Incarnation: c.opts.Incarnation, Number: t.Number, Epoch: t.Epoch, Under: o.Epoch, Step: t.Action, Unit: t.Unit, AtUs: nowUs}
 	defer func() {
 		c.Orders = append(c.Orders, seen)
 		c.journal(Line{Order: &seen})
@@ -141,7 +141,7 @@
 	}
 	seen.Taken = true
 	c.last = &wire.OrderState{Number: t.Number, Epoch: t.Epoch, State: wire.OrderRunning}
-	switch t.Step {
+	switch t.Action {
 	case statemachine.Load:
 		if c.TakenMb()+t.SizeMb > c.opts.RoomMb {
 			seen.Over = true
@@ -164,7 +164,7 @@
 	if c.order == nil || nowUs < c.doneUs || !c.fetched {
 		return
 	}
-	if c.order.Step == statemachine.Unload {
+	if c.order.Action == statemachine.Unload {
 		for _, r := range c.attempts {
 			if r.Model == c.order.Unit || r.Adapter == c.order.Unit {
 				return
@@ -228,7 +228,7 @@
 	}
 	_, model := c.holds[l.Model]
 	_, adapter := c.holds[l.Adapter]
-	unloading := c.order != nil && c.order.Step == statemachine.Unload && (c.order.Unit == l.Model || c.order.Unit == l.Adapter)
+	unloading := c.order != nil && c.order.Action == statemachine.Unload && (c.order.Unit == l.Model || c.order.Unit == l.Adapter)
 	switch {
 	case l.Incarnation != c.opts.Incarnation:
 		return refuse("another_incarnation")
--- a/tests/simulator/control_nodes.go
+++ b/tests/simulator/control_nodes.go
@@ -128,7 +128,7 @@
 			o.saver.put(*e.Save)
 		case e.Push != nil:
 			if d := o.follows[e.Push.Gateway]; d != nil {
-				news := clone(e.Push.News)
+				news := clone(e.Push.Update)
 				s.send(&o.machine, &d.machine, func() { d.news(news) })
 			}
 		case e.Result != nil:
@@ -181,7 +181,7 @@
 	if n := o.core.Node; n.IsTail() && n.WritesTaken() {
 		s.counted(o, a.Entry.Index)
 	}
-	if c := a.Entry.Change.Config; c != nil && a.Outcome.Fault == nil && !a.Outcome.Again {
+	if c := a.Entry.Change.Config; c != nil && a.Outcome.Fault == nil && !a.Outcome.Repeated {
 		s.ops.byRevision[a.Outcome.Revision] = c.Doc.Name
 	}
 }
--- a/tests/simulator/gateways.go
+++ b/tests/simulator/gateways.go
@@ -135,7 +135,7 @@
 
 func (d *gatewayNode) beat(addr string, last bool) {
 	s := d.sim
-	b := failuredetector.Beat{ID: d.name, Last: last}
+	b := failuredetector.Heartbeat{ID: d.name, Final: last}
 	if o := s.controlNodeAt(addr); o != nil {
 		s.send(&d.machine, &o.machine, func() { o.step(controlnode.Event{Beat: &b}) })
 	}
@@ -257,7 +257,7 @@
 }
 
 func (d *gatewayNode) keyChange(c *callState, end string) {
-	change := statemachine.Change{ID: "keyend-" + c.call.ID, Key: &statemachine.KeyChange{Key: c.told.Key, Gateway: d.name, GatewayIncarnation: d.incarnation, Call: c.call.ID, End: end, Free: end == fault.RunNone}}
+	change := statemachine.Change{ID: "keyend-" + c.call.ID, Key: &statemachine.KeyChange{Key: c.told.Key, Gateway: d.name, GatewayIncarnation: d.incarnation, Call: c.call.ID, End: end, Release: end == fault.RunNone}}
 	if end == fault.RunNone {
 		change.Key.End = ""
 	}
@@ -528,7 +528,7 @@
 			refuse(&fault.Fault{Code: fault.Overloaded, RetryMs: 1000})
 		case r.Outcome.Fault != nil:
 			refuse(&fault.Fault{Code: r.Outcome.Fault.Code, RetryMs: 2000})
-		case r.Outcome.Again && s.plan.Plant != "keys":
+		case r.Outcome.Repeated && s.plan.Plant != "keys":
 			c.told.Code, c.told.Run = string(fault.KeyRunning), fault.RunUnknown
 			s.finish(c)
 		default:
--- a/tests/simulator/member_test.go
+++ b/tests/simulator/member_test.go
@@ -11,7 +11,7 @@
 
 // order sends an order about members until it is answered, at any control node that is up, and once more after
 // that, as an operator may who lost the answer.
-func (p *operators) order(id string, m statemachine.MemberChange) {
+func (p *operators) order(id string, m statemachine.MembershipChange) {
 	s := p.sim
 	o := p.controlNode()
 	again := func() { s.at(s.nowUs+300*ms, func() { p.order(id, m) }) }
@@ -25,13 +25,13 @@
 		return
 	}
 	sent := held
-	o.submit(statemachine.Change{ID: id, Member: &sent}, 2*sec, func(r wire.Result, ok bool) {
+	o.submit(statemachine.Change{ID: id, Membership: &sent}, 2*sec, func(r wire.Result, ok bool) {
 		switch {
 		case !ok:
 			again()
 		case r.Outcome.Fault != nil:
 			s.watch.Break(rules.ConfigLost, "%s was refused: %v", id, r.Outcome.Fault)
-		case !r.Outcome.Again:
+		case !r.Outcome.Repeated:
 			again()
 		}
 	})
@@ -54,7 +54,7 @@
 
 // votes are the names that vote in the newest view any control node has, whether all are seated, and the order
 // that stands.
-func (s *Sim) votes() (names map[string]string, seated bool, order *statemachine.MemberChange) {
+func (s *Sim) votes() (names map[string]string, seated bool, order *statemachine.MembershipChange) {
 	var newest *controlNode
 	for _, o := range s.controlNodes {
 		if o.up && (newest == nil || o.core.Node.View().Number > newest.core.Node.View().Number) {
@@ -69,7 +69,7 @@
 	}
 	for _, o := range s.controlNodes {
 		if o.up && o.core.Node.Open(o.clock()) {
-			return names, seated, o.core.Node.State().Member
+			return names, seated, o.core.Node.State().Membership
 		}
 	}
 	return names, false, nil
@@ -96,7 +96,7 @@
 					}
 				})
 			}
-			step := func(what string, m statemachine.MemberChange, done func(names map[string]string) bool) {
+			step := func(what string, m statemachine.MembershipChange, done func(names map[string]string) bool) {
 				s.ops.order("member-"+what, m)
 				kill()
 				s.until(t, what, func() bool {
@@ -109,7 +109,7 @@
 			if names, _, _ := s.votes(); names["core-3"] != "" {
 				t.Fatal("a control node nobody ordered votes")
 			}
-			step("added", statemachine.MemberChange{Act: statemachine.AddMember, Name: "core-3"}, func(n map[string]string) bool { return len(n) == 4 && n["core-3"] != "" })
+			step("added", statemachine.MembershipChange{Action: statemachine.AddMember, Name: "core-3"}, func(n map[string]string) bool { return len(n) == 4 && n["core-3"] != "" })
 			old := s.controlNodes[1]
 			oldID := old.core.Node.Me().ID
 			s.empty(old.name, old.zone)
@@ -117,10 +117,10 @@
 			if names, _, _ := s.votes(); names[old.name] != oldID {
 				t.Fatal("a living control node was replaced without an order")
 			}
-			step("replaced", statemachine.MemberChange{Act: statemachine.ReplaceMember, Name: old.name}, func(n map[string]string) bool { return len(n) == 4 && n[old.name] != oldID })
+			step("replaced", statemachine.MembershipChange{Action: statemachine.ReplaceMember, Name: old.name}, func(n map[string]string) bool { return len(n) == 4 && n[old.name] != oldID })
 			old.crash(0, 0)
 			s.controlNodes = append(s.controlNodes[:1:1], s.controlNodes[2:]...)
-			step("removed", statemachine.MemberChange{Act: statemachine.RemoveMember, Name: "core-3"}, func(n map[string]string) bool { return len(n) == 3 && n["core-3"] == "" })
+			step("removed", statemachine.MembershipChange{Action: statemachine.RemoveMember, Name: "core-3"}, func(n map[string]string) bool { return len(n) == 3 && n["core-3"] == "" })
 			s.until(t, "usual again", func() bool { return s.settled() })
 			fromUs := s.nowUs
 			if !s.runUntil(fromUs + 8*sec) {
--- a/tests/simulator/routed_control_nodes.go
+++ b/tests/simulator/routed_control_nodes.go
@@ -169,8 +169,8 @@
 		ev.Controller.NowUs = ev.NowUs
 	}
 	if d.plan.Plant == "forgets-orders" {
-		clear(o.core.Node.State().Changes)
-		o.core.Node.State().ChangeIDs = nil
+		clear(o.core.Node.State().Outcomes)
+		o.core.Node.State().OutcomeIDs = nil
 	}
 	for _, e := range o.core.Step(ev) {
 		switch {
@@ -230,7 +230,7 @@
 }
 
 // heard takes what a replica says of itself, and answers whether it is acknowledged.
-func (o *routedControlNode) heard(row registry.Row, answer func(ok bool)) {
+func (o *routedControlNode) heard(row registry.ReplicaStatus, answer func(ok bool)) {
 	o.word(controlnode.Event{Heard: &row}, answer)
 }
 
@@ -404,7 +404,7 @@
 	}
 	model, adapter := configuration.Units(t.Unit)
 	asked := replica.Order{From: o.name, Operation: "loading", Model: model, Adapter: adapter, Holder: w.Holder, Fence: w.Epoch, Expected: w.Expected, Expect: t.Incarnation}
-	if t.Step == statemachine.Unload {
+	if t.Action == statemachine.Unload {
 		asked.Operation = "unloading"
 	}
 	if d.plan.Plant == "forger" && t.Number%3 == 0 {
--- a/tests/simulator/routed_replicas.go
+++ b/tests/simulator/routed_replicas.go
@@ -88,9 +88,9 @@
 	return nil
 }
 
-func (p *replicaNode) row() registry.Row {
+func (p *replicaNode) row() registry.ReplicaStatus {
 	p.seq++
-	row := registry.Row{
+	row := registry.ReplicaStatus{
 		ID: p.name, Service: p.core.Service(), Addr: p.addr, Zone: p.core.Zone(), Release: "v1", Slots: 6, Draining: p.core.Draining && !p.withdrawn, Seq: p.seq,
 	}
 	if p.core.Service() == "cards" {
@@ -100,7 +100,7 @@
 		}
 	}
 	if p.leavesUs > 0 {
-		row.LeftMs = max(1, (p.leavesUs-p.day.nowUs)/1000)
+		row.RemainingMs = max(1, (p.leavesUs-p.day.nowUs)/1000)
 	}
 	return row
 }
@@ -154,7 +154,7 @@
 }
 
 // acknowledged is a control node's 2xx to a heartbeat.
-func (p *replicaNode) acknowledged(row registry.Row, o *routedControlNode) {
+func (p *replicaNode) acknowledged(row registry.ReplicaStatus, o *routedControlNode) {
 	if !row.Draining || p.leave == nil || p.leave.AckedUs > 0 {
 		return
 	}
--- a/tests/testbed/input_test.go
+++ b/tests/testbed/input_test.go
@@ -322,7 +322,7 @@
 			return false
 		}
 		for _, r := range st.Replicas {
-			if _, held := r.Holds["m7"]; held {
+			if _, held := r.Resident["m7"]; held {
 				return false
 			}
 		}
