--- /dev/null
+++ b/internal/dataplane/scheduling/bench_test.go
@@ -0,0 +1,53 @@
+package scheduling
+
+import (
+	"fmt"
+	"testing"
+
+	"petreltide/internal/api/configuration"
+	"petreltide/internal/process/clock"
+)
+
+// A call from its arrival to the end of its one attempt, on each of the two platforms.
+
+func BenchmarkRoutedCall(b *testing.B) {
+	doc := declaration(declared{name: "model", repeat: configuration.Idempotent, most: 3, split: one("engine")})
+	ids := []string{}
+	for i := range 24 {
+		ids = append(ids, fmt.Sprintf("r%02d", i))
+	}
+	d := New(Options{Gateway: "g", QueueMax: 1000, Budget: BudgetOptions{Ratio: 0.1, Slack: 10, WindowUs: 10 * clock.Sec}})
+	d.Step(Event{NowUs: clock.Sec, Snapshot: stands(doc, 3, at("engine", ids...)...)})
+	benchmarkCalls(b, d, func(id string) *Call {
+		return &Call{ID: id, Kind: "model", Model: "m", Routed: &Routed{PromptIn: 100, Parts: []Part{{ID: 1, Tokens: 60}, {ID: 2, Tokens: 40}}}}
+	})
+}
+
+func BenchmarkDeclaredCall(b *testing.B) {
+	d := leased(4, 1000)
+	d.Step(Event{NowUs: 1, LeaseUs: 1 << 60})
+	for _, r := range d.runs {
+		r.to = 1 << 60
+	}
+	benchmarkCalls(b, d, func(id string) *Call { return &Call{ID: id, Kind: "fixes", Model: "m"} })
+}
+
+func benchmarkCalls(b *testing.B, d *Decider, newCall func(id string) *Call) {
+	b.Helper()
+	b.ReportAllocs()
+	nowUs := clock.Sec
+	for i := range b.N {
+		nowUs += 10 * clock.Ms
+		c := newCall(fmt.Sprintf("c%d", i%1000))
+		effects := d.Step(Event{NowUs: nowUs, Arrived: c})
+		if len(effects) != 1 || effects[0].Start == nil {
+			b.Fatalf("call %d: %+v", i, effects)
+		}
+		nowUs += 10 * clock.Ms
+		c.FirstUs.Store(nowUs)
+		effects = d.Step(Event{NowUs: nowUs, Ended: &Ended{Call: c.ID, Attempt: effects[0].Start.Attempt, Ending: Done}})
+		if len(effects) != 1 || effects[0].Over == nil {
+			b.Fatalf("call %d: %+v", i, effects)
+		}
+	}
+}
--- /dev/null
+++ b/internal/dataplane/scheduling/golden_test.go
@@ -0,0 +1,258 @@
+package scheduling
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"hash"
+	"math/rand"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"petreltide/internal/api/configuration"
+	"petreltide/internal/api/wire"
+	"petreltide/internal/controlplane/statemachine"
+	"petreltide/internal/outlier"
+	"petreltide/internal/process/clock"
+)
+
+var writeDecisions = flag.Bool("write-decisions", false, "write testdata/decisions.txt anew; only for a decision that is meant to change")
+
+// journal hashes all that a decider says: its effects in order, its reports, its log and its state.
+type journal struct {
+	t   *testing.T
+	d   *Decider
+	sum hash.Hash
+	// open are the attempts under way, in the order in which they began.
+	open []*Start
+	// starts, gives, overs and cancels count effects by kind.
+	starts, gives, overs, cancels, unplaced int
+}
+
+func (j *journal) step(ev Event) {
+	for _, e := range j.d.Step(ev) {
+		switch {
+		case e.Start != nil:
+			s := e.Start
+			j.starts++
+			j.open = append(j.open, s)
+			route := ""
+			if s.Route != nil {
+				route = s.Route.Name
+			}
+			fmt.Fprintln(j.sum, "start", s.Call.ID, s.Attempt, s.Ticket, s.Replica, s.Addr, s.Incarnation, s.Revision, s.DeadlineUs, route, s.Service, s.Kind, s.GuessMs, s.Running)
+		case e.Give != nil:
+			j.gives++
+			fmt.Fprintf(j.sum, "give %s %+v\n", e.Give.Call.ID, *e.Give.Fault)
+		case e.Over != nil:
+			j.overs++
+			fmt.Fprintln(j.sum, "over", e.Over.Call.ID, e.Over.Ending)
+		case e.Cancel != "":
+			j.cancels++
+			fmt.Fprintln(j.sum, "cancel", e.Cancel)
+		case e.Unplaced:
+			j.unplaced++
+			fmt.Fprintln(j.sum, "unplaced")
+		}
+	}
+}
+
+// take removes one attempt that is under way, or gives nil.
+func (j *journal) take(r *rand.Rand) *Start {
+	if len(j.open) == 0 {
+		return nil
+	}
+	i := r.Intn(len(j.open))
+	s := j.open[i]
+	j.open = append(j.open[:i], j.open[i+1:]...)
+	return s
+}
+
+func (j *journal) state(nowUs int64) {
+	for _, v := range []any{j.d.Report(nowUs), j.d.Note(), j.d.Gauges(), j.d.Ready(nowUs), j.d.RetryMs(), j.d.Failing(), j.d.Arrivals()} {
+		raw, err := json.Marshal(v)
+		if err != nil {
+			j.t.Fatal(err)
+		}
+		_, _ = j.sum.Write(raw)
+	}
+}
+
+func goldenRouted(r *rand.Rand) func() *Snapshot {
+	number := uint64(0)
+	return func() *Snapshot {
+		doc := &configuration.Declaration{Version: 1, Services: []configuration.Service{{Name: "s"}, {Name: "engine", Engine: &configuration.Engine{Slots: 4, RoomMb: 10, Models: []configuration.EngineModel{
+			{Name: "m", SizeMb: 1, LoadMs: 900}, {Name: "n", SizeMb: 1, LoadMs: 300},
+		}}}}}
+		for i, name := range []string{"a", "b", "c"} {
+			if r.Intn(9) == 0 {
+				continue
+			}
+			split := [][]configuration.Weighted{one("engine"), one("s"), {{Service: "engine", Weight: 2}, {Service: "s", Weight: 1}}}[r.Intn(3)]
+			doc.Routes = append(doc.Routes, configuration.Route{
+				Name: name, Host: "h", Prefix: "/" + name + "/", Split: split, Priority: i, AttemptsMost: 1 + r.Intn(3), TimeoutMs: 3000, AimMs: int64(r.Intn(2)) * 700, GapMs: 200, Resumable: r.Intn(2) == 0,
+				Repeat: []configuration.Repeat{configuration.Idempotent, configuration.NonIdempotent, configuration.Streaming}[r.Intn(3)],
+			})
+		}
+		doc = doc.Indexed()
+		number++
+		s := &Snapshot{Number: number, Revision: 1 + number/8, Doc: doc, Gateways: 1 + r.Intn(4), Replicas: map[string]*wire.ReplicaNews{}, ByService: map[string][]*wire.ReplicaNews{}, Trials: map[string]outlier.Row{}}
+		for i := range 7 {
+			if r.Intn(8) == 0 {
+				continue
+			}
+			n := wire.ReplicaNews{ID: fmt.Sprint("r", i), Service: []string{"engine", "s"}[i%2], Zone: []string{"a", "b"}[i/2%2], Incarnation: fmt.Sprint("i", i), Addr: fmt.Sprint("addr", i), Leaving: r.Intn(9) == 0, Unreachable: r.Intn(9) == 0, Slots: r.Intn(4)}
+			n.Holds = [][]string{{"m"}, {"m", "n"}, {"m", "m/x", "n"}, {}}[r.Intn(4)]
+			n.Loading, n.Unloading = []string{"", "", "m", "n"}[r.Intn(4)], []string{"", "", "", "m", "m/x"}[r.Intn(5)]
+			s.Replicas[n.ID] = &n
+			s.IDs = append(s.IDs, n.ID)
+			s.ByService[n.Service] = append(s.ByService[n.Service], &n)
+			if r.Intn(7) == 0 {
+				s.Trials[n.ID] = outlier.Row{Replica: n.ID, Share: []int{0, 12, 40}[r.Intn(3)], Dead: r.Intn(4) == 0}
+			}
+		}
+		return s
+	}
+}
+
+func goldenDeclared(r *rand.Rand) func() *Snapshot {
+	number := uint64(0)
+	var last *Snapshot
+	return func() *Snapshot {
+		number++
+		n := wire.News{Number: number, Revision: 1 + number/8, Doc: &configuration.Declaration{
+			Zones:  []string{"a", "b"},
+			Kinds:  []configuration.Kind{{Name: "a", Urgency: 2, Resumable: r.Intn(5) > 0, DeadlineMs: 3000}, {Name: "b", Urgency: 5, Resumable: r.Intn(2) == 0, DeadlineMs: 6000}},
+			Models: []configuration.Model{{Name: "m"}, {Name: "n"}}, Adapters: []configuration.Adapter{{Name: "x", Model: "m"}},
+		}}
+		if r.Intn(8) > 0 {
+			n.Doc.Kinds = append(n.Doc.Kinds, configuration.Kind{Name: "c", Urgency: 9, DeadlineMs: 4000})
+		}
+		if last != nil && r.Intn(2) == 0 {
+			n.Doc = nil
+		}
+		for i := range 5 {
+			if r.Intn(8) == 0 {
+				continue
+			}
+			id := fmt.Sprint("r", i)
+			n.Replicas = append(n.Replicas, wire.ReplicaNews{ID: id, Incarnation: "i", Addr: id, Zone: []string{"a", "b"}[i%2], Holds: [][]string{{"m"}, {"m", "n", "x"}}[r.Intn(2)], Share: 1 + r.Intn(3), Leaving: r.Intn(6) == 0, Unreachable: r.Intn(9) == 0})
+			for _, model := range []string{"m", "n"} {
+				ticket := 1 + number/4
+				n.Grants = append(n.Grants, statemachine.Grant{Ticket: ticket, Replica: id, Incarnation: "i", Model: model, From: ticket * 100, To: ticket*100 + 30})
+			}
+		}
+		last = Fold(last, n, int64(number))
+		return last
+	}
+}
+
+// seededRun plays one seeded run of events against a decider and gives the digest of all that it said.
+func seededRun(t *testing.T, seed int64, routed bool, total *journal) string {
+	t.Helper()
+	r := rand.New(rand.NewSource(seed))
+	opts := Options{Gateway: "g", Incarnation: "i", Zone: "a", QueueMax: 8, Budget: BudgetOptions{Ratio: 0.3, Slack: 20, WindowUs: 4 * clock.Sec}, Patience: PatienceOptions{LeastMs: 500, Aims: 2, Gaps: 3}}
+	j := &journal{t: t, d: New(opts), sum: sha256.New()}
+	draw := goldenDeclared(r)
+	if routed {
+		draw = goldenRouted(r)
+	}
+	nowUs, calls := clock.Sec, 0
+	endings := []Ending{Done, Done, Done, Failed, Refused, Missing, Elsewhere, Unsent, Broken, Unknown, Final, Stopped, Moved}
+	for n := range 700 {
+		nowUs += r.Int63n(40 * clock.Ms)
+		switch k := r.Intn(20); {
+		case n == 0 || k == 0:
+			j.step(Event{NowUs: nowUs, Snapshot: draw()})
+		case k == 1:
+			j.step(Event{NowUs: nowUs, LeaseUs: nowUs + r.Int63n(4*clock.Sec)})
+		case k == 2:
+			j.step(Event{NowUs: nowUs})
+		case k == 3 && calls > 0:
+			j.step(Event{NowUs: nowUs, Gone: fmt.Sprint("c", 1+r.Intn(calls))})
+		case k < 11:
+			calls++
+			c := &Call{ID: fmt.Sprint("c", calls), Kind: []string{"a", "b", "c", "unknown"}[min(r.Intn(13)/4, 3)], Model: []string{"m", "m", "n"}[r.Intn(3)], Prefix: []string{"p", fmt.Sprint(r.Intn(3))}, MostMs: int64(r.Intn(3)) * 900}
+			if r.Intn(5) == 0 {
+				c.Model, c.Adapter = "m", "x"
+			}
+			if routed {
+				c.Prefix = nil
+				c.Routed = &Routed{PromptIn: int64(r.Intn(4000)), Parts: []Part{{ID: uint64(r.Intn(3)), Tokens: 50}, {ID: uint64(r.Intn(9)), Tokens: 100}}}
+				if r.Intn(6) == 0 {
+					c.Model, c.Adapter = "", ""
+				}
+			}
+			j.step(Event{NowUs: nowUs, Arrived: c})
+		case n == 640:
+			j.step(Event{NowUs: nowUs, Drain: true})
+		default:
+			s := j.take(r)
+			if s == nil {
+				continue
+			}
+			if r.Intn(3) > 0 {
+				s.Call.FirstUs.Store(nowUs - r.Int63n(20*clock.Ms))
+				s.Call.Progress.Store(int64(r.Intn(3)))
+			}
+			if r.Intn(5) == 0 {
+				s.Call.Outcome.Store(int32(r.Intn(int(outlier.Inconclusive) + 1)))
+			}
+			j.step(Event{NowUs: nowUs, Ended: &Ended{Call: s.Call.ID, Attempt: s.Attempt, Ending: endings[r.Intn(len(endings))]}})
+		}
+		if n%50 == 0 {
+			j.state(nowUs)
+		}
+	}
+	j.step(Event{NowUs: nowUs, Close: true})
+	j.state(nowUs)
+	total.starts += j.starts
+	total.gives += j.gives
+	total.overs += j.overs
+	total.cancels += j.cancels
+	total.unplaced += j.unplaced
+	return hex.EncodeToString(j.sum.Sum(nil))
+}
+
+// What a decider says in seeded runs is what it said when testdata/decisions.txt was written, to the last byte. A change
+// that means to decide otherwise writes the file anew, by -write-decisions, and says why.
+func TestSeededDecisionsAreUnchanged(t *testing.T) {
+	lines, total := []string{}, &journal{}
+	for _, platform := range []string{"declared", "routed"} {
+		for seed := range int64(60) {
+			lines = append(lines, fmt.Sprintf("%s %d %s", platform, seed, seededRun(t, seed, platform == "routed", total)))
+		}
+	}
+	t.Logf("%d attempts, %d calls refused, %d ended, %d cancels, %d waits for what no replica has", total.starts, total.gives, total.overs, total.cancels, total.unplaced)
+	if min(total.starts, total.gives, total.overs) < 1000 || min(total.cancels, total.unplaced) < 100 {
+		t.Error("the runs show too little")
+	}
+	path := filepath.Join("testdata", "decisions.txt")
+	got := strings.Join(lines, "\n") + "\n"
+	if *writeDecisions {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got == string(want) {
+		return
+	}
+	wanted := strings.Split(string(want), "\n")
+	for i, line := range lines {
+		if i >= len(wanted) || line != wanted[i] {
+			t.Fatalf("first difference: %s", line)
+		}
+	}
+	t.Fatal("the file has more runs")
+}
