--- /dev/null
+++ b/tests/golden/words_test.go
@@ -0,0 +1,127 @@
+package golden
+
+import (
+	"petreltide/internal/api/configuration"
+	"petreltide/internal/api/fault"
+	"petreltide/internal/api/feature"
+	"petreltide/internal/api/settings"
+	"petreltide/internal/api/wire"
+	"petreltide/internal/controlplane/chain"
+	"petreltide/internal/controlplane/controlnode"
+	"petreltide/internal/controlplane/statemachine"
+	"petreltide/internal/process/rpc"
+)
+
+// codes are the codes of faults, as callers and operators see them.
+var codes = []struct {
+	want string
+	code fault.Code
+}{
+	{"bad_json", fault.BadJSON},
+	{"too_large", fault.TooLarge},
+	{"bad_field", fault.BadField},
+	{"unknown_kind", fault.UnknownKind},
+	{"unknown_model", fault.UnknownModel},
+	{"unknown_adapter", fault.UnknownAdapter},
+	{"past_expiry", fault.PastDeadline},
+	{"bad_last_event_id", fault.BadLastEventID},
+	{"overloaded", fault.Overloaded},
+	{"no_lease", fault.NoLease},
+	{"expired", fault.Expired},
+	{"replica_failed", fault.ReplicaFailed},
+	{"replica_refuses", fault.ReplicaRefuses},
+	{"unknown", fault.Unknown},
+	{"broken", fault.Broken},
+	{"key_running", fault.KeyRunning},
+	{"key_unknown", fault.KeyUnknown},
+	{"key_ended", fault.KeyEnded},
+	{"keys_full", fault.KeysFull},
+	{"draining", fault.Draining},
+	{"invalid_config", fault.InvalidConfig},
+	{"stale_base", fault.StaleBase},
+	{"committed_not_everywhere", fault.NotEverywhere},
+	{"in_doubt", fault.InDoubt},
+	{"not_serving", fault.NotServing},
+	{"no_such_zone", fault.NoSuchZone},
+	{"stale_epoch", fault.StaleEpoch},
+	{"stale_view", fault.StaleView},
+	{"ticket_refused", fault.TicketRefused},
+	{"no_room", fault.NoRoom},
+	{"store_rate", fault.StoreRate},
+	{"replica_busy", fault.ReplicaBusy},
+	{"replica_unknown", fault.ReplicaUnknown},
+	{"replica_leaving", fault.ReplicaLeaving},
+	{"not_held", fault.NotHeld},
+	{"already_held", fault.AlreadyHeld},
+	{"policy_compile", fault.PolicyCompile},
+	{"policy_failed", fault.PolicyFailed},
+	{"policy_limit", fault.PolicyLimit},
+	{"policy_nonsense", fault.PolicyNonsense},
+	{"bad_settings", fault.BadSettings},
+	{"damaged_data", fault.DamagedData},
+	{"foreign_data", fault.ForeignData},
+	{"foreign_member", fault.ForeignMember},
+	{"unknown_form", fault.UnknownForm},
+	{"data_unwritable", fault.DataUnwritable},
+	{"platform_bad", fault.PlatformBad},
+	{"membership_unfit", fault.MembershipUnfit},
+	{"not_found", fault.NotFound},
+	{"foreign_change", fault.ForeignChange},
+	{"window_spoilt", fault.WindowSpoilt},
+	{"interrupted", fault.Interrupted},
+	{"not_restored", fault.NotRestored},
+}
+
+// words are other words that are sent or stored.
+var words = []struct{ want, got string }{
+	{"none", fault.RunNone},
+	{"unknown", fault.RunUnknown},
+	{"yes", fault.RunYes},
+	{"partial", fault.RunPartial},
+	{"running", wire.OrderRunning},
+	{"done", wire.OrderDone},
+	{"failed", wire.OrderFailed},
+	{"in_doubt", wire.OrderInDoubt},
+	{"busy", wire.OrderBusy},
+	{"ready", wire.ListedReady},
+	{"draining", wire.ListedDraining},
+	{"/petreltide.Office/Post", rpc.BatchPath},
+	{"/petreltide.Office/Where", rpc.WherePath},
+	{"/petreltide.Office/Submit", rpc.SubmitPath},
+	{"/petreltide.Office/Follow", rpc.FollowPath},
+	{"/petreltide.Office/Ack", rpc.AckPath},
+	{"/petreltide.Node/Beat", rpc.BeatPath},
+	{"/petreltide.Office/Frames", rpc.FramesPath},
+	{"/petreltide.Office/Tell", rpc.TellPath},
+	{"/petreltide.Office/Read", rpc.ReadPath},
+	{"ready", string(controlnode.ReplicaReady)},
+	{"draining", string(controlnode.ReplicaDraining)},
+	{"dark", string(controlnode.ReplicaUnreachable)},
+	{"gone", string(controlnode.ReplicaGone)},
+	{"unheard", string(controlnode.ReplicaUnheard)},
+	{"fresh", string(chain.Fresh)},
+	{"waking", string(chain.Waking)},
+	{"serving", string(chain.Serving)},
+	{"outside", string(chain.Outside)},
+	{"load", string(statemachine.Load)},
+	{"unload", string(statemachine.Unload)},
+	{"add", string(statemachine.AddMember)},
+	{"replace", string(statemachine.ReplaceMember)},
+	{"remove", string(statemachine.RemoveMember)},
+	{"cancel", string(statemachine.CancelMembership)},
+	{"done", string(statemachine.MembershipDone)},
+	{"DemandForecast", string(feature.DemandForecast)},
+	{"EarlyRefusal", string(feature.EarlyRefusal)},
+	{"FleetOutliers", string(feature.FleetOutliers)},
+	{"OverloadRefusal", string(feature.OverloadRefusal)},
+	{"PrefixAffinity", string(feature.PrefixAffinity)},
+	{"SpareRoom", string(feature.SpareRoom)},
+	{"ZonePreference", string(feature.ZonePreference)},
+	{"streaming", string(configuration.Streaming)},
+	{"idempotent", string(configuration.Idempotent)},
+	{"non_idempotent", string(configuration.NonIdempotent)},
+	{"command", string(settings.CommandMembers)},
+	{"self", string(settings.SelfMembers)},
+	{"granted", string(settings.GrantedAttempts)},
+	{"declared", string(settings.DeclaredAttempts)},
+}
