--- a/internal/dataplane/scheduling/golden_test.go
+++ b/internal/dataplane/scheduling/golden_test.go
@@ -143,7 +143,7 @@
 			n.Replicas = append(n.Replicas, wire.ReplicaNews{ID: id, Incarnation: "i", Addr: id, Zone: []string{"a", "b"}[i%2], Holds: [][]string{{"m"}, {"m", "n", "x"}}[r.Intn(2)], Share: 1 + r.Intn(3), Leaving: r.Intn(6) == 0, Unreachable: r.Intn(9) == 0})
 			for _, model := range []string{"m", "n"} {
 				ticket := 1 + number/4
-				n.Grants = append(n.Grants, statemachine.Grant{Ticket: ticket, Replica: id, Incarnation: "i", Model: model, From: ticket * 100, To: ticket*100 + 30})
+				n.Grants = append(n.Grants, statemachine.Grant{Number: ticket, Replica: id, Incarnation: "i", Model: model, From: ticket * 100, To: ticket*100 + 30})
 			}
 		}
 		last = Fold(last, n, int64(number))
