--- a/cmd/petreltide/daemons.go
+++ b/cmd/petreltide/daemons.go
@@ -14,7 +14,7 @@
 )
 
 func controlNodeCommand() *cobra.Command {
-	set := settings.ControlNode{LeaveMs: 3000}
+	set := settings.ControlNode{HandoverTimeoutMs: 3000}
 	place := place{&set.Name, &set.Listen, &set.Advertise, &set.Zone, &set.Seeds}
 	var file string
 	cmd := &cobra.Command{
@@ -41,18 +41,18 @@
 			if f := place.read(cmd, file, &set); f != nil {
 				return f
 			}
-			lay(cmd, "data", &set.Data, laid.Data)
+			lay(cmd, "data", &set.DataDir, laid.DataDir)
 			lay(cmd, "platform", &set.Platform, laid.Platform)
-			lay(cmd, "founding", &set.Founding, laid.Founding)
+			lay(cmd, "founding", &set.FoundingSize, laid.FoundingSize)
 			return runControlNode(cmd, set)
 		},
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&file, "settings", "", "settings file (YAML or JSON)")
 	place.flags(cmd, "this office's name, unique in the fleet; a replacement takes the lost one's name")
-	flags.StringVar(&set.Data, "data", "", "data folder")
+	flags.StringVar(&set.DataDir, "data", "", "data folder")
 	flags.StringVar(&set.Platform, "platform", "", "IP:port of the platform's replica list")
-	flags.IntVar(&set.Founding, "founding", 0, "how many empty offices begin a new chain together; 0: only join one")
+	flags.IntVar(&set.FoundingSize, "founding", 0, "how many empty offices begin a new chain together; 0: only join one")
 	return cmd
 }
 
@@ -61,7 +61,7 @@
 	if f := set.Check(); f != nil {
 		return f
 	}
-	ring := logring.NewRing(set.Data, os.Stderr)
+	ring := logring.NewRing(set.DataDir, os.Stderr)
 	host, err := controlnode.Open(set, ring)
 	if err != nil {
 		return err
@@ -70,7 +70,7 @@
 }
 
 func gatewayCommand() *cobra.Command {
-	set := settings.Gateway{QueueMax: 512, BodyMaxKb: 1024, DrainMs: 30_000}
+	set := settings.Gateway{MaxQueue: 512, MaxBodyKB: 1024, DrainMs: 30_000}
 	place := place{&set.Name, &set.Listen, &set.Advertise, &set.Zone, &set.Seeds}
 	var file string
 	cmd := &cobra.Command{
@@ -89,8 +89,8 @@
 			if f := place.read(cmd, file, &set); f != nil {
 				return f
 			}
-			lay(cmd, "backlog-max", &set.QueueMax, laid.QueueMax)
-			lay(cmd, "body-max-kb", &set.BodyMaxKb, laid.BodyMaxKb)
+			lay(cmd, "backlog-max", &set.MaxQueue, laid.MaxQueue)
+			lay(cmd, "body-max-kb", &set.MaxBodyKB, laid.MaxBodyKB)
 			lay(cmd, "drain-ms", &set.DrainMs, laid.DrainMs)
 			if f := set.Check(); f != nil {
 				return f
@@ -102,8 +102,8 @@
 	flags := cmd.Flags()
 	flags.StringVar(&file, "settings", "", "settings file (YAML or JSON)")
 	place.flags(cmd, "this desk's name, unique in the fleet")
-	flags.IntVar(&set.QueueMax, "backlog-max", set.QueueMax, "most calls that may wait here")
-	flags.IntVar(&set.BodyMaxKb, "body-max-kb", set.BodyMaxKb, "largest call body taken, in KiB")
+	flags.IntVar(&set.MaxQueue, "backlog-max", set.MaxQueue, "most calls that may wait here")
+	flags.IntVar(&set.MaxBodyKB, "body-max-kb", set.MaxBodyKB, "largest call body taken, in KiB")
 	flags.Int64Var(&set.DrainMs, "drain-ms", set.DrainMs, "time for open calls to end after SIGTERM")
 	return cmd
 }
--- a/cmd/petreltide/status.go
+++ b/cmd/petreltide/status.go
@@ -55,7 +55,7 @@
 			resumable = ", resumable"
 		}
 		fmt.Fprintf(w, "route     %s %s%s → %s: %s%s, %d ms, priority %d, %d attempts\n",
-			r.Name, r.Host, r.Prefix, strings.Join(to, " + "), r.Repeat, resumable, r.TimeoutMs, r.Priority, r.AttemptsMost)
+			r.Name, r.Host, r.Prefix, strings.Join(to, " + "), r.RetryClass, resumable, r.TimeoutMs, r.Priority, r.MaxAttempts)
 	}
 	for _, s := range f.Services {
 		fmt.Fprintf(w, "service   %s: %d replicas", s.Name, s.Replicas)
--- a/cmd/petreltide/status_test.go
+++ b/cmd/petreltide/status_test.go
@@ -79,8 +79,8 @@
 		Demand: []controller.GatewayNote{{Gateway: "front-1", Zone: "a", Addr: gatewayAddr}, {Gateway: "front-2", Zone: "b", Addr: "127.0.0.1:1"}},
 		Fleet: &controlnode.Fleet{
 			Version: 9, Gateways: []string{"front-1", "front-2"},
-			Routes: []configuration.Route{{Name: "letters", Host: "h.example", Prefix: "/l/", Repeat: configuration.Streaming, Resumable: true, TimeoutMs: 5000, Priority: 1, AttemptsMost: 2,
-				Split: []configuration.Weighted{{Service: "scribe", Weight: 90}, {Service: "quill", Weight: 10}}}},
+			Routes: []configuration.Route{{Name: "letters", Host: "h.example", Prefix: "/l/", RetryClass: configuration.Streaming, Resumable: true, TimeoutMs: 5000, Priority: 1, MaxAttempts: 2,
+				Split: []configuration.WeightedService{{Service: "scribe", Weight: 90}, {Service: "quill", Weight: 10}}}},
 			Services: []controlnode.ServiceNote{{Name: "scribe", Models: 2, Replicas: 2, ConnectionsMost: 370}, {Name: "quill", Replicas: 1}},
 			Replicas: []controlnode.ReplicaNote{
 				{ID: "i-1", Service: "scribe", Zone: "a", State: controlnode.ReplicaDraining, LeftMs: &left, Stage: "decode", AgoMs: 20, Units: []string{"m1", "m1/a1"}, HeldMb: 61, RoomMb: 100},
--- a/internal/api/configuration/bare.go
+++ b/internal/api/configuration/bare.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// Mark is a hash of what an operator sent, so that the same order is known when it is sent again.
-func Mark(raw []byte) string {
+// Digest is a hash of what an operator sent, so that the same order is known when it is sent again.
+func Digest(raw []byte) string {
 	h := fnv.New128a()
 	_, _ = h.Write(raw)
 	return fmt.Sprintf("%x", h.Sum(nil))
 }
 
-// Bare is the declaration without the operator's own text, as gateways need it.
-func (d *Declaration) Bare() *Declaration {
+// WithoutSource is the declaration without the operator's own text, as gateways need it.
+func (d *Declaration) WithoutSource() *Declaration {
 	n := *d
 	n.Index = nil
 	n.Routes = routesWithoutSource(d.Routes)
@@ -23,8 +23,8 @@
 	return n.Indexed()
 }
 
-// Bare is the edit without the operator's own text, as gateways need it.
-func (e *Edit) Bare() *Edit {
+// WithoutSource is the edit without the operator's own text, as gateways need it.
+func (e *Edit) WithoutSource() *Edit {
 	n := *e
 	n.Routes = routesWithoutSource(e.Routes)
 	n.Services = servicesWithoutSource(e.Services)
--- a/internal/api/configuration/check_edited_test.go
+++ b/internal/api/configuration/check_edited_test.go
@@ -16,8 +16,8 @@
 
 func (e editor) route() Route {
 	r := Route{
-		Name: fmt.Sprint("r", e.r.Intn(9)), Host: e.one("h", "H", "g"), Prefix: e.one("/", "/a/", "/b/", "/c/", "/d/"), Repeat: Streaming,
-		TimeoutMs: 1000, AttemptsMost: 1, Split: []Weighted{{Service: fmt.Sprint("s", e.r.Intn(4)), Weight: 1}},
+		Name: fmt.Sprint("r", e.r.Intn(9)), Host: e.one("h", "H", "g"), Prefix: e.one("/", "/a/", "/b/", "/c/", "/d/"), RetryClass: Streaming,
+		TimeoutMs: 1000, MaxAttempts: 1, Split: []WeightedService{{Service: fmt.Sprint("s", e.r.Intn(4)), Weight: 1}},
 	}
 	switch e.r.Intn(12) {
 	case 0:
@@ -29,7 +29,7 @@
 	case 3:
 		r.Name = ""
 	case 4:
-		r.Split = append(r.Split, Weighted{Weight: 1})
+		r.Split = append(r.Split, WeightedService{Weight: 1})
 	}
 	return r
 }
@@ -37,7 +37,7 @@
 func (e editor) service() Service {
 	s := Service{Name: fmt.Sprint("s", e.r.Intn(4))}
 	if e.r.Intn(2) == 0 {
-		s.Engine = &Engine{Slots: e.r.Intn(3), CacheTokens: 1, RoomMb: 100, LoadsPerS: 1, Models: []EngineModel{{Name: "m", SizeMb: int64(e.r.Intn(110)), LoadMs: 100}}}
+		s.Engine = &Engine{Slots: e.r.Intn(3), CacheTokens: 1, CapacityMB: 100, LoadsPerSecond: 1, Models: []EngineModel{{Name: "m", SizeMB: int64(e.r.Intn(110)), LoadMs: 100}}}
 	}
 	return s
 }
@@ -57,7 +57,7 @@
 		edit.RemoveServices = []string{fmt.Sprint("s", e.r.Intn(4))}
 	}
 	if e.r.Intn(4) == 0 {
-		edit.Limits = &Limits{IdleMs: int64(e.r.Intn(4) - 1)}
+		edit.Limits = &Limits{IdleTimeoutMs: int64(e.r.Intn(4) - 1)}
 	}
 	return edit
 }
@@ -68,14 +68,14 @@
 	for seed := int64(1); seed <= 200; seed++ {
 		e := editor{rand.New(rand.NewSource(seed))}
 		doc := &Declaration{Version: 1, Services: []Service{{Name: "s0"}, {Name: "s1"}}, Routes: []Route{{
-			Name: "r0", Host: "h", Prefix: "/", Repeat: Streaming, TimeoutMs: 1000, AttemptsMost: 1, Split: []Weighted{{Service: "s0", Weight: 1}},
+			Name: "r0", Host: "h", Prefix: "/", RetryClass: Streaming, TimeoutMs: 1000, MaxAttempts: 1, Split: []WeightedService{{Service: "s0", Weight: 1}},
 		}}}
 		if bad := doc.CheckRoutes(); bad != nil {
 			t.Fatal(bad)
 		}
 		for version := uint64(2); version < 60; version++ {
 			edit := e.edit(version)
-			next, bad := doc.Edited(edit)
+			next, bad := doc.Apply(edit)
 			if bad != nil {
 				continue
 			}
@@ -103,8 +103,8 @@
 		doc := &Declaration{Version: 1, Services: []Service{{Name: "s0"}}}
 		for i := range routes {
 			doc.Routes = append(doc.Routes, Route{
-				Name: fmt.Sprint("r", i), Host: "h", Prefix: fmt.Sprintf("/%d/", i), Repeat: Streaming, TimeoutMs: 1000, AttemptsMost: 1,
-				Split: []Weighted{{Service: "s0", Weight: 1}},
+				Name: fmt.Sprint("r", i), Host: "h", Prefix: fmt.Sprintf("/%d/", i), RetryClass: Streaming, TimeoutMs: 1000, MaxAttempts: 1,
+				Split: []WeightedService{{Service: "s0", Weight: 1}},
 			})
 		}
 		edit := &Edit{Version: 2, Routes: doc.Routes[:1]}
--- a/internal/api/configuration/check_routes.go
+++ b/internal/api/configuration/check_routes.go
@@ -28,9 +28,9 @@
 
 // checkRoutes checks the fields of the items whose names are new, and those of the limits if they are.
 func (d *Declaration) checkRoutes(isNew func(name string) bool, newLimits bool) *fault.Fault {
-	c := routesCheck{
-		sheet: &fault.Sheet{}, isNew: isNew,
-		services: make(map[string]bool, len(d.Services)), routes: make(map[string]bool, len(d.Routes)), places: make(map[place]int, len(d.Routes)),
+	c := routeChecker{
+		faults: &fault.List{}, isNew: isNew,
+		services: make(map[string]bool, len(d.Services)), routes: make(map[string]bool, len(d.Routes)), byKey: make(map[routeKey]int, len(d.Routes)),
 	}
 	for i := range d.Services {
 		c.service(i, &d.Services[i])
@@ -41,48 +41,48 @@
 	if d.Limits != nil && newLimits {
 		c.fields("limits", d.Limits)
 	}
-	return c.sheet.As(fault.InvalidConfig)
+	return c.faults.Combined(fault.InvalidConfig)
 }
 
-// place is where a route's calls come in; host is in lower case.
-type place struct{ host, prefix string }
+// routeKey is where a route's calls come in; host is in lower case.
+type routeKey struct{ host, prefix string }
 
-// routesCheck goes through a declaration once, services before routes, and gathers its faults.
-type routesCheck struct {
-	sheet *fault.Sheet
+// routeChecker goes through a declaration once, services before routes, and gathers its faults.
+type routeChecker struct {
+	faults *fault.List
 	// services and routes are the names so far.
 	services map[string]bool
 	routes   map[string]bool
-	// places are the numbers of the routes so far.
-	places map[place]int
-	isNew  func(name string) bool
+	// byKey are the numbers of the routes so far.
+	byKey map[routeKey]int
+	isNew func(name string) bool
 }
 
 func servicePath(i int) string { return fmt.Sprintf("services[%d]", i) }
 
 func routePath(i int) string { return fmt.Sprintf("routes[%d]", i) }
 
-func (c *routesCheck) note(field, format string, args ...any) {
-	c.sheet.Note(fault.InvalidConfig, field, format, args...)
+func (c *routeChecker) addf(field, format string, args ...any) {
+	c.faults.Addf(fault.InvalidConfig, field, format, args...)
 }
 
 // fields checks one item by its tags; path is where it stands in the declaration.
-func (c *routesCheck) fields(path string, item any) {
-	for _, f := range Struct(fault.InvalidConfig, item).Faults {
+func (c *routeChecker) fields(path string, item any) {
+	for _, f := range Validate(fault.InvalidConfig, item).Faults {
 		f.Field = path + "." + f.Field
-		c.sheet.Faults = append(c.sheet.Faults, f)
+		c.faults.Faults = append(c.faults.Faults, f)
 	}
 }
 
 // unique notes a name that was seen before.
-func (c *routesCheck) unique(seen map[string]bool, path func(int) string, i int, name string) {
+func (c *routeChecker) unique(seen map[string]bool, path func(int) string, i int, name string) {
 	if seen[name] {
-		c.note(path(i)+".name", "%q is named twice", name)
+		c.addf(path(i)+".name", "%q is named twice", name)
 	}
 	seen[name] = true
 }
 
-func (c *routesCheck) service(i int, s *Service) {
+func (c *routeChecker) service(i int, s *Service) {
 	isNew := c.isNew(s.Name)
 	if isNew {
 		c.fields(servicePath(i), s)
@@ -92,34 +92,34 @@
 		return
 	}
 	for j, m := range s.Engine.Models {
-		if m.SizeMb > s.Engine.RoomMb {
-			c.note(fmt.Sprintf("%s.engine.models[%d]", servicePath(i), j), "%d MB fits no replica of %d MB", m.SizeMb, s.Engine.RoomMb)
+		if m.SizeMB > s.Engine.CapacityMB {
+			c.addf(fmt.Sprintf("%s.engine.models[%d]", servicePath(i), j), "%d MB fits no replica of %d MB", m.SizeMB, s.Engine.CapacityMB)
 		}
 	}
 }
 
-func (c *routesCheck) route(i int, r *Route) {
+func (c *routeChecker) route(i int, r *Route) {
 	if c.isNew(r.Name) {
 		c.fields(routePath(i), r)
 	}
 	c.unique(c.routes, routePath, i, r.Name)
-	at := place{strings.ToLower(r.Host), r.Prefix}
-	if other, taken := c.places[at]; taken {
-		c.note(routePath(i), "%s has the same host and prefix", routePath(other))
+	at := routeKey{strings.ToLower(r.Host), r.Prefix}
+	if other, taken := c.byKey[at]; taken {
+		c.addf(routePath(i), "%s has the same host and prefix", routePath(other))
 	}
-	c.places[at] = i
+	c.byKey[at] = i
 	c.split(i, r.Split)
 }
 
-func (c *routesCheck) split(i int, split []Weighted) {
+func (c *routeChecker) split(i int, split []WeightedService) {
 	sum := 0
 	for j, w := range split {
 		sum += w.Weight
 		if !c.services[w.Service] {
-			c.note(fmt.Sprintf("%s.split[%d]", routePath(i), j), "no service %q", w.Service)
+			c.addf(fmt.Sprintf("%s.split[%d]", routePath(i), j), "no service %q", w.Service)
 		}
 	}
 	if sum <= 0 {
-		c.note(routePath(i)+".split", "the weights add up to %d", sum)
+		c.addf(routePath(i)+".split", "the weights add up to %d", sum)
 	}
 }
--- a/internal/api/configuration/declaration.go
+++ b/internal/api/configuration/declaration.go
@@ -16,17 +16,17 @@
 
 // Declaration is all that operators have declared.
 type Declaration struct {
-	Name     string    `json:"name" validate:"required,max=64"`
-	Zones    []string  `json:"zones" validate:"required,min=1,max=16,unique,dive,required,max=32"`
-	Emptied  []string  `json:"emptied,omitempty" validate:"max=16,unique,dive,required"`
-	Replica  Replica   `json:"replica"`
-	Store    Store     `json:"store"`
-	Scaler   Scaler    `json:"scaler"`
-	Policy   Policy    `json:"policy"`
-	Shadows  []Policy  `json:"shadows,omitempty" validate:"max=4,unique=Name,dive"`
-	Kinds    []Kind    `json:"kinds" validate:"required,min=1,max=16,unique=Name,dive"`
-	Models   []Model   `json:"models" validate:"required,min=1,max=1024,unique=Name,dive"`
-	Adapters []Adapter `json:"adapters,omitempty" validate:"max=4096,unique=Name,dive"`
+	Name         string    `json:"name" validate:"required,max=64"`
+	Zones        []string  `json:"zones" validate:"required,min=1,max=16,unique,dive,required,max=32"`
+	DrainedZones []string  `json:"emptied,omitempty" validate:"max=16,unique,dive,required"`
+	Replica      Replica   `json:"replica"`
+	Store        Store     `json:"store"`
+	Scaler       Scaler    `json:"scaler"`
+	Policy       Policy    `json:"policy"`
+	Shadows      []Policy  `json:"shadows,omitempty" validate:"max=4,unique=Name,dive"`
+	Kinds        []Kind    `json:"kinds" validate:"required,min=1,max=16,unique=Name,dive"`
+	Models       []Model   `json:"models" validate:"required,min=1,max=1024,unique=Name,dive"`
+	Adapters     []Adapter `json:"adapters,omitempty" validate:"max=4096,unique=Name,dive"`
 
 	// Version is the operators' own number of it. A declaration with routes is checked by CheckRoutes:
 	// its services' engines stand for replica, store, models and adapters, its routes for kinds.
@@ -43,23 +43,23 @@
 
 // Replica says how much a replica holds.
 type Replica struct {
-	RoomMb int64 `json:"roomMb" validate:"required,min=1"`
+	CapacityMB int64 `json:"roomMb" validate:"required,min=1"`
 }
 
 // Store bounds what all replicas together load from the store of weights: how many at once, and how many MB a second
 // with what burst.
 type Store struct {
 	Loads       int   `json:"loads" validate:"required,min=1,max=64"`
-	MbPerSecond int64 `json:"mbPerSecond" validate:"required,min=1"`
-	BurstMb     int64 `json:"burstMb" validate:"required,min=1"`
+	MBPerSecond int64 `json:"mbPerSecond" validate:"required,min=1"`
+	BurstMB     int64 `json:"burstMb" validate:"required,min=1"`
 }
 
 // Scaler says how counts follow rates: spare replicas, how alike two latencies must be to prefer fewer replicas, and over
 // how long rates are measured.
 type Scaler struct {
-	Spares     int `json:"spares" validate:"min=0,max=64"`
-	SimilarPct int `json:"similarPct" validate:"min=0,max=100"`
-	WindowMs   int `json:"windowMs" validate:"required,min=500,max=600000"`
+	StandbyReplicas     int `json:"spares" validate:"min=0,max=64"`
+	LatencyTolerancePct int `json:"similarPct" validate:"min=0,max=100"`
+	WindowMs            int `json:"windowMs" validate:"required,min=500,max=600000"`
 }
 
 // Policy is a placement policy: its name and its Starlark program.
@@ -78,69 +78,69 @@
 
 // Model is a model with its offline table; Weight says how much it counts beside others of the same rate.
 type Model struct {
-	Name   string  `json:"name" validate:"required,max=64"`
-	SizeMb int64   `json:"sizeMb" validate:"required,min=1"`
-	LoadMs int64   `json:"loadMs" validate:"required,min=1"`
-	Weight int     `json:"weight" validate:"min=0,max=100"`
-	Table  []Point `json:"table" validate:"required,min=1,max=64,dive"`
+	Name     string          `json:"name" validate:"required,max=64"`
+	SizeMB   int64           `json:"sizeMb" validate:"required,min=1"`
+	LoadMs   int64           `json:"loadMs" validate:"required,min=1"`
+	Weight   int             `json:"weight" validate:"min=0,max=100"`
+	Capacity []CapacityPoint `json:"table" validate:"required,min=1,max=64,dive"`
 }
 
-// Point is what a number of replicas of one model bear, and how fast they answer.
-type Point struct {
-	Replicas  int     `json:"replicas" validate:"required,min=1"`
-	PerSecond float64 `json:"perSecond" validate:"required,gt=0"`
-	LatencyMs int64   `json:"latencyMs" validate:"required,min=1"`
+// CapacityPoint is what a number of replicas of one model bear, and how fast they answer.
+type CapacityPoint struct {
+	Replicas       int     `json:"replicas" validate:"required,min=1"`
+	CallsPerSecond float64 `json:"perSecond" validate:"required,gt=0"`
+	LatencyMs      int64   `json:"latencyMs" validate:"required,min=1"`
 }
 
 // Adapter is an adapter of one model, loaded beside it.
 type Adapter struct {
 	Name   string `json:"name" validate:"required,max=64"`
 	Model  string `json:"model" validate:"required"`
-	SizeMb int64  `json:"sizeMb" validate:"required,min=1"`
+	SizeMB int64  `json:"sizeMb" validate:"required,min=1"`
 	LoadMs int64  `json:"loadMs" validate:"required,min=1"`
 }
 
 // Model finds a model by name; nil where there is none.
 func (d *Declaration) Model(name string) *Model {
-	return named(d.Models, name, func(m *Model) string { return m.Name })
+	return findByName(d.Models, name, func(m *Model) string { return m.Name })
 }
 
 // Adapter finds an adapter by name; nil where there is none.
 func (d *Declaration) Adapter(name string) *Adapter {
-	return named(d.Adapters, name, func(a *Adapter) string { return a.Name })
+	return findByName(d.Adapters, name, func(a *Adapter) string { return a.Name })
 }
 
 // Kind finds a kind by name, or makes one of the route of that name; nil where there is neither.
 func (d *Declaration) Kind(name string) *Kind {
 	if d.Routed() {
 		if r := d.Route(name); r != nil {
-			return &Kind{Name: r.Name, Urgency: max(1, 9-r.Priority), Resumable: r.Repeatable(), DeadlineMs: r.TimeoutMs}
+			return &Kind{Name: r.Name, Urgency: max(1, 9-r.Priority), Resumable: r.Retryable(), DeadlineMs: r.TimeoutMs}
 		}
 		return nil
 	}
-	return named(d.Kinds, name, func(k *Kind) string { return k.Name })
+	return findByName(d.Kinds, name, func(k *Kind) string { return k.Name })
 }
 
-// IsEmptied says whether operators have emptied a zone.
-func (d *Declaration) IsEmptied(zone string) bool { return slices.Contains(d.Emptied, zone) }
+// IsDrained says whether operators have emptied a zone.
+func (d *Declaration) IsDrained(zone string) bool { return slices.Contains(d.DrainedZones, zone) }
 
 // HasZone says whether a zone is declared.
 func (d *Declaration) HasZone(zone string) bool { return slices.Contains(d.Zones, zone) }
 
-// UnitMb is the room a model or an adapter takes; ok is false for an unknown name.
-func (d *Declaration) UnitMb(unit string) (sizeMb, loadMs int64, ok bool) {
+// UnitSize is the room a model or an adapter takes; ok is false for an unknown name.
+func (d *Declaration) UnitSize(unit string) (sizeMb, loadMs int64, ok bool) {
 	if m := d.Model(unit); m != nil {
-		return m.SizeMb, m.LoadMs, true
+		return m.SizeMB, m.LoadMs, true
 	}
 	if a := d.Adapter(unit); a != nil {
-		return a.SizeMb, a.LoadMs, true
+		return a.SizeMB, a.LoadMs, true
 	}
 	return 0, 0, false
 }
 
-var checker = newChecker()
+var validate = newValidator()
 
-func newChecker() *validator.Validate {
+func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
 		return strings.Split(f.Tag.Get("json"), ",")[0]
@@ -148,20 +148,20 @@
 	return v
 }
 
-// Struct runs the tags over any tagged struct and collects all faults with their paths.
-func Struct(code fault.Code, v any) *fault.Sheet {
-	sheet := &fault.Sheet{}
-	err := checker.Struct(v)
+// Validate runs the tags over any tagged struct and collects all faults with their paths.
+func Validate(code fault.Code, v any) *fault.List {
+	faults := &fault.List{}
+	err := validate.Struct(v)
 	if err == nil {
-		return sheet
+		return faults
 	}
-	var faults validator.ValidationErrors
+	var violations validator.ValidationErrors
 	if list, ok := err.(validator.ValidationErrors); ok {
-		faults = list
+		violations = list
 	} else {
-		sheet.Note(code, "", "%v", err)
+		faults.Addf(code, "", "%v", err)
 	}
-	for _, e := range faults {
+	for _, e := range violations {
 		path := e.Namespace()
 		if i := strings.IndexByte(path, '.'); i >= 0 {
 			path = path[i+1:]
@@ -170,9 +170,9 @@
 		if e.Param() != "" {
 			rule += " " + e.Param()
 		}
-		sheet.Note(code, path, "must satisfy %q, has %v", rule, brief(e.Value()))
+		faults.Addf(code, path, "must satisfy %q, has %v", rule, brief(e.Value()))
 	}
-	return sheet
+	return faults
 }
 
 func brief(v any) string {
@@ -198,60 +198,60 @@
 // Check returns all that is wrong with a declaration by kinds, nil for nothing; policy may be nil. Declarations by routes
 // are checked by CheckRoutes.
 func Check(d *Declaration, policy PolicyCheck) *fault.Fault {
-	sheet := Struct(fault.InvalidConfig, d)
-	for i, z := range d.Emptied {
+	faults := Validate(fault.InvalidConfig, d)
+	for i, z := range d.DrainedZones {
 		if !d.HasZone(z) {
-			sheet.Note(fault.InvalidConfig, fmt.Sprintf("emptied[%d]", i), "zone %q is not declared", z)
+			faults.Addf(fault.InvalidConfig, fmt.Sprintf("emptied[%d]", i), "zone %q is not declared", z)
 		}
 	}
 	names := map[string]string{}
 	for i, m := range d.Models {
 		path := fmt.Sprintf("models[%d]", i)
 		names[m.Name] = path
-		if m.SizeMb > d.Replica.RoomMb {
-			sheet.Note(fault.InvalidConfig, path+".sizeMb", "%d MB fits no replica of %d MB", m.SizeMb, d.Replica.RoomMb)
+		if m.SizeMB > d.Replica.CapacityMB {
+			faults.Addf(fault.InvalidConfig, path+".sizeMb", "%d MB fits no replica of %d MB", m.SizeMB, d.Replica.CapacityMB)
 		}
-		if m.SizeMb > d.Store.BurstMb {
-			sheet.Note(fault.InvalidConfig, path+".sizeMb", "%d MB can never be loaded within a burst of %d MB", m.SizeMb, d.Store.BurstMb)
+		if m.SizeMB > d.Store.BurstMB {
+			faults.Addf(fault.InvalidConfig, path+".sizeMb", "%d MB can never be loaded within a burst of %d MB", m.SizeMB, d.Store.BurstMB)
 		}
-		checkTable(sheet, path, m.Table)
+		checkCapacity(faults, path, m.Capacity)
 	}
 	for i, a := range d.Adapters {
 		path := fmt.Sprintf("adapters[%d]", i)
 		if other, taken := names[a.Name]; taken {
-			sheet.Note(fault.InvalidConfig, path+".name", "%q is already the name of %s", a.Name, other)
+			faults.Addf(fault.InvalidConfig, path+".name", "%q is already the name of %s", a.Name, other)
 		}
 		names[a.Name] = path
 		base := d.Model(a.Model)
 		if base == nil {
-			sheet.Note(fault.InvalidConfig, path+".model", "no model %q", a.Model)
-		} else if base.SizeMb+a.SizeMb > d.Replica.RoomMb {
-			sheet.Note(fault.InvalidConfig, path+".sizeMb", "with its model %d MB fits no replica of %d MB", base.SizeMb+a.SizeMb, d.Replica.RoomMb)
+			faults.Addf(fault.InvalidConfig, path+".model", "no model %q", a.Model)
+		} else if base.SizeMB+a.SizeMB > d.Replica.CapacityMB {
+			faults.Addf(fault.InvalidConfig, path+".sizeMb", "with its model %d MB fits no replica of %d MB", base.SizeMB+a.SizeMB, d.Replica.CapacityMB)
 		}
 	}
 	if policy != nil {
 		if f := policy(d.Policy.Name, d.Policy.Source); f != nil {
 			f.Field = "policy.source"
-			sheet.Add(f)
+			faults.Add(f)
 		}
 		for i, p := range d.Shadows {
 			if f := policy(p.Name, p.Source); f != nil {
 				f.Field = fmt.Sprintf("shadows[%d].source", i)
-				sheet.Add(f)
+				faults.Add(f)
 			}
 		}
 	}
-	return sheet.As(fault.InvalidConfig)
+	return faults.Combined(fault.InvalidConfig)
 }
 
-func checkTable(sheet *fault.Sheet, path string, table []Point) {
+func checkCapacity(faults *fault.List, path string, table []CapacityPoint) {
 	for i, p := range table {
 		at := fmt.Sprintf("%s.table[%d]", path, i)
 		if p.Replicas != i+1 {
-			sheet.Note(fault.InvalidConfig, at+".replicas", "the table has a gap: want %d, has %d", i+1, p.Replicas)
+			faults.Addf(fault.InvalidConfig, at+".replicas", "the table has a gap: want %d, has %d", i+1, p.Replicas)
 		}
-		if i > 0 && p.PerSecond < table[i-1].PerSecond {
-			sheet.Note(fault.InvalidConfig, at+".perSecond", "throughput falls as replicas grow")
+		if i > 0 && p.CallsPerSecond < table[i-1].CallsPerSecond {
+			faults.Addf(fault.InvalidConfig, at+".perSecond", "throughput falls as replicas grow")
 		}
 	}
 }
--- a/internal/api/configuration/edit.go
+++ b/internal/api/configuration/edit.go
@@ -14,20 +14,20 @@
 	Limits         *Limits   `json:"limits,omitempty"`
 }
 
-// Edited is the declaration with an edit applied; the old one stays as it is.
-func (d *Declaration) Edited(e *Edit) (*Declaration, *fault.Fault) {
-	sheet := &fault.Sheet{}
+// Apply is the declaration with an edit applied; the old one stays as it is.
+func (d *Declaration) Apply(e *Edit) (*Declaration, *fault.Fault) {
+	faults := &fault.List{}
 	n := *d
 	n.Index = nil
 	n.Version = e.Version
 	routes := itemsEdit[Route]{field: "routes", upsert: e.Routes, remove: e.RemoveRoutes, name: func(r *Route) string { return r.Name }}
-	n.Routes = routes.apply(sheet, d.Routes)
+	n.Routes = routes.apply(faults, d.Routes)
 	services := itemsEdit[Service]{field: "services", upsert: e.Services, remove: e.RemoveServices, name: func(s *Service) string { return s.Name }}
-	n.Services = services.apply(sheet, d.Services)
+	n.Services = services.apply(faults, d.Services)
 	if e.Limits != nil {
 		n.Limits = e.Limits
 	}
-	return &n, sheet.As(fault.InvalidConfig)
+	return &n, faults.Combined(fault.InvalidConfig)
 }
 
 // itemsEdit changes a list of named items: those in upsert take the place of the item of their name or come last,
@@ -39,12 +39,12 @@
 	name   func(*T) string
 }
 
-func (e *itemsEdit[T]) apply(sheet *fault.Sheet, current []T) []T {
+func (e *itemsEdit[T]) apply(faults *fault.List, current []T) []T {
 	removed := map[string]bool{}
 	for _, name := range e.remove {
 		removed[name] = true
 	}
-	upserts := e.byName(sheet)
+	upserts := e.byName(faults)
 	placed := make(map[string]bool, len(e.upsert))
 	edited := make([]T, 0, len(current)+len(e.upsert))
 	for i := range current {
@@ -66,12 +66,12 @@
 }
 
 // byName finds the items to place by their names, and notes a name that comes twice.
-func (e *itemsEdit[T]) byName(sheet *fault.Sheet) map[string]int {
+func (e *itemsEdit[T]) byName(faults *fault.List) map[string]int {
 	at := map[string]int{}
 	for i := range e.upsert {
 		name := e.name(&e.upsert[i])
 		if _, twice := at[name]; twice {
-			sheet.Note(fault.InvalidConfig, e.field, "%q is named twice", name)
+			faults.Addf(fault.InvalidConfig, e.field, "%q is named twice", name)
 		}
 		at[name] = i
 	}
--- a/internal/api/configuration/index.go
+++ b/internal/api/configuration/index.go
@@ -52,8 +52,8 @@
 	return d
 }
 
-// named finds the first item of a name; nil where there is none.
-func named[T any](all []T, name string, of func(*T) string) *T {
+// findByName finds the first item of a name; nil where there is none.
+func findByName[T any](all []T, name string, of func(*T) string) *T {
 	for i := range all {
 		if of(&all[i]) == name {
 			return &all[i]
@@ -67,7 +67,7 @@
 	if d.Index != nil {
 		return d.Index.routes[name]
 	}
-	return named(d.Routes, name, func(r *Route) string { return r.Name })
+	return findByName(d.Routes, name, func(r *Route) string { return r.Name })
 }
 
 // Service is the service of a name; nil where there is none.
@@ -75,7 +75,7 @@
 	if d.Index != nil {
 		return d.Index.services[name]
 	}
-	return named(d.Services, name, func(s *Service) string { return s.Name })
+	return findByName(d.Services, name, func(s *Service) string { return s.Name })
 }
 
 // EngineModel is a model as a service's engine names it; nil where it does not.
@@ -87,7 +87,7 @@
 	if s == nil || s.Engine == nil {
 		return nil
 	}
-	return named(s.Engine.Models, model, func(m *EngineModel) string { return m.Name })
+	return findByName(s.Engine.Models, model, func(m *EngineModel) string { return m.Name })
 }
 
 // Match finds the route with the longest prefix that begins the path; every prefix ends with a slash.
--- a/internal/api/configuration/routes.go
+++ b/internal/api/configuration/routes.go
@@ -4,47 +4,47 @@
 	"encoding/json"
 )
 
-// Repeat says what may be sent to a second replica once a first may have run it.
-type Repeat string
+// RetryClass says what may be sent to a second replica once a first may have run it.
+type RetryClass string
 
 // The kinds of routes. A streaming route may be repeated only where it is resumable.
 const (
-	Streaming     Repeat = "streaming"
-	Idempotent    Repeat = "idempotent"
-	NonIdempotent Repeat = "non_idempotent"
+	Streaming     RetryClass = "streaming"
+	Idempotent    RetryClass = "idempotent"
+	NonIdempotent RetryClass = "non_idempotent"
 )
 
 // Route sends the calls of one host and path prefix to services. Source is the operator's own text of
 // it, given back as it came; times are milliseconds, Priority 0 is the most urgent.
 type Route struct {
-	Name         string          `json:"name" validate:"required,max=256"`
-	Host         string          `json:"host" validate:"required,max=256"`
-	Prefix       string          `json:"prefix" validate:"required,max=4096,startswith=/,endswith=/"`
-	Repeat       Repeat          `json:"repeat" validate:"oneof=streaming idempotent non_idempotent"`
-	TimeoutMs    int64           `json:"timeoutMs" validate:"min=1,max=86400000"`
-	AimMs        int64           `json:"aimMs,omitempty" validate:"min=0"`
-	GapMs        int64           `json:"gapMs,omitempty" validate:"min=0"`
-	Priority     int             `json:"priority" validate:"min=0,max=1000"`
-	Split        []Weighted      `json:"split" validate:"min=1,max=64,dive"`
-	AttemptsMost int             `json:"attemptsMost" validate:"min=1,max=64"`
-	Affinity     bool            `json:"affinity,omitempty"`
-	Resumable    bool            `json:"resumable,omitempty"`
-	Source       json.RawMessage `json:"source,omitempty" validate:"-"`
+	Name            string            `json:"name" validate:"required,max=256"`
+	Host            string            `json:"host" validate:"required,max=256"`
+	Prefix          string            `json:"prefix" validate:"required,max=4096,startswith=/,endswith=/"`
+	RetryClass      RetryClass        `json:"repeat" validate:"oneof=streaming idempotent non_idempotent"`
+	TimeoutMs       int64             `json:"timeoutMs" validate:"min=1,max=86400000"`
+	LatencyTargetMs int64             `json:"aimMs,omitempty" validate:"min=0"`
+	MaxGapMs        int64             `json:"gapMs,omitempty" validate:"min=0"`
+	Priority        int               `json:"priority" validate:"min=0,max=1000"`
+	Split           []WeightedService `json:"split" validate:"min=1,max=64,dive"`
+	MaxAttempts     int               `json:"attemptsMost" validate:"min=1,max=64"`
+	Affinity        bool              `json:"affinity,omitempty"`
+	Resumable       bool              `json:"resumable,omitempty"`
+	Source          json.RawMessage   `json:"source,omitempty" validate:"-"`
 }
 
-// Weighted is a service's share of a route.
-type Weighted struct {
+// WeightedService is a service's share of a route.
+type WeightedService struct {
 	Service string `json:"service" validate:"required"`
 	Weight  int    `json:"weight" validate:"min=0,max=1000000"`
 }
 
-// Repeatable calls may run more than once: those of idempotent routes, and streams that may be resumed.
-func (r *Route) Repeatable() bool {
-	return r.Repeat == Idempotent || (r.Repeat == Streaming && r.Resumable)
+// Retryable calls may run more than once: those of idempotent routes, and streams that may be resumed.
+func (r *Route) Retryable() bool {
+	return r.RetryClass == Idempotent || (r.RetryClass == Streaming && r.Resumable)
 }
 
-// Service draws by weight from a number that is spread evenly, such as a hash of the call's id.
-func (r *Route) Service(draw uint64) string {
+// PickService draws by weight from a number that is spread evenly, such as a hash of the call's id.
+func (r *Route) PickService(hash uint64) string {
 	if len(r.Split) == 1 {
 		return r.Split[0].Service
 	}
@@ -52,7 +52,7 @@
 	for _, w := range r.Split {
 		sum += w.Weight
 	}
-	at := int(draw % uint64(max(sum, 1)))
+	at := int(hash % uint64(max(sum, 1)))
 	for _, w := range r.Split {
 		if at < w.Weight {
 			return w.Service
@@ -62,8 +62,8 @@
 	return r.Split[len(r.Split)-1].Service
 }
 
-// May says whether the route sends anything to a service.
-func (r *Route) May(service string) bool {
+// SendsTo says whether the route sends anything to a service.
+func (r *Route) SendsTo(service string) bool {
 	for _, w := range r.Split {
 		if w.Service == service && w.Weight > 0 {
 			return true
@@ -74,18 +74,18 @@
 
 // Service is a set of replicas that routes send to. Source is the operator's own text of it.
 type Service struct {
-	Name            string          `json:"name" validate:"required,max=256"`
-	HealthPath      string          `json:"health,omitempty"`
-	ConnectionsMost int             `json:"connectionsMost,omitempty" validate:"min=0"`
-	Engine          *Engine         `json:"engine,omitempty"`
-	Source          json.RawMessage `json:"source,omitempty" validate:"-"`
+	Name           string          `json:"name" validate:"required,max=256"`
+	HealthPath     string          `json:"health,omitempty"`
+	MaxConnections int             `json:"connectionsMost,omitempty" validate:"min=0"`
+	Engine         *Engine         `json:"engine,omitempty"`
+	Source         json.RawMessage `json:"source,omitempty" validate:"-"`
 }
 
 // Limits bound what a caller may send and how long it may take; 0 leaves the product's own bound.
 type Limits struct {
-	HeaderBytesMost int             `json:"headerBytesMost,omitempty" validate:"min=0"`
-	BodyBytesMost   int64           `json:"bodyBytesMost,omitempty" validate:"min=0"`
-	HeaderMs        int64           `json:"headerMs,omitempty" validate:"min=0"`
-	IdleMs          int64           `json:"idleMs,omitempty" validate:"min=0"`
+	MaxHeaderBytes  int             `json:"headerBytesMost,omitempty" validate:"min=0"`
+	MaxBodyBytes    int64           `json:"bodyBytesMost,omitempty" validate:"min=0"`
+	HeaderTimeoutMs int64           `json:"headerMs,omitempty" validate:"min=0"`
+	IdleTimeoutMs   int64           `json:"idleMs,omitempty" validate:"min=0"`
 	Source          json.RawMessage `json:"source,omitempty" validate:"-"`
 }
--- a/internal/api/fault/fault.go
+++ b/internal/api/fault/fault.go
@@ -11,60 +11,60 @@
 // Codes of requests, which callers see, and below them those of orders, policies, settings and data, which operators
 // see.
 const (
-	BadJSON        Code = "bad_json"
-	TooLarge       Code = "too_large"
-	BadField       Code = "bad_field"
-	UnknownKind    Code = "unknown_kind"
-	UnknownModel   Code = "unknown_model"
-	UnknownAdapter Code = "unknown_adapter"
-	PastDeadline   Code = "past_expiry"
-	BadLastEventID Code = "bad_last_event_id"
-	Overloaded     Code = "overloaded"
-	NoLease        Code = "no_lease"
-	Expired        Code = "expired"
-	ReplicaFailed  Code = "replica_failed"
-	ReplicaRefuses Code = "replica_refuses"
-	Unknown        Code = "unknown"
-	Broken         Code = "broken"
-	KeyRunning     Code = "key_running"
-	KeyUnknown     Code = "key_unknown"
-	KeyEnded       Code = "key_ended"
-	KeysFull       Code = "keys_full"
-	Draining       Code = "draining"
+	BadJSON         Code = "bad_json"
+	TooLarge        Code = "too_large"
+	BadField        Code = "bad_field"
+	UnknownKind     Code = "unknown_kind"
+	UnknownModel    Code = "unknown_model"
+	UnknownAdapter  Code = "unknown_adapter"
+	PastDeadline    Code = "past_expiry"
+	BadLastEventID  Code = "bad_last_event_id"
+	Overloaded      Code = "overloaded"
+	NoLease         Code = "no_lease"
+	Expired         Code = "expired"
+	ReplicaFailed   Code = "replica_failed"
+	ReplicaRejected Code = "replica_refuses"
+	OutcomeUnknown  Code = "unknown"
+	StreamBroken    Code = "broken"
+	KeyRunning      Code = "key_running"
+	KeyUnknown      Code = "key_unknown"
+	KeyEnded        Code = "key_ended"
+	KeysFull        Code = "keys_full"
+	Draining        Code = "draining"
 
-	InvalidConfig   Code = "invalid_config"
-	StaleBase       Code = "stale_base"
-	NotEverywhere   Code = "committed_not_everywhere"
-	InDoubt         Code = "in_doubt"
-	NotServing      Code = "not_serving"
-	NoSuchZone      Code = "no_such_zone"
-	StaleEpoch      Code = "stale_epoch"
-	StaleView       Code = "stale_view"
-	TicketRefused   Code = "ticket_refused"
-	NoRoom          Code = "no_room"
-	StoreRate       Code = "store_rate"
-	ReplicaBusy     Code = "replica_busy"
-	ReplicaUnknown  Code = "replica_unknown"
-	ReplicaLeaving  Code = "replica_leaving"
-	NotHeld         Code = "not_held"
-	AlreadyHeld     Code = "already_held"
-	PolicyCompile   Code = "policy_compile"
-	PolicyFailed    Code = "policy_failed"
-	PolicyLimit     Code = "policy_limit"
-	PolicyNonsense  Code = "policy_nonsense"
-	BadSettings     Code = "bad_settings"
-	DamagedData     Code = "damaged_data"
-	ForeignData     Code = "foreign_data"
-	ForeignMember   Code = "foreign_member"
-	UnknownForm     Code = "unknown_form"
-	DataUnwritable  Code = "data_unwritable"
-	PlatformBad     Code = "platform_bad"
-	MembershipUnfit Code = "membership_unfit"
-	NotFound        Code = "not_found"
-	ForeignChange   Code = "foreign_change"
-	WindowSpoilt    Code = "window_spoilt"
-	Interrupted     Code = "interrupted"
-	NotRestored     Code = "not_restored"
+	InvalidConfig          Code = "invalid_config"
+	StaleBase              Code = "stale_base"
+	CommittedNotEverywhere Code = "committed_not_everywhere"
+	InDoubt                Code = "in_doubt"
+	NotServing             Code = "not_serving"
+	NoSuchZone             Code = "no_such_zone"
+	StaleEpoch             Code = "stale_epoch"
+	StaleView              Code = "stale_view"
+	CommandRejected        Code = "ticket_refused"
+	InsufficientCapacity   Code = "no_room"
+	StoreRateLimited       Code = "store_rate"
+	ReplicaBusy            Code = "replica_busy"
+	ReplicaUnknown         Code = "replica_unknown"
+	ReplicaDraining        Code = "replica_leaving"
+	UnitNotLoaded          Code = "not_held"
+	UnitAlreadyLoaded      Code = "already_held"
+	PolicyCompile          Code = "policy_compile"
+	PolicyFailed           Code = "policy_failed"
+	PolicyLimit            Code = "policy_limit"
+	PolicyInvalidResult    Code = "policy_nonsense"
+	BadSettings            Code = "bad_settings"
+	DamagedData            Code = "damaged_data"
+	ForeignData            Code = "foreign_data"
+	ForeignMember          Code = "foreign_member"
+	UnknownFormat          Code = "unknown_form"
+	DataNotWritable        Code = "data_unwritable"
+	PlatformInvalidAnswer  Code = "platform_bad"
+	MembershipMismatch     Code = "membership_unfit"
+	NotFound               Code = "not_found"
+	ForeignChange          Code = "foreign_change"
+	WindowInvalidated      Code = "window_spoilt"
+	Interrupted            Code = "interrupted"
+	NotRestored            Code = "not_restored"
 )
 
 // Whether a replica ran a request: not at all, perhaps, to its end, in part.
@@ -106,29 +106,29 @@
 	return &Fault{Code: code, Field: field, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Sheet collects faults, so that all of an input are told at once. Its zero value is ready to use.
-type Sheet struct {
+// List collects faults, so that all of an input are told at once. Its zero value is ready to use.
+type List struct {
 	Faults []Fault
 }
 
 // Add puts a fault on the sheet; nil is passed over.
-func (s *Sheet) Add(f *Fault) {
+func (s *List) Add(f *Fault) {
 	if f != nil {
 		s.Faults = append(s.Faults, *f)
 	}
 }
 
-// Note makes a fault as New does and puts it on the sheet.
-func (s *Sheet) Note(code Code, field, format string, args ...any) {
+// Addf makes a fault as New does and puts it on the sheet.
+func (s *List) Addf(code Code, field, format string, args ...any) {
 	s.Add(New(code, field, format, args...))
 }
 
-// Seen says whether anything is on the sheet.
-func (s *Sheet) Seen() bool { return len(s.Faults) > 0 }
+// Any says whether anything is on the sheet.
+func (s *List) Any() bool { return len(s.Faults) > 0 }
 
-// As is one fault with all of the sheet inside, or nil where the sheet is empty.
-func (s *Sheet) As(code Code) *Fault {
-	if !s.Seen() {
+// Combined is one fault with all of the sheet inside, or nil where the sheet is empty.
+func (s *List) Combined(code Code) *Fault {
+	if !s.Any() {
 		return nil
 	}
 	return &Fault{Code: code, Detail: fmt.Sprintf("%d fault(s)", len(s.Faults)), Faults: s.Faults}
--- a/internal/api/feature/feature.go
+++ b/internal/api/feature/feature.go
@@ -27,26 +27,26 @@
 	OverloadRefusal Gate = "OverloadRefusal"
 	// PrefixAffinity prefers replicas that have been sent the first parts of a prompt. Without it all are alike.
 	PrefixAffinity Gate = "PrefixAffinity"
-	// SpareRoom keeps room for one more model, and places for adapters, free ahead of calls. Without it room is made
+	// SpareCapacity keeps room for one more model, and places for adapters, free ahead of calls. Without it room is made
 	// once it is asked for.
-	SpareRoom Gate = "SpareRoom"
+	SpareCapacity Gate = "SpareRoom"
 	// ZonePreference prefers replicas of the gateway's own zone. Without it all zones are alike.
 	ZonePreference Gate = "ZonePreference"
 )
 
 // Gates are all mechanisms that may be switched off, in the order of their names.
 func Gates() []Gate {
-	return []Gate{DemandForecast, EarlyRefusal, FleetOutliers, OverloadRefusal, PrefixAffinity, SpareRoom, ZonePreference}
+	return []Gate{DemandForecast, EarlyRefusal, FleetOutliers, OverloadRefusal, PrefixAffinity, SpareCapacity, ZonePreference}
 }
 
-// Off are the mechanisms that are switched off; nil leaves all on.
-type Off []Gate
+// Disabled are the mechanisms that are switched off; nil leaves all on.
+type Disabled []Gate
 
 // Has says whether a mechanism is switched off.
-func (o Off) Has(g Gate) bool { return slices.Contains(o, g) }
+func (o Disabled) Has(g Gate) bool { return slices.Contains(o, g) }
 
 // String lists them as Parse reads them.
-func (o Off) String() string {
+func (o Disabled) String() string {
 	names := make([]string, len(o))
 	for i, g := range o {
 		names[i] = string(g)
@@ -55,10 +55,10 @@
 }
 
 // Check refuses a name that is no mechanism, and one that stands twice.
-func (o Off) Check() *fault.Fault {
+func (o Disabled) Check() *fault.Fault {
 	for i, g := range o {
 		if !slices.Contains(Gates(), g) {
-			return fault.New(fault.BadSettings, "disable", "%q is no mechanism; there are %s", g, Off(Gates()))
+			return fault.New(fault.BadSettings, "disable", "%q is no mechanism; there are %s", g, Disabled(Gates()))
 		}
 		if slices.Contains(o[:i], g) {
 			return fault.New(fault.BadSettings, "disable", "%q is named twice", g)
--- a/internal/api/feature/feature_test.go
+++ b/internal/api/feature/feature_test.go
@@ -11,13 +11,13 @@
 	if !slices.IsSorted(Gates()) || len(slices.Compact(Gates())) != len(Gates()) {
 		t.Errorf("%v", Gates())
 	}
-	if bad := Off(Gates()).Check(); bad != nil {
+	if bad := Disabled(Gates()).Check(); bad != nil {
 		t.Error(bad)
 	}
 }
 
 func TestWhatIsNoMechanismIsRefused(t *testing.T) {
-	for name, off := range map[string]Off{"unknown": {"SpareRooms"}, "empty": {""}, "twice": {SpareRoom, SpareRoom}} {
+	for name, off := range map[string]Disabled{"unknown": {"SpareRooms"}, "empty": {""}, "twice": {SpareCapacity, SpareCapacity}} {
 		if bad := off.Check(); bad == nil || bad.Code != fault.BadSettings {
 			t.Errorf("%s: %v", name, bad)
 		}
@@ -25,8 +25,8 @@
 }
 
 func TestOff(t *testing.T) {
-	off := Off{SpareRoom}
-	if !off.Has(SpareRoom) || off.Has(EarlyRefusal) || Off(nil).Has(SpareRoom) {
+	off := Disabled{SpareCapacity}
+	if !off.Has(SpareCapacity) || off.Has(EarlyRefusal) || Disabled(nil).Has(SpareCapacity) {
 		t.Error("what is named is off, and nothing else")
 	}
 }
--- a/internal/api/settings/settings_test.go
+++ b/internal/api/settings/settings_test.go
@@ -11,7 +11,7 @@
 
 func TestADiskThatTakesNothingNowIsNoFaultOfTheSettings(t *testing.T) {
 	for err, want := range map[error]bool{syscall.ENOSPC: true, syscall.EIO: true, syscall.EDQUOT: true, syscall.EACCES: false, syscall.EROFS: false, syscall.ENOTDIR: false} {
-		if got := waits(&os.PathError{Op: "open", Path: "x", Err: err}); got != want {
+		if got := isTransient(&os.PathError{Op: "open", Path: "x", Err: err}); got != want {
 			t.Errorf("%v: waits %v, want %v", err, got, want)
 		}
 	}
@@ -19,9 +19,9 @@
 	if err := os.WriteFile(file, nil, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	sheet := &fault.Sheet{}
-	writable(sheet, filepath.Join(file, "data"))
-	if sheet.As(fault.BadSettings) == nil {
+	faults := &fault.List{}
+	checkWritable(faults, filepath.Join(file, "data"))
+	if faults.Combined(fault.BadSettings) == nil {
 		t.Error("a folder inside a file was taken")
 	}
 }
--- a/internal/api/wire/frame.go
+++ b/internal/api/wire/frame.go
@@ -16,19 +16,19 @@
 // Revision and the declaration or the edits that lead to it come together; From is where the edits begin.
 type Frame struct {
 	ControlNode string `json:"office"`
-	Whole       bool   `json:"whole,omitempty"`
-	Settled     bool   `json:"settled,omitempty"`
-	// Behind says that the control node may be cut off: newer declarations may be in force than it knows.
-	Behind       bool                       `json:"behind,omitempty"`
-	View         *chain.View                `json:"view,omitempty"`
-	ControlNodes []chain.Member             `json:"offices,omitempty"`
-	Revision     uint64                     `json:"revision,omitempty"`
-	From         uint64                     `json:"from,omitempty"`
-	Doc          *configuration.Declaration `json:"doc,omitempty"`
-	Edits        []*configuration.Edit      `json:"edits,omitempty"`
-	Replicas     []ReplicaRow               `json:"replicas,omitempty"`
-	Orders       *Orders                    `json:"orders,omitempty"`
-	Gateways     int                        `json:"desks,omitempty"`
+	Complete    bool   `json:"whole,omitempty"`
+	CaughtUp    bool   `json:"settled,omitempty"`
+	// PossiblyStale says that the control node may be cut off: newer declarations may be in force than it knows.
+	PossiblyStale bool                       `json:"behind,omitempty"`
+	View          *chain.View                `json:"view,omitempty"`
+	ControlNodes  []chain.Member             `json:"offices,omitempty"`
+	Revision      uint64                     `json:"revision,omitempty"`
+	EditsFrom     uint64                     `json:"from,omitempty"`
+	Declaration   *configuration.Declaration `json:"doc,omitempty"`
+	Edits         []*configuration.Edit      `json:"edits,omitempty"`
+	Replicas      []ReplicaRow               `json:"replicas,omitempty"`
+	Orders        *PendingOrders             `json:"orders,omitempty"`
+	GatewayCount  int                        `json:"desks,omitempty"`
 	// Outliers are the verdicts on replicas, where they have changed.
 	Outliers *outlier.Table `json:"outliers,omitempty"`
 
@@ -48,22 +48,22 @@
 	Stale bool `json:"stale,omitempty"`
 }
 
-// Orders are what stands at replicas, numbered by the ledger entry that last touched them: all of it in a
+// PendingOrders are what stands at replicas, numbered by the ledger entry that last touched them: all of it in a
 // whole frame, else what has changed since the stream's last.
-type Orders struct {
-	Number uint64       `json:"number"`
-	Rows   []OrderAhead `json:"rows"`
+type PendingOrders struct {
+	Number uint64         `json:"number"`
+	Rows   []PendingOrder `json:"rows"`
 }
 
-// OrderAhead is an order that stands: what will be there, or will not be any more. Without a unit none
+// PendingOrder is an order that stands: what will be there, or will not be any more. Without a unit none
 // stands there any longer.
-type OrderAhead struct {
+type PendingOrder struct {
 	Replica string `json:"replica"`
 	Unit    string `json:"unit,omitempty"`
 	Unload  bool   `json:"unload,omitempty"`
 }
 
-const zipLeast = 512
+const minGzipBytes = 512
 
 // Encoded is the frame as JSON, zipped where that is worthwhile: written once however many gateways it goes
 // to. It must not change after.
@@ -71,12 +71,12 @@
 	f.encode.Do(func() {
 		type bare Frame
 		f.raw, f.err = json.Marshal((*bare)(f))
-		if f.err != nil || len(f.raw) < zipLeast {
+		if f.err != nil || len(f.raw) < minGzipBytes {
 			return
 		}
 		var zipped bytes.Buffer
-		z := zippers.Get().(*gzip.Writer)
-		defer zippers.Put(z)
+		z := gzipWriters.Get().(*gzip.Writer)
+		defer gzipWriters.Put(z)
 		z.Reset(&zipped)
 		if _, f.err = z.Write(f.raw); f.err == nil {
 			f.err = z.Close()
@@ -86,4 +86,4 @@
 	return f.raw, f.err
 }
 
-var zippers = sync.Pool{New: func() any { return gzip.NewWriter(nil) }}
+var gzipWriters = sync.Pool{New: func() any { return gzip.NewWriter(nil) }}
--- a/internal/api/wire/wire.go
+++ b/internal/api/wire/wire.go
@@ -9,82 +9,82 @@
 	"petreltide/internal/outlier"
 )
 
-// News is numbered by the ledger index that last touched what gateways act on.
-type News struct {
-	Number   uint64                     `json:"number"`
-	View     uint64                     `json:"view"`
-	Epoch    uint64                     `json:"epoch"`
-	Revision uint64                     `json:"revision"`
-	Doc      *configuration.Declaration `json:"doc,omitempty"`
-	Replicas []ReplicaNews              `json:"replicas"`
-	Grants   []statemachine.Grant       `json:"grants"`
+// GatewayUpdate is numbered by the ledger index that last touched what gateways act on.
+type GatewayUpdate struct {
+	Number      uint64                     `json:"number"`
+	View        uint64                     `json:"view"`
+	Epoch       uint64                     `json:"epoch"`
+	Revision    uint64                     `json:"revision"`
+	Declaration *configuration.Declaration `json:"doc,omitempty"`
+	Replicas    []ReplicaUpdate            `json:"replicas"`
+	Grants      []statemachine.Grant       `json:"grants"`
 }
 
-// ReplicaNews is one replica as a gateway needs it. Share is how many requests this gateway may have there at once;
-// LeftMs is how long a leaving replica stays; Stale says that the row comes from
+// ReplicaUpdate is one replica as a gateway needs it. Share is how many requests this gateway may have there at once;
+// RemainingMs is how long a leaving replica stays; Stale says that the row comes from
 // the ledger, from before the control nodes came back.
-type ReplicaNews struct {
+type ReplicaUpdate struct {
 	ID          string   `json:"id"`
 	Incarnation string   `json:"inc"`
 	Addr        string   `json:"addr"`
 	Zone        string   `json:"zone"`
-	Leaving     bool     `json:"leaving,omitempty"`
-	LeftMs      int64    `json:"leftMs,omitempty"`
+	Draining    bool     `json:"leaving,omitempty"`
+	RemainingMs int64    `json:"leftMs,omitempty"`
 	Unreachable bool     `json:"dark,omitempty"`
-	Holds       []string `json:"holds"`
+	Loaded      []string `json:"holds"`
 	Unloading   string   `json:"unloading,omitempty"`
-	Share       int      `json:"share"`
+	MaxInFlight int      `json:"share"`
 	Service     string   `json:"service,omitempty"`
 	Slots       int      `json:"slots,omitempty"`
 	Stale       bool     `json:"stale,omitempty"`
 	Loading     string   `json:"loading,omitempty"`
 }
 
-// Follow asks a control node for a stream. Revision and Number are what the gateway knows already.
-type Follow struct {
+// SubscribeRequest asks a control node for a stream. Revision and Number are what the gateway knows already.
+type SubscribeRequest struct {
 	Gateway     string `json:"desk"`
 	Incarnation string `json:"inc"`
 	Addr        string `json:"addr"`
 	Zone        string `json:"zone"`
 	Revision    uint64 `json:"revision"`
 	Number      uint64 `json:"number"`
-	// Spare streams stand by beside another one: they carry no demand.
-	Spare bool `json:"spare,omitempty"`
+	// Standby streams stand by beside another one: they carry no demand.
+	Standby bool `json:"spare,omitempty"`
 }
 
 // Report is what a gateway tells a control node, and asks a lease with. Arrivals (a second) and Waiting are by unit, InFlight
 // by replica and Left by "replica|unit"; SentUs is by the gateway's own clock.
 type Report struct {
-	Gateway     string             `json:"desk"`
-	Incarnation string             `json:"inc"`
-	Addr        string             `json:"addr"`
-	Zone        string             `json:"zone"`
-	Number      uint64             `json:"number"`
-	Revision    uint64             `json:"revision"`
-	SentUs      int64              `json:"sentUs"`
-	View        uint64             `json:"view"`
-	Arrivals    map[string]float64 `json:"arrivals,omitempty"`
-	Waiting     map[string]int     `json:"waiting,omitempty"`
-	InFlight    map[string]int     `json:"inFlight,omitempty"`
-	Left        map[string]Left    `json:"left,omitempty"`
-	Draining    bool               `json:"draining,omitempty"`
-	Silent      []string           `json:"silent,omitempty"`
-	// Tokens of prompts a second, by model; Recent are arrivals of the last second or two; Paths are
+	Gateway      string                 `json:"desk"`
+	Incarnation  string                 `json:"inc"`
+	Addr         string                 `json:"addr"`
+	Zone         string                 `json:"zone"`
+	Number       uint64                 `json:"number"`
+	Revision     uint64                 `json:"revision"`
+	SentUs       int64                  `json:"sentUs"`
+	View         uint64                 `json:"view"`
+	Arrivals     map[string]float64     `json:"arrivals,omitempty"`
+	Queued       map[string]int         `json:"waiting,omitempty"`
+	InFlight     map[string]int         `json:"inFlight,omitempty"`
+	UnusedGrants map[string]UnusedGrant `json:"left,omitempty"`
+	Draining     bool                   `json:"draining,omitempty"`
+	Suspects     []string               `json:"silent,omitempty"`
+	// PromptTokens of prompts a second, by model; Recent are arrivals of the last second or two; Paths are
 	// arrivals a second by "route|model"; Runs are attempts under way and Unread those without a first piece, by "replica|model".
-	Tokens map[string]float64 `json:"tokens,omitempty"`
-	Recent map[string]float64 `json:"recent,omitempty"`
-	Paths  map[string]float64 `json:"paths,omitempty"`
-	Runs   map[string]int     `json:"runs,omitempty"`
-	Unread map[string]int     `json:"unread,omitempty"`
+	PromptTokens   map[string]float64 `json:"tokens,omitempty"`
+	RecentArrivals map[string]float64 `json:"recent,omitempty"`
+	RouteArrivals  map[string]float64 `json:"paths,omitempty"`
+	ModelInFlight  map[string]int     `json:"runs,omitempty"`
+	PendingPrefill map[string]int     `json:"unread,omitempty"`
 	// Attempts ended since the last report, by service; Outcomes at replicas where one failed or that are on trial.
 	Attempts map[string]int   `json:"legs,omitempty"`
 	Outcomes []outlier.Counts `json:"outcomes,omitempty"`
 }
 
-// Left is how much of a grant a gateway has not used.
-type Left struct {
-	Ticket uint64 `json:"ticket"`
-	Left   uint64 `json:"left"`
+// UnusedGrant is how much of a grant a gateway has not used.
+type UnusedGrant struct {
+	Ticket    uint64 `json:"ticket"`
+	Remaining uint64 `json:"left"`
 }
 
 // Lease answers a report. SentUs is the report's own, so that the gateway counts LeaseUs from when it sent it.
@@ -97,21 +97,21 @@
 	Ring    []failuredetector.Node `json:"ring,omitempty"`
 }
 
-// WhereAsk asks a control node for the members that it knows.
-type WhereAsk struct {
+// MembershipRequest asks a control node for the members that it knows.
+type MembershipRequest struct {
 	From chain.Member `json:"from"`
 }
 
-// Where answers WhereAsk with the chain's view and all control nodes known.
-type Where struct {
+// MembershipResponse answers MembershipRequest with the chain's view and all control nodes known.
+type MembershipResponse struct {
 	View         chain.View     `json:"view"`
 	ControlNodes []chain.Member `json:"offices"`
 }
 
 // Result is what became of a change, told to the control node that took it. Everywhere says that all gateways have it.
 type Result struct {
-	Outcome    statemachine.Outcome `json:"outcome"`
-	Everywhere bool                 `json:"everywhere"`
+	Outcome       statemachine.Outcome `json:"outcome"`
+	OnAllGateways bool                 `json:"everywhere"`
 }
 
 // Batch is a number of one-way messages sent together from one control node to another.
@@ -121,42 +121,42 @@
 
 // Message is one message between control nodes; exactly one field is set.
 type Message struct {
-	Chain     *chain.Msg                       `json:"chain,omitempty"`
-	Result    *Result                          `json:"result,omitempty"`
-	Report    *Report                          `json:"report,omitempty"`
-	Silence   *failuredetector.SuspicionReport `json:"silence,omitempty"`
-	Heard     *Heard                           `json:"heard,omitempty"`
-	Confirmed *Confirmed                       `json:"confirmed,omitempty"`
-	Outlier   *outlier.Table                   `json:"outlier,omitempty"`
+	Chain             *chain.Msg                       `json:"chain,omitempty"`
+	Result            *Result                          `json:"result,omitempty"`
+	Report            *Report                          `json:"report,omitempty"`
+	Suspicion         *failuredetector.SuspicionReport `json:"silence,omitempty"`
+	Gossip            *Gossip                          `json:"heard,omitempty"`
+	DrainConfirmation *DrainConfirmation               `json:"confirmed,omitempty"`
+	Outliers          *outlier.Table                   `json:"outlier,omitempty"`
 }
 
-// Heard is what a control node has heard of replicas and gateways, told to the other control nodes. Wants asks for
+// Gossip is what a control node has heard of replicas and gateways, told to the other control nodes. Wants asks for
 // all rows again.
-type Heard struct {
-	By          string                 `json:"by"`
-	Incarnation string                 `json:"inc"`
-	Notes       []registry.GossipEntry `json:"notes,omitempty"`
-	Wants       bool                   `json:"wants,omitempty"`
-	Gateways    []string               `json:"desks,omitempty"`
-	// Confirm names replicas that leave: whoever knows of it says so.
-	Confirm []string `json:"confirm,omitempty"`
+type Gossip struct {
+	By           string                 `json:"by"`
+	Incarnation  string                 `json:"inc"`
+	Observations []registry.GossipEntry `json:"notes,omitempty"`
+	RequestAll   bool                   `json:"wants,omitempty"`
+	Gateways     []string               `json:"desks,omitempty"`
+	// ConfirmDraining names replicas that leave: whoever knows of it says so.
+	ConfirmDraining []string `json:"confirm,omitempty"`
 }
 
-// Confirmed answers Confirm. Incarnation is the incarnation of the control node that asked.
-type Confirmed struct {
-	By          string         `json:"by"`
-	Incarnation string         `json:"inc"`
-	Leaving     []KnownLeaving `json:"leaving"`
+// DrainConfirmation answers Confirm. Incarnation is the incarnation of the control node that asked.
+type DrainConfirmation struct {
+	By          string          `json:"by"`
+	Incarnation string          `json:"inc"`
+	Draining    []KnownDraining `json:"leaving"`
 }
 
-// KnownLeaving is a replica that a control node knows to be leaving, or to be gone.
-type KnownLeaving struct {
-	ID   string `json:"id"`
-	Gone bool   `json:"gone,omitempty"`
+// KnownDraining is a replica that a control node knows to be leaving, or to be gone.
+type KnownDraining struct {
+	ID      string `json:"id"`
+	Removed bool   `json:"gone,omitempty"`
 }
 
-// Receipt says no more than that a message has arrived.
-type Receipt struct{}
+// Ack says no more than that a message has arrived.
+type Ack struct{}
 
 // Replica and platform interfaces, outward.
 
@@ -164,8 +164,8 @@
 type ReplicaState struct {
 	ID          string                      `json:"id"`
 	Incarnation string                      `json:"inc"`
-	Holds       []statemachine.ResidentUnit `json:"holds"`
-	Last        *OrderState                 `json:"last,omitempty"`
+	Loaded      []statemachine.ResidentUnit `json:"holds"`
+	LastOrder   *OrderState                 `json:"last,omitempty"`
 	Active      int                         `json:"active"`
 
 	// Of replicas that do not name their last order: whether one is under way, how many they took, and
@@ -177,11 +177,11 @@
 
 // Order is one order to a replica: a ticket of the ledger, under the epoch of the controller that sends it.
 type Order struct {
-	Ticket statemachine.ReplicaCommand `json:"ticket"`
-	Epoch  uint64                      `json:"epoch"`
-	// Holder is who leads; Expected is how many orders the replica has taken, where it is known.
-	Holder   string  `json:"holder,omitempty"`
-	Expected *uint64 `json:"expected,omitempty"`
+	Command statemachine.ReplicaCommand `json:"ticket"`
+	Epoch   uint64                      `json:"epoch"`
+	// Leader is who leads; Expected is how many orders the replica has taken, where it is known.
+	Leader         string  `json:"holder,omitempty"`
+	ExpectedOrders *uint64 `json:"expected,omitempty"`
 }
 
 // What is known of an order. OrderRunning, OrderDone and OrderFailed are what a replica says of one that it has taken.
@@ -200,13 +200,13 @@
 	Number uint64 `json:"number"`
 	Epoch  uint64 `json:"epoch"`
 	State  string `json:"state"`
-	Why    string `json:"why,omitempty"`
+	Reason string `json:"why,omitempty"`
 }
 
-// List is the platform's list of replicas; a greater Version is newer.
-type List struct {
-	Version  uint64   `json:"version"`
-	Replicas []Listed `json:"replicas"`
+// ReplicaList is the platform's list of replicas; a greater Version is newer.
+type ReplicaList struct {
+	Version  uint64          `json:"version"`
+	Replicas []ListedReplica `json:"replicas"`
 }
 
 // ListedReady and ListedDraining are the states of a replica on the platform's list.
@@ -215,20 +215,20 @@
 	ListedDraining = "draining"
 )
 
-// Listed is a replica on the platform's list; LeftMs is how long one that is draining stays.
-type Listed struct {
-	ID     string `json:"id"`
-	Addr   string `json:"addr"`
-	Zone   string `json:"zone"`
-	RoomMb int64  `json:"roomMb"`
-	Slots  int    `json:"slots"`
-	State  string `json:"state"`
-	LeftMs int64  `json:"leftMs,omitempty"`
+// ListedReplica is a replica on the platform's list; RemainingMs is how long one that is draining stays.
+type ListedReplica struct {
+	ID          string `json:"id"`
+	Addr        string `json:"addr"`
+	Zone        string `json:"zone"`
+	CapacityMB  int64  `json:"roomMb"`
+	Slots       int    `json:"slots"`
+	State       string `json:"state"`
+	RemainingMs int64  `json:"leftMs,omitempty"`
 }
 
 // Attempt is one attempt of a request at a replica. Had are the pieces that the caller has, and First the number of the next.
 type Attempt struct {
-	Attempt     string   `json:"leg"`
+	ID          string   `json:"leg"`
 	Ticket      uint64   `json:"ticket"`
 	Incarnation string   `json:"inc"`
 	Call        string   `json:"call"`
@@ -236,18 +236,18 @@
 	Adapter     string   `json:"adapter,omitempty"`
 	Prefix      []string `json:"prefix,omitempty"`
 	Prompt      string   `json:"prompt"`
-	Had         []string `json:"had,omitempty"`
-	First       int      `json:"first"`
-	MostOut     int      `json:"mostOut,omitempty"`
+	Received    []string `json:"had,omitempty"`
+	NextChunk   int      `json:"first"`
+	MaxOutput   int      `json:"mostOut,omitempty"`
 }
 
-// Piece is one line of a replica's answer.
-type Piece struct {
-	Attempt string `json:"leg"`
-	N       int    `json:"n,omitempty"`
-	Text    string `json:"text,omitempty"`
-	End     bool   `json:"end,omitempty"`
-	Err     string `json:"err,omitempty"`
+// Chunk is one line of a replica's answer.
+type Chunk struct {
+	AttemptID string `json:"leg"`
+	Number    int    `json:"n,omitempty"`
+	Text      string `json:"text,omitempty"`
+	End       bool   `json:"end,omitempty"`
+	Error     string `json:"err,omitempty"`
 }
 
 // AttemptRefusal is why a replica did not give an answer; Started says whether the attempt may have run.
--- a/internal/controlplane/chain/foreign.go
+++ b/internal/controlplane/chain/foreign.go
@@ -6,7 +6,7 @@
 // it is malformed. Nothing of it is taken up, and nothing is sent back.
 func (n *Node) unreadable(m Msg) *fault.Fault {
 	if m.Form > MessageForm {
-		return fault.New(fault.UnknownForm, "form", "a message of form %d from %s at %s; this version reads up to %d", m.Form, m.From.ID, m.From.Addr, MessageForm)
+		return fault.New(fault.UnknownFormat, "form", "a message of form %d from %s at %s; this version reads up to %d", m.Form, m.From.ID, m.From.Addr, MessageForm)
 	}
 	for _, v := range m.views() {
 		if n.foreign(v) {
--- a/internal/controlplane/chain/foreign_test.go
+++ b/internal/controlplane/chain/foreign_test.go
@@ -53,7 +53,7 @@
 			}
 			want := fault.ForeignMember
 			if m.Form > 0 {
-				want = fault.UnknownForm
+				want = fault.UnknownFormat
 			}
 			if bad == nil || bad.Code != want || told(s.node) != before {
 				t.Errorf("%s, %s: fault %v, %v before, %v after", s.me.ID, name, bad, before, told(s.node))
--- a/internal/controlplane/chain/member.go
+++ b/internal/controlplane/chain/member.go
@@ -102,7 +102,7 @@
 // FitMember finds the identity an order is about, or the reason for which it must not be taken.
 func (n *Node) FitMember(m *statemachine.MembershipChange, evenAlive bool) *fault.Fault {
 	unfit := func(format string, args ...any) *fault.Fault {
-		return fault.New(fault.MembershipUnfit, "name", format, args...)
+		return fault.New(fault.MembershipMismatch, "name", format, args...)
 	}
 	if n.view.Number == 0 || n.phase != Serving {
 		return fault.New(fault.NotServing, "", "this office has no seat now: ask another")
--- a/internal/controlplane/controller/basis.go
+++ b/internal/controlplane/controller/basis.go
@@ -56,7 +56,7 @@
 	if t.Action != statemachine.Load || svc == nil || svc.Engine == nil {
 		return true
 	}
-	model, adapter := configuration.Units(t.Unit)
+	model, adapter := configuration.SplitUnit(t.Unit)
 	sumMb, adapters := t.SizeMb, 0
 	for _, held := range holdings(doc, svc, b.units) {
 		sumMb += held.SizeMb
@@ -64,7 +64,7 @@
 			adapters++
 		}
 	}
-	if adapter != "" && (adapters >= svc.Engine.AdaptersMost || !slices.Contains(b.units, model)) {
+	if adapter != "" && (adapters >= svc.Engine.MaxAdapters || !slices.Contains(b.units, model)) {
 		return false
 	}
 	return sumMb <= r.CapacityMb
--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -60,7 +60,7 @@
 	writes     uint64
 	listUs     int64
 	tickUs     int64
-	list       *wire.List
+	list       *wire.ReplicaList
 	listAtUs   int64
 	empties    int
 	stales     int
@@ -101,7 +101,7 @@
 	StoreOvershoot float64
 	Outlier        outlier.Options
 	// Disable are mechanisms that are switched off.
-	Disable feature.Off
+	Disable feature.Disabled
 }
 
 // New makes a controller with the usual options.
@@ -165,7 +165,7 @@
 // reported takes a gateway's report, and acts at once where calls wait for a unit that has no place.
 func (f *Controller) reported(seen Seen, nowUs int64, report *wire.Report) {
 	f.gateways[report.Gateway] = &gatewayRow{report: *report, atUs: nowUs}
-	f.jury.Report(nowUs, failuredetector.SuspicionReport{Reporter: report.Gateway, Suspects: report.Silent})
+	f.jury.Report(nowUs, failuredetector.SuspicionReport{Reporter: report.Gateway, Suspects: report.Suspects})
 	f.hearOutcomes(seen, report)
 	if seen.isRouted() && f.unplaced(seen, report) {
 		f.moved = true
--- a/internal/controlplane/controller/controller_test.go
+++ b/internal/controlplane/controller/controller_test.go
@@ -16,7 +16,7 @@
 	f      *Controller
 	s      *statemachine.State
 	nowUs  int64
-	list   wire.List
+	list   wire.ReplicaList
 	states map[string]*wire.ReplicaState
 	orders []wire.Order
 	runs   []Run
@@ -24,9 +24,9 @@
 }
 
 func newRig(t *testing.T, me string, s *statemachine.State) *rig {
-	r := &rig{t: t, f: New(me), s: s, nowUs: clock.Sec, states: map[string]*wire.ReplicaState{}, list: wire.List{Version: 1}}
+	r := &rig{t: t, f: New(me), s: s, nowUs: clock.Sec, states: map[string]*wire.ReplicaState{}, list: wire.ReplicaList{Version: 1}}
 	for _, id := range []string{"r1", "r2"} {
-		r.list.Replicas = append(r.list.Replicas, wire.Listed{ID: id, Addr: id, Zone: "a", RoomMb: 100, Slots: 4, State: wire.ListedReady})
+		r.list.Replicas = append(r.list.Replicas, wire.ListedReplica{ID: id, Addr: id, Zone: "a", CapacityMB: 100, Slots: 4, State: wire.ListedReady})
 		r.states[id] = &wire.ReplicaState{ID: id, Incarnation: "i"}
 	}
 	return r
@@ -35,7 +35,7 @@
 func freshState() *statemachine.State {
 	s := statemachine.NewState()
 	s.Apply(1, statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Doc: &configuration.Declaration{
-		Store: configuration.Store{Loads: 2, MbPerSecond: 1000, BurstMb: 100}, Models: []configuration.Model{{Name: "m", SizeMb: 60, Weight: 1, Table: []configuration.Point{{Replicas: 1, PerSecond: 10, LatencyMs: 5}}}},
+		Store: configuration.Store{Loads: 2, MBPerSecond: 1000, BurstMB: 100}, Models: []configuration.Model{{Name: "m", SizeMB: 60, Weight: 1, Capacity: []configuration.CapacityPoint{{Replicas: 1, CallsPerSecond: 10, LatencyMs: 5}}}},
 	}}})
 	return s
 }
@@ -61,8 +61,8 @@
 		case e.Order != nil:
 			r.orders = append(r.orders, e.Order.Order)
 			if !r.mute {
-				t := e.Order.Order.Ticket
-				r.states[t.Replica].Last = &wire.OrderState{Number: t.Number, State: wire.OrderRunning}
+				t := e.Order.Order.Command
+				r.states[t.Replica].LastOrder = &wire.OrderState{Number: t.Number, State: wire.OrderRunning}
 			}
 		case e.Write != nil:
 			out := r.s.Apply(r.s.Index+1, *e.Write)
@@ -102,7 +102,7 @@
 		t.Fatalf("%d usable", usable())
 	}
 	r.list.Version++
-	r.list.Replicas = append(r.list.Replicas, wire.Listed{ID: "r3", Addr: "r3", Zone: "b", RoomMb: 100, Slots: 4, State: wire.ListedReady})
+	r.list.Replicas = append(r.list.Replicas, wire.ListedReplica{ID: "r3", Addr: "r3", Zone: "b", CapacityMB: 100, Slots: 4, State: wire.ListedReady})
 	r.states["r3"] = &wire.ReplicaState{ID: "r3", Incarnation: "i"}
 	r.pass(2 * clock.Sec)
 	if usable() != 3 {
@@ -137,7 +137,7 @@
 				last.State = wire.OrderRunning
 			case "sent, done":
 				last.State = wire.OrderDone
-				two.states["r1"].Holds = []statemachine.ResidentUnit{{Unit: "m", SizeMb: 60}}
+				two.states["r1"].Loaded = []statemachine.ResidentUnit{{Unit: "m", SizeMb: 60}}
 			case "sent, failed":
 				last.State = wire.OrderFailed
 			case "overtaken":
@@ -145,7 +145,7 @@
 			default:
 				last = nil
 			}
-			two.states["r1"].Last = last
+			two.states["r1"].LastOrder = last
 			two.pass(2 * clock.Sec)
 			if two.s.Epoch != 2 || two.s.Leader != "two" {
 				t.Fatal("leadership was not taken over")
@@ -154,7 +154,7 @@
 			_, held := two.s.Replicas["r1"].Resident["m"]
 			switch at {
 			case "written, not sent":
-				if len(two.orders) == 0 || two.orders[0].Ticket.Number != ticket.Number || !stillPending || two.s.ReservedMb("r1") != 60 {
+				if len(two.orders) == 0 || two.orders[0].Command.Number != ticket.Number || !stillPending || two.s.ReservedMb("r1") != 60 {
 					t.Fatalf("orders %+v", two.orders)
 				}
 			case "sent, running":
@@ -201,14 +201,14 @@
 	r := newRig(t, "one", freshState())
 	r.pass(2 * clock.Sec)
 	good := r.list
-	for _, bad := range []*wire.List{nil, {Version: 0}, {Version: 9}, {Version: 9, Replicas: []wire.Listed{{ID: "r1"}}}} {
+	for _, bad := range []*wire.ReplicaList{nil, {Version: 0}, {Version: 9}, {Version: 9, Replicas: []wire.ListedReplica{{ID: "r1"}}}} {
 		r.feed(Event{Listed: &Listed{List: bad}})
 		r.feed(Event{})
 		if len(r.s.Replicas) != 2 {
 			t.Fatalf("%+v dropped replicas", bad)
 		}
 	}
-	r.list = wire.List{Version: 10, Replicas: good.Replicas[:1]}
+	r.list = wire.ReplicaList{Version: 10, Replicas: good.Replicas[:1]}
 	r.pass(clock.Sec)
 	if len(r.s.Replicas) != 1 {
 		t.Fatal("a replica missing from a good list stays")
@@ -222,8 +222,8 @@
 	r.mute = true
 	r.pass(2 * clock.Sec)
 	full := r.f.bucket.TokensMb
-	if full != float64(r.s.Doc.Store.BurstMb) {
-		t.Fatalf("%v of %d", full, r.s.Doc.Store.BurstMb)
+	if full != float64(r.s.Doc.Store.BurstMB) {
+		t.Fatalf("%v of %d", full, r.s.Doc.Store.BurstMB)
 	}
 	r.nowUs += 20 * clock.Ms
 	r.propose("r1")
--- a/internal/controlplane/controller/events.go
+++ b/internal/controlplane/controller/events.go
@@ -24,7 +24,7 @@
 
 // Listed is the platform's list of replicas, or why it could not be read.
 type Listed struct {
-	List *wire.List
+	List *wire.ReplicaList
 	Err  string
 }
 
--- a/internal/controlplane/controller/fuzz_test.go
+++ b/internal/controlplane/controller/fuzz_test.go
@@ -21,7 +21,7 @@
 		if json.Unmarshal(state, told) == nil {
 			r.feed(Event{Told: &Told{AskedUs: r.nowUs, Replica: "r1", Addr: "r1", State: told}})
 		}
-		listed := &wire.List{}
+		listed := &wire.ReplicaList{}
 		if json.Unmarshal(list, listed) == nil {
 			r.feed(Event{Listed: &Listed{List: listed}})
 		}
--- a/internal/controlplane/controller/gateways.go
+++ b/internal/controlplane/controller/gateways.go
@@ -27,7 +27,7 @@
 	notes := []GatewayNote{}
 	for _, id := range sorted(f.gateways) {
 		d := f.gateways[id]
-		notes = append(notes, GatewayNote{f.silent(nowUs, id), id, d.report.Zone, d.report.Addr, (nowUs - d.atUs) / 1000, d.report.Arrivals, d.report.Waiting})
+		notes = append(notes, GatewayNote{f.silent(nowUs, id), id, d.report.Zone, d.report.Addr, (nowUs - d.atUs) / 1000, d.report.Arrivals, d.report.Queued})
 	}
 	return notes
 }
@@ -84,7 +84,7 @@
 	rates, waiting = map[string]float64{}, map[string]int{}
 	for _, report := range f.reporting(nowUs) {
 		addTo(rates, report.Arrivals)
-		addTo(waiting, report.Waiting)
+		addTo(waiting, report.Queued)
 	}
 	return rates, waiting
 }
--- a/internal/controlplane/controller/hear.go
+++ b/internal/controlplane/controller/hear.go
@@ -10,16 +10,16 @@
 func (f *Controller) listed(nowUs int64, l Listed) {
 	switch {
 	case l.List == nil:
-		f.count(fault.PlatformBad)
+		f.count(fault.PlatformInvalidAnswer)
 	case f.list != nil && l.List.Version < f.list.Version && f.stales < emptyListMost:
 		f.stales++
-		f.count(fault.PlatformBad)
+		f.count(fault.PlatformInvalidAnswer)
 	case len(l.List.Replicas) == 0 && f.list != nil && len(f.list.Replicas) > 0 && f.empties < emptyListMost:
 		f.empties++
-		f.count(fault.PlatformBad)
+		f.count(fault.PlatformInvalidAnswer)
 	default:
 		if !fitList(l.List) {
-			f.count(fault.PlatformBad)
+			f.count(fault.PlatformInvalidAnswer)
 			return
 		}
 		f.empties, f.stales = 0, 0
@@ -28,10 +28,10 @@
 }
 
 // fitList: a list in which anything is odd is not taken at all.
-func fitList(list *wire.List) bool {
+func fitList(list *wire.ReplicaList) bool {
 	seen := map[string]bool{}
 	for _, r := range list.Replicas {
-		if r.ID == "" || r.Addr == "" || r.RoomMb <= 0 || r.Slots <= 0 || seen[r.ID] {
+		if r.ID == "" || r.Addr == "" || r.CapacityMB <= 0 || r.Slots <= 0 || seen[r.ID] {
 			return false
 		}
 		seen[r.ID] = true
@@ -58,15 +58,15 @@
 		return
 	}
 	if o.State.State == wire.OrderFailed {
-		f.count(fault.TicketRefused)
+		f.count(fault.CommandRejected)
 		return
 	}
 	if row == nil || row.state.Incarnation != o.Incarnation {
 		return
 	}
-	if last := row.state.Last; last == nil || last.Number < o.State.Number {
+	if last := row.state.LastOrder; last == nil || last.Number < o.State.Number {
 		state := o.State
-		row.state.Last = &state
+		row.state.LastOrder = &state
 	}
 }
 
@@ -74,7 +74,7 @@
 func (f *Controller) settles(s *statemachine.State, replica string) bool {
 	t, pending := s.Pending[replica]
 	row := f.replicas[replica]
-	return pending && row != nil && row.state.Last != nil && row.state.Incarnation == t.Incarnation && row.state.Last.Number >= t.Number && row.state.Last.State != wire.OrderRunning
+	return pending && row != nil && row.state.LastOrder != nil && row.state.Incarnation == t.Incarnation && row.state.LastOrder.Number >= t.Number && row.state.LastOrder.State != wire.OrderRunning
 }
 
 // askReplicas asks listed replicas for their reports, more often while an order is pending there.
@@ -119,11 +119,11 @@
 
 // noteListed compares one listed replica with the ledger, and writes down what differs. A replica whose incarnation was
 // never heard is not written down yet.
-func (f *Controller) noteListed(seen Seen, l wire.Listed, update *statemachine.LeaderUpdate) {
+func (f *Controller) noteListed(seen Seen, l wire.ListedReplica, update *statemachine.LeaderUpdate) {
 	row, have := f.replicas[l.ID], seen.State.Replicas[l.ID]
 	leaving := l.State != wire.ListedReady
 	n := statemachine.ReplicaUpdate{
-		ID: l.ID, Addr: l.Addr, Zone: l.Zone, CapacityMb: l.RoomMb, Slots: l.Slots, Draining: leaving, RemainingMs: leftMs(have, leaving, l.LeftMs),
+		ID: l.ID, Addr: l.Addr, Zone: l.Zone, CapacityMb: l.CapacityMB, Slots: l.Slots, Draining: leaving, RemainingMs: leftMs(have, leaving, l.RemainingMs),
 	}
 	spoke := row != nil && row.atUs > 0
 	n.Unreachable = spoke && seen.NowUs-row.atUs > unreachableAfterUs
@@ -155,21 +155,21 @@
 // its last order is the one the ledger settled, so that an old report undoes nothing.
 func (f *Controller) retold(s *statemachine.State, have *statemachine.Replica, row *told) (bool, []statemachine.ResidentUnit) {
 	if have == nil || have.Incarnation != row.state.Incarnation {
-		return true, row.state.Holds
+		return true, row.state.Loaded
 	}
 	if _, pending := s.Pending[have.ID]; pending || row.heardUs <= row.movedUs {
 		return false, nil
 	}
-	same := len(row.state.Holds) == len(have.Resident)
-	for _, h := range row.state.Holds {
+	same := len(row.state.Loaded) == len(have.Resident)
+	for _, h := range row.state.Loaded {
 		if have.Resident[h.Unit] != h.SizeMb {
 			same = false
 		}
 	}
-	if same || (row.state.Last != nil && row.state.Last.State == wire.OrderRunning) {
+	if same || (row.state.LastOrder != nil && row.state.LastOrder.State == wire.OrderRunning) {
 		return false, nil
 	}
-	return true, row.state.Holds
+	return true, row.state.Loaded
 }
 
 // settle writes down the outcome of each pending ticket that its replica's last order tells.
@@ -177,16 +177,16 @@
 	for _, id := range sorted(s.Pending) {
 		t := s.Pending[id]
 		row := f.replicas[id]
-		if row == nil || row.atUs == 0 || row.state.Incarnation != t.Incarnation || row.state.Last == nil {
+		if row == nil || row.atUs == 0 || row.state.Incarnation != t.Incarnation || row.state.LastOrder == nil {
 			continue
 		}
-		last := row.state.Last
+		last := row.state.LastOrder
 		switch {
 		case last.Number == t.Number && last.State == wire.OrderDone:
 			update.Results = append(update.Results, f.withResult(s, t, statemachine.CommandResult{Number: t.Number, Succeeded: true}))
 		case last.Number == t.Number && last.State == wire.OrderFailed:
 			f.count(fault.ReplicaFailed)
-			update.Results = append(update.Results, f.withResult(s, t, statemachine.CommandResult{Number: t.Number, Reason: last.Why}))
+			update.Results = append(update.Results, f.withResult(s, t, statemachine.CommandResult{Number: t.Number, Reason: last.Reason}))
 		case last.Number > t.Number:
 			update.Results = append(update.Results, statemachine.CommandResult{Number: t.Number, Reason: "voided by a newer order"})
 		default:
@@ -205,7 +205,7 @@
 		row = &told{addr: t.Addr, askedUs: nowUs}
 		f.replicas[t.Replica] = row
 	}
-	if t.State == nil || t.State.ID != t.Replica || t.State.Incarnation == "" || !fitHoldings(t.State.Holds) {
+	if t.State == nil || t.State.ID != t.Replica || t.State.Incarnation == "" || !fitHoldings(t.State.Loaded) {
 		f.count(fault.ReplicaFailed)
 		return
 	}
--- a/internal/controlplane/controller/late_test.go
+++ b/internal/controlplane/controller/late_test.go
@@ -12,9 +12,9 @@
 func routedState(t *testing.T) *statemachine.State {
 	t.Helper()
 	s := statemachine.NewState()
-	engine := &configuration.Engine{Slots: 4, CacheTokens: 1000, RoomMb: 100, LoadsPerS: 1, Models: []configuration.EngineModel{{Name: "m", SizeMb: 60, LoadMs: 100}, {Name: "n", SizeMb: 60, LoadMs: 100}}}
+	engine := &configuration.Engine{Slots: 4, CacheTokens: 1000, CapacityMB: 100, LoadsPerSecond: 1, Models: []configuration.EngineModel{{Name: "m", SizeMB: 60, LoadMs: 100}, {Name: "n", SizeMB: 60, LoadMs: 100}}}
 	doc := &configuration.Declaration{Version: 1, Services: []configuration.Service{{Name: "s", Engine: engine}},
-		Routes: []configuration.Route{{Name: "r", Host: "h", Prefix: "/", Repeat: configuration.Streaming, TimeoutMs: 1000, AttemptsMost: 1, Split: []configuration.Weighted{{Service: "s", Weight: 1}}}}}
+		Routes: []configuration.Route{{Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Streaming, TimeoutMs: 1000, MaxAttempts: 1, Split: []configuration.WeightedService{{Service: "s", Weight: 1}}}}}
 	for i, c := range []statemachine.Change{
 		{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: doc}},
 		{ID: "k", Epoch: 1, Claim: &statemachine.Claim{Leader: "before"}},
--- a/internal/controlplane/controller/needs.go
+++ b/internal/controlplane/controller/needs.go
@@ -65,7 +65,7 @@
 // noteWaiting counts units that calls wait for as called for now.
 func (r *routed) noteWaiting(nowUs int64, reports []*wire.Report) {
 	for _, report := range reports {
-		for unit, n := range report.Waiting {
+		for unit, n := range report.Queued {
 			if n > 0 {
 				r.need(unit).lastUs = nowUs
 			}
@@ -77,8 +77,8 @@
 	sums := demandSums{rates: map[string]float64{}, tokens: map[string]float64{}, recent: map[string]float64{}}
 	for _, report := range reports {
 		addTo(sums.rates, report.Arrivals)
-		addTo(sums.tokens, report.Tokens)
-		addTo(sums.recent, report.Recent)
+		addTo(sums.tokens, report.PromptTokens)
+		addTo(sums.recent, report.RecentArrivals)
 	}
 	return sums
 }
@@ -138,7 +138,7 @@
 func (f *Controller) demandOfRoutes() map[string]*routeDemand {
 	routes := map[string]*routeDemand{}
 	for _, id := range sorted(f.gateways) {
-		for key, rate := range f.gateways[id].report.Paths {
+		for key, rate := range f.gateways[id].report.RouteArrivals {
 			name, model, _ := strings.Cut(key, "|")
 			d := routes[name]
 			if d == nil {
--- a/internal/controlplane/controller/note.go
+++ b/internal/controlplane/controller/note.go
@@ -81,7 +81,7 @@
 			continue
 		}
 		notes = append(notes, StoreNote{
-			Service: svc.Name, Left: f.storeLeft(nowUs, s, svc), AtOnce: svc.Engine.StoreAtOnce(), WindowMs: windowUs / clock.Ms,
+			Service: svc.Name, Left: f.storeLeft(nowUs, s, svc), AtOnce: svc.Engine.MaxConcurrentLoads(), WindowMs: windowUs / clock.Ms,
 			Running: storeLoads(s, svc), Began: began,
 		})
 	}
--- a/internal/controlplane/controller/orders.go
+++ b/internal/controlplane/controller/orders.go
@@ -128,9 +128,9 @@
 	if nowUs-sinceUs > quietMostUs {
 		return true
 	}
-	model, _ := configuration.Units(t.Unit)
+	model, _ := configuration.SplitUnit(t.Unit)
 	for _, d := range f.gateways {
-		if nowUs-d.atUs < gatewayLiveUs && d.report.Unread[t.Replica+"|"+model] > 0 {
+		if nowUs-d.atUs < gatewayLiveUs && d.report.PendingPrefill[t.Replica+"|"+model] > 0 {
 			return false
 		}
 	}
@@ -146,7 +146,7 @@
 	}
 	o.sentUs, o.said = seen.NowUs, ""
 	expected := o.basis.orders
-	f.do(Effect{Order: &Order{Addr: e.Addr, Order: wire.Order{Ticket: t, Epoch: f.claimed, Holder: f.me, Expected: &expected}}})
+	f.do(Effect{Order: &Order{Addr: e.Addr, Order: wire.Order{Command: t, Epoch: f.claimed, Leader: f.me, ExpectedOrders: &expected}}})
 }
 
 // routedOrdered takes a replica's answer to an order; what it means in the end is seen by what it holds.
@@ -167,7 +167,7 @@
 	case wire.OrderDone:
 		f.settled(a.Replica, t, wire.OrderDone, "")
 	case wire.OrderFailed:
-		f.settled(a.Replica, t, wire.OrderFailed, a.State.Why)
+		f.settled(a.Replica, t, wire.OrderFailed, a.State.Reason)
 	default:
 		o.askUs = nowUs + askLateUs
 	}
@@ -191,7 +191,7 @@
 	case have != nil && have.EverLoaded[t.Unit]:
 		return warmFirstUs
 	}
-	if _, loadMs, ok := s.Doc.EngineUnitMb(have.Service, t.Unit); ok {
+	if _, loadMs, ok := s.Doc.EngineUnitSize(have.Service, t.Unit); ok {
 		return loadMs*clock.Ms + loadSlackUs
 	}
 	return clock.Sec
@@ -205,7 +205,7 @@
 		f.replicas[replica] = row
 	}
 	row.state.Incarnation, row.state.ID, row.atUs = t.Incarnation, replica, 1
-	row.state.Last = &wire.OrderState{Number: t.Number, Epoch: t.Epoch, State: state, Why: why}
+	row.state.LastOrder = &wire.OrderState{Number: t.Number, Epoch: t.Epoch, State: state, Reason: why}
 	f.moved = true
 }
 
--- a/internal/controlplane/controller/orders_model_test.go
+++ b/internal/controlplane/controller/orders_model_test.go
@@ -39,15 +39,15 @@
 
 // modelDeclaration is one service with an engine of modelUnits.
 func modelDeclaration(loadMs int64) *configuration.Declaration {
-	engine := &configuration.Engine{Slots: 8, CacheTokens: 1, RoomMb: modelRoomMb, AdaptersMost: modelPlaces, LoadsPerS: modelLoadsPerS}
+	engine := &configuration.Engine{Slots: 8, CacheTokens: 1, CapacityMB: modelRoomMb, MaxAdapters: modelPlaces, LoadsPerSecond: modelLoadsPerS}
 	for _, unit := range modelUnits {
 		sizeMb := int64(60)
 		if strings.HasPrefix(unit, "small") {
 			sizeMb = 30
 		}
-		engine.Models = append(engine.Models, configuration.EngineModel{Name: unit, SizeMb: sizeMb, LoadMs: loadMs, Adapters: 4, AdapterMb: 2})
+		engine.Models = append(engine.Models, configuration.EngineModel{Name: unit, SizeMB: sizeMb, LoadMs: loadMs, Adapters: 4, AdapterMB: 2})
 	}
-	route := configuration.Route{Name: "r", Host: "h", Prefix: "/", Repeat: configuration.Idempotent, TimeoutMs: 1000, AttemptsMost: 1, Split: []configuration.Weighted{{Service: modelService, Weight: 1}}}
+	route := configuration.Route{Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Idempotent, TimeoutMs: 1000, MaxAttempts: 1, Split: []configuration.WeightedService{{Service: modelService, Weight: 1}}}
 	return &configuration.Declaration{Version: 1, Services: []configuration.Service{{Name: modelService, Engine: engine}}, Routes: []configuration.Route{route}}
 }
 
@@ -286,7 +286,7 @@
 func (m *orderModel) send(i int, effect Order) {
 	from, order := m.controlNodes[i].controller, effect.Order
 	if m.plant == plantUncounted {
-		order.Expected = nil
+		order.ExpectedOrders = nil
 	}
 	if m.plant == plantOldFence && m.taken%3 == 2 {
 		order.Epoch--
@@ -298,7 +298,7 @@
 			return
 		}
 		answered = true
-		ordered := Ordered{Replica: order.Ticket.Replica, Incarnation: order.Ticket.Incarnation, Expected: order.Expected, State: wire.OrderState{Number: order.Ticket.Number, Epoch: order.Epoch, State: state}}
+		ordered := Ordered{Replica: order.Command.Replica, Incarnation: order.Command.Incarnation, Expected: order.ExpectedOrders, State: wire.OrderState{Number: order.Command.Number, Epoch: order.Epoch, State: state}}
 		m.back(i, from, Event{Ordered: &ordered})
 	}
 	arrive := func(healed bool) {
@@ -320,10 +320,10 @@
 
 func orderText(o wire.Order) string {
 	count := "any count"
-	if o.Expected != nil {
-		count = fmt.Sprintf("count %d", *o.Expected)
+	if o.ExpectedOrders != nil {
+		count = fmt.Sprintf("count %d", *o.ExpectedOrders)
 	}
-	return fmt.Sprintf("ticket %d: %s %s at %s, fence %d, %s", o.Ticket.Number, o.Ticket.Action, o.Ticket.Unit, o.Ticket.Replica, o.Epoch, count)
+	return fmt.Sprintf("ticket %d: %s %s at %s, fence %d, %s", o.Command.Number, o.Command.Action, o.Command.Unit, o.Command.Replica, o.Epoch, count)
 }
 
 // arrive is an order at a replica: it answers by what it holds, and the checkers judge what was asked of it.
@@ -332,14 +332,14 @@
 	if r == nil {
 		return wire.OrderInDoubt
 	}
-	if r.id != order.Ticket.Incarnation {
+	if r.id != order.Command.Incarnation {
 		return wire.OrderFailed
 	}
 	m.checkHolder(r, order, healed)
-	t := order.Ticket
+	t := order.Command
 	_, held := r.holds[t.Unit]
 	switch {
-	case r.underway != nil, order.Expected != nil && *order.Expected != r.taken:
+	case r.underway != nil, order.ExpectedOrders != nil && *order.ExpectedOrders != r.taken:
 		return wire.OrderBusy
 	case held == (t.Action == statemachine.Load):
 		return wire.OrderDone
@@ -383,19 +383,19 @@
 		switch sinceUs := m.nowUs - r.lastOrderUs; {
 		case o.Epoch < r.lastFence:
 			m.fail("ONE: fence %d after %d at %s", o.Epoch, r.lastFence, r.id)
-		case o.Holder != r.lastHolder && o.Epoch == r.lastFence:
-			m.fail("ONE: %s and %s have fence %d at %s", o.Holder, r.lastHolder, o.Epoch, r.id)
-		case o.Holder != r.lastHolder && sinceUs < modelLeaseUs:
-			m.fail("ONE: %s orders %s %d ms after %s", o.Holder, r.id, sinceUs/1000, r.lastHolder)
+		case o.Leader != r.lastHolder && o.Epoch == r.lastFence:
+			m.fail("ONE: %s and %s have fence %d at %s", o.Leader, r.lastHolder, o.Epoch, r.id)
+		case o.Leader != r.lastHolder && sinceUs < modelLeaseUs:
+			m.fail("ONE: %s orders %s %d ms after %s", o.Leader, r.id, sinceUs/1000, r.lastHolder)
 		}
 	}
-	r.lastHolder, r.lastFence, r.lastOrderUs = o.Holder, o.Epoch, m.nowUs
+	r.lastHolder, r.lastFence, r.lastOrderUs = o.Leader, o.Epoch, m.nowUs
 }
 
 // checkRoom is LIMIT: no replica is ordered to load beyond its room or its places. False where an adapter's
 // model is not there, which a replica refuses.
 func (m *orderModel) checkRoom(r *modelReplica, t statemachine.ReplicaCommand) bool {
-	model, adapter := configuration.Units(t.Unit)
+	model, adapter := configuration.SplitUnit(t.Unit)
 	if _, there := r.holds[model]; adapter != "" && !there {
 		return false
 	}
--- a/internal/controlplane/controller/resident.go
+++ b/internal/controlplane/controller/resident.go
@@ -48,7 +48,7 @@
 // unplaced: calls wait at a gateway for a model or an adapter that no replica holds, that is on its way to
 // none, and of which the policy does not know already that it has no place now.
 func (f *Controller) unplaced(seen Seen, r *wire.Report) bool {
-	for unit, n := range r.Waiting {
+	for unit, n := range r.Queued {
 		if n > 0 && !f.routed.unplaced[unit] && !f.placed(seen.State, unit) {
 			return true
 		}
@@ -98,11 +98,11 @@
 func loadOf(reports []*wire.Report) callLoad {
 	load := callLoad{waiting: map[string]int{}, unread: map[string]int{}, runsAt: callCounts{}, unreadAt: callCounts{}}
 	for _, report := range reports {
-		addTo(load.waiting, report.Waiting)
-		for key, n := range report.Runs {
+		addTo(load.waiting, report.Queued)
+		for key, n := range report.ModelInFlight {
 			load.runsAt.add(atOf(key), n)
 		}
-		for key, n := range report.Unread {
+		for key, n := range report.PendingPrefill {
 			at := atOf(key)
 			load.unreadAt.add(at, n)
 			load.unread[at.unit] += n
@@ -137,7 +137,7 @@
 		}
 	}
 	for _, unit := range f.unitsCalled(calls) {
-		model, adapter := configuration.Units(unit)
+		model, adapter := configuration.SplitUnit(unit)
 		switch {
 		case s.Doc.EngineModel(svc.Name, model) == nil:
 		case adapter != "":
--- a/internal/controlplane/controller/routed_test.go
+++ b/internal/controlplane/controller/routed_test.go
@@ -77,12 +77,12 @@
 }
 
 func fleetDoc() *configuration.Declaration {
-	e := &configuration.Engine{Slots: 8, CacheTokens: 1, RoomMb: fleetRoomMb, AdaptersMost: fleetPlaces, LoadsPerS: fleetPerS}
+	e := &configuration.Engine{Slots: 8, CacheTokens: 1, CapacityMB: fleetRoomMb, MaxAdapters: fleetPlaces, LoadsPerSecond: fleetPerS}
 	for i := range 9 {
-		e.Models = append(e.Models, configuration.EngineModel{Name: fmt.Sprint("m", i), SizeMb: int64(15 + 5*i), LoadMs: 1500, Adapters: 4, AdapterMb: 2})
+		e.Models = append(e.Models, configuration.EngineModel{Name: fmt.Sprint("m", i), SizeMB: int64(15 + 5*i), LoadMs: 1500, Adapters: 4, AdapterMB: 2})
 	}
 	return &configuration.Declaration{Version: 1, Services: []configuration.Service{{Name: "s", Engine: e}}, Routes: []configuration.Route{{
-		Name: "r", Host: "h", Prefix: "/", Repeat: configuration.Idempotent, TimeoutMs: 1000, AttemptsMost: 1, Split: []configuration.Weighted{{Service: "s", Weight: 1}}}}}
+		Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Idempotent, TimeoutMs: 1000, MaxAttempts: 1, Split: []configuration.WeightedService{{Service: "s", Weight: 1}}}}}
 }
 
 func newFleet(t *testing.T, seed int64, machines int) *fleet {
@@ -164,15 +164,15 @@
 			})
 		case e.Order != nil:
 			o := e.Order.Order
-			all := f.orders[o.Ticket.Replica]
+			all := f.orders[o.Command.Replica]
 			for _, before := range all {
-				if before.t.Number == o.Ticket.Number {
-					if f.repeats++; !before.asked || o.Expected == nil {
-						f.broken = fmt.Sprintf("ticket %d is sent again on count %v, looked at: %v", o.Ticket.Number, o.Expected, before.asked)
+				if before.t.Number == o.Command.Number {
+					if f.repeats++; !before.asked || o.ExpectedOrders == nil {
+						f.broken = fmt.Sprintf("ticket %d is sent again on count %v, looked at: %v", o.Command.Number, o.ExpectedOrders, before.asked)
 					}
 				}
 			}
-			f.orders[o.Ticket.Replica] = append(all, sent{t: o.Ticket})
+			f.orders[o.Command.Replica] = append(all, sent{t: o.Command})
 			f.later(1+f.r.Int63n(25*clock.Ms), func() {
 				state := ""
 				if f.r.Intn(200) >= f.lose {
@@ -180,11 +180,11 @@
 				}
 				if state != "" && f.r.Intn(100) >= f.lose {
 					f.later(1+f.r.Int63n(25*clock.Ms), func() {
-						back(Event{Ordered: &Ordered{Replica: o.Ticket.Replica, Incarnation: o.Ticket.Incarnation, State: wire.OrderState{Number: o.Ticket.Number, Epoch: o.Epoch, State: state}}})
+						back(Event{Ordered: &Ordered{Replica: o.Command.Replica, Incarnation: o.Command.Incarnation, State: wire.OrderState{Number: o.Command.Number, Epoch: o.Epoch, State: state}}})
 					})
 				} else {
 					f.later(900*clock.Ms, func() {
-						back(Event{Ordered: &Ordered{Replica: o.Ticket.Replica, Incarnation: o.Ticket.Incarnation, State: wire.OrderState{Number: o.Ticket.Number, Epoch: o.Epoch, State: wire.OrderInDoubt}}})
+						back(Event{Ordered: &Ordered{Replica: o.Command.Replica, Incarnation: o.Command.Incarnation, State: wire.OrderState{Number: o.Command.Number, Epoch: o.Epoch, State: wire.OrderInDoubt}}})
 					})
 				}
 			})
@@ -194,16 +194,16 @@
 
 // arrive is an order at a replica, which judges it by what it holds, and the fleet by the rules.
 func (f *fleet) arrive(o wire.Order) string {
-	m := f.machines[o.Ticket.Replica]
-	if m == nil || m.id != o.Ticket.Incarnation {
+	m := f.machines[o.Command.Replica]
+	if m == nil || m.id != o.Command.Incarnation {
 		return wire.OrderFailed
 	}
 	f.holder(m.id, o)
-	t := o.Ticket
-	model, adapter := configuration.Units(t.Unit)
+	t := o.Command
+	model, adapter := configuration.SplitUnit(t.Unit)
 	_, held := m.holds[t.Unit]
 	switch {
-	case m.busy.Unit != "", o.Expected != nil && *o.Expected != m.taken:
+	case m.busy.Unit != "", o.ExpectedOrders != nil && *o.ExpectedOrders != m.taken:
 		return wire.OrderBusy
 	case held == (t.Action == statemachine.Load):
 		return wire.OrderDone
@@ -254,13 +254,13 @@
 		switch {
 		case o.Epoch < last.epoch:
 			f.broken = fmt.Sprintf("fence %d after %d at %s", o.Epoch, last.epoch, id)
-		case o.Holder != last.holder && o.Epoch == last.epoch:
-			f.broken = fmt.Sprintf("%s and %s with fence %d", o.Holder, last.holder, o.Epoch)
-		case o.Holder != last.holder && f.nowUs-last.atUs < fleetLeaseUs:
-			f.broken = fmt.Sprintf("%s orders %s %d ms after %s", o.Holder, id, (f.nowUs-last.atUs)/1000, last.holder)
+		case o.Leader != last.holder && o.Epoch == last.epoch:
+			f.broken = fmt.Sprintf("%s and %s with fence %d", o.Leader, last.holder, o.Epoch)
+		case o.Leader != last.holder && f.nowUs-last.atUs < fleetLeaseUs:
+			f.broken = fmt.Sprintf("%s orders %s %d ms after %s", o.Leader, id, (f.nowUs-last.atUs)/1000, last.holder)
 		}
 	}
-	f.orders[key] = append(f.orders[key], sent{atUs: f.nowUs, holder: o.Holder, epoch: o.Epoch})
+	f.orders[key] = append(f.orders[key], sent{atUs: f.nowUs, holder: o.Leader, epoch: o.Epoch})
 }
 
 func (f *fleet) pass(us int64) {
@@ -312,7 +312,7 @@
 
 func (f *fleet) demand(waiting map[string]int, rates map[string]float64) {
 	for i := range f.fs {
-		f.step(i, Event{Report: &wire.Report{Gateway: "d", Waiting: waiting, Arrivals: rates, Recent: rates, Tokens: rates}})
+		f.step(i, Event{Report: &wire.Report{Gateway: "d", Queued: waiting, Arrivals: rates, RecentArrivals: rates, PromptTokens: rates}})
 	}
 }
 
@@ -445,7 +445,7 @@
 		begunUs := nowUs
 		for ; nowUs < begunUs+1200*clock.Ms; nowUs += 5 * clock.Ms {
 			ms := (nowUs - begunUs) / 1000
-			step(Event{Report: &wire.Report{Gateway: "d", Unread: c.unread(ms)}})
+			step(Event{Report: &wire.Report{Gateway: "d", PendingPrefill: c.unread(ms)}})
 			step(Event{})
 		}
 		if waited := sentUs - begunUs; sentUs == 0 || waited < c.from || waited > c.to {
@@ -473,7 +473,7 @@
 		}
 		from.Saw(nowUs, s.Epoch, update, s)
 	}
-	most := svc.Engine.StoreAtOnce()
+	most := svc.Engine.MaxConcurrentLoads()
 	load(clock.Sec, "r0")
 	if left := from.storeLeft(clock.Sec, s, svc); left != most-1 {
 		t.Errorf("%d loads are left to who saw the only ticket, want %d", left, most-1)
--- a/internal/controlplane/controller/rows.go
+++ b/internal/controlplane/controller/rows.go
@@ -49,7 +49,7 @@
 		return
 	}
 	n := statemachine.ReplicaUpdate{
-		ID: e.ID, Incarnation: e.ID, Addr: e.Addr, Zone: e.Zone, CapacityMb: svc.Engine.RoomMb, Slots: e.Slots, Draining: e.Draining,
+		ID: e.ID, Incarnation: e.ID, Addr: e.Addr, Zone: e.Zone, CapacityMb: svc.Engine.CapacityMB, Slots: e.Slots, Draining: e.Draining,
 		RemainingMs: leftMs(have, e.Draining, e.RemainingMs), Unreachable: e.Unreachable, Service: e.Service,
 	}
 	f.noteUnits(seen, e, svc, &n)
@@ -144,9 +144,9 @@
 func holdings(doc *configuration.Declaration, svc *configuration.Service, units []string) []statemachine.ResidentUnit {
 	all := []statemachine.ResidentUnit{}
 	for _, u := range units {
-		sizeMb, _, ok := doc.EngineUnitMb(svc.Name, u)
+		sizeMb, _, ok := doc.EngineUnitSize(svc.Name, u)
 		if !ok {
-			sizeMb = svc.Engine.RoomMb / 2
+			sizeMb = svc.Engine.CapacityMB / 2
 		}
 		all = append(all, statemachine.ResidentUnit{Unit: u, SizeMb: sizeMb})
 	}
--- a/internal/controlplane/controller/share.go
+++ b/internal/controlplane/controller/share.go
@@ -39,8 +39,8 @@
 	if !ok || have.GatewayIncarnation != report.Incarnation || have.Incarnation != r.Incarnation {
 		return ask, true
 	}
-	left, told := report.Left[r.ID+"|"+model]
-	return ask, told && left.Ticket == have.Number && left.Left*2 <= want
+	left, told := report.UnusedGrants[r.ID+"|"+model]
+	return ask, told && left.Ticket == have.Number && left.Remaining*2 <= want
 }
 
 // What a gateway's calls weigh when a replica's slots are divided: one that runs there counts whole.
@@ -84,7 +84,7 @@
 		report := f.gateways[gateway].report
 		weights[i] = idleWeight + float64(report.InFlight[r.ID])
 		for _, unit := range sorted(r.Resident) {
-			weights[i] += float64(report.Waiting[unit]) * waitingWeight
+			weights[i] += float64(report.Queued[unit]) * waitingWeight
 			weights[i] += report.Arrivals[unit] * arrivalWeight
 		}
 	}
--- a/internal/controlplane/controller/slow_test.go
+++ b/internal/controlplane/controller/slow_test.go
@@ -29,7 +29,7 @@
 				f.Saw(nowUs, e.Write.Epoch, leaderUpdateOf(e.Write), s)
 				step(Event{Wrote: &out})
 			case e.Order != nil:
-				step(Event{Ordered: &Ordered{Replica: "r", Incarnation: "r", State: wireRunning(e.Order.Order.Ticket.Number)}})
+				step(Event{Ordered: &Ordered{Replica: "r", Incarnation: "r", State: wireRunning(e.Order.Order.Command.Number)}})
 			}
 		}
 	}
@@ -47,7 +47,7 @@
 	if len(out.Faults) > 0 {
 		t.Fatal(out.Faults)
 	}
-	_, loadMs, _ := s.Doc.EngineUnitMb("s", "m0")
+	_, loadMs, _ := s.Doc.EngineUnitSize("s", "m0")
 	pass(loadMs*1000 + 500*clock.Ms)
 	if s.Replicas["r"].Resident["m0"] == 0 {
 		t.Fatal("the load was not settled by its time")
--- a/internal/controlplane/controller/store.go
+++ b/internal/controlplane/controller/store.go
@@ -84,12 +84,12 @@
 	e := service.Engine
 	windowUs := f.windowUs()
 	overshoot := max(f.opts.StoreOvershoot, 1)
-	most := int(e.LoadsPerS*float64(windowUs)/float64(clock.Sec)*overshoot+storeBurst) - storeCut
+	most := int(e.LoadsPerSecond*float64(windowUs)/float64(clock.Sec)*overshoot+storeBurst) - storeCut
 	spent := f.routed.loadsWithin(nowUs, windowUs+windowSlackUs)
 	if f.routed.missed(nowUs, s, 0); f.routed.missedUs > 0 && nowUs-f.routed.missedUs < windowUs+windowSlackUs {
 		spent += most
 	}
-	return max(0, min(most-spent, e.StoreAtOnce()-storeLoads(s, service)))
+	return max(0, min(most-spent, e.MaxConcurrentLoads()-storeLoads(s, service)))
 }
 
 // leftFor sums what the store still gives over all services; each is checked by its own account as well.
--- a/internal/controlplane/controller/tickets.go
+++ b/internal/controlplane/controller/tickets.go
@@ -15,7 +15,7 @@
 		if row == nil || row.atUs == 0 || row.state.Incarnation != t.Incarnation {
 			continue
 		}
-		if last := row.state.Last; last != nil && last.Number >= t.Number {
+		if last := row.state.LastOrder; last != nil && last.Number >= t.Number {
 			continue
 		}
 		sentUs, sent := f.orderUs[t.Number]
@@ -23,7 +23,7 @@
 			continue
 		}
 		f.orderUs[t.Number] = seen.NowUs
-		f.do(Effect{Order: &Order{Addr: row.addr, Order: wire.Order{Ticket: t, Epoch: s.Epoch}}})
+		f.do(Effect{Order: &Order{Addr: row.addr, Order: wire.Order{Command: t, Epoch: s.Epoch}}})
 	}
 }
 
@@ -31,7 +31,7 @@
 	sumMb := f.issuingMb
 	for _, t := range s.Pending {
 		row := f.replicas[t.Replica]
-		seen := row != nil && row.atUs > 0 && row.state.Incarnation == t.Incarnation && row.state.Last != nil && row.state.Last.Number >= t.Number
+		seen := row != nil && row.atUs > 0 && row.state.Incarnation == t.Incarnation && row.state.LastOrder != nil && row.state.LastOrder.Number >= t.Number
 		if t.Action == statemachine.Load && !seen {
 			sumMb += t.SizeMb
 		}
--- a/internal/controlplane/controller/write.go
+++ b/internal/controlplane/controller/write.go
@@ -53,7 +53,7 @@
 	f.judged(verdicts)
 	for _, v := range verdicts {
 		if v.Fault != nil {
-			f.moved = f.moved || (v.Fault.Code == fault.StoreRate && s.PendingLoads()+len(tickets) < s.Doc.Store.Loads)
+			f.moved = f.moved || (v.Fault.Code == fault.StoreRateLimited && s.PendingLoads()+len(tickets) < s.Doc.Store.Loads)
 		}
 	}
 	for _, t := range tickets {
--- a/internal/controlplane/controlnode/bulk.go
+++ b/internal/controlplane/controlnode/bulk.go
@@ -44,7 +44,7 @@
 	h.bulk[addr] = send
 	h.act.Spawn(func() {
 		defer cancel()
-		_, _ = rpc.NewCaller[wire.Batch, wire.Receipt](h.inner, addr, rpc.BatchPath).Call(ctx, &wire.Batch{Messages: []wire.Message{l}})
+		_, _ = rpc.NewCaller[wire.Batch, wire.Ack](h.inner, addr, rpc.BatchPath).Call(ctx, &wire.Batch{Messages: []wire.Message{l}})
 		h.act.Tell(func() {
 			if h.bulk[addr] == send {
 				delete(h.bulk, addr)
--- a/internal/controlplane/controlnode/config.go
+++ b/internal/controlplane/controlnode/config.go
@@ -189,7 +189,7 @@
 		return
 	}
 	if first, seen := h.seen(r.Context(), a.id); seen {
-		h.reply(r.Context(), w, a.id, wire.Result{Outcome: first, Everywhere: true})
+		h.reply(r.Context(), w, a.id, wire.Result{Outcome: first, OnAllGateways: true})
 		return
 	}
 	now, known := h.patchBase(r.Context(), a.base)
@@ -259,8 +259,8 @@
 	status := http.StatusOK
 	if r.Outcome.IsMembership {
 		a.State = "ordered"
-	} else if !r.Everywhere {
-		a.State = string(fault.NotEverywhere)
+	} else if !r.OnAllGateways {
+		a.State = string(fault.CommittedNotEverywhere)
 		status = http.StatusAccepted
 	}
 	writeJSON(w, status, a)
@@ -293,14 +293,14 @@
 			return
 		}
 		doc := *now.Declaration
-		doc.Emptied = nil
-		for _, z := range now.Declaration.Emptied {
+		doc.DrainedZones = nil
+		for _, z := range now.Declaration.DrainedZones {
 			if z != zone {
-				doc.Emptied = append(doc.Emptied, z)
+				doc.DrainedZones = append(doc.DrainedZones, z)
 			}
 		}
 		if act == "empty" {
-			doc.Emptied = append(doc.Emptied, zone)
+			doc.DrainedZones = append(doc.DrainedZones, zone)
 		}
 		c := statemachine.Change{ID: id, Config: &statemachine.ConfigChange{Base: now.Revision, Doc: &doc}}
 		if try > 0 {
--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -28,7 +28,7 @@
 	Submit     *statemachine.Change
 	Learn      []string
 	Leave      bool
-	Follow     *wire.Follow
+	Follow     *wire.SubscribeRequest
 	Report     *Reported
 	Controller *controller.Event
 	Beat       *failuredetector.Heartbeat
@@ -36,7 +36,7 @@
 	Left       string
 	// Reply names the answer that is owed for Heard or Left; 0 where nobody waits.
 	Reply         uint64
-	Subscribe     *wire.Follow
+	Subscribe     *wire.SubscribeRequest
 	Unfollow      *Unfollow
 	GatewayReport *wire.Report
 }
@@ -179,14 +179,14 @@
 		c.effects = append(c.effects, Effect{Result: l.Result})
 	case l.Report != nil:
 		c.controller(controller.Event{NowUs: nowUs, Report: l.Report})
-	case l.Silence != nil:
-		c.controller(controller.Event{NowUs: nowUs, Silence: l.Silence})
-	case l.Heard != nil:
-		c.heardFrom(nowUs, *l.Heard)
-	case l.Confirmed != nil:
-		c.confirmed(nowUs, *l.Confirmed)
-	case l.Outlier != nil && l.Outlier.After(c.soft.Outliers):
-		c.soft.Outliers = *l.Outlier
+	case l.Suspicion != nil:
+		c.controller(controller.Event{NowUs: nowUs, Silence: l.Suspicion})
+	case l.Gossip != nil:
+		c.heardFrom(nowUs, *l.Gossip)
+	case l.DrainConfirmation != nil:
+		c.confirmed(nowUs, *l.DrainConfirmation)
+	case l.Outliers != nil && l.Outliers.After(c.soft.Outliers):
+		c.soft.Outliers = *l.Outliers
 	}
 }
 
@@ -209,7 +209,7 @@
 	if c.Node.IsHead() {
 		c.controller(controller.Event{NowUs: nowUs, Silence: s})
 	} else if head := c.Node.View().Head(); head.Addr != "" {
-		c.send(head.Addr, wire.Message{Silence: s})
+		c.send(head.Addr, wire.Message{Suspicion: s})
 	}
 }
 
@@ -293,7 +293,7 @@
 		c.Room.AwaitAcknowledgements(change.Origin, a.Outcome, c.Node.State().UpdateIndex)
 		return
 	}
-	c.answer(change.Origin, wire.Result{Outcome: a.Outcome, Everywhere: true})
+	c.answer(change.Origin, wire.Result{Outcome: a.Outcome, OnAllGateways: true})
 }
 
 // Seen is the outcome of a change that was taken before and may be acknowledged here again.
@@ -392,7 +392,7 @@
 		Pending: []statemachine.ReplicaCommand{}, Replicas: []statemachine.Replica{}, Fleet: c.fleet(nowUs), Outliers: c.soft.Outliers.Rows,
 	}
 	if s.Doc != nil {
-		st.Emptied = s.Doc.Emptied
+		st.Emptied = s.Doc.DrainedZones
 	}
 	for _, id := range s.ReplicaIDs() {
 		r := *s.Replicas[id]
--- a/internal/controlplane/controlnode/departures.go
+++ b/internal/controlplane/controlnode/departures.go
@@ -85,15 +85,15 @@
 }
 
 // askAbout adds to a message the leavings that a peer has not confirmed.
-func (c *Core) askAbout(nowUs int64, peer string, message *wire.Heard) {
+func (c *Core) askAbout(nowUs int64, peer string, message *wire.Gossip) {
 	for _, id := range slices.Sorted(maps.Keys(c.soft.departures)) {
 		d := c.soft.departures[id]
 		if d.knownBy[peer] || nowUs-d.askedUs < leaveAgainUs {
 			continue
 		}
-		message.Confirm = append(message.Confirm, id)
-		if !slices.ContainsFunc(message.Notes, func(n registry.GossipEntry) bool { return n.ID == id }) {
-			message.Notes = append(message.Notes, c.soft.Roster.GossipOf(nowUs, id)...)
+		message.ConfirmDraining = append(message.ConfirmDraining, id)
+		if !slices.ContainsFunc(message.Observations, func(n registry.GossipEntry) bool { return n.ID == id }) {
+			message.Observations = append(message.Observations, c.soft.Roster.GossipOf(nowUs, id)...)
 		}
 	}
 }
@@ -107,30 +107,30 @@
 }
 
 // confirm tells another control node which of the leavings that it asks about are known here.
-func (c *Core) confirm(h wire.Heard) {
-	known := wire.Confirmed{By: c.Node.Me().ID, Incarnation: h.Incarnation}
-	for _, id := range h.Confirm {
+func (c *Core) confirm(h wire.Gossip) {
+	known := wire.DrainConfirmation{By: c.Node.Me().ID, Incarnation: h.Incarnation}
+	for _, id := range h.ConfirmDraining {
 		if e := c.soft.Roster.Entry(id); e != nil && (e.Removed || e.Draining) {
-			known.Leaving = append(known.Leaving, wire.KnownLeaving{ID: id, Gone: e.Removed})
+			known.Draining = append(known.Draining, wire.KnownDraining{ID: id, Removed: e.Removed})
 		}
 	}
-	if len(known.Leaving) == 0 {
+	if len(known.Draining) == 0 {
 		return
 	}
 	for _, p := range c.Node.Peers() {
 		if p.Member.ID == h.By {
-			c.send(p.Member.Addr, wire.Message{Confirmed: &known})
+			c.send(p.Member.Addr, wire.Message{DrainConfirmation: &known})
 		}
 	}
 }
 
 // confirmed takes another control node's word that it knows of leavings.
-func (c *Core) confirmed(nowUs int64, known wire.Confirmed) {
+func (c *Core) confirmed(nowUs int64, known wire.DrainConfirmation) {
 	if known.Incarnation != c.Node.Incarnation() {
 		return
 	}
-	for _, l := range known.Leaving {
-		if d := c.soft.departures[l.ID]; d != nil && (l.Gone || !d.gone) {
+	for _, l := range known.Draining {
+		if d := c.soft.departures[l.ID]; d != nil && (l.Removed || !d.gone) {
 			d.knownBy[known.By] = true
 			c.settleDeparture(nowUs, l.ID)
 		}
--- a/internal/controlplane/controlnode/departures_test.go
+++ b/internal/controlplane/controlnode/departures_test.go
@@ -214,7 +214,7 @@
 		return bad.Code
 	}
 	for i := range tr.cores {
-		if got := ask(i); got != fault.MembershipUnfit {
+		if got := ask(i); got != fault.MembershipMismatch {
 			t.Errorf("in contact, control node %d says %q", i, got)
 		}
 	}
@@ -223,7 +223,7 @@
 	if got := ask(0); got != fault.NotServing {
 		t.Errorf("cut off, it says %q", got)
 	}
-	if got := ask(1); got != fault.MembershipUnfit {
+	if got := ask(1); got != fault.MembershipMismatch {
 		t.Errorf("a control node of the quorum says %q", got)
 	}
 }
--- a/internal/controlplane/controlnode/fleet.go
+++ b/internal/controlplane/controlnode/fleet.go
@@ -74,7 +74,7 @@
 		return nil
 	}
 	f := &Fleet{
-		Version: s.Doc.Version, Routes: s.Doc.Bare().Routes, Services: []ServiceNote{}, Replicas: []ReplicaNote{},
+		Version: s.Doc.Version, Routes: s.Doc.WithoutSource().Routes, Services: []ServiceNote{}, Replicas: []ReplicaNote{},
 		Gateways: c.soft.Hub.Gateways(nowUs), Leadership: c.Controller.Note(nowUs, s),
 	}
 	count := map[string]int{}
@@ -92,9 +92,9 @@
 	}
 	for i := range s.Doc.Services {
 		svc := &s.Doc.Services[i]
-		row := ServiceNote{Name: svc.Name, ConnectionsMost: svc.ConnectionsMost, Replicas: count[svc.Name]}
+		row := ServiceNote{Name: svc.Name, ConnectionsMost: svc.MaxConnections, Replicas: count[svc.Name]}
 		if svc.Engine != nil {
-			row.Models, row.RoomMb = len(svc.Engine.Models), svc.Engine.RoomMb
+			row.Models, row.RoomMb = len(svc.Engine.Models), svc.Engine.CapacityMB
 		}
 		f.Services = append(f.Services, row)
 	}
--- a/internal/controlplane/controlnode/fleet_test.go
+++ b/internal/controlplane/controlnode/fleet_test.go
@@ -26,10 +26,10 @@
 	s := c.Node.State()
 	s.Apply(1, statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 7, Doc: &configuration.Declaration{
 		Version: 7,
-		Services: []configuration.Service{{Name: "plain", ConnectionsMost: 9}, {Name: "s", Engine: &configuration.Engine{
-			Slots: 4, CacheTokens: 1, RoomMb: 100, LoadsPerS: 1, Models: []configuration.EngineModel{{Name: "m", SizeMb: 30, LoadMs: 1000}, {Name: "n", SizeMb: 40, LoadMs: 1000}},
+		Services: []configuration.Service{{Name: "plain", MaxConnections: 9}, {Name: "s", Engine: &configuration.Engine{
+			Slots: 4, CacheTokens: 1, CapacityMB: 100, LoadsPerSecond: 1, Models: []configuration.EngineModel{{Name: "m", SizeMB: 30, LoadMs: 1000}, {Name: "n", SizeMB: 40, LoadMs: 1000}},
 		}}},
-		Routes: []configuration.Route{{Name: "r", Host: "h", Prefix: "/", Repeat: configuration.Idempotent, TimeoutMs: 1, AttemptsMost: 1, Split: []configuration.Weighted{{Service: "s", Weight: 1}}, Source: json.RawMessage(`{"long":1}`)}},
+		Routes: []configuration.Route{{Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Idempotent, TimeoutMs: 1, MaxAttempts: 1, Split: []configuration.WeightedService{{Service: "s", Weight: 1}}, Source: json.RawMessage(`{"long":1}`)}},
 	}}})
 	s.Apply(2, statemachine.Change{ID: "claim", Epoch: 1, Claim: &statemachine.Claim{Leader: "o"}})
 	known := func(id string) statemachine.ReplicaUpdate {
--- a/internal/controlplane/controlnode/frames.go
+++ b/internal/controlplane/controlnode/frames.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func (h *Host) serveFrames(ctx context.Context, f *wire.Follow, send func(*wire.Frame) error) error {
+func (h *Host) serveFrames(ctx context.Context, f *wire.SubscribeRequest, send func(*wire.Frame) error) error {
 	mine := &framed{incarnation: f.Incarnation, frames: make(chan *wire.Frame, framesMost), over: make(chan struct{})}
 	defer h.act.Tell(func() {
 		if h.frames[f.Gateway] == mine {
--- a/internal/controlplane/controlnode/host.go
+++ b/internal/controlplane/controlnode/host.go
@@ -93,7 +93,7 @@
 // Replicas is how the controller reaches replicas and learns which there are.
 type Replicas interface {
 	// List is the platform's list; nil where replicas make themselves known.
-	List(ctx context.Context) (*wire.List, error)
+	List(ctx context.Context) (*wire.ReplicaList, error)
 	State(ctx context.Context, replica, addr string) (*wire.ReplicaState, error)
 	Order(ctx context.Context, addr string, o wire.Order) (wire.OrderState, error)
 }
@@ -114,14 +114,14 @@
 func (h *Host) Enter(d Door) { h.doors = append(h.doors, d) }
 
 type followed struct {
-	latest chan wire.News
+	latest chan wire.GatewayUpdate
 }
 
 // Open reads the data folder. Damaged data is set aside under a name that says so and the
 // control node comes back as a new member; it never votes on what it can no longer know.
 func Open(set settings.ControlNode, ring *logring.Ring) (*Host, error) {
 	logger := ring.Logger("office", set.Name)
-	lock, err := storage.Lock(set.Data, set.Name, lockWait)
+	lock, err := storage.Lock(set.DataDir, set.Name, lockWait)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -137,17 +137,17 @@
 
 func openLocked(set settings.ControlNode, ring *logring.Ring, logger log.Logger) (*Host, error) {
 	seal := chain.Seal{Identity: set.Name + "-" + RandomID(4), Name: set.Name}
-	opened, err := storage.Open(set.Data, seal)
+	opened, err := storage.Open(set.DataDir, seal)
 	var bad *fault.Fault
-	founding := set.Founding
+	founding := set.FoundingSize
 	if errors.As(err, &bad) && bad.Code == fault.DamagedData {
-		kept, moveErr := storage.SetAside(set.Data, RandomID(4))
+		kept, moveErr := storage.SetAside(set.DataDir, RandomID(4))
 		if moveErr != nil {
 			return nil, errors.Trace(moveErr)
 		}
 		_ = logger.Log("event", "damaged data set aside", "kept", kept, "why", bad.Error())
 		ring.Dump("stored data is damaged (" + bad.Error() + "); it is kept in " + kept + " and will be copied from partners")
-		opened, err = storage.Open(set.Data, seal)
+		opened, err = storage.Open(set.DataDir, seal)
 	}
 	if err != nil {
 		return nil, err
@@ -159,11 +159,11 @@
 		_ = logger.Log("event", "the disk takes no bytes", "err", opened.Refused)
 	}
 	me := chain.Member{ID: opened.Store.Seal().Identity, Name: set.Name, Addr: set.Advertise, Zone: set.Zone}
-	if kept, _ := filepath.Glob(filepath.Join(set.Data, "chain.damaged-*")); opened.Fresh && len(kept) > 0 {
+	if kept, _ := filepath.Glob(filepath.Join(set.DataDir, "chain.damaged-*")); opened.Fresh && len(kept) > 0 {
 		founding = 0
 	}
 	opts := chain.Options{
-		Me: me, Incarnation: RandomID(6), Founding: founding, CopiesLeast: set.CopiesLeast, ZonesLeast: set.ZonesLeast, SelfMembers: set.Members == settings.SelfMembers,
+		Me: me, Incarnation: RandomID(6), Founding: founding, CopiesLeast: set.MinReplicas, ZonesLeast: set.MinZones, SelfMembers: set.Membership == settings.AutomaticMembership,
 		Unsynced: opened.Refused != nil,
 	}
 	if opts.SelfMembers {
@@ -174,7 +174,7 @@
 	}
 	node, err := chain.NewNode(opts, opened.Records, clock.NowUs())
 	if err != nil {
-		return nil, fault.New(fault.DamagedData, set.Data, "%v", err)
+		return nil, fault.New(fault.DamagedData, set.DataDir, "%v", err)
 	}
 	core := NewCoreWith(node, CoreOptions{
 		UnreachableUs: set.HeartbeatMs * 5 / 2 * clock.Ms,
@@ -314,7 +314,7 @@
 }
 
 func (h *Host) carry(addr string, box chan wire.Message) {
-	caller := rpc.NewCaller[wire.Batch, wire.Receipt](h.inner, addr, rpc.BatchPath)
+	caller := rpc.NewCaller[wire.Batch, wire.Ack](h.inner, addr, rpc.BatchPath)
 	for {
 		batch := wire.Batch{}
 		select {
@@ -337,7 +337,7 @@
 	}
 }
 
-func (h *Host) push(gateway string, news wire.News) {
+func (h *Host) push(gateway string, news wire.GatewayUpdate) {
 	f := h.follows[gateway]
 	if f == nil {
 		return
@@ -350,8 +350,8 @@
 		}
 		select {
 		case older := <-f.latest:
-			if news.Doc == nil {
-				news.Doc = older.Doc
+			if news.Declaration == nil {
+				news.Declaration = older.Declaration
 			}
 		default:
 		}
@@ -367,7 +367,7 @@
 	}
 	if alone, ran := actor.Ask(h.act.Ctx, h.act, func() bool { return h.core.Node.Phase() == chain.Fresh }); ran && alone {
 		select {
-		case h.failed <- fault.New(fault.DamagedData, h.set.Data, "it holds no chain, and no partner was met within %v to copy one from; kept folders are untouched", peerWait):
+		case h.failed <- fault.New(fault.DamagedData, h.set.DataDir, "it holds no chain, and no partner was met within %v to copy one from; kept folders are untouched", peerWait):
 		default:
 		}
 	}
@@ -381,7 +381,7 @@
 				continue
 			}
 			ctx, done := context.WithTimeout(h.act.Ctx, 500*time.Millisecond)
-			where, err := rpc.NewCaller[wire.WhereAsk, wire.Where](h.inner, seed, rpc.WherePath).Call(ctx, &wire.WhereAsk{From: h.core.Node.Me()})
+			where, err := rpc.NewCaller[wire.MembershipRequest, wire.MembershipResponse](h.inner, seed, rpc.WherePath).Call(ctx, &wire.MembershipRequest{From: h.core.Node.Me()})
 			done()
 			if err != nil {
 				continue
@@ -406,8 +406,8 @@
 	}
 }
 
-func (h *Host) where() wire.Where {
-	w := wire.Where{View: h.core.Node.View()}
+func (h *Host) where() wire.MembershipResponse {
+	w := wire.MembershipResponse{View: h.core.Node.View()}
 	seen := map[string]bool{}
 	add := func(m chain.Member) {
 		if m.Addr != "" && !seen[m.Addr] {
@@ -436,8 +436,8 @@
 		h.act.Spawn(func() { h.askReplica(ask) })
 	case e.Order != nil:
 		order := *e.Order
-		_ = h.log.Log("event", "order", "ticket", order.Order.Ticket.Number, "step", string(order.Order.Ticket.Action),
-			"unit", order.Order.Ticket.Unit, "replica", order.Order.Ticket.Replica, "epoch", order.Order.Epoch)
+		_ = h.log.Log("event", "order", "ticket", order.Order.Command.Number, "step", string(order.Order.Command.Action),
+			"unit", order.Order.Command.Unit, "replica", order.Order.Command.Replica, "epoch", order.Order.Epoch)
 		h.act.Spawn(func() { h.order(order) })
 	case e.Run != nil:
 		run := *e.Run
@@ -478,11 +478,11 @@
 	ctx, done := context.WithTimeout(h.act.Ctx, replicaWait)
 	defer done()
 	state, err := h.replicas.Order(ctx, o.Addr, o.Order)
-	_ = h.log.Log("event", "ordered", "ticket", o.Order.Ticket.Number, "state", state.State, "why", state.Why, "err", err)
+	_ = h.log.Log("event", "ordered", "ticket", o.Order.Command.Number, "state", state.State, "why", state.Reason, "err", err)
 	if err != nil {
-		state = wire.OrderState{Number: o.Order.Ticket.Number, State: wire.OrderInDoubt, Why: err.Error()}
+		state = wire.OrderState{Number: o.Order.Command.Number, State: wire.OrderInDoubt, Reason: err.Error()}
 	}
-	h.tell(Event{Controller: &controller.Event{Ordered: &controller.Ordered{Replica: o.Order.Ticket.Replica, Incarnation: o.Order.Ticket.Incarnation, Expected: o.Order.Expected, State: state}}})
+	h.tell(Event{Controller: &controller.Event{Ordered: &controller.Ordered{Replica: o.Order.Command.Replica, Incarnation: o.Order.Command.Incarnation, Expected: o.Order.ExpectedOrders, State: state}}})
 }
 
 // Submit carries a change to the head and waits for the tail's result.
--- a/internal/controlplane/controlnode/incarnation_test.go
+++ b/internal/controlplane/controlnode/incarnation_test.go
@@ -91,8 +91,8 @@
 	p.start(1)
 	p.pass(3 * clock.Sec)
 	doc := &configuration.Declaration{Version: 1,
-		Services: []configuration.Service{{Name: "s", Engine: &configuration.Engine{Slots: 4, CacheTokens: 1, RoomMb: 100, LoadsPerS: 1, Models: []configuration.EngineModel{{Name: "m", SizeMb: 30, LoadMs: 1000}}}}},
-		Routes:   []configuration.Route{{Name: "r", Host: "h", Prefix: "/", Repeat: configuration.Idempotent, TimeoutMs: 1, AttemptsMost: 1, Split: []configuration.Weighted{{Service: "s", Weight: 1}}}},
+		Services: []configuration.Service{{Name: "s", Engine: &configuration.Engine{Slots: 4, CacheTokens: 1, CapacityMB: 100, LoadsPerSecond: 1, Models: []configuration.EngineModel{{Name: "m", SizeMB: 30, LoadMs: 1000}}}}},
+		Routes:   []configuration.Route{{Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Idempotent, TimeoutMs: 1, MaxAttempts: 1, Split: []configuration.WeightedService{{Service: "s", Weight: 1}}}},
 	}
 	p.write(statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: doc}})
 	p.pass(clock.Sec)
--- a/internal/controlplane/controlnode/keep_test.go
+++ b/internal/controlplane/controlnode/keep_test.go
@@ -17,7 +17,7 @@
 // another. Large and small ones in turn, so that a later one would be done before an earlier one.
 func TestCopiesAreKeptInTheOrderOfTheLog(t *testing.T) {
 	folder := t.TempDir()
-	h, err := Open(settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", Data: folder, Founding: 1}, logring.NewRing(folder, io.Discard))
+	h, err := Open(settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", DataDir: folder, FoundingSize: 1}, logring.NewRing(folder, io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/controlnode/leave.go
+++ b/internal/controlplane/controlnode/leave.go
@@ -13,12 +13,12 @@
 // handOver gives the other control nodes the time that the settings allow to take over this one's seat, its vote and
 // what only it holds. The control node serves on meanwhile.
 func (h *Host) handOver() {
-	if h.set.LeaveMs <= 0 {
+	if h.set.HandoverTimeoutMs <= 0 {
 		return
 	}
 	h.tell(Event{Leave: true})
 	fromUs := clock.NowUs()
-	deadline := time.NewTimer(time.Duration(h.set.LeaveMs) * time.Millisecond)
+	deadline := time.NewTimer(time.Duration(h.set.HandoverTimeoutMs) * time.Millisecond)
 	defer deadline.Stop()
 	check := time.NewTicker(leaveCheckEvery)
 	defer check.Stop()
--- a/internal/controlplane/controlnode/listed.go
+++ b/internal/controlplane/controlnode/listed.go
@@ -17,8 +17,8 @@
 // listed is this product's own interface to the platform's list and to replicas.
 type listed struct{ h *Host }
 
-func (l *listed) List(ctx context.Context) (*wire.List, error) {
-	list := &wire.List{}
+func (l *listed) List(ctx context.Context) (*wire.ReplicaList, error) {
+	list := &wire.ReplicaList{}
 	return list, l.get(ctx, "http://"+l.h.set.Platform+"/v1/replicas", list)
 }
 
@@ -45,8 +45,8 @@
 	defer res.Body.Close()
 	state := wire.OrderState{}
 	answer, err := io.ReadAll(io.LimitReader(res.Body, 1<<16))
-	if err != nil || res.StatusCode != http.StatusOK || json.Unmarshal(answer, &state) != nil || state.Number != o.Ticket.Number {
-		return wire.OrderState{Number: o.Ticket.Number, State: wire.OrderFailed, Why: res.Status}, nil
+	if err != nil || res.StatusCode != http.StatusOK || json.Unmarshal(answer, &state) != nil || state.Number != o.Command.Number {
+		return wire.OrderState{Number: o.Command.Number, State: wire.OrderFailed, Reason: res.Status}, nil
 	}
 	return state, nil
 }
--- a/internal/controlplane/controlnode/lock_test.go
+++ b/internal/controlplane/controlnode/lock_test.go
@@ -14,7 +14,7 @@
 // of it.
 func TestAControlNodeKeepsOthersOffItsFolder(t *testing.T) {
 	folder := t.TempDir()
-	set := settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", Data: folder, Founding: 1}
+	set := settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", DataDir: folder, FoundingSize: 1}
 	h, err := Open(set, logring.NewRing(folder, io.Discard))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/controlnode/malformed_test.go
+++ b/internal/controlplane/controlnode/malformed_test.go
@@ -79,7 +79,7 @@
 	m := l.Chain
 	switch {
 	case m == nil:
-		return fmt.Sprint(l.Result != nil, l.Report != nil, l.Silence != nil, l.Heard != nil, l.Confirmed != nil, l.Outlier != nil)
+		return fmt.Sprint(l.Result != nil, l.Report != nil, l.Suspicion != nil, l.Gossip != nil, l.DrainConfirmation != nil, l.Outliers != nil)
 	case m.Forward != nil:
 		return fmt.Sprint("forward", len(m.Forward.Entries) > 0, m.Forward.Copy != nil)
 	}
@@ -88,9 +88,9 @@
 
 // numbered is an operator's order that takes version n+1.
 func numbered(n int) *statemachine.Change {
-	doc := &configuration.Declaration{Version: uint64(n + 1), Services: []configuration.Service{{Name: "s", ConnectionsMost: 9}}, Routes: []configuration.Route{{
-		Name: "r", Host: "h", Prefix: "/", Repeat: configuration.Idempotent, TimeoutMs: 1000, AttemptsMost: 1,
-		Split: []configuration.Weighted{{Service: "s", Weight: 1}}, Source: json.RawMessage(`{}`),
+	doc := &configuration.Declaration{Version: uint64(n + 1), Services: []configuration.Service{{Name: "s", MaxConnections: 9}}, Routes: []configuration.Route{{
+		Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Idempotent, TimeoutMs: 1000, MaxAttempts: 1,
+		Split: []configuration.WeightedService{{Service: "s", Weight: 1}}, Source: json.RawMessage(`{}`),
 	}}}
 	return &statemachine.Change{ID: fmt.Sprint("order-", n), Config: &statemachine.ConfigChange{Base: uint64(n), Version: uint64(n + 1), Doc: doc}}
 }
@@ -191,7 +191,7 @@
 func TestMalformedReportsEndNoControlNode(t *testing.T) {
 	tr := newTrio(t)
 	for _, ev := range []Event{
-		{Report: &Reported{}}, {GatewayReport: &wire.Report{}}, {Follow: &wire.Follow{}}, {Subscribe: &wire.Follow{}}, {Subscribe: &wire.Follow{Revision: 1 << 63}},
+		{Report: &Reported{}}, {GatewayReport: &wire.Report{}}, {Follow: &wire.SubscribeRequest{}}, {Subscribe: &wire.SubscribeRequest{}}, {Subscribe: &wire.SubscribeRequest{Revision: 1 << 63}},
 		{Beat: &failuredetector.Heartbeat{}}, {Message: &wire.Message{}}, {Message: &wire.Message{Chain: &chain.Msg{}}}, {Unfollow: &Unfollow{}}, {Left: "none"},
 		{GatewayReport: &wire.Report{Gateway: "d", Arrivals: map[string]float64{"": -1e300}, InFlight: map[string]int{"": -1 << 62}, Attempts: map[string]int{"": -1}}},
 	} {
--- a/internal/controlplane/controlnode/members.go
+++ b/internal/controlplane/controlnode/members.go
@@ -27,7 +27,7 @@
 		var seen bool
 		var first statemachine.Outcome
 		if first, seen = h.seen(r.Context(), id); seen {
-			h.reply(r.Context(), w, id, wire.Result{Outcome: first, Everywhere: true})
+			h.reply(r.Context(), w, id, wire.Result{Outcome: first, OnAllGateways: true})
 			return
 		}
 		evenAlive := r.URL.Query().Get("even-alive") == "true"
--- a/internal/controlplane/controlnode/orders_test.go
+++ b/internal/controlplane/controlnode/orders_test.go
@@ -24,7 +24,7 @@
 func openControlNode(t *testing.T, founding int) *Host {
 	t.Helper()
 	folder := t.TempDir()
-	h, err := Open(settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", Data: folder, Founding: founding}, logring.NewRing(folder, io.Discard))
+	h, err := Open(settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", DataDir: folder, FoundingSize: founding}, logring.NewRing(folder, io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/controlnode/replicas.go
+++ b/internal/controlplane/controlnode/replicas.go
@@ -81,13 +81,13 @@
 }
 
 // heardFrom takes what another control node has heard.
-func (c *Core) heardFrom(nowUs int64, h wire.Heard) {
-	c.soft.Roster.Merge(nowUs, h.Notes)
+func (c *Core) heardFrom(nowUs int64, h wire.Gossip) {
+	c.soft.Roster.Merge(nowUs, h.Observations)
 	c.confirm(h)
 	if c.soft.Roster.TakeResyncRequest() {
 		c.soft.wants = true
 	}
-	if h.Wants {
+	if h.RequestAll {
 		delete(c.soft.told, h.By)
 		c.soft.urgent = true
 	}
@@ -103,7 +103,7 @@
 	if !due && !asks && !c.soft.urgent && !c.soft.wants {
 		return
 	}
-	heard := wire.Heard{By: c.Node.Me().ID, Incarnation: c.Node.Incarnation(), Wants: c.soft.wants}
+	heard := wire.Gossip{By: c.Node.Me().ID, Incarnation: c.Node.Incarnation(), RequestAll: c.soft.wants}
 	if due {
 		c.soft.tellUs = nowUs
 		c.soft.Roster.Sweep(nowUs)
@@ -119,13 +119,13 @@
 			c.soft.told[p.Member.ID] = t
 		}
 		mine := heard
-		mine.Notes = c.soft.Roster.GossipSince(nowUs, t.since, due)
+		mine.Observations = c.soft.Roster.GossipSince(nowUs, t.since, due)
 		t.since = c.soft.Roster.Revision
 		if asks {
 			c.askAbout(nowUs, p.Member.ID, &mine)
 		}
-		if len(mine.Notes) > 0 || due || c.soft.wants {
-			c.send(p.Member.Addr, wire.Message{Heard: &mine})
+		if len(mine.Observations) > 0 || due || c.soft.wants {
+			c.send(p.Member.Addr, wire.Message{Gossip: &mine})
 		}
 	}
 	if due {
@@ -147,7 +147,7 @@
 	for _, p := range c.Node.Peers() {
 		if p.Sound {
 			table := t
-			c.send(p.Member.Addr, wire.Message{Outlier: &table})
+			c.send(p.Member.Addr, wire.Message{Outliers: &table})
 		}
 	}
 }
--- a/internal/controlplane/controlnode/save_test.go
+++ b/internal/controlplane/controlnode/save_test.go
@@ -18,7 +18,7 @@
 // the control node stood still for ever.
 func TestTheActorNeverWaitsForTheDisk(t *testing.T) {
 	folder := t.TempDir()
-	h, err := Open(settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", Data: folder, Founding: 3}, logring.NewRing(folder, io.Discard))
+	h, err := Open(settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", DataDir: folder, FoundingSize: 3}, logring.NewRing(folder, io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/controlnode/saver_test.go
+++ b/internal/controlplane/controlnode/saver_test.go
@@ -67,7 +67,7 @@
 func onMoody(t *testing.T) (*Host, *moody) {
 	t.Helper()
 	folder := t.TempDir()
-	h, err := Open(settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", Data: folder, Founding: 1}, logring.NewRing(folder, io.Discard))
+	h, err := Open(settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", DataDir: folder, FoundingSize: 1}, logring.NewRing(folder, io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/controlnode/unsure_test.go
+++ b/internal/controlplane/controlnode/unsure_test.go
@@ -46,7 +46,7 @@
 	if err := opened.Store.Close(); err != nil {
 		t.Fatal(err)
 	}
-	h, err := Open(settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", Data: folder}, logring.NewRing(folder, io.Discard))
+	h, err := Open(settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", DataDir: folder}, logring.NewRing(folder, io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/controlnode/web.go
+++ b/internal/controlplane/controlnode/web.go
@@ -16,13 +16,13 @@
 
 func (h *Host) handler() http.Handler {
 	mux := http.NewServeMux()
-	rpc.Serve(mux, rpc.BatchPath, func(_ context.Context, p *wire.Batch) (*wire.Receipt, error) {
+	rpc.Serve(mux, rpc.BatchPath, func(_ context.Context, p *wire.Batch) (*wire.Ack, error) {
 		for i := range p.Messages {
 			h.tell(Event{Message: &p.Messages[i]})
 		}
-		return &wire.Receipt{}, nil
+		return &wire.Ack{}, nil
 	})
-	rpc.Serve(mux, rpc.WherePath, func(ctx context.Context, ask *wire.WhereAsk) (*wire.Where, error) {
+	rpc.Serve(mux, rpc.WherePath, func(ctx context.Context, ask *wire.MembershipRequest) (*wire.MembershipResponse, error) {
 		where, ran := actor.Ask(ctx, h.act, h.where)
 		if !ran {
 			return nil, fault.New(fault.NotServing, "", "stopping")
@@ -53,16 +53,16 @@
 		}
 		return nil, fault.New(fault.NotServing, "", "stopping")
 	})
-	rpc.Serve(mux, rpc.BeatPath, func(_ context.Context, b *failuredetector.Heartbeat) (*wire.Receipt, error) {
+	rpc.Serve(mux, rpc.BeatPath, func(_ context.Context, b *failuredetector.Heartbeat) (*wire.Ack, error) {
 		h.tell(Event{Beat: b})
-		return &wire.Receipt{}, nil
+		return &wire.Ack{}, nil
 	})
 	rpc.ServeStream(mux, rpc.FollowPath, h.follow)
 	rpc.ServeStream(mux, rpc.FramesPath, h.serveFrames, rpc.Encoded)
 	rpc.Serve(mux, rpc.ReadPath, h.serveRead)
-	rpc.Serve(mux, rpc.TellPath, func(_ context.Context, r *wire.Report) (*wire.Receipt, error) {
+	rpc.Serve(mux, rpc.TellPath, func(_ context.Context, r *wire.Report) (*wire.Ack, error) {
 		h.tell(Event{GatewayReport: r})
-		return &wire.Receipt{}, nil
+		return &wire.Ack{}, nil
 	})
 	mux.HandleFunc("GET /v1/config", h.getConfig)
 	mux.HandleFunc("PUT /v1/config", h.putConfig)
@@ -75,8 +75,8 @@
 	return mux
 }
 
-func (h *Host) follow(ctx context.Context, f *wire.Follow, send func(*wire.News) error) error {
-	mine := &followed{latest: make(chan wire.News, 1)}
+func (h *Host) follow(ctx context.Context, f *wire.SubscribeRequest, send func(*wire.GatewayUpdate) error) error {
+	mine := &followed{latest: make(chan wire.GatewayUpdate, 1)}
 	defer h.act.Tell(func() {
 		if h.follows[f.Gateway] == mine {
 			delete(h.follows, f.Gateway)
--- a/internal/controlplane/distribution/feed.go
+++ b/internal/controlplane/distribution/feed.go
@@ -52,7 +52,7 @@
 // UpdatePush is news for one gateway.
 type UpdatePush struct {
 	Gateway string
-	Update  wire.News
+	Update  wire.GatewayUpdate
 }
 
 // ReleasedResult is an operator's answer that may go out now; Origin is who waits for it.
@@ -81,7 +81,7 @@
 }
 
 // Follow begins a gateway's stream. False means that this control node is not the tail.
-func (r *UpdatePublisher) Follow(nowUs int64, f wire.Follow) bool {
+func (r *UpdatePublisher) Follow(nowUs int64, f wire.SubscribeRequest) bool {
 	if !r.active {
 		return false
 	}
@@ -160,20 +160,20 @@
 }
 
 // BuildUpdate is the whole news for one gateway; a declaration of at most this revision is left out, as the gateway has it.
-func BuildUpdate(s *statemachine.State, view uint64, gateway, incarnation string, revision uint64) wire.News {
-	news := wire.News{Number: max(s.UpdateIndex, 1), View: view, Epoch: s.Epoch, Revision: s.Revision}
+func BuildUpdate(s *statemachine.State, view uint64, gateway, incarnation string, revision uint64) wire.GatewayUpdate {
+	news := wire.GatewayUpdate{Number: max(s.UpdateIndex, 1), View: view, Epoch: s.Epoch, Revision: s.Revision}
 	if s.Revision > revision {
-		news.Doc = s.Doc
+		news.Declaration = s.Doc
 	}
 	for _, id := range s.ReplicaIDs() {
 		r := s.Replicas[id]
-		row := wire.ReplicaNews{
-			ID: r.ID, Incarnation: r.Incarnation, Addr: r.Addr, Zone: r.Zone, Leaving: r.Draining, LeftMs: r.RemainingMs, Unreachable: r.Unreachable, Share: r.Quotas[gateway],
+		row := wire.ReplicaUpdate{
+			ID: r.ID, Incarnation: r.Incarnation, Addr: r.Addr, Zone: r.Zone, Draining: r.Draining, RemainingMs: r.RemainingMs, Unreachable: r.Unreachable, MaxInFlight: r.Quotas[gateway],
 		}
 		for unit := range r.Resident {
-			row.Holds = append(row.Holds, unit)
+			row.Loaded = append(row.Loaded, unit)
 		}
-		sort.Strings(row.Holds)
+		sort.Strings(row.Loaded)
 		if t, ok := s.Pending[id]; ok && t.Action == statemachine.Unload {
 			row.Unloading = t.Unit
 		}
@@ -195,7 +195,7 @@
 	if !r.active || len(r.pending) >= maxPendingResults {
 		return
 	}
-	r.pending = append(r.pending, pendingResult{origin: origin, result: wire.Result{Outcome: out, Everywhere: true}, number: number})
+	r.pending = append(r.pending, pendingResult{origin: origin, result: wire.Result{Outcome: out, OnAllGateways: true}, number: number})
 }
 
 // ReleasedResults are those that every gateway has, or whose gateways' leases have run out. They are not kept.
--- a/internal/controlplane/distribution/feed_test.go
+++ b/internal/controlplane/distribution/feed_test.go
@@ -12,7 +12,7 @@
 func opened(s *statemachine.State) *UpdatePublisher {
 	r := NewUpdatePublisher()
 	r.SetActive(1, true)
-	r.Follow(2, wire.Follow{Gateway: "front", Incarnation: "i1"})
+	r.Follow(2, wire.SubscribeRequest{Gateway: "front", Incarnation: "i1"})
 	return r
 }
 
@@ -31,16 +31,16 @@
 func TestDeclarationIsPushedUntilItIsAcknowledged(t *testing.T) {
 	s := stateAt(3, 30)
 	r := opened(s)
-	if p := r.Updates(s, chain.View{}); len(p) != 1 || p[0].Update.Doc == nil {
+	if p := r.Updates(s, chain.View{}); len(p) != 1 || p[0].Update.Declaration == nil {
 		t.Fatalf("first push: %+v", p)
 	}
 	s.UpdateIndex = 31
-	if p := r.Updates(s, chain.View{}); len(p) != 1 || p[0].Update.Doc == nil {
+	if p := r.Updates(s, chain.View{}); len(p) != 1 || p[0].Update.Declaration == nil {
 		t.Fatal("the declaration was left out though nobody acknowledged it")
 	}
 	r.Report(10, 1, s.UpdateIndex, true, report(31, 3))
 	s.UpdateIndex = 32
-	if p := r.Updates(s, chain.View{}); len(p) != 1 || p[0].Update.Doc != nil {
+	if p := r.Updates(s, chain.View{}); len(p) != 1 || p[0].Update.Declaration != nil {
 		t.Fatal("an acknowledged declaration is sent again")
 	}
 }
--- a/internal/controlplane/distribution/hub.go
+++ b/internal/controlplane/distribution/hub.go
@@ -78,7 +78,7 @@
 	// staleIndex is the change of the ledger's replicas up to which rows went out of those that nobody has heard.
 	staleIndex    uint64
 	commandsIndex uint64
-	commands      map[string]wire.OrderAhead
+	commands      map[string]wire.PendingOrder
 	view          uint64
 	controlNodes  []chain.Member
 	liveGateways  int
@@ -97,11 +97,11 @@
 }
 
 // Follow begins a stream; a declaration that the gateway already has is not sent again.
-func (h *FramePublisher) Follow(nowUs int64, f wire.Follow) bool {
+func (h *FramePublisher) Follow(nowUs int64, f wire.SubscribeRequest) bool {
 	if len(h.subscribers) >= maxSubscribers && h.subscribers[f.Gateway] == nil {
 		return false
 	}
-	h.subscribers[f.Gateway] = &frameSubscriber{incarnation: f.Incarnation, revision: f.Revision, standby: f.Spare}
+	h.subscribers[f.Gateway] = &frameSubscriber{incarnation: f.Incarnation, revision: f.Revision, standby: f.Standby}
 	h.RecordGateway(nowUs, f.Gateway)
 	return true
 }
@@ -201,7 +201,7 @@
 
 // delta is from what was last sent to what is known now.
 func (h *FramePublisher) delta(seen FrameInput, t *streamState) (*wire.Frame, bool) {
-	f := &wire.Frame{ControlNode: seen.Self, Settled: seen.Committed, Behind: seen.Behind, Gateways: h.liveGateways}
+	f := &wire.Frame{ControlNode: seen.Self, CaughtUp: seen.Committed, PossiblyStale: seen.Behind, GatewayCount: h.liveGateways}
 	news := t.committed != seen.Committed || t.behind != seen.Behind || t.liveGateways != h.liveGateways
 	t.committed, t.behind, t.liveGateways = seen.Committed, seen.Behind, h.liveGateways
 	if seen.Committed && seen.State.Doc != nil && seen.State.Revision > t.revision {
@@ -295,9 +295,9 @@
 }
 
 // changedCommands are the orders that came to stand, or stand no longer.
-func (t *streamState) changedCommands(s *statemachine.State) *wire.Orders {
-	now := make(map[string]wire.OrderAhead, len(s.Pending))
-	o := &wire.Orders{Number: s.CommandsIndex, Rows: []wire.OrderAhead{}}
+func (t *streamState) changedCommands(s *statemachine.State) *wire.PendingOrders {
+	now := make(map[string]wire.PendingOrder, len(s.Pending))
+	o := &wire.PendingOrders{Number: s.CommandsIndex, Rows: []wire.PendingOrder{}}
 	for _, id := range slices.Sorted(maps.Keys(s.Pending)) {
 		now[id] = pendingCommand(id, s.Pending[id])
 		if t.commands[id] != now[id] {
@@ -306,7 +306,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(t.commands)) {
 		if _, stands := now[id]; !stands {
-			o.Rows = append(o.Rows, wire.OrderAhead{Replica: id})
+			o.Rows = append(o.Rows, wire.PendingOrder{Replica: id})
 		}
 	}
 	t.commandsIndex, t.commands = s.CommandsIndex, now
@@ -326,7 +326,7 @@
 // fullFrame is all that this control node knows, as of the difference that the others have just had.
 func (h *FramePublisher) fullFrame(seen FrameInput, t *streamState, s *frameSubscriber) *wire.Frame {
 	view := seen.View
-	f := &wire.Frame{ControlNode: seen.Self, Whole: true, Settled: seen.Committed, Behind: seen.Behind, View: &view, ControlNodes: slices.Clone(seen.ControlNodes), Gateways: len(h.Gateways(seen.NowUs))}
+	f := &wire.Frame{ControlNode: seen.Self, Complete: true, CaughtUp: seen.Committed, PossiblyStale: seen.Behind, View: &view, ControlNodes: slices.Clone(seen.ControlNodes), GatewayCount: len(h.Gateways(seen.NowUs))}
 	if seen.Committed && seen.State.Doc != nil && seen.State.Revision > s.revision {
 		h.addConfiguration(f, seen.State, s.revision)
 		s.revision = f.Revision
@@ -351,28 +351,28 @@
 func (h *FramePublisher) addConfiguration(f *wire.Frame, s *statemachine.State, since uint64) {
 	f.Revision = s.Revision
 	if edits, ok := s.EditsSince(since); ok && since > 0 && len(edits) > 0 {
-		f.From = since
+		f.EditsFrom = since
 		for _, e := range edits {
-			f.Edits = append(f.Edits, e.Bare())
+			f.Edits = append(f.Edits, e.WithoutSource())
 		}
 		return
 	}
 	if h.bareSource != s.Doc {
-		h.bareSource, h.bare = s.Doc, s.Doc.Bare()
+		h.bareSource, h.bare = s.Doc, s.Doc.WithoutSource()
 	}
-	f.Doc = h.bare
+	f.Declaration = h.bare
 }
 
-func allCommands(s *statemachine.State) wire.Orders {
-	o := wire.Orders{Number: s.CommandsIndex, Rows: []wire.OrderAhead{}}
+func allCommands(s *statemachine.State) wire.PendingOrders {
+	o := wire.PendingOrders{Number: s.CommandsIndex, Rows: []wire.PendingOrder{}}
 	for _, id := range slices.Sorted(maps.Keys(s.Pending)) {
 		o.Rows = append(o.Rows, pendingCommand(id, s.Pending[id]))
 	}
 	return o
 }
 
-func pendingCommand(id string, t statemachine.ReplicaCommand) wire.OrderAhead {
-	return wire.OrderAhead{Replica: id, Unit: t.Unit, Unload: t.Action == statemachine.Unload}
+func pendingCommand(id string, t statemachine.ReplicaCommand) wire.PendingOrder {
+	return wire.PendingOrder{Replica: id, Unit: t.Unit, Unload: t.Action == statemachine.Unload}
 }
 
 // staleRows are the replicas that the ledger knows and nobody has told of since this control node came back.
--- a/internal/controlplane/distribution/hub_test.go
+++ b/internal/controlplane/distribution/hub_test.go
@@ -17,9 +17,9 @@
 func routedLedger(t *testing.T, ids ...string) *statemachine.State {
 	t.Helper()
 	s := statemachine.NewState()
-	engine := &configuration.Engine{Slots: 4, CacheTokens: 1, RoomMb: 100, LoadsPerS: 1, Models: []configuration.EngineModel{{Name: "m1", SizeMb: 10, LoadMs: 100}, {Name: "m2", SizeMb: 10, LoadMs: 100}}}
+	engine := &configuration.Engine{Slots: 4, CacheTokens: 1, CapacityMB: 100, LoadsPerSecond: 1, Models: []configuration.EngineModel{{Name: "m1", SizeMB: 10, LoadMs: 100}, {Name: "m2", SizeMB: 10, LoadMs: 100}}}
 	doc := &configuration.Declaration{Version: 1, Services: []configuration.Service{{Name: "s", Engine: engine}},
-		Routes: []configuration.Route{{Name: "r", Host: "h", Prefix: "/", Repeat: configuration.Streaming, TimeoutMs: 1000, AttemptsMost: 1, Split: []configuration.Weighted{{Service: "s", Weight: 1}}}}}
+		Routes: []configuration.Route{{Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Streaming, TimeoutMs: 1000, MaxAttempts: 1, Split: []configuration.WeightedService{{Service: "s", Weight: 1}}}}}
 	s.Apply(1, statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: doc}})
 	update := &statemachine.LeaderUpdate{}
 	for _, id := range ids {
@@ -53,10 +53,10 @@
 	for i := range 3 {
 		hear(fmt.Sprint("r", i+1), 1, "m1")
 	}
-	h.Follow(nowUs, wire.Follow{Gateway: "main", Incarnation: "i"})
-	h.Follow(nowUs, wire.Follow{Gateway: "spare", Incarnation: "i", Spare: true})
+	h.Follow(nowUs, wire.SubscribeRequest{Gateway: "main", Incarnation: "i"})
+	h.Follow(nowUs, wire.SubscribeRequest{Gateway: "spare", Incarnation: "i", Standby: true})
 	first := frames(0)
-	if len(first) != 2 || !first["main"].Whole || len(first["spare"].Replicas) != 3 || len(first["spare"].Orders.Rows) != 3 {
+	if len(first) != 2 || !first["main"].Complete || len(first["spare"].Replicas) != 3 || len(first["spare"].Orders.Rows) != 3 {
 		t.Fatal("the first frames are not whole")
 	}
 	number := s.Pending["r2"].Number
@@ -69,7 +69,7 @@
 	if f == nil || len(f.Replicas) != 1 || f.Replicas[0].ID != "r2" {
 		t.Fatal("the load's end did not go to the main stream alone by itself")
 	}
-	if diff := cmp.Diff(&wire.Orders{Number: 3, Rows: []wire.OrderAhead{{Replica: "r2"}}}, f.Orders); diff != "" {
+	if diff := cmp.Diff(&wire.PendingOrders{Number: 3, Rows: []wire.PendingOrder{{Replica: "r2"}}}, f.Orders); diff != "" {
 		t.Errorf("orders: %s", diff)
 	}
 	hear("r2", 2, "m1", "m2")
@@ -79,7 +79,7 @@
 	if late := frames(400 * clock.Ms); late["spare"] == nil || len(late["spare"].Replicas) != 1 || len(late["spare"].Orders.Rows) != 1 {
 		t.Error("the spare stream was not brought on in its time")
 	}
-	h.Follow(nowUs, wire.Follow{Gateway: "late", Incarnation: "i"})
+	h.Follow(nowUs, wire.SubscribeRequest{Gateway: "late", Incarnation: "i"})
 	s.Apply(4, statemachine.Change{ID: "f", LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: s.Pending["r1"].Number, Succeeded: true}}}})
 	joined := frames(clock.Ms)
 	if joined["main"] == nil || joined["main"].Orders == nil || joined["main"].Orders.Number != joined["late"].Orders.Number {
@@ -105,8 +105,8 @@
 		return nil
 	}
 	soft.HandleHeartbeat(nowUs, registry.ReplicaStatus{ID: "r2", Service: "s", Addr: "r2", Slots: 4, Seq: 1, Units: []string{"m1"}})
-	h.Follow(nowUs, wire.Follow{Gateway: "d", Incarnation: "i"})
-	if first := frame(0); first == nil || !first.Whole || len(first.Replicas) != 1 || first.Revision != 0 {
+	h.Follow(nowUs, wire.SubscribeRequest{Gateway: "d", Incarnation: "i"})
+	if first := frame(0); first == nil || !first.Complete || len(first.Replicas) != 1 || first.Revision != 0 {
 		t.Fatal("the first frame is not what a control node knows that has just started")
 	}
 	seen.State = routedLedger(t, "r1", "r2", "r3")
@@ -115,7 +115,7 @@
 	}
 	seen.Committed = true
 	settled := frame(20 * clock.Ms)
-	if settled == nil || settled.Doc == nil {
+	if settled == nil || settled.Declaration == nil {
 		t.Fatal("the declaration did not go out once the chain had settled")
 	}
 	stale := map[string]bool{}
@@ -155,7 +155,7 @@
 		return nil
 	}
 	soft.HandleHeartbeat(nowUs, registry.ReplicaStatus{ID: "r1", Service: "s", Addr: "r1", Slots: 4, Seq: 1, Units: []string{"m1"}})
-	h.Follow(nowUs, wire.Follow{Gateway: "d", Incarnation: "i"})
+	h.Follow(nowUs, wire.SubscribeRequest{Gateway: "d", Incarnation: "i"})
 	frame(0)
 	soft.Remove(nowUs, "r1")
 	if f := frame(20 * clock.Ms); f == nil || len(f.Replicas) != 1 || !f.Replicas[0].Removed {
--- a/internal/controlplane/placement/bucket.go
+++ b/internal/controlplane/placement/bucket.go
@@ -15,9 +15,9 @@
 // Fill adds the rate since the last call, up to the burst less what is unconfirmed in MB.
 func (b *Bucket) Fill(nowUs int64, store configuration.Store, unconfirmedMb int64) {
 	if b.atUs != 0 && nowUs > b.atUs {
-		b.TokensMb += float64(nowUs-b.atUs) / 1e6 * float64(store.MbPerSecond) * rateUsed
+		b.TokensMb += float64(nowUs-b.atUs) / 1e6 * float64(store.MBPerSecond) * rateUsed
 	}
-	b.TokensMb = min(b.TokensMb, float64(store.BurstMb-unconfirmedMb))
+	b.TokensMb = min(b.TokensMb, float64(store.BurstMB-unconfirmedMb))
 	b.atUs = nowUs
 }
 
--- a/internal/controlplane/placement/check.go
+++ b/internal/controlplane/placement/check.go
@@ -68,9 +68,9 @@
 	case p.Step == statemachine.Unload:
 		return t, a.adapterLeft(r, p)
 	}
-	sizeMb, _, known := a.s.Doc.UnitMb(p.Unit)
+	sizeMb, _, known := a.s.Doc.UnitSize(p.Unit)
 	if !known {
-		return t, fault.New(fault.PolicyNonsense, p.Unit, "no such model or adapter")
+		return t, fault.New(fault.PolicyInvalidResult, p.Unit, "no such model or adapter")
 	}
 	if f := a.mayHold(r, p, sizeMb); f != nil {
 		return t, f
@@ -93,21 +93,21 @@
 	case statemachine.Unload:
 		heldMb, held := r.Resident[p.Unit]
 		if !held {
-			return t, fault.New(fault.NotHeld, p.Replica, "%s is not held", p.Unit)
+			return t, fault.New(fault.UnitNotLoaded, p.Replica, "%s is not held", p.Unit)
 		}
 		t.SizeMb = heldMb
 		return t, nil
 	case statemachine.Load:
 		return t, nil
 	}
-	return t, fault.New(fault.PolicyNonsense, p.Replica, "no such step %q", p.Step)
+	return t, fault.New(fault.PolicyInvalidResult, p.Replica, "no such step %q", p.Step)
 }
 
 // adapterLeft: a model does not go from a replica while adapters of it are there.
 func (a *account) adapterLeft(r *statemachine.Replica, p Proposal) *fault.Fault {
 	for unit := range r.Resident {
 		if adapter := a.s.Doc.Adapter(unit); adapter != nil && adapter.Model == p.Unit {
-			return fault.New(fault.TicketRefused, p.Replica, "adapter %s of %s is still held", unit, p.Unit)
+			return fault.New(fault.CommandRejected, p.Replica, "adapter %s of %s is still held", unit, p.Unit)
 		}
 	}
 	return nil
@@ -116,14 +116,14 @@
 // mayHold: a listed replica stays, does not hold a unit yet, has its model if it is an adapter, and has room for it.
 func (a *account) mayHold(r *statemachine.Replica, p Proposal, sizeMb int64) *fault.Fault {
 	if !r.AcceptsLoads(a.s.Doc) {
-		return fault.New(fault.ReplicaLeaving, p.Replica, "it is leaving, dark or in an emptied zone")
+		return fault.New(fault.ReplicaDraining, p.Replica, "it is leaving, dark or in an emptied zone")
 	}
 	if _, held := r.Resident[p.Unit]; held {
-		return fault.New(fault.AlreadyHeld, p.Replica, "%s is already held", p.Unit)
+		return fault.New(fault.UnitAlreadyLoaded, p.Replica, "%s is already held", p.Unit)
 	}
 	if adapter := a.s.Doc.Adapter(p.Unit); adapter != nil {
 		if _, base := r.Resident[adapter.Model]; !base {
-			return fault.New(fault.NotHeld, p.Replica, "adapter %s needs model %s there", adapter.Name, adapter.Model)
+			return fault.New(fault.UnitNotLoaded, p.Replica, "adapter %s needs model %s there", adapter.Name, adapter.Model)
 		}
 	}
 	return a.room(r, p, sizeMb)
@@ -132,7 +132,7 @@
 // room: a unit fits beside all that is held or on its way.
 func (a *account) room(r *statemachine.Replica, p Proposal, sizeMb int64) *fault.Fault {
 	if takenMb := a.s.ReservedMb(r.ID); takenMb+sizeMb > r.CapacityMb {
-		return fault.New(fault.NoRoom, p.Replica, "%s takes %d MB, %d of %d MB are taken", p.Unit, sizeMb, takenMb, r.CapacityMb)
+		return fault.New(fault.InsufficientCapacity, p.Replica, "%s takes %d MB, %d of %d MB are taken", p.Unit, sizeMb, takenMb, r.CapacityMb)
 	}
 	return nil
 }
@@ -140,10 +140,10 @@
 // spendRate takes a load out of what the weight store bears now.
 func (a *account) spendRate(p Proposal, sizeMb int64) *fault.Fault {
 	if a.loads >= a.s.Doc.Store.Loads {
-		return fault.New(fault.StoreRate, p.Replica, "%d loads are running", a.loads)
+		return fault.New(fault.StoreRateLimited, p.Replica, "%d loads are running", a.loads)
 	}
 	if a.tokensMb < float64(sizeMb) {
-		return fault.New(fault.StoreRate, p.Replica, "%.0f MB may be loaded now, %s takes %d", a.tokensMb, p.Unit, sizeMb)
+		return fault.New(fault.StoreRateLimited, p.Replica, "%.0f MB may be loaded now, %s takes %d", a.tokensMb, p.Unit, sizeMb)
 	}
 	a.tokensMb -= float64(sizeMb)
 	a.loads++
--- a/internal/controlplane/placement/placement.go
+++ b/internal/controlplane/placement/placement.go
@@ -139,7 +139,7 @@
 func read(name string, result starlark.Value) ([]Proposal, *fault.Fault) {
 	list, ok := result.(*starlark.List)
 	if !ok {
-		return nil, fault.New(fault.PolicyNonsense, name, "propose returned %s, wants a list", result.Type())
+		return nil, fault.New(fault.PolicyInvalidResult, name, "propose returned %s, wants a list", result.Type())
 	}
 	if list.Len() > ProposalsMost {
 		return nil, fault.New(fault.PolicyLimit, name, "%d proposals, at most %d", list.Len(), ProposalsMost)
@@ -148,7 +148,7 @@
 	for i := 0; i < list.Len(); i++ {
 		d, ok := list.Index(i).(*starlark.Dict)
 		if !ok {
-			return nil, fault.New(fault.PolicyNonsense, name, "proposal %d is %s, wants a dict", i, list.Index(i).Type())
+			return nil, fault.New(fault.PolicyInvalidResult, name, "proposal %d is %s, wants a dict", i, list.Index(i).Type())
 		}
 		p, f := readProposal(name, i, d)
 		if f != nil {
@@ -165,7 +165,7 @@
 		key, okKey := starlark.AsString(item[0])
 		value, okValue := starlark.AsString(item[1])
 		if !okKey || !okValue {
-			return p, fault.New(fault.PolicyNonsense, name, "proposal %d: keys and values are strings", i)
+			return p, fault.New(fault.PolicyInvalidResult, name, "proposal %d: keys and values are strings", i)
 		}
 		switch key {
 		case "step":
@@ -177,7 +177,7 @@
 		case "why":
 			p.Why = value[:min(len(value), whyMost)]
 		default:
-			return p, fault.New(fault.PolicyNonsense, name, "proposal %d: unknown key %q", i, key)
+			return p, fault.New(fault.PolicyInvalidResult, name, "proposal %d: unknown key %q", i, key)
 		}
 	}
 	return p, nil
@@ -192,11 +192,11 @@
 		_ = counts.SetKey(str(c.Model), num(int64(c.Replicas)))
 	}
 	for _, m := range f.Doc.Models {
-		_ = models.SetKey(str(m.Name), dict("size", num(m.SizeMb), "load_ms", num(m.LoadMs), "weight", num(int64(m.Weight)),
+		_ = models.SetKey(str(m.Name), dict("size", num(m.SizeMB), "load_ms", num(m.LoadMs), "weight", num(int64(m.Weight)),
 			"rate", starlark.Float(f.Rates[m.Name]), "waiting", num(int64(f.Waiting[m.Name]))))
 	}
 	for _, a := range f.Doc.Adapters {
-		_ = adapters.SetKey(str(a.Name), dict("model", str(a.Model), "size", num(a.SizeMb), "load_ms", num(a.LoadMs),
+		_ = adapters.SetKey(str(a.Name), dict("model", str(a.Model), "size", num(a.SizeMB), "load_ms", num(a.LoadMs),
 			"rate", starlark.Float(f.Rates[a.Name]), "waiting", num(int64(f.Waiting[a.Name]))))
 	}
 	replicas := []starlark.Value{}
--- a/internal/controlplane/placement/placement_test.go
+++ b/internal/controlplane/placement/placement_test.go
@@ -8,7 +8,7 @@
 
 // Seed 58: the bucket refilled while an order was still on its way, and the store saw both at once.
 func TestUnconfirmedLoadsStayOutOfTheBurst(t *testing.T) {
-	store := configuration.Store{MbPerSecond: 1000, BurstMb: 2000}
+	store := configuration.Store{MBPerSecond: 1000, BurstMB: 2000}
 	b := Bucket{}
 	b.Fill(1, store, 0)
 	if b.TokensMb != 0 {
--- a/internal/controlplane/placement/resident.go
+++ b/internal/controlplane/placement/resident.go
@@ -48,7 +48,7 @@
 	StoreLeft int
 	Spares    int
 	// Disable are mechanisms that are switched off.
-	Disable feature.Off
+	Disable feature.Disabled
 }
 
 // resident is one run of the policy.
@@ -81,7 +81,7 @@
 	p.intended()
 	p.models()
 	p.adapters()
-	if !p.in.Disable.Has(feature.SpareRoom) {
+	if !p.in.Disable.Has(feature.SpareCapacity) {
 		p.spares()
 	}
 	return p.out, p.unplaced
--- a/internal/controlplane/placement/resident_adapters.go
+++ b/internal/controlplane/placement/resident_adapters.go
@@ -41,7 +41,7 @@
 // adapter proposes the first step by which an adapter comes to the replica with its model where that costs least,
 // unless it is somewhere already.
 func (p *resident) adapter(unit string) {
-	model, adapter := configuration.Units(unit)
+	model, adapter := configuration.SplitUnit(unit)
 	m := p.sizes[model]
 	if m == nil || !m.HasAdapter(adapter) || p.adapterPlaced(unit, model) {
 		return
@@ -94,7 +94,7 @@
 	}
 	places, least, leastWorth := p.leastAdapter(h)
 	place = adapterPlace{at: i, cost: p.demand[i] + besideCost*float64(places)}
-	if places < p.in.Engine.AdaptersMost && p.free[i] >= m.AdapterMb {
+	if places < p.in.Engine.MaxAdapters && p.free[i] >= m.AdapterMB {
 		return place, true
 	}
 	if least == "" {
@@ -108,7 +108,7 @@
 // leastAdapter counts a replica's adapters, and names the one that is worth least of those that are not young.
 func (p *resident) leastAdapter(h *Home) (places int, least string, leastWorth float64) {
 	for other := range h.Holds {
-		if _, adapter := configuration.Units(other); adapter == "" {
+		if _, adapter := configuration.SplitUnit(other); adapter == "" {
 			continue
 		}
 		places++
--- a/internal/controlplane/placement/resident_copies.go
+++ b/internal/controlplane/placement/resident_copies.go
@@ -53,7 +53,7 @@
 // where a copy relieves most. What keeps replicas from falling behind goes first and may take most of the
 // room, copies beyond that no more than their part of it.
 func (p *resident) share(usable int) {
-	roomMb := float64(usable) * float64(p.in.Engine.RoomMb)
+	roomMb := float64(usable) * float64(p.in.Engine.CapacityMB)
 	c := &copies{p: p, got: map[string]int{}}
 	for name, want := range p.want {
 		if want > 1 {
@@ -79,7 +79,7 @@
 
 func (c *copies) add(name string) {
 	c.got[name]++
-	c.spentMb += c.p.sizes[name].SizeMb
+	c.spentMb += c.p.sizes[name].SizeMB
 }
 
 // addUpTo adds copies while all take no more than mostMb, of models whose copies bear more than loadLeast each.
@@ -101,7 +101,7 @@
 		n := float64(c.got[name])
 		demand := c.p.in.Models[name].Demand
 		wanted := c.got[name] < c.p.want[name] && demand/n > loadLeast
-		fits := c.spentMb+c.p.sizes[name].SizeMb <= mostMb
+		fits := c.spentMb+c.p.sizes[name].SizeMB <= mostMb
 		if wanted && fits && demand/(n*(n+1)) > relief {
 			best, relief = name, demand/(n*(n+1))
 		}
@@ -172,7 +172,7 @@
 	if !h.Had[name] && p.store <= 0 {
 		return 0, false
 	}
-	out, harm, ok := p.makeRoom(i, m.SizeMb)
+	out, harm, ok := p.makeRoom(i, m.SizeMB)
 	if !ok {
 		return 0, false
 	}
@@ -189,7 +189,7 @@
 	if p.taken[i] {
 		return
 	}
-	victims, _, ok := p.makeRoom(i, p.sizes[name].SizeMb)
+	victims, _, ok := p.makeRoom(i, p.sizes[name].SizeMB)
 	switch {
 	case !ok, len(victims) == 0 && !h.Had[name] && p.store <= 0:
 		return
--- a/internal/controlplane/placement/resident_spares.go
+++ b/internal/controlplane/placement/resident_spares.go
@@ -19,7 +19,7 @@
 func (p *resident) spares() {
 	var largestMb int64
 	for _, m := range p.sizes {
-		largestMb = max(largestMb, m.SizeMb)
+		largestMb = max(largestMb, m.SizeMB)
 	}
 	free, best := 0, spare{at: -1}
 	for i := range p.in.Homes {
@@ -72,7 +72,7 @@
 	}
 	places, least, leastMs := 0, "", int64(spareIdleMs)
 	for unit := range h.Holds {
-		if _, adapter := configuration.Units(unit); adapter == "" {
+		if _, adapter := configuration.SplitUnit(unit); adapter == "" {
 			continue
 		}
 		places++
@@ -85,7 +85,7 @@
 			least, leastMs = unit, idleMs
 		}
 	}
-	if places >= p.in.Engine.AdaptersMost && least != "" {
+	if places >= p.in.Engine.MaxAdapters && least != "" {
 		p.propose(i, statemachine.Unload, least, "a spare place")
 	}
 }
--- a/internal/controlplane/placement/resident_test.go
+++ b/internal/controlplane/placement/resident_test.go
@@ -31,9 +31,9 @@
 	t.Helper()
 	r := rand.New(rand.NewSource(seed))
 	h := &hall{r: r, s: statemachine.NewState(), ages: map[string]map[string]int64{}}
-	e := &configuration.Engine{Slots: 8, CacheTokens: 1, RoomMb: 100, AdaptersMost: r.Intn(5), LoadsPerS: 2}
+	e := &configuration.Engine{Slots: 8, CacheTokens: 1, CapacityMB: 100, MaxAdapters: r.Intn(5), LoadsPerSecond: 2}
 	for i := range 3 + r.Intn(18) {
-		e.Models = append(e.Models, configuration.EngineModel{Name: fmt.Sprint("m", i), SizeMb: 5 + r.Int63n(60), LoadMs: 500 + r.Int63n(2000), Adapters: r.Intn(4), AdapterMb: 1 + r.Int63n(4)})
+		e.Models = append(e.Models, configuration.EngineModel{Name: fmt.Sprint("m", i), SizeMB: 5 + r.Int63n(60), LoadMs: 500 + r.Int63n(2000), Adapters: r.Intn(4), AdapterMB: 1 + r.Int63n(4)})
 	}
 	doc := &configuration.Declaration{Version: 1, Services: []configuration.Service{{Name: "s", Engine: e}}}
 	if out := h.apply(statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: doc}}); out.Fault != nil {
@@ -41,15 +41,15 @@
 	}
 	for i := range 1 + r.Intn(9) {
 		n := statemachine.ReplicaUpdate{ID: fmt.Sprint("r", i), Incarnation: "i", Addr: "a", Zone: "z", CapacityMb: 100, Slots: 8, Service: "s", ResidentKnown: true, Draining: r.Intn(10) == 0, Unreachable: r.Intn(10) == 0}
-		left, places := int64(100), e.AdaptersMost
+		left, places := int64(100), e.MaxAdapters
 		for _, m := range r.Perm(len(e.Models)) {
-			if m := e.Models[m]; m.SizeMb <= left && r.Intn(3) > 0 {
-				n.Resident = append(n.Resident, statemachine.ResidentUnit{Unit: m.Name, SizeMb: m.SizeMb})
-				left -= m.SizeMb
+			if m := e.Models[m]; m.SizeMB <= left && r.Intn(3) > 0 {
+				n.Resident = append(n.Resident, statemachine.ResidentUnit{Unit: m.Name, SizeMb: m.SizeMB})
+				left -= m.SizeMB
 				for a := 1; a <= m.Adapters; a++ {
-					if places > 0 && m.AdapterMb <= left && r.Intn(2) == 0 {
-						n.Resident = append(n.Resident, statemachine.ResidentUnit{Unit: fmt.Sprint(m.Name, "/a", a), SizeMb: m.AdapterMb})
-						places, left = places-1, left-m.AdapterMb
+					if places > 0 && m.AdapterMB <= left && r.Intn(2) == 0 {
+						n.Resident = append(n.Resident, statemachine.ResidentUnit{Unit: fmt.Sprint(m.Name, "/a", a), SizeMb: m.AdapterMB})
+						places, left = places-1, left-m.AdapterMB
 					}
 				}
 			}
@@ -202,7 +202,7 @@
 			if taken := slices.ContainsFunc(proposals, func(p Proposal) bool { return p.Replica == home.ID && p.Unit != other }); taken || home.Busy || !home.Usable {
 				continue
 			}
-			if _, has := home.Holds[name]; !has && home.FreeMb >= h.s.Doc.EngineModel("s", name).SizeMb && (home.Had[name] || h.in.StoreLeft > 0) {
+			if _, has := home.Holds[name]; !has && home.FreeMb >= h.s.Doc.EngineModel("s", name).SizeMB && (home.Had[name] || h.in.StoreLeft > 0) {
 				t.Fatalf("seed %d: %s is fetched, and calls wait for %s, which fits at %s", seed, other, name, home.ID)
 			}
 		}
@@ -272,9 +272,9 @@
 // What was called once gives way before what has stood there from the start: the platform put that there, and
 // the next models to be called for are among them.
 func TestWhatStoodFromTheStartStaysLonger(t *testing.T) {
-	e := &configuration.Engine{Slots: 8, RoomMb: 100, LoadsPerS: 2}
+	e := &configuration.Engine{Slots: 8, CapacityMB: 100, LoadsPerSecond: 2}
 	for i := range 4 {
-		e.Models = append(e.Models, configuration.EngineModel{Name: fmt.Sprint("m", i), SizeMb: 45, LoadMs: 1000})
+		e.Models = append(e.Models, configuration.EngineModel{Name: fmt.Sprint("m", i), SizeMB: 45, LoadMs: 1000})
 	}
 	in := Service{Name: "s", Engine: e, StoreLeft: 2, Adapters: map[string]Need{},
 		Homes:  []Home{{ID: "r", Usable: true, FreeMb: 10, Holds: map[string]int64{"m0": 45, "m1": 45}, AgeMs: map[string]int64{"m1": 5000}}},
@@ -293,7 +293,7 @@
 // A model whose calls went from 5 to 90 a second within six seconds got a copy every 0.45 s: while room was
 // made for one at one replica, no other was begun elsewhere.
 func TestRoomInTheMakingDoesNotKeepFurtherCopiesWaiting(t *testing.T) {
-	e := &configuration.Engine{Slots: 8, CacheTokens: 1, RoomMb: 100, LoadsPerS: 40, Models: []configuration.EngineModel{{Name: "hot", SizeMb: 60, LoadMs: 2000}, {Name: "cold", SizeMb: 60, LoadMs: 2000}}}
+	e := &configuration.Engine{Slots: 8, CacheTokens: 1, CapacityMB: 100, LoadsPerSecond: 40, Models: []configuration.EngineModel{{Name: "hot", SizeMB: 60, LoadMs: 2000}, {Name: "cold", SizeMB: 60, LoadMs: 2000}}}
 	in := Service{Name: "s", Engine: e, StoreLeft: 10, Models: map[string]Need{"hot": {Rate: 30, Demand: 2.8}, "cold": {IdleMs: 60_000}}, Adapters: map[string]Need{}}
 	for i := range 8 {
 		h := Home{ID: fmt.Sprint("r", i), Usable: true, FreeMb: 40, Holds: map[string]int64{"cold": 60}}
@@ -325,7 +325,7 @@
 
 // A spare is made ahead of calls, and not at all where that is switched off.
 func TestSpareRoomIsMadeUnlessItIsSwitchedOff(t *testing.T) {
-	e := &configuration.Engine{Slots: 8, RoomMb: 100, LoadsPerS: 2, Models: []configuration.EngineModel{{Name: "m", SizeMb: 60, LoadMs: 1000}}}
+	e := &configuration.Engine{Slots: 8, CapacityMB: 100, LoadsPerSecond: 2, Models: []configuration.EngineModel{{Name: "m", SizeMB: 60, LoadMs: 1000}}}
 	in := Service{Name: "s", Engine: e, StoreLeft: 2, Spares: 1, Models: map[string]Need{}, Adapters: map[string]Need{}}
 	for i := range 3 {
 		in.Homes = append(in.Homes, Home{ID: fmt.Sprint("r", i), Usable: true, FreeMb: 40, Holds: map[string]int64{"m": 60}})
@@ -333,7 +333,7 @@
 	if out, _ := Resident(in); len(out) != 1 || out[0].Step != statemachine.Unload {
 		t.Errorf("%v: want room for one more model at one replica", out)
 	}
-	in.Disable = feature.Off{feature.SpareRoom}
+	in.Disable = feature.Disabled{feature.SpareCapacity}
 	if out, _ := Resident(in); len(out) != 0 {
 		t.Errorf("%v: want nothing", out)
 	}
--- a/internal/controlplane/placement/resident_victims.go
+++ b/internal/controlplane/placement/resident_victims.go
@@ -67,7 +67,7 @@
 	all := []victim{}
 	for unit, mb := range h.Holds {
 		if p.sizes[unit] == nil {
-			if model, adapter := configuration.Units(unit); adapter == "" || p.sizes[model] == nil {
+			if model, adapter := configuration.SplitUnit(unit); adapter == "" || p.sizes[model] == nil {
 				all = append(all, victim{unit, mb, 0})
 			}
 			continue
@@ -90,7 +90,7 @@
 func (p *resident) adaptersMb(h *Home, model string) int64 {
 	var sumMb int64
 	for unit, mb := range h.Holds {
-		if of, adapter := configuration.Units(unit); adapter != "" && of == model {
+		if of, adapter := configuration.SplitUnit(unit); adapter != "" && of == model {
 			sumMb += mb
 		}
 	}
--- a/internal/controlplane/placement/routed.go
+++ b/internal/controlplane/placement/routed.go
@@ -17,21 +17,21 @@
 		return t, f
 	}
 	if r.Draining || r.Unreachable {
-		return t, fault.New(fault.ReplicaLeaving, p.Replica, "it is leaving or dark")
+		return t, fault.New(fault.ReplicaDraining, p.Replica, "it is leaving or dark")
 	}
 	if _, held := r.Resident[p.Unit]; held {
-		return t, fault.New(fault.AlreadyHeld, p.Replica, "%s is already held", p.Unit)
+		return t, fault.New(fault.UnitAlreadyLoaded, p.Replica, "%s is already held", p.Unit)
 	}
-	sizeMb, _, known := a.s.Doc.EngineUnitMb(r.Service, p.Unit)
+	sizeMb, _, known := a.s.Doc.EngineUnitSize(r.Service, p.Unit)
 	if !known {
-		return t, fault.New(fault.PolicyNonsense, p.Unit, "no such model or adapter")
+		return t, fault.New(fault.PolicyInvalidResult, p.Unit, "no such model or adapter")
 	}
 	if f := a.room(r, p, sizeMb); f != nil {
 		return t, f
 	}
-	if _, adapter := configuration.Units(p.Unit); adapter == "" && !r.EverLoaded[p.Unit] {
+	if _, adapter := configuration.SplitUnit(p.Unit); adapter == "" && !r.EverLoaded[p.Unit] {
 		if a.storeLeft <= 0 {
-			return t, fault.New(fault.StoreRate, p.Replica, "the store gives nothing more now")
+			return t, fault.New(fault.StoreRateLimited, p.Replica, "the store gives nothing more now")
 		}
 		a.storeLeft--
 	}
--- a/internal/controlplane/scaler/scaler.go
+++ b/internal/controlplane/scaler/scaler.go
@@ -42,10 +42,10 @@
 // Choose is the source's rule for one model over counts 1..most: lowest latency among those
 // that cover the rate, fewer replicas when latencies are similar, and the most throughput
 // when nothing covers.
-func Choose(table []configuration.Point, rate float64, most, similarPct int) (configuration.Point, bool) {
+func Choose(table []configuration.CapacityPoint, rate float64, most, similarPct int) (configuration.CapacityPoint, bool) {
 	most = min(most, len(table))
 	if most < 1 {
-		return configuration.Point{}, false
+		return configuration.CapacityPoint{}, false
 	}
 	table = table[:most]
 	best := quickest(table, rate)
@@ -54,7 +54,7 @@
 	}
 	limitMs := best.LatencyMs + best.LatencyMs*int64(similarPct)/100
 	for _, p := range table {
-		if p.PerSecond >= rate && p.LatencyMs <= limitMs {
+		if p.CallsPerSecond >= rate && p.LatencyMs <= limitMs {
 			return p, true
 		}
 	}
@@ -62,11 +62,11 @@
 }
 
 // quickest is the point of the lowest latency that covers the rate; nil where none does.
-func quickest(table []configuration.Point, rate float64) *configuration.Point {
-	var best *configuration.Point
+func quickest(table []configuration.CapacityPoint, rate float64) *configuration.CapacityPoint {
+	var best *configuration.CapacityPoint
 	for i := range table {
 		p := &table[i]
-		if p.PerSecond >= rate && (best == nil || p.LatencyMs < best.LatencyMs) {
+		if p.CallsPerSecond >= rate && (best == nil || p.LatencyMs < best.LatencyMs) {
 			best = p
 		}
 	}
@@ -74,10 +74,10 @@
 }
 
 // strongest is the point of the most throughput.
-func strongest(table []configuration.Point) *configuration.Point {
+func strongest(table []configuration.CapacityPoint) *configuration.CapacityPoint {
 	best := &table[0]
 	for i := range table {
-		if table[i].PerSecond > best.PerSecond {
+		if table[i].CallsPerSecond > best.CallsPerSecond {
 			best = &table[i]
 		}
 	}
@@ -107,7 +107,7 @@
 
 func newPlan(in Input) *plan {
 	usable := len(in.Usable)
-	p := &plan{in: in, spares: min(in.Doc.Scaler.Spares, max(0, usable-1)), counts: make([]Count, len(in.Doc.Models))}
+	p := &plan{in: in, spares: min(in.Doc.Scaler.StandbyReplicas, max(0, usable-1)), counts: make([]Count, len(in.Doc.Models))}
 	rooms := make([]int64, 0, usable)
 	for _, r := range in.Usable {
 		rooms = append(rooms, r.RoomMb)
@@ -131,7 +131,7 @@
 		if usable == 0 || (m.Weight == 0 && rate == 0) {
 			continue
 		}
-		point, covers := Choose(m.Table, rate, max(1, usable-p.spares), p.in.Doc.Scaler.SimilarPct)
+		point, covers := Choose(m.Capacity, rate, max(1, usable-p.spares), p.in.Doc.Scaler.LatencyTolerancePct)
 		p.counts[i].Wanted, p.counts[i].Covers = point.Replicas, covers
 		order = append(order, i)
 	}
@@ -150,7 +150,7 @@
 // first gives each model one replica, while there is room at all.
 func (p *plan) first(order []int) {
 	for _, i := range order {
-		if sizeMb := p.in.Doc.Models[i].SizeMb; p.usedMb+sizeMb <= p.wholeMb {
+		if sizeMb := p.in.Doc.Models[i].SizeMB; p.usedMb+sizeMb <= p.wholeMb {
 			p.counts[i].Replicas = 1
 			p.usedMb += sizeMb
 		}
@@ -162,7 +162,7 @@
 	for raised := true; raised; {
 		raised = false
 		for _, i := range order {
-			c, sizeMb := &p.counts[i], p.in.Doc.Models[i].SizeMb
+			c, sizeMb := &p.counts[i], p.in.Doc.Models[i].SizeMB
 			if c.Replicas > 0 && c.Replicas < c.Wanted && p.usedMb+sizeMb <= p.budgetMb {
 				c.Replicas++
 				p.usedMb += sizeMb
@@ -179,8 +179,8 @@
 		if c.Replicas == 0 {
 			continue
 		}
-		point := p.in.Doc.Models[i].Table[c.Replicas-1]
-		c.PerSecond, c.LatencyMs = point.PerSecond, point.LatencyMs
-		c.Covers = point.PerSecond >= c.Rate
+		point := p.in.Doc.Models[i].Capacity[c.Replicas-1]
+		c.PerSecond, c.LatencyMs = point.CallsPerSecond, point.LatencyMs
+		c.Covers = point.CallsPerSecond >= c.Rate
 	}
 }
--- a/internal/controlplane/scaler/scaler_test.go
+++ b/internal/controlplane/scaler/scaler_test.go
@@ -10,10 +10,10 @@
 	"petreltide/internal/api/configuration"
 )
 
-func table(points ...float64) []configuration.Point {
-	out := []configuration.Point{}
+func table(points ...float64) []configuration.CapacityPoint {
+	out := []configuration.CapacityPoint{}
 	for i := 0; i+1 < len(points); i += 2 {
-		out = append(out, configuration.Point{Replicas: i/2 + 1, PerSecond: points[i], LatencyMs: int64(points[i+1])})
+		out = append(out, configuration.CapacityPoint{Replicas: i/2 + 1, CallsPerSecond: points[i], LatencyMs: int64(points[i+1])})
 	}
 	return out
 }
@@ -22,7 +22,7 @@
 	long := table(10, 400, 20, 300, 30, 200, 40, 195)
 	for _, c := range []struct {
 		name    string
-		table   []configuration.Point
+		table   []configuration.CapacityPoint
 		rate    float64
 		most    int
 		similar int
@@ -50,10 +50,10 @@
 }
 
 func fleetOf(models, replicas, spares int) Input {
-	in := Input{Doc: &configuration.Declaration{Scaler: configuration.Scaler{Spares: spares}}, Rates: map[string]float64{}, Waiting: map[string]int{}}
+	in := Input{Doc: &configuration.Declaration{Scaler: configuration.Scaler{StandbyReplicas: spares}}, Rates: map[string]float64{}, Waiting: map[string]int{}}
 	for i := 0; i < models; i++ {
 		in.Doc.Models = append(in.Doc.Models, configuration.Model{
-			Name: fmt.Sprintf("m%d", i), SizeMb: 10, Weight: 1, Table: table(10, 400, 20, 300, 30, 200, 40, 195),
+			Name: fmt.Sprintf("m%d", i), SizeMB: 10, Weight: 1, Capacity: table(10, 400, 20, 300, 30, 200, 40, 195),
 		})
 	}
 	for i := 0; i < replicas; i++ {
--- a/internal/controlplane/statemachine/bounds_test.go
+++ b/internal/controlplane/statemachine/bounds_test.go
@@ -109,8 +109,8 @@
 // The edits kept for those that are behind are bounded by bytes too: who is further behind gets the whole.
 func TestKeptEditsAreBoundedByBytes(t *testing.T) {
 	route := func(i int) []configuration.Route {
-		return []configuration.Route{{Name: "r", Host: "h", Prefix: "/", Repeat: configuration.Idempotent, TimeoutMs: 1000, AttemptsMost: 1,
-			Split: []configuration.Weighted{{Service: "s", Weight: 1}}, Source: json.RawMessage(fmt.Sprintf(`"%d %s"`, i, strings.Repeat("x", 200<<10)))}}
+		return []configuration.Route{{Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Idempotent, TimeoutMs: 1000, MaxAttempts: 1,
+			Split: []configuration.WeightedService{{Service: "s", Weight: 1}}, Source: json.RawMessage(fmt.Sprintf(`"%d %s"`, i, strings.Repeat("x", 200<<10)))}}
 	}
 	s := NewState()
 	out := s.Apply(1, Change{ID: "v1", Config: &ConfigChange{Version: 1, Doc: &configuration.Declaration{Version: 1, Routes: route(0), Services: []configuration.Service{{Name: "s"}}}}})
@@ -131,8 +131,8 @@
 	if _, ok := s.EditsSince(s.Revision - 20); ok {
 		t.Fatal("edits that are not kept are given out")
 	}
-	s.Apply(50, Change{ID: "e50", Config: &ConfigChange{Base: 41, Version: 42, Edit: &configuration.Edit{Version: 42, Routes: []configuration.Route{{Name: "r", Host: "h", Prefix: "/", Repeat: configuration.Idempotent,
-		TimeoutMs: 1000, AttemptsMost: 1, Split: []configuration.Weighted{{Service: "s", Weight: 1}}, Source: json.RawMessage(`"` + strings.Repeat("x", 2<<20) + `"`)}}}}})
+	s.Apply(50, Change{ID: "e50", Config: &ConfigChange{Base: 41, Version: 42, Edit: &configuration.Edit{Version: 42, Routes: []configuration.Route{{Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Idempotent,
+		TimeoutMs: 1000, MaxAttempts: 1, Split: []configuration.WeightedService{{Service: "s", Weight: 1}}, Source: json.RawMessage(`"` + strings.Repeat("x", 2<<20) + `"`)}}}}})
 	if _, ok := s.EditsSince(s.Revision - 1); ok || len(s.Edits) != 0 || s.Version() != 42 {
 		t.Fatalf("%d edits kept at version %d", len(s.Edits), s.Version())
 	}
@@ -142,7 +142,7 @@
 	s := ready(t)
 	doc := &configuration.Declaration{}
 	for i := range 10 * maxRememberedFaults {
-		doc.Models = append(doc.Models, configuration.Model{Name: fmt.Sprint("m", i), SizeMb: 1 << 40})
+		doc.Models = append(doc.Models, configuration.Model{Name: fmt.Sprint("m", i), SizeMB: 1 << 40})
 	}
 	change := Change{ID: "large", Config: &ConfigChange{Base: s.Revision, Doc: doc}}
 	if out := s.Apply(s.Index+1, change); out.Fault == nil || len(out.Fault.Faults) != 10*maxRememberedFaults {
--- a/internal/controlplane/statemachine/grants.go
+++ b/internal/controlplane/statemachine/grants.go
@@ -45,7 +45,7 @@
 		return fault.New(fault.ReplicaUnknown, a.Replica, "no such replica or another incarnation")
 	}
 	if a.Count == 0 || a.Count > 1<<20 {
-		return fault.New(fault.TicketRefused, a.Replica, "count %d", a.Count)
+		return fault.New(fault.CommandRejected, a.Replica, "count %d", a.Count)
 	}
 	g := Grant{
 		Number: s.NextNumber, Epoch: epoch, Gateway: a.Gateway, GatewayIncarnation: a.GatewayIncarnation,
--- a/internal/controlplane/statemachine/leader_update.go
+++ b/internal/controlplane/statemachine/leader_update.go
@@ -39,7 +39,7 @@
 		out.Fault = fault.New(fault.StaleEpoch, "epoch", "written under %d, current is %d", c.Epoch, s.Epoch)
 		return
 	}
-	sheet := &fault.Sheet{}
+	sheet := &fault.List{}
 	news := false
 	for _, n := range c.LeaderUpdate.Replicas {
 		s.upsertReplica(n)
--- a/internal/controlplane/statemachine/ledger_test.go
+++ b/internal/controlplane/statemachine/ledger_test.go
@@ -13,7 +13,7 @@
 func ready(t *testing.T) *State {
 	t.Helper()
 	s := NewState()
-	doc := &configuration.Declaration{Store: configuration.Store{Loads: 2}, Models: []configuration.Model{{Name: "a", SizeMb: 60}, {Name: "b", SizeMb: 50}}}
+	doc := &configuration.Declaration{Store: configuration.Store{Loads: 2}, Models: []configuration.Model{{Name: "a", SizeMB: 60}, {Name: "b", SizeMB: 50}}}
 	must(t, s, Change{ID: "c1", Config: &ConfigChange{Doc: doc}})
 	must(t, s, Change{ID: "claim", Epoch: 1, Claim: &Claim{Leader: "one"}})
 	notes := []ReplicaUpdate{}
@@ -54,14 +54,14 @@
 		t.Fatalf("a second order got %q", got)
 	}
 	must(t, s, load("r1", "a"))
-	if got := code(s.Apply(s.Index+1, load("r2", "a"))); got != fault.StoreRate {
+	if got := code(s.Apply(s.Index+1, load("r2", "a"))); got != fault.StoreRateLimited {
 		t.Fatalf("a third load got %q", got)
 	}
 	must(t, s, Change{ID: "d", Epoch: 1, LeaderUpdate: &LeaderUpdate{Results: []CommandResult{{Number: 1, Succeeded: true}, {Number: 2}}}})
 	if diff := cmp.Diff(map[string]int64{"a": 60}, s.Replicas["r0"].Resident); diff != "" {
 		t.Fatal(diff)
 	}
-	if got := code(s.Apply(s.Index+1, load("r0", "b"))); got != fault.NoRoom {
+	if got := code(s.Apply(s.Index+1, load("r0", "b"))); got != fault.InsufficientCapacity {
 		t.Fatalf("beyond room got %q", got)
 	}
 	must(t, s, Change{ID: "u", Epoch: 1, LeaderUpdate: &LeaderUpdate{Commands: []ReplicaCommand{{Replica: "r0", Incarnation: "i", Revision: 1, Action: Unload, Unit: "a"}}}})
--- a/internal/controlplane/statemachine/members.go
+++ b/internal/controlplane/statemachine/members.go
@@ -37,11 +37,11 @@
 	}
 	switch {
 	case m.Action == CancelMembership && s.Membership == nil:
-		out.Fault = fault.New(fault.MembershipUnfit, "act", "no change of members is under way")
+		out.Fault = fault.New(fault.MembershipMismatch, "act", "no change of members is under way")
 	case m.Action == CancelMembership:
 		s.Membership, s.MembershipID = nil, ""
 	case s.Membership != nil:
-		out.Fault = fault.New(fault.MembershipUnfit, "act", "%s %s is under way; one change of members at a time", s.Membership.Action, s.Membership.Name)
+		out.Fault = fault.New(fault.MembershipMismatch, "act", "%s %s is under way; one change of members at a time", s.Membership.Action, s.Membership.Name)
 	default:
 		s.Membership, s.MembershipID = &m, c.ID
 	}
--- a/internal/controlplane/statemachine/replicas.go
+++ b/internal/controlplane/statemachine/replicas.go
@@ -32,7 +32,7 @@
 
 // AcceptsLoads says whether a replica may be given more to hold.
 func (r *Replica) AcceptsLoads(d *configuration.Declaration) bool {
-	return !r.Draining && !r.Unreachable && r.Incarnation != "" && (d == nil || !d.IsEmptied(r.Zone))
+	return !r.Draining && !r.Unreachable && r.Incarnation != "" && (d == nil || !d.IsDrained(r.Zone))
 }
 
 // ReplicaUpdate writes down what a replica says of itself; Holds counts only with Told.
--- a/internal/controlplane/statemachine/tickets.go
+++ b/internal/controlplane/statemachine/tickets.go
@@ -109,32 +109,32 @@
 	switch t.Action {
 	case Load:
 		if held {
-			return fault.New(fault.AlreadyHeld, t.Replica, "%s is already held", t.Unit)
+			return fault.New(fault.UnitAlreadyLoaded, t.Replica, "%s is already held", t.Unit)
 		}
 		if s.Doc == nil {
-			return fault.New(fault.PolicyNonsense, t.Unit, "no declaration yet")
+			return fault.New(fault.PolicyInvalidResult, t.Unit, "no declaration yet")
 		}
 		sizeMb, known := s.unitSizeMb(r, t.Unit)
 		if !known {
-			return fault.New(fault.PolicyNonsense, t.Unit, "no such model or adapter")
+			return fault.New(fault.PolicyInvalidResult, t.Unit, "no such model or adapter")
 		}
 		t.SizeMb = sizeMb
 		if f := s.checkAdapter(r, t.Unit); f != nil {
 			return f
 		}
 		if takenMb := s.ReservedMb(t.Replica); takenMb+sizeMb > r.CapacityMb {
-			return fault.New(fault.NoRoom, t.Replica, "%s takes %d MB, %d of %d MB are taken", t.Unit, sizeMb, takenMb, r.CapacityMb)
+			return fault.New(fault.InsufficientCapacity, t.Replica, "%s takes %d MB, %d of %d MB are taken", t.Unit, sizeMb, takenMb, r.CapacityMb)
 		}
 		if !s.Doc.Routed() && s.PendingLoads() >= s.Doc.Store.Loads {
-			return fault.New(fault.StoreRate, t.Replica, "%d loads are running", s.PendingLoads())
+			return fault.New(fault.StoreRateLimited, t.Replica, "%d loads are running", s.PendingLoads())
 		}
 	case Unload:
 		if !held {
-			return fault.New(fault.NotHeld, t.Replica, "%s is not held", t.Unit)
+			return fault.New(fault.UnitNotLoaded, t.Replica, "%s is not held", t.Unit)
 		}
 		t.SizeMb = r.Resident[t.Unit]
 	default:
-		return fault.New(fault.PolicyNonsense, t.Replica, "no such step %q", t.Action)
+		return fault.New(fault.PolicyInvalidResult, t.Replica, "no such step %q", t.Action)
 	}
 	t.Number, t.Epoch = s.NextNumber, epoch
 	s.NextNumber++
@@ -148,25 +148,25 @@
 
 func (s *State) unitSizeMb(r *Replica, unit string) (int64, bool) {
 	if r.Service != "" {
-		sizeMb, _, known := s.Doc.EngineUnitMb(r.Service, unit)
+		sizeMb, _, known := s.Doc.EngineUnitSize(r.Service, unit)
 		return sizeMb, known
 	}
-	sizeMb, _, known := s.Doc.UnitMb(unit)
+	sizeMb, _, known := s.Doc.UnitSize(unit)
 	return sizeMb, known
 }
 
 // checkAdapter: an adapter of a service's model needs the model there, and one of the replica's places.
 func (s *State) checkAdapter(r *Replica, unit string) *fault.Fault {
-	model, adapter := configuration.Units(unit)
+	model, adapter := configuration.SplitUnit(unit)
 	if r.Service == "" || adapter == "" {
 		return nil
 	}
 	if _, held := r.Resident[model]; !held {
-		return fault.New(fault.NotHeld, r.ID, "adapter %s needs model %s there", adapter, model)
+		return fault.New(fault.UnitNotLoaded, r.ID, "adapter %s needs model %s there", adapter, model)
 	}
 	most, n := 0, 0
 	if svc := s.Doc.Service(r.Service); svc != nil && svc.Engine != nil {
-		most = svc.Engine.AdaptersMost
+		most = svc.Engine.MaxAdapters
 	}
 	for held := range r.Resident {
 		if strings.Contains(held, "/") {
@@ -174,7 +174,7 @@
 		}
 	}
 	if n >= most {
-		return fault.New(fault.NoRoom, r.ID, "%d of %d places for adapters are taken", n, most)
+		return fault.New(fault.InsufficientCapacity, r.ID, "%d of %d places for adapters are taken", n, most)
 	}
 	return nil
 }
--- a/internal/controlplane/statemachine/version_test.go
+++ b/internal/controlplane/statemachine/version_test.go
@@ -15,8 +15,8 @@
 
 func versionRoute(name string, timeoutMs int64, service string) configuration.Route {
 	return configuration.Route{
-		Name: name, Host: "h", Prefix: "/" + name + "/", Repeat: configuration.Idempotent, TimeoutMs: timeoutMs, AttemptsMost: 1,
-		Split: []configuration.Weighted{{Service: service, Weight: 1}}, Source: json.RawMessage(fmt.Sprintf(`{"name":%q,"ms":%d}`, name, timeoutMs)),
+		Name: name, Host: "h", Prefix: "/" + name + "/", RetryClass: configuration.Idempotent, TimeoutMs: timeoutMs, MaxAttempts: 1,
+		Split: []configuration.WeightedService{{Service: service, Weight: 1}}, Source: json.RawMessage(fmt.Sprintf(`{"name":%q,"ms":%d}`, name, timeoutMs)),
 	}
 }
 
@@ -30,7 +30,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return Change{ID: "op-" + configuration.Mark(raw), Config: &ConfigChange{Base: base, Version: version, Doc: doc, Edit: edit}}
+	return Change{ID: "op-" + configuration.Digest(raw), Config: &ConfigChange{Base: base, Version: version, Doc: doc, Edit: edit}}
 }
 
 func TestOperatorsVersions(t *testing.T) {
@@ -119,7 +119,7 @@
 				}
 			}
 			if r.Intn(5) == 0 {
-				e.Limits = &configuration.Limits{BodyBytesMost: r.Int63n(100)}
+				e.Limits = &configuration.Limits{MaxBodyBytes: r.Int63n(100)}
 			}
 			return order(base, version, nil, e)
 		}
@@ -158,7 +158,7 @@
 				}
 				doc := was[from]
 				for _, e := range edits {
-					next, bad := doc.Edited(e)
+					next, bad := doc.Apply(e)
 					if bad != nil {
 						t.Fatal(bad)
 					}
@@ -188,8 +188,8 @@
 		return s.Apply(index, Change{LeaderUpdate: &d}).Faults
 	}
 	doc := versionDoc(1, versionRoute("a", 1, "s"))
-	doc.Services[0].Engine = &configuration.Engine{Slots: 1, CacheTokens: 1, RoomMb: 100, AdaptersMost: 2, LoadsPerS: 1, Models: []configuration.EngineModel{
-		{Name: "m", SizeMb: 60, LoadMs: 1, Adapters: 3, AdapterMb: 5}, {Name: "n", SizeMb: 35, LoadMs: 1, Adapters: 1, AdapterMb: 5}, {Name: "o", SizeMb: 30, LoadMs: 1}}}
+	doc.Services[0].Engine = &configuration.Engine{Slots: 1, CacheTokens: 1, CapacityMB: 100, MaxAdapters: 2, LoadsPerSecond: 1, Models: []configuration.EngineModel{
+		{Name: "m", SizeMB: 60, LoadMs: 1, Adapters: 3, AdapterMB: 5}, {Name: "n", SizeMB: 35, LoadMs: 1, Adapters: 1, AdapterMB: 5}, {Name: "o", SizeMB: 30, LoadMs: 1}}}
 	index++
 	if out := s.Apply(index, order(0, 1, doc, nil)); out.Fault != nil {
 		t.Fatal(out.Fault)
@@ -204,10 +204,10 @@
 		code fault.Code
 		done bool
 	}{
-		{Load, "m/a1", fault.NotHeld, false}, {Load, "m", "", true}, {Load, "m", fault.AlreadyHeld, false}, {Load, "what", fault.PolicyNonsense, false},
-		{Load, "m/a9", fault.PolicyNonsense, false}, {Load, "m/a1", "", true}, {Load, "n", "", false}, {Load, "n", "", true}, {Load, "m/a2", fault.NoRoom, false},
-		{Unload, "n", "", true}, {Load, "m/a2", "", true}, {Load, "m/a3", fault.NoRoom, false}, {Unload, "m/a1", "", true}, {Load, "m/a3", "", true},
-		{Unload, "m", "", true}, {Unload, "m/a3", fault.NotHeld, false}, {Load, "o", "", true},
+		{Load, "m/a1", fault.UnitNotLoaded, false}, {Load, "m", "", true}, {Load, "m", fault.UnitAlreadyLoaded, false}, {Load, "what", fault.PolicyInvalidResult, false},
+		{Load, "m/a9", fault.PolicyInvalidResult, false}, {Load, "m/a1", "", true}, {Load, "n", "", false}, {Load, "n", "", true}, {Load, "m/a2", fault.InsufficientCapacity, false},
+		{Unload, "n", "", true}, {Load, "m/a2", "", true}, {Load, "m/a3", fault.InsufficientCapacity, false}, {Unload, "m/a1", "", true}, {Load, "m/a3", "", true},
+		{Unload, "m", "", true}, {Unload, "m/a3", fault.UnitNotLoaded, false}, {Load, "o", "", true},
 	} {
 		faults := do(LeaderUpdate{Commands: []ReplicaCommand{ticket(c.step, c.unit)}})
 		code := fault.Code("")
@@ -247,7 +247,7 @@
 func TestAnEditOnTopOfWhatWasNeverCheckedIsCheckedAsAWhole(t *testing.T) {
 	s := NewState()
 	bad := &configuration.Declaration{Services: []configuration.Service{{Name: "s"}}, Routes: []configuration.Route{{
-		Name: "r", Host: "h", Prefix: "/", Repeat: configuration.Streaming, AttemptsMost: 1, Split: []configuration.Weighted{{Service: "s", Weight: 1}},
+		Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Streaming, MaxAttempts: 1, Split: []configuration.WeightedService{{Service: "s", Weight: 1}},
 	}}}
 	if out := s.Apply(1, Change{ID: "a", Config: &ConfigChange{Doc: bad}}); out.Fault != nil {
 		t.Fatal(out.Fault)
--- a/internal/controlplane/statemachine/versions.go
+++ b/internal/controlplane/statemachine/versions.go
@@ -70,7 +70,7 @@
 	case c.Config.Edit != nil && s.Doc == nil:
 		bad = fault.New(fault.InvalidConfig, "", "nothing is in force that could be edited")
 	case c.Config.Edit != nil:
-		doc, bad = s.Doc.Edited(c.Config.Edit)
+		doc, bad = s.Doc.Apply(c.Config.Edit)
 	case doc == nil:
 		bad = fault.New(fault.InvalidConfig, "", "neither a declaration nor an edit")
 	}
@@ -148,13 +148,13 @@
 	for _, r := range s.Replicas {
 		mostMb = max(mostMb, r.CapacityMb)
 	}
-	sheet := &fault.Sheet{}
+	sheet := &fault.List{}
 	if mostMb > 0 {
 		for _, m := range d.Models {
-			if m.SizeMb > mostMb {
-				sheet.Note(fault.InvalidConfig, "models."+m.Name+".sizeMb", "%d MB fits no listed replica (largest %d MB)", m.SizeMb, mostMb)
+			if m.SizeMB > mostMb {
+				sheet.Addf(fault.InvalidConfig, "models."+m.Name+".sizeMb", "%d MB fits no listed replica (largest %d MB)", m.SizeMB, mostMb)
 			}
 		}
 	}
-	return sheet.As(fault.InvalidConfig)
+	return sheet.Combined(fault.InvalidConfig)
 }
--- a/internal/controlplane/storage/bounds_test.go
+++ b/internal/controlplane/storage/bounds_test.go
@@ -136,8 +136,8 @@
 func (b *trio) edited(t *testing.T, count, bytes int) {
 	r := rand.New(rand.NewSource(2))
 	routes := func() []configuration.Route {
-		return []configuration.Route{{Name: "r", Host: "h", Prefix: "/", Repeat: configuration.Idempotent, TimeoutMs: 1000, AttemptsMost: 1,
-			Split: []configuration.Weighted{{Service: "s", Weight: 1}}, Source: json.RawMessage(`"` + noise(r, bytes) + `"`)}}
+		return []configuration.Route{{Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Idempotent, TimeoutMs: 1000, MaxAttempts: 1,
+			Split: []configuration.WeightedService{{Service: "s", Weight: 1}}, Source: json.RawMessage(`"` + noise(r, bytes) + `"`)}}
 	}
 	doc := &configuration.Declaration{Name: "edited", Version: 1, Routes: routes(), Services: []configuration.Service{{Name: "s"}}}
 	b.step(t, 0, chain.Event{Submit: &statemachine.Change{ID: "v1", Config: &statemachine.ConfigChange{Version: 1, Doc: doc}}})
--- a/internal/controlplane/storage/catchup_test.go
+++ b/internal/controlplane/storage/catchup_test.go
@@ -15,8 +15,8 @@
 	source := fmt.Sprintf(`{"name":"route-%d","host":"host-%d.example","prefix":"/place-%d/","repeat":"idempotent","waitMs":%d,"tries":3,"goesTo":[{"pool":"s","part":100}],"owner":"o%d"}`, i, i%7, i, 4000+version, i%40)
 	return configuration.Route{
 		Name: fmt.Sprint("route-", i), Host: fmt.Sprintf("host-%d.example", i%7), Prefix: fmt.Sprintf("/place-%d/", i),
-		Repeat: configuration.Idempotent, TimeoutMs: int64(4000 + version), AttemptsMost: 3,
-		Split: []configuration.Weighted{{Service: "s", Weight: 100}}, Source: json.RawMessage(source),
+		RetryClass: configuration.Idempotent, TimeoutMs: int64(4000 + version), MaxAttempts: 3,
+		Split: []configuration.WeightedService{{Service: "s", Weight: 100}}, Source: json.RawMessage(source),
 	}
 }
 
--- a/internal/controlplane/storage/codec.go
+++ b/internal/controlplane/storage/codec.go
@@ -45,7 +45,7 @@
 	}
 	for _, r := range batch {
 		if r == (chain.Record{}) {
-			return nil, fault.New(fault.UnknownForm, "", "it says nothing")
+			return nil, fault.New(fault.UnknownFormat, "", "it says nothing")
 		}
 	}
 	return batch, nil
@@ -62,7 +62,7 @@
 	case err == nil:
 		return nil
 	case strings.HasPrefix(err.Error(), unknownField):
-		return fault.New(fault.UnknownForm, "", "%v: a later version wrote it", err)
+		return fault.New(fault.UnknownFormat, "", "%v: a later version wrote it", err)
 	}
 	return fault.New(fault.DamagedData, "", "%v", err)
 }
--- a/internal/controlplane/storage/codec_test.go
+++ b/internal/controlplane/storage/codec_test.go
@@ -74,7 +74,7 @@
 		if err := o.Store.Close(); err != nil {
 			t.Fatal(err)
 		}
-		if code := opensWith(t, dir); code != fault.UnknownForm {
+		if code := opensWith(t, dir); code != fault.UnknownFormat {
 			t.Errorf("%s: %q", name, code)
 		}
 	}
@@ -98,8 +98,8 @@
 
 func TestACopyOfAnUnknownFormIsRefused(t *testing.T) {
 	for text, want := range map[string]fault.Code{
-		`{"index":2,"view":1,"state":{},"from":1,"parts":2}`:  fault.UnknownForm,
-		`{"index":2,"view":1,"state":{"quotas":{}},"from":1}`: fault.UnknownForm,
+		`{"index":2,"view":1,"state":{},"from":1,"parts":2}`:  fault.UnknownFormat,
+		`{"index":2,"view":1,"state":{"quotas":{}},"from":1}`: fault.UnknownFormat,
 		`{"index":2,"view":1,"state":{"epoch":"x"},"from":1}`: fault.DamagedData,
 		`{"index":2,"view":1,"state":{"epoch":1},"from":1}`:   "",
 	} {
--- a/internal/controlplane/storage/lock.go
+++ b/internal/controlplane/storage/lock.go
@@ -51,7 +51,7 @@
 		case <-again.C:
 		case <-deadline.C:
 			_ = held.Close()
-			return nil, fault.New(fault.DataUnwritable, path, "another process uses this folder")
+			return nil, fault.New(fault.DataNotWritable, path, "another process uses this folder")
 		}
 	}
 }
--- a/internal/controlplane/storage/lock_test.go
+++ b/internal/controlplane/storage/lock_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	var bad *fault.Fault
-	if _, err := Lock(folder, "core-1", 120*time.Millisecond); !errors.As(err, &bad) || bad.Code != fault.DataUnwritable {
+	if _, err := Lock(folder, "core-1", 120*time.Millisecond); !errors.As(err, &bad) || bad.Code != fault.DataNotWritable {
 		t.Fatalf("a second one beside it: %v", err)
 	}
 	got := make(chan error, 1)
--- a/internal/controlplane/storage/storage.go
+++ b/internal/controlplane/storage/storage.go
@@ -64,7 +64,7 @@
 	_ = fs.Remove(filepath.Join(dir, copyName+newMark))
 	_, err := s.Write(nil, false)
 	if os.IsPermission(err) {
-		return nil, fault.New(fault.DataUnwritable, dir, "%v", err)
+		return nil, fault.New(fault.DataNotWritable, dir, "%v", err)
 	}
 	opened.Refused = err
 	return opened, nil
@@ -94,7 +94,7 @@
 		return bad
 	}
 	if err != nil {
-		return fault.New(fault.DataUnwritable, s.dir, "%v", err)
+		return fault.New(fault.DataNotWritable, s.dir, "%v", err)
 	}
 	if held != nil {
 		o.Records = append(o.Records, chain.Record{Copy: &held.Copy})
@@ -204,7 +204,7 @@
 		return nil, nil
 	}
 	if err != nil {
-		return nil, fault.New(fault.DataUnwritable, s.dir, "%v", err)
+		return nil, fault.New(fault.DataNotWritable, s.dir, "%v", err)
 	}
 	c, bad := unpack(framed)
 	if bad != nil {
--- a/internal/dataplane/controlclient/mirror.go
+++ b/internal/dataplane/controlclient/mirror.go
@@ -54,7 +54,7 @@
 type Stream struct {
 	Number uint64
 	Addr   string
-	Ask    wire.Follow
+	Ask    wire.SubscribeRequest
 }
 
 type source struct {
@@ -69,7 +69,7 @@
 	controlNode string
 	rows        map[string]wire.ReplicaRow
 	// orders by replica; the map is replaced, never changed.
-	orders   map[string]wire.OrderAhead
+	orders   map[string]wire.PendingOrder
 	ordersAt uint64
 	gateways int
 }
@@ -98,7 +98,7 @@
 	failing      bool
 	last         *source
 	best         map[string]wire.ReplicaRow
-	orders       map[string]wire.OrderAhead
+	orders       map[string]wire.PendingOrder
 	ordersAt     uint64
 	gateways     int
 	outliers     outlier.Table
@@ -207,8 +207,8 @@
 	}
 	s.heardUs, s.controlNode = nowUs, f.ControlNode
 	m.answered(s)
-	m.noteBehind(nowUs, s, f.Behind)
-	if f.Whole {
+	m.noteBehind(nowUs, s, f.PossiblyStale)
+	if f.Complete {
 		s.whole, s.rows = true, map[string]wire.ReplicaRow{}
 	}
 	if f.View != nil && f.View.Number >= m.view.Number {
@@ -224,16 +224,16 @@
 		s.rows[r.ID] = r
 	}
 	if f.Orders != nil {
-		s.order(f.Orders, f.Whole)
+		s.order(f.Orders, f.Complete)
 	}
-	s.gateways = f.Gateways
+	s.gateways = f.GatewayCount
 	revision := m.revision
 	if !m.configured(f) {
 		m.drop(nowUs, s)
 		return
 	}
 	news := revision != m.revision || m.snap == nil || f.View != nil
-	if f.Whole {
+	if f.Complete {
 		news = m.foldAll() || news
 	} else if len(f.Replicas) > 0 {
 		for _, r := range f.Replicas {
@@ -251,8 +251,8 @@
 }
 
 // order lays what has changed on the orders that stood.
-func (s *source) order(o *wire.Orders, whole bool) {
-	next := make(map[string]wire.OrderAhead, len(o.Rows)+len(s.orders))
+func (s *source) order(o *wire.PendingOrders, whole bool) {
+	next := make(map[string]wire.PendingOrder, len(o.Rows)+len(s.orders))
 	if !whole {
 		maps.Copy(next, s.orders)
 	}
@@ -271,16 +271,16 @@
 	if f.Revision <= m.revision {
 		return true
 	}
-	if f.Doc != nil {
-		m.doc, m.revision = f.Doc.Indexed(), f.Revision
+	if f.Declaration != nil {
+		m.doc, m.revision = f.Declaration.Indexed(), f.Revision
 		return true
 	}
-	if m.doc == nil || f.From > m.revision || f.Revision-f.From != uint64(len(f.Edits)) {
+	if m.doc == nil || f.EditsFrom > m.revision || f.Revision-f.EditsFrom != uint64(len(f.Edits)) {
 		return false
 	}
 	doc := m.doc
-	for _, e := range f.Edits[m.revision-f.From:] {
-		next, bad := doc.Edited(e)
+	for _, e := range f.Edits[m.revision-f.EditsFrom:] {
+		next, bad := doc.Apply(e)
 		if bad != nil {
 			return false
 		}
