--- a/cmd/petreltide/compare.go
+++ b/cmd/petreltide/compare.go
@@ -46,7 +46,7 @@
 pair out instead). The policy in force before is put back at the end and on interrupt; where that
 fails, the command that does it is printed.
 
-  petreltide compare --live --office 10.0.1.5:7100 --policy steady.star --policy chaser.star \
+  petreltide compare --live --control-node 10.0.1.5:7100 --policy steady.star --policy chaser.star \
     --windows 12 --window 2m --settle 20s`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -134,7 +134,7 @@
 	if _, writeErr := file.Write(raw); writeErr != nil {
 		return errors.Trace(writeErr)
 	}
-	fmt.Fprintf(cmd.ErrOrStderr(), "to put policy %s back:\n  petreltide apply --patch %s --office %s\n", bad.Policy.Name, file.Name(), strings.Join(o.addrs, ","))
+	fmt.Fprintf(cmd.ErrOrStderr(), "to put policy %s back:\n  petreltide apply --patch %s --control-node %s\n", bad.Policy.Name, file.Name(), strings.Join(o.addrs, ","))
 	return err
 }
 
--- a/cmd/petreltide/daemons.go
+++ b/cmd/petreltide/daemons.go
@@ -18,7 +18,7 @@
 	place := place{&set.Name, &set.Listen, &set.Advertise, &set.Zone, &set.Seeds}
 	var file string
 	cmd := &cobra.Command{
-		Use:   "office",
+		Use:   "control-node",
 		Short: "Run a core machine",
 		Long: `Run a core machine: one member of the chain that keeps the configuration, tickets,
 notices and epochs. Give it a settings file, flags, or both; a flag wins over the file.
@@ -49,10 +49,10 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&file, "settings", "", "settings file (YAML or JSON)")
-	place.flags(cmd, "this office's name, unique in the fleet; a replacement takes the lost one's name")
+	place.flags(cmd, "this control node's name, unique in the fleet; a replacement takes the lost one's name")
 	flags.StringVar(&set.DataDir, "data", "", "data folder")
 	flags.StringVar(&set.Platform, "platform", "", "IP:port of the platform's replica list")
-	flags.IntVar(&set.FoundingSize, "founding", 0, "how many empty offices begin a new chain together; 0: only join one")
+	flags.IntVar(&set.FoundingSize, "founding", 0, "how many empty control nodes begin a new chain together; 0: only join one")
 	return cmd
 }
 
@@ -74,12 +74,12 @@
 	place := place{&set.Name, &set.Listen, &set.Advertise, &set.Zone, &set.Seeds}
 	var file string
 	cmd := &cobra.Command{
-		Use:   "desk",
+		Use:   "gateway",
 		Short: "Run a front machine",
 		Long: `Run a front machine: it takes calls over HTTP, sends them to replicas under granted attempt
 numbers, and streams the answers back. It keeps nothing on disk.
 
-  petreltide desk --name front-1 --listen 10.0.1.20:8000 --zone a \
+  petreltide gateway --name front-1 --listen 10.0.1.20:8000 --zone a \
     --seeds 10.0.1.5:7100,10.0.2.5:7100,10.0.3.5:7100
 
 On SIGTERM it takes no new calls and gives those it has --drain-ms to end.`,
@@ -101,7 +101,7 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&file, "settings", "", "settings file (YAML or JSON)")
-	place.flags(cmd, "this desk's name, unique in the fleet")
+	place.flags(cmd, "this gateway's name, unique in the fleet")
 	flags.IntVar(&set.MaxQueue, "backlog-max", set.MaxQueue, "most calls that may wait here")
 	flags.IntVar(&set.MaxBodyKB, "body-max-kb", set.MaxBodyKB, "largest call body taken, in KiB")
 	flags.Int64Var(&set.DrainMs, "drain-ms", set.DrainMs, "time for open calls to end after SIGTERM")
--- a/cmd/petreltide/daemons_test.go
+++ b/cmd/petreltide/daemons_test.go
@@ -29,18 +29,18 @@
 		args  []string
 		names string
 	}{
-		"desk, a flag that is unfit":       {gatewayCommand(), []string{"--settings", write(whole), "--listen", "nowhere"}, `at listen: "nowhere"`},
-		"desk, seeds by flag":              {gatewayCommand(), []string{"--settings", write(whole), "--seeds", "here"}, `at seeds: "here"`},
-		"desk, a zone by flag":             {gatewayCommand(), []string{"--settings", write(whole), "--zone", strings.Repeat("z", 40)}, "at zone"},
-		"desk, an empty name by flag":      {gatewayCommand(), []string{"--settings", write(whole), "--name", ""}, "at name"},
-		"desk, advertise by flag":          {gatewayCommand(), []string{"--settings", write(whole), "--advertise", "0.0.0.0:1"}, "at advertise"},
-		"desk, a field nobody knows":       {gatewayCommand(), []string{"--settings", write(whole + "colour: blue\n")}, "colour"},
-		"desk, no file there":              {gatewayCommand(), []string{"--settings", "/dev/null/none"}, "/dev/null/none"},
-		"office, the file is unfit":        {controlNodeCommand(), []string{"--settings", write(whole), "--data", t.TempDir()}, "at platform"},
-		"office, founding by flag":         {controlNodeCommand(), []string{"--settings", write(whole + "founding: 3\nplatform: 127.0.0.1:9\n"), "--data", t.TempDir(), "--founding", "2"}, "at founding"},
-		"office, data by flag is unfit":    {controlNodeCommand(), []string{"--settings", write(whole + "founding: 3\nplatform: 127.0.0.1:9\n"), "--data", "/dev/null/data"}, "data"},
-		"office, platform by flag too":     {controlNodeCommand(), []string{"--settings", write(whole), "--data", t.TempDir(), "--platform", "there"}, `at platform: "there"`},
-		"office, nothing but a short name": {controlNodeCommand(), []string{"--name", "n"}, "at listen"},
+		"gateway, a flag that is unfit":          {gatewayCommand(), []string{"--settings", write(whole), "--listen", "nowhere"}, `at listen: "nowhere"`},
+		"gateway, seeds by flag":                 {gatewayCommand(), []string{"--settings", write(whole), "--seeds", "here"}, `at seeds: "here"`},
+		"gateway, a zone by flag":                {gatewayCommand(), []string{"--settings", write(whole), "--zone", strings.Repeat("z", 40)}, "at zone"},
+		"gateway, an empty name by flag":         {gatewayCommand(), []string{"--settings", write(whole), "--name", ""}, "at name"},
+		"gateway, advertise by flag":             {gatewayCommand(), []string{"--settings", write(whole), "--advertise", "0.0.0.0:1"}, "at advertise"},
+		"gateway, a field nobody knows":          {gatewayCommand(), []string{"--settings", write(whole + "colour: blue\n")}, "colour"},
+		"gateway, no file there":                 {gatewayCommand(), []string{"--settings", "/dev/null/none"}, "/dev/null/none"},
+		"control node, the file is unfit":        {controlNodeCommand(), []string{"--settings", write(whole), "--data", t.TempDir()}, "at platform"},
+		"control node, founding by flag":         {controlNodeCommand(), []string{"--settings", write(whole + "founding: 3\nplatform: 127.0.0.1:9\n"), "--data", t.TempDir(), "--founding", "2"}, "at founding"},
+		"control node, data by flag is unfit":    {controlNodeCommand(), []string{"--settings", write(whole + "founding: 3\nplatform: 127.0.0.1:9\n"), "--data", "/dev/null/data"}, "data"},
+		"control node, platform by flag too":     {controlNodeCommand(), []string{"--settings", write(whole), "--data", t.TempDir(), "--platform", "there"}, `at platform: "there"`},
+		"control node, nothing but a short name": {controlNodeCommand(), []string{"--name", "n"}, "at listen"},
 	} {
 		ctx, done := context.WithTimeout(t.Context(), 10*time.Second)
 		c.cmd.SetContext(ctx)
--- a/cmd/petreltide/member.go
+++ b/cmd/petreltide/member.go
@@ -14,13 +14,13 @@
 	o := &controlNodes{}
 	cmd := &cobra.Command{
 		Use:   "member",
-		Short: "See, add, replace and remove offices",
+		Short: "See, add, replace and remove control nodes",
 		Long: `See who holds votes and copies, and order changes of members. One order stands at a time; it is kept
 in the chain, outlives whoever took it, and waits until it can be carried out safely. The same
 --change sent again is never taken twice.
 
   petreltide member list
-  petreltide member add core-4        then start an empty office --name core-4 --founding 0
+  petreltide member add core-4        then start an empty control-node --name core-4 --founding 0
   petreltide member replace core-2    of a lost control node: start an empty one under its name, no order needed
   petreltide member replace core-2 --even-alive
   petreltide member remove core-4
@@ -28,9 +28,9 @@
 	}
 	cmd.AddCommand(
 		memberListCommand(o),
-		memberOrderCommand(o, "add", "Take in one office more"),
-		memberOrderCommand(o, "replace", "Let an empty office of the same name take an office's place"),
-		memberOrderCommand(o, "remove", "Take an office's vote and seat"),
+		memberOrderCommand(o, "add", "Take in one more control node"),
+		memberOrderCommand(o, "replace", "Let an empty control node of the same name take another's place"),
+		memberOrderCommand(o, "remove", "Take a control node's vote and seat"),
 		memberOrderCommand(o, "cancel", "Take back the order that waits"),
 	)
 	return cmd
@@ -71,7 +71,7 @@
 	o.flag(cmd)
 	cmd.Flags().StringVar(&change, "change", "", "change id, to send the same order again safely")
 	if act == "replace" {
-		cmd.Flags().BoolVar(&evenAlive, "even-alive", false, "also if the office is alive and has its seat")
+		cmd.Flags().BoolVar(&evenAlive, "even-alive", false, "also if the control node is alive and has its seat")
 	}
 	return cmd
 }
--- a/cmd/petreltide/operators.go
+++ b/cmd/petreltide/operators.go
@@ -27,7 +27,8 @@
 }
 
 func (o *controlNodes) flag(cmd *cobra.Command) {
-	cmd.Flags().StringSliceVar(&o.addrs, "office", []string{"127.0.0.1:7100"}, "IP:port of offices to try in turn")
+	cmd.Flags().StringSliceVar(&o.addrs, "control-node", []string{"127.0.0.1:7100"}, "IP:port of control nodes to try in turn")
+	deprecateFlag(cmd, "office", "control-node")
 }
 
 type answer struct {
@@ -45,7 +46,7 @@
 		}
 		last = err
 	}
-	return answer{}, fault.New(fault.NotServing, "office", "no office answered: %v", last)
+	return answer{}, fault.New(fault.NotServing, "control-node", "no control node answered: %v", last)
 }
 
 func askOne(ctx context.Context, method, url string, body []byte) (answer, error) {
@@ -220,8 +221,8 @@
 
 Where routes are in force it also shows them and their version, each replica's state by its heartbeats with
 the time that it has left, what it holds and the order that stands there, and, from the control node that holds the
-leadership, what the weight store still gives. With --desks every gateway that reported there is asked for its
-part of the further tries and its connections; with --desk one gateway is asked and no control node.`,
+leadership, what the weight store still gives. With --gateways every gateway that reported there is asked for its
+part of the further tries and its connections; with --gateway one gateway is asked and no control node.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if gatewayAddr != "" {
@@ -244,7 +245,9 @@
 	}
 	o.flag(cmd)
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print the whole status as JSON")
-	cmd.Flags().BoolVar(&gateways, "desks", false, "ask every desk that reported to the office on duty, too")
-	cmd.Flags().StringVar(&gatewayAddr, "desk", "", "IP:port of one desk to ask instead of an office")
+	cmd.Flags().BoolVar(&gateways, "gateways", false, "ask every gateway that reported to the leading control node, too")
+	deprecateFlag(cmd, "desks", "gateways")
+	cmd.Flags().StringVar(&gatewayAddr, "gateway", "", "IP:port of one gateway to ask instead of a control node")
+	deprecateFlag(cmd, "desk", "gateway")
 	return cmd
 }
--- a/cmd/petreltide/print.go
+++ b/cmd/petreltide/print.go
@@ -28,7 +28,7 @@
 		printReplicas(w, st.Replicas)
 	}
 	for _, t := range st.Pending {
-		fmt.Fprintf(w, "pending   ticket %d epoch %d: %s %s at %s\n", t.Number, t.Epoch, t.Action, t.Unit, t.Replica)
+		fmt.Fprintf(w, "pending   command %d epoch %d: %s %s at %s\n", t.Number, t.Epoch, t.Action, t.Unit, t.Replica)
 	}
 	printPolicies(w, st)
 	for code, n := range st.Faults {
@@ -42,12 +42,12 @@
 	for _, s := range st.View.Order {
 		seats = append(seats, s.ID)
 	}
-	fmt.Fprintf(w, "office    %s (%s), zone %s\n", st.ControlNode.ID, st.Phase, st.ControlNode.Zone)
+	fmt.Fprintf(w, "node      %s (%s), zone %s\n", st.ControlNode.ID, st.Phase, st.ControlNode.Zone)
 	fmt.Fprintf(w, "view      %d: %s\n", st.View.Number, strings.Join(seats, " > "))
 	if st.WaitsFor != "" {
 		fmt.Fprintf(w, "waits for %s\n", st.WaitsFor)
 	}
-	fmt.Fprintf(w, "duty      %s under epoch %d\n", st.Holder, st.Epoch)
+	fmt.Fprintf(w, "leader    %s under epoch %d\n", st.Holder, st.Epoch)
 	if st.Fleet != nil {
 		printLeadership(w, st.Fleet.Leadership)
 	}
@@ -56,10 +56,10 @@
 		fmt.Fprintf(w, "emptied   %s\n", strings.Join(st.Emptied, ", "))
 	}
 	for _, p := range st.Peers {
-		fmt.Fprintf(w, "partner   %s %s, heard %d ms ago\n", p.Member.ID, p.Phase, p.AgoMs)
+		fmt.Fprintf(w, "peer      %s %s, last message %d ms ago\n", p.Member.ID, p.Phase, p.AgoMs)
 	}
 	for _, d := range st.Gateways {
-		fmt.Fprintf(w, "desk      %s zone %s, acked %d, lease %d ms\n", d.Gateway, d.Zone, d.Acked, d.LeaseMs)
+		fmt.Fprintf(w, "gateway   %s zone %s, acked %d, lease %d ms\n", d.Gateway, d.Zone, d.Acked, d.LeaseMs)
 	}
 }
 
--- a/cmd/petreltide/query.go
+++ b/cmd/petreltide/query.go
@@ -19,8 +19,8 @@
 
 const queryHelp = `An expression over the fleet's state, in the language policies are written in:
 
-  status     what the control node says of the view, duty, desks, replicas and policy
-  state      the ledger itself: configuration, tickets, grants, notices, keys
+  status     what the control node says of the view, leadership, gateways, replicas and policy
+  state      the replicated state itself: configuration, commands, grants, notices, keys
   config     the declaration in force
 
   holders(unit)     replicas that hold a model or adapter
--- a/cmd/petreltide/replay.go
+++ b/cmd/petreltide/replay.go
@@ -17,14 +17,14 @@
 	var gateway string
 	var pace float64
 	cmd := &cobra.Command{
-		Use:   "replay FILE.har --desk IP:port",
+		Use:   "replay FILE.har --gateway IP:port",
 		Short: "Send the calls recorded in a HAR file to a gateway and sum what became of them",
 		Long: `Send every POST to /v1/calls that a HAR file holds to a gateway, at the pace at which they were
 recorded or a factor of it, and sum the outcomes by kind. Idempotency keys are not sent again.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if pace <= 0 || gateway == "" {
-				return fault.New(fault.BadField, "", "name a --desk, and a --pace above 0")
+				return fault.New(fault.BadField, "", "name a --gateway, and a --pace above 0")
 			}
 			raw, err := os.ReadFile(args[0])
 			if err != nil {
@@ -47,7 +47,8 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&gateway, "desk", "", "IP:port of the desk")
+	cmd.Flags().StringVar(&gateway, "gateway", "", "IP:port of the gateway")
+	deprecateFlag(cmd, "desk", "gateway")
 	cmd.Flags().Float64Var(&pace, "pace", 1, "2 is twice as fast as recorded")
 	return cmd
 }
--- a/cmd/petreltide/status.go
+++ b/cmd/petreltide/status.go
@@ -69,10 +69,10 @@
 	}
 	if len(st.Gateways) == 0 {
 		for _, d := range st.Demand {
-			fmt.Fprintf(w, "desk      %s zone %s at %s, reported %d ms ago\n", d.Gateway, d.Zone, d.Addr, d.AgoMs)
+			fmt.Fprintf(w, "gateway   %s zone %s at %s, reported %d ms ago\n", d.Gateway, d.Zone, d.Addr, d.AgoMs)
 		}
 	}
-	fmt.Fprintf(w, "desks     %d live: %s\n", len(f.Gateways), strings.Join(f.Gateways, ", "))
+	fmt.Fprintf(w, "gateways  %d live: %s\n", len(f.Gateways), strings.Join(f.Gateways, ", "))
 	for _, r := range f.Replicas {
 		fmt.Fprintln(w, replicaLine(r))
 	}
@@ -87,13 +87,13 @@
 		line += ", " + r.Stage
 	}
 	if r.AgoMs >= 0 {
-		line += fmt.Sprintf(", heard %d ms ago", r.AgoMs)
+		line += fmt.Sprintf(", last heartbeat %d ms ago", r.AgoMs)
 	}
 	if r.RoomMb > 0 {
 		line += fmt.Sprintf(": %d held, %d of %d MB", len(r.Units), r.HeldMb, r.RoomMb)
 	}
 	if r.Order != nil {
-		line += fmt.Sprintf("; ticket %d: %s %s", r.Order.Number, r.Order.Action, r.Order.Unit)
+		line += fmt.Sprintf("; command %d: %s %s", r.Order.Number, r.Order.Action, r.Order.Unit)
 	}
 	return line
 }
@@ -121,7 +121,7 @@
 
 func askGateways(ctx context.Context, w io.Writer, st controlnode.Status) {
 	if len(st.Demand) == 0 {
-		fmt.Fprintln(w, "no desk reported to this office: ask the one on duty")
+		fmt.Fprintln(w, "no gateway reported to this control node: ask the leader")
 	}
 	for _, d := range st.Demand {
 		a, err := askOne(ctx, http.MethodGet, "http://"+d.Addr+"/v1/status", nil)
@@ -130,7 +130,7 @@
 			of, err = gatewayOf(a)
 		}
 		if err != nil {
-			fmt.Fprintf(w, "at desk   %s gave no answer: %v\n", d.Gateway, err)
+			fmt.Fprintf(w, "work      %s gave no answer: %v\n", d.Gateway, err)
 			continue
 		}
 		printGateway(w, of)
@@ -142,10 +142,10 @@
 	for _, c := range st.Connections {
 		open += c.Open
 	}
-	fmt.Fprintf(w, "at desk   %s zone %s: revision %d, %d calls, %d wait, %d connections to %d replicas\n",
+	fmt.Fprintf(w, "work      %s zone %s: revision %d, %d calls, %d wait, %d connections to %d replicas\n",
 		st.Gateway, st.Zone, st.Work.Revision, st.Work.Calls, st.Work.Waiting, open, len(st.Connections))
 	for _, b := range st.Work.Budgets {
-		fmt.Fprintf(w, "tries     %s at %s: %d of %d further ones sent for %d calls, a share among %d desks\n", b.Service, st.Gateway, b.Spent, b.Most, b.Calls, b.Gateways)
+		fmt.Fprintf(w, "tries     %s at %s: %d of %d further ones sent for %d calls, a share among %d gateways\n", b.Service, st.Gateway, b.Spent, b.Most, b.Calls, b.Gateways)
 	}
 	for _, replica := range slices.Sorted(maps.Keys(st.Connections)) {
 		if c := st.Connections[replica]; c.Open >= c.Most {
--- a/cmd/petreltide/status_test.go
+++ b/cmd/petreltide/status_test.go
@@ -99,35 +99,35 @@
 		Revision: 9, Calls: 3, Budgets: []scheduling.BudgetNote{{Service: "scribe", Calls: 40, Spent: 2, Most: 29, Gateways: 3}},
 	}, Connections: map[string]gateway.Connections{"i-1": {Open: 41, Most: 41}, "i-2": {Open: 1, Most: 41}}}})
 	core := serve(t, map[string]any{"/v1/status": fleetStatus(front.addr())})
-	out, err := runCommand(t, statusCommand(), "--office", core.addr(), "--desks")
+	out, err := runCommand(t, statusCommand(), "--control-node", core.addr(), "--gateways")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, line := range []string{
-		"duty      core-1-ab under epoch 41",
+		"leader    core-1-ab under epoch 41",
 		"orders    holder core-1-ab, fence 41: orders wait 700 ms more for the one before, 1 stand",
 		"store     scribe: 3 loads may begin now, 1 of 7 run, 4 began within 5000 ms",
 		"version   9: 1 routes, 2 services",
 		"route     letters h.example/l/ → scribe 90 + quill 10: streaming, resumable, 5000 ms, priority 1, 2 attempts",
 		"service   scribe: 2 replicas, 2 models, 370 connections each",
-		"desks     2 live: front-1, front-2",
-		"replica   i-1 scribe zone a draining, 850 ms left, decode, heard 20 ms ago: 2 held, 61 of 100 MB",
-		"replica   i-2 scribe zone b dark, heard 4000 ms ago: 1 held, 80 of 100 MB; ticket 12: load m2",
+		"gateways  2 live: front-1, front-2",
+		"replica   i-1 scribe zone a draining, 850 ms left, decode, last heartbeat 20 ms ago: 2 held, 61 of 100 MB",
+		"replica   i-2 scribe zone b dark, last heartbeat 4000 ms ago: 1 held, 80 of 100 MB; command 12: load m2",
 		"replica   i-3 quill zone b unheard",
-		"at desk   front-1 zone a: revision 9, 3 calls, 0 wait, 42 connections to 2 replicas",
-		"tries     scribe at front-1: 2 of 29 further ones sent for 40 calls, a share among 3 desks",
+		"work      front-1 zone a: revision 9, 3 calls, 0 wait, 42 connections to 2 replicas",
+		"tries     scribe at front-1: 2 of 29 further ones sent for 40 calls, a share among 3 gateways",
 		"full      front-1 has all its 41 connections to i-1 open",
-		"at desk   front-2 gave no answer",
+		"work      front-2 gave no answer",
 	} {
 		if !strings.Contains(out, line) {
 			t.Errorf("no %q in:\n%s", line, out)
 		}
 	}
-	out, err = runCommand(t, statusCommand(), "--desk", front.addr())
+	out, err = runCommand(t, statusCommand(), "--gateway", front.addr())
 	if err != nil || !strings.Contains(out, "tries     scribe at front-1") {
 		t.Errorf("%v: %s", err, out)
 	}
-	if out, err = runCommand(t, statusCommand(), "--desk", front.addr(), "--json"); err != nil || !strings.Contains(out, `"most":29`) {
+	if out, err = runCommand(t, statusCommand(), "--gateway", front.addr(), "--json"); err != nil || !strings.Contains(out, `"most":29`) {
 		t.Errorf("%v: %s", err, out)
 	}
 }
@@ -146,7 +146,7 @@
 		`state["epoch"] + config["revision"]`:              {`50`, "/v1/config /v1/state /v1/status"},
 	} {
 		before := len(core.paths())
-		out, err := runCommand(t, queryCommand(), "--office", core.addr(), text)
+		out, err := runCommand(t, queryCommand(), "--control-node", core.addr(), text)
 		if err != nil {
 			t.Errorf("%s: %v", text, err)
 			continue
@@ -177,13 +177,13 @@
 		args []string
 		code fault.Code
 	}{
-		"nobody there":          {statusCommand(), []string{"--office", gone}, fault.NotServing},
-		"nobody, asked by expr": {queryCommand(), []string{"--office", gone, "status"}, fault.NotServing},
-		"an office that stops":  {statusCommand(), []string{"--office", busy}, fault.NotServing},
-		"a desk that stops":     {statusCommand(), []string{"--desk", busy}, fault.NotServing},
-		"no JSON":               {statusCommand(), []string{"--office", other.addr()}, ""},
-		"no JSON of a desk":     {statusCommand(), []string{"--desk", other.addr()}, ""},
-		"no expression":         {queryCommand(), []string{"--office", other.addr(), "1 +"}, fault.BadField},
+		"nobody there":              {statusCommand(), []string{"--control-node", gone}, fault.NotServing},
+		"nobody, asked by expr":     {queryCommand(), []string{"--control-node", gone, "status"}, fault.NotServing},
+		"a control node that stops": {statusCommand(), []string{"--control-node", busy}, fault.NotServing},
+		"a gateway that stops":      {statusCommand(), []string{"--gateway", busy}, fault.NotServing},
+		"no JSON":                   {statusCommand(), []string{"--control-node", other.addr()}, ""},
+		"no JSON of a gateway":      {statusCommand(), []string{"--gateway", other.addr()}, ""},
+		"no expression":             {queryCommand(), []string{"--control-node", other.addr(), "1 +"}, fault.BadField},
 	} {
 		_, err := runCommand(t, c.cmd, c.args...)
 		var bad *fault.Fault
--- a/tests/fleet/bounds.go
+++ b/tests/fleet/bounds.go
@@ -32,7 +32,7 @@
 
 func (c *claimer) claim(ctx context.Context) {
 	n := c.n.Add(1)
-	controlNodes := c.f.Addrs("office")
+	controlNodes := c.f.Addrs("control-node")
 	change := statemachine.Change{ID: fmt.Sprintf("bound-%d", n), Key: &statemachine.KeyChange{
 		Key: fmt.Sprintf("family-%032d", n), Gateway: "front-1", GatewayIncarnation: "bounds", Call: fmt.Sprintf("front-1-%016d", n)}}
 	began := NowUs()
@@ -78,7 +78,7 @@
 func (f *Fleet) leases(ctx context.Context) (leastMs int64, none, looks int) {
 	leastMs = 1 << 40
 	for ctx.Err() == nil {
-		for _, addr := range f.Addrs("desk") {
+		for _, addr := range f.Addrs("gateway") {
 			r, err := f.Ask(ctx, addr, http.MethodGet, "/v1/status", "")
 			st := gateway.Status{}
 			if err != nil || json.Unmarshal(r.Body, &st) != nil {
@@ -121,7 +121,7 @@
 	}); err != nil {
 		return err
 	}
-	name := f.Names("office")[1]
+	name := f.Names("control-node")[1]
 	return watched("a member joins empty at that size", func() error {
 		joined := make(chan error, 1)
 		go func() {
--- a/tests/fleet/compare_test.go
+++ b/tests/fleet/compare_test.go
@@ -78,18 +78,18 @@
 		stop()
 		<-over
 	}()
-	controlNodes := strings.Join(f.Addrs("office"), ",")
+	controlNodes := strings.Join(f.Addrs("control-node"), ",")
 	other, chaser, broken := policies(t)
 	args := func(a, b string, more ...string) []string {
-		return append([]string{"compare", "--live", "--office", controlNodes, "--policy", a, "--policy", b, "--windows", "4", "--window", "3s", "--settle", "300ms"}, more...)
+		return append([]string{"compare", "--live", "--control-node", controlNodes, "--policy", a, "--policy", b, "--windows", "4", "--window", "3s", "--settle", "300ms"}, more...)
 	}
 
 	before := f.now(t, ctx).Revision
 	for name, bad := range map[string][]string{
 		"odd windows": args(other, chaser, "--windows", "3"), "no windows": args(other, chaser, "--windows", "0"),
 		"an unknown file": args(other, chaser+"x"), "one that does not compile": args(other, broken),
-		"one policy":        {"compare", "--live", "--office", controlNodes, "--policy", other},
-		"no office reached": {"compare", "--live", "--office", f.FreeAddr(), "--policy", other, "--policy", chaser, "--windows", "2"},
+		"one policy":        {"compare", "--live", "--control-node", controlNodes, "--policy", other},
+		"no office reached": {"compare", "--live", "--control-node", f.FreeAddr(), "--policy", other, "--policy", chaser, "--windows", "2"},
 	} {
 		if out, err := run(t, bad...); err == nil {
 			t.Errorf("%s: taken: %s", name, out)
@@ -136,9 +136,9 @@
 
 func TestMembersByCommandOnRealProcesses(t *testing.T) {
 	f, _, ctx := begun(t)
-	controlNodes := strings.Join(f.Addrs("office"), ",")
+	controlNodes := strings.Join(f.Addrs("control-node"), ",")
 	member := func(args ...string) (string, error) {
-		return run(t, append(append([]string{"member"}, args...), "--office", controlNodes)...)
+		return run(t, append(append([]string{"member"}, args...), "--control-node", controlNodes)...)
 	}
 	for _, c := range []struct {
 		args []string
@@ -163,7 +163,7 @@
 	}
 	out, err = member("list")
 	want(t, out, err, "order  add core-4", "an empty office named core-4", "vote   core-1")
-	if err := f.AddControlNode("core-4", "a", f.reaches("office", ""), 0); err != nil {
+	if err := f.AddControlNode("core-4", "a", f.reaches("control-node", ""), 0); err != nil {
 		t.Fatal(err)
 	}
 	votes := func(n int) func() bool {
--- a/tests/fleet/day.go
+++ b/tests/fleet/day.go
@@ -86,7 +86,7 @@
 // Settled says that every counted model has its first holder and every gateway holds a lease.
 func (f *Fleet) Settled(ctx context.Context) bool {
 	tail, ok := f.Tail(ctx)
-	if !ok || len(tail.Gateways) < len(f.Names("desk")) {
+	if !ok || len(tail.Gateways) < len(f.Names("gateway")) {
 		return false
 	}
 	for _, d := range tail.Gateways {
@@ -131,7 +131,7 @@
 
 // Head is the status of the control node that leads; ok is false where none does.
 func (f *Fleet) Head(ctx context.Context) (st controlNodeStatus, ok bool) {
-	for _, name := range f.Names("office") {
+	for _, name := range f.Names("control-node") {
 		if st, ok = f.Status(ctx, name); ok && st.IsLeader {
 			return st, true
 		}
@@ -145,8 +145,8 @@
 	"kill-head":       killControlNode(func(ctx context.Context, f *Fleet) string { return f.seat(ctx, 0) }),
 	"freeze-head":     freeze(func(ctx context.Context, f *Fleet) string { return f.seat(ctx, 0) }),
 	"freeze-tail":     freeze(func(ctx context.Context, f *Fleet) string { return f.seat(ctx, -1) }),
-	"freeze-desk":     freeze(func(_ context.Context, f *Fleet) string { return f.Names("desk")[0] }),
-	"kill-desk":       killAgain(func(_ context.Context, f *Fleet) string { return f.Names("desk")[1] }),
+	"freeze-desk":     freeze(func(_ context.Context, f *Fleet) string { return f.Names("gateway")[0] }),
+	"kill-desk":       killAgain(func(_ context.Context, f *Fleet) string { return f.Names("gateway")[1] }),
 	"kill-replica":    replace(0),
 	"notice-replica":  replace(2500),
 	"kill-offices":    killControlNodes,
@@ -236,10 +236,10 @@
 	}
 }
 
-func killControlNodes(ctx context.Context, f *Fleet) error { return killRoles(ctx, f, "office") }
+func killControlNodes(ctx context.Context, f *Fleet) error { return killRoles(ctx, f, "control-node") }
 
 func killEverything(ctx context.Context, f *Fleet) error {
-	return killRoles(ctx, f, "office", "desk", "replica")
+	return killRoles(ctx, f, "control-node", "gateway", "replica")
 }
 
 func killRoles(ctx context.Context, f *Fleet, roles ...string) error {
@@ -308,8 +308,8 @@
 		return nil, err
 	}
 	fmt.Fprintf(out, "up and settled after %d ms: %d offices, %d desks, %d replicas\n", (NowUs()-beganUs)/1000,
-		len(f.Names("office")), len(f.Names("desk")), len(f.Names("replica")))
-	fmt.Fprintf(out, "offices at %s, desks at %s\n", strings.Join(f.Addrs("office"), ","), strings.Join(f.Addrs("desk"), ","))
+		len(f.Names("control-node")), len(f.Names("gateway")), len(f.Names("replica")))
+	fmt.Fprintf(out, "offices at %s, desks at %s\n", strings.Join(f.Addrs("control-node"), ","), strings.Join(f.Addrs("gateway"), ","))
 	loaded, stop := context.WithCancel(ctx)
 	defer stop()
 	over := make(chan struct{})
--- a/tests/fleet/demand.go
+++ b/tests/fleet/demand.go
@@ -97,7 +97,7 @@
 	kind := doc.Kind(ask.Kind)
 	prompt := ask.Prompt
 	for try := 0; try < 3; try++ {
-		gateways := f.Addrs("desk")
+		gateways := f.Addrs("gateway")
 		addr := gateways[(pick+try)%len(gateways)]
 		if try > 0 {
 			tag, rest, _ := strings.Cut(prompt, " ")
--- a/tests/fleet/faults.go
+++ b/tests/fleet/faults.go
@@ -36,7 +36,7 @@
 }
 
 func (f *Fleet) everyone() []string {
-	return append(append(append(f.Names("office"), f.Names("desk")...), f.Names("replica")...), "platform")
+	return append(append(append(f.Names("control-node"), f.Names("gateway")...), f.Names("replica")...), "platform")
 }
 
 // cut holds what goes from one to the other for a while; it must have held something.
@@ -75,7 +75,7 @@
 }
 
 func (f *Fleet) twoControlNodes() (string, string) {
-	names := f.Names("office")
+	names := f.Names("control-node")
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at := f.r.Intn(len(names))
@@ -100,7 +100,7 @@
 		if !ok || len(tail.View.Order) != f.Plan.ControlNodes {
 			return false
 		}
-		for _, name := range f.Names("office") {
+		for _, name := range f.Names("control-node") {
 			mine, ok := f.Status(ctx, name)
 			if !ok || mine.Phase != chain.Serving || !tail.View.Seated(mine.ControlNode.ID) || !tail.View.Votes(mine.ControlNode.ID) {
 				return false
@@ -115,7 +115,7 @@
 // disk brings a fault about through files that only a build with the tag diskfaults looks at.
 func disk(file, text string) cause {
 	return func(ctx context.Context, f *Fleet) error {
-		name := f.choose("office")
+		name := f.choose("control-node")
 		if _, err := os.Stat(filepath.Join(f.folder(name), "diskfaults")); err != nil {
 			return LeftOut{"petreltide is not built with the tag diskfaults"}
 		}
@@ -146,7 +146,7 @@
 	if err := f.whole(ctx); err != nil {
 		return err
 	}
-	name := f.choose("office")
+	name := f.choose("control-node")
 	f.Kill(name)
 	log, err := wal.Open(filepath.Join(f.folder(name), "chain"), &wal.Options{AllowEmpty: true})
 	if err != nil {
@@ -180,7 +180,7 @@
 	if err := os.RemoveAll(f.folder(name)); err != nil {
 		return errors.Trace(err)
 	}
-	if err := f.AddControlNode(name, zone, f.reaches("office", name), 0); err != nil {
+	if err := f.AddControlNode(name, zone, f.reaches("control-node", name), 0); err != nil {
 		return err
 	}
 	f.newSeeds()
@@ -190,7 +190,7 @@
 // newSeeds is what an operator writes into every settings file once a control node has another address; a
 // process reads it when it starts again.
 func (f *Fleet) newSeeds() {
-	seeds := strings.Join(f.reaches("office", ""), ",")
+	seeds := strings.Join(f.reaches("control-node", ""), ",")
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.procs {
@@ -213,7 +213,7 @@
 }
 
 func wipe(ctx context.Context, f *Fleet) error {
-	if err := f.replaceControlNode(ctx, f.choose("office")); err != nil {
+	if err := f.replaceControlNode(ctx, f.choose("control-node")); err != nil {
 		return err
 	}
 	return f.whole(ctx)
@@ -222,7 +222,7 @@
 // rollControlNodes replaces every control node in turn by an empty one at a new address, and then starts a gateway
 // that knows only the new ones.
 func rollControlNodes(ctx context.Context, f *Fleet) error {
-	for _, name := range f.Names("office") {
+	for _, name := range f.Names("control-node") {
 		if err := f.replaceControlNode(ctx, name); err != nil {
 			return err
 		}
@@ -230,7 +230,7 @@
 	if err := f.whole(ctx); err != nil {
 		return err
 	}
-	return f.reseed(f.choose("desk"), f.reaches("office", ""))
+	return f.reseed(f.choose("gateway"), f.reaches("control-node", ""))
 }
 
 // reseed starts a process again with other seeds.
@@ -246,12 +246,12 @@
 }
 
 func swapSeeds(ctx context.Context, f *Fleet) error {
-	gateways := f.reaches("desk", "")
-	if err := f.reseed(f.choose("desk"), append(gateways[:1:1], f.reaches("office", "")...)[:2]); err != nil {
+	gateways := f.reaches("gateway", "")
+	if err := f.reseed(f.choose("gateway"), append(gateways[:1:1], f.reaches("control-node", "")...)[:2]); err != nil {
 		return err
 	}
 	pause(ctx, time.Second)
-	return f.reseed(f.choose("office"), gateways[:1])
+	return f.reseed(f.choose("control-node"), gateways[:1])
 }
 
 func loseZone(ctx context.Context, f *Fleet) error {
@@ -259,7 +259,7 @@
 	zone := f.Plan.Zones[f.r.Intn(len(f.Plan.Zones))]
 	f.mu.Unlock()
 	lost := []string{}
-	for _, role := range []string{"office", "desk", "replica"} {
+	for _, role := range []string{"control-node", "gateway", "replica"} {
 		for _, name := range f.Names(role) {
 			if f.Proc(name).Zone == zone {
 				lost = append(lost, name)
@@ -312,7 +312,7 @@
 		f.mu.Unlock()
 		short, done := context.WithTimeout(ctx, time.Duration(spanMs)*time.Millisecond)
 		tag, _, _ := strings.Cut(ask.Prompt, " ")
-		t := callers.Ask(short, client, f.Proc(f.choose("desk")).Addr, ask, "", rules.Told{Tag: tag, Resumable: f.Doc.Kind(ask.Kind).Resumable})
+		t := callers.Ask(short, client, f.Proc(f.choose("gateway")).Addr, ask, "", rules.Told{Tag: tag, Resumable: f.Doc.Kind(ask.Kind).Resumable})
 		done()
 		if !t.Ended {
 			t.Code = HungUp
@@ -327,8 +327,8 @@
 
 func init() {
 	for name, c := range map[string]cause{
-		"cut-office": cut(func(f *Fleet) [][2]string { return f.alone(f.choose("office")) }),
-		"cut-desk":   cut(func(f *Fleet) [][2]string { return f.alone(f.choose("desk")) }),
+		"cut-office": cut(func(f *Fleet) [][2]string { return f.alone(f.choose("control-node")) }),
+		"cut-desk":   cut(func(f *Fleet) [][2]string { return f.alone(f.choose("gateway")) }),
 		"dark-replica": cut(func(f *Fleet) [][2]string {
 			return f.alone(f.choose("replica"))
 		}),
@@ -342,7 +342,7 @@
 		}),
 		"cut-core": cut(func(f *Fleet) [][2]string {
 			ways := [][2]string{}
-			for _, name := range f.Names("office") {
+			for _, name := range f.Names("control-node") {
 				ways = append(ways, f.alone(name)...)
 			}
 			return ways
@@ -388,7 +388,7 @@
 
 // SaveLogs keeps every live process's log ring beside its output.
 func (f *Fleet) SaveLogs(ctx context.Context) {
-	for _, role := range []string{"office", "desk"} {
+	for _, role := range []string{"control-node", "gateway"} {
 		for _, name := range f.Names(role) {
 			short, done := context.WithTimeout(ctx, time.Second)
 			r, err := f.Ask(short, f.Proc(name).Addr, http.MethodGet, "/v1/log", "")
--- a/tests/fleet/fleet.go
+++ b/tests/fleet/fleet.go
@@ -164,8 +164,8 @@
 }
 
 func (f *Fleet) addControlNode(name, addr, reach, zone string, seeds []string, founding int) error {
-	return f.run(&Proc{Name: name, Role: "office", Addr: addr, Reach: reach, Zone: zone, bin: f.Plan.Petreltide, Args: []string{
-		"office", "--name", name, "--listen", addr, "--advertise", reach, "--zone", zone, "--seeds", strings.Join(seeds, ","),
+	return f.run(&Proc{Name: name, Role: "control-node", Addr: addr, Reach: reach, Zone: zone, bin: f.Plan.Petreltide, Args: []string{
+		"control-node", "--name", name, "--listen", addr, "--advertise", reach, "--zone", zone, "--seeds", strings.Join(seeds, ","),
 		"--data", filepath.Join(f.Plan.Folder, name), "--platform", f.platAddr, "--founding", fmt.Sprint(founding),
 	}})
 }
@@ -176,8 +176,8 @@
 	if err != nil {
 		return err
 	}
-	return f.run(&Proc{Name: name, Role: "desk", Addr: addr, Reach: reach, Zone: zone, bin: f.Plan.Petreltide, Args: []string{
-		"desk", "--name", name, "--listen", addr, "--advertise", reach, "--zone", zone, "--seeds", strings.Join(seeds, ","), "--drain-ms", "5000",
+	return f.run(&Proc{Name: name, Role: "gateway", Addr: addr, Reach: reach, Zone: zone, bin: f.Plan.Petreltide, Args: []string{
+		"gateway", "--name", name, "--listen", addr, "--advertise", reach, "--zone", zone, "--seeds", strings.Join(seeds, ","), "--drain-ms", "5000",
 	}})
 }
 
@@ -345,7 +345,7 @@
 // AskAny tries the control nodes until one answers below 500, and gives up at ctx's end.
 func (f *Fleet) AskAny(ctx context.Context, method, path, body string) (Reply, error) {
 	for {
-		for _, addr := range f.Addrs("office") {
+		for _, addr := range f.Addrs("control-node") {
 			short, done := context.WithTimeout(ctx, 10*time.Second)
 			r, err := f.Ask(short, addr, method, path, body)
 			done()
@@ -363,7 +363,7 @@
 
 // Tail asks every control node and returns the status of the open tail.
 func (f *Fleet) Tail(ctx context.Context) (controlnode.Status, bool) {
-	for _, addr := range f.Addrs("office") {
+	for _, addr := range f.Addrs("control-node") {
 		short, done := context.WithTimeout(ctx, time.Second)
 		r, err := f.Ask(short, addr, http.MethodGet, "/v1/status", "")
 		done()
--- a/tests/fleet/fleet_test.go
+++ b/tests/fleet/fleet_test.go
@@ -104,33 +104,33 @@
 	if err := os.WriteFile(file, raw, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	controlNodes := strings.Join(f.Addrs("office"), ",")
-	out, err := run(t, "apply", file, "--office", controlNodes, "--change", "one")
+	controlNodes := strings.Join(f.Addrs("control-node"), ",")
+	out, err := run(t, "apply", file, "--control-node", controlNodes, "--change", "one")
 	want(t, out, err, `"revision":1`)
-	out, err = run(t, "apply", file, "--office", controlNodes, "--change", "one", "--base", "0")
+	out, err = run(t, "apply", file, "--control-node", controlNodes, "--change", "one", "--base", "0")
 	want(t, out, err, `"again":true`)
 	if err := f.Until(ctx, "the layout stands", func() bool { return f.Settled(ctx) }); err != nil {
 		t.Fatal(err)
 	}
-	out, err = run(t, "diff", file, "--office", controlNodes)
+	out, err = run(t, "diff", file, "--control-node", controlNodes)
 	want(t, out, err, "no difference")
 	out, err = run(t, "status", "--office", controlNodes)
-	want(t, out, err, "view ", "duty ", "replica   gpu-1")
-	out, err = run(t, "query", "--office", controlNodes, `holders("m0")`)
+	want(t, out, err, "view ", "leader ", "replica   gpu-1")
+	out, err = run(t, "query", "--control-node", controlNodes, `holders("m0")`)
 	want(t, out, err, "gpu-")
 	patch := filepath.Join(t.TempDir(), "patch.json")
 	if err := os.WriteFile(patch, []byte(`{"scaler":{"spares":0}}`), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	out, err = run(t, "apply", patch, "--patch", "--office", controlNodes)
+	out, err = run(t, "apply", patch, "--patch", "--control-node", controlNodes)
 	want(t, out, err, `"revision":2`)
-	out, err = run(t, "zone", "empty", "c", "--office", controlNodes)
+	out, err = run(t, "zone", "empty", "c", "--control-node", controlNodes)
 	want(t, out, err, `"revision":3`)
-	out, err = run(t, "query", "--office", controlNodes, `config["declaration"]["emptied"]`)
+	out, err = run(t, "query", "--control-node", controlNodes, `config["declaration"]["emptied"]`)
 	want(t, out, err, `"c"`)
-	out, err = run(t, "zone", "restore", "c", "--office", controlNodes)
+	out, err = run(t, "zone", "restore", "c", "--control-node", controlNodes)
 	want(t, out, err, `"revision":4`)
-	if out, err = run(t, "apply", file, "--office", controlNodes, "--base", "1"); err == nil || !strings.Contains(out, "stale_base") {
+	if out, err = run(t, "apply", file, "--control-node", controlNodes, "--base", "1"); err == nil || !strings.Contains(out, "stale_base") {
 		t.Fatalf("a stale base got %v: %s", err, out)
 	}
 	replays(t, f)
@@ -147,13 +147,13 @@
 	if err := os.WriteFile(file, []byte(har), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	out, err := run(t, "replay", file, "--desk", f.Addrs("desk")[0], "--pace", "2")
+	out, err := run(t, "replay", file, "--gateway", f.Addrs("gateway")[0], "--pace", "2")
 	want(t, out, err, "fixes", "      2       2")
 }
 
 // drains: SIGTERM lets a streaming call end, and refuses the next with where it stands.
 func drains(t *testing.T, f *Fleet, ctx context.Context) {
-	name := f.Names("desk")[0]
+	name := f.Names("gateway")[0]
 	addr := f.Proc(name).Addr
 	got := make(chan rules.Told, 1)
 	go func() {
@@ -199,7 +199,7 @@
 	if err := os.WriteFile(file, []byte("name: x\nlisten: here\nseeds: [127.0.0.1:1]\ndata: /proc/none\nplatform: 127.0.0.1:1\nfounding: 2\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	out, err := run(t, "office", "--settings", file)
+	out, err := run(t, "control-node", "--settings", file)
 	for _, part := range []string{"listen", "zone", "data", "founding"} {
 		if err == nil || !strings.Contains(out, part) {
 			t.Fatalf("bad settings got %v without %q: %s", err, part, out)
@@ -208,10 +208,10 @@
 	if err := os.WriteFile(file, []byte("nmae: x\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if out, err := run(t, "desk", "--settings", file); err == nil || !strings.Contains(out, "nmae") {
+	if out, err := run(t, "gateway", "--settings", file); err == nil || !strings.Contains(out, "nmae") {
 		t.Fatalf("an unknown setting got %v: %s", err, out)
 	}
-	for _, role := range []string{"office", "desk", "apply", "query"} {
+	for _, role := range []string{"control-node", "gateway", "office", "desk", "apply", "query"} {
 		if out, err := run(t, role, "--help"); err != nil || !strings.Contains(out, "Usage:") {
 			t.Fatalf("%s --help: %v %s", role, err, out)
 		}
@@ -288,7 +288,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(loop.Close)
-	out, err := run(t, "office", "--name", "core-1", "--listen", loop.Addr(), "--zone", "a", "--seeds", "127.0.0.1:1", "--data", folder, "--platform", "127.0.0.1:1", "--founding", "3")
+	out, err := run(t, "control-node", "--name", "core-1", "--listen", loop.Addr(), "--zone", "a", "--seeds", "127.0.0.1:1", "--data", folder, "--platform", "127.0.0.1:1", "--founding", "3")
 	if err == nil || !strings.Contains(out, "no partner") {
 		t.Fatalf("got %v: %s", err, out)
 	}
@@ -312,7 +312,7 @@
 				if err := os.RemoveAll(filepath.Join(f.Plan.Folder, name)); err != nil {
 					return err
 				}
-				if err := f.AddControlNode(name, f.Proc(name).Zone, f.reaches("office", name), 0); err != nil {
+				if err := f.AddControlNode(name, f.Proc(name).Zone, f.reaches("control-node", name), 0); err != nil {
 					return err
 				}
 			} else if err := f.Again(name); err != nil {
--- a/tests/fleet/measure.go
+++ b/tests/fleet/measure.go
@@ -80,7 +80,7 @@
 	}
 	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	kept := rpc.Client(500, "")
-	addr := f.Addrs("desk")[0]
+	addr := f.Addrs("gateway")[0]
 	var straight, through []float64
 	for n := 0; n < 300 && ctx.Err() == nil; n++ {
 		prompt := fmt.Sprintf("added-%d", n)
@@ -104,7 +104,7 @@
 func measureRate(ctx context.Context, f *Fleet, doc *configuration.Declaration, out io.Writer) error {
 	client := rpc.Client(500, "")
 	client.Transport.(*http.Transport).MaxIdleConnsPerHost = 256
-	addr := f.Addrs("desk")[0]
+	addr := f.Addrs("gateway")[0]
 	ctx, done := context.WithTimeout(ctx, 8*time.Second)
 	defer done()
 	var ended, other atomic.Int64
@@ -358,7 +358,7 @@
 
 // measureGatewayAgain kills a gateway, starts it again and measures how long it is until it answers.
 func measureGatewayAgain(ctx context.Context, f *Fleet, doc *configuration.Declaration, out io.Writer) error {
-	name := f.Names("desk")[1]
+	name := f.Names("gateway")[1]
 	f.Kill(name)
 	if err := f.Again(name); err != nil {
 		return err
--- a/tests/platform/fleet/day.go
+++ b/tests/platform/fleet/day.go
@@ -52,7 +52,7 @@
 	var mu sync.Mutex
 	go func() {
 		for ctx.Err() == nil {
-			for _, p := range f.of("desk") {
+			for _, p := range f.of("gateway") {
 				go func() {
 					ok := f.ready(p)
 					mu.Lock()
@@ -67,13 +67,13 @@
 		mu.Lock()
 		defer mu.Unlock()
 		in := []*machineProc{}
-		for _, p := range f.of("desk") {
+		for _, p := range f.of("gateway") {
 			if healthy[p.name] {
 				in = append(in, p)
 			}
 		}
 		if len(in) == 0 {
-			in = f.of("desk")
+			in = f.of("gateway")
 		}
 		return in[r.Intn(len(in))]
 	}
@@ -260,17 +260,17 @@
 
 // routedCauses are the faults of real processes on the platform.
 var routedCauses = map[string]func(ctx context.Context, f *Fleet) error{
-	"kill-office":         func(_ context.Context, f *Fleet) error { return f.kill(f.any("office"), 800*time.Millisecond) },
+	"kill-office":         func(_ context.Context, f *Fleet) error { return f.kill(f.any("control-node"), 800*time.Millisecond) },
 	"kill-holder":         func(_ context.Context, f *Fleet) error { return f.kill(f.holder(), 800*time.Millisecond) },
-	"kill-desk":           func(_ context.Context, f *Fleet) error { return f.kill(f.any("desk"), 500*time.Millisecond) },
-	"freeze-office":       func(_ context.Context, f *Fleet) error { f.freeze(f.any("office"), 2*time.Second); return nil },
+	"kill-desk":           func(_ context.Context, f *Fleet) error { return f.kill(f.any("gateway"), 500*time.Millisecond) },
+	"freeze-office":       func(_ context.Context, f *Fleet) error { f.freeze(f.any("control-node"), 2*time.Second); return nil },
 	"freeze-holder":       func(_ context.Context, f *Fleet) error { f.freeze(f.holder(), 3500*time.Millisecond); return nil },
-	"freeze-desk":         func(_ context.Context, f *Fleet) error { f.freeze(f.any("desk"), 2*time.Second); return nil },
-	"term-desk":           func(_ context.Context, f *Fleet) error { return f.term(f.any("desk")) },
-	"term-office":         func(_ context.Context, f *Fleet) error { return f.term(f.any("office")) },
-	"wipe-office":         func(_ context.Context, f *Fleet) error { return f.wipe(f.any("office")) },
-	"kill-offices":        func(_ context.Context, f *Fleet) error { return f.killRole("office") },
-	"kill-everything":     func(_ context.Context, f *Fleet) error { return f.killRole("office", "desk") },
+	"freeze-desk":         func(_ context.Context, f *Fleet) error { f.freeze(f.any("gateway"), 2*time.Second); return nil },
+	"term-desk":           func(_ context.Context, f *Fleet) error { return f.term(f.any("gateway")) },
+	"term-office":         func(_ context.Context, f *Fleet) error { return f.term(f.any("control-node")) },
+	"wipe-office":         func(_ context.Context, f *Fleet) error { return f.wipe(f.any("control-node")) },
+	"kill-offices":        func(_ context.Context, f *Fleet) error { return f.killRole("control-node") },
+	"kill-everything":     func(_ context.Context, f *Fleet) error { return f.killRole("control-node", "gateway") },
 	"crash-replica":       func(_ context.Context, f *Fleet) error { return f.crash(f.anyCard()) },
 	"notice-replica":      func(_ context.Context, f *Fleet) error { return f.leave(f.anyCard(), 1500*time.Millisecond) },
 	"release-replica":     func(_ context.Context, f *Fleet) error { return f.leave(f.anyCard(), 0) },
@@ -320,7 +320,7 @@
 	if p := f.procs[from]; p != nil {
 		return p
 	}
-	return f.any("office")
+	return f.any("control-node")
 }
 
 // ill makes a replica turn requests away and break answers off for a while.
@@ -397,7 +397,7 @@
 	if f.plan.Closing {
 		f.ops.change(ctx)
 		f.note(func(d *rules.Day) { d.Closing = &rules.Closing{AtUs: clock.NowUs(), Most: true} })
-		if err := f.killRole("office", "desk"); err != nil {
+		if err := f.killRole("control-node", "gateway"); err != nil {
 			return nil, nil, err
 		}
 		f.note(func(d *rules.Day) { d.Closing.BackUs = clock.NowUs() })
@@ -429,7 +429,7 @@
 func (f *Fleet) allReady(ctx context.Context, most time.Duration) error {
 	for end := time.Now().Add(most); ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
 		missing := ""
-		for _, p := range f.of("desk") {
+		for _, p := range f.of("gateway") {
 			if !f.ready(p) {
 				missing = p.name
 			}
--- a/tests/platform/fleet/fleet.go
+++ b/tests/platform/fleet/fleet.go
@@ -136,10 +136,10 @@
 // Start brings up everything at once, as the platform does.
 func (f *Fleet) Start() error {
 	for i := range f.plan.ControlNodes {
-		f.addMachine("office", fmt.Sprintf("core-%s-%d", zoneOf(i), i), zoneOf(i))
+		f.addMachine("control-node", fmt.Sprintf("core-%s-%d", zoneOf(i), i), zoneOf(i))
 	}
 	for i := range f.plan.Gateways {
-		f.addMachine("desk", fmt.Sprintf("front-%s-%d", zoneOf(i), i), zoneOf(i))
+		f.addMachine("gateway", fmt.Sprintf("front-%s-%d", zoneOf(i), i), zoneOf(i))
 	}
 	for _, name := range f.order {
 		if err := f.begin(f.procs[name], true); err != nil {
@@ -170,7 +170,7 @@
 func (f *Fleet) addMachine(role, name, zone string) *machineProc {
 	p := &machineProc{name: name, role: role, zone: zone, ip: f.ip(name)}
 	p.settings = filepath.Join(f.plan.Folder, name+".json")
-	if role == "office" {
+	if role == "control-node" {
 		p.folder = filepath.Join(f.plan.Folder, name)
 		f.day.Core = append(f.day.Core, rules.Member{Machine: name, ToUs: rules.Open})
 	}
@@ -192,7 +192,7 @@
 // control are the addresses that the platform lists for replicas and operators.
 func (f *Fleet) control() []string {
 	addrs := []string{}
-	for _, p := range f.of("office") {
+	for _, p := range f.of("control-node") {
 		addrs = append(addrs, fmt.Sprintf("%s:%d", p.ip, controlPort))
 	}
 	return addrs
@@ -204,13 +204,13 @@
 	seconds := func(us int64) float64 { return float64(us) / 1e6 }
 	listen := map[string]any{"frontHttp": fmt.Sprintf("%s:%d", p.ip, frontPort), "readiness": fmt.Sprintf("%s:%d", p.ip, readyPort)}
 	serves, class, folder := "frontend", "frontend", any(nil)
-	if p.role == "office" {
+	if p.role == "control-node" {
 		listen = map[string]any{"controlPlane": fmt.Sprintf("%s:%d", p.ip, controlPort)}
 		serves, class, folder = "control_plane", "core", p.folder
 	}
 	return map[string]any{
 		"nodeName": p.name, "role": p.role, "machineClass": class, "serves": []string{serves}, "ipAddress": p.ip, "zone": p.zone, "region": "r", "zones": map[string]string{"a": "r", "b": "r", "c": "r"},
-		"listenAddresses": listen, "internalPortRange": []int{innerFirst, innerLast}, "seedNodes": f.control(), "firstStart": first, "countedLoss": p.role == "office",
+		"listenAddresses": listen, "internalPortRange": []int{innerFirst, innerLast}, "seedNodes": f.control(), "firstStart": first, "countedLoss": p.role == "control-node",
 		"limits": map[string]any{"cpuFraction": 0.5, "cpuCores": 1, "memoryMb": 284, "fileDescriptors": 4100, "linkMbps": 1000, "diskMb": 128}, "dataDirectory": folder,
 		"discoverySource": "self_registration", "entryKind": "virtual_ip", "heartbeatIntervalMs": beatUs / 1000, "faultTolerance": map[string]any{"machines": 1, "zones": 0, "regions": 0},
 		"bounds": map[string]any{
@@ -505,7 +505,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, t := range f.day.Troubles {
-		if t.Machine != p.name && f.day.Core[0].FromUs <= t.FromUs && t.ToUs > clock.NowUs()-catchUpUs && f.procs[t.Machine] != nil && f.procs[t.Machine].role == "office" {
+		if t.Machine != p.name && f.day.Core[0].FromUs <= t.FromUs && t.ToUs > clock.NowUs()-catchUpUs && f.procs[t.Machine] != nil && f.procs[t.Machine].role == "control-node" {
 			return false
 		}
 	}
