--- a/internal/controlplane/distribution/frame_publisher.go
+++ b/internal/controlplane/distribution/frame_publisher.go
@@ -97,29 +97,29 @@
 }
 
 // Follow begins a stream; a declaration that the gateway already has is not sent again.
-func (h *FramePublisher) Follow(nowUs int64, f wire.SubscribeRequest) bool {
-	if len(h.subscribers) >= maxSubscribers && h.subscribers[f.Gateway] == nil {
+func (p *FramePublisher) Follow(nowUs int64, f wire.SubscribeRequest) bool {
+	if len(p.subscribers) >= maxSubscribers && p.subscribers[f.Gateway] == nil {
 		return false
 	}
-	h.subscribers[f.Gateway] = &frameSubscriber{incarnation: f.Incarnation, revision: f.Revision, standby: f.Standby}
-	h.RecordGateway(nowUs, f.Gateway)
+	p.subscribers[f.Gateway] = &frameSubscriber{incarnation: f.Incarnation, revision: f.Revision, standby: f.Standby}
+	p.RecordGateway(nowUs, f.Gateway)
 	return true
 }
 
 // Unfollow ends the stream of a gateway's process; a newer process's stays.
-func (h *FramePublisher) Unfollow(gateway, incarnation string) {
-	if s := h.subscribers[gateway]; s != nil && s.incarnation == incarnation {
-		delete(h.subscribers, gateway)
+func (p *FramePublisher) Unfollow(gateway, incarnation string) {
+	if s := p.subscribers[gateway]; s != nil && s.incarnation == incarnation {
+		delete(p.subscribers, gateway)
 	}
 }
 
 // RecordGateway notes a living gateway.
-func (h *FramePublisher) RecordGateway(nowUs int64, gateway string) { h.gateways[gateway] = nowUs }
+func (p *FramePublisher) RecordGateway(nowUs int64, gateway string) { p.gateways[gateway] = nowUs }
 
 // PrimarySubscribers are the gateways whose main stream comes from this control node, as other control nodes are told.
-func (h *FramePublisher) PrimarySubscribers() []string {
+func (p *FramePublisher) PrimarySubscribers() []string {
 	gateways := []string{}
-	for id, s := range h.subscribers {
+	for id, s := range p.subscribers {
 		if !s.standby {
 			gateways = append(gateways, id)
 		}
@@ -129,16 +129,16 @@
 }
 
 // Gateways are all that live, as far as this control node knows.
-func (h *FramePublisher) Gateways(nowUs int64) []string {
+func (p *FramePublisher) Gateways(nowUs int64) []string {
 	ids := []string{}
-	for id := range h.subscribers {
-		h.gateways[id] = nowUs
+	for id := range p.subscribers {
+		p.gateways[id] = nowUs
 	}
-	for id, heardUs := range h.gateways {
-		if nowUs-heardUs < gatewayForgetUs {
+	for id, lastSeenUs := range p.gateways {
+		if nowUs-lastSeenUs < gatewayForgetUs {
 			ids = append(ids, id)
 		} else {
-			delete(h.gateways, id)
+			delete(p.gateways, id)
 		}
 	}
 	sort.Strings(ids)
@@ -146,44 +146,44 @@
 }
 
 // Subscribers are the gateways with a stream from here, in order.
-func (h *FramePublisher) Subscribers() []string { return slices.Sorted(maps.Keys(h.subscribers)) }
+func (p *FramePublisher) Subscribers() []string { return slices.Sorted(maps.Keys(p.subscribers)) }
 
 // Frames are what has changed since the last; where nothing has, a sign of life now and then. Changes
 // are gathered for a moment that grows with the gateways, but for a declaration, which goes at once.
-func (h *FramePublisher) Frames(seen FrameInput) []FramePush {
-	if len(h.subscribers) == 0 {
+func (p *FramePublisher) Frames(in FrameInput) []FramePush {
+	if len(p.subscribers) == 0 {
 		return nil
 	}
-	if seen.NowUs-h.liveCountedUs >= frameIdleUs {
-		h.liveCountedUs = seen.NowUs
-		h.liveGateways = len(h.Gateways(seen.NowUs))
+	if in.NowUs-p.liveCountedUs >= frameIdleUs {
+		p.liveCountedUs = in.NowUs
+		p.liveGateways = len(p.Gateways(in.NowUs))
 	}
-	mains, spares := []string{}, []string{}
-	for _, id := range slices.Sorted(maps.Keys(h.subscribers)) {
-		if h.subscribers[id].standby {
-			spares = append(spares, id)
+	primaries, standbys := []string{}, []string{}
+	for _, id := range slices.Sorted(maps.Keys(p.subscribers)) {
+		if p.subscribers[id].standby {
+			standbys = append(standbys, id)
 		} else {
-			mains = append(mains, id)
+			primaries = append(primaries, id)
 		}
 	}
-	pushes := h.advance(nil, seen, &h.primary, mains, min(gatherPerGatewayUs*int64(len(mains)), maxGatherUs))
-	return h.advance(pushes, seen, &h.standby, spares, standbyGatherUs)
+	pushes := p.advance(nil, in, &p.primary, primaries, min(gatherPerGatewayUs*int64(len(primaries)), maxGatherUs))
+	return p.advance(pushes, in, &p.standby, standbys, standbyGatherUs)
 }
 
 // advance takes streams of one kind on to what is known now. Before a stream joins them by a whole frame, the
 // others are brought on to the same point.
-func (h *FramePublisher) advance(pushes []FramePush, seen FrameInput, t *streamState, ids []string, gapUs int64) []FramePush {
+func (p *FramePublisher) advance(pushes []FramePush, in FrameInput, stream *streamState, ids []string, gapUs int64) []FramePush {
 	if len(ids) == 0 {
 		return pushes
 	}
-	joins := slices.ContainsFunc(ids, func(id string) bool { return !h.subscribers[id].complete })
-	urgent := seen.Committed && seen.State.Revision != t.revision
-	sinceUs := seen.NowUs - t.sentUs
+	joins := slices.ContainsFunc(ids, func(id string) bool { return !p.subscribers[id].complete })
+	urgent := in.Committed && in.State.Revision != stream.revision
+	sinceUs := in.NowUs - stream.sentUs
 	if joins || urgent || sinceUs >= gapUs {
-		if f, news := h.delta(seen, t); news || sinceUs >= frameIdleUs {
-			t.sentUs = seen.NowUs
+		if f, changed := p.delta(in, stream); changed || sinceUs >= frameIdleUs {
+			stream.sentUs = in.NowUs
 			for _, id := range ids {
-				if s := h.subscribers[id]; s.complete {
+				if s := p.subscribers[id]; s.complete {
 					s.revision = max(s.revision, f.Revision)
 					pushes = append(pushes, FramePush{Gateway: id, Frame: f})
 				}
@@ -191,77 +191,77 @@
 		}
 	}
 	for _, id := range ids {
-		if s := h.subscribers[id]; !s.complete {
+		if s := p.subscribers[id]; !s.complete {
 			s.complete = true
-			pushes = append(pushes, FramePush{Gateway: id, Frame: h.fullFrame(seen, t, s)})
+			pushes = append(pushes, FramePush{Gateway: id, Frame: p.fullFrame(in, stream, s)})
 		}
 	}
 	return pushes
 }
 
 // delta is from what was last sent to what is known now.
-func (h *FramePublisher) delta(seen FrameInput, t *streamState) (*wire.Frame, bool) {
-	f := &wire.Frame{ControlNode: seen.Self, CaughtUp: seen.Committed, PossiblyStale: seen.Behind, GatewayCount: h.liveGateways}
-	news := t.committed != seen.Committed || t.behind != seen.Behind || t.liveGateways != h.liveGateways
-	t.committed, t.behind, t.liveGateways = seen.Committed, seen.Behind, h.liveGateways
-	if seen.Committed && seen.State.Doc != nil && seen.State.Revision > t.revision {
-		h.addConfiguration(f, seen.State, t.revision)
-		t.revision = f.Revision
-		news = true
-	}
-	if t.view != seen.View.Number || !slices.Equal(t.controlNodes, seen.ControlNodes) {
-		view := seen.View
-		t.view, t.controlNodes = view.Number, slices.Clone(seen.ControlNodes)
-		f.View, f.ControlNodes = &view, t.controlNodes
-		news = true
-	}
-	f.Replicas = t.changedReplicas(seen)
-	if seen.Committed && (seen.State.CommandsIndex != t.commandsIndex || t.commands == nil) {
-		f.Orders = t.changedCommands(seen.State)
-	}
-	if seen.Outliers.After(t.outliers) {
-		t.outliers = seen.Outliers
-		f.Outliers = &seen.Outliers
-		news = true
-	}
-	return f, news || len(f.Replicas) > 0 || f.Orders != nil
+func (p *FramePublisher) delta(in FrameInput, stream *streamState) (*wire.Frame, bool) {
+	frame := &wire.Frame{ControlNode: in.Self, CaughtUp: in.Committed, PossiblyStale: in.Behind, GatewayCount: p.liveGateways}
+	changed := stream.committed != in.Committed || stream.behind != in.Behind || stream.liveGateways != p.liveGateways
+	stream.committed, stream.behind, stream.liveGateways = in.Committed, in.Behind, p.liveGateways
+	if in.Committed && in.State.Doc != nil && in.State.Revision > stream.revision {
+		p.addConfiguration(frame, in.State, stream.revision)
+		stream.revision = frame.Revision
+		changed = true
+	}
+	if stream.view != in.View.Number || !slices.Equal(stream.controlNodes, in.ControlNodes) {
+		view := in.View
+		stream.view, stream.controlNodes = view.Number, slices.Clone(in.ControlNodes)
+		frame.View, frame.ControlNodes = &view, stream.controlNodes
+		changed = true
+	}
+	frame.Replicas = stream.changedReplicas(in)
+	if in.Committed && (in.State.CommandsIndex != stream.commandsIndex || stream.commands == nil) {
+		frame.Orders = stream.changedCommands(in.State)
+	}
+	if in.Outliers.After(stream.outliers) {
+		stream.outliers = in.Outliers
+		frame.Outliers = &in.Outliers
+		changed = true
+	}
+	return frame, changed || len(frame.Replicas) > 0 || frame.Orders != nil
 }
 
 // changedReplicas are the rows that another word of the replica or of the ledger has touched, where that is news.
-func (t *streamState) changedReplicas(seen FrameInput) []wire.ReplicaRow {
+func (s *streamState) changedReplicas(in FrameInput) []wire.ReplicaRow {
 	rows := []wire.ReplicaRow(nil)
 	ids := []string{}
-	if t.registryRevision != seen.Registry.Revision {
-		ids = append(ids, seen.Registry.ChangedSince(t.registryRevision)...)
+	if s.registryRevision != in.Registry.Revision {
+		ids = append(ids, in.Registry.ChangedSince(s.registryRevision)...)
 	}
-	if t.replicasIndex != seen.State.ReplicasIndex {
-		for id, r := range seen.State.Replicas {
-			if r.ModifiedIndex > t.replicasIndex && seen.Registry.Entry(id) != nil {
+	if s.replicasIndex != in.State.ReplicasIndex {
+		for id, r := range in.State.Replicas {
+			if r.ModifiedIndex > s.replicasIndex && in.Registry.Entry(id) != nil {
 				ids = append(ids, id)
 			}
 		}
 	}
-	t.registryRevision, t.replicasIndex = seen.Registry.Revision, seen.State.ReplicasIndex
+	s.registryRevision, s.replicasIndex = in.Registry.Revision, in.State.ReplicasIndex
 	slices.Sort(ids)
 	for _, id := range slices.Compact(ids) {
-		row := replicaRow(seen, id)
-		delete(t.stale, id)
-		if last, told := t.rows[id]; told && equivalentRows(&last, &row) {
+		row := replicaRow(in, id)
+		delete(s.stale, id)
+		if last, sent := s.rows[id]; sent && equivalentRows(&last, &row) {
 			continue
 		}
-		t.rows[id] = row
+		s.rows[id] = row
 		rows = append(rows, row)
 	}
-	if len(t.rows) > 2*seen.Registry.Len()+rowsSlack {
-		maps.DeleteFunc(t.rows, func(id string, _ wire.ReplicaRow) bool { return seen.Registry.Entry(id) == nil })
+	if len(s.rows) > 2*in.Registry.Len()+rowsSlack {
+		maps.DeleteFunc(s.rows, func(id string, _ wire.ReplicaRow) bool { return in.Registry.Entry(id) == nil })
 	}
-	rows = append(rows, t.newStaleReplicas(seen)...)
-	for _, id := range slices.Sorted(maps.Keys(t.stale)) {
+	rows = append(rows, s.newStaleReplicas(in)...)
+	for _, id := range slices.Sorted(maps.Keys(s.stale)) {
 		switch {
-		case seen.Registry.Entry(id) != nil:
-			delete(t.stale, id)
-		case seen.State.Replicas[id] == nil:
-			delete(t.stale, id)
+		case in.Registry.Entry(id) != nil:
+			delete(s.stale, id)
+		case in.State.Replicas[id] == nil:
+			delete(s.stale, id)
 			rows = append(rows, wire.ReplicaRow{Stale: true, ReplicaStatus: registry.ReplicaStatus{ID: id, Removed: true}})
 		}
 	}
@@ -273,18 +273,18 @@
 // newStaleReplicas are the rows that the ledger has changed of replicas that nobody has told of since this control node came back.
 // A stream may have begun before this control node knew what is committed, with a whole frame that lacked them. Whoever was
 // told of once and is forgotten has ended.
-func (t *streamState) newStaleReplicas(seen FrameInput) []wire.ReplicaRow {
-	if !seen.Committed || t.staleIndex == seen.State.ReplicasIndex {
+func (s *streamState) newStaleReplicas(in FrameInput) []wire.ReplicaRow {
+	if !in.Committed || s.staleIndex == in.State.ReplicasIndex {
 		return nil
 	}
 	rows := []wire.ReplicaRow(nil)
-	for _, row := range staleRows(seen) {
-		if _, told := t.rows[row.ID]; row.Index > t.staleIndex && !told {
-			t.stale[row.ID] = true
+	for _, row := range staleRows(in) {
+		if _, sent := s.rows[row.ID]; row.Index > s.staleIndex && !sent {
+			s.stale[row.ID] = true
 			rows = append(rows, row)
 		}
 	}
-	t.staleIndex = seen.State.ReplicasIndex
+	s.staleIndex = in.State.ReplicasIndex
 	return rows
 }
 
@@ -295,92 +295,92 @@
 }
 
 // changedCommands are the orders that came to stand, or stand no longer.
-func (t *streamState) changedCommands(s *statemachine.State) *wire.PendingOrders {
-	now := make(map[string]wire.PendingOrder, len(s.Pending))
-	o := &wire.PendingOrders{Number: s.CommandsIndex, Rows: []wire.PendingOrder{}}
-	for _, id := range slices.Sorted(maps.Keys(s.Pending)) {
-		now[id] = pendingCommand(id, s.Pending[id])
-		if t.commands[id] != now[id] {
-			o.Rows = append(o.Rows, now[id])
+func (s *streamState) changedCommands(state *statemachine.State) *wire.PendingOrders {
+	pending := make(map[string]wire.PendingOrder, len(state.Pending))
+	orders := &wire.PendingOrders{Number: state.CommandsIndex, Rows: []wire.PendingOrder{}}
+	for _, id := range slices.Sorted(maps.Keys(state.Pending)) {
+		pending[id] = pendingCommand(id, state.Pending[id])
+		if s.commands[id] != pending[id] {
+			orders.Rows = append(orders.Rows, pending[id])
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(t.commands)) {
-		if _, stands := now[id]; !stands {
-			o.Rows = append(o.Rows, wire.PendingOrder{Replica: id})
+	for _, id := range slices.Sorted(maps.Keys(s.commands)) {
+		if _, isPending := pending[id]; !isPending {
+			orders.Rows = append(orders.Rows, wire.PendingOrder{Replica: id})
 		}
 	}
-	t.commandsIndex, t.commands = s.CommandsIndex, now
-	return o
+	s.commandsIndex, s.commands = state.CommandsIndex, pending
+	return orders
 }
 
-func replicaRow(seen FrameInput, id string) wire.ReplicaRow {
-	e, kept := seen.Registry.Entry(id), seen.State.Replicas[id]
+func replicaRow(in FrameInput, id string) wire.ReplicaRow {
+	e, committed := in.Registry.Entry(id), in.State.Replicas[id]
 	row := wire.ReplicaRow{ReplicaStatus: e.ReplicaStatus, Unreachable: e.Unreachable}
 	row.Release, row.WarmUpMs = "", 0
-	if kept != nil && kept.Service != "" {
-		row.Units, row.Index = sortedUnits(kept.Resident), kept.ModifiedIndex
+	if committed != nil && committed.Service != "" {
+		row.Units, row.Index = sortedUnits(committed.Resident), committed.ModifiedIndex
 	}
 	return row
 }
 
 // fullFrame is all that this control node knows, as of the difference that the others have just had.
-func (h *FramePublisher) fullFrame(seen FrameInput, t *streamState, s *frameSubscriber) *wire.Frame {
-	view := seen.View
-	f := &wire.Frame{ControlNode: seen.Self, Complete: true, CaughtUp: seen.Committed, PossiblyStale: seen.Behind, View: &view, ControlNodes: slices.Clone(seen.ControlNodes), GatewayCount: len(h.Gateways(seen.NowUs))}
-	if seen.Committed && seen.State.Doc != nil && seen.State.Revision > s.revision {
-		h.addConfiguration(f, seen.State, s.revision)
-		s.revision = f.Revision
+func (p *FramePublisher) fullFrame(in FrameInput, stream *streamState, subscriber *frameSubscriber) *wire.Frame {
+	view := in.View
+	frame := &wire.Frame{ControlNode: in.Self, Complete: true, CaughtUp: in.Committed, PossiblyStale: in.Behind, View: &view, ControlNodes: slices.Clone(in.ControlNodes), GatewayCount: len(p.Gateways(in.NowUs))}
+	if in.Committed && in.State.Doc != nil && in.State.Revision > subscriber.revision {
+		p.addConfiguration(frame, in.State, subscriber.revision)
+		subscriber.revision = frame.Revision
 	}
-	if seen.Outliers.Epoch > 0 {
-		f.Outliers = &seen.Outliers
+	if in.Outliers.Epoch > 0 {
+		frame.Outliers = &in.Outliers
 	}
-	for _, id := range seen.Registry.IDs() {
-		f.Replicas = append(f.Replicas, replicaRow(seen, id))
+	for _, id := range in.Registry.IDs() {
+		frame.Replicas = append(frame.Replicas, replicaRow(in, id))
 	}
-	for _, row := range staleRows(seen) {
-		t.stale[row.ID] = true
-		f.Replicas = append(f.Replicas, row)
+	for _, row := range staleRows(in) {
+		stream.stale[row.ID] = true
+		frame.Replicas = append(frame.Replicas, row)
 	}
-	if seen.Committed {
-		orders := allCommands(seen.State)
-		f.Orders = &orders
+	if in.Committed {
+		orders := allCommands(in.State)
+		frame.Orders = &orders
 	}
-	return f
+	return frame
 }
 
-func (h *FramePublisher) addConfiguration(f *wire.Frame, s *statemachine.State, since uint64) {
-	f.Revision = s.Revision
-	if edits, ok := s.EditsSince(since); ok && since > 0 && len(edits) > 0 {
-		f.EditsFrom = since
+func (p *FramePublisher) addConfiguration(frame *wire.Frame, state *statemachine.State, since uint64) {
+	frame.Revision = state.Revision
+	if edits, ok := state.EditsSince(since); ok && since > 0 && len(edits) > 0 {
+		frame.EditsFrom = since
 		for _, e := range edits {
-			f.Edits = append(f.Edits, e.WithoutSource())
+			frame.Edits = append(frame.Edits, e.WithoutSource())
 		}
 		return
 	}
-	if h.bareSource != s.Doc {
-		h.bareSource, h.bare = s.Doc, s.Doc.WithoutSource()
+	if p.bareSource != state.Doc {
+		p.bareSource, p.bare = state.Doc, state.Doc.WithoutSource()
 	}
-	f.Declaration = h.bare
+	frame.Declaration = p.bare
 }
 
-func allCommands(s *statemachine.State) wire.PendingOrders {
-	o := wire.PendingOrders{Number: s.CommandsIndex, Rows: []wire.PendingOrder{}}
-	for _, id := range slices.Sorted(maps.Keys(s.Pending)) {
-		o.Rows = append(o.Rows, pendingCommand(id, s.Pending[id]))
+func allCommands(state *statemachine.State) wire.PendingOrders {
+	orders := wire.PendingOrders{Number: state.CommandsIndex, Rows: []wire.PendingOrder{}}
+	for _, id := range slices.Sorted(maps.Keys(state.Pending)) {
+		orders.Rows = append(orders.Rows, pendingCommand(id, state.Pending[id]))
 	}
-	return o
+	return orders
 }
 
-func pendingCommand(id string, t statemachine.ReplicaCommand) wire.PendingOrder {
-	return wire.PendingOrder{Replica: id, Unit: t.Unit, Unload: t.Action == statemachine.Unload}
+func pendingCommand(id string, command statemachine.ReplicaCommand) wire.PendingOrder {
+	return wire.PendingOrder{Replica: id, Unit: command.Unit, Unload: command.Action == statemachine.Unload}
 }
 
 // staleRows are the replicas that the ledger knows and nobody has told of since this control node came back.
-func staleRows(seen FrameInput) []wire.ReplicaRow {
+func staleRows(in FrameInput) []wire.ReplicaRow {
 	rows := []wire.ReplicaRow{}
-	for _, id := range seen.State.ReplicaIDs() {
-		r := seen.State.Replicas[id]
-		if seen.Registry.Entry(id) != nil || r.Service == "" {
+	for _, id := range in.State.ReplicaIDs() {
+		r := in.State.Replicas[id]
+		if in.Registry.Entry(id) != nil || r.Service == "" {
 			continue
 		}
 		rows = append(rows, wire.ReplicaRow{Stale: true, Index: r.ModifiedIndex, ReplicaStatus: registry.ReplicaStatus{
@@ -390,4 +390,4 @@
 	return rows
 }
 
-func sortedUnits(holds map[string]int64) []string { return slices.Sorted(maps.Keys(holds)) }
+func sortedUnits(resident map[string]int64) []string { return slices.Sorted(maps.Keys(resident)) }
--- a/internal/controlplane/distribution/frame_publisher_test.go
+++ b/internal/controlplane/distribution/frame_publisher_test.go
@@ -34,7 +34,7 @@
 
 // With 140 replicas and forty loads a second, every frame named every order that stood, and every load went
 // out twice more as the replica's own word of what the ledger had said already.
-func TestFramesTellOnlyWhatIsNewsAndSpareStreamsLessOften(t *testing.T) {
+func TestFramesCarryOnlyChangesAndStandbyStreamsGetFewer(t *testing.T) {
 	s := routedLedger(t, "r1", "r2", "r3")
 	soft := registry.New(3 * clock.Sec)
 	h := NewFramePublisher()
@@ -89,15 +89,15 @@
 
 // A gateway that followed a control node before the control node knew what is committed learnt of each replica only with its next
 // heartbeat: what the ledger says of replicas that nobody has heard went out in whole frames alone.
-func TestGatewaysThatFollowedBeforeTheChainSettledLearnOfAllReplicasInTheLedger(t *testing.T) {
+func TestGatewaysFollowingBeforeCommitLearnAllReplicasOfTheState(t *testing.T) {
 	soft := registry.New(3 * clock.Sec)
 	h := NewFramePublisher()
 	nowUs := clock.Sec
-	seen := FrameInput{State: statemachine.NewState(), Registry: soft}
+	in := FrameInput{State: statemachine.NewState(), Registry: soft}
 	frame := func(passUs int64) *wire.Frame {
 		nowUs += passUs
-		seen.NowUs = nowUs
-		for _, p := range h.Frames(seen) {
+		in.NowUs = nowUs
+		for _, p := range h.Frames(in) {
 			if p.Gateway == "d" {
 				return p.Frame
 			}
@@ -109,11 +109,11 @@
 	if first := frame(0); first == nil || !first.Complete || len(first.Replicas) != 1 || first.Revision != 0 {
 		t.Fatal("the first frame is not what a control node knows that has just started")
 	}
-	seen.State = routedLedger(t, "r1", "r2", "r3")
+	in.State = routedLedger(t, "r1", "r2", "r3")
 	if before := frame(clock.Ms); before != nil && before.Revision != 0 {
 		t.Fatal("a declaration was told that may not be the chain's")
 	}
-	seen.Committed = true
+	in.Committed = true
 	settled := frame(20 * clock.Ms)
 	if settled == nil || settled.Declaration == nil {
 		t.Fatal("the declaration did not go out once the chain had settled")
@@ -135,14 +135,14 @@
 	if heard := frame(20 * clock.Ms); heard == nil || len(heard.Replicas) != 1 || heard.Replicas[0].ID != "r1" || heard.Replicas[0].Stale {
 		t.Error("a replica's first word did not take the place of the ledger's")
 	}
-	seen.State.Apply(3, statemachine.Change{ID: "e", LeaderUpdate: &statemachine.LeaderUpdate{RemovedReplicas: []string{"r3"}}})
+	in.State.Apply(3, statemachine.Change{ID: "e", LeaderUpdate: &statemachine.LeaderUpdate{RemovedReplicas: []string{"r3"}}})
 	if left := frame(20 * clock.Ms); left == nil || len(left.Replicas) != 1 || left.Replicas[0].ID != "r3" || !left.Replicas[0].Removed {
 		t.Error("a replica that the ledger has let go was not taken back")
 	}
 }
 
 // An incarnation that was heard and has ended must not come back by a late change of its row in the ledger.
-func TestTheLedgerBringsNoReplicaBackThatHasEnded(t *testing.T) {
+func TestStateChangeDoesNotReviveRemovedReplica(t *testing.T) {
 	s := routedLedger(t, "r1", "r2")
 	soft := registry.New(3 * clock.Sec)
 	h := NewFramePublisher()
--- a/internal/controlplane/distribution/update_publisher.go
+++ b/internal/controlplane/distribution/update_publisher.go
@@ -67,103 +67,103 @@
 }
 
 // SetActive opens the room on the chain's tail and closes it elsewhere; a closed one forgets its gateways and answers.
-func (r *UpdatePublisher) SetActive(nowUs int64, open bool) {
-	if open == r.active {
+func (p *UpdatePublisher) SetActive(nowUs int64, open bool) {
+	if open == p.active {
 		return
 	}
-	r.active = open
+	p.active = open
 	if open {
-		r.activeSinceUs = nowUs
+		p.activeSinceUs = nowUs
 		return
 	}
-	r.pending = nil
-	r.gateways = map[string]*subscriber{}
+	p.pending = nil
+	p.gateways = map[string]*subscriber{}
 }
 
 // Follow begins a gateway's stream. False means that this control node is not the tail.
-func (r *UpdatePublisher) Follow(nowUs int64, f wire.SubscribeRequest) bool {
-	if !r.active {
+func (p *UpdatePublisher) Follow(nowUs int64, follow wire.SubscribeRequest) bool {
+	if !p.active {
 		return false
 	}
-	d := r.gateways[f.Gateway]
-	if d == nil || d.incarnation != f.Incarnation {
+	gateway := p.gateways[follow.Gateway]
+	if gateway == nil || gateway.incarnation != follow.Incarnation {
 		lapseUs := nowUs + GatewayLeaseUs
-		if d != nil {
-			lapseUs = max(lapseUs, d.leaseEndUs)
+		if gateway != nil {
+			lapseUs = max(lapseUs, gateway.leaseEndUs)
 		}
-		d = &subscriber{incarnation: f.Incarnation, leaseEndUs: lapseUs}
-		r.gateways[f.Gateway] = d
+		gateway = &subscriber{incarnation: follow.Incarnation, leaseEndUs: lapseUs}
+		p.gateways[follow.Gateway] = gateway
 	}
-	d.following, d.revision, d.pushed, d.acked = true, f.Revision, 0, 0
-	d.zone, d.addr, d.lastReportUs = f.Zone, f.Addr, nowUs
+	gateway.following, gateway.revision, gateway.pushed, gateway.acked = true, follow.Revision, 0, 0
+	gateway.zone, gateway.addr, gateway.lastReportUs = follow.Zone, follow.Addr, nowUs
 	return true
 }
 
 // Report gives a lease. checked says that the controller has looked at the platform's list in this
 // view; a new tail waits a little for it, so that no gateway sends by notices that went unseen meanwhile.
-func (r *UpdatePublisher) Report(nowUs int64, view uint64, newest uint64, checked bool, p wire.Report) wire.Lease {
-	no := wire.Lease{View: view}
-	if !r.active {
-		return no
+func (p *UpdatePublisher) Report(nowUs int64, view uint64, newest uint64, checked bool, report wire.Report) wire.Lease {
+	refusal := wire.Lease{View: view}
+	if !p.active {
+		return refusal
 	}
-	d := r.gateways[p.Gateway]
-	if d == nil || d.incarnation != p.Incarnation {
-		return no
+	gateway := p.gateways[report.Gateway]
+	if gateway == nil || gateway.incarnation != report.Incarnation {
+		return refusal
 	}
-	d.lastReportUs = nowUs
-	d.acked = max(d.acked, p.Number)
-	d.revision = p.Revision
-	if d.acked >= newest {
-		d.behindSinceUs = 0
-	} else if d.behindSinceUs == 0 {
-		d.behindSinceUs = nowUs
+	gateway.lastReportUs = nowUs
+	gateway.acked = max(gateway.acked, report.Number)
+	gateway.revision = report.Revision
+	if gateway.acked >= newest {
+		gateway.behindSinceUs = 0
+	} else if gateway.behindSinceUs == 0 {
+		gateway.behindSinceUs = nowUs
 	}
-	behind := d.behindSinceUs > 0 && (nowUs >= d.leaseEndUs || nowUs-d.behindSinceUs > maxBehindUs)
-	unseen := !checked && nowUs-r.activeSinceUs < checkGraceUs
-	if !d.following || d.acked == 0 || behind || unseen {
-		return no
+	behind := gateway.behindSinceUs > 0 && (nowUs >= gateway.leaseEndUs || nowUs-gateway.behindSinceUs > maxBehindUs)
+	unseen := !checked && nowUs-p.activeSinceUs < checkGraceUs
+	if !gateway.following || gateway.acked == 0 || behind || unseen {
+		return refusal
 	}
-	d.leaseEndUs = nowUs + GatewayLeaseUs
-	return wire.Lease{OK: true, View: view, SentUs: p.SentUs, LeaseUs: GatewayLeaseUs, Number: newest}
+	gateway.leaseEndUs = nowUs + GatewayLeaseUs
+	return wire.Lease{OK: true, View: view, SentUs: report.SentUs, LeaseUs: GatewayLeaseUs, Number: newest}
 }
 
 // Ring is every node that is watched or watches: the control nodes seated and the gateways that report.
-func (r *UpdatePublisher) Ring(nowUs int64, view chain.View) []failuredetector.Node {
+func (p *UpdatePublisher) Ring(nowUs int64, view chain.View) []failuredetector.Node {
 	ring := []failuredetector.Node{}
 	for _, s := range view.Order {
 		ring = append(ring, failuredetector.Node{ID: s.ID, Addr: s.Addr})
 	}
-	for _, id := range r.gatewayIDs() {
-		if d := r.gateways[id]; nowUs-d.lastReportUs < forgetUs/10 {
-			ring = append(ring, failuredetector.Node{ID: id, Addr: d.addr})
+	for _, id := range p.gatewayIDs() {
+		if gateway := p.gateways[id]; nowUs-gateway.lastReportUs < forgetUs/10 {
+			ring = append(ring, failuredetector.Node{ID: id, Addr: gateway.addr})
 		}
 	}
 	return ring
 }
 
 // Updates are the news that gateways do not have yet, each once.
-func (r *UpdatePublisher) Updates(s *statemachine.State, view chain.View) []UpdatePush {
-	if !r.active {
+func (p *UpdatePublisher) Updates(s *statemachine.State, view chain.View) []UpdatePush {
+	if !p.active {
 		return nil
 	}
 	pushes := []UpdatePush{}
-	for _, id := range r.gatewayIDs() {
-		d := r.gateways[id]
-		if !d.following || (d.pushed >= s.UpdateIndex && d.pushed > 0) {
+	for _, id := range p.gatewayIDs() {
+		gateway := p.gateways[id]
+		if !gateway.following || (gateway.pushed >= s.UpdateIndex && gateway.pushed > 0) {
 			continue
 		}
-		news := BuildUpdate(s, view.Number, id, d.incarnation, d.revision)
-		d.pushed = max(news.Number, 1)
-		pushes = append(pushes, UpdatePush{Gateway: id, Update: news})
+		update := BuildUpdate(s, view.Number, id, gateway.incarnation, gateway.revision)
+		gateway.pushed = max(update.Number, 1)
+		pushes = append(pushes, UpdatePush{Gateway: id, Update: update})
 	}
 	return pushes
 }
 
 // BuildUpdate is the whole news for one gateway; a declaration of at most this revision is left out, as the gateway has it.
 func BuildUpdate(s *statemachine.State, view uint64, gateway, incarnation string, revision uint64) wire.GatewayUpdate {
-	news := wire.GatewayUpdate{Number: max(s.UpdateIndex, 1), View: view, Epoch: s.Epoch, Revision: s.Revision}
+	update := wire.GatewayUpdate{Number: max(s.UpdateIndex, 1), View: view, Epoch: s.Epoch, Revision: s.Revision}
 	if s.Revision > revision {
-		news.Declaration = s.Doc
+		update.Declaration = s.Doc
 	}
 	for _, id := range s.ReplicaIDs() {
 		r := s.Replicas[id]
@@ -174,59 +174,59 @@
 			row.Loaded = append(row.Loaded, unit)
 		}
 		sort.Strings(row.Loaded)
-		if t, ok := s.Pending[id]; ok && t.Action == statemachine.Unload {
-			row.Unloading = t.Unit
+		if command, ok := s.Pending[id]; ok && command.Action == statemachine.Unload {
+			row.Unloading = command.Unit
 		}
-		news.Replicas = append(news.Replicas, row)
+		update.Replicas = append(update.Replicas, row)
 		for unit := range r.Resident {
 			g, ok := s.Grants[statemachine.Grant{Gateway: gateway, Replica: id, Model: unit}.Key()]
 			if ok && g.GatewayIncarnation == incarnation && g.Incarnation == r.Incarnation {
-				news.Grants = append(news.Grants, g)
+				update.Grants = append(update.Grants, g)
 			}
 		}
 	}
-	sort.Slice(news.Grants, func(i, j int) bool { return news.Grants[i].Number < news.Grants[j].Number })
-	return news
+	sort.Slice(update.Grants, func(i, j int) bool { return update.Grants[i].Number < update.Grants[j].Number })
+	return update
 }
 
 // AwaitAcknowledgements keeps an operator's answer until every gateway has the news of a number. Beyond a bound it is dropped, and whoever
 // waits hears nothing.
-func (r *UpdatePublisher) AwaitAcknowledgements(origin string, out statemachine.Outcome, number uint64) {
-	if !r.active || len(r.pending) >= maxPendingResults {
+func (p *UpdatePublisher) AwaitAcknowledgements(origin string, out statemachine.Outcome, number uint64) {
+	if !p.active || len(p.pending) >= maxPendingResults {
 		return
 	}
-	r.pending = append(r.pending, pendingResult{origin: origin, result: wire.Result{Outcome: out, OnAllGateways: true}, number: number})
+	p.pending = append(p.pending, pendingResult{origin: origin, result: wire.Result{Outcome: out, OnAllGateways: true}, number: number})
 }
 
 // ReleasedResults are those that every gateway has, or whose gateways' leases have run out. They are not kept.
-func (r *UpdatePublisher) ReleasedResults(nowUs int64) []ReleasedResult {
-	if !r.active {
+func (p *UpdatePublisher) ReleasedResults(nowUs int64) []ReleasedResult {
+	if !p.active {
 		return nil
 	}
-	answers := []ReleasedResult{}
-	kept := r.pending[:0]
-	for _, w := range r.pending {
-		if r.acknowledgedByAll(nowUs, w.number) {
-			answers = append(answers, ReleasedResult{Origin: w.origin, Result: w.result})
+	released := []ReleasedResult{}
+	waiting := p.pending[:0]
+	for _, w := range p.pending {
+		if p.acknowledgedByAll(nowUs, w.number) {
+			released = append(released, ReleasedResult{Origin: w.origin, Result: w.result})
 		} else {
-			kept = append(kept, w)
+			waiting = append(waiting, w)
 		}
 	}
-	r.pending = kept
-	for id, d := range r.gateways {
-		if nowUs-d.lastReportUs > forgetUs && nowUs > d.leaseEndUs {
-			delete(r.gateways, id)
+	p.pending = waiting
+	for id, gateway := range p.gateways {
+		if nowUs-gateway.lastReportUs > forgetUs && nowUs > gateway.leaseEndUs {
+			delete(p.gateways, id)
 		}
 	}
-	return answers
+	return released
 }
 
-func (r *UpdatePublisher) acknowledgedByAll(nowUs int64, number uint64) bool {
-	if nowUs-r.activeSinceUs < GatewayLeaseUs {
+func (p *UpdatePublisher) acknowledgedByAll(nowUs int64, number uint64) bool {
+	if nowUs-p.activeSinceUs < GatewayLeaseUs {
 		return false
 	}
-	for _, d := range r.gateways {
-		if d.acked < number && nowUs < d.leaseEndUs {
+	for _, gateway := range p.gateways {
+		if gateway.acked < number && nowUs < gateway.leaseEndUs {
 			return false
 		}
 	}
@@ -244,15 +244,15 @@
 }
 
 // Gateways are all gateways that reported lately, in order.
-func (r *UpdatePublisher) Gateways(nowUs int64) []GatewayStatus {
-	notes := []GatewayStatus{}
-	for _, id := range r.gatewayIDs() {
-		d := r.gateways[id]
-		notes = append(notes, GatewayStatus{id, d.zone, d.addr, d.following, d.acked, max(0, d.leaseEndUs-nowUs) / 1000})
+func (p *UpdatePublisher) Gateways(nowUs int64) []GatewayStatus {
+	statuses := []GatewayStatus{}
+	for _, id := range p.gatewayIDs() {
+		gateway := p.gateways[id]
+		statuses = append(statuses, GatewayStatus{id, gateway.zone, gateway.addr, gateway.following, gateway.acked, max(0, gateway.leaseEndUs-nowUs) / 1000})
 	}
-	return notes
+	return statuses
 }
 
-func (r *UpdatePublisher) gatewayIDs() []string {
-	return slices.Sorted(maps.Keys(r.gateways))
+func (p *UpdatePublisher) gatewayIDs() []string {
+	return slices.Sorted(maps.Keys(p.gateways))
 }
--- a/internal/controlplane/distribution/update_publisher_test.go
+++ b/internal/controlplane/distribution/update_publisher_test.go
@@ -28,7 +28,7 @@
 }
 
 // A pushed declaration may be lost with its connection: seed 218 served an emptied zone that way.
-func TestDeclarationIsPushedUntilItIsAcknowledged(t *testing.T) {
+func TestDeclarationIsPushedUntilAcknowledged(t *testing.T) {
 	s := stateAt(3, 30)
 	r := opened(s)
 	if p := r.Updates(s, chain.View{}); len(p) != 1 || p[0].Update.Declaration == nil {
@@ -46,7 +46,7 @@
 }
 
 // Seed 138: a gateway whose lease had lapsed got it back while it still worked by old news.
-func TestLapsedGatewayNeedsTheNewestNewsForALease(t *testing.T) {
+func TestLapsedGatewayNeedsNewestUpdateForLease(t *testing.T) {
 	s := stateAt(1, 10)
 	r := opened(s)
 	if !r.Report(100, 1, 10, true, report(10, 1)).OK {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestOperatorWaitsForEveryGatewayOrItsLease(t *testing.T) {
+func TestResultWaitsForEveryGatewayOrItsLeaseExpiry(t *testing.T) {
 	s := stateAt(1, 10)
 	r := opened(s)
 	startUs := 2 * GatewayLeaseUs
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestANewTailWaitsOutLeasesItDoesNotKnow(t *testing.T) {
+func TestNewTailWaitsForLeasesOfItsPredecessor(t *testing.T) {
 	r := NewUpdatePublisher()
 	r.SetActive(1000, true)
 	r.AwaitAcknowledgements("op", statemachine.Outcome{ID: "c"}, 5)
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestANewTailWaitsForTheControllersLookAtTheList(t *testing.T) {
+func TestNewTailWaitsForControllerToCheckPlatformList(t *testing.T) {
 	s := stateAt(1, 10)
 	r := opened(s)
 	if r.Report(100, 1, 10, false, report(10, 1)).OK {
--- a/internal/controlplane/failuredetector/monitor.go
+++ b/internal/controlplane/failuredetector/monitor.go
@@ -66,17 +66,17 @@
 
 // Departed are those of before that are not among now.
 func Departed(before, now []Node) []Node {
-	left := []Node{}
+	departed := []Node{}
 	for _, b := range before {
-		kept := false
+		stays := false
 		for _, n := range now {
-			kept = kept || n == b
+			stays = stays || n == b
 		}
-		if !kept {
-			left = append(left, b)
+		if !stays {
+			departed = append(departed, b)
 		}
 	}
-	return left
+	return departed
 }
 
 // Monitor remembers who beats at this node. It is asked who has fallen silent.
@@ -89,20 +89,20 @@
 func NewMonitor() *Monitor { return &Monitor{lastHeartbeatUs: map[string]int64{}} }
 
 // Receive takes a heartbeat.
-func (m *Monitor) Receive(nowUs int64, b Heartbeat) {
+func (m *Monitor) Receive(nowUs int64, heartbeat Heartbeat) {
 	m.shiftAfterPause(nowUs)
-	if b.Final {
-		delete(m.lastHeartbeatUs, b.ID)
+	if heartbeat.Final {
+		delete(m.lastHeartbeatUs, heartbeat.ID)
 		return
 	}
-	m.lastHeartbeatUs[b.ID] = nowUs
+	m.lastHeartbeatUs[heartbeat.ID] = nowUs
 }
 
 // shiftAfterPause: a watcher that was itself frozen has heard nobody, which says nothing of them.
 func (m *Monitor) shiftAfterPause(nowUs int64) {
 	if m.lastCallUs > 0 && nowUs-m.lastCallUs > HeartbeatIntervalUs*2 {
-		for id, heardUs := range m.lastHeartbeatUs {
-			m.lastHeartbeatUs[id] = heardUs + nowUs - m.lastCallUs
+		for id, receivedUs := range m.lastHeartbeatUs {
+			m.lastHeartbeatUs[id] = receivedUs + nowUs - m.lastCallUs
 		}
 	}
 	m.lastCallUs = nowUs
@@ -111,17 +111,17 @@
 // Suspects are the nodes that were heard once and not for SuspectAfterUs, in order.
 func (m *Monitor) Suspects(nowUs int64) []string {
 	m.shiftAfterPause(nowUs)
-	silent := []string{}
-	for id, heardUs := range m.lastHeartbeatUs {
+	suspects := []string{}
+	for id, receivedUs := range m.lastHeartbeatUs {
 		switch {
-		case nowUs-heardUs > ForgetAfterUs:
+		case nowUs-receivedUs > ForgetAfterUs:
 			delete(m.lastHeartbeatUs, id)
-		case nowUs-heardUs > SuspectAfterUs:
-			silent = append(silent, id)
+		case nowUs-receivedUs > SuspectAfterUs:
+			suspects = append(suspects, id)
 		}
 	}
-	sort.Strings(silent)
-	return silent
+	sort.Strings(suspects)
+	return suspects
 }
 
 // SuspicionQuorum counts who says that a node is silent; one watcher alone may itself be cut off.
@@ -140,23 +140,23 @@
 }
 
 // Report takes a watcher's newest report in the place of its last.
-func (q *SuspicionQuorum) Report(nowUs int64, s SuspicionReport) {
-	q.reports[s.Reporter] = timedReport{s.Suspects, nowUs}
+func (q *SuspicionQuorum) Report(nowUs int64, report SuspicionReport) {
+	q.reports[report.Reporter] = timedReport{report.Suspects, nowUs}
 }
 
 // Suspected says whether enough watchers have lately reported a node as silent.
 func (q *SuspicionQuorum) Suspected(nowUs int64, id string) bool {
 	votes := 0
-	for by, s := range q.reports {
-		if nowUs-s.receivedUs > ForgetAfterUs {
-			delete(q.reports, by)
+	for reporter, report := range q.reports {
+		if nowUs-report.receivedUs > ForgetAfterUs {
+			delete(q.reports, reporter)
 			continue
 		}
-		if nowUs-s.receivedUs > SuspectAfterUs {
+		if nowUs-report.receivedUs > SuspectAfterUs {
 			continue
 		}
-		for _, silent := range s.suspects {
-			if silent == id {
+		for _, suspect := range report.suspects {
+			if suspect == id {
 				votes++
 			}
 		}
--- a/internal/controlplane/failuredetector/monitor_test.go
+++ b/internal/controlplane/failuredetector/monitor_test.go
@@ -9,7 +9,7 @@
 	"petreltide/internal/process/clock"
 )
 
-func TestTheRingNamesTwoOthersAndMovesLittle(t *testing.T) {
+func TestRingAssignsTwoWatchersAndReassignsFew(t *testing.T) {
 	ring := []Node{}
 	for i := 0; i < 11; i++ {
 		ring = append(ring, Node{ID: fmt.Sprintf("n%d", i)})
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestAFrozenWatcherAccusesNobody(t *testing.T) {
+func TestPausedMonitorSuspectsNobody(t *testing.T) {
 	w := NewMonitor()
 	w.Receive(clock.Sec, Heartbeat{ID: "a"})
 	if got := w.Suspects(60 * clock.Sec); len(got) != 0 {
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestOneWatcherAloneConvictsNobody(t *testing.T) {
+func TestQuorumNeedsMoreThanOneWatcher(t *testing.T) {
 	j := NewSuspicionQuorum()
 	j.Report(1, SuspicionReport{Reporter: "x", Suspects: []string{"a"}})
 	if j.Suspected(2, "a") {
--- a/internal/controlplane/registry/conflict.go
+++ b/internal/controlplane/registry/conflict.go
@@ -17,15 +17,15 @@
 // and a half heartbeats where an incarnation is unreachable after two and a half.
 const conflictTenths = 6
 
-func (r *Registry) resolveConflict(row *ReplicaStatus, heardUs int64) precedence {
+func (r *Registry) resolveConflict(status *ReplicaStatus, heartbeatUs int64) precedence {
 	withinUs := r.UnreachableAfterUs * conflictTenths / 10
 	result := later
 	for _, other := range r.entries {
 		switch {
-		case other.Addr != row.Addr || other.Removed:
-		case heardUs < other.LastHeartbeatUs-withinUs:
+		case other.Addr != status.Addr || other.Removed:
+		case heartbeatUs < other.LastHeartbeatUs-withinUs:
 			result = earlier
-		case heardUs < other.LastHeartbeatUs+withinUs:
+		case heartbeatUs < other.LastHeartbeatUs+withinUs:
 			return undecided
 		}
 	}
--- a/internal/controlplane/registry/conflict_test.go
+++ b/internal/controlplane/registry/conflict_test.go
@@ -8,7 +8,7 @@
 
 // Seed 70 of the routed days: a control node that had stood still read words from its sockets that were seconds
 // old, and its word for them made another control node believe that a replica had let go of a model.
-func TestWhatWasReadLateIsNotTakenToHoldSince(t *testing.T) {
+func TestHeartbeatReadLateIsConfirmedAtItsEarliestTime(t *testing.T) {
 	at := 10 * clock.Sec
 	woken, other := New(unreachableUs), New(unreachableUs)
 	other.HandleHeartbeat(at-4*clock.Sec, word("r", "1", 3, holds("m")))
@@ -33,7 +33,7 @@
 }
 
 // A word may come seconds late, also one of the incarnation before, and to a control node that never heard of that incarnation.
-func TestALateWordOfTheIncarnationBeforeDoesNotEndTheOneThatLives(t *testing.T) {
+func TestLateHeartbeatOfPredecessorDoesNotRemoveSuccessor(t *testing.T) {
 	at := 20 * clock.Sec
 	lives := func(t *testing.T, r *Registry) {
 		t.Helper()
--- a/internal/controlplane/registry/gossip.go
+++ b/internal/controlplane/registry/gossip.go
@@ -18,30 +18,30 @@
 
 // Merge takes another control node's notes. Where one tells of a row that this control node does not have as new,
 // it asks for all rows. Ends come first, as another incarnation may have its address by now.
-func (r *Registry) Merge(nowUs int64, notes []GossipEntry) (changed bool) {
-	for _, n := range notes {
-		if n.Status != nil && n.Status.Removed {
-			changed = r.Remove(nowUs, n.ID) || changed
+func (r *Registry) Merge(nowUs int64, entries []GossipEntry) (changed bool) {
+	for _, gossip := range entries {
+		if gossip.Status != nil && gossip.Status.Removed {
+			changed = r.Remove(nowUs, gossip.ID) || changed
 		}
 	}
-	for _, n := range notes {
-		heardUs, saidUs := nowUs-n.AgeMs*1000, nowUs-r.ReadDelayUs-n.ConfirmedAgeMs*1000
-		if n.Status != nil {
-			if n.Status.Removed {
+	for _, gossip := range entries {
+		heartbeatUs, confirmedUs := nowUs-gossip.AgeMs*1000, nowUs-r.ReadDelayUs-gossip.ConfirmedAgeMs*1000
+		if gossip.Status != nil {
+			if gossip.Status.Removed {
 				continue
 			}
-			changed = r.receive(nowUs, heardUs, saidUs, *n.Status) || changed
+			changed = r.receive(nowUs, heartbeatUs, confirmedUs, *gossip.Status) || changed
 			continue
 		}
-		e := r.entries[n.ID]
-		if e == nil || (!e.Removed && n.Seq > e.lastSeq && n.Checksum != e.checksum) {
+		e := r.entries[gossip.ID]
+		if e == nil || (!e.Removed && gossip.Seq > e.lastSeq && gossip.Checksum != e.checksum) {
 			r.needsResync = true
 			continue
 		}
-		if !e.Removed && n.Seq > e.lastSeq {
-			e.lastSeq = n.Seq
-			e.LastHeartbeatUs, e.ConfirmedUs = max(e.LastHeartbeatUs, heardUs), max(e.ConfirmedUs, saidUs)
-			if e.Unreachable && nowUs-heardUs < r.UnreachableAfterUs {
+		if !e.Removed && gossip.Seq > e.lastSeq {
+			e.lastSeq = gossip.Seq
+			e.LastHeartbeatUs, e.ConfirmedUs = max(e.LastHeartbeatUs, heartbeatUs), max(e.ConfirmedUs, confirmedUs)
+			if e.Unreachable && nowUs-heartbeatUs < r.UnreachableAfterUs {
 				e.Unreachable, changed = false, true
 				r.recordChange(e)
 			}
@@ -52,29 +52,29 @@
 
 // TakeResyncRequest is true once after a note told of something this control node has missed.
 func (r *Registry) TakeResyncRequest() bool {
-	w := r.needsResync
+	needed := r.needsResync
 	r.needsResync = false
-	return w
+	return needed
 }
 
 // GossipSince are for other control nodes that have had everything up to a revision of this roster, or who ask for all
 // with 0: rows that changed, and a sign of life of those that this control node itself heard since it last told.
 // What has ended is told for some seconds: no later word would show that it was missed.
-func (r *Registry) GossipSince(nowUs int64, since uint64, alive bool) []GossipEntry {
-	notes := []GossipEntry{}
+func (r *Registry) GossipSince(nowUs int64, since uint64, includeAlive bool) []GossipEntry {
+	gossip := []GossipEntry{}
 	for _, id := range r.IDs() {
 		e := r.entries[id]
-		news := e.Revision > since || (alive && e.Removed && nowUs-e.LastHeartbeatUs < removedGossipUs)
-		if !news && (!alive || e.Removed || e.Unreachable || e.lastDirectUs <= e.gossipedUs) {
+		updated := e.Revision > since || (includeAlive && e.Removed && nowUs-e.LastHeartbeatUs < removedGossipUs)
+		if !updated && (!includeAlive || e.Removed || e.Unreachable || e.lastDirectUs <= e.gossipedUs) {
 			continue
 		}
 		n := e.gossip(nowUs)
-		if news {
+		if updated {
 			n.Status = e.gossipStatus()
 		}
-		notes = append(notes, n)
+		gossip = append(gossip, n)
 	}
-	return notes
+	return gossip
 }
 
 // GossipOf is the whole row of one replica, if it is known.
@@ -94,12 +94,12 @@
 
 // gossipStatus is the row as other control nodes are told it.
 func (e *Entry) gossipStatus() *ReplicaStatus {
-	row := e.ReplicaStatus
-	row.Seq = e.lastSeq
-	if e.EndUs > 0 && row.RemainingMs > 0 {
-		row.RemainingMs = max(1, (e.EndUs-e.LastHeartbeatUs)/clock.Ms)
+	status := e.ReplicaStatus
+	status.Seq = e.lastSeq
+	if e.EndUs > 0 && status.RemainingMs > 0 {
+		status.RemainingMs = max(1, (e.EndUs-e.LastHeartbeatUs)/clock.Ms)
 	}
-	return &row
+	return &status
 }
 
 // MarkGossiped ends one telling of signs of life to all other control nodes.
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -75,57 +75,57 @@
 }
 
 // HandleHeartbeat takes what a replica said; changed is true where others must learn of it.
-func (r *Registry) HandleHeartbeat(nowUs int64, row ReplicaStatus) (changed bool) {
-	changed = r.receive(nowUs, nowUs, nowUs-r.ReadDelayUs, row)
-	if e := r.entries[row.ID]; e != nil {
+func (r *Registry) HandleHeartbeat(nowUs int64, status ReplicaStatus) (changed bool) {
+	changed = r.receive(nowUs, nowUs, nowUs-r.ReadDelayUs, status)
+	if e := r.entries[status.ID]; e != nil {
 		e.lastDirectUs = nowUs
 	}
 	return changed
 }
 
-func (r *Registry) receive(nowUs, heardUs, saidUs int64, row ReplicaStatus) bool {
-	e := r.entries[row.ID]
+func (r *Registry) receive(nowUs, heartbeatUs, confirmedUs int64, status ReplicaStatus) bool {
+	e := r.entries[status.ID]
 	if e == nil {
-		if len(r.entries) >= maxEntries || row.ID == "" {
+		if len(r.entries) >= maxEntries || status.ID == "" {
 			return false
 		}
-		switch r.resolveConflict(&row, heardUs) {
+		switch r.resolveConflict(&status, heartbeatUs) {
 		case undecided:
 			return false
 		case earlier:
-			row.Removed, heardUs = true, nowUs
+			status.Removed, heartbeatUs = true, nowUs
 		}
 		for _, other := range r.entries {
-			if other.Addr == row.Addr && !other.Removed && !row.Removed {
+			if other.Addr == status.Addr && !other.Removed && !status.Removed {
 				r.Remove(nowUs, other.ID)
 			}
 		}
-		e = &Entry{ReplicaStatus: row, LastHeartbeatUs: heardUs, ConfirmedUs: saidUs, lastSeq: row.Seq}
-		e.setEnd(heardUs, row.RemainingMs)
-		r.entries[row.ID], r.sortedIDs = e, nil
+		e = &Entry{ReplicaStatus: status, LastHeartbeatUs: heartbeatUs, ConfirmedUs: confirmedUs, lastSeq: status.Seq}
+		e.setEnd(heartbeatUs, status.RemainingMs)
+		r.entries[status.ID], r.sortedIDs = e, nil
 		r.recordChange(e)
 		return true
 	}
 	if e.Removed {
 		return false
 	}
-	if row.Seq <= e.lastSeq && !row.Removed {
+	if status.Seq <= e.lastSeq && !status.Removed {
 		return false
 	}
-	e.lastSeq = max(e.lastSeq, row.Seq)
-	e.LastHeartbeatUs, e.ConfirmedUs = max(e.LastHeartbeatUs, heardUs), max(e.ConfirmedUs, saidUs)
-	changed := !e.equivalent(&row)
-	if e.Unreachable && nowUs-heardUs < r.UnreachableAfterUs {
+	e.lastSeq = max(e.lastSeq, status.Seq)
+	e.LastHeartbeatUs, e.ConfirmedUs = max(e.LastHeartbeatUs, heartbeatUs), max(e.ConfirmedUs, confirmedUs)
+	changed := !e.equivalent(&status)
+	if e.Unreachable && nowUs-heartbeatUs < r.UnreachableAfterUs {
 		e.Unreachable, changed = false, true
 	}
-	leftMs, draining, stage := e.RemainingMs, e.Draining, e.Stage
-	e.ReplicaStatus = row
-	e.setEnd(heardUs, row.RemainingMs)
-	if row.Stage == "" {
+	remainingMs, draining, stage := e.RemainingMs, e.Draining, e.Stage
+	e.ReplicaStatus = status
+	e.setEnd(heartbeatUs, status.RemainingMs)
+	if status.Stage == "" {
 		e.Stage = stage
 	}
-	if draining && row.Draining && leftMs > 0 && row.RemainingMs == 0 {
-		e.RemainingMs = leftMs
+	if draining && status.Draining && remainingMs > 0 && status.RemainingMs == 0 {
+		e.RemainingMs = remainingMs
 	}
 	if changed {
 		r.recordChange(e)
--- a/internal/controlplane/registry/registry_test.go
+++ b/internal/controlplane/registry/registry_test.go
@@ -13,15 +13,15 @@
 const unreachableUs = 3 * clock.Sec
 
 func word(id, addr string, seq uint64, edit ...func(*ReplicaStatus)) ReplicaStatus {
-	row := ReplicaStatus{ID: id, Service: "s", Addr: addr, Zone: "a", Slots: 4, Seq: seq}
+	status := ReplicaStatus{ID: id, Service: "s", Addr: addr, Zone: "a", Slots: 4, Seq: seq}
 	for _, e := range edit {
-		e(&row)
+		e(&status)
 	}
-	return row
+	return status
 }
 
-func draining(leftMs int64) func(*ReplicaStatus) {
-	return func(r *ReplicaStatus) { r.Draining, r.RemainingMs = true, leftMs }
+func draining(remainingMs int64) func(*ReplicaStatus) {
+	return func(r *ReplicaStatus) { r.Draining, r.RemainingMs = true, remainingMs }
 }
 
 func holds(units ...string) func(*ReplicaStatus) { return func(r *ReplicaStatus) { r.Units = units } }
@@ -31,7 +31,7 @@
 	changed bool
 }
 
-func TestOnlyNewerWordsOfAnIncarnationCount(t *testing.T) {
+func TestRegistryTakesOnlyNewerHeartbeats(t *testing.T) {
 	for name, c := range map[string]struct {
 		words []heard
 		want  ReplicaStatus
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestAnIncarnationThatEndedStaysEnded(t *testing.T) {
+func TestRemovedIncarnationStaysRemoved(t *testing.T) {
 	r, other := New(unreachableUs), New(unreachableUs)
 	r.HandleHeartbeat(1, word("r", "1", 3))
 	other.Merge(1, r.GossipSince(1, 0, true))
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestAnIncarnationAtAnAddressEndsTheOneBefore(t *testing.T) {
+func TestNewIncarnationRemovesPredecessorAtItsAddress(t *testing.T) {
 	r := New(unreachableUs)
 	r.HandleHeartbeat(0, word("old", "1", 7))
 	r.HandleHeartbeat(2*clock.Sec, word("new", "1", 1))
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestAFrozenControlNodeCallsNobodyUnreachableAndNobodyAlive(t *testing.T) {
+func TestPausedControlNodeMarksNobodyUnreachableOrAlive(t *testing.T) {
 	frozen, awake := New(unreachableUs), New(unreachableUs)
 	for us := int64(0); us <= 2*clock.Sec; us += 250 * clock.Ms {
 		frozen.Sweep(us)
@@ -156,7 +156,7 @@
 
 // Three control nodes hear replicas at random and tell each other, while messages are lost. Once none is lost any
 // more, all know the same, and what ended is known as ended.
-func TestSeededControlNodesAgreeAfterLosses(t *testing.T) {
+func TestSeededRegistriesConvergeAfterMessageLoss(t *testing.T) {
 	lost, asked := 0, 0
 	for seed := int64(0); seed < 300; seed++ {
 		r := rand.New(rand.NewSource(seed))
@@ -200,9 +200,9 @@
 				ended[id] = true
 			case incarnation >= 6 && n < 40, incarnation < 3 && n >= 30:
 			default:
-				o.HandleHeartbeat(nowUs, word(id, addr, seqs[id], func(row *ReplicaStatus) {
-					row.Draining = r.Intn(4) == 0
-					row.Units = []string{"m", "n"}[:r.Intn(3)]
+				o.HandleHeartbeat(nowUs, word(id, addr, seqs[id], func(status *ReplicaStatus) {
+					status.Draining = r.Intn(4) == 0
+					status.Units = []string{"m", "n"}[:r.Intn(3)]
 				}))
 			}
 			if n%3 == 0 {
@@ -219,12 +219,12 @@
 		view := func(o *Registry) map[string]ReplicaStatus {
 			all := map[string]ReplicaStatus{}
 			for _, id := range o.IDs() {
-				row := o.Entry(id).ReplicaStatus
-				row.Seq = 0
-				if row.Removed {
-					row = ReplicaStatus{ID: id, Removed: true}
+				status := o.Entry(id).ReplicaStatus
+				status.Seq = 0
+				if status.Removed {
+					status = ReplicaStatus{ID: id, Removed: true}
 				}
-				all[id] = row
+				all[id] = status
 			}
 			return all
 		}
@@ -234,15 +234,15 @@
 			}
 		}
 		addrs := map[string]string{}
-		for id, row := range view(controlNodes[0]) {
-			if ended[id] && !row.Removed {
+		for id, status := range view(controlNodes[0]) {
+			if ended[id] && !status.Removed {
 				t.Fatalf("seed %d: %s has ended and is there", seed, id)
 			}
-			if other := addrs[row.Addr]; !row.Removed && other != "" {
+			if other := addrs[status.Addr]; !status.Removed && other != "" {
 				t.Fatalf("seed %d: %s and %s at one address", seed, id, other)
 			}
-			if !row.Removed {
-				addrs[row.Addr] = id
+			if !status.Removed {
+				addrs[status.Addr] = id
 			}
 		}
 	}
@@ -253,7 +253,7 @@
 }
 
 // The time that a replica has left runs on between its words, and what nobody heard of takes no room without end.
-func TestTheTimeLeftRunsOnAndEndsAreBounded(t *testing.T) {
+func TestRemainingTimeRunsOnAndRemovalsAreBounded(t *testing.T) {
 	r, other := New(unreachableUs), New(unreachableUs)
 	r.HandleHeartbeat(clock.Sec, word("r", "1", 1, draining(900), func(r *ReplicaStatus) { r.Stage = "decode" }))
 	r.HandleHeartbeat(2*clock.Sec, word("r", "1", 2, draining(0)))
--- a/internal/controlplane/registry/status.go
+++ b/internal/controlplane/registry/status.go
@@ -61,8 +61,8 @@
 }
 
 // setEnd notes when a replica that named its time left is taken away.
-func (e *Entry) setEnd(heardUs, leftMs int64) {
-	if leftMs > 0 {
-		e.EndUs = heardUs + leftMs*clock.Ms
+func (e *Entry) setEnd(heartbeatUs, remainingMs int64) {
+	if remainingMs > 0 {
+		e.EndUs = heartbeatUs + remainingMs*clock.Ms
 	}
 }
--- a/internal/controlplane/statemachine/bounds_test.go
+++ b/internal/controlplane/statemachine/bounds_test.go
@@ -28,7 +28,7 @@
 }
 
 // A full table refuses; it never forgets a key before its time, and an old key still answers.
-func TestAFullTableOfKeysRefusesAndForgetsNothing(t *testing.T) {
+func TestFullKeyTableRefusesAndEvictsNothing(t *testing.T) {
 	s := full(t, MaxKeys)
 	if out := s.Apply(s.Index+1, claim(MaxKeys)); out.Fault == nil || out.Fault.Code != fault.KeysFull {
 		t.Fatalf("%+v", out)
@@ -55,7 +55,7 @@
 
 // The history of changes answers for the last MaxOutcomes; an older change sent again gets no clear answer, as it may
 // have been taken, and is never taken a second time.
-func TestAChangeOlderThanTheHistoryIsNotTakenTwice(t *testing.T) {
+func TestChangeOlderThanRememberedOutcomesIsNotAppliedTwice(t *testing.T) {
 	s := NewState()
 	doc := &configuration.Declaration{}
 	first := Change{ID: "c0", Config: &ConfigChange{Base: 0, Doc: doc}}
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestAFrozenStateStandsWhileTheOtherGoesOn(t *testing.T) {
+func TestSnapshotIsUnchangedByLaterChanges(t *testing.T) {
 	s := ready(t)
 	must(t, s, load("r0", "a"))
 	must(t, s, claim(1))
@@ -92,14 +92,14 @@
 	}
 }
 
-func BenchmarkFreezeFull(b *testing.B) {
+func BenchmarkSnapshotFullKeyTable(b *testing.B) {
 	s := full(b, MaxKeys)
 	for b.Loop() {
 		s.Snapshot()
 	}
 }
 
-func BenchmarkEncodeFull(b *testing.B) {
+func BenchmarkEncodeFullKeyTable(b *testing.B) {
 	s := full(b, MaxKeys)
 	for b.Loop() {
 		s.Encode()
@@ -107,7 +107,7 @@
 }
 
 // The edits kept for those that are behind are bounded by bytes too: who is further behind gets the whole.
-func TestKeptEditsAreBoundedByBytes(t *testing.T) {
+func TestRetainedEditsAreBoundedByBytes(t *testing.T) {
 	route := func(i int) []configuration.Route {
 		return []configuration.Route{{Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Idempotent, TimeoutMs: 1000, MaxAttempts: 1,
 			Split: []configuration.WeightedService{{Service: "s", Weight: 1}}, Source: json.RawMessage(fmt.Sprintf(`"%d %s"`, i, strings.Repeat("x", 200<<10)))}}
--- a/internal/controlplane/statemachine/commands.go
+++ b/internal/controlplane/statemachine/commands.go
@@ -41,106 +41,106 @@
 
 // PendingLoads is how many loads stand.
 func (s *State) PendingLoads() int {
-	n := 0
-	for _, t := range s.Pending {
-		if t.Action == Load {
-			n++
+	loads := 0
+	for _, command := range s.Pending {
+		if command.Action == Load {
+			loads++
 		}
 	}
-	return n
+	return loads
 }
 
-func (s *State) resolveCommand(d CommandResult) bool {
-	for id, t := range s.Pending {
-		if t.Number != d.Number {
+func (s *State) resolveCommand(result CommandResult) bool {
+	for id, command := range s.Pending {
+		if command.Number != result.Number {
 			continue
 		}
 		delete(s.Pending, id)
 		s.CommandsIndex = s.Index
-		r := s.Replicas[id]
-		if r == nil || r.Incarnation != t.Incarnation {
+		replica := s.Replicas[id]
+		if replica == nil || replica.Incarnation != command.Incarnation {
 			return false
 		}
-		if d.Succeeded {
-			s.applyCommand(r, t)
+		if result.Succeeded {
+			s.applyCommand(replica, command)
 		}
-		r.CommandsTaken = nil
-		if d.CommandsTaken != nil {
-			r.setResident(d.Resident, d.CommandsTaken)
+		replica.CommandsTaken = nil
+		if result.CommandsTaken != nil {
+			replica.setResident(result.Resident, result.CommandsTaken)
 		}
-		if !d.Succeeded && d.CommandsTaken == nil {
+		if !result.Succeeded && result.CommandsTaken == nil {
 			return false
 		}
-		r.ModifiedIndex, s.ReplicasIndex = s.Index, s.Index
+		replica.ModifiedIndex, s.ReplicasIndex = s.Index, s.Index
 		return true
 	}
 	return false
 }
 
 // applyCommand changes what a replica holds as a ticket says.
-func (s *State) applyCommand(r *Replica, t ReplicaCommand) {
-	if t.Action == Load {
-		r.Resident[t.Unit] = t.SizeMb
-		r.recordLoaded(t.Unit)
+func (s *State) applyCommand(replica *Replica, command ReplicaCommand) {
+	if command.Action == Load {
+		replica.Resident[command.Unit] = command.SizeMb
+		replica.recordLoaded(command.Unit)
 		s.TotalLoads++
-		s.TotalLoadedMb += t.SizeMb
+		s.TotalLoadedMb += command.SizeMb
 		return
 	}
-	delete(r.Resident, t.Unit)
-	for unit := range r.Resident {
-		if r.Service != "" && strings.HasPrefix(unit, t.Unit+"/") {
-			delete(r.Resident, unit)
+	delete(replica.Resident, command.Unit)
+	for unit := range replica.Resident {
+		if replica.Service != "" && strings.HasPrefix(unit, command.Unit+"/") {
+			delete(replica.Resident, unit)
 		}
 	}
 }
 
-func (s *State) issueCommand(epoch uint64, t ReplicaCommand) *fault.Fault {
-	r := s.Replicas[t.Replica]
-	if r == nil || r.Incarnation != t.Incarnation {
-		return fault.New(fault.ReplicaUnknown, t.Replica, "no such replica or another incarnation")
+func (s *State) issueCommand(epoch uint64, command ReplicaCommand) *fault.Fault {
+	r := s.Replicas[command.Replica]
+	if r == nil || r.Incarnation != command.Incarnation {
+		return fault.New(fault.ReplicaUnknown, command.Replica, "no such replica or another incarnation")
 	}
-	if t.Revision != s.Revision {
-		return fault.New(fault.StaleBase, t.Replica, "proposed under revision %d, current is %d", t.Revision, s.Revision)
+	if command.Revision != s.Revision {
+		return fault.New(fault.StaleBase, command.Replica, "proposed under revision %d, current is %d", command.Revision, s.Revision)
 	}
-	if _, busy := s.Pending[t.Replica]; busy {
-		return fault.New(fault.ReplicaBusy, t.Replica, "an order is pending")
+	if _, busy := s.Pending[command.Replica]; busy {
+		return fault.New(fault.ReplicaBusy, command.Replica, "an order is pending")
 	}
-	_, held := r.Resident[t.Unit]
-	switch t.Action {
+	_, resident := r.Resident[command.Unit]
+	switch command.Action {
 	case Load:
-		if held {
-			return fault.New(fault.UnitAlreadyLoaded, t.Replica, "%s is already held", t.Unit)
+		if resident {
+			return fault.New(fault.UnitAlreadyLoaded, command.Replica, "%s is already held", command.Unit)
 		}
 		if s.Doc == nil {
-			return fault.New(fault.PolicyInvalidResult, t.Unit, "no declaration yet")
+			return fault.New(fault.PolicyInvalidResult, command.Unit, "no declaration yet")
 		}
-		sizeMb, known := s.unitSizeMb(r, t.Unit)
+		sizeMb, known := s.unitSizeMb(r, command.Unit)
 		if !known {
-			return fault.New(fault.PolicyInvalidResult, t.Unit, "no such model or adapter")
+			return fault.New(fault.PolicyInvalidResult, command.Unit, "no such model or adapter")
 		}
-		t.SizeMb = sizeMb
-		if f := s.checkAdapter(r, t.Unit); f != nil {
+		command.SizeMb = sizeMb
+		if f := s.checkAdapter(r, command.Unit); f != nil {
 			return f
 		}
-		if takenMb := s.ReservedMb(t.Replica); takenMb+sizeMb > r.CapacityMb {
-			return fault.New(fault.InsufficientCapacity, t.Replica, "%s takes %d MB, %d of %d MB are taken", t.Unit, sizeMb, takenMb, r.CapacityMb)
+		if reservedMb := s.ReservedMb(command.Replica); reservedMb+sizeMb > r.CapacityMb {
+			return fault.New(fault.InsufficientCapacity, command.Replica, "%s takes %d MB, %d of %d MB are taken", command.Unit, sizeMb, reservedMb, r.CapacityMb)
 		}
 		if !s.Doc.Routed() && s.PendingLoads() >= s.Doc.Store.Loads {
-			return fault.New(fault.StoreRateLimited, t.Replica, "%d loads are running", s.PendingLoads())
+			return fault.New(fault.StoreRateLimited, command.Replica, "%d loads are running", s.PendingLoads())
 		}
 	case Unload:
-		if !held {
-			return fault.New(fault.UnitNotLoaded, t.Replica, "%s is not held", t.Unit)
+		if !resident {
+			return fault.New(fault.UnitNotLoaded, command.Replica, "%s is not held", command.Unit)
 		}
-		t.SizeMb = r.Resident[t.Unit]
+		command.SizeMb = r.Resident[command.Unit]
 	default:
-		return fault.New(fault.PolicyInvalidResult, t.Replica, "no such step %q", t.Action)
+		return fault.New(fault.PolicyInvalidResult, command.Replica, "no such step %q", command.Action)
 	}
-	t.Number, t.Epoch = s.NextNumber, epoch
+	command.Number, command.Epoch = s.NextNumber, epoch
 	s.NextNumber++
-	s.Pending[t.Replica] = t
+	s.Pending[command.Replica] = command
 	s.CommandsIndex = s.Index
-	if t.Action == Unload {
+	if command.Action == Unload {
 		s.UpdateIndex = s.Index
 	}
 	return nil
@@ -161,20 +161,20 @@
 	if r.Service == "" || adapter == "" {
 		return nil
 	}
-	if _, held := r.Resident[model]; !held {
+	if _, loaded := r.Resident[model]; !loaded {
 		return fault.New(fault.UnitNotLoaded, r.ID, "adapter %s needs model %s there", adapter, model)
 	}
-	most, n := 0, 0
-	if svc := s.Doc.Service(r.Service); svc != nil && svc.Engine != nil {
-		most = svc.Engine.MaxAdapters
+	maxAdapters, adapters := 0, 0
+	if service := s.Doc.Service(r.Service); service != nil && service.Engine != nil {
+		maxAdapters = service.Engine.MaxAdapters
 	}
-	for held := range r.Resident {
-		if strings.Contains(held, "/") {
-			n++
+	for loaded := range r.Resident {
+		if strings.Contains(loaded, "/") {
+			adapters++
 		}
 	}
-	if n >= most {
-		return fault.New(fault.InsufficientCapacity, r.ID, "%d of %d places for adapters are taken", n, most)
+	if adapters >= maxAdapters {
+		return fault.New(fault.InsufficientCapacity, r.ID, "%d of %d places for adapters are taken", adapters, maxAdapters)
 	}
 	return nil
 }
--- a/internal/controlplane/statemachine/configuration.go
+++ b/internal/controlplane/statemachine/configuration.go
@@ -63,27 +63,27 @@
 	if c.Config.Base != s.Version() {
 		return s.refuseStaleBase(out, c.Config.Base, s.Version(), c.Config.Version)
 	}
-	var bad *fault.Fault
+	var invalid *fault.Fault
 	switch {
 	case c.Config.Version <= s.Version():
-		bad = fault.New(fault.InvalidConfig, "version", "%d is not above %d", c.Config.Version, s.Version())
+		invalid = fault.New(fault.InvalidConfig, "version", "%d is not above %d", c.Config.Version, s.Version())
 	case c.Config.Edit != nil && s.Doc == nil:
-		bad = fault.New(fault.InvalidConfig, "", "nothing is in force that could be edited")
+		invalid = fault.New(fault.InvalidConfig, "", "nothing is in force that could be edited")
 	case c.Config.Edit != nil:
-		doc, bad = s.Doc.Apply(c.Config.Edit)
+		doc, invalid = s.Doc.Apply(c.Config.Edit)
 	case doc == nil:
-		bad = fault.New(fault.InvalidConfig, "", "neither a declaration nor an edit")
+		invalid = fault.New(fault.InvalidConfig, "", "neither a declaration nor an edit")
 	}
 	switch {
-	case bad != nil:
+	case invalid != nil:
 	case c.Config.Edit != nil && s.Version() > 0:
 		// What is in force without a number has not been checked so.
-		bad = doc.CheckEdited(c.Config.Edit)
+		invalid = doc.CheckEdited(c.Config.Edit)
 	default:
-		bad = doc.CheckRoutes()
+		invalid = doc.CheckRoutes()
 	}
-	if bad != nil {
-		out.Fault = bad
+	if invalid != nil {
+		out.Fault = invalid
 		if s.Version() == 0 {
 			s.remember(out)
 		}
@@ -144,15 +144,15 @@
 }
 
 func (s *State) checkModelSizes(d *configuration.Declaration) *fault.Fault {
-	var mostMb int64
+	var largestMb int64
 	for _, r := range s.Replicas {
-		mostMb = max(mostMb, r.CapacityMb)
+		largestMb = max(largestMb, r.CapacityMb)
 	}
 	sheet := &fault.List{}
-	if mostMb > 0 {
+	if largestMb > 0 {
 		for _, m := range d.Models {
-			if m.SizeMB > mostMb {
-				sheet.Addf(fault.InvalidConfig, "models."+m.Name+".sizeMb", "%d MB fits no listed replica (largest %d MB)", m.SizeMB, mostMb)
+			if m.SizeMB > largestMb {
+				sheet.Addf(fault.InvalidConfig, "models."+m.Name+".sizeMb", "%d MB fits no listed replica (largest %d MB)", m.SizeMB, largestMb)
 			}
 		}
 	}
--- a/internal/controlplane/statemachine/configuration_test.go
+++ b/internal/controlplane/statemachine/configuration_test.go
@@ -33,7 +33,7 @@
 	return Change{ID: "op-" + configuration.Digest(raw), Config: &ConfigChange{Base: base, Version: version, Doc: doc, Edit: edit}}
 }
 
-func TestOperatorsVersions(t *testing.T) {
+func TestStateAppliesNumberedVersions(t *testing.T) {
 	a, b := versionRoute("a", 100, "s"), versionRoute("b", 200, "s")
 	first := order(0, 5, versionDoc(5, a), nil)
 	second := order(5, 8, nil, &configuration.Edit{Version: 8, Routes: []configuration.Route{b}})
@@ -94,7 +94,7 @@
 
 // Any edits that are kept lead from their revision to what is in force, a state read back goes on as the one that
 // was written, and of all that build on one version one is taken.
-func TestSeededVersionsFoldAndRaceOnce(t *testing.T) {
+func TestSeededVersionsFoldAndOneOfEachRaceIsApplied(t *testing.T) {
 	ignored := cmp.Options{cmpopts.IgnoreFields(configuration.Declaration{}, "Index"), cmpopts.EquateEmpty()}
 	folds, races := 0, 0
 	for seed := int64(0); seed < 12; seed++ {
@@ -181,7 +181,7 @@
 
 // Orders at replicas of a service: room and places count what stands, a unit that goes takes its adapters
 // with it, and what an incarnation has held once comes back from its own disk.
-func TestTicketsOfServices(t *testing.T) {
+func TestServiceCommandsRespectCapacityAndAdapters(t *testing.T) {
 	s, index := NewState(), uint64(0)
 	do := func(d LeaderUpdate) []fault.Fault {
 		index++
@@ -244,7 +244,7 @@
 }
 
 // What is in force without a number was not checked as routes are: an edit on top of it has all of it checked.
-func TestAnEditOnTopOfWhatWasNeverCheckedIsCheckedAsAWhole(t *testing.T) {
+func TestEditOfUncheckedDeclarationIsCheckedInFull(t *testing.T) {
 	s := NewState()
 	bad := &configuration.Declaration{Services: []configuration.Service{{Name: "s"}}, Routes: []configuration.Route{{
 		Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Streaming, MaxAttempts: 1, Split: []configuration.WeightedService{{Service: "s", Weight: 1}},
--- a/internal/controlplane/statemachine/grants.go
+++ b/internal/controlplane/statemachine/grants.go
@@ -39,20 +39,20 @@
 	}
 }
 
-func (s *State) issueGrant(epoch uint64, a GrantRequest) *fault.Fault {
-	r := s.Replicas[a.Replica]
-	if r == nil || r.Incarnation != a.Incarnation {
-		return fault.New(fault.ReplicaUnknown, a.Replica, "no such replica or another incarnation")
+func (s *State) issueGrant(epoch uint64, request GrantRequest) *fault.Fault {
+	replica := s.Replicas[request.Replica]
+	if replica == nil || replica.Incarnation != request.Incarnation {
+		return fault.New(fault.ReplicaUnknown, request.Replica, "no such replica or another incarnation")
 	}
-	if a.Count == 0 || a.Count > 1<<20 {
-		return fault.New(fault.CommandRejected, a.Replica, "count %d", a.Count)
+	if request.Count == 0 || request.Count > 1<<20 {
+		return fault.New(fault.CommandRejected, request.Replica, "count %d", request.Count)
 	}
-	g := Grant{
-		Number: s.NextNumber, Epoch: epoch, Gateway: a.Gateway, GatewayIncarnation: a.GatewayIncarnation,
-		Replica: a.Replica, Incarnation: a.Incarnation, Model: a.Model, From: r.NextAttempt, To: r.NextAttempt + a.Count,
+	grant := Grant{
+		Number: s.NextNumber, Epoch: epoch, Gateway: request.Gateway, GatewayIncarnation: request.GatewayIncarnation,
+		Replica: request.Replica, Incarnation: request.Incarnation, Model: request.Model, From: replica.NextAttempt, To: replica.NextAttempt + request.Count,
 	}
 	s.NextNumber++
-	r.NextAttempt = g.To
-	s.Grants[g.Key()] = g
+	replica.NextAttempt = grant.To
+	s.Grants[grant.Key()] = grant
 	return nil
 }
--- a/internal/controlplane/statemachine/idempotency_keys.go
+++ b/internal/controlplane/statemachine/idempotency_keys.go
@@ -22,39 +22,39 @@
 }
 
 func (s *State) applyKey(out *Outcome, c Change) {
-	k := c.Key
-	row, seen := s.Keys[k.Key]
-	mine := seen && row.GatewayIncarnation == k.GatewayIncarnation && row.Call == k.Call
+	change := c.Key
+	record, seen := s.Keys[change.Key]
+	mine := seen && record.GatewayIncarnation == change.GatewayIncarnation && record.Call == change.Call
 	switch {
-	case k.Release:
-		if mine && row.Ended == "" {
-			delete(s.Keys, k.Key)
+	case change.Release:
+		if mine && record.Ended == "" {
+			delete(s.Keys, change.Key)
 		}
-	case k.End != "":
-		if mine && row.Ended == "" {
-			row.Ended = k.End
-			s.Keys[k.Key] = row
+	case change.End != "":
+		if mine && record.Ended == "" {
+			record.Ended = change.End
+			s.Keys[change.Key] = record
 		}
 	case seen:
-		held := row
-		out.Key = &held
+		first := record
+		out.Key = &first
 		out.Repeated = !mine
 	default:
 		if len(s.Keys) >= MaxKeys {
 			out.Fault = fault.New(fault.KeysFull, "key", "%d keys are kept", len(s.Keys))
 			return
 		}
-		row = KeyRecord{Gateway: k.Gateway, GatewayIncarnation: k.GatewayIncarnation, Call: k.Call, Index: s.Index}
-		s.Keys[k.Key] = row
-		s.KeyOrder = append(s.KeyOrder, k.Key)
-		out.Key = &row
+		record = KeyRecord{Gateway: change.Gateway, GatewayIncarnation: change.GatewayIncarnation, Call: change.Call, Index: s.Index}
+		s.Keys[change.Key] = record
+		s.KeyOrder = append(s.KeyOrder, change.Key)
+		out.Key = &record
 	}
 }
 
 func (s *State) forgetKeys(before uint64) {
 	for len(s.KeyOrder) > 0 {
-		row, kept := s.Keys[s.KeyOrder[0]]
-		if kept && row.Index >= before {
+		record, known := s.Keys[s.KeyOrder[0]]
+		if known && record.Index >= before {
 			return
 		}
 		delete(s.Keys, s.KeyOrder[0])
--- a/internal/controlplane/statemachine/leader_update.go
+++ b/internal/controlplane/statemachine/leader_update.go
@@ -40,17 +40,17 @@
 		return
 	}
 	sheet := &fault.List{}
-	news := false
+	changed := false
 	for _, n := range c.LeaderUpdate.Replicas {
 		s.upsertReplica(n)
-		news = true
+		changed = true
 	}
 	for _, id := range c.LeaderUpdate.RemovedReplicas {
 		s.removeReplica(id)
-		news = true
+		changed = true
 	}
 	for _, d := range c.LeaderUpdate.Results {
-		news = s.resolveCommand(d) || news
+		changed = s.resolveCommand(d) || changed
 	}
 	for _, t := range c.LeaderUpdate.Commands {
 		if f := s.issueCommand(c.Epoch, t); f != nil {
@@ -66,15 +66,15 @@
 			sheet.Add(f)
 			continue
 		}
-		news = true
+		changed = true
 	}
 	for id, shares := range c.LeaderUpdate.Quotas {
 		if r := s.Replicas[id]; r != nil && totalQuota(shares) <= r.Slots {
 			r.Quotas = shares
-			news = true
+			changed = true
 		}
 	}
-	if news {
+	if changed {
 		s.UpdateIndex = s.Index
 	}
 	out.Faults = sheet.Faults
--- a/internal/controlplane/statemachine/membership.go
+++ b/internal/controlplane/statemachine/membership.go
@@ -24,9 +24,9 @@
 
 // applyMembership keeps one order about members at a time, and remembers each like a configuration.
 func (s *State) applyMembership(out Outcome, c Change) Outcome {
-	m := *c.Membership
-	if m.Action == MembershipDone {
-		if s.Membership != nil && m.Name == s.MembershipID {
+	change := *c.Membership
+	if change.Action == MembershipDone {
+		if s.Membership != nil && change.Name == s.MembershipID {
 			s.Membership, s.MembershipID = nil, ""
 		}
 		return out
@@ -36,14 +36,14 @@
 		return first
 	}
 	switch {
-	case m.Action == CancelMembership && s.Membership == nil:
+	case change.Action == CancelMembership && s.Membership == nil:
 		out.Fault = fault.New(fault.MembershipMismatch, "act", "no change of members is under way")
-	case m.Action == CancelMembership:
+	case change.Action == CancelMembership:
 		s.Membership, s.MembershipID = nil, ""
 	case s.Membership != nil:
 		out.Fault = fault.New(fault.MembershipMismatch, "act", "%s %s is under way; one change of members at a time", s.Membership.Action, s.Membership.Name)
 	default:
-		s.Membership, s.MembershipID = &m, c.ID
+		s.Membership, s.MembershipID = &change, c.ID
 	}
 	out.Revision, out.IsMembership = s.Revision, true
 	s.remember(out)
--- a/internal/controlplane/statemachine/outcomes_test.go
+++ b/internal/controlplane/statemachine/outcomes_test.go
@@ -30,7 +30,7 @@
 // An order that was taken and is sent again is acknowledged again, or left without a clear answer where it is older
 // than what is remembered; it is never refused. An order that was never taken gets a refusal only while the memory
 // reaches back to its number.
-func TestATakenOrderIsNotRefusedHoweverManyCameAfterIt(t *testing.T) {
+func TestAppliedVersionIsNeverRefusedWhenSentAgain(t *testing.T) {
 	s := NewState()
 	const forgotten = 100
 	orders := numbered(t, s, MaxOutcomes+forgotten)
@@ -71,7 +71,7 @@
 
 // An order that builds on a version which is still to come is refused for good: a copy of it that is still under way
 // must not be taken once that version is in force.
-func TestAnOrderRefusedAheadOfItsBaseIsNeverTaken(t *testing.T) {
+func TestVersionRefusedBeforeItsBaseIsNeverApplied(t *testing.T) {
 	s := NewState()
 	numbered(t, s, 5)
 	early := order(6, 7, versionDoc(7, versionRoute("b", 1, "s")), nil)
@@ -96,7 +96,7 @@
 
 // What is remembered of refusals ahead of their base is bounded, and dropped once the base is passed. Beyond the
 // bound there is no clear answer, as the order may yet be taken.
-func TestRefusalsAheadOfTheirBaseAreBounded(t *testing.T) {
+func TestEarlyRefusalsAreBounded(t *testing.T) {
 	s := NewState()
 	numbered(t, s, 1)
 	early := func(n int) Change {
@@ -137,7 +137,7 @@
 }
 
 // Once numbered versions are in force, a declaration without a number would set the numbers back.
-func TestADeclarationWithoutANumberDoesNotReplaceANumberedOne(t *testing.T) {
+func TestUnnumberedDeclarationDoesNotReplaceNumberedOne(t *testing.T) {
 	s := NewState()
 	orders := numbered(t, s, 3)
 	out := apply(s, Change{ID: "op-whole", Config: &ConfigChange{Base: s.Revision, Doc: versionDoc(0)}})
@@ -153,7 +153,7 @@
 
 // A numbered order that was refused on top of no numbered version stays refused, whatever comes into force without a
 // number: only numbered versions never change.
-func TestARefusalOnTopOfNoVersionStands(t *testing.T) {
+func TestRefusalWithoutVersionInForceIsRemembered(t *testing.T) {
 	edit := order(0, 5, nil, &configuration.Edit{Version: 5, Routes: []configuration.Route{versionRoute("b", 1, "s")}})
 	clash := order(0, 6, nil, &configuration.Edit{Version: 6, RemoveServices: []string{"s"}})
 	s := NewState()
--- a/internal/controlplane/statemachine/replicas.go
+++ b/internal/controlplane/statemachine/replicas.go
@@ -67,47 +67,47 @@
 // ReservedMb counts what is held and what may be held: a load in doubt keeps its room,
 // and an unload gives its room back only once it is settled.
 func (s *State) ReservedMb(replica string) int64 {
-	r := s.Replicas[replica]
-	if r == nil {
+	row := s.Replicas[replica]
+	if row == nil {
 		return 0
 	}
 	var sumMb int64
-	for _, mb := range r.Resident {
+	for _, mb := range row.Resident {
 		sumMb += mb
 	}
-	if t, ok := s.Pending[replica]; ok && t.Action == Load {
-		if _, held := r.Resident[t.Unit]; !held {
-			sumMb += t.SizeMb
+	if command, ok := s.Pending[replica]; ok && command.Action == Load {
+		if _, resident := row.Resident[command.Unit]; !resident {
+			sumMb += command.SizeMb
 		}
 	}
 	return sumMb
 }
 
-func (s *State) upsertReplica(n ReplicaUpdate) {
-	r := s.Replicas[n.ID]
+func (s *State) upsertReplica(update ReplicaUpdate) {
+	r := s.Replicas[update.ID]
 	if r == nil {
-		r = &Replica{ID: n.ID, Resident: map[string]int64{}, NextAttempt: 1}
-		s.Replicas[n.ID] = r
+		r = &Replica{ID: update.ID, Resident: map[string]int64{}, NextAttempt: 1}
+		s.Replicas[update.ID] = r
 	}
-	if n.Incarnation != r.Incarnation {
-		s.removeReplica(n.ID)
-		r = &Replica{ID: n.ID, Incarnation: n.Incarnation, Resident: map[string]int64{}, NextAttempt: 1}
-		s.Replicas[n.ID] = r
+	if update.Incarnation != r.Incarnation {
+		s.removeReplica(update.ID)
+		r = &Replica{ID: update.ID, Incarnation: update.Incarnation, Resident: map[string]int64{}, NextAttempt: 1}
+		s.Replicas[update.ID] = r
 	}
-	r.Addr, r.Zone, r.CapacityMb, r.Slots = n.Addr, n.Zone, n.CapacityMb, n.Slots
-	r.Draining, r.RemainingMs, r.Unreachable, r.Service = n.Draining, n.RemainingMs, n.Unreachable, n.Service
+	r.Addr, r.Zone, r.CapacityMb, r.Slots = update.Addr, update.Zone, update.CapacityMb, update.Slots
+	r.Draining, r.RemainingMs, r.Unreachable, r.Service = update.Draining, update.RemainingMs, update.Unreachable, update.Service
 	r.ModifiedIndex, s.ReplicasIndex = s.Index, s.Index
-	if n.ResidentKnown {
-		r.setResident(n.Resident, n.CommandsTaken)
+	if update.ResidentKnown {
+		r.setResident(update.Resident, update.CommandsTaken)
 	}
 }
 
 // setResident sets all that a replica holds, and after how many orders, where that is known.
-func (r *Replica) setResident(all []ResidentUnit, orders *uint64) {
+func (r *Replica) setResident(units []ResidentUnit, orders *uint64) {
 	r.Resident, r.CommandsTaken = map[string]int64{}, orders
-	for _, h := range all {
-		r.Resident[h.Unit] = h.SizeMb
-		r.recordLoaded(h.Unit)
+	for _, unit := range units {
+		r.Resident[unit.Unit] = unit.SizeMb
+		r.recordLoaded(unit.Unit)
 	}
 }
 
--- a/internal/controlplane/statemachine/state.go
+++ b/internal/controlplane/statemachine/state.go
@@ -98,9 +98,9 @@
 	c := *s
 	c.Replicas = make(map[string]*Replica, len(s.Replicas))
 	for id, r := range s.Replicas {
-		held := *r
-		held.Resident, held.Quotas, held.EverLoaded = maps.Clone(r.Resident), maps.Clone(r.Quotas), maps.Clone(r.EverLoaded)
-		c.Replicas[id] = &held
+		row := *r
+		row.Resident, row.Quotas, row.EverLoaded = maps.Clone(r.Resident), maps.Clone(r.Quotas), maps.Clone(r.EverLoaded)
+		c.Replicas[id] = &row
 	}
 	c.Pending, c.Grants, c.Keys, c.Outcomes, c.RefusalCounts = maps.Clone(s.Pending), maps.Clone(s.Grants), maps.Clone(s.Keys), maps.Clone(s.Outcomes), maps.Clone(s.RefusalCounts)
 	c.KeyOrder, c.OutcomeIDs = slices.Clip(s.KeyOrder), slices.Clip(s.OutcomeIDs)
--- a/internal/controlplane/statemachine/state_test.go
+++ b/internal/controlplane/statemachine/state_test.go
@@ -47,7 +47,7 @@
 	return ""
 }
 
-func TestTicketsKeepRoomStoreAndOneOrder(t *testing.T) {
+func TestCommandsRespectCapacityStoreRateAndOnePending(t *testing.T) {
 	s := ready(t)
 	must(t, s, load("r0", "a"))
 	if got := code(s.Apply(s.Index+1, load("r0", "b"))); got != fault.ReplicaBusy {
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestOlderEpochsAreRefused(t *testing.T) {
+func TestStaleEpochsAreRefused(t *testing.T) {
 	s := ready(t)
 	must(t, s, Change{ID: "claim2", Epoch: 2, Claim: &Claim{Leader: "two"}})
 	if got := code(s.Apply(s.Index+1, load("r0", "a"))); got != fault.StaleEpoch {
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestAttemptNumbersAreSpentOnce(t *testing.T) {
+func TestGrantsNeverOverlap(t *testing.T) {
 	s := ready(t)
 	ask := func(gateway string, n uint64) GrantRequest {
 		return GrantRequest{Gateway: gateway, GatewayIncarnation: "d", Replica: "r0", Incarnation: "i", Model: "a", Count: n}
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestConfigurationsRaceAndRepeat(t *testing.T) {
+func TestOneOfRacingConfigurationsIsAppliedOnce(t *testing.T) {
 	s := ready(t)
 	doc := s.Doc
 	won := must(t, s, Change{ID: "x", Config: &ConfigChange{Base: 1, Doc: doc}})
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestKeysAreClaimedOnceAndFullTableRefuses(t *testing.T) {
+func TestIdempotencyKeyIsClaimedOnce(t *testing.T) {
 	s := ready(t)
 	claim := func(key, call string) Outcome {
 		return s.Apply(s.Index+1, Change{ID: call, Key: &KeyChange{Key: key, Gateway: "d", GatewayIncarnation: "i", Call: call}})
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestStateSurvivesItsOwnEncoding(t *testing.T) {
+func TestStateRoundTripsThroughEncoding(t *testing.T) {
 	s := ready(t)
 	must(t, s, load("r0", "a"))
 	back, err := Decode(s.Encode())
@@ -161,7 +161,7 @@
 	}
 }
 
-func TestTicketsProposedUnderAnotherDeclarationAreRefused(t *testing.T) {
+func TestCommandsOfAnotherRevisionAreRefused(t *testing.T) {
 	s := ready(t)
 	for _, revision := range []uint64{0, 2} {
 		out := s.Apply(s.Index+1, Change{ID: "t", Epoch: 1, LeaderUpdate: &LeaderUpdate{Commands: []ReplicaCommand{{Replica: "r0", Incarnation: "i", Revision: revision, Action: Load, Unit: "a"}}}})
