--- a/cmd/petreltide/member.go
+++ b/cmd/petreltide/member.go
@@ -82,13 +82,13 @@
 	fmt.Fprintf(out, "view %d, seen by %s\n", st.View.Number, st.ControlNode.ID)
 	heard := map[string]string{st.ControlNode.ID: fmt.Sprintf("%s, log up to %d", st.Phase, st.Last)}
 	for _, p := range st.Peers {
-		heard[p.Member.ID] = fmt.Sprintf("%s, log up to %d, heard %d ms ago", p.Phase, p.Last, p.AgoMs)
+		heard[p.Member.ID] = fmt.Sprintf("%s, log up to %d, heard %d ms ago", p.Phase, p.Last, p.LastHelloAgoMs)
 	}
 	for _, v := range st.View.Voters {
 		seat := "no seat"
-		for i, s := range st.View.Order {
+		for i, s := range st.View.Replicas {
 			if s.ID == v.ID {
-				seat = fmt.Sprintf("seat %d of %d", i+1, len(st.View.Order))
+				seat = fmt.Sprintf("seat %d of %d", i+1, len(st.View.Replicas))
 			}
 		}
 		state := heard[v.ID]
--- a/cmd/petreltide/print.go
+++ b/cmd/petreltide/print.go
@@ -39,7 +39,7 @@
 // printControlNode shows the control node itself, what is committed, and its view of the others and of gateways.
 func printControlNode(w io.Writer, st controlnode.Status) {
 	seats := []string{}
-	for _, s := range st.View.Order {
+	for _, s := range st.View.Replicas {
 		seats = append(seats, s.ID)
 	}
 	fmt.Fprintf(w, "node      %s (%s), zone %s\n", st.ControlNode.ID, st.Phase, st.ControlNode.Zone)
@@ -56,7 +56,7 @@
 		fmt.Fprintf(w, "emptied   %s\n", strings.Join(st.Emptied, ", "))
 	}
 	for _, p := range st.Peers {
-		fmt.Fprintf(w, "peer      %s %s, last message %d ms ago\n", p.Member.ID, p.Phase, p.AgoMs)
+		fmt.Fprintf(w, "peer      %s %s, last message %d ms ago\n", p.Member.ID, p.Phase, p.LastHelloAgoMs)
 	}
 	for _, d := range st.Gateways {
 		fmt.Fprintf(w, "gateway   %s zone %s, acked %d, lease %d ms\n", d.Gateway, d.Zone, d.Acked, d.LeaseMs)
--- a/internal/controlplane/chain/contact.go
+++ b/internal/controlplane/chain/contact.go
@@ -1,38 +1,38 @@
 package chain
 
-// InContact says whether this control node and a quorum of the voters of the newest view it knows hear each other,
+// HasQuorumContact says whether this control node and a quorum of the voters of the newest view it knows hear each other,
 // itself counted where it votes. A control node out of contact may be cut off: it cannot hand on what it is told,
 // and what it knows may be old.
-func (n *Node) InContact(nowUs int64) bool {
+func (n *Node) HasQuorumContact(nowUs int64) bool {
 	if len(n.view.Voters) == 0 {
 		return false
 	}
-	return n.Quorum(func(id string) bool {
+	return n.HasQuorum(func(id string) bool {
 		p := n.peers[id]
-		return p != nil && nowUs-p.heardUs < n.opts.SuspectUs && nowUs-p.deafUs < 2*n.opts.SuspectUs
+		return p != nil && nowUs-p.lastHelloUs < n.opts.SuspectTimeoutUs && nowUs-p.lastMutualUs < 2*n.opts.SuspectTimeoutUs
 	})
 }
 
-// Current says whether what this control node knows as committed was the newest a moment ago: it has its seat, and a time
+// UpToDate says whether what this control node knows as committed was the newest a moment ago: it has its seat, and a time
 // stamp of the head that went by here a moment ago has gone on to a tail with its lease and has come back.
-func (n *Node) Current(nowUs int64) bool {
+func (n *Node) UpToDate(nowUs int64) bool {
 	switch {
 	case !n.serving() || !n.caughtUp:
 		return false
 	case n.IsTail():
-		return n.Open(nowUs)
+		return n.TailReady(nowUs)
 	}
-	return n.echoedUs > 0 && nowUs-n.echoedUs < n.currentUs()
+	return n.confirmedUs > 0 && nowUs-n.confirmedUs < n.confirmationWindowUs()
 }
 
-// Quorum says whether something holds for a quorum of the voters of the newest view this control node knows. It is
+// HasQuorum says whether something holds for a quorum of the voters of the newest view this control node knows. It is
 // taken to hold for this control node itself.
-func (n *Node) Quorum(holds func(id string) bool) bool {
+func (n *Node) HasQuorum(holds func(id string) bool) bool {
 	count := 0
 	for _, v := range n.view.Voters {
-		if v.ID == n.opts.Me.ID || holds(v.ID) {
+		if v.ID == n.opts.Self.ID || holds(v.ID) {
 			count++
 		}
 	}
-	return count > 0 && count >= n.view.Quorum()
+	return count > 0 && count >= n.view.QuorumSize()
 }
--- a/internal/controlplane/chain/copy.go
+++ b/internal/controlplane/chain/copy.go
@@ -2,9 +2,9 @@
 
 import "encoding/json"
 
-const bulkKeyUs = 25
+const transferUsPerKey = 25
 
-func (n *Node) keepEntry(e Entry) {
+func (n *Node) replayEntry(e Entry) {
 	if e.Index <= n.base.Index {
 		return
 	}
@@ -16,88 +16,88 @@
 	}
 }
 
-// copying: a peer's copy is on its way to the disk. Another would have to wait for it.
-func (n *Node) copying() bool {
-	for _, s := range n.saving {
-		if s.copied > 0 {
+// persistingReceivedSnapshot: a peer's copy is on its way to the disk. Another would have to wait for it.
+func (n *Node) persistingReceivedSnapshot() bool {
+	for _, s := range n.pendingWrites {
+		if s.snapshotIndex > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// keeping: a copy is on its way to the disk, beside the log.
-func (n *Node) keeping() bool {
-	for _, s := range n.saving {
-		if s.bulk {
+// persistingSnapshot: a copy is on its way to the disk, beside the log.
+func (n *Node) persistingSnapshot() bool {
+	for _, s := range n.pendingWrites {
+		if s.hasSnapshot {
 			return true
 		}
 	}
 	return false
 }
 
-// bulkUs is how long a copy of this size may be under way before it is sent again.
-func (n *Node) bulkUs() int64 { return int64(len(n.state.Keys)) * bulkKeyUs }
+// snapshotTransferUs is how long a copy of this size may be under way before it is sent again.
+func (n *Node) snapshotTransferUs() int64 { return int64(len(n.state.Keys)) * transferUsPerKey }
 
-func (n *Node) firstKept() uint64 {
+func (n *Node) firstIndex() uint64 {
 	if len(n.entries) == 0 {
 		return n.base.Index + 1
 	}
 	return n.entries[0].Index
 }
 
-func (n *Node) copyNow() *Copy {
-	view, _ := n.viewAt(n.commit)
-	return &Copy{Index: n.commit, View: view, State: n.state.Snapshot()}
+func (n *Node) currentSnapshot() *Snapshot {
+	view, _ := n.viewAt(n.commitIndex)
+	return &Snapshot{Index: n.commitIndex, View: view, State: n.state.Snapshot()}
 }
 
-func (n *Node) takeEntry(e Entry) {
-	if have, ok := n.viewAt(e.Index); ok && have != e.View && e.Index > n.commit {
-		n.cutTo(e.Index - 1)
+func (n *Node) appendEntry(e Entry) {
+	if have, ok := n.viewAt(e.Index); ok && have != e.View && e.Index > n.commitIndex {
+		n.truncateTo(e.Index - 1)
 	}
 	if e.Index == n.lastIndex()+1 {
 		n.entries = append(n.entries, e)
 	}
 }
 
-func (n *Node) cutTo(index uint64) {
+func (n *Node) truncateTo(index uint64) {
 	for len(n.entries) > 0 && n.lastIndex() > index {
 		n.entries = n.entries[:len(n.entries)-1]
 	}
-	n.synced, n.queued = min(n.synced, index), min(n.queued, index)
+	n.syncedIndex, n.stagedIndex = min(n.syncedIndex, index), min(n.stagedIndex, index)
 }
 
-func (n *Node) takeCopy(c Copy) {
-	if c.State == nil || n.copying() {
+func (n *Node) restoreSnapshot(c Snapshot) {
+	if c.State == nil || n.persistingReceivedSnapshot() {
 		return
 	}
-	n.base, n.entries, n.state, n.commit, n.caughtUp = Copy{Index: c.Index, View: c.View}, nil, c.State.Snapshot(), c.Index, false
-	n.synced, n.queued = 0, c.Index
-	n.saveSeq++
-	n.saving[n.saveSeq] = &saving{startUs: n.nowUs, upto: c.Index, copied: c.Index, bulk: true}
-	n.effects = append(n.effects, Effect{Save: &Save{Seq: n.saveSeq, Copy: &c}})
+	n.base, n.entries, n.state, n.commitIndex, n.caughtUp = Snapshot{Index: c.Index, View: c.View}, nil, c.State.Snapshot(), c.Index, false
+	n.syncedIndex, n.stagedIndex = 0, c.Index
+	n.persistSeq++
+	n.pendingWrites[n.persistSeq] = &pendingWrite{startedUs: n.nowUs, entryIndex: c.Index, snapshotIndex: c.Index, hasSnapshot: true}
+	n.effects = append(n.effects, Effect{Persist: &Persist{Seq: n.persistSeq, Snapshot: &c}})
 }
 
-// manyEntries: there are enough entries, and enough of them committed, to let go of most.
-func (n *Node) manyEntries() bool {
-	return len(n.entries) >= 2*n.opts.KeepMost && n.commit >= n.firstKept()+uint64(n.opts.KeepMost)
+// tooManyEntries: there are enough entries, and enough of them committed, to let go of most.
+func (n *Node) tooManyEntries() bool {
+	return len(n.entries) >= 2*n.opts.MaxRetainedEntries && n.commitIndex >= n.firstIndex()+uint64(n.opts.MaxRetainedEntries)
 }
 
-// largeLog: the log takes much of the disk, and much more than when it was last begun anew.
-func (n *Node) largeLog() bool {
-	return n.logBytes >= n.opts.LogMost && n.logBytes >= 2*n.leastLog
+// logTooLarge: the log takes much of the disk, and much more than when it was last begun anew.
+func (n *Node) logTooLarge() bool {
+	return n.logBytes >= n.opts.MaxLogBytes && n.logBytes >= 2*n.compactedLogBytes
 }
 
-// kept counts the newest committed entries that stay for members that are behind: not too many, and not
+// retainedEntries counts the newest committed entries that stay for members that are behind: not too many, and not
 // too large.
-func (n *Node) kept() uint64 {
+func (n *Node) retainedEntries() uint64 {
 	kept, bytes := uint64(0), int64(0)
-	for at := n.commit; kept < uint64(n.opts.KeepMost)/2; at-- {
+	for at := n.commitIndex; kept < uint64(n.opts.MaxRetainedEntries)/2; at-- {
 		e, ok := n.entryAt(at)
 		if !ok {
 			break
 		}
-		if bytes += e.bytes(); bytes > n.opts.LogMost/4 {
+		if bytes += e.sizeBytes(); bytes > n.opts.MaxLogBytes/4 {
 			break
 		}
 		kept++
@@ -105,46 +105,46 @@
 	return kept
 }
 
-const entryBytes = 1 << 10
+const entryOverheadBytes = 1 << 10
 
-// bytes is about what an entry takes in a log; only declarations are large.
-func (e Entry) bytes() int64 {
+// sizeBytes is about what an entry takes in a log; only declarations are large.
+func (e Entry) sizeBytes() int64 {
 	if e.Change.Config == nil {
-		return entryBytes
+		return entryOverheadBytes
 	}
 	raw, err := json.Marshal(e.Change.Config)
 	if err != nil {
 		panic(err)
 	}
-	return entryBytes + int64(len(raw))
+	return entryOverheadBytes + int64(len(raw))
 }
 
 // compact begins the log anew on a copy of the state.
 func (n *Node) compact() {
-	if n.keeping() || (!n.manyEntries() && !n.largeLog()) {
+	if n.persistingSnapshot() || (!n.tooManyEntries() && !n.logTooLarge()) {
 		return
 	}
-	c := *n.copyNow()
-	keptFrom := n.commit + 1 - min(n.commit+1, n.firstKept()+n.kept())
-	view, promised := n.view, n.promised
-	records := []Record{{View: &view}, {Promised: &promised}}
-	if n.accepted != nil {
-		records = append(records, Record{Accepted: n.accepted})
+	c := *n.currentSnapshot()
+	keptFrom := n.commitIndex + 1 - min(n.commitIndex+1, n.firstIndex()+n.retainedEntries())
+	view, promised := n.view, n.promisedBallot
+	records := []Record{{View: &view}, {PromisedBallot: &promised}}
+	if n.acceptedProposal != nil {
+		records = append(records, Record{AcceptedProposal: n.acceptedProposal})
 	}
 	if n.caughtUp {
-		records = append(records, Record{Whole: n.view.Number})
+		records = append(records, Record{CaughtUpView: n.view.Number})
 	}
 	for _, e := range n.entries {
-		if e.Index > c.Index && e.Index <= n.queued {
+		if e.Index > c.Index && e.Index <= n.stagedIndex {
 			held := e
 			records = append(records, Record{Entry: &held})
 		}
 	}
-	prior := n.firstKept() + keptFrom - 1
+	prior := n.firstIndex() + keptFrom - 1
 	priorView, _ := n.viewAt(prior)
 	n.entries = append([]Entry(nil), n.entries[keptFrom:]...)
-	n.base = Copy{Index: prior, View: priorView}
-	n.saveSeq++
-	n.saving[n.saveSeq] = &saving{startUs: n.nowUs, bulk: true, fresh: true}
-	n.effects = append(n.effects, Effect{Save: &Save{Seq: n.saveSeq, Records: records, Copy: &c, Fresh: true}})
+	n.base = Snapshot{Index: prior, View: priorView}
+	n.persistSeq++
+	n.pendingWrites[n.persistSeq] = &pendingWrite{startedUs: n.nowUs, hasSnapshot: true, compaction: true}
+	n.effects = append(n.effects, Effect{Persist: &Persist{Seq: n.persistSeq, Records: records, Snapshot: &c, Compact: true}})
 }
--- a/internal/controlplane/chain/echo.go
+++ b/internal/controlplane/chain/echo.go
@@ -2,49 +2,51 @@
 
 import "petreltide/internal/process/clock"
 
-// passedStamp is a time stamp of the head, by the head's clock, and when it went by here, by this control node's own.
-type passedStamp struct {
-	headUs int64
-	atUs   int64
+// headTime is a time stamp of the head, by the head's clock, and when it went by here, by this control node's own.
+type headTime struct {
+	headUs     int64
+	receivedUs int64
 }
 
-// stampEveryUs is how far apart noted stamps are: an echo counts from the last one noted before it.
-const stampEveryUs = 20 * clock.Ms
+// headTimeSpacingUs is how far apart noted stamps are: an echo counts from the last one noted before it.
+const headTimeSpacingUs = 20 * clock.Ms
 
-// currentUs is how long after a stamp went by here its echo makes this control node current.
-func (n *Node) currentUs() int64 { return n.opts.SuspectUs + 2*n.opts.BeatUs }
+// confirmationWindowUs is how long after a stamp went by here its echo makes this control node current.
+func (n *Node) confirmationWindowUs() int64 {
+	return n.opts.SuspectTimeoutUs + 2*n.opts.HeartbeatIntervalUs
+}
 
-// passStamp takes a stamp of the head from the predecessor, to be passed on; false where it is no newer one.
-func (n *Node) passStamp(headUs int64) bool {
-	if headUs <= n.echoUs {
+// recordHeadTime takes a stamp of the head from the predecessor, to be passed on; false where it is no newer one.
+func (n *Node) recordHeadTime(headUs int64) bool {
+	if headUs <= n.headTimeUs {
 		return false
 	}
-	n.echoUs = headUs
-	if last := len(n.passed) - 1; last >= 0 && n.nowUs-n.passed[last].atUs < stampEveryUs {
+	n.headTimeUs = headUs
+	if last := len(n.headTimes) - 1; last >= 0 && n.nowUs-n.headTimes[last].receivedUs < headTimeSpacingUs {
 		return true
 	}
 	kept := 0
-	for kept < len(n.passed) && n.nowUs-n.passed[kept].atUs >= n.currentUs() {
+	for kept < len(n.headTimes) && n.nowUs-n.headTimes[kept].receivedUs >= n.confirmationWindowUs() {
 		kept++
 	}
-	n.passed = append(n.passed[kept:], passedStamp{headUs, n.nowUs})
+	n.headTimes = append(n.headTimes[kept:], headTime{headUs, n.nowUs})
 	return true
 }
 
-// takeEcho takes the echo that the successor sends. It counts from when its stamp went by here, not from when it comes:
+// confirmHeadTime takes the echo that the successor sends. It counts from when its stamp went by here, not from when it comes:
 // it may have lain in a link. An echo of what never went by here is none.
-func (n *Node) takeEcho(headUs int64) {
-	if headUs <= n.tailEchoUs || headUs > n.beatUs() {
+func (n *Node) confirmHeadTime(headUs int64) {
+	if headUs <= n.confirmedHeadTimeUs || headUs > n.outgoingHeadTimeUs() {
 		return
 	}
-	n.tailEchoUs = headUs
+	n.confirmedHeadTimeUs = headUs
 	if n.IsHead() {
-		n.echoedUs = headUs
+		n.confirmedUs = headUs
 		return
 	}
-	for _, p := range n.passed {
+	for _, p := range n.headTimes {
 		if p.headUs <= headUs {
-			n.echoedUs = p.atUs
+			n.confirmedUs = p.receivedUs
 		}
 	}
 }
--- a/internal/controlplane/chain/echo_test.go
+++ b/internal/controlplane/chain/echo_test.go
@@ -10,7 +10,7 @@
 // byPlace are the members of a chain of three in the order of their seats.
 func byPlace(y *yard) (all [3]*spot) {
 	for _, s := range y.spots {
-		all[s.node.place()] = s
+		all[s.node.position()] = s
 	}
 	return all
 }
@@ -38,7 +38,7 @@
 			y.pass(clock.Sec)
 			all := byPlace(y)
 			struck, next := all[place], all[place+1]
-			if !struck.node.Current(y.nowUs) {
+			if !struck.node.UpToDate(y.nowUs) {
 				t.Fatalf("seed %d: in contact, place %d is not current", seed, place)
 			}
 			held := y.holdAcks(next, struck, 400*clock.Ms)
@@ -46,12 +46,12 @@
 				y.apart([]*spot{struck}, []*spot{s})
 			}
 			y.pass(3 * clock.Sec)
-			if struck.node.Current(y.nowUs) || len(held) < 2 {
+			if struck.node.UpToDate(y.nowUs) || len(held) < 2 {
 				t.Fatalf("seed %d: cut off, place %d is current; %d messages are held", seed, place, len(held))
 			}
 			for _, l := range held {
 				y.step(struck, Event{Got: &l.msg})
-				if struck.node.Current(y.nowUs) {
+				if struck.node.UpToDate(y.nowUs) {
 					t.Fatalf("seed %d: an echo of %d ms ago makes place %d current", seed, (y.nowUs-l.atUs)/clock.Ms, place)
 				}
 			}
@@ -59,7 +59,7 @@
 			y.settles(20*clock.Sec, "back in contact")
 			y.pass(clock.Sec)
 			for _, s := range y.spots {
-				if !s.node.Current(y.nowUs) {
+				if !s.node.UpToDate(y.nowUs) {
 					t.Errorf("seed %d: back in contact, %s is not current", seed, s.me.ID)
 				}
 			}
@@ -74,18 +74,18 @@
 		all := byPlace(y)
 		for place := range 2 {
 			n, next := all[place].node, all[place+1]
-			n.tailEchoUs, n.echoedUs = 0, 0
-			y.step(all[place], Event{Got: &Msg{From: next.me, Incarnation: next.opts.Incarnation, Ack: &Ack{View: n.view.Number, Last: n.Last(), EchoUs: y.nowUs + us}}})
-			if n.tailEchoUs != 0 || n.Current(y.nowUs) || n.HeadFresh(y.nowUs) {
+			n.confirmedHeadTimeUs, n.confirmedUs = 0, 0
+			y.step(all[place], Event{Got: &Msg{From: next.me, Incarnation: next.opts.Incarnation, Ack: &Ack{View: n.view.Number, SyncedIndex: n.LastIndex(), ConfirmedHeadTimeUs: y.nowUs + us}}})
+			if n.confirmedHeadTimeUs != 0 || n.UpToDate(y.nowUs) || n.HeadConfirmed(y.nowUs) {
 				t.Errorf("an echo of %d from now is taken at place %d", us, place)
 			}
 		}
 		tail := all[2].node
-		tail.leases, tail.leaseUs = map[string]int64{}, 0
+		tail.leaseGrants, tail.leaseUntilUs = map[string]int64{}, 0
 		for _, s := range all {
-			y.step(all[2], Event{Got: &Msg{From: s.me, Incarnation: s.opts.Incarnation, Lease: &Lease{View: tail.view.Number, SentUs: y.nowUs + us, Given: true}}})
+			y.step(all[2], Event{Got: &Msg{From: s.me, Incarnation: s.opts.Incarnation, Lease: &Lease{View: tail.view.Number, SentUs: y.nowUs + us, Granted: true}}})
 		}
-		if tail.Open(y.nowUs) {
+		if tail.TailReady(y.nowUs) {
 			t.Errorf("a lease asked for %d from now is taken", us)
 		}
 	}
--- a/internal/controlplane/chain/ended_test.go
+++ b/internal/controlplane/chain/ended_test.go
@@ -20,15 +20,15 @@
 		"a life before this view":       {"before", 4, false},
 		"nobody":                        {"", 0, false},
 	} {
-		tail := Seat{Member: Member{ID: "b", Addr: "b"}, Incarnation: "now"}
-		n, err := NewNode(Options{Me: Member{ID: "a", Addr: "a"}, Incarnation: "a1"}, []Record{{View: &View{Number: 5, Voters: []Member{{ID: "a"}, tail.Member}, Order: []Seat{tail}}}}, clock.Sec)
+		tail := Replica{Member: Member{ID: "b", Addr: "b"}, Incarnation: "now"}
+		n, err := NewNode(Options{Self: Member{ID: "a", Addr: "a"}, Incarnation: "a1"}, []Record{{View: &View{Number: 5, Voters: []Member{{ID: "a"}, tail.Member}, Replicas: []Replica{tail}}}}, clock.Sec)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if c.heard != "" {
-			n.peers["b"] = &peer{hello: Hello{Me: tail.Member, Incarnation: c.heard, View: View{Number: c.view}}}
+			n.peers["b"] = &peer{hello: Hello{Member: tail.Member, Incarnation: c.heard, View: View{Number: c.view}}}
 		}
-		if got := n.ended(tail); got != c.want {
+		if got := n.superseded(tail); got != c.want {
 			t.Errorf("%s: ended %v", name, got)
 		}
 	}
--- a/internal/controlplane/chain/explore_members_test.go
+++ b/internal/controlplane/chain/explore_members_test.go
@@ -181,7 +181,7 @@
 // mayEnd ends the process that was told to, once it says that it may.
 func (m *machines) mayEnd() {
 	i := m.leaving
-	if i < 0 || m.members[i].node == nil || (!m.members[i].node.Left() && m.plant != abruptHolder) {
+	if i < 0 || m.members[i].node == nil || (!m.members[i].node.ShutdownComplete() && m.plant != abruptHolder) {
 		return
 	}
 	m.note("%s has ended", m.members[i].me.ID)
@@ -197,15 +197,15 @@
 		return
 	}
 	for _, p := range m.members {
-		if p.node == nil || p.node.proposal == nil || !p.node.proposal.asking {
+		if p.node == nil || p.node.proposal == nil || !p.node.proposal.preparing {
 			continue
 		}
-		want, view := &p.node.proposal.want, p.node.view
+		want, view := &p.node.proposal.desired, p.node.view
 		if votesMoved(view, *want) != 1 {
 			continue
 		}
 		for i, v := range want.Voters {
-			if view.Votes(v.ID) {
+			if view.IsVoter(v.ID) {
 				want.Voters = slices.Clone(want.Voters)
 				want.Voters[i] = Member{ID: v.ID + "-planted", Name: v.Name, Addr: v.Addr}
 				break
@@ -220,9 +220,9 @@
 	for i, p := range m.members {
 		switch {
 		case m.plant == forgotPromise:
-			p.disk = slices.DeleteFunc(slices.Clone(p.disk), func(r Record) bool { return r.Promised != nil || r.Accepted != nil })
+			p.disk = slices.DeleteFunc(slices.Clone(p.disk), func(r Record) bool { return r.PromisedBallot != nil || r.AcceptedProposal != nil })
 		case m.plant == voteWithoutCopy && i >= 3:
-			p.disk = slices.DeleteFunc(slices.Clone(p.disk), func(r Record) bool { return r.Copy != nil || r.Entry != nil })
+			p.disk = slices.DeleteFunc(slices.Clone(p.disk), func(r Record) bool { return r.Snapshot != nil || r.Entry != nil })
 		}
 	}
 }
@@ -260,12 +260,12 @@
 func votesMoved(a, b View) int {
 	came, went := 0, 0
 	for _, v := range b.Voters {
-		if !a.Votes(v.ID) {
+		if !a.IsVoter(v.ID) {
 			came++
 		}
 	}
 	for _, v := range a.Voters {
-		if !b.Votes(v.ID) {
+		if !b.IsVoter(v.ID) {
 			went++
 		}
 	}
@@ -275,7 +275,7 @@
 // holds: what was acknowledged at an index is read back from this disk.
 func holds(disk []Record, index uint64) bool {
 	for _, r := range disk {
-		if (r.Entry != nil && r.Entry.Index == index) || (r.Copy != nil && r.Copy.Index >= index) {
+		if (r.Entry != nil && r.Entry.Index == index) || (r.Snapshot != nil && r.Snapshot.Index >= index) {
 			return true
 		}
 	}
@@ -304,7 +304,7 @@
 		state := ""
 		for _, p := range c.members {
 			if p.node != nil {
-				state += fmt.Sprintf("; %s is %s in view %d of %d votes, leaving %v, waits for %q", p.me.ID, p.node.phase, p.node.view.Number, len(p.node.view.Voters), p.node.leaving, p.node.WaitsFor())
+				state += fmt.Sprintf("; %s is %s in view %d of %d votes, leaving %v, waits for %q", p.me.ID, p.node.phase, p.node.view.Number, len(p.node.view.Voters), p.node.shuttingDown, p.node.WaitReason())
 			}
 		}
 		return "nothing is acknowledged after the repair" + state
--- a/internal/controlplane/chain/explore_test.go
+++ b/internal/controlplane/chain/explore_test.go
@@ -46,7 +46,7 @@
 	me    Member
 	node  *Node
 	disk  []Record
-	saves []Save
+	saves []Persist
 	full  bool
 	// gone: this machine never comes back. sinceTicks is how many ticks its process has run for.
 	gone       bool
@@ -59,21 +59,21 @@
 	c := *n
 	c.entries = slices.Clone(n.entries)
 	c.state = n.state.Snapshot()
-	c.saving = map[uint64]*saving{}
-	for seq, s := range n.saving {
+	c.pendingWrites = map[uint64]*pendingWrite{}
+	for seq, s := range n.pendingWrites {
 		held := *s
-		c.saving[seq] = &held
+		c.pendingWrites[seq] = &held
 	}
 	c.peers = map[string]*peer{}
 	for id, p := range n.peers {
 		held := *p
 		c.peers[id] = &held
 	}
-	c.passed = slices.Clone(n.passed)
-	c.learned, c.leases = maps.Clone(n.learned), maps.Clone(n.leases)
+	c.headTimes = slices.Clone(n.headTimes)
+	c.knownAddrs, c.leaseGrants = maps.Clone(n.knownAddrs), maps.Clone(n.leaseGrants)
 	if n.proposal != nil {
 		p := *n.proposal
-		p.promises, p.accepts = maps.Clone(p.promises), maps.Clone(p.accepts)
+		p.promises, p.acceptedBy = maps.Clone(p.promises), maps.Clone(p.acceptedBy)
 		c.proposal = &p
 	}
 	c.effects = nil
@@ -92,28 +92,28 @@
 	for _, id := range n.peerIDs() {
 		p := n.peers[id]
 		h := p.hello
-		peers = append(peers, fmt.Sprint(id, h.Incarnation, h.Phase, h.View.Number, h.Last, h.LastView, h.Compared, h.Whole, h.Promised, h.Hears, h.CopyIndex, h.Accepted != nil, h.Stalled, h.Leaving, ago(p.heardUs), n.awakeUs-p.heardAwakeUs, ago(p.stalledUs), ago(p.deafUs)))
+		peers = append(peers, fmt.Sprint(id, h.Incarnation, h.Phase, h.View.Number, h.LastIndex, h.LastView, h.VotesRecovered, h.CaughtUp, h.PromisedBallot, h.AlivePeers, h.SnapshotIndex, h.AcceptedProposal != nil, h.Stalled, h.ShuttingDown, ago(p.lastHelloUs), n.awakeUs-p.lastHelloAwakeUs, ago(p.stalledSinceUs), ago(p.lastMutualUs)))
 	}
 	saving := []string{}
-	for _, seq := range slices.Sorted(maps.Keys(n.saving)) {
-		s := n.saving[seq]
-		saving = append(saving, fmt.Sprint(ago(s.startUs), s.upto, s.copied, s.then != nil, s.refused))
+	for _, seq := range slices.Sorted(maps.Keys(n.pendingWrites)) {
+		s := n.pendingWrites[seq]
+		saving = append(saving, fmt.Sprint(ago(s.startedUs), s.entryIndex, s.snapshotIndex, s.reply != nil, s.refused))
 	}
 	leases := []string{}
-	for _, id := range slices.Sorted(maps.Keys(n.leases)) {
-		leases = append(leases, fmt.Sprint(id, ago(n.leases[id])))
+	for _, id := range slices.Sorted(maps.Keys(n.leaseGrants)) {
+		leases = append(leases, fmt.Sprint(id, ago(n.leaseGrants[id])))
 	}
 	proposal := ""
 	if c := n.proposal; c != nil {
-		proposal = fmt.Sprint(c.number, c.ballot, c.want, c.chosen, slices.Sorted(maps.Keys(c.promises)), slices.Sorted(maps.Keys(c.accepts)), c.asking, c.judged, ago(c.startUs))
+		proposal = fmt.Sprint(c.viewNumber, c.ballot, c.desired, c.chosen, slices.Sorted(maps.Keys(c.promises)), slices.Sorted(maps.Keys(c.acceptedBy)), c.preparing, c.dropIfUnneeded, ago(c.startedUs))
 	}
 	accepted := ""
-	if n.accepted != nil {
-		accepted = fmt.Sprint(*n.accepted)
+	if n.acceptedProposal != nil {
+		accepted = fmt.Sprint(*n.acceptedProposal)
 	}
-	return fmt.Sprint(n.opts.Incarnation, n.phase, n.view, n.promised, accepted, n.compared, n.caughtUp, n.leaving, n.base.Index, n.lastIndex(), n.lastView(), n.commit, n.synced, n.queued,
-		n.copyHeld, proposal, n.round, ago(n.quietUs), ago(n.behindUs), n.held != nil, ago(n.guardUs), ago(n.granted.untilUs), ago(n.granted.sentUs), ago(n.releasedUs), n.succLast, n.succSent, n.succKnown, n.openAt, n.openKnown,
-		leases, n.tailCommit, ago(n.leaseUs), ago(n.viewedUs), ago(n.bootUs), peers, saving)
+	return fmt.Sprint(n.opts.Incarnation, n.phase, n.view, n.promisedBallot, accepted, n.votesRecovered, n.caughtUp, n.shuttingDown, n.base.Index, n.lastIndex(), n.lastView(), n.commitIndex, n.syncedIndex, n.stagedIndex,
+		n.snapshotIndex, proposal, n.maxRound, ago(n.viewStableUs), ago(n.diskLaggedUs), n.pendingAccept != nil, ago(n.leaseGuardUs), ago(n.grantedLease.untilUs), ago(n.grantedLease.sentUs), ago(n.leaseReleasedUs), n.succLast, n.succSent, n.succKnown, n.viewStartIndex, n.viewStartKnown,
+		leases, n.tailCommitIndex, ago(n.leaseUntilUs), ago(n.viewInstalledUs), ago(n.startedUs), peers, saving)
 }
 
 func (b *box) key() string {
@@ -143,18 +143,18 @@
 		return "promise"
 	case m.Accept != nil:
 		return "accept"
-	case m.Accepting != nil:
+	case m.Accepted != nil:
 		return "accepting"
 	case m.Forward != nil:
 		return "forward"
 	case m.Ack != nil:
 		return "ack"
 	case m.Lease != nil:
-		if m.Lease.Given {
+		if m.Lease.Granted {
 			return "given"
 		}
 		return "lease"
-	case m.Joining != nil:
+	case m.InstallSnapshot != nil:
 		return "joining"
 	}
 	return "hello"
@@ -165,19 +165,19 @@
 	case m.Prepare != nil:
 		return fmt.Sprint(*m.Prepare)
 	case m.Promise != nil:
-		return fmt.Sprint(m.Promise.Number, m.Promise.Ballot, m.Promise.OK, m.Promise.Accepted != nil)
+		return fmt.Sprint(m.Promise.Number, m.Promise.Ballot, m.Promise.OK, m.Promise.AcceptedProposal != nil)
 	case m.Accept != nil:
 		return fmt.Sprint(m.Accept.Number, m.Accept.Ballot, m.Accept.View)
-	case m.Accepting != nil:
-		return fmt.Sprint(*m.Accepting)
+	case m.Accepted != nil:
+		return fmt.Sprint(*m.Accepted)
 	case m.Forward != nil:
-		return fmt.Sprint(m.Forward.View, m.Forward.Prev, len(m.Forward.Entries), m.Forward.Last, m.Forward.Copy != nil)
+		return fmt.Sprint(m.Forward.View, m.Forward.PrevIndex, len(m.Forward.Entries), m.Forward.LastIndex, m.Forward.Snapshot != nil)
 	case m.Ack != nil:
-		return fmt.Sprint(m.Ack.View, m.Ack.Last, m.Ack.Commit)
+		return fmt.Sprint(m.Ack.View, m.Ack.SyncedIndex, m.Ack.CommitIndex)
 	case m.Lease != nil:
-		return fmt.Sprint(m.Lease.View, m.Lease.Given)
-	case m.Joining != nil:
-		return fmt.Sprint(m.Joining.View, m.Joining.Copy.Index)
+		return fmt.Sprint(m.Lease.View, m.Lease.Granted)
+	case m.InstallSnapshot != nil:
+		return fmt.Sprint(m.InstallSnapshot.View, m.InstallSnapshot.Snapshot.Index)
 	}
 	return ""
 }
@@ -222,9 +222,9 @@
 func (b *box) start(i, founding int) {
 	b.incarnations++
 	p := b.members[i]
-	opts := Options{Me: p.me, Incarnation: fmt.Sprintf("%s/%d", p.me.ID, b.incarnations), Founding: founding}
+	opts := Options{Self: p.me, Incarnation: fmt.Sprintf("%s/%d", p.me.ID, b.incarnations), BootstrapCount: founding}
 	if b.self {
-		opts.SelfMembers, opts.CopiesLeast = true, b.copies
+		opts.AutoMembership, opts.MinReplicas = true, b.copies
 		opts = paced(opts)
 	}
 	node, err := NewNode(opts, p.disk, b.nowUs)
@@ -234,7 +234,7 @@
 	p.node = node
 	for j, other := range b.members {
 		if j != i && !other.gone {
-			node.learned[other.me.Addr] = true
+			node.knownAddrs[other.me.Addr] = true
 		}
 	}
 }
@@ -282,8 +282,8 @@
 				continue
 			}
 			b.put(i, j, m)
-		case e.Save != nil:
-			p.saves = append(p.saves, *e.Save)
+		case e.Persist != nil:
+			p.saves = append(p.saves, *e.Persist)
 		case e.Applied != nil:
 			b.applied(p, *e.Applied)
 		case e.Viewed != nil:
@@ -316,7 +316,7 @@
 	if before, seen := b.acked[a.Entry.Index]; seen && before != id {
 		b.broken = fmt.Sprintf("%s applies %s at %d, where %s was acknowledged", p.me.ID, id, a.Entry.Index, before)
 	}
-	if p.node.IsTail() && p.node.WritesTaken() {
+	if p.node.IsTail() && p.node.AcceptsWrites() {
 		b.acked[a.Entry.Index] = id
 	}
 }
@@ -329,14 +329,14 @@
 	}
 	for _, p := range b.members {
 		if p.node != nil {
-			most = max(most, p.node.keptTo())
+			most = max(most, p.node.durableIndex())
 		}
 	}
 	for _, p := range b.members {
-		if p.node != nil && p.node.Open(b.nowUs) {
+		if p.node != nil && p.node.TailReady(b.nowUs) {
 			open = append(open, p.me.ID)
-			if p.node.Commit() < most {
-				b.broken = fmt.Sprintf("%s is open at %d, %d was acknowledged", p.me.ID, p.node.Commit(), most)
+			if p.node.CommitIndex() < most {
+				b.broken = fmt.Sprintf("%s is open at %d, %d was acknowledged", p.me.ID, p.node.CommitIndex(), most)
 			}
 		}
 	}
@@ -377,11 +377,11 @@
 	p := b.members[i]
 	s := p.saves[0]
 	p.saves = p.saves[1:]
-	if s.Fresh {
+	if s.Compact {
 		p.disk = nil
 	}
-	if s.Copy != nil {
-		p.disk = append(slices.Clip(p.disk), Record{Copy: s.Copy})
+	if s.Snapshot != nil {
+		p.disk = append(slices.Clip(p.disk), Record{Snapshot: s.Snapshot})
 	}
 	p.disk = append(slices.Clip(p.disk), s.Records...)
 	b.step(i, Event{Saved: s.Seq})
@@ -732,8 +732,8 @@
 	if err := json.Unmarshal(raw, &back); err != nil {
 		t.Fatal(err)
 	}
-	node, err := NewNode(Options{Me: b.members[0].me, Incarnation: "x"}, back, b.nowUs)
-	if err != nil || node.Last() != b.members[0].node.Last() || node.View().Number != b.members[0].node.View().Number {
-		t.Fatal(err, node.Last(), node.View())
+	node, err := NewNode(Options{Self: b.members[0].me, Incarnation: "x"}, back, b.nowUs)
+	if err != nil || node.LastIndex() != b.members[0].node.LastIndex() || node.View().Number != b.members[0].node.View().Number {
+		t.Fatal(err, node.LastIndex(), node.View())
 	}
 }
--- a/internal/controlplane/chain/foreign_test.go
+++ b/internal/controlplane/chain/foreign_test.go
@@ -12,25 +12,25 @@
 func strange(n *Node) map[string]Msg {
 	other := n.View()
 	other.Number, other.System = other.Number+1, "elsewhere-1"
-	other.Order = []Seat{{Member{ID: "elsewhere-1", Name: "elsewhere", Addr: "x"}, "x/1"}}
-	other.Voters = []Member{other.Order[0].Member}
+	other.Replicas = []Replica{{Member{ID: "elsewhere-1", Name: "elsewhere", Addr: "x"}, "x/1"}}
+	other.Voters = []Member{other.Replicas[0].Member}
 	from := other.Voters[0]
-	late := n.View().Order[0]
+	late := n.View().Replicas[0]
 	return map[string]Msg{
-		"a hello with a newer view":      {From: from, Incarnation: "x/1", Hello: &Hello{Me: from, Incarnation: "x/1", Phase: Serving, View: other}},
-		"a hello with the same number":   {From: from, Incarnation: "x/1", Hello: &Hello{Me: from, Incarnation: "x/1", Phase: Outside, View: View{Number: n.View().Number, System: "elsewhere-1"}, CopyIndex: 1}},
-		"a hello that has accepted":      {From: from, Incarnation: "x/1", Hello: &Hello{Me: from, Incarnation: "x/1", Accepted: &Accepted{View: other}}},
-		"an accept":                      {From: from, Incarnation: "x/1", Accept: &Accept{Number: other.Number, Ballot: Ballot{Round: 99, By: from.ID}, View: other}},
-		"a promise of something decided": {From: from, Incarnation: "x/1", Promise: &Promise{Number: other.Number, OK: true, Accepted: &Accepted{View: other}}},
-		"a hello of a later version":     {Form: MessageForm + 1, From: late.Member, Incarnation: "later", Hello: &Hello{Me: late.Member, Incarnation: "later", View: View{Number: 99, Voters: other.Voters}}},
-		"an entry of a later version":    {Form: MessageForm + 1, From: late.Member, Incarnation: late.Incarnation, Forward: &Forward{View: n.View().Number, Entries: []Entry{{Index: n.Last() + 1}}}},
-		"an order of a later version":    {Form: MessageForm + 1, From: late.Member, Incarnation: late.Incarnation, Submit: &statemachine.Change{ID: "later"}},
+		"a hello with a newer view":      {From: from, Incarnation: "x/1", Hello: &Hello{Member: from, Incarnation: "x/1", Phase: PhaseServing, View: other}},
+		"a hello with the same number":   {From: from, Incarnation: "x/1", Hello: &Hello{Member: from, Incarnation: "x/1", Phase: PhaseStandby, View: View{Number: n.View().Number, System: "elsewhere-1"}, SnapshotIndex: 1}},
+		"a hello that has accepted":      {From: from, Incarnation: "x/1", Hello: &Hello{Member: from, Incarnation: "x/1", AcceptedProposal: &AcceptedProposal{View: other}}},
+		"an accept":                      {From: from, Incarnation: "x/1", Accept: &Accept{Number: other.Number, Ballot: Ballot{Round: 99, Proposer: from.ID}, View: other}},
+		"a promise of something decided": {From: from, Incarnation: "x/1", Promise: &Promise{Number: other.Number, OK: true, AcceptedProposal: &AcceptedProposal{View: other}}},
+		"a hello of a later version":     {Version: MessageVersion + 1, From: late.Member, Incarnation: "later", Hello: &Hello{Member: late.Member, Incarnation: "later", View: View{Number: 99, Voters: other.Voters}}},
+		"an entry of a later version":    {Version: MessageVersion + 1, From: late.Member, Incarnation: late.Incarnation, Forward: &Forward{View: n.View().Number, Entries: []Entry{{Index: n.LastIndex() + 1}}}},
+		"an order of a later version":    {Version: MessageVersion + 1, From: late.Member, Incarnation: late.Incarnation, Submit: &statemachine.Change{ID: "later"}},
 	}
 }
 
 // told is what a message changes in a member.
 func told(n *Node) [6]any {
-	return [6]any{n.View().Number, n.Last(), n.Commit(), n.promised, n.accepted != nil, len(n.peers)}
+	return [6]any{n.View().Number, n.LastIndex(), n.CommitIndex(), n.promisedBallot, n.acceptedProposal != nil, len(n.peers)}
 }
 
 // None of them changes anything, gets an answer, or is served from; each is told of as a typed fault.
@@ -52,7 +52,7 @@
 				}
 			}
 			want := fault.ForeignMember
-			if m.Form > 0 {
+			if m.Version > 0 {
 				want = fault.UnknownFormat
 			}
 			if bad == nil || bad.Code != want || told(s.node) != before {
@@ -78,10 +78,10 @@
 // A chain that was founded before names were kept goes on, and its members read each other.
 func TestAChainWithoutANameGoesOn(t *testing.T) {
 	n := &Node{view: View{Number: 3}}
-	if n.foreign(View{Number: 4, System: "a-1"}) || n.foreign(View{Number: 4}) {
+	if n.isForeign(View{Number: 4, System: "a-1"}) || n.isForeign(View{Number: 4}) {
 		t.Error("a chain without a name takes its own members for foreign")
 	}
-	if named := (&Node{view: View{Number: 3, System: "a-1"}}); named.foreign(View{}) || !named.foreign(View{System: "b-1"}) {
+	if named := (&Node{view: View{Number: 3, System: "a-1"}}); named.isForeign(View{}) || !named.isForeign(View{System: "b-1"}) {
 		t.Error("a fresh member is foreign, or another chain's is not")
 	}
 }
--- a/internal/controlplane/chain/founding.go
+++ b/internal/controlplane/chain/founding.go
@@ -7,31 +7,31 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// mayFound: this control node is one of those that begin a chain together.
-func (n *Node) mayFound() bool {
-	if len(n.opts.Founders) > 0 {
-		return slices.Contains(n.opts.Founders, n.opts.Me.Addr)
+// isFounder: this control node is one of those that begin a chain together.
+func (n *Node) isFounder() bool {
+	if len(n.opts.BootstrapAddrs) > 0 {
+		return slices.Contains(n.opts.BootstrapAddrs, n.opts.Self.Addr)
 	}
-	return n.opts.Founding > 0
+	return n.opts.BootstrapCount > 0
 }
 
-func (n *Node) judgeFounding() {
-	if !n.mayFound() || n.stalled() {
+func (n *Node) maybeProposeFirstView() {
+	if !n.isFounder() || n.diskStalled() {
 		return
 	}
-	n.recordFounders()
-	most := n.opts.Founding
-	if len(n.opts.Founders) > 0 {
-		most = len(n.opts.Founders)
+	n.persistBootstrap()
+	most := n.opts.BootstrapCount
+	if len(n.opts.BootstrapAddrs) > 0 {
+		most = len(n.opts.BootstrapAddrs)
 	}
-	founders := []Member{n.opts.Me}
+	founders := []Member{n.opts.Self}
 	for _, id := range n.peerIDs() {
 		p := n.peers[id]
-		if p.hello.Phase != Fresh || p.hello.View.Number > 0 {
+		if p.hello.Phase != PhaseBootstrap || p.hello.View.Number > 0 {
 			return
 		}
-		if n.Hears(id) && (len(n.opts.Founders) == 0 || slices.Contains(n.opts.Founders, p.hello.Me.Addr)) {
-			founders = append(founders, p.hello.Me)
+		if n.Alive(id) && (len(n.opts.BootstrapAddrs) == 0 || slices.Contains(n.opts.BootstrapAddrs, p.hello.Member.Addr)) {
+			founders = append(founders, p.hello.Member)
 		}
 	}
 	sort.Slice(founders, func(i, j int) bool { return founders[i].ID < founders[j].ID })
@@ -39,35 +39,35 @@
 	if len(founders) != most {
 		return
 	}
-	order := make([]Seat, 0, len(founders))
+	order := make([]Replica, 0, len(founders))
 	for _, f := range founders {
 		incarnation := n.opts.Incarnation
-		if f.ID != n.opts.Me.ID {
+		if f.ID != n.opts.Self.ID {
 			h := n.peers[f.ID].hello
 			if !sameMembers(h.Founders, founders) {
 				return
 			}
 			incarnation = h.Incarnation
 		}
-		order = append(order, Seat{Member: f, Incarnation: incarnation})
+		order = append(order, Replica{Member: f, Incarnation: incarnation})
 	}
 	if len(n.view.Voters) == 0 {
 		n.view = View{Voters: founders}
-		n.compared = true
+		n.votesRecovered = true
 	}
-	if founders[0].ID == n.opts.Me.ID {
-		n.propose(View{Number: 1, Voters: founders, Order: order, System: founders[0].ID})
+	if founders[0].ID == n.opts.Self.ID {
+		n.propose(View{Number: 1, Voters: founders, Replicas: order, System: founders[0].ID})
 	}
 }
 
-// recordFounders puts on the disk who begins the chain together, so that a process that is killed before there is one
+// persistBootstrap puts on the disk who begins the chain together, so that a process that is killed before there is one
 // still belongs to them when it comes back.
-func (n *Node) recordFounders() {
-	if n.foundersKept || len(n.opts.Founders) == 0 {
+func (n *Node) persistBootstrap() {
+	if n.bootstrapPersisted || len(n.opts.BootstrapAddrs) == 0 {
 		return
 	}
-	n.foundersKept = true
-	n.save([]Record{{Founding: &Founding{Addrs: n.opts.Founders}}}, 0, nil)
+	n.bootstrapPersisted = true
+	n.persist([]Record{{Bootstrap: &Bootstrap{Addrs: n.opts.BootstrapAddrs}}}, 0, nil)
 }
 
 func sameMembers(a, b []Member) bool {
@@ -82,18 +82,18 @@
 	return true
 }
 
-// keepFounders takes up the founders that a promise before the first view was given among. Such a record is written with
+// restoreFounders takes up the founders that a promise before the first view was given among. Such a record is written with
 // each of these promises: what was promised and accepted before it still counts.
-func (n *Node) keepFounders(v View) {
+func (n *Node) restoreFounders(v View) {
 	if n.view.Number == 0 {
 		n.view = v
 	}
 }
 
-// writeFirstEntry begins the log where too few have founded the chain, or are left, for an acknowledgement: the others
+// appendFirstEntry begins the log where too few have founded the chain, or are left, for an acknowledgement: the others
 // need an entry to have a copy of.
-func (n *Node) writeFirstEntry() {
-	if !n.IsHead() || !n.caughtUp || n.lastIndex() > 0 || n.WritesTaken() {
+func (n *Node) appendFirstEntry() {
+	if !n.IsHead() || !n.caughtUp || n.lastIndex() > 0 || n.AcceptsWrites() {
 		return
 	}
 	n.entries = append(n.entries, Entry{Index: 1, View: n.view.Number, Change: statemachine.Change{ID: "founded"}})
--- a/internal/controlplane/chain/founding_test.go
+++ b/internal/controlplane/chain/founding_test.go
@@ -59,15 +59,15 @@
 func TestAnAcceptedFirstViewOutlivesALaterPromise(t *testing.T) {
 	a, b := Member{ID: "a", Addr: "a"}, Member{ID: "b", Addr: "b"}
 	before := View{Voters: []Member{a, b}}
-	next := View{Number: 1, Voters: before.Voters, Order: []Seat{{Member: a}, {Member: b}}}
-	low, high := Ballot{Round: 1, By: "a"}, Ballot{Round: 2, By: "b"}
-	node, err := NewNode(Options{Me: a}, []Record{
-		{View: &before}, {Promised: &low}, {Accepted: &Accepted{Ballot: low, View: next}}, {View: &before}, {Promised: &high},
+	next := View{Number: 1, Voters: before.Voters, Replicas: []Replica{{Member: a}, {Member: b}}}
+	low, high := Ballot{Round: 1, Proposer: "a"}, Ballot{Round: 2, Proposer: "b"}
+	node, err := NewNode(Options{Self: a}, []Record{
+		{View: &before}, {PromisedBallot: &low}, {AcceptedProposal: &AcceptedProposal{Ballot: low, View: next}}, {View: &before}, {PromisedBallot: &high},
 	}, clock.Sec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if node.accepted == nil || node.accepted.Ballot != low || node.promised != high {
-		t.Errorf("accepted %v, promised %v", node.accepted, node.promised)
+	if node.acceptedProposal == nil || node.acceptedProposal.Ballot != low || node.promisedBallot != high {
+		t.Errorf("accepted %v, promised %v", node.acceptedProposal, node.promisedBallot)
 	}
 }
--- a/internal/controlplane/chain/join.go
+++ b/internal/controlplane/chain/join.go
@@ -1,43 +1,43 @@
 package chain
 
-// joiner is a control node that may be seated now, behind a tail that holds the whole log: a member opens by what its
+// nextJoiner is a control node that may be seated now, behind a tail that holds the whole log: a member opens by what its
 // predecessor held as the view began.
-func (n *Node) joiner() (Seat, bool) {
-	if !n.seatCaughtUp(n.view.Tail()) {
-		return Seat{}, false
+func (n *Node) nextJoiner() (Replica, bool) {
+	if !n.isCaughtUp(n.view.Tail()) {
+		return Replica{}, false
 	}
 	for _, id := range n.peerIDs() {
 		p := n.peers[id]
-		if n.view.Seated(id) || !n.Hears(id) || p.hello.Stalled || p.hello.Leaving || p.hello.View.Number != n.view.Number {
+		if n.view.HasReplica(id) || !n.Alive(id) || p.hello.Stalled || p.hello.ShuttingDown || p.hello.View.Number != n.view.Number {
 			continue
 		}
-		if p.hello.Phase != Outside && p.hello.Phase != Waking {
+		if p.hello.Phase != PhaseStandby && p.hello.Phase != PhaseRestarted {
 			continue
 		}
-		if p.hello.CopyIndex == 0 || p.hello.CopyIndex+uint64(n.opts.KeepMost) < n.commit || !n.hearsAll(p.hello) {
+		if p.hello.SnapshotIndex == 0 || p.hello.SnapshotIndex+uint64(n.opts.MaxRetainedEntries) < n.commitIndex || !n.reachesChain(p.hello) {
 			continue
 		}
-		if !n.mayJoin(p.hello.Me) {
+		if !n.canJoin(p.hello.Member) {
 			continue
 		}
-		return Seat{Member: p.hello.Me, Incarnation: p.hello.Incarnation}, true
+		return Replica{Member: p.hello.Member, Incarnation: p.hello.Incarnation}, true
 	}
-	return Seat{}, false
+	return Replica{}, false
 }
 
-func (n *Node) mayJoin(m Member) bool {
-	if n.orderedOut(m.ID) {
+func (n *Node) canJoin(m Member) bool {
+	if n.isBeingRemoved(m.ID) {
 		return false
 	}
-	return n.view.Votes(m.ID) || n.mayStandIn(m) || n.orderedIn(m) || n.opts.SelfMembers
+	return n.view.IsVoter(m.ID) || n.canReplaceVoter(m) || n.isBeingAdded(m) || n.opts.AutoMembership
 }
 
-func (n *Node) hearsAll(h Hello) bool {
+func (n *Node) reachesChain(h Hello) bool {
 	hears := map[string]bool{}
-	for _, id := range h.Hears {
+	for _, id := range h.AlivePeers {
 		hears[id] = true
 	}
-	for _, s := range n.view.Order {
+	for _, s := range n.view.Replicas {
 		if !hears[s.ID] {
 			return false
 		}
@@ -45,29 +45,29 @@
 	return true
 }
 
-// mayStandIn: a control node of a new identity may take the vote of a silent one of the same name.
-func (n *Node) mayStandIn(m Member) bool {
+// canReplaceVoter: a control node of a new identity may take the vote of a silent one of the same name.
+func (n *Node) canReplaceVoter(m Member) bool {
 	for _, v := range n.view.Voters {
-		if n.replacedBy(m) == v.ID && v.ID != m.ID {
+		if n.replacedVoter(m) == v.ID && v.ID != m.ID {
 			return true
 		}
-		if v.Name == m.Name && v.ID != m.ID && !n.view.Seated(v.ID) && !n.hearsFor(v.ID, 3*n.opts.SuspectUs) && n.nowUs-n.viewedUs > n.opts.SuspectUs {
+		if v.Name == m.Name && v.ID != m.ID && !n.view.HasReplica(v.ID) && !n.aliveWithin(v.ID, 3*n.opts.SuspectTimeoutUs) && n.nowUs-n.viewInstalledUs > n.opts.SuspectTimeoutUs {
 			return true
 		}
 	}
 	return false
 }
 
-func (n *Node) hearsFor(id string, spanUs int64) bool {
+func (n *Node) aliveWithin(id string, spanUs int64) bool {
 	p := n.peers[id]
-	return p != nil && n.nowUs-p.heardUs < spanUs
+	return p != nil && n.nowUs-p.lastHelloUs < spanUs
 }
 
-// newVoters changes at most one vote. One that joins in a lost control node's place gets its vote with
+// nextVoters changes at most one vote. One that joins in a lost control node's place gets its vote with
 // its seat: between the two no second control node could be spared.
-func (n *Node) newVoters(order []Seat) (voters []Member, extra int, changed bool) {
+func (n *Node) nextVoters(order []Replica) (voters []Member, extra int, changed bool) {
 	for _, s := range order {
-		if n.view.Votes(s.ID) {
+		if n.view.IsVoter(s.ID) {
 			for i, v := range n.view.Voters {
 				if v.ID == s.ID && v.Addr != s.Addr {
 					voters := append([]Member(nil), n.view.Voters...)
@@ -78,37 +78,37 @@
 			continue
 		}
 		for i, v := range n.view.Voters {
-			if v.Name == s.Name && (!n.view.Seated(v.ID) || n.replacedBy(s.Member) == v.ID) {
+			if v.Name == s.Name && (!n.view.HasReplica(v.ID) || n.replacedVoter(s.Member) == v.ID) {
 				voters := append([]Member(nil), n.view.Voters...)
 				voters[i] = s.Member
 				return voters, 0, true
 			}
 		}
-		if n.orderedIn(s.Member) {
+		if n.isBeingAdded(s.Member) {
 			return append(append([]Member(nil), n.view.Voters...), s.Member), 0, true
 		}
-		if n.opts.SelfMembers {
-			return n.selfVoters(s.Member)
+		if n.opts.AutoMembership {
+			return n.autoVoters(s.Member)
 		}
 	}
 	return nil, 0, false
 }
 
-// selfVoters gives a newcomer the vote of one that is silent for good, or one of its own. A voter that
+// autoVoters gives a newcomer the vote of one that is silent for good, or one of its own. A voter that
 // has fallen silent only now is waited for.
-func (n *Node) selfVoters(m Member) (voters []Member, extra int, changed bool) {
-	if n.nowUs-n.bootUs < 3*n.opts.SuspectUs {
+func (n *Node) autoVoters(m Member) (voters []Member, extra int, changed bool) {
+	if n.nowUs-n.startedUs < 3*n.opts.SuspectTimeoutUs {
 		return nil, 0, false
 	}
 	p := n.peers[m.ID]
-	first := (p != nil && p.hello.First) || (m.ID == n.opts.Me.ID && n.opts.First)
+	first := (p != nil && p.hello.FirstStart) || (m.ID == n.opts.Self.ID && n.opts.FirstStart)
 	waits := false
 	for i, v := range n.view.Voters {
-		if first || (n.view.Seated(v.ID) && !n.memberLeaves(v.ID)) {
+		if first || (n.view.HasReplica(v.ID) && !n.memberShuttingDown(v.ID)) {
 			continue
 		}
-		if !n.memberLeaves(v.ID) && n.hearsFor(v.ID, 3*n.opts.SuspectUs) {
-			waits = waits || !n.Hears(v.ID)
+		if !n.memberShuttingDown(v.ID) && n.aliveWithin(v.ID, 3*n.opts.SuspectTimeoutUs) {
+			waits = waits || !n.Alive(v.ID)
 			continue
 		}
 		voters := append([]Member(nil), n.view.Voters...)
@@ -125,46 +125,46 @@
 	return append(append([]Member(nil), n.view.Voters...), m), extra, true
 }
 
-// silentExtra is a silent voter whose vote may go, as another was taken in beside it.
-func (n *Node) silentExtra() string {
-	if !n.opts.SelfMembers || n.nowUs-n.bootUs < 3*n.opts.SuspectUs || n.view.Extra <= 0 || len(n.view.Voters) <= votersLeast {
+// unreachableExtraVoter is a silent voter whose vote may go, as another was taken in beside it.
+func (n *Node) unreachableExtraVoter() string {
+	if !n.opts.AutoMembership || n.nowUs-n.startedUs < 3*n.opts.SuspectTimeoutUs || n.view.ExtraVoters <= 0 || len(n.view.Voters) <= minVoters {
 		return ""
 	}
 	for _, v := range n.view.Voters {
-		if !n.view.Seated(v.ID) && !n.hearsFor(v.ID, 3*n.opts.SuspectUs) && n.nowUs-n.viewedUs > n.opts.SuspectUs {
+		if !n.view.HasReplica(v.ID) && !n.aliveWithin(v.ID, 3*n.opts.SuspectTimeoutUs) && n.nowUs-n.viewInstalledUs > n.opts.SuspectTimeoutUs {
 			return v.ID
 		}
 	}
 	return ""
 }
 
-// offerCopy is the tail's: it has applied everything that was ever acknowledged.
-func (n *Node) offerCopy() {
-	if !n.Open(n.nowUs) || n.nowUs-n.joinAtUs < 2*n.opts.HelloUs+n.bulkUs() {
+// offerSnapshot is the tail's: it has applied everything that was ever acknowledged.
+func (n *Node) offerSnapshot() {
+	if !n.TailReady(n.nowUs) || n.nowUs-n.snapshotOfferedUs < 2*n.opts.HelloIntervalUs+n.snapshotTransferUs() {
 		return
 	}
 	for _, id := range n.peerIDs() {
 		p := n.peers[id]
-		if n.view.Seated(id) || !n.Hears(id) || p.hello.Phase == Serving || p.hello.Stalled || p.hello.Leaving {
+		if n.view.HasReplica(id) || !n.Alive(id) || p.hello.Phase == PhaseServing || p.hello.Stalled || p.hello.ShuttingDown {
 			continue
 		}
-		seated := n.mayJoin(p.hello.Me)
-		stale := p.hello.CopyIndex == 0 || p.hello.CopyIndex+uint64(n.opts.KeepMost)/2 < n.commit
+		seated := n.canJoin(p.hello.Member)
+		stale := p.hello.SnapshotIndex == 0 || p.hello.SnapshotIndex+uint64(n.opts.MaxRetainedEntries)/2 < n.commitIndex
 		if !seated || !stale || p.hello.View.Number != n.view.Number {
 			continue
 		}
-		n.joinAtUs = n.nowUs
-		n.send(p.hello.Me, Msg{Joining: &Joining{View: n.view.Number, Incarnation: p.hello.Incarnation, Copy: *n.copyNow()}})
+		n.snapshotOfferedUs = n.nowUs
+		n.send(p.hello.Member, Msg{InstallSnapshot: &InstallSnapshot{View: n.view.Number, Incarnation: p.hello.Incarnation, Snapshot: *n.currentSnapshot()}})
 	}
 }
 
-func (n *Node) gotJoining(m Msg, j Joining) {
+func (n *Node) handleInstallSnapshot(m Msg, j InstallSnapshot) {
 	tail := n.view.Tail()
 	if n.serving() || j.View != n.view.Number || j.Incarnation != n.opts.Incarnation || m.From.ID != tail.ID || m.Incarnation != tail.Incarnation {
 		return
 	}
-	if n.phase == Waking {
-		n.phase = Outside
+	if n.phase == PhaseRestarted {
+		n.phase = PhaseStandby
 	}
-	n.takeCopy(j.Copy)
+	n.restoreSnapshot(j.Snapshot)
 }
--- a/internal/controlplane/chain/kept_test.go
+++ b/internal/controlplane/chain/kept_test.go
@@ -15,7 +15,7 @@
 func TestWhatAViewOfTooFewCommitsIsNotAcknowledged(t *testing.T) {
 	for seed := int64(0); seed < 6; seed++ {
 		y := grown(t, seed, 3, 3)
-		order := y.spots[0].node.view.Order
+		order := y.spots[0].node.view.Replicas
 		head, middle, tail := y.at(order[0].Addr), y.at(order[1].Addr), y.at(order[2].Addr)
 		y.stop(tail)
 		y.pass(3 * clock.Sec)
@@ -27,24 +27,24 @@
 		y.step(head, Event{Submit: &statemachine.Change{ID: id, Config: &statemachine.ConfigChange{
 			Base: head.node.state.Revision, Doc: &configuration.Declaration{Name: id},
 		}}})
-		index := head.node.Last()
+		index := head.node.LastIndex()
 		lone := false
-		for endUs := y.nowUs + 6*clock.Sec; y.nowUs < endUs && len(head.node.view.Order) < 2 || !lone && y.nowUs < endUs; y.pass(25 * clock.Ms) {
-			if len(head.node.view.Order) == 1 && head.node.commit >= index {
+		for endUs := y.nowUs + 6*clock.Sec; y.nowUs < endUs && len(head.node.view.Replicas) < 2 || !lone && y.nowUs < endUs; y.pass(25 * clock.Ms) {
+			if len(head.node.view.Replicas) == 1 && head.node.commitIndex >= index {
 				lone = true
-				if head.node.Kept(index) {
+				if head.node.Durable(index) {
 					t.Fatalf("seed %d: a write on one disk counts as kept", seed)
 				}
 			}
 		}
 		if !lone {
-			t.Fatalf("seed %d: the head never was alone with its write: %+v", seed, head.node.view.Order)
+			t.Fatalf("seed %d: the head never was alone with its write: %+v", seed, head.node.view.Replicas)
 		}
 		clear(y.cuts)
 		y.settles(40*clock.Sec, "healed")
 		for _, s := range y.spots {
-			if _, seen := s.node.state.Outcomes[id]; !seen || !s.node.Kept(index) {
-				t.Fatalf("seed %d: %s has it %v, kept %v", seed, s.me.ID, seen, s.node.Kept(index))
+			if _, seen := s.node.state.Outcomes[id]; !seen || !s.node.Durable(index) {
+				t.Fatalf("seed %d: %s has it %v, kept %v", seed, s.me.ID, seen, s.node.Durable(index))
 			}
 		}
 	}
@@ -57,7 +57,7 @@
 			v.Voters = append(v.Voters, Member{ID: fmt.Sprint("m", i), Zone: zone})
 		}
 		for i, zone := range strings.Fields(seated) {
-			v.Order = append(v.Order, Seat{Member: Member{ID: fmt.Sprint("m", i), Zone: zone}})
+			v.Replicas = append(v.Replicas, Replica{Member: Member{ID: fmt.Sprint("m", i), Zone: zone}})
 		}
 		return v
 	}
@@ -78,8 +78,8 @@
 		{4, 1, "a b c", "a b c", false},
 		{1, 1, "a b c", "a", false},
 	} {
-		n := &Node{opts: Options{CopiesLeast: c.copies, ZonesLeast: c.zones}.filled(), view: view(c.voters, c.seated)}
-		if n.WritesTaken() != c.taken {
+		n := &Node{opts: Options{MinReplicas: c.copies, MinZones: c.zones}.withDefaults(), view: view(c.voters, c.seated)}
+		if n.AcceptsWrites() != c.taken {
 			t.Errorf("%d copies in %d zones, voters in %s, seats in %s: taken %v", c.copies, c.zones, c.voters, c.seated, !c.taken)
 		}
 	}
--- a/internal/controlplane/chain/leave.go
+++ b/internal/controlplane/chain/leave.go
@@ -1,79 +1,79 @@
 package chain
 
-// leave begins the end of this process: it tells the others at once, and goes on serving until they have put it
+// becomeShuttingDown begins the end of this process: it tells the others at once, and goes on serving until they have put it
 // out of the view.
-func (n *Node) leave() {
-	if n.leaving {
+func (n *Node) becomeShuttingDown() {
+	if n.shuttingDown {
 		return
 	}
-	n.leaving = true
-	n.sayHello()
+	n.shuttingDown = true
+	n.broadcastHello()
 }
 
-// leaves says that the process of this seat has been told to end.
-func (n *Node) leaves(s Seat) bool {
-	if s.ID == n.opts.Me.ID {
-		return n.leaving && s.Incarnation == n.opts.Incarnation
+// isShuttingDown says that the process of this seat has been told to end.
+func (n *Node) isShuttingDown(s Replica) bool {
+	if s.ID == n.opts.Self.ID {
+		return n.shuttingDown && s.Incarnation == n.opts.Incarnation
 	}
 	p := n.peers[s.ID]
-	return p != nil && p.hello.Leaving && p.hello.Incarnation == s.Incarnation
+	return p != nil && p.hello.ShuttingDown && p.hello.Incarnation == s.Incarnation
 }
 
-// memberLeaves says that the newest process of this member has been told to end.
-func (n *Node) memberLeaves(id string) bool {
-	if id == n.opts.Me.ID {
-		return n.leaving
+// memberShuttingDown says that the newest process of this member has been told to end.
+func (n *Node) memberShuttingDown(id string) bool {
+	if id == n.opts.Self.ID {
+		return n.shuttingDown
 	}
 	p := n.peers[id]
-	return p != nil && p.hello.Leaving
+	return p != nil && p.hello.ShuttingDown
 }
 
-// withoutLeaving takes the seats of processes that are about to end out of an order, each only where enough
+// withoutShuttingDown takes the seats of processes that are about to end out of an order, each only where enough
 // others hold the whole log without it.
-func (n *Node) withoutLeaving(order []Seat) []Seat {
+func (n *Node) withoutShuttingDown(order []Replica) []Replica {
 	for _, s := range order {
-		if rest := without(order, s.ID); n.leaves(s) && n.enoughHolders(rest) {
+		if rest := withoutReplica(order, s.ID); n.isShuttingDown(s) && n.enoughCaughtUp(rest) {
 			order = rest
 		}
 	}
 	return order
 }
 
-// enoughHolders says that the members of an order that hold the whole log are as many, and in as many zones, as an
+// enoughCaughtUp says that the members of an order that hold the whole log are as many, and in as many zones, as an
 // acknowledgement needs.
-func (n *Node) enoughHolders(order []Seat) bool {
+func (n *Node) enoughCaughtUp(order []Replica) bool {
 	holders := View{Voters: n.view.Voters}
 	for _, s := range order {
-		if n.healthy(s) && n.seatCaughtUp(s) {
-			holders.Order = append(holders.Order, s)
+		if n.isHealthy(s) && n.isCaughtUp(s) {
+			holders.Replicas = append(holders.Replicas, s)
 		}
 	}
-	return len(holders.Order) > 0 && holders.Order[0].ID == order[0].ID && n.takesWrites(holders)
+	return len(holders.Replicas) > 0 && holders.Replicas[0].ID == order[0].ID && n.viewAcceptsWrites(holders)
 }
 
-// Left says that this process may end: it has no seat, its vote is with another control node where there is one that
+// ShutdownComplete says that this process may end: it has no seat, its vote is with another control node where there is one that
 // could take it, and the others know it. Where all others are about to end as well, there is nothing to wait for.
-func (n *Node) Left() bool {
-	if !n.leaving {
+func (n *Node) ShutdownComplete() bool {
+	if !n.shuttingDown {
 		return false
 	}
-	if n.allLeave() {
+	if n.allShuttingDown() {
 		return true
 	}
-	me := n.opts.Me.ID
-	if n.view.Seated(me) || (n.view.Votes(me) && n.opts.SelfMembers && n.voteWanted()) {
+	me := n.opts.Self.ID
+	if n.view.HasReplica(me) || (n.view.IsVoter(me) && n.opts.AutoMembership && n.voteTransferable()) {
 		return false
 	}
-	return n.view.Number == 0 || n.viewKnown()
+	return n.view.Number == 0 || n.viewKnownToQuorum()
 }
 
-// viewKnown: a majority of the voters, and all of them that are heard, have installed the view that this member is
+// viewKnownToQuorum: a majority of the voters, and all of them that are heard, have installed the view that this member is
 // in. As long as only the one that decided it knows it, its loss could leave the others without a majority of the
 // view before.
-func (n *Node) viewKnown() bool {
+func (n *Node) viewKnownToQuorum() bool {
 	know, others := 0, 0
 	for _, v := range n.view.Voters {
-		if v.ID == n.opts.Me.ID {
+		if v.ID == n.opts.Self.ID {
 			continue
 		}
 		others++
@@ -81,50 +81,50 @@
 		switch {
 		case p != nil && p.hello.View.Number >= n.view.Number:
 			know++
-		case n.Hears(v.ID):
+		case n.Alive(v.ID):
 			return false
 		}
 	}
-	return know >= min(n.view.Quorum(), others)
+	return know >= min(n.view.QuorumSize(), others)
 }
 
-// allLeave: every other member of the view has said that it is about to end.
-func (n *Node) allLeave() bool {
-	for _, s := range n.view.Order {
-		if !n.memberLeaves(s.ID) {
+// allShuttingDown: every other member of the view has said that it is about to end.
+func (n *Node) allShuttingDown() bool {
+	for _, s := range n.view.Replicas {
+		if !n.memberShuttingDown(s.ID) {
 			return false
 		}
 	}
 	for _, v := range n.view.Voters {
-		if !n.memberLeaves(v.ID) {
+		if !n.memberShuttingDown(v.ID) {
 			return false
 		}
 	}
 	return true
 }
 
-// voteWanted: a control node without a vote is there that may take this member's, or votes are to spare.
-func (n *Node) voteWanted() bool {
-	if n.view.Extra > 0 && len(n.view.Voters) > votersLeast {
+// voteTransferable: a control node without a vote is there that may take this member's, or votes are to spare.
+func (n *Node) voteTransferable() bool {
+	if n.view.ExtraVoters > 0 && len(n.view.Voters) > minVoters {
 		return true
 	}
 	for _, id := range n.peerIDs() {
-		if n.Hears(id) && !n.view.Votes(id) && !n.memberLeaves(id) {
+		if n.Alive(id) && !n.view.IsVoter(id) && !n.memberShuttingDown(id) {
 			return true
 		}
 	}
 	return false
 }
 
-// departedExtra is a voter that has no seat in an order any more, whose vote may go with the seat as another was
+// departedExtraVoter is a voter that has no seat in an order any more, whose vote may go with the seat as another was
 // taken in beside it: with a vote more than there are machines a further loss could leave no majority.
-func (n *Node) departedExtra(order []Seat) string {
-	if !n.opts.SelfMembers || n.view.Extra <= 0 || len(n.view.Voters) <= votersLeast {
+func (n *Node) departedExtraVoter(order []Replica) string {
+	if !n.opts.AutoMembership || n.view.ExtraVoters <= 0 || len(n.view.Voters) <= minVoters {
 		return ""
 	}
-	seated := View{Order: order}
+	seated := View{Replicas: order}
 	for _, v := range n.view.Voters {
-		if n.view.Seated(v.ID) && !seated.Seated(v.ID) || n.memberLeaves(v.ID) && !seated.Seated(v.ID) {
+		if n.view.HasReplica(v.ID) && !seated.HasReplica(v.ID) || n.memberShuttingDown(v.ID) && !seated.HasReplica(v.ID) {
 			return v.ID
 		}
 	}
--- a/internal/controlplane/chain/leave_test.go
+++ b/internal/controlplane/chain/leave_test.go
@@ -19,7 +19,7 @@
 					var holder *spot
 					others := []*spot{}
 					for _, s := range y.living() {
-						if s.node.place() == place {
+						if s.node.position() == place {
 							holder = s
 						} else {
 							others = append(others, s)
@@ -28,9 +28,9 @@
 					y.takeAway(others[:y.tolerated()], emptied)
 					y.step(holder, Event{Leave: true})
 					waitedUs := int64(0)
-					for ; !holder.node.Left(); waitedUs += yardStepUs {
+					for ; !holder.node.ShutdownComplete(); waitedUs += yardStepUs {
 						if y.pass(yardStepUs); waitedUs > graceUs {
-							t.Fatalf("seed %d: it has not left: %s", seed, holder.node.WaitsFor())
+							t.Fatalf("seed %d: it has not left: %s", seed, holder.node.WaitReason())
 						}
 					}
 					holders := 0
@@ -59,12 +59,12 @@
 		b := newBox()
 		p := b.members[i]
 		b.step(i, Event{Leave: true})
-		for n := 0; n < 12 && !p.node.Left(); n++ {
+		for n := 0; n < 12 && !p.node.ShutdownComplete(); n++ {
 			b.tick()
 			b.settle()
 		}
-		if !p.node.Left() || p.node.view.Seated(p.me.ID) || !p.node.view.Votes(p.me.ID) {
-			t.Fatalf("member %d: left %v, %+v", i, p.node.Left(), p.node.view)
+		if !p.node.ShutdownComplete() || p.node.view.HasReplica(p.me.ID) || !p.node.view.IsVoter(p.me.ID) {
+			t.Fatalf("member %d: left %v, %+v", i, p.node.ShutdownComplete(), p.node.view)
 		}
 		b.crash(i)
 		b.write()
@@ -74,7 +74,7 @@
 		}
 		b.start(i, 0)
 		b.pass(14)
-		if b.judge(); b.broken != "" || !p.node.serving() || len(p.node.view.Order) != 3 {
+		if b.judge(); b.broken != "" || !p.node.serving() || len(p.node.view.Replicas) != 3 {
 			t.Fatalf("member %d: %s, back as %s in %+v", i, b.broken, p.node.phase, p.node.view)
 		}
 	}
@@ -94,8 +94,8 @@
 		}
 		y.pass(clock.Sec / 4)
 		for _, s := range y.spots {
-			if !s.node.Left() {
-				t.Errorf("%d control nodes: %s waits for %s", controlNodes, s.me.ID, s.node.WaitsFor())
+			if !s.node.ShutdownComplete() {
+				t.Errorf("%d control nodes: %s waits for %s", controlNodes, s.me.ID, s.node.WaitReason())
 			}
 		}
 	}
@@ -122,17 +122,17 @@
 			y.pass(clock.Sec)
 			before := y.most
 			y.pass(clock.Sec)
-			if holder.node.Left() || holder.node.WaitsFor() == "" || y.most == before {
-				t.Fatalf("%d control nodes, seed %d: left %v, %d acknowledged in a second, in %+v", controlNodes, seed, holder.node.Left(), y.most-before, holder.node.view)
+			if holder.node.ShutdownComplete() || holder.node.WaitReason() == "" || y.most == before {
+				t.Fatalf("%d control nodes, seed %d: left %v, %d acknowledged in a second, in %+v", controlNodes, seed, holder.node.ShutdownComplete(), y.most-before, holder.node.view)
 			}
 			for _, s := range lost {
 				y.start(s, false)
 			}
-			for endUs := y.nowUs + 4*clock.Sec; y.nowUs < endUs && !holder.node.Left(); {
+			for endUs := y.nowUs + 4*clock.Sec; y.nowUs < endUs && !holder.node.ShutdownComplete(); {
 				y.pass(yardStepUs)
 			}
-			if !holder.node.Left() {
-				t.Fatalf("%d control nodes, seed %d: it waits for %s", controlNodes, seed, holder.node.WaitsFor())
+			if !holder.node.ShutdownComplete() {
+				t.Fatalf("%d control nodes, seed %d: it waits for %s", controlNodes, seed, holder.node.WaitReason())
 			}
 			y.terminate(holder)
 			y.pass(clock.Sec)
--- a/internal/controlplane/chain/malformed.go
+++ b/internal/controlplane/chain/malformed.go
@@ -2,40 +2,40 @@
 
 import "petreltide/internal/api/fault"
 
-// numberMost bounds the numbers of views and the rounds of ballots in messages: whatever is taken up can be followed by
+// maxNumber bounds the numbers of views and the rounds of ballots in messages: whatever is taken up can be followed by
 // a higher one. A chain that changes its view a thousand times a second takes longer than a hundred million years.
-const numberMost = 1 << 62
+const maxNumber = 1 << 62
 
-// malformed says what is wrong with a message that no control node sends: what it would have its reader take up could not be
+// validate says what is wrong with a message that no control node sends: what it would have its reader take up could not be
 // followed by anything else, or could not be read again.
-func (m Msg) malformed() *fault.Fault {
+func (m Msg) validate() *fault.Fault {
 	bad := func(field string) *fault.Fault {
 		return fault.New(fault.BadField, field, "a malformed message from %s at %s", m.From.ID, m.From.Addr)
 	}
-	for _, v := range m.views() {
-		if !v.wellFormed() {
+	for _, v := range m.carriedViews() {
+		if !v.isValid() {
 			return bad("view")
 		}
 	}
-	for _, b := range m.ballots() {
-		if b.Round >= numberMost {
+	for _, b := range m.carriedBallots() {
+		if b.Round >= maxNumber {
 			return bad("ballot")
 		}
 	}
-	for _, c := range m.copies() {
+	for _, c := range m.carriedSnapshots() {
 		if c.State == nil || !c.State.WellFormed() {
 			return bad("copy")
 		}
 	}
-	if a := m.Accept; a != nil && (a.View.Number != a.Number || len(a.View.Voters) == 0 || len(a.View.Order) == 0) {
+	if a := m.Accept; a != nil && (a.View.Number != a.Number || len(a.View.Voters) == 0 || len(a.View.Replicas) == 0) {
 		return bad("view")
 	}
 	return nil
 }
 
-// wellFormed: every member has an identity and is named once. A view may be named by its number alone.
-func (v View) wellFormed() bool {
-	if v.Number >= numberMost || v.Extra < 0 {
+// isValid: every member has an identity and is named once. A view may be named by its number alone.
+func (v View) isValid() bool {
+	if v.Number >= maxNumber || v.ExtraVoters < 0 {
 		return false
 	}
 	votes, seats := map[string]bool{}, map[string]bool{}
@@ -45,7 +45,7 @@
 		}
 		votes[m.ID] = true
 	}
-	for _, s := range v.Order {
+	for _, s := range v.Replicas {
 		if s.ID == "" || seats[s.ID] {
 			return false
 		}
@@ -54,20 +54,20 @@
 	return true
 }
 
-// ballots are all that a message would have its reader take up.
-func (m Msg) ballots() (all []Ballot) {
+// carriedBallots are all that a message would have its reader take up.
+func (m Msg) carriedBallots() (all []Ballot) {
 	switch {
 	case m.Hello != nil:
-		all = append(all, m.Hello.Promised)
-		if m.Hello.Accepted != nil {
-			all = append(all, m.Hello.Accepted.Ballot)
+		all = append(all, m.Hello.PromisedBallot)
+		if m.Hello.AcceptedProposal != nil {
+			all = append(all, m.Hello.AcceptedProposal.Ballot)
 		}
 	case m.Prepare != nil:
 		all = append(all, m.Prepare.Ballot)
 	case m.Promise != nil:
-		all = append(all, m.Promise.Promised)
-		if m.Promise.Accepted != nil {
-			all = append(all, m.Promise.Accepted.Ballot)
+		all = append(all, m.Promise.PromisedBallot)
+		if m.Promise.AcceptedProposal != nil {
+			all = append(all, m.Promise.AcceptedProposal.Ballot)
 		}
 	case m.Accept != nil:
 		all = append(all, m.Accept.Ballot)
@@ -75,12 +75,12 @@
 	return all
 }
 
-func (m Msg) copies() (all []Copy) {
-	if m.Joining != nil {
-		all = append(all, m.Joining.Copy)
+func (m Msg) carriedSnapshots() (all []Snapshot) {
+	if m.InstallSnapshot != nil {
+		all = append(all, m.InstallSnapshot.Snapshot)
 	}
-	if m.Forward != nil && m.Forward.Copy != nil {
-		all = append(all, *m.Forward.Copy)
+	if m.Forward != nil && m.Forward.Snapshot != nil {
+		all = append(all, *m.Forward.Snapshot)
 	}
 	return all
 }
--- a/internal/controlplane/chain/malformed_test.go
+++ b/internal/controlplane/chain/malformed_test.go
@@ -16,33 +16,33 @@
 	next.Number++
 	with := func(change func(*View)) View {
 		v := next
-		v.Voters, v.Order = append([]Member(nil), v.Voters...), append([]Seat(nil), v.Order...)
+		v.Voters, v.Replicas = append([]Member(nil), v.Voters...), append([]Replica(nil), v.Replicas...)
 		change(&v)
 		return v
 	}
 	hello := func(v View) *Hello {
-		return &Hello{Me: from.me, Incarnation: from.opts.Incarnation, Phase: Serving, View: v, Compared: true, Whole: true}
+		return &Hello{Member: from.me, Incarnation: from.opts.Incarnation, Phase: PhaseServing, View: v, VotesRecovered: true, CaughtUp: true}
 	}
-	ballot := Ballot{Round: 90, By: from.me.ID}
-	high := Ballot{Round: math.MaxUint64, By: from.me.ID}
+	ballot := Ballot{Round: 90, Proposer: from.me.ID}
+	high := Ballot{Round: math.MaxUint64, Proposer: from.me.ID}
 	accept := func(v View) *Accept { return &Accept{Number: next.Number, Ballot: ballot, View: v} }
 	all := map[string]Msg{
 		"a ballot that nobody can exceed":       {Prepare: &Prepare{Number: next.Number, Ballot: high}},
 		"an accept that nobody can exceed":      {Accept: &Accept{Number: next.Number, Ballot: high, View: next}},
-		"a refusal that nobody can exceed":      {Promise: &Promise{Number: next.Number, Promised: high}},
-		"a promise made that nobody can exceed": {Hello: &Hello{Me: from.me, Incarnation: from.opts.Incarnation, View: n.View(), Promised: high}},
+		"a refusal that nobody can exceed":      {Promise: &Promise{Number: next.Number, PromisedBallot: high}},
+		"a promise made that nobody can exceed": {Hello: &Hello{Member: from.me, Incarnation: from.opts.Incarnation, View: n.View(), PromisedBallot: high}},
 		"an accept of another number":           {Accept: accept(with(func(v *View) { v.Number++ }))},
 		"an accept of a view of nobody":         {Accept: accept(View{Number: next.Number, System: next.System})},
-		"an accept without seats":               {Accept: accept(with(func(v *View) { v.Order = nil }))},
+		"an accept without seats":               {Accept: accept(with(func(v *View) { v.Replicas = nil }))},
 		"an accept with one voter twice":        {Accept: accept(with(func(v *View) { v.Voters[1] = v.Voters[0] }))},
 		"an accept with a nameless voter":       {Accept: accept(with(func(v *View) { v.Voters[1].ID = "" }))},
 		"a hello with the last of all numbers":  {Hello: hello(with(func(v *View) { v.Number = math.MaxUint64 }))},
-		"a hello with one seat twice":           {Hello: hello(with(func(v *View) { v.Order[1] = v.Order[0] }))},
-		"a hello with a nameless seat":          {Hello: hello(with(func(v *View) { v.Order[1].ID = "" }))},
-		"a hello with votes to spare below 0":   {Hello: hello(with(func(v *View) { v.Extra = -1 }))},
-		"a copy of nothing":                     {Forward: &Forward{View: n.view.Number, Copy: &Copy{Index: n.Last() + 9, State: &statemachine.State{}}}},
-		"a copy without a state":                {Joining: &Joining{View: n.view.Number, Incarnation: n.opts.Incarnation}},
-		"a copy with a replica of nothing":      {Forward: &Forward{View: n.view.Number, Copy: &Copy{Index: n.Last() + 9, State: spoiltState()}}},
+		"a hello with one seat twice":           {Hello: hello(with(func(v *View) { v.Replicas[1] = v.Replicas[0] }))},
+		"a hello with a nameless seat":          {Hello: hello(with(func(v *View) { v.Replicas[1].ID = "" }))},
+		"a hello with votes to spare below 0":   {Hello: hello(with(func(v *View) { v.ExtraVoters = -1 }))},
+		"a copy of nothing":                     {Forward: &Forward{View: n.view.Number, Snapshot: &Snapshot{Index: n.LastIndex() + 9, State: &statemachine.State{}}}},
+		"a copy without a state":                {InstallSnapshot: &InstallSnapshot{View: n.view.Number, Incarnation: n.opts.Incarnation}},
+		"a copy with a replica of nothing":      {Forward: &Forward{View: n.view.Number, Snapshot: &Snapshot{Index: n.LastIndex() + 9, State: spoiltState()}}},
 	}
 	for name, m := range all {
 		m.From, m.Incarnation = from.me, from.opts.Incarnation
@@ -93,13 +93,13 @@
 		from := Member{ID: id, Name: id, Addr: id}
 		y.step(head, Event{Got: &Msg{From: from, Incarnation: id, Promise: &Promise{Number: want.Number, Ballot: n.proposal.ballot, OK: true}}})
 	}
-	if !n.proposal.asking {
+	if !n.proposal.preparing {
 		t.Fatal("promises of strangers count")
 	}
-	n.proposal.asking, n.proposal.chosen = false, want
+	n.proposal.preparing, n.proposal.chosen = false, want
 	for _, id := range []string{"x", "y", "z"} {
 		from := Member{ID: id, Name: id, Addr: id}
-		y.step(head, Event{Got: &Msg{From: from, Incarnation: id, Accepting: &Accepting{Number: want.Number, Ballot: Ballot{Round: n.round, By: head.me.ID}, OK: true}}})
+		y.step(head, Event{Got: &Msg{From: from, Incarnation: id, Accepted: &Accepted{Number: want.Number, Ballot: Ballot{Round: n.maxRound, Proposer: head.me.ID}, OK: true}}})
 	}
 	if n.View().Number != before {
 		t.Fatal("acceptances of strangers count")
--- a/internal/controlplane/chain/member.go
+++ b/internal/controlplane/chain/member.go
@@ -5,27 +5,27 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// votersLeast: with fewer, the loss of one would stop the chain.
-const votersLeast = 3
+// minVoters: with fewer, the loss of one would stop the chain.
+const minVoters = 3
 
-func (n *Node) order(act statemachine.MembershipAction) *statemachine.MembershipChange {
+func (n *Node) memberChange(act statemachine.MembershipAction) *statemachine.MembershipChange {
 	if m := n.state.Membership; m != nil && m.Action == act {
 		return m
 	}
 	return nil
 }
 
-// replacedBy is the identity whose vote a newcomer of the same name is ordered to take.
-func (n *Node) replacedBy(m Member) string {
-	if o := n.order(statemachine.ReplaceMember); o != nil && o.Name == m.Name && o.ID != m.ID {
+// replacedVoter is the identity whose vote a newcomer of the same name is ordered to take.
+func (n *Node) replacedVoter(m Member) string {
+	if o := n.memberChange(statemachine.ReplaceMember); o != nil && o.Name == m.Name && o.ID != m.ID {
 		return o.ID
 	}
 	return ""
 }
 
-// orderedIn: the operators ordered a control node of this name to be taken in, and none of it votes yet.
-func (n *Node) orderedIn(m Member) bool {
-	if o := n.order(statemachine.AddMember); o == nil || o.Name != m.Name {
+// isBeingAdded: the operators ordered a control node of this name to be taken in, and none of it votes yet.
+func (n *Node) isBeingAdded(m Member) bool {
+	if o := n.memberChange(statemachine.AddMember); o == nil || o.Name != m.Name {
 		return false
 	}
 	for _, v := range n.view.Voters {
@@ -36,75 +36,75 @@
 	return true
 }
 
-// orderedOut: an identity that is ordered out gets no seat again.
-func (n *Node) orderedOut(id string) bool {
-	o := n.order(statemachine.RemoveMember)
+// isBeingRemoved: an identity that is ordered out gets no seat again.
+func (n *Node) isBeingRemoved(id string) bool {
+	o := n.memberChange(statemachine.RemoveMember)
 	return o != nil && o.ID == id
 }
 
-// mayRemove: the one ordered out can go without leaving too few votes or too few copies.
-func (n *Node) mayRemove() bool {
-	o := n.order(statemachine.RemoveMember)
-	if o == nil || (!n.view.Votes(o.ID) && !n.view.Seated(o.ID)) {
+// canRemoveMember: the one ordered out can go without leaving too few votes or too few copies.
+func (n *Node) canRemoveMember() bool {
+	o := n.memberChange(statemachine.RemoveMember)
+	if o == nil || (!n.view.IsVoter(o.ID) && !n.view.HasReplica(o.ID)) {
 		return false
 	}
-	if n.view.Votes(o.ID) && len(n.view.Voters) <= votersLeast {
+	if n.view.IsVoter(o.ID) && len(n.view.Voters) <= minVoters {
 		return false
 	}
 	holders := 0
-	for _, s := range n.view.Order {
-		if s.ID != o.ID && n.healthy(s) && !n.leaves(s) && n.seatCaughtUp(s) {
+	for _, s := range n.view.Replicas {
+		if s.ID != o.ID && n.isHealthy(s) && !n.isShuttingDown(s) && n.isCaughtUp(s) {
 			holders++
 		}
 	}
-	return holders >= 2 && n.firstWithout(o.ID)
+	return holders >= 2 && n.caughtUpHeadWithout(o.ID)
 }
 
-// firstWithout: a member that has everything comes first also once this one is gone.
-func (n *Node) firstWithout(id string) bool {
-	order := without(n.view.Order, id)
-	return len(order) > 0 && n.seatCaughtUp(order[0])
+// caughtUpHeadWithout: a member that has everything comes first also once this one is gone.
+func (n *Node) caughtUpHeadWithout(id string) bool {
+	order := withoutReplica(n.view.Replicas, id)
+	return len(order) > 0 && n.isCaughtUp(order[0])
 }
 
-// MemberCarried says that the order about members that stands is carried out in this view.
-func (n *Node) MemberCarried() bool {
+// MemberChangeDone says that the order about members that stands is carried out in this view.
+func (n *Node) MemberChangeDone() bool {
 	o := n.state.Membership
 	if o == nil || !n.serving() {
 		return false
 	}
 	named := false
 	for _, v := range n.view.Voters {
-		named = named || (v.Name == o.Name && v.ID != o.ID && n.view.Seated(v.ID))
+		named = named || (v.Name == o.Name && v.ID != o.ID && n.view.HasReplica(v.ID))
 	}
 	switch o.Action {
 	case statemachine.AddMember, statemachine.ReplaceMember:
-		return named && !n.view.Votes(o.ID)
+		return named && !n.view.IsVoter(o.ID)
 	}
-	return !n.view.Votes(o.ID) && !n.view.Seated(o.ID)
+	return !n.view.IsVoter(o.ID) && !n.view.HasReplica(o.ID)
 }
 
-// MemberWaits says, in words, what the order about members waits for.
-func (n *Node) MemberWaits() string {
+// MemberChangeWaitReason says, in words, what the order about members waits for.
+func (n *Node) MemberChangeWaitReason() string {
 	o := n.state.Membership
 	switch {
-	case o == nil || n.MemberCarried():
+	case o == nil || n.MemberChangeDone():
 		return ""
 	case o.Action == statemachine.AddMember:
 		return "an empty office named " + o.Name + " that holds a copy and hears every member"
 	case o.Action == statemachine.ReplaceMember:
 		return "an empty office named " + o.Name + ", beside or in place of " + o.ID + ", that holds a copy and hears every member"
-	case len(n.view.Voters) <= votersLeast:
+	case len(n.view.Voters) <= minVoters:
 		return "another vote: without " + o.ID + " fewer than three would be left"
 	}
 	return "two other members that hold the whole log"
 }
 
-// FitMember finds the identity an order is about, or the reason for which it must not be taken.
-func (n *Node) FitMember(m *statemachine.MembershipChange, evenAlive bool) *fault.Fault {
+// ResolveMemberChange finds the identity an order is about, or the reason for which it must not be taken.
+func (n *Node) ResolveMemberChange(m *statemachine.MembershipChange, evenAlive bool) *fault.Fault {
 	unfit := func(format string, args ...any) *fault.Fault {
 		return fault.New(fault.MembershipMismatch, "name", format, args...)
 	}
-	if n.view.Number == 0 || n.phase != Serving {
+	if n.view.Number == 0 || n.phase != PhaseServing {
 		return fault.New(fault.NotServing, "", "this office has no seat now: ask another")
 	}
 	var voter *Member
@@ -133,17 +133,17 @@
 		return fault.New(fault.NotFound, "act", "%q: want add, replace, remove or cancel", m.Action)
 	}
 	if m.Action == statemachine.ReplaceMember {
-		if n.view.Seated(voter.ID) && !evenAlive {
+		if n.view.HasReplica(voter.ID) && !evenAlive {
 			return unfit("%s is alive and has its seat: say --even-alive to replace it all the same", voter.ID)
 		}
 		return nil
 	}
-	if len(n.view.Voters) <= votersLeast {
+	if len(n.view.Voters) <= minVoters {
 		return unfit("fewer than three votes would be left: add an office first")
 	}
 	others := 0
-	for _, s := range n.view.Order {
-		if s.ID != voter.ID && n.healthy(s) && !n.leaves(s) && n.seatCaughtUp(s) {
+	for _, s := range n.view.Replicas {
+		if s.ID != voter.ID && n.isHealthy(s) && !n.isShuttingDown(s) && n.isCaughtUp(s) {
 			others++
 		}
 	}
@@ -153,8 +153,8 @@
 	return nil
 }
 
-func without(order []Seat, id string) []Seat {
-	kept := []Seat{}
+func withoutReplica(order []Replica, id string) []Replica {
+	kept := []Replica{}
 	for _, s := range order {
 		if s.ID != id {
 			kept = append(kept, s)
@@ -163,7 +163,7 @@
 	return kept
 }
 
-func withoutVote(voters []Member, id string) []Member {
+func withoutVoter(voters []Member, id string) []Member {
 	kept := []Member{}
 	for _, v := range voters {
 		if v.ID != id {
--- a/internal/controlplane/chain/node.go
+++ b/internal/controlplane/chain/node.go
@@ -8,160 +8,160 @@
 // peer is what is known of another control node: its last hello, when it came, since when it is heard, and when it last heard
 // this one.
 type peer struct {
-	hello   Hello
-	heardUs int64
-	// heardAwakeUs is the node's awakeUs when it was heard last.
-	heardAwakeUs int64
-	sinceUs      int64
-	// stalledUs is since when its disk stalls, by its hellos.
-	stalledUs int64
-	deafUs    int64
-	// deafAwakeUs is the node's awakeUs when it last heard this one.
-	deafAwakeUs int64
+	hello       Hello
+	lastHelloUs int64
+	// lastHelloAwakeUs is the node's awakeUs when it was heard last.
+	lastHelloAwakeUs int64
+	firstHelloUs     int64
+	// stalledSinceUs is since when its disk stalls, by its hellos.
+	stalledSinceUs int64
+	lastMutualUs   int64
+	// lastMutualAwakeUs is the node's awakeUs when it last heard this one.
+	lastMutualAwakeUs int64
 }
 
 // proposal is an attempt of this member to have the next view decided.
 type proposal struct {
-	number   uint64
-	ballot   Ballot
-	want     View
-	chosen   View
-	promises map[string]*Accepted
-	accepts  map[string]bool
-	asking   bool
-	startUs  int64
-	// judged: it is for what was wrong with members, and is dropped where that is over before anybody accepts it.
-	judged bool
+	viewNumber uint64
+	ballot     Ballot
+	desired    View
+	chosen     View
+	promises   map[string]*AcceptedProposal
+	acceptedBy map[string]bool
+	preparing  bool
+	startedUs  int64
+	// dropIfUnneeded: it is for what was wrong with members, and is dropped where that is over before anybody accepts it.
+	dropIfUnneeded bool
 }
 
 // Node is one control node's part of the chain and of the agreement on its view.
 type Node struct {
 	opts Options
 
-	phase    Phase
-	view     View
-	promised Ballot
-	accepted *Accepted
-	compared bool
-	caughtUp bool
-	// leaving is set once this process has been told to end.
-	leaving bool
+	phase            Phase
+	view             View
+	promisedBallot   Ballot
+	acceptedProposal *AcceptedProposal
+	votesRecovered   bool
+	caughtUp         bool
+	// shuttingDown is set once this process has been told to end.
+	shuttingDown bool
 
-	entries  []Entry
-	base     Copy
-	state    *statemachine.State
-	commit   uint64
-	synced   uint64
-	queued   uint64
-	copyHeld uint64
-	logBytes int64
-	leastLog int64
+	entries           []Entry
+	base              Snapshot
+	state             *statemachine.State
+	commitIndex       uint64
+	syncedIndex       uint64
+	stagedIndex       uint64
+	snapshotIndex     uint64
+	logBytes          int64
+	compactedLogBytes int64
 
-	nowUs      int64
-	bootUs     int64
-	lastUs     int64
-	helloUs    int64
-	beatSentUs int64
-	saveSeq    uint64
-	saving     map[uint64]*saving
-	peers      map[string]*peer
-	learned    map[string]bool
-	founders   []Member
-	// foundersKept says that the addresses of the founders have been handed to the disk.
-	foundersKept bool
-	proposal     *proposal
-	round        uint64
-	quietUs      int64
-	// awakeUs is for how long this process has run, but for times when it stood still: of each at most half of SuspectUs
+	nowUs           int64
+	startedUs       int64
+	lastUs          int64
+	helloSentUs     int64
+	heartbeatSentUs int64
+	persistSeq      uint64
+	pendingWrites   map[uint64]*pendingWrite
+	peers           map[string]*peer
+	knownAddrs      map[string]bool
+	founders        []Member
+	// bootstrapPersisted says that the addresses of the founders have been handed to the disk.
+	bootstrapPersisted bool
+	proposal           *proposal
+	maxRound           uint64
+	viewStableUs       int64
+	// awakeUs is for how long this process has run, but for times when it stood still: of each at most half of SuspectTimeoutUs
 	// counts. Silence is measured by it, as what came meanwhile may be read only after the next tick.
 	awakeUs int64
-	// behindUs is when the own disk was last behind with a sync.
-	behindUs int64
-	held     *Msg
-	// asked is the newest request for a vote that came before this member had compared notes.
-	asked *Msg
-	// guardUs is until when leases may last that were given before this view or by an earlier process of this member.
-	guardUs int64
-	granted grant
-	// openSinceUs is since when a next view that was accepted here waits for somebody to finish it.
-	openSinceUs int64
+	// diskLaggedUs is when the own disk was last behind with a sync.
+	diskLaggedUs  int64
+	pendingAccept *Msg
+	// pendingPrepare is the newest request for a vote that came before this member had compared notes.
+	pendingPrepare *Msg
+	// leaseGuardUs is until when leases may last that were given before this view or by an earlier process of this member.
+	leaseGuardUs int64
+	grantedLease leaseGrant
+	// undecidedSinceUs is since when a next view that was accepted here waits for somebody to finish it.
+	undecidedSinceUs int64
 
-	succLast   uint64
-	succSent   uint64
-	succCopied uint64
-	succAtUs   int64
-	succKnown  bool
-	openAt     uint64
-	openKnown  bool
-	leases     map[string]int64
-	leaseUs    int64
-	// releasedUs is when this process last gave its lease up as the tail.
-	releasedUs int64
-	echoUs     int64
-	tailEchoUs int64
-	// passed are the head's time stamps that went by here of late, and echoedUs is when the one whose echo is the
+	succLast       uint64
+	succSent       uint64
+	succCopied     uint64
+	succAtUs       int64
+	succKnown      bool
+	viewStartIndex uint64
+	viewStartKnown bool
+	leaseGrants    map[string]int64
+	leaseUntilUs   int64
+	// leaseReleasedUs is when this process last gave its lease up as the tail.
+	leaseReleasedUs     int64
+	headTimeUs          int64
+	confirmedHeadTimeUs int64
+	// headTimes are the head's time stamps that went by here of late, and confirmedUs is when the one whose echo is the
 	// newest did: the tail had its lease after that.
-	passed   []passedStamp
-	echoedUs int64
-	// tailCommit is what the tail of this view has told of its commit.
-	tailCommit  uint64
-	viewedUs    int64
-	joinAtUs    int64
-	settledOnce bool
-	settleAt    uint64
-	effects     []Effect
+	headTimes   []headTime
+	confirmedUs int64
+	// tailCommitIndex is what the tail of this view has told of its commit.
+	tailCommitIndex   uint64
+	viewInstalledUs   int64
+	snapshotOfferedUs int64
+	initialized       bool
+	initialIndex      uint64
+	effects           []Effect
 }
 
 // NewNode begins with what the disk holds.
 func NewNode(opts Options, records []Record, nowUs int64) (*Node, error) {
 	n := &Node{
-		opts: opts.filled(), phase: Fresh, state: statemachine.NewState(), nowUs: nowUs, bootUs: nowUs, lastUs: nowUs,
-		saving: map[uint64]*saving{}, peers: map[string]*peer{}, learned: map[string]bool{}, leases: map[string]int64{},
+		opts: opts.withDefaults(), phase: PhaseBootstrap, state: statemachine.NewState(), nowUs: nowUs, startedUs: nowUs, lastUs: nowUs,
+		pendingWrites: map[uint64]*pendingWrite{}, peers: map[string]*peer{}, knownAddrs: map[string]bool{}, leaseGrants: map[string]int64{},
 	}
-	n.guardUs = nowUs + n.opts.LeaseUs
+	n.leaseGuardUs = nowUs + n.opts.LeaseDurationUs
 	for _, r := range records {
 		switch {
-		case r.Founding != nil:
-			n.opts.Founders, n.foundersKept = r.Founding.Addrs, true
+		case r.Bootstrap != nil:
+			n.opts.BootstrapAddrs, n.bootstrapPersisted = r.Bootstrap.Addrs, true
 		case r.View != nil && r.View.Number == 0:
-			n.keepFounders(*r.View)
+			n.restoreFounders(*r.View)
 		case r.View != nil:
 			if r.View.Number >= n.view.Number {
-				n.view, n.promised, n.accepted, n.caughtUp = *r.View, Ballot{}, nil, false
+				n.view, n.promisedBallot, n.acceptedProposal, n.caughtUp = *r.View, Ballot{}, nil, false
 			}
-		case r.Promised != nil:
-			n.promised = *r.Promised
-		case r.Accepted != nil:
-			n.accepted = r.Accepted
-			if n.promised.Less(r.Accepted.Ballot) {
-				n.promised = r.Accepted.Ballot
+		case r.PromisedBallot != nil:
+			n.promisedBallot = *r.PromisedBallot
+		case r.AcceptedProposal != nil:
+			n.acceptedProposal = r.AcceptedProposal
+			if n.promisedBallot.Less(r.AcceptedProposal.Ballot) {
+				n.promisedBallot = r.AcceptedProposal.Ballot
 			}
-		case r.Copy != nil:
-			if r.Copy.State == nil {
-				return nil, fault.New(fault.DamagedData, "copy", "the copy at %d holds no state", r.Copy.Index)
+		case r.Snapshot != nil:
+			if r.Snapshot.State == nil {
+				return nil, fault.New(fault.DamagedData, "copy", "the copy at %d holds no state", r.Snapshot.Index)
 			}
-			n.base = Copy{Index: r.Copy.Index, View: r.Copy.View}
+			n.base = Snapshot{Index: r.Snapshot.Index, View: r.Snapshot.View}
 			n.entries = nil
-			n.state, n.commit, n.caughtUp = r.Copy.State.Snapshot(), r.Copy.Index, false
-		case r.Whole != 0:
-			n.caughtUp = r.Whole == n.view.Number
+			n.state, n.commitIndex, n.caughtUp = r.Snapshot.State.Snapshot(), r.Snapshot.Index, false
+		case r.CaughtUpView != 0:
+			n.caughtUp = r.CaughtUpView == n.view.Number
 		case r.Entry != nil:
-			n.keepEntry(*r.Entry)
+			n.replayEntry(*r.Entry)
 		}
 	}
 	if n.view.Number > 0 {
-		n.phase = Waking
-	} else if n.foundersKept {
-		n.opts.First = true
+		n.phase = PhaseRestarted
+	} else if n.bootstrapPersisted {
+		n.opts.FirstStart = true
 	}
-	n.compared = n.view.Number == 0 && len(n.view.Voters) > 0
+	n.votesRecovered = n.view.Number == 0 && len(n.view.Voters) > 0
 	n.caughtUp = n.caughtUp || (n.view.Number == 0 && n.lastIndex() == 0)
-	n.synced, n.queued = n.lastIndex(), n.lastIndex()
-	n.round = n.promised.Round
-	n.saveSeq = OpeningSave
+	n.syncedIndex, n.stagedIndex = n.lastIndex(), n.lastIndex()
+	n.maxRound = n.promisedBallot.Round
+	n.persistSeq = OpeningPersistSeq
 	if n.opts.Unsynced {
-		n.saving[OpeningSave] = &saving{startUs: nowUs, upto: n.lastIndex(), refused: true}
-		n.synced = 0
+		n.pendingWrites[OpeningPersistSeq] = &pendingWrite{startedUs: nowUs, entryIndex: n.lastIndex(), refused: true}
+		n.syncedIndex = 0
 	}
 	return n, nil
 }
@@ -171,46 +171,46 @@
 	n.effects = nil
 	gapUs := ev.NowUs - n.nowUs
 	n.nowUs = ev.NowUs
-	n.awakeUs += min(gapUs, n.opts.SuspectUs/2)
-	if gapUs > n.opts.SuspectUs {
-		n.dropLeases()
+	n.awakeUs += min(gapUs, n.opts.SuspectTimeoutUs/2)
+	if gapUs > n.opts.SuspectTimeoutUs {
+		n.forgetLeases()
 	}
 	switch {
 	case ev.Got != nil:
-		n.got(*ev.Got)
+		n.handleMessage(*ev.Got)
 	case ev.Saved != 0:
-		n.saved(ev.Saved, ev.LogBytes)
+		n.handlePersisted(ev.Saved, ev.LogBytes)
 	case ev.Refused != 0:
-		n.refused(ev.Refused)
+		n.handlePersistRefused(ev.Refused)
 	case ev.Submit != nil:
-		n.submit(*ev.Submit)
+		n.handleSubmit(*ev.Submit)
 	case ev.Learn != nil:
 		for _, addr := range ev.Learn {
-			n.learned[addr] = true
+			n.knownAddrs[addr] = true
 		}
 	case ev.Leave:
-		n.leave()
+		n.becomeShuttingDown()
 	default:
 		n.tick()
 	}
-	n.flush()
-	n.settledOnce = n.Settled()
+	n.persistEntries()
+	n.initialized = n.Initialized()
 	return n.effects
 }
 
-// dropLeases is for a process that has stood still: it cannot tell how long its leases last.
-func (n *Node) dropLeases() {
-	n.leaseUs, n.tailEchoUs, n.echoedUs, n.passed = 0, 0, 0, nil
-	n.leases = map[string]int64{}
+// forgetLeases is for a process that has stood still: it cannot tell how long its leases last.
+func (n *Node) forgetLeases() {
+	n.leaseUntilUs, n.confirmedHeadTimeUs, n.confirmedUs, n.headTimes = 0, 0, 0, nil
+	n.leaseGrants = map[string]int64{}
 	for _, p := range n.peers {
-		p.heardUs = max(p.heardUs, n.nowUs-n.opts.SuspectUs/2)
+		p.lastHelloUs = max(p.lastHelloUs, n.nowUs-n.opts.SuspectTimeoutUs/2)
 	}
 }
 
 func (n *Node) send(to Member, m Msg) {
-	m.From, m.Incarnation, m.ToID = n.opts.Me, n.opts.Incarnation, to.ID
-	if to.ID == n.opts.Me.ID {
-		n.got(m)
+	m.From, m.Incarnation, m.ToID = n.opts.Self, n.opts.Incarnation, to.ID
+	if to.ID == n.opts.Self.ID {
+		n.handleMessage(m)
 		return
 	}
 	n.effects = append(n.effects, Effect{Send: &Send{Addr: n.addressOf(to), Msg: m}})
@@ -219,39 +219,39 @@
 // addressOf is where a member was heard from last in this incarnation, or else the address that is known of it: a view
 // names the address that a member had when it got its seat.
 func (n *Node) addressOf(m Member) string {
-	if p := n.peers[m.ID]; p != nil && m.ID != "" && p.hello.Me.Addr != "" {
-		return p.hello.Me.Addr
+	if p := n.peers[m.ID]; p != nil && m.ID != "" && p.hello.Member.Addr != "" {
+		return p.hello.Member.Addr
 	}
 	return m.Addr
 }
 
-func (n *Node) got(m Msg) {
-	if bad := n.unreadable(m); bad != nil {
+func (n *Node) handleMessage(m Msg) {
+	if bad := n.checkMessage(m); bad != nil {
 		n.effects = append(n.effects, Effect{Rejected: bad})
 		return
 	}
 	switch {
 	case m.Hello != nil:
-		n.gotHello(m, *m.Hello)
+		n.handleHello(m, *m.Hello)
 	case m.Prepare != nil:
-		n.gotPrepare(m, *m.Prepare)
+		n.handlePrepare(m, *m.Prepare)
 	case m.Promise != nil:
-		n.gotPromise(m, *m.Promise)
+		n.handlePromise(m, *m.Promise)
 	case m.Accept != nil:
-		n.gotAccept(m, *m.Accept)
-	case m.Accepting != nil:
-		n.gotAccepting(m, *m.Accepting)
+		n.handleAccept(m, *m.Accept)
+	case m.Accepted != nil:
+		n.handleAccepted(m, *m.Accepted)
 	case m.Forward != nil:
-		n.gotForward(m, *m.Forward)
+		n.handleForward(m, *m.Forward)
 	case m.Ack != nil:
-		n.gotAck(m, *m.Ack)
+		n.handleAck(m, *m.Ack)
 	case m.Lease != nil:
-		n.gotLease(m, *m.Lease)
-	case m.Joining != nil:
-		n.gotJoining(m, *m.Joining)
+		n.handleLease(m, *m.Lease)
+	case m.InstallSnapshot != nil:
+		n.handleInstallSnapshot(m, *m.InstallSnapshot)
 	case m.Submit != nil:
 		if n.IsHead() {
-			n.submit(*m.Submit)
+			n.handleSubmit(*m.Submit)
 		}
 	}
 }
--- a/internal/controlplane/chain/record_test.go
+++ b/internal/controlplane/chain/record_test.go
@@ -17,7 +17,7 @@
 			t.Fatal("nothing was compacted")
 		}
 		for _, r := range s.disk {
-			if r.View == &s.node.view || r.Promised == &s.node.promised {
+			if r.View == &s.node.view || r.PromisedBallot == &s.node.promisedBallot {
 				t.Fatalf("%s: a record on its way to the disk is what the member goes by", s.me.ID)
 			}
 		}
--- a/internal/controlplane/chain/recovery_test.go
+++ b/internal/controlplane/chain/recovery_test.go
@@ -86,7 +86,7 @@
 			stale := 0
 			for endUs := y.nowUs + 4*clock.Sec; y.nowUs < endUs; y.pass(yardStepUs) {
 				for _, s := range y.spots {
-					if s.node.IsHead() && !s.node.HeadFresh(y.nowUs) {
+					if s.node.IsHead() && !s.node.HeadConfirmed(y.nowUs) {
 						stale++
 					}
 				}
--- a/internal/controlplane/chain/refusal_test.go
+++ b/internal/controlplane/chain/refusal_test.go
@@ -27,15 +27,15 @@
 				b.onward()
 			}
 			b.fill(i)
-			if !p.node.stalled() || !p.node.refusing() || p.node.WaitsFor() == "" {
+			if !p.node.diskStalled() || !p.node.diskRefusing() || p.node.WaitReason() == "" {
 				t.Fatal("it does not say that its disk refuses")
 			}
 			kept := len(p.disk)
-			before, index := p.node.promised, p.node.commit
+			before, index := p.node.promisedBallot, p.node.commitIndex
 			b.pass(4)
 			for j, other := range b.members {
-				if j != i && (other.node.view.Seated(id) || !other.node.WritesTaken()) {
-					t.Fatalf("%s has %+v", other.me.ID, other.node.view.Order)
+				if j != i && (other.node.view.HasReplica(id) || !other.node.AcceptsWrites()) {
+					t.Fatalf("%s has %+v", other.me.ID, other.node.view.Replicas)
 				}
 			}
 			b.write()
@@ -43,8 +43,8 @@
 			if len(b.acked) < 2 {
 				t.Fatalf("%d acknowledged while one disk of three is full", len(b.acked))
 			}
-			if len(p.disk) != kept || p.node.commit != index || (before != p.node.promised && p.node.promised != Ballot{}) {
-				t.Fatalf("it has gone on: %d records, commit %d, promised %+v", len(p.disk), p.node.commit, p.node.promised)
+			if len(p.disk) != kept || p.node.commitIndex != index || (before != p.node.promisedBallot && p.node.promisedBallot != Ballot{}) {
+				t.Fatalf("it has gone on: %d records, commit %d, promised %+v", len(p.disk), p.node.commitIndex, p.node.promisedBallot)
 			}
 			p.full = false
 			b.pass(12)
@@ -52,8 +52,8 @@
 			for index := range b.acked {
 				last = max(last, index)
 			}
-			if !p.node.serving() || !p.node.caughtUp || p.node.commit < last || p.node.stalled() {
-				t.Fatalf("it is %s, whole %v, at %d of %d, waits for %q", p.node.phase, p.node.caughtUp, p.node.commit, last, p.node.WaitsFor())
+			if !p.node.serving() || !p.node.caughtUp || p.node.commitIndex < last || p.node.diskStalled() {
+				t.Fatalf("it is %s, whole %v, at %d of %d, waits for %q", p.node.phase, p.node.caughtUp, p.node.commitIndex, last, p.node.WaitReason())
 			}
 			b.judge()
 			if b.broken != "" {
@@ -75,16 +75,16 @@
 		b.start(i, 0)
 	}
 	first := b.members[0]
-	first.node.save([]Record{{Promised: &first.node.promised}}, 0, nil)
-	first.saves = append(first.saves, Save{Seq: first.node.saveSeq, Records: []Record{{Promised: &first.node.promised}}})
+	first.node.persist([]Record{{PromisedBallot: &first.node.promisedBallot}}, 0, nil)
+	first.saves = append(first.saves, Persist{Seq: first.node.persistSeq, Records: []Record{{PromisedBallot: &first.node.promisedBallot}}})
 	b.fill(0)
 	b.pass(12)
 	if b.broken != "" {
 		t.Fatal(b.broken)
 	}
 	head := b.members[1].node.View().Head()
-	if b.members[1].node.Phase() != Serving || head.ID == b.members[0].me.ID {
-		t.Fatalf("phase %s, head %s, waits for %q", b.members[1].node.Phase(), head.ID, b.members[1].node.WaitsFor())
+	if b.members[1].node.Phase() != PhaseServing || head.ID == b.members[0].me.ID {
+		t.Fatalf("phase %s, head %s, waits for %q", b.members[1].node.Phase(), head.ID, b.members[1].node.WaitReason())
 	}
 	b.write()
 	b.settle()
@@ -97,11 +97,11 @@
 func TestAMemberThatOwesMuchPromisesNoMore(t *testing.T) {
 	b := newBox()
 	p := b.members[1]
-	for n := range 10 * savingMost {
+	for n := range 10 * maxPendingWrites {
 		b.step(1, Event{Got: &Msg{From: b.members[0].me, Incarnation: b.members[0].node.opts.Incarnation,
-			Prepare: &Prepare{Number: p.node.view.Number + 1, Ballot: Ballot{Round: uint64(n + 10), By: b.members[0].me.ID}}}})
+			Prepare: &Prepare{Number: p.node.view.Number + 1, Ballot: Ballot{Round: uint64(n + 10), Proposer: b.members[0].me.ID}}}})
 	}
-	if len(p.saves) == 0 || len(p.saves) > savingMost {
+	if len(p.saves) == 0 || len(p.saves) > maxPendingWrites {
 		t.Fatalf("%d saves wait", len(p.saves))
 	}
 }
@@ -110,17 +110,17 @@
 func TestAnOrderSentAgainStandsInTheLogOnce(t *testing.T) {
 	b := newBox()
 	head := b.members[0]
-	before := head.node.Last()
+	before := head.node.LastIndex()
 	for n := range 6 {
 		order := statemachine.Change{ID: fmt.Sprint("order-", n/3), Config: &statemachine.ConfigChange{Doc: &configuration.Declaration{Name: "d"}}}
 		b.step(0, Event{Submit: &order})
 	}
-	if head.node.Last() != before+2 {
-		t.Fatalf("%d entries of two orders", head.node.Last()-before)
+	if head.node.LastIndex() != before+2 {
+		t.Fatalf("%d entries of two orders", head.node.LastIndex()-before)
 	}
 }
 
-// A log that is largeLog is begun anew, and only as many entries stay as are small enough for those behind.
+// A log that is logTooLarge is begun anew, and only as many entries stay as are small enough for those behind.
 func TestEntriesThatStayAreBoundedByBytes(t *testing.T) {
 	b := newBox()
 	for range 10 {
@@ -128,19 +128,19 @@
 		b.settle()
 	}
 	n := b.members[2].node
-	n.opts.LogMost = 12 * entryBytes
-	before, last, commit := len(n.entries), n.Last(), n.Commit()
-	n.logBytes = n.opts.LogMost
+	n.opts.MaxLogBytes = 12 * entryOverheadBytes
+	before, last, commit := len(n.entries), n.LastIndex(), n.CommitIndex()
+	n.logBytes = n.opts.MaxLogBytes
 	n.compact()
-	if before < 10 || len(n.entries) < 1 || len(n.entries) > 3 || n.Last() != last || n.Commit() != commit {
-		t.Fatalf("%d entries of %d stay, last %d of %d", len(n.entries), before, n.Last(), last)
+	if before < 10 || len(n.entries) < 1 || len(n.entries) > 3 || n.LastIndex() != last || n.CommitIndex() != commit {
+		t.Fatalf("%d entries of %d stay, last %d of %d", len(n.entries), before, n.LastIndex(), last)
 	}
-	if got, ok := n.viewAt(n.base.Index); !ok || n.firstKept() != n.base.Index+1 || got != n.base.View {
-		t.Fatalf("it begins at %d on %+v", n.firstKept(), n.base)
+	if got, ok := n.viewAt(n.base.Index); !ok || n.firstIndex() != n.base.Index+1 || got != n.base.View {
+		t.Fatalf("it begins at %d on %+v", n.firstIndex(), n.base)
 	}
-	seq := n.saveSeq
-	n.Step(Event{NowUs: b.nowUs, Saved: seq, LogBytes: n.opts.LogMost})
-	if n.keeping() || n.largeLog() {
+	seq := n.persistSeq
+	n.Step(Event{NowUs: b.nowUs, Saved: seq, LogBytes: n.opts.MaxLogBytes})
+	if n.persistingSnapshot() || n.logTooLarge() {
 		t.Fatal("a log that is no smaller when begun anew is begun anew again and again")
 	}
 }
--- a/internal/controlplane/chain/release_test.go
+++ b/internal/controlplane/chain/release_test.go
@@ -24,13 +24,13 @@
 			t.Run(fmt.Sprintf("seat %d, seed %d", place, seed), func(t *testing.T) {
 				y := pacedYard(t, seed, 3)
 				y.pass(seed * 7 * clock.Ms)
-				s := y.at(y.spots[0].node.View().Order[place].Addr)
+				s := y.at(y.spots[0].node.View().Replicas[place].Addr)
 				y.refuse(s)
 				most := y.most
 				y.pass(400 * clock.Ms)
 				for _, other := range y.spots {
-					if v := other.node.View(); other != s && (v.Seated(s.me.ID) || len(v.Order) != 2) {
-						t.Errorf("%s has %v", other.me.ID, v.Order)
+					if v := other.node.View(); other != s && (v.HasReplica(s.me.ID) || len(v.Replicas) != 2) {
+						t.Errorf("%s has %v", other.me.ID, v.Replicas)
 					}
 				}
 				if y.most <= most {
@@ -78,24 +78,24 @@
 	y.refuse(tail)
 	for endUs := y.nowUs + 3*clock.Sec; y.nowUs < endUs; {
 		y.pass(yardStepUs)
-		if !tail.node.Open(y.nowUs) {
-			t.Fatalf("it is not open: waits for %q", tail.node.WaitsFor())
+		if !tail.node.TailReady(y.nowUs) {
+			t.Fatalf("it is not open: waits for %q", tail.node.WaitReason())
 		}
 	}
 }
 
 // releasedNode is a voter of view 5, whose tail is another, and a way to hand it messages of that tail.
 func releasedNode(t *testing.T, me string) (n *Node, got func(from string, m Msg) []Effect) {
-	seat := func(id string) Seat { return Seat{Member: Member{ID: id, Addr: id}, Incarnation: id + "1"} }
-	v := View{Number: 5, Order: []Seat{seat("a"), seat("b"), seat("c")}}
-	for _, s := range v.Order {
+	seat := func(id string) Replica { return Replica{Member: Member{ID: id, Addr: id}, Incarnation: id + "1"} }
+	v := View{Number: 5, Replicas: []Replica{seat("a"), seat("b"), seat("c")}}
+	for _, s := range v.Replicas {
 		v.Voters = append(v.Voters, s.Member)
 	}
-	n, err := NewNode(Options{Me: seat(me).Member, Incarnation: me + "1"}, []Record{{View: &v}, {Whole: 5}}, clock.Sec)
+	n, err := NewNode(Options{Self: seat(me).Member, Incarnation: me + "1"}, []Record{{View: &v}, {CaughtUpView: 5}}, clock.Sec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.compared = true
+	n.votesRecovered = true
 	nowUs := 4 * clock.Sec
 	return n, func(from string, m Msg) []Effect {
 		nowUs += clock.Ms
@@ -124,10 +124,10 @@
 		for _, m := range c.messages {
 			got(c.from, m)
 		}
-		next := View{Number: 6, Voters: n.view.Voters, Order: n.view.Order[:2]}
-		got("b", Msg{Accept: &Accept{Number: 6, Ballot: Ballot{Round: 1, By: "b"}, View: next}})
-		if (n.accepted != nil) != c.accepts {
-			t.Errorf("%s: accepted %v", name, n.accepted != nil)
+		next := View{Number: 6, Voters: n.view.Voters, Replicas: n.view.Replicas[:2]}
+		got("b", Msg{Accept: &Accept{Number: 6, Ballot: Ballot{Round: 1, Proposer: "b"}, View: next}})
+		if (n.acceptedProposal != nil) != c.accepts {
+			t.Errorf("%s: accepted %v", name, n.acceptedProposal != nil)
 		}
 	}
 }
@@ -138,7 +138,7 @@
 	got("c", Msg{Lease: &Lease{View: 5, SentUs: 10}})
 	got("b", Msg{Lease: &Lease{View: 5, SentUs: 20, Released: true}})
 	got("c", Msg{Lease: &Lease{View: 4, SentUs: 20, Released: true}})
-	if n.granted.untilUs <= n.nowUs {
+	if n.grantedLease.untilUs <= n.nowUs {
 		t.Error("its lease counts as released")
 	}
 }
@@ -147,13 +147,13 @@
 func TestAViewThatWaitsForALeaseIsAcceptedOnceThatIsReleased(t *testing.T) {
 	n, got := releasedNode(t, "a")
 	got("c", Msg{Lease: &Lease{View: 5, SentUs: 10}})
-	next := View{Number: 6, Voters: n.view.Voters, Order: n.view.Order[:2]}
-	got("b", Msg{Accept: &Accept{Number: 6, Ballot: Ballot{Round: 1, By: "b"}, View: next}})
-	if n.accepted != nil || n.held == nil {
+	next := View{Number: 6, Voters: n.view.Voters, Replicas: n.view.Replicas[:2]}
+	got("b", Msg{Accept: &Accept{Number: 6, Ballot: Ballot{Round: 1, Proposer: "b"}, View: next}})
+	if n.acceptedProposal != nil || n.pendingAccept == nil {
 		t.Fatal("it does not wait")
 	}
 	got("c", Msg{Lease: &Lease{View: 5, SentUs: 20, Released: true}})
-	if n.accepted == nil {
+	if n.acceptedProposal == nil {
 		t.Error("it still waits")
 	}
 }
@@ -161,18 +161,18 @@
 // A tail takes up no grant that it asked for before it released its lease.
 func TestAGrantFromBeforeTheReleaseCountsForNothing(t *testing.T) {
 	n, got := releasedNode(t, "c")
-	n.phase = Serving
-	n.releasedUs = 4 * clock.Sec
+	n.phase = PhaseServing
+	n.leaseReleasedUs = 4 * clock.Sec
 	for _, from := range []string{"a", "b"} {
-		got(from, Msg{Lease: &Lease{View: 5, SentUs: 4 * clock.Sec, Given: true}})
+		got(from, Msg{Lease: &Lease{View: 5, SentUs: 4 * clock.Sec, Granted: true}})
 	}
-	if n.leaseUs != 0 {
+	if n.leaseUntilUs != 0 {
 		t.Error("it has a lease")
 	}
 	for _, from := range []string{"a", "b"} {
-		got(from, Msg{Lease: &Lease{View: 5, SentUs: 4*clock.Sec + 1, Given: true}})
+		got(from, Msg{Lease: &Lease{View: 5, SentUs: 4*clock.Sec + 1, Granted: true}})
 	}
-	if n.leaseUs == 0 {
+	if n.leaseUntilUs == 0 {
 		t.Error("it has no lease")
 	}
 }
--- a/internal/controlplane/chain/repair_test.go
+++ b/internal/controlplane/chain/repair_test.go
@@ -35,8 +35,8 @@
 
 // paced are the times that a fleet whose control nodes take each other in goes by.
 func paced(o Options) Options {
-	o.HelloUs, o.BeatUs, o.SuspectUs = 200*clock.Ms, 200*clock.Ms, 800*clock.Ms
-	o.LeaseUs, o.CompareUs, o.GatherUs, o.AskUs = 700*clock.Ms, 900*clock.Ms, 1300*clock.Ms, 200*clock.Ms
+	o.HelloIntervalUs, o.HeartbeatIntervalUs, o.SuspectTimeoutUs = 200*clock.Ms, 200*clock.Ms, 800*clock.Ms
+	o.LeaseDurationUs, o.VoteRecoveryTimeoutUs, o.GatherTimeoutUs, o.PrepareTimeoutUs = 700*clock.Ms, 900*clock.Ms, 1300*clock.Ms, 200*clock.Ms
 	return o
 }
 
@@ -77,7 +77,7 @@
 // terminate tells a process to end, and waits until it has or its grace is over.
 func (y *yard) terminate(s *spot) {
 	y.step(s, Event{Leave: true})
-	for endUs := y.nowUs + graceUs; y.nowUs < endUs && !s.node.Left(); {
+	for endUs := y.nowUs + graceUs; y.nowUs < endUs && !s.node.ShutdownComplete(); {
 		y.pass(yardStepUs)
 	}
 	y.stop(s)
@@ -147,8 +147,8 @@
 func (y *yard) tookOver(s *spot) string {
 	switch n := s.node; {
 	case !n.serving():
-		return fmt.Sprintf("%s has no seat: %s, waits for %q", s.me.ID, n.Phase(), n.WaitsFor())
-	case !n.view.Votes(s.me.ID):
+		return fmt.Sprintf("%s has no seat: %s, waits for %q", s.me.ID, n.Phase(), n.WaitReason())
+	case !n.view.IsVoter(s.me.ID):
 		return fmt.Sprintf("%s has no vote in %v", s.me.ID, n.view.Voters)
 	case !n.caughtUp:
 		return fmt.Sprintf("%s has not the whole log", s.me.ID)
@@ -168,9 +168,9 @@
 	case 0:
 		y.r.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
 	case 1:
-		slices.SortStableFunc(live, func(a, b *spot) int { return cmp.Compare(a.node.place(), b.node.place()) })
+		slices.SortStableFunc(live, func(a, b *spot) int { return cmp.Compare(a.node.position(), b.node.position()) })
 	case 2:
-		slices.SortStableFunc(live, func(a, b *spot) int { return cmp.Compare(b.node.place(), a.node.place()) })
+		slices.SortStableFunc(live, func(a, b *spot) int { return cmp.Compare(b.node.position(), a.node.position()) })
 	case 3:
 		// In the order in which they came; a disk that was emptied counts from then.
 		slices.SortStableFunc(live, func(a, b *spot) int { return cmp.Compare(a.bornUs, b.bornUs) })
--- a/internal/controlplane/chain/replaced_vote_test.go
+++ b/internal/controlplane/chain/replaced_vote_test.go
@@ -33,11 +33,11 @@
 	y = pacedYard(t, seed, 3)
 	spots := map[int]*spot{}
 	for _, s := range y.spots {
-		spots[s.node.place()] = s
+		spots[s.node.position()] = s
 	}
 	head, middle, silent := spots[0], spots[1], spots[2]
 	silent.slow = true
-	if !y.passUntil(5*clock.Sec, func() bool { return !head.node.view.Seated(silent.me.ID) }) {
+	if !y.passUntil(5*clock.Sec, func() bool { return !head.node.view.HasReplica(silent.me.ID) }) {
 		t.Fatalf("seed %d: a member whose disk hangs keeps its seat", seed)
 	}
 	first, second := y.fresh(), y.fresh()
@@ -58,7 +58,7 @@
 	y.apart([]*spot{head}, []*spot{second})
 	split = y.passUntil(5*clock.Sec, func() bool {
 		v := head.node.view
-		return v.Tail().ID == second.me.ID && v.Votes(first.me.ID) && !v.Votes(silent.me.ID) && len(v.Voters) == 3
+		return v.Tail().ID == second.me.ID && v.IsVoter(first.me.ID) && !v.IsVoter(silent.me.ID) && len(v.Voters) == 3
 	})
 	y.cuts = map[[2]string]bool{}
 	y.apart([]*spot{head, first}, []*spot{middle, silent, second})
--- a/internal/controlplane/chain/replicate.go
+++ b/internal/controlplane/chain/replicate.go
@@ -4,52 +4,52 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-func (n *Node) flush() {
-	if n.queued >= n.lastIndex() || n.entrySaving() {
+func (n *Node) persistEntries() {
+	if n.stagedIndex >= n.lastIndex() || n.persistingEntries() {
 		return
 	}
 	var records []Record
 	for i := range n.entries {
-		if n.entries[i].Index > n.queued {
+		if n.entries[i].Index > n.stagedIndex {
 			e := n.entries[i]
 			records = append(records, Record{Entry: &e})
 		}
 	}
-	n.queued = n.lastIndex()
-	n.save(records, n.queued, nil)
+	n.stagedIndex = n.lastIndex()
+	n.persist(records, n.stagedIndex, nil)
 }
 
-func (n *Node) entrySaving() bool {
-	for _, s := range n.saving {
-		if s.upto > 0 {
+func (n *Node) persistingEntries() bool {
+	for _, s := range n.pendingWrites {
+		if s.entryIndex > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func (n *Node) submit(c statemachine.Change) {
+func (n *Node) handleSubmit(c statemachine.Change) {
 	switch {
-	case n.IsHead() && n.stalled():
+	case n.IsHead() && n.diskStalled():
 		n.effects = append(n.effects, Effect{Refused: &Refused{ID: c.ID, Reason: "its own disk: a sync has not come back"}})
-	case n.IsHead() && n.lastIndex()-n.commit >= uint64(n.opts.WaitMost):
+	case n.IsHead() && n.lastIndex()-n.commitIndex >= uint64(n.opts.MaxUncommittedEntries):
 		n.effects = append(n.effects, Effect{Refused: &Refused{ID: c.ID, Reason: "too many writes wait to be committed"}})
-	case n.IsHead() && c.Config != nil && n.waits(c.ID):
-	case n.IsHead() && n.WritesTaken() && (c.Epoch == 0 || c.Claim != nil || c.Epoch >= n.state.Epoch):
+	case n.IsHead() && c.Config != nil && n.isUncommitted(c.ID):
+	case n.IsHead() && n.AcceptsWrites() && (c.Epoch == 0 || c.Claim != nil || c.Epoch >= n.state.Epoch):
 		n.entries = append(n.entries, Entry{Index: n.lastIndex() + 1, View: n.view.Number, Change: c})
 	case n.IsHead():
 		n.effects = append(n.effects, Effect{Refused: &Refused{ID: c.ID, Reason: "not taking this write"}})
-	case n.view.Number > 0 && n.view.Head().ID != n.opts.Me.ID:
+	case n.view.Number > 0 && n.view.Head().ID != n.opts.Self.ID:
 		n.send(n.view.Head().Member, Msg{Submit: &c})
 	default:
 		n.effects = append(n.effects, Effect{Refused: &Refused{ID: c.ID, Reason: "no chain yet"}})
 	}
 }
 
-// waits: this order is in the log already and its outcome is still to come. Orders are large, and are sent
+// isUncommitted: this order is in the log already and its outcome is still to come. Orders are large, and are sent
 // again and again until then.
-func (n *Node) waits(id string) bool {
-	for at := n.lastIndex(); at > n.commit; at-- {
+func (n *Node) isUncommitted(id string) bool {
+	for at := n.lastIndex(); at > n.commitIndex; at-- {
 		if e, ok := n.entryAt(at); ok && e.Change.ID == id {
 			return true
 		}
@@ -57,33 +57,33 @@
 	return false
 }
 
-func (n *Node) successor() (Seat, bool) {
-	at := n.place()
-	if at < 0 || at+1 >= len(n.view.Order) {
-		return Seat{}, false
+func (n *Node) successor() (Replica, bool) {
+	at := n.position()
+	if at < 0 || at+1 >= len(n.view.Replicas) {
+		return Replica{}, false
 	}
-	return n.view.Order[at+1], true
+	return n.view.Replicas[at+1], true
 }
 
-func (n *Node) predecessor() (Seat, bool) {
-	at := n.place()
+func (n *Node) predecessor() (Replica, bool) {
+	at := n.position()
 	if at <= 0 {
-		return Seat{}, false
+		return Replica{}, false
 	}
-	return n.view.Order[at-1], true
+	return n.view.Replicas[at-1], true
 }
 
-func (n *Node) pushOn() {
+func (n *Node) propagate() {
 	if !n.serving() {
 		return
 	}
 	if n.IsTail() {
-		n.commitTo(n.synced)
-		n.ackBack()
+		n.commitTo(n.syncedIndex)
+		n.sendAck()
 		return
 	}
 	n.forward(false)
-	n.ackBack()
+	n.sendAck()
 }
 
 func (n *Node) forward(beat bool) {
@@ -91,25 +91,25 @@
 	if !ok {
 		return
 	}
-	resendUs := n.opts.ResendUs
+	resendUs := n.opts.ResendTimeoutUs
 	if n.succCopied > n.succLast {
-		resendUs += n.bulkUs()
+		resendUs += n.snapshotTransferUs()
 	}
 	if beat && n.succKnown && n.succSent > n.succLast && n.nowUs-n.succAtUs > resendUs {
 		n.succSent = n.succLast
 	}
-	f := Forward{View: n.view.Number, Last: n.lastIndex(), SentUs: n.beatUs()}
+	f := Forward{View: n.view.Number, LastIndex: n.lastIndex(), HeadTimeUs: n.outgoingHeadTimeUs()}
 	if n.succKnown {
-		switch first := n.firstKept(); {
+		switch first := n.firstIndex(); {
 		case n.succSent+1 < first:
-			f.Copy = n.copyNow()
-			f.Prev, f.PrevView = f.Copy.Index, f.Copy.View
-			n.succSent, n.succCopied = f.Copy.Index, f.Copy.Index
+			f.Snapshot = n.currentSnapshot()
+			f.PrevIndex, f.PrevView = f.Snapshot.Index, f.Snapshot.View
+			n.succSent, n.succCopied = f.Snapshot.Index, f.Snapshot.Index
 			n.succAtUs = n.nowUs
-		case n.succSent < n.synced && n.succSent-n.succLast < uint64(4*n.opts.BatchMost):
-			f.Prev = n.succSent
+		case n.succSent < n.syncedIndex && n.succSent-n.succLast < uint64(4*n.opts.MaxBatchEntries):
+			f.PrevIndex = n.succSent
 			f.PrevView, _ = n.viewAt(n.succSent)
-			upto := min(n.synced, n.succSent+uint64(n.opts.BatchMost))
+			upto := min(n.syncedIndex, n.succSent+uint64(n.opts.MaxBatchEntries))
 			for i := n.succSent + 1; i <= upto; i++ {
 				e, _ := n.entryAt(i)
 				f.Entries = append(f.Entries, e)
@@ -120,123 +120,123 @@
 			n.succSent = upto
 		}
 	}
-	if beat || len(f.Entries) > 0 || f.Copy != nil {
+	if beat || len(f.Entries) > 0 || f.Snapshot != nil {
 		n.send(next.Member, Msg{Forward: &f})
 	}
 }
 
-func (n *Node) beatUs() int64 {
+func (n *Node) outgoingHeadTimeUs() int64 {
 	if n.IsHead() {
 		return n.nowUs
 	}
-	return n.echoUs
+	return n.headTimeUs
 }
 
-func (n *Node) ackBack() {
+func (n *Node) sendAck() {
 	prev, ok := n.predecessor()
 	if !ok {
 		return
 	}
-	echoUs := n.tailEchoUs
+	echoUs := n.confirmedHeadTimeUs
 	if n.IsTail() {
 		echoUs = 0
-		if n.nowUs < n.leaseUs {
-			echoUs = n.echoUs
+		if n.nowUs < n.leaseUntilUs {
+			echoUs = n.headTimeUs
 		}
 	}
-	n.send(prev.Member, Msg{Ack: &Ack{View: n.view.Number, Last: n.synced, Commit: n.commit, EchoUs: echoUs}})
+	n.send(prev.Member, Msg{Ack: &Ack{View: n.view.Number, SyncedIndex: n.syncedIndex, CommitIndex: n.commitIndex, ConfirmedHeadTimeUs: echoUs}})
 }
 
-func (n *Node) gotForward(m Msg, f Forward) {
+func (n *Node) handleForward(m Msg, f Forward) {
 	prev, ok := n.predecessor()
 	if !ok || f.View != n.view.Number || m.From.ID != prev.ID || m.Incarnation != prev.Incarnation {
 		return
 	}
-	news := n.passStamp(f.SentUs)
-	if !n.openKnown {
-		n.openKnown, n.openAt = true, f.Last
+	news := n.recordHeadTime(f.HeadTimeUs)
+	if !n.viewStartKnown {
+		n.viewStartKnown, n.viewStartIndex = true, f.LastIndex
 	}
-	n.noteCaughtUp()
-	if f.Copy != nil && f.Copy.Index > n.lastIndex() {
-		n.takeCopy(*f.Copy)
+	n.maybeBecomeCaughtUp()
+	if f.Snapshot != nil && f.Snapshot.Index > n.lastIndex() {
+		n.restoreSnapshot(*f.Snapshot)
 		return
 	}
 	if len(f.Entries) > 0 {
-		view, known := n.viewAt(f.Prev)
+		view, known := n.viewAt(f.PrevIndex)
 		switch {
-		case f.Prev > n.lastIndex():
-		case known && view != f.PrevView && f.Prev > n.commit:
-			n.cutTo(n.commit)
+		case f.PrevIndex > n.lastIndex():
+		case known && view != f.PrevView && f.PrevIndex > n.commitIndex:
+			n.truncateTo(n.commitIndex)
 		default:
 			for _, e := range f.Entries {
-				n.takeEntry(e)
+				n.appendEntry(e)
 			}
 		}
 	}
 	if news {
-		n.passBeatOn()
+		n.relayHeartbeat()
 	}
-	n.ackBack()
+	n.sendAck()
 }
 
-// passBeatOn sends the head's word on to the tail at once, if none went lately: members that came back together beat
+// relayHeartbeat sends the head's word on to the tail at once, if none went lately: members that came back together beat
 // together, and a word that waited for the next beat of each would be too old to count once it is back at the head.
-func (n *Node) passBeatOn() {
-	if n.nowUs-n.beatSentUs >= n.opts.BeatUs/2 {
-		n.beatSentUs = n.nowUs
+func (n *Node) relayHeartbeat() {
+	if n.nowUs-n.heartbeatSentUs >= n.opts.HeartbeatIntervalUs/2 {
+		n.heartbeatSentUs = n.nowUs
 		n.forward(true)
 	}
 }
 
-// beatEveryUs is how long this member waits before it beats by itself. Those after the head beat with its words, and by
+// heartbeatIntervalUs is how long this member waits before it beats by itself. Those after the head beat with its words, and by
 // themselves only where those do not come.
-func (n *Node) beatEveryUs() int64 {
+func (n *Node) heartbeatIntervalUs() int64 {
 	if n.IsHead() {
-		return n.opts.BeatUs
+		return n.opts.HeartbeatIntervalUs
 	}
-	return n.opts.BeatUs + n.opts.BeatUs/2
+	return n.opts.HeartbeatIntervalUs + n.opts.HeartbeatIntervalUs/2
 }
 
-// noteCaughtUp: this member now has all that was in its predecessor's log when the view began, and
+// maybeBecomeCaughtUp: this member now has all that was in its predecessor's log when the view began, and
 // with it everything that was ever acknowledged. Until then it may not speak for the chain.
-func (n *Node) noteCaughtUp() {
-	if n.caughtUp || !n.serving() || !n.openKnown || n.synced < n.openAt {
+func (n *Node) maybeBecomeCaughtUp() {
+	if n.caughtUp || !n.serving() || !n.viewStartKnown || n.syncedIndex < n.viewStartIndex {
 		return
 	}
 	n.caughtUp = true
-	n.save([]Record{{Whole: n.view.Number}}, 0, nil)
+	n.persist([]Record{{CaughtUpView: n.view.Number}}, 0, nil)
 }
 
-func (n *Node) gotAck(m Msg, a Ack) {
+func (n *Node) handleAck(m Msg, a Ack) {
 	next, ok := n.successor()
 	if !ok || a.View != n.view.Number || m.From.ID != next.ID || m.Incarnation != next.Incarnation {
 		return
 	}
-	if a.Last > n.succLast || !n.succKnown {
+	if a.SyncedIndex > n.succLast || !n.succKnown {
 		n.succAtUs = n.nowUs
 	}
 	if !n.succKnown {
-		n.succSent = a.Last
+		n.succSent = a.SyncedIndex
 	}
-	n.succKnown, n.succLast = true, a.Last
-	n.succSent = max(n.succSent, a.Last)
-	n.takeEcho(a.EchoUs)
-	n.tailCommit = max(n.tailCommit, min(a.Commit, n.synced))
-	if a.Commit > n.commit {
-		n.commitTo(min(a.Commit, n.synced))
+	n.succKnown, n.succLast = true, a.SyncedIndex
+	n.succSent = max(n.succSent, a.SyncedIndex)
+	n.confirmHeadTime(a.ConfirmedHeadTimeUs)
+	n.tailCommitIndex = max(n.tailCommitIndex, min(a.CommitIndex, n.syncedIndex))
+	if a.CommitIndex > n.commitIndex {
+		n.commitTo(min(a.CommitIndex, n.syncedIndex))
 	}
 	n.forward(false)
-	n.ackBack()
+	n.sendAck()
 }
 
 func (n *Node) commitTo(index uint64) {
-	for n.commit < index {
-		e, ok := n.entryAt(n.commit + 1)
+	for n.commitIndex < index {
+		e, ok := n.entryAt(n.commitIndex + 1)
 		if !ok {
 			return
 		}
 		out := n.state.Apply(e.Index, e.Change)
-		n.commit = e.Index
+		n.commitIndex = e.Index
 		n.effects = append(n.effects, Effect{Applied: &Applied{Entry: e, Outcome: out}})
 	}
 	n.compact()
--- a/internal/controlplane/chain/self_test.go
+++ b/internal/controlplane/chain/self_test.go
@@ -56,7 +56,7 @@
 
 type synced struct {
 	atUs int64
-	save Save
+	save Persist
 }
 
 type message struct {
@@ -79,12 +79,12 @@
 
 func (y *yard) start(s *spot, first bool) {
 	y.incarnations++
-	s.opts = Options{Me: s.me, Incarnation: fmt.Sprintf("%s/%d", s.me.ID, y.incarnations), SelfMembers: true, CopiesLeast: y.copies, KeepMost: 30}
+	s.opts = Options{Self: s.me, Incarnation: fmt.Sprintf("%s/%d", s.me.ID, y.incarnations), AutoMembership: true, MinReplicas: y.copies, MaxRetainedEntries: 30}
 	if y.paced {
 		s.opts = paced(s.opts)
 	}
 	if first {
-		s.opts.Founders, s.opts.First = y.founder, true
+		s.opts.BootstrapAddrs, s.opts.FirstStart = y.founder, true
 	}
 	if len(s.disk) == 0 {
 		s.bornUs = y.nowUs
@@ -147,12 +147,12 @@
 			if to := y.at(e.Send.Addr); to != nil && to.node != nil && to != s && !y.cut(s.me.Addr, to.me.Addr) {
 				y.post(s.me.Addr, to.me.Addr, e.Send.Msg)
 			}
-		case e.Save != nil:
+		case e.Persist != nil:
 			us := y.nowUs + y.r.Int63n(8*clock.Ms)
 			if n := len(s.saves); n > 0 {
 				us = max(us, s.saves[n-1].atUs)
 			}
-			s.saves = append(s.saves, synced{us, *e.Save})
+			s.saves = append(s.saves, synced{us, *e.Persist})
 		case e.Applied != nil:
 			y.applied(s, *e.Applied)
 		case e.Viewed != nil:
@@ -202,16 +202,16 @@
 	if prior, seen := y.views[v.Number-1]; seen {
 		came, went := 0, 0
 		for _, m := range v.Voters {
-			if !prior.Votes(m.ID) {
+			if !prior.IsVoter(m.ID) {
 				came++
 			}
 		}
 		for _, m := range prior.Voters {
-			if !v.Votes(m.ID) {
+			if !v.IsVoter(m.ID) {
 				went++
 			}
 		}
-		if came > 1 || went > 1 || len(v.Voters) < min(len(y.founder), votersLeast) {
+		if came > 1 || went > 1 || len(v.Voters) < min(len(y.founder), minVoters) {
 			y.broken = fmt.Sprintf("from view %d to %d %d votes came and %d went: %v and %v", prior.Number, v.Number, came, went, prior.Voters, v.Voters)
 		}
 	}
@@ -222,7 +222,7 @@
 	if before, seen := y.acked[a.Entry.Index]; seen && before != id {
 		y.broken = fmt.Sprintf("%s applies %s at %d, where %s was acknowledged", s.me.ID, id, a.Entry.Index, before)
 	}
-	if s.node.IsTail() && s.node.WritesTaken() {
+	if s.node.IsTail() && s.node.AcceptsWrites() {
 		y.acked[a.Entry.Index], y.most = id, max(y.most, a.Entry.Index)
 	}
 }
@@ -252,11 +252,11 @@
 			for len(s.saves) > 0 && s.saves[0].atUs <= y.nowUs && !s.slow {
 				done := s.saves[0].save
 				s.saves = s.saves[1:]
-				if done.Fresh {
+				if done.Compact {
 					s.disk = nil
 				}
-				if done.Copy != nil {
-					s.disk = append(slices.Clip(s.disk), Record{Copy: done.Copy})
+				if done.Snapshot != nil {
+					s.disk = append(slices.Clip(s.disk), Record{Snapshot: done.Snapshot})
 				}
 				s.disk = append(slices.Clip(s.disk), done.Records...)
 				y.step(s, Event{Saved: done.Seq})
@@ -286,14 +286,14 @@
 	open := []string{}
 	for _, s := range y.spots {
 		if s.node != nil {
-			y.most = max(y.most, s.node.keptTo())
+			y.most = max(y.most, s.node.durableIndex())
 		}
 	}
 	for _, s := range y.spots {
-		if s.node != nil && s.node.Open(y.nowUs) {
+		if s.node != nil && s.node.TailReady(y.nowUs) {
 			open = append(open, s.me.ID)
-			if s.node.Commit() < y.most {
-				y.broken = fmt.Sprintf("%s is open at %d, %d was acknowledged", s.me.ID, s.node.Commit(), y.most)
+			if s.node.CommitIndex() < y.most {
+				y.broken = fmt.Sprintf("%s is open at %d, %d was acknowledged", s.me.ID, s.node.CommitIndex(), y.most)
 			}
 		}
 	}
@@ -327,11 +327,11 @@
 		}
 		view = s.node.view
 	}
-	if len(view.Order) != len(y.living()) {
-		return fmt.Sprintf("%d seats for %d offices", len(view.Order), len(y.living()))
+	if len(view.Replicas) != len(y.living()) {
+		return fmt.Sprintf("%d seats for %d offices", len(view.Replicas), len(y.living()))
 	}
 	for _, s := range y.living() {
-		if !view.Votes(s.me.ID) {
+		if !view.IsVoter(s.me.ID) {
 			return fmt.Sprintf("%s has no vote in %v", s.me.ID, view.Voters)
 		}
 	}
@@ -387,7 +387,7 @@
 				if v := y.views[1]; len(v.Voters) != c.founders {
 					t.Errorf("founded by %v", v.Voters)
 				}
-				if last := y.spots[0].node.view; last.Extra != 0 {
+				if last := y.spots[0].node.view; last.ExtraVoters != 0 {
 					t.Errorf("votes of a first start count as extra: %v", last)
 				}
 			}
@@ -417,8 +417,8 @@
 				y.wipe(lost)
 			}
 			y.settles(40*clock.Sec, "a newcomer")
-			if now := y.living()[0].node.view; len(now.Voters) != votes || now.Extra != 0 {
-				t.Fatalf("seed %d: %d votes became %v, extra %d", seed, votes, now.Voters, now.Extra)
+			if now := y.living()[0].node.view; len(now.Voters) != votes || now.ExtraVoters != 0 {
+				t.Fatalf("seed %d: %d votes became %v, extra %d", seed, votes, now.Voters, now.ExtraVoters)
 			}
 		}
 	}
@@ -433,14 +433,14 @@
 		y.spots = append(y.spots, fresh)
 		y.start(fresh, false)
 		y.settles(40*clock.Sec, "one more")
-		if v := fresh.node.view; len(v.Voters) != 4 || v.Extra != 1 {
-			t.Fatalf("seed %d: %v, extra %d", seed, v.Voters, v.Extra)
+		if v := fresh.node.view; len(v.Voters) != 4 || v.ExtraVoters != 1 {
+			t.Fatalf("seed %d: %v, extra %d", seed, v.Voters, v.ExtraVoters)
 		}
 		y.stop(leaves)
 		leaves.gone = true
 		y.settles(40*clock.Sec, "one less")
-		if v := fresh.node.view; len(v.Voters) != 3 || v.Extra != 0 || v.Votes(leaves.me.ID) {
-			t.Fatalf("seed %d: %v, extra %d", seed, v.Voters, v.Extra)
+		if v := fresh.node.view; len(v.Voters) != 3 || v.ExtraVoters != 0 || v.IsVoter(leaves.me.ID) {
+			t.Fatalf("seed %d: %v, extra %d", seed, v.Voters, v.ExtraVoters)
 		}
 	}
 }
--- a/internal/controlplane/chain/stall_test.go
+++ b/internal/controlplane/chain/stall_test.go
@@ -11,7 +11,7 @@
 // stallAll lets no disk come back with a sync for a while, from a moment on when each has one under way. Then they do so
 // one after the other, the first of them at once.
 func (y *yard) stallAll(order []int, spanUs, apartUs int64) {
-	for _, seat := range slices.Backward(y.spots[0].node.View().Order) {
+	for _, seat := range slices.Backward(y.spots[0].node.View().Replicas) {
 		s := y.at(seat.Addr)
 		for len(s.saves) == 0 {
 			y.pass(yardStepUs)
@@ -38,7 +38,7 @@
 				y.pass(2 * clock.Sec)
 				for _, s := range y.spots {
 					if now := s.node.View(); now.Number != number {
-						t.Fatalf("%s is in view %d of %d members, and was in view %d of three", s.me.ID, now.Number, len(now.Order), number)
+						t.Fatalf("%s is in view %d of %d members, and was in view %d of three", s.me.ID, now.Number, len(now.Replicas), number)
 					}
 				}
 				if y.most <= most {
@@ -61,7 +61,7 @@
 				y.pass(2 * clock.Sec)
 				for _, s := range y.spots {
 					if now := s.node.View(); now.Number != number {
-						t.Fatalf("%s is in view %d of %d members, and was in view %d of three", s.me.ID, now.Number, len(now.Order), number)
+						t.Fatalf("%s is in view %d of %d members, and was in view %d of three", s.me.ID, now.Number, len(now.Replicas), number)
 					}
 				}
 			})
@@ -71,7 +71,7 @@
 
 // stallSome stalls all disks while each but one has a sync under way.
 func (y *yard) stallSome(idle int, spanUs int64) {
-	for _, seat := range slices.Backward(y.spots[0].node.View().Order) {
+	for _, seat := range slices.Backward(y.spots[0].node.View().Replicas) {
 		s := y.at(seat.Addr)
 		for (len(s.saves) > 0) == (s == y.spots[idle]) {
 			y.pass(yardStepUs)
@@ -98,8 +98,8 @@
 			y.stallAll(order, 750*clock.Ms, 5*clock.Ms)
 			y.pass(2 * clock.Sec)
 			for _, i := range order {
-				if now := y.spots[i].node.View(); now.Seated(y.spots[stays].me.ID) || len(now.Order) != 2 {
-					t.Fatalf("%s has %v", y.spots[i].me.ID, now.Order)
+				if now := y.spots[i].node.View(); now.HasReplica(y.spots[stays].me.ID) || len(now.Replicas) != 2 {
+					t.Fatalf("%s has %v", y.spots[i].me.ID, now.Replicas)
 				}
 			}
 			most := y.most
--- a/internal/controlplane/chain/standstill_test.go
+++ b/internal/controlplane/chain/standstill_test.go
@@ -24,12 +24,12 @@
 				s := y.spots[member]
 				y.freeze(s, spanUs)
 				if p := s.node.proposal; p != nil {
-					t.Fatalf("it wants %v", p.want.Order)
+					t.Fatalf("it wants %v", p.desired.Replicas)
 				}
 				y.pass(3 * clock.Sec)
 				for _, v := range y.views {
 					for _, other := range y.spots {
-						if other != s && !v.Seated(other.me.ID) {
+						if other != s && !v.HasReplica(other.me.ID) {
 							t.Fatalf("view %d is without %s, which never stood still", v.Number, other.me.ID)
 						}
 					}
@@ -52,8 +52,8 @@
 				y.pass(100 * clock.Ms)
 			}
 			for _, s := range y.spots[:2] {
-				if v := s.node.View(); v.Seated(y.spots[2].me.ID) || len(v.Order) != 2 {
-					t.Errorf("%s has %v", s.me.ID, v.Order)
+				if v := s.node.View(); v.HasReplica(y.spots[2].me.ID) || len(v.Replicas) != 2 {
+					t.Errorf("%s has %v", s.me.ID, v.Replicas)
 				}
 			}
 		})
--- a/internal/controlplane/chain/status.go
+++ b/internal/controlplane/chain/status.go
@@ -9,30 +9,30 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-func (n *Node) place() int { return n.view.Place(n.opts.Me.ID, n.opts.Incarnation) }
+func (n *Node) position() int { return n.view.Position(n.opts.Self.ID, n.opts.Incarnation) }
 
-func (n *Node) serving() bool { return n.phase == Serving && n.place() >= 0 }
+func (n *Node) serving() bool { return n.phase == PhaseServing && n.position() >= 0 }
 
 // IsHead says that this process has the first seat.
-func (n *Node) IsHead() bool { return n.serving() && n.place() == 0 }
+func (n *Node) IsHead() bool { return n.serving() && n.position() == 0 }
 
 // IsTail says that this process has the last seat.
-func (n *Node) IsTail() bool { return n.serving() && n.place() == len(n.view.Order)-1 }
+func (n *Node) IsTail() bool { return n.serving() && n.position() == len(n.view.Replicas)-1 }
 
-// Open says whether this control node may answer as the tail at this moment.
-func (n *Node) Open(nowUs int64) bool {
-	return n.IsTail() && n.openKnown && n.commit >= n.openAt && nowUs < n.leaseUs
+// TailReady says whether this control node may answer as the tail at this moment.
+func (n *Node) TailReady(nowUs int64) bool {
+	return n.IsTail() && n.viewStartKnown && n.commitIndex >= n.viewStartIndex && nowUs < n.leaseUntilUs
 }
 
-// HeadFresh says that this process is the head and the chain has answered it lately; only such a head gives orders.
-func (n *Node) HeadFresh(nowUs int64) bool {
+// HeadConfirmed says that this process is the head and the chain has answered it lately; only such a head gives orders.
+func (n *Node) HeadConfirmed(nowUs int64) bool {
 	if !n.IsHead() {
 		return false
 	}
 	if n.IsTail() {
-		return n.Open(nowUs)
+		return n.TailReady(nowUs)
 	}
-	return n.tailEchoUs > 0 && nowUs < n.tailEchoUs+n.opts.LeaseUs-n.opts.LeaseCutUs
+	return n.confirmedHeadTimeUs > 0 && nowUs < n.confirmedHeadTimeUs+n.opts.LeaseDurationUs-n.opts.LeaseMarginUs
 }
 
 // State is the ledger as far as it is committed here.
@@ -44,87 +44,87 @@
 // Phase is where this process stands towards the chain.
 func (n *Node) Phase() Phase { return n.phase }
 
-// Commit is the index of the last committed entry.
-func (n *Node) Commit() uint64 { return n.commit }
+// CommitIndex is the index of the last committed entry.
+func (n *Node) CommitIndex() uint64 { return n.commitIndex }
 
-// Last is the index of the last entry of the log.
-func (n *Node) Last() uint64 { return n.lastIndex() }
+// LastIndex is the index of the last entry of the log.
+func (n *Node) LastIndex() uint64 { return n.lastIndex() }
 
-// Me is the member that this process is of.
-func (n *Node) Me() Member { return n.opts.Me }
+// Self is the member that this process is of.
+func (n *Node) Self() Member { return n.opts.Self }
 
 // Incarnation names this process among those of its member.
 func (n *Node) Incarnation() string { return n.opts.Incarnation }
 
-// Settled says that the state of this control node is the chain's: it has had a seat in this incarnation and holds
+// Initialized says that the state of this control node is the chain's: it has had a seat in this incarnation and holds
 // all that was committed before it.
-func (n *Node) Settled() bool {
-	if n.settledOnce {
+func (n *Node) Initialized() bool {
+	if n.initialized {
 		return true
 	}
-	return n.serving() && n.caughtUp && (n.openKnown || n.IsHead()) && n.commit >= max(n.openAt, n.settleAt)
+	return n.serving() && n.caughtUp && (n.viewStartKnown || n.IsHead()) && n.commitIndex >= max(n.viewStartIndex, n.initialIndex)
 }
 
-// WritesTaken is false in a view of too few: nothing is acknowledged on fewer copies than a loss may take.
-func (n *Node) WritesTaken() bool { return n.takesWrites(n.view) }
+// AcceptsWrites is false in a view of too few: nothing is acknowledged on fewer copies than a loss may take.
+func (n *Node) AcceptsWrites() bool { return n.viewAcceptsWrites(n.view) }
 
-func (n *Node) takesWrites(v View) bool {
-	if len(v.Order) < n.copiesLeast() {
+func (n *Node) viewAcceptsWrites(v View) bool {
+	if len(v.Replicas) < n.minReplicas() {
 		return false
 	}
-	if n.opts.ZonesLeast < 2 {
+	if n.opts.MinZones < 2 {
 		return true
 	}
 	seated, wanted := map[string]bool{}, map[string]bool{}
-	for _, s := range v.Order {
+	for _, s := range v.Replicas {
 		seated[s.Zone] = true
 	}
 	for _, v := range v.Voters {
 		wanted[v.Zone] = true
 	}
-	return len(seated) >= min(n.opts.ZonesLeast, len(wanted))
+	return len(seated) >= min(n.opts.MinZones, len(wanted))
 }
 
-func (n *Node) copiesLeast() int { return max(n.opts.CopiesLeast, min(2, len(n.view.Voters))) }
+func (n *Node) minReplicas() int { return max(n.opts.MinReplicas, min(2, len(n.view.Voters))) }
 
-// Kept says that every member of a view that takes writes has synced all up to an index: what was committed in
+// Durable says that every member of a view that takes writes has synced all up to an index: what was committed in
 // a view of too few is applied, and must not be acknowledged before.
-func (n *Node) Kept(index uint64) bool { return index <= n.keptTo() }
+func (n *Node) Durable(index uint64) bool { return index <= n.durableIndex() }
 
-func (n *Node) keptTo() uint64 {
+func (n *Node) durableIndex() uint64 {
 	switch {
-	case !n.serving() || !n.WritesTaken():
+	case !n.serving() || !n.AcceptsWrites():
 		return 0
 	case n.IsTail():
-		return min(n.commit, n.synced)
+		return min(n.commitIndex, n.syncedIndex)
 	}
-	return n.tailCommit
+	return n.tailCommitIndex
 }
 
-// Hears says that a member has been heard lately.
-func (n *Node) Hears(id string) bool {
+// Alive says that a member has been heard lately.
+func (n *Node) Alive(id string) bool {
 	p := n.peers[id]
-	return p != nil && n.nowUs-p.heardUs < n.opts.SuspectUs
+	return p != nil && n.nowUs-p.lastHelloUs < n.opts.SuspectTimeoutUs
 }
 
-// PeerNote is what this control node knows of another.
-type PeerNote struct {
-	Member      Member `json:"member"`
-	Phase       Phase  `json:"phase"`
-	Incarnation string `json:"inc"`
-	Last        uint64 `json:"last"`
-	AgoMs       int64  `json:"agoMs"`
-	Sound       bool   `json:"sound"`
+// PeerStatus is what this control node knows of another.
+type PeerStatus struct {
+	Member         Member `json:"member"`
+	Phase          Phase  `json:"phase"`
+	Incarnation    string `json:"inc"`
+	Last           uint64 `json:"last"`
+	LastHelloAgoMs int64  `json:"agoMs"`
+	Alive          bool   `json:"sound"`
 }
 
 // Peers are all other control nodes that were heard in this incarnation.
-func (n *Node) Peers() []PeerNote {
-	notes := []PeerNote{}
+func (n *Node) Peers() []PeerStatus {
+	notes := []PeerStatus{}
 	for _, id := range n.peerIDs() {
 		p := n.peers[id]
-		notes = append(notes, PeerNote{
-			Member: p.hello.Me, Phase: p.hello.Phase, Incarnation: p.hello.Incarnation, Last: p.hello.Last,
-			AgoMs: (n.nowUs - p.heardUs) / 1000, Sound: n.Hears(id),
+		notes = append(notes, PeerStatus{
+			Member: p.hello.Member, Phase: p.hello.Phase, Incarnation: p.hello.Incarnation, Last: p.hello.LastIndex,
+			LastHelloAgoMs: (n.nowUs - p.lastHelloUs) / 1000, Alive: n.Alive(id),
 		})
 	}
 	return notes
@@ -134,32 +134,32 @@
 	return slices.Sorted(maps.Keys(n.peers))
 }
 
-// WaitsFor tells an operator, in words, what this control node is waiting for.
-func (n *Node) WaitsFor() string {
+// WaitReason tells an operator, in words, what this control node is waiting for.
+func (n *Node) WaitReason() string {
 	switch {
-	case n.leaving && !n.Left():
+	case n.shuttingDown && !n.ShutdownComplete():
 		return "other members to take its seat and vote over before it ends"
-	case n.refusing():
+	case n.diskRefusing():
 		return "its own disk: it takes no bytes; the same write is tried again and again"
-	case n.stalled():
+	case n.diskStalled():
 		return "its own disk: a sync has not come back"
-	case n.phase == Fresh && n.opts.Founding > 0:
-		return "founders: it must meet " + strconv.Itoa(n.opts.Founding) + " fresh offices, itself included, and knows " + strconv.Itoa(len(n.founders))
-	case n.phase == Fresh && n.mayFound():
-		return "founders: it must meet the fresh offices at " + strings.Join(n.opts.Founders, ", ") + ", and knows " + strconv.Itoa(len(n.founders))
-	case n.phase == Fresh:
+	case n.phase == PhaseBootstrap && n.opts.BootstrapCount > 0:
+		return "founders: it must meet " + strconv.Itoa(n.opts.BootstrapCount) + " fresh offices, itself included, and knows " + strconv.Itoa(len(n.founders))
+	case n.phase == PhaseBootstrap && n.isFounder():
+		return "founders: it must meet the fresh offices at " + strings.Join(n.opts.BootstrapAddrs, ", ") + ", and knows " + strconv.Itoa(len(n.founders))
+	case n.phase == PhaseBootstrap:
 		return "a chain to join through its seeds"
-	case n.phase == Waking && !n.compared:
+	case n.phase == PhaseRestarted && !n.votesRecovered:
 		return "the other voters, to compare promises and log"
-	case n.phase == Waking:
+	case n.phase == PhaseRestarted:
 		return "the other members of view " + strconv.FormatUint(n.view.Number, 10) + ", or a copy from its tail"
-	case n.phase == Outside:
+	case n.phase == PhaseStandby:
 		return "a copy from the tail and a seat in the next view"
 	case n.serving() && !n.caughtUp:
 		return "the rest of the log from its predecessor"
-	case !n.WritesTaken():
-		return "more members: an acknowledgement needs " + strconv.Itoa(n.copiesLeast()) + " copies"
-	case n.IsTail() && !n.Open(n.nowUs):
+	case !n.AcceptsWrites():
+		return "more members: an acknowledgement needs " + strconv.Itoa(n.minReplicas()) + " copies"
+	case n.IsTail() && !n.TailReady(n.nowUs):
 		return "its lease from a majority of voters"
 	}
 	return ""
--- a/internal/controlplane/chain/unsynced_test.go
+++ b/internal/controlplane/chain/unsynced_test.go
@@ -11,22 +11,22 @@
 // it is the second of three.
 func restartedMember(t *testing.T, unsynced bool) *Node {
 	t.Helper()
-	seats := []Seat{}
+	seats := []Replica{}
 	for _, id := range []string{"a", "b", "c"} {
-		seats = append(seats, Seat{Member: Member{ID: id, Name: id, Addr: id}, Incarnation: id + "/2"})
+		seats = append(seats, Replica{Member: Member{ID: id, Name: id, Addr: id}, Incarnation: id + "/2"})
 	}
 	voters := []Member{seats[0].Member, seats[1].Member, seats[2].Member}
-	old := View{Number: 1, Voters: voters, Order: []Seat{{seats[0].Member, "a/1"}, {seats[1].Member, "b/1"}, {seats[2].Member, "c/1"}}}
-	records := []Record{{View: &old}, {Whole: 1}, {Entry: &Entry{Index: 1, View: 1, Change: statemachine.Change{ID: "first"}}}}
-	n, err := NewNode(Options{Me: seats[1].Member, Incarnation: "b/2", Unsynced: unsynced}, records, clock.Sec)
+	old := View{Number: 1, Voters: voters, Replicas: []Replica{{seats[0].Member, "a/1"}, {seats[1].Member, "b/1"}, {seats[2].Member, "c/1"}}}
+	records := []Record{{View: &old}, {CaughtUpView: 1}, {Entry: &Entry{Index: 1, View: 1, Change: statemachine.Change{ID: "first"}}}}
+	n, err := NewNode(Options{Self: seats[1].Member, Incarnation: "b/2", Unsynced: unsynced}, records, clock.Sec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := View{Number: 2, Voters: voters, Order: seats}
-	head := Hello{Me: seats[0].Member, Incarnation: "a/2", Phase: Serving, View: next, Last: 1, LastView: 1, Whole: true}
-	n.Step(Event{NowUs: clock.Sec + clock.Ms, Got: &Msg{From: head.Me, Incarnation: head.Incarnation, Hello: &head}})
-	if !n.serving() || n.place() != 1 {
-		t.Fatalf("%s at place %d", n.phase, n.place())
+	next := View{Number: 2, Voters: voters, Replicas: seats}
+	head := Hello{Member: seats[0].Member, Incarnation: "a/2", Phase: PhaseServing, View: next, LastIndex: 1, LastView: 1, CaughtUp: true}
+	n.Step(Event{NowUs: clock.Sec + clock.Ms, Got: &Msg{From: head.Member, Incarnation: head.Incarnation, Hello: &head}})
+	if !n.serving() || n.position() != 1 {
+		t.Fatalf("%s at place %d", n.phase, n.position())
 	}
 	return n
 }
@@ -35,7 +35,7 @@
 func acked(n *Node, ev Event) (most uint64) {
 	for _, e := range n.Step(ev) {
 		if e.Send != nil && e.Send.Msg.Ack != nil {
-			most = max(most, e.Send.Msg.Ack.Last)
+			most = max(most, e.Send.Msg.Ack.SyncedIndex)
 		}
 	}
 	return most
@@ -44,15 +44,15 @@
 // What the disk gave back without having synced it is not counted before the disk has: the member says that its disk
 // stands still, reports nothing as synced and takes part in no vote.
 func TestALogThatWasNotSyncedDoesNotCount(t *testing.T) {
-	beat := Event{NowUs: clock.Sec + 30*clock.Ms, Got: &Msg{From: Member{ID: "a", Addr: "a"}, Incarnation: "a/2", Forward: &Forward{View: 2, Last: 1, SentUs: 1}}}
-	if n := restartedMember(t, false); acked(n, beat) != 1 || n.stalled() {
+	beat := Event{NowUs: clock.Sec + 30*clock.Ms, Got: &Msg{From: Member{ID: "a", Addr: "a"}, Incarnation: "a/2", Forward: &Forward{View: 2, LastIndex: 1, HeadTimeUs: 1}}}
+	if n := restartedMember(t, false); acked(n, beat) != 1 || n.diskStalled() {
 		t.Fatal("a synced log does not count")
 	}
 	n := restartedMember(t, true)
-	if last := acked(n, beat); last != 0 || !n.stalled() || !n.refusesVotes() {
-		t.Fatalf("acknowledges %d, stalled %v, mute %v", last, n.stalled(), n.refusesVotes())
+	if last := acked(n, beat); last != 0 || !n.diskStalled() || !n.refusesToVote() {
+		t.Fatalf("acknowledges %d, stalled %v, mute %v", last, n.diskStalled(), n.refusesToVote())
 	}
-	if last := acked(n, Event{NowUs: clock.Sec + 40*clock.Ms, Saved: OpeningSave}); last != 1 || n.stalled() {
-		t.Fatalf("synced it acknowledges %d, stalled %v", last, n.stalled())
+	if last := acked(n, Event{NowUs: clock.Sec + 40*clock.Ms, Saved: OpeningPersistSeq}); last != 1 || n.diskStalled() {
+		t.Fatalf("synced it acknowledges %d, stalled %v", last, n.diskStalled())
 	}
 }
--- a/internal/controlplane/chain/view.go
+++ b/internal/controlplane/chain/view.go
@@ -1,130 +1,130 @@
 package chain
 
 func (n *Node) tick() {
-	if n.behind() {
-		n.behindUs = n.nowUs
+	if n.diskLagging() {
+		n.diskLaggedUs = n.nowUs
 	}
-	if n.nowUs-n.helloUs >= n.opts.HelloUs {
-		n.helloUs = n.nowUs
-		n.sayHello()
+	if n.nowUs-n.helloSentUs >= n.opts.HelloIntervalUs {
+		n.helloSentUs = n.nowUs
+		n.broadcastHello()
 		if n.IsTail() {
-			n.askLease()
+			n.requestLease()
 		}
 	}
-	if n.serving() && n.nowUs-n.beatSentUs >= n.beatEveryUs() {
-		n.beatSentUs = n.nowUs
+	if n.serving() && n.nowUs-n.heartbeatSentUs >= n.heartbeatIntervalUs() {
+		n.heartbeatSentUs = n.nowUs
 		n.forward(true)
-		n.ackBack()
+		n.sendAck()
 	}
-	n.compareNotes()
-	n.retryHeld()
-	n.judge()
-	n.offerCopy()
+	n.maybeRecoverVotes()
+	n.retryPendingAccept()
+	n.maybePropose()
+	n.offerSnapshot()
 }
 
-func (n *Node) healthy(s Seat) bool {
-	if s.ID == n.opts.Me.ID {
-		return s.Incarnation == n.opts.Incarnation && !n.stalled()
+func (n *Node) isHealthy(s Replica) bool {
+	if s.ID == n.opts.Self.ID {
+		return s.Incarnation == n.opts.Incarnation && !n.diskStalled()
 	}
 	p := n.peers[s.ID]
 	if p == nil {
-		return n.nowUs-n.viewedUs < n.opts.SuspectUs
+		return n.nowUs-n.viewInstalledUs < n.opts.SuspectTimeoutUs
 	}
-	if n.awakeUs-p.heardAwakeUs >= n.opts.SuspectUs || p.hello.Incarnation != s.Incarnation || n.stallCounts(p) {
+	if n.awakeUs-p.lastHelloAwakeUs >= n.opts.SuspectTimeoutUs || p.hello.Incarnation != s.Incarnation || n.countsAsStalled(p) {
 		return false
 	}
-	return n.awakeUs-p.deafAwakeUs < 2*n.opts.SuspectUs
+	return n.awakeUs-p.lastMutualAwakeUs < 2*n.opts.SuspectTimeoutUs
 }
 
-// seatCaughtUp: only a member that has everything may come first.
-func (n *Node) seatCaughtUp(s Seat) bool {
-	if s.ID == n.opts.Me.ID {
+// isCaughtUp: only a member that has everything may come first.
+func (n *Node) isCaughtUp(s Replica) bool {
+	if s.ID == n.opts.Self.ID {
 		return n.caughtUp
 	}
 	p := n.peers[s.ID]
 	if p == nil || p.hello.View.Number != n.view.Number {
 		return s.ID == n.view.Head().ID && s.Incarnation == n.view.Head().Incarnation
 	}
-	return p.hello.Whole
+	return p.hello.CaughtUp
 }
 
-func (n *Node) judge() {
-	if n.proposal != nil && n.nowUs-n.proposal.startUs > 4*n.opts.SuspectUs {
+func (n *Node) maybePropose() {
+	if n.proposal != nil && n.nowUs-n.proposal.startedUs > 4*n.opts.SuspectTimeoutUs {
 		n.proposal = nil
 	}
 	switch {
-	case n.phase == Fresh:
-		n.judgeFounding()
+	case n.phase == PhaseBootstrap:
+		n.maybeProposeFirstView()
 	case n.serving():
-		n.judgeView()
-	case n.phase == Waking && n.compared:
-		n.judgeWaking()
+		n.maybeProposeNextView()
+	case n.phase == PhaseRestarted && n.votesRecovered:
+		n.maybeProposeAfterRestart()
 	}
-	n.finishAccepted()
+	n.finishAcceptedProposal()
 }
 
-// judgeView removes the seats of members that are not healthy, seats a joiner that holds a copy, and gives
+// maybeProposeNextView removes the seats of members that are not healthy, seats a joiner that holds a copy, and gives
 // the vote of a lost control node to the empty one that came under its name.
-func (n *Node) judgeView() {
-	if n.stalled() || !n.caughtUp {
+func (n *Node) maybeProposeNextView() {
+	if n.diskStalled() || !n.caughtUp {
 		return
 	}
-	want, changed := n.nextView()
+	want, changed := n.desiredView()
 	if !changed {
-		n.quietUs = n.nowUs
+		n.viewStableUs = n.nowUs
 		return
 	}
 	var rank int64
-	for _, s := range n.view.Order {
-		if s.ID == n.opts.Me.ID {
+	for _, s := range n.view.Replicas {
+		if s.ID == n.opts.Self.ID {
 			break
 		}
-		if n.healthy(s) {
+		if n.isHealthy(s) {
 			rank++
 		}
 	}
-	if n.nowUs-n.quietUs < rank*250_000 {
+	if n.nowUs-n.viewStableUs < rank*250_000 {
 		return
 	}
 	n.propose(want)
 	if n.proposal != nil {
-		n.proposal.judged = true
+		n.proposal.dropIfUnneeded = true
 	}
 }
 
-// nextView is the view that should follow as things stand, and whether it differs from the one of now.
-func (n *Node) nextView() (want View, changed bool) {
-	want = View{Number: n.view.Number + 1, Voters: n.view.Voters, Extra: n.view.Extra, System: n.view.System}
-	for _, s := range n.view.Order {
-		if n.healthy(s) && (len(want.Order) > 0 || n.seatCaughtUp(s)) {
-			want.Order = append(want.Order, s)
+// desiredView is the view that should follow as things stand, and whether it differs from the one of now.
+func (n *Node) desiredView() (want View, changed bool) {
+	want = View{Number: n.view.Number + 1, Voters: n.view.Voters, ExtraVoters: n.view.ExtraVoters, System: n.view.System}
+	for _, s := range n.view.Replicas {
+		if n.isHealthy(s) && (len(want.Replicas) > 0 || n.isCaughtUp(s)) {
+			want.Replicas = append(want.Replicas, s)
 		}
 	}
-	want.Order = n.withoutLeaving(want.Order)
-	changed = len(want.Order) != len(n.view.Order)
-	if id := n.departedExtra(want.Order); id != "" {
-		want.Voters, want.Extra = withoutVote(n.view.Voters, id), want.Extra-1
+	want.Replicas = n.withoutShuttingDown(want.Replicas)
+	changed = len(want.Replicas) != len(n.view.Replicas)
+	if id := n.departedExtraVoter(want.Replicas); id != "" {
+		want.Voters, want.ExtraVoters = withoutVoter(n.view.Voters, id), want.ExtraVoters-1
 		changed = true
 	} else if !changed {
-		if seat, ok := n.joiner(); ok {
-			want.Order = append(without(n.view.Order, n.replacedBy(seat.Member)), seat)
+		if seat, ok := n.nextJoiner(); ok {
+			want.Replicas = append(withoutReplica(n.view.Replicas, n.replacedVoter(seat.Member)), seat)
 			changed = true
-		} else if n.mayRemove() {
-			want.Order = without(n.view.Order, n.state.Membership.ID)
+		} else if n.canRemoveMember() {
+			want.Replicas = withoutReplica(n.view.Replicas, n.state.Membership.ID)
 			for _, v := range n.view.Voters {
 				if v.ID == n.state.Membership.ID {
-					want.Voters = withoutVote(n.view.Voters, v.ID)
+					want.Voters = withoutVoter(n.view.Voters, v.ID)
 				}
 			}
 			changed = true
 		}
-		if voters, extra, ok := n.newVoters(want.Order); ok {
-			want.Voters, want.Extra = voters, want.Extra+extra
+		if voters, extra, ok := n.nextVoters(want.Replicas); ok {
+			want.Voters, want.ExtraVoters = voters, want.ExtraVoters+extra
 			changed = true
-		} else if id := n.silentExtra(); !changed && id != "" {
-			want.Voters, want.Extra = withoutVote(n.view.Voters, id), want.Extra-1
+		} else if id := n.unreachableExtraVoter(); !changed && id != "" {
+			want.Voters, want.ExtraVoters = withoutVoter(n.view.Voters, id), want.ExtraVoters-1
 			changed = true
 		}
 	}
-	return want, changed && len(want.Order) > 0 && (!n.leaving || want.Seated(n.opts.Me.ID))
+	return want, changed && len(want.Replicas) > 0 && (!n.shuttingDown || want.HasReplica(n.opts.Self.ID))
 }
--- a/internal/controlplane/chain/waking.go
+++ b/internal/controlplane/chain/waking.go
@@ -4,40 +4,40 @@
 	"sort"
 )
 
-// judgeWaking runs when nobody serves: the members of the newest view compare
+// maybeProposeAfterRestart runs when nobody serves: the members of the newest view compare
 // their logs, and the longest intact one goes first.
-func (n *Node) judgeWaking() {
+func (n *Node) maybeProposeAfterRestart() {
 	type candidate struct {
-		seat           Seat
+		seat           Replica
 		last, lastView uint64
 		stalled        bool
 	}
 	found := []candidate{}
 	heardVoters := 0
-	if n.view.Votes(n.opts.Me.ID) {
+	if n.view.IsVoter(n.opts.Self.ID) {
 		heardVoters = 1
 	}
 	for _, id := range n.peerIDs() {
 		p := n.peers[id]
-		if !n.Hears(id) {
+		if !n.Alive(id) {
 			continue
 		}
-		if p.hello.Phase == Serving && p.hello.Whole {
+		if p.hello.Phase == PhaseServing && p.hello.CaughtUp {
 			return
 		}
-		if n.view.Votes(id) {
+		if n.view.IsVoter(id) {
 			heardVoters++
 		}
-		if n.view.Seated(id) && p.hello.Phase == Waking && p.hello.Whole && p.hello.View.Number == n.view.Number {
-			found = append(found, candidate{Seat{p.hello.Me, p.hello.Incarnation}, p.hello.Last, p.hello.LastView, p.hello.Stalled})
+		if n.view.HasReplica(id) && p.hello.Phase == PhaseRestarted && p.hello.CaughtUp && p.hello.View.Number == n.view.Number {
+			found = append(found, candidate{Replica{p.hello.Member, p.hello.Incarnation}, p.hello.LastIndex, p.hello.LastView, p.hello.Stalled})
 		}
 	}
-	if !n.view.Seated(n.opts.Me.ID) || n.stalled() || !n.caughtUp {
+	if !n.view.HasReplica(n.opts.Self.ID) || n.diskStalled() || !n.caughtUp {
 		return
 	}
-	found = append(found, candidate{Seat{n.opts.Me, n.opts.Incarnation}, n.lastIndex(), n.lastView(), n.stalled()})
-	gathered := len(found) == len(n.view.Order)
-	if heardVoters < n.view.Quorum() || (!gathered && n.nowUs-n.bootUs < n.opts.GatherUs) {
+	found = append(found, candidate{Replica{n.opts.Self, n.opts.Incarnation}, n.lastIndex(), n.lastView(), n.diskStalled()})
+	gathered := len(found) == len(n.view.Replicas)
+	if heardVoters < n.view.QuorumSize() || (!gathered && n.nowUs-n.startedUs < n.opts.GatherTimeoutUs) {
 		return
 	}
 	sort.Slice(found, func(i, j int) bool {
@@ -53,12 +53,12 @@
 		}
 		return a.seat.ID < b.seat.ID
 	})
-	if found[0].seat.ID != n.opts.Me.ID {
+	if found[0].seat.ID != n.opts.Self.ID {
 		return
 	}
-	want := View{Number: n.view.Number + 1, Voters: n.view.Voters, Extra: n.view.Extra, System: n.view.System}
+	want := View{Number: n.view.Number + 1, Voters: n.view.Voters, ExtraVoters: n.view.ExtraVoters, System: n.view.System}
 	for _, c := range found {
-		want.Order = append(want.Order, c.seat)
+		want.Replicas = append(want.Replicas, c.seat)
 	}
 	n.propose(want)
 }
--- a/internal/controlplane/chain/yield_test.go
+++ b/internal/controlplane/chain/yield_test.go
@@ -9,11 +9,11 @@
 // A voter that has accepted a next view with another tail gives the tail of now no lease, as the others may
 // decide at any moment; and where nobody brings that view to an end it takes it up itself.
 func TestAVoterThatAcceptedAnotherTailGivesNoLease(t *testing.T) {
-	seat := func(id string) Seat { return Seat{Member: Member{ID: id, Addr: id}, Incarnation: id + "1"} }
+	seat := func(id string) Replica { return Replica{Member: Member{ID: id, Addr: id}, Incarnation: id + "1"} }
 	view := func(number uint64, order ...string) View {
 		v := View{Number: number, Voters: []Member{seat("a").Member, seat("b").Member, seat("c").Member}}
 		for _, id := range order {
-			v.Order = append(v.Order, seat(id))
+			v.Replicas = append(v.Replicas, seat(id))
 		}
 		return v
 	}
@@ -34,34 +34,34 @@
 		"a vote fewer":         {with(view(6, "a", "c"), "a", "c"), true},
 		"another's vote":       {with(view(6, "a", "d", "c"), "a", "c", "d"), false},
 		"another tail":         {view(6, "a", "b"), false},
-		"the tail's next life": {View{Number: 6, Voters: view(6).Voters, Order: []Seat{seat("a"), {Member: seat("c").Member, Incarnation: "c2"}}}, false},
+		"the tail's next life": {View{Number: 6, Voters: view(6).Voters, Replicas: []Replica{seat("a"), {Member: seat("c").Member, Incarnation: "c2"}}}, false},
 	} {
 		v := view(5, "a", "b", "c")
-		n, err := NewNode(Options{Me: seat("a").Member, Incarnation: "a1"}, []Record{{View: &v}, {Whole: 5}}, clock.Sec)
+		n, err := NewNode(Options{Self: seat("a").Member, Incarnation: "a1"}, []Record{{View: &v}, {CaughtUpView: 5}}, clock.Sec)
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.compared = true
+		n.votesRecovered = true
 		nowUs := 4 * clock.Sec
 		got := func(from string, m Msg) []Effect {
 			m.From, m.Incarnation = seat(from).Member, seat(from).Incarnation
 			return n.Step(Event{NowUs: nowUs, Got: &m})
 		}
 		if c.next.Number > 0 {
-			got("b", Msg{Accept: &Accept{Number: 6, Ballot: Ballot{Round: 1, By: "b"}, View: c.next}})
-			if n.accepted == nil {
+			got("b", Msg{Accept: &Accept{Number: 6, Ballot: Ballot{Round: 1, Proposer: "b"}, View: c.next}})
+			if n.acceptedProposal == nil {
 				t.Fatalf("%s: not accepted", name)
 			}
 		}
 		given := false
 		for _, e := range got("c", Msg{Lease: &Lease{View: 5, SentUs: 1}}) {
-			given = given || (e.Send != nil && e.Send.Msg.Lease != nil && e.Send.Msg.Lease.Given)
+			given = given || (e.Send != nil && e.Send.Msg.Lease != nil && e.Send.Msg.Lease.Granted)
 		}
 		if given != c.lease {
 			t.Errorf("%s: a lease is given: %v", name, given)
 		}
 		asked := false
-		for endUs := nowUs + 3*n.opts.SuspectUs; nowUs < endUs && !c.lease; nowUs += 25 * clock.Ms {
+		for endUs := nowUs + 3*n.opts.SuspectTimeoutUs; nowUs < endUs && !c.lease; nowUs += 25 * clock.Ms {
 			for _, e := range n.Step(Event{NowUs: nowUs}) {
 				asked = asked || (e.Send != nil && e.Send.Msg.Prepare != nil)
 			}
--- a/internal/controlplane/controlnode/bulk.go
+++ b/internal/controlplane/controlnode/bulk.go
@@ -23,8 +23,8 @@
 // readerOf names the one that a whole state is meant for: another incarnation of the same peer, or the same in another
 // view, needs another.
 func readerOf(m *chain.Msg) string {
-	if m.Joining != nil {
-		return m.ToID + "/" + m.Joining.Incarnation
+	if m.InstallSnapshot != nil {
+		return m.ToID + "/" + m.InstallSnapshot.Incarnation
 	}
 	return m.ToID + "/" + strconv.FormatUint(m.Forward.View, 10)
 }
--- a/internal/controlplane/controlnode/bulk_test.go
+++ b/internal/controlplane/controlnode/bulk_test.go
@@ -26,14 +26,14 @@
 		if err != nil || json.Unmarshal(raw, &batch) != nil {
 			return
 		}
-		read <- batch.Messages[0].Chain.Joining.Incarnation
+		read <- batch.Messages[0].Chain.InstallSnapshot.Incarnation
 		<-r.Context().Done()
 	}))
 	t.Cleanup(server.CloseClientConnections)
 	addr := strings.TrimPrefix(server.URL, "http://")
 	send := func(incarnation string) {
-		copied := chain.Copy{Index: 1, State: statemachine.NewState()}
-		msg := chain.Msg{ToID: "b-1", Joining: &chain.Joining{View: 1, Incarnation: incarnation, Copy: copied}}
+		copied := chain.Snapshot{Index: 1, State: statemachine.NewState()}
+		msg := chain.Msg{ToID: "b-1", InstallSnapshot: &chain.InstallSnapshot{View: 1, Incarnation: incarnation, Snapshot: copied}}
 		h.act.Tell(func() { h.send(addr, wire.Message{Chain: &msg}) })
 	}
 	ctx, done := context.WithTimeout(t.Context(), 10*time.Second)
--- a/internal/controlplane/controlnode/control_nodes_test.go
+++ b/internal/controlplane/controlnode/control_nodes_test.go
@@ -26,7 +26,7 @@
 				t.Errorf("control node %d, cut off %v, names %v", struck, way, named)
 			}
 			other := (struck + 1) % 3
-			if named := tr.namedBy(other); way[0] && named[tr.cores[struck].Node.Me().Addr] {
+			if named := tr.namedBy(other); way[0] && named[tr.cores[struck].Node.Self().Addr] {
 				t.Errorf("control node %d, which does not hear control node %d, names it", other, struck)
 			}
 		}
--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -50,7 +50,7 @@
 // Effect is one thing that the host has to do; one field is set, but for Note and Trouble, which go together.
 type Effect struct {
 	Message    *Message
-	Save       *chain.Save
+	Save       *chain.Persist
 	Push       *distribution.UpdatePush
 	Frame      *distribution.FramePush
 	Result     *wire.Result
@@ -110,8 +110,8 @@
 // NewCoreWith is a control node around its part of the chain.
 func NewCoreWith(node *chain.Node, opts CoreOptions) *Core {
 	return &Core{
-		Node: node, Room: distribution.NewUpdatePublisher(), Controller: controller.NewWith(node.Me().ID, opts.Controller), Watch: failuredetector.NewMonitor(), soft: newSoft(opts.UnreachableUs),
-		bornUs: node.NowUs(), bornLast: node.Last(),
+		Node: node, Room: distribution.NewUpdatePublisher(), Controller: controller.NewWith(node.Self().ID, opts.Controller), Watch: failuredetector.NewMonitor(), soft: newSoft(opts.UnreachableUs),
+		bornUs: node.NowUs(), bornLast: node.LastIndex(),
 	}
 }
 
@@ -133,7 +133,7 @@
 	case ev.Leave:
 		c.chain(chain.Event{NowUs: ev.NowUs, Leave: true})
 	case ev.Follow != nil:
-		c.Room.SetActive(ev.NowUs, c.Node.Open(ev.NowUs))
+		c.Room.SetActive(ev.NowUs, c.Node.TailReady(ev.NowUs))
 		c.Room.Follow(ev.NowUs, *ev.Follow)
 	case ev.Report != nil:
 		c.report(ev.NowUs, *ev.Report)
@@ -158,7 +158,7 @@
 		c.memberDone(ev.NowUs)
 		c.settleDepartures(ev.NowUs)
 	}
-	c.Room.SetActive(ev.NowUs, c.Node.Open(ev.NowUs))
+	c.Room.SetActive(ev.NowUs, c.Node.TailReady(ev.NowUs))
 	for _, p := range c.Room.Updates(c.Node.State(), c.Node.View()) {
 		push := p
 		c.effects = append(c.effects, Effect{Push: &push})
@@ -192,7 +192,7 @@
 
 // memberDone is the head's: it takes an order about members out of the ledger once the view has it.
 func (c *Core) memberDone(nowUs int64) {
-	if nowUs-c.memberUs < memberEveryUs || !c.Node.IsHead() || !c.Node.MemberCarried() {
+	if nowUs-c.memberUs < memberEveryUs || !c.Node.IsHead() || !c.Node.MemberChangeDone() {
 		return
 	}
 	c.memberUs = nowUs
@@ -205,7 +205,7 @@
 		return
 	}
 	c.silentUs = nowUs
-	s := &failuredetector.SuspicionReport{Reporter: c.Node.Me().ID, Suspects: c.Watch.Suspects(nowUs)}
+	s := &failuredetector.SuspicionReport{Reporter: c.Node.Self().ID, Suspects: c.Watch.Suspects(nowUs)}
 	if c.Node.IsHead() {
 		c.controller(controller.Event{NowUs: nowUs, Silence: s})
 	} else if head := c.Node.View().Head(); head.Addr != "" {
@@ -214,12 +214,12 @@
 }
 
 func (c *Core) report(nowUs int64, r Reported) {
-	c.Room.SetActive(nowUs, c.Node.Open(nowUs))
+	c.Room.SetActive(nowUs, c.Node.TailReady(nowUs))
 	view := c.Node.View().Number
 	lease := c.Room.Report(nowUs, view, c.Node.State().UpdateIndex, c.checked == view, r.Report)
 	lease.Ring = c.Room.Ring(nowUs, c.Node.View())
 	c.effects = append(c.effects, Effect{Lease: &Leased{Reply: r.Reply, Lease: lease}})
-	if !c.Node.Open(nowUs) {
+	if !c.Node.TailReady(nowUs) {
 		return
 	}
 	if c.Node.IsHead() {
@@ -240,12 +240,12 @@
 		case e.Send != nil:
 			msg := e.Send.Msg
 			c.send(e.Send.Addr, wire.Message{Chain: &msg})
-		case e.Save != nil:
-			c.effects = append(c.effects, Effect{Save: e.Save})
+		case e.Persist != nil:
+			c.effects = append(c.effects, Effect{Save: e.Persist})
 		case e.Applied != nil:
 			c.applied(ev.NowUs, *e.Applied)
 		case e.Viewed != nil:
-			c.Room.SetActive(ev.NowUs, c.Node.Open(ev.NowUs))
+			c.Room.SetActive(ev.NowUs, c.Node.TailReady(ev.NowUs))
 			c.effects = append(c.effects, Effect{Note: "view", Trouble: viewText(*e.Viewed)})
 		case e.Rejected != nil:
 			c.rejected(ev.NowUs, e.Rejected)
@@ -285,11 +285,11 @@
 		out := a.Outcome
 		c.controller(controller.Event{NowUs: nowUs, Wrote: &out})
 	}
-	if !c.Node.IsTail() || change.Origin == "" || !c.Node.WritesTaken() {
+	if !c.Node.IsTail() || change.Origin == "" || !c.Node.AcceptsWrites() {
 		return
 	}
 	if change.Config != nil && a.Outcome.Fault == nil && change.Config.Version == 0 {
-		c.Room.SetActive(nowUs, c.Node.Open(nowUs))
+		c.Room.SetActive(nowUs, c.Node.TailReady(nowUs))
 		c.Room.AwaitAcknowledgements(change.Origin, a.Outcome, c.Node.State().UpdateIndex)
 		return
 	}
@@ -300,11 +300,11 @@
 func (c *Core) Seen(id string) (statemachine.Outcome, bool) {
 	out, seen := c.Node.State().Outcomes[id]
 	out.Repeated = true
-	return out, seen && c.Node.Kept(out.Index)
+	return out, seen && c.Node.Durable(out.Index)
 }
 
 func (c *Core) answer(origin string, r wire.Result) {
-	if origin == c.Node.Me().Addr {
+	if origin == c.Node.Self().Addr {
 		c.effects = append(c.effects, Effect{Result: &r})
 		return
 	}
@@ -314,7 +314,7 @@
 func (c *Core) controller(ev controller.Event) {
 	seen := controller.Seen{
 		NowUs: ev.NowUs, State: c.Node.State(), Head: c.Node.IsHead(),
-		Fresh: c.Node.HeadFresh(ev.NowUs), Writes: c.Node.WritesTaken(), View: c.Node.View().Number,
+		Fresh: c.Node.HeadConfirmed(ev.NowUs), Writes: c.Node.AcceptsWrites(), View: c.Node.View().Number,
 		Roster: c.soft.Roster, Outliers: c.soft.Outliers,
 	}
 	if !seen.Writes {
@@ -336,7 +336,7 @@
 
 func viewText(v chain.View) string {
 	text := ""
-	for i, s := range v.Order {
+	for i, s := range v.Replicas {
 		if i > 0 {
 			text += " > "
 		}
@@ -359,7 +359,7 @@
 	IsLeader    bool                           `json:"onDuty"`
 	Revision    uint64                         `json:"revision"`
 	Emptied     []string                       `json:"emptied,omitempty"`
-	Peers       []chain.PeerNote               `json:"partners"`
+	Peers       []chain.PeerStatus             `json:"partners"`
 	Gateways    []distribution.GatewayStatus   `json:"desks,omitempty"`
 	Demand      []controller.GatewayNote       `json:"demand,omitempty"`
 	Replicas    []statemachine.Replica         `json:"replicas"`
@@ -384,11 +384,11 @@
 func (c *Core) Status(nowUs int64) Status {
 	s := c.Node.State()
 	st := Status{
-		ControlNode: c.Node.Me(), Phase: c.Node.Phase(), View: c.Node.View(), Open: c.Node.Open(nowUs), WaitsFor: c.Node.WaitsFor(),
-		Commit: c.Node.Commit(), Last: c.Node.Last(), Epoch: s.Epoch, Holder: s.Leader, IsLeader: c.Controller.IsLeader(s),
+		ControlNode: c.Node.Self(), Phase: c.Node.Phase(), View: c.Node.View(), Open: c.Node.TailReady(nowUs), WaitsFor: c.Node.WaitReason(),
+		Commit: c.Node.CommitIndex(), Last: c.Node.LastIndex(), Epoch: s.Epoch, Holder: s.Leader, IsLeader: c.Controller.IsLeader(s),
 		Revision: s.Revision, Peers: c.Node.Peers(), Gateways: c.Room.Gateways(nowUs), Demand: c.Controller.Gateways(nowUs),
 		Counts: c.Controller.Counts(), Policy: c.Controller.Policy, Shadows: c.Controller.Shadows,
-		Faults: copyOf(c.Controller.Faults), Refused: copyOf(s.RefusalCounts), Keys: len(s.Keys), Member: s.Membership, MemberOn: c.Node.MemberWaits(), Grants: len(s.Grants), Loads: s.TotalLoads, LoadedMb: s.TotalLoadedMb,
+		Faults: copyOf(c.Controller.Faults), Refused: copyOf(s.RefusalCounts), Keys: len(s.Keys), Member: s.Membership, MemberOn: c.Node.MemberChangeWaitReason(), Grants: len(s.Grants), Loads: s.TotalLoads, LoadedMb: s.TotalLoadedMb,
 		Pending: []statemachine.ReplicaCommand{}, Replicas: []statemachine.Replica{}, Fleet: c.fleet(nowUs), Outliers: c.soft.Outliers.Rows,
 	}
 	if s.Doc != nil {
--- a/internal/controlplane/controlnode/departures.go
+++ b/internal/controlplane/controlnode/departures.go
@@ -42,7 +42,7 @@
 		c.departs(nowUs, row.ID, false, reply)
 		return
 	}
-	c.reply(reply, c.Node.InContact(nowUs))
+	c.reply(reply, c.Node.HasQuorumContact(nowUs))
 }
 
 // left takes the word that a replica's incarnation has ended.
@@ -108,7 +108,7 @@
 
 // confirm tells another control node which of the leavings that it asks about are known here.
 func (c *Core) confirm(h wire.Gossip) {
-	known := wire.DrainConfirmation{By: c.Node.Me().ID, Incarnation: h.Incarnation}
+	known := wire.DrainConfirmation{By: c.Node.Self().ID, Incarnation: h.Incarnation}
 	for _, id := range h.ConfirmDraining {
 		if e := c.soft.Roster.Entry(id); e != nil && (e.Removed || e.Draining) {
 			known.Draining = append(known.Draining, wire.KnownDraining{ID: id, Removed: e.Removed})
@@ -146,7 +146,7 @@
 
 func (c *Core) settleDeparture(nowUs int64, id string) {
 	d := c.soft.departures[id]
-	known := c.Node.Quorum(func(voter string) bool { return d.knownBy[voter] })
+	known := c.Node.HasQuorum(func(voter string) bool { return d.knownBy[voter] })
 	if !known && nowUs-d.sinceUs < leaveWaitUs {
 		return
 	}
--- a/internal/controlplane/controlnode/departures_test.go
+++ b/internal/controlplane/controlnode/departures_test.go
@@ -30,7 +30,7 @@
 	addrs := []string{"a0", "a1", "a2"}
 	for i, addr := range addrs {
 		node, err := chain.NewNode(SelfPaced(chain.Options{
-			Me: chain.Member{ID: "o" + addr, Name: "o" + addr, Addr: addr}, Incarnation: fmt.Sprint(i), Founders: addrs, SelfMembers: true, CopiesLeast: 2,
+			Self: chain.Member{ID: "o" + addr, Name: "o" + addr, Addr: addr}, Incarnation: fmt.Sprint(i), BootstrapAddrs: addrs, AutoMembership: true, MinReplicas: 2,
 		}), nil, tr.nowUs)
 		if err != nil {
 			t.Fatal(err)
@@ -40,7 +40,7 @@
 	}
 	tr.pass(3 * clock.Sec)
 	for i, c := range tr.cores {
-		if c.Node.Phase() != chain.Serving {
+		if c.Node.Phase() != chain.PhaseServing {
 			t.Fatalf("control node %d is %s", i, c.Node.Phase())
 		}
 	}
@@ -175,7 +175,7 @@
 				for range 40 {
 					tr.pass(25 * clock.Ms)
 					for i, core := range tr.cores {
-						if !core.Node.Current(tr.nowUs) {
+						if !core.Node.UpToDate(tr.nowUs) {
 							t.Fatalf("in contact, control node %d says that it is behind", i)
 						}
 					}
@@ -184,18 +184,18 @@
 				tr.pass(2 * clock.Sec)
 				for range 400 {
 					tr.pass(25 * clock.Ms)
-					if tr.cores[struck].Node.Current(tr.nowUs) {
+					if tr.cores[struck].Node.UpToDate(tr.nowUs) {
 						t.Fatal("cut off, it says that it is current")
 					}
 				}
 				for i, core := range tr.cores {
-					if i != struck && !core.Node.Current(tr.nowUs) {
+					if i != struck && !core.Node.UpToDate(tr.nowUs) {
 						t.Errorf("control node %d, of the quorum, says that it is behind", i)
 					}
 				}
 				tr.cutOff(struck, false, false)
 				tr.pass(4 * clock.Sec)
-				if !tr.cores[struck].Node.Current(tr.nowUs) {
+				if !tr.cores[struck].Node.UpToDate(tr.nowUs) {
 					t.Error("back in contact, it says that it is behind")
 				}
 			})
--- a/internal/controlplane/controlnode/fleet_test.go
+++ b/internal/controlplane/controlnode/fleet_test.go
@@ -15,7 +15,7 @@
 
 // One replica in each state that heartbeats, silence and the ledger can put it in.
 func TestStatusTellsEachReplicasState(t *testing.T) {
-	node, err := chain.NewNode(chain.Options{Me: chain.Member{ID: "o", Name: "o", Addr: "a"}, Incarnation: "1", Founding: 1}, nil, clock.Sec)
+	node, err := chain.NewNode(chain.Options{Self: chain.Member{ID: "o", Name: "o", Addr: "a"}, Incarnation: "1", BootstrapCount: 1}, nil, clock.Sec)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/controlnode/forms_test.go
+++ b/internal/controlplane/controlnode/forms_test.go
@@ -21,7 +21,7 @@
 // by a core machine. Their names in testdata/forms are read by other versions: they stay when the code is renamed.
 var serialized = map[string]any{
 	"log-record":        chain.Record{},
-	"snapshot":          chain.Copy{},
+	"snapshot":          chain.Snapshot{},
 	"ledger-state":      statemachine.State{},
 	"post":              wire.Batch{},
 	"where-ask":         wire.MembershipRequest{},
--- a/internal/controlplane/controlnode/host.go
+++ b/internal/controlplane/controlnode/host.go
@@ -64,7 +64,7 @@
 	set   settings.ControlNode
 	core  *Core
 	disk  disk
-	lock  *storage.FolderLock
+	lock  *storage.DirLock
 	ring  *logring.Ring
 	log   log.Logger
 	web   *http.Client
@@ -130,18 +130,18 @@
 		_ = lock.Close()
 		return nil, err
 	}
-	lock.Own(set.Name)
+	lock.WriteOwner(set.Name)
 	h.lock = lock
 	return h, nil
 }
 
 func openLocked(set settings.ControlNode, ring *logring.Ring, logger log.Logger) (*Host, error) {
-	seal := chain.Seal{Identity: set.Name + "-" + RandomID(4), Name: set.Name}
+	seal := chain.Owner{MemberID: set.Name + "-" + RandomID(4), Name: set.Name}
 	opened, err := storage.Open(set.DataDir, seal)
 	var bad *fault.Fault
 	founding := set.FoundingSize
 	if errors.As(err, &bad) && bad.Code == fault.DamagedData {
-		kept, moveErr := storage.SetAside(set.DataDir, RandomID(4))
+		kept, moveErr := storage.Quarantine(set.DataDir, RandomID(4))
 		if moveErr != nil {
 			return nil, errors.Trace(moveErr)
 		}
@@ -152,25 +152,25 @@
 	if err != nil {
 		return nil, err
 	}
-	if opened.Cut > 0 {
-		_ = logger.Log("event", "cut a torn last record", "bytes", opened.Cut)
+	if opened.TornBytes > 0 {
+		_ = logger.Log("event", "cut a torn last record", "bytes", opened.TornBytes)
 	}
-	if opened.Refused != nil {
-		_ = logger.Log("event", "the disk takes no bytes", "err", opened.Refused)
+	if opened.WriteErr != nil {
+		_ = logger.Log("event", "the disk takes no bytes", "err", opened.WriteErr)
 	}
-	me := chain.Member{ID: opened.Store.Seal().Identity, Name: set.Name, Addr: set.Advertise, Zone: set.Zone}
-	if kept, _ := filepath.Glob(filepath.Join(set.DataDir, "chain.damaged-*")); opened.Fresh && len(kept) > 0 {
+	me := chain.Member{ID: opened.Store.Owner().MemberID, Name: set.Name, Addr: set.Advertise, Zone: set.Zone}
+	if kept, _ := filepath.Glob(filepath.Join(set.DataDir, "chain.damaged-*")); opened.Created && len(kept) > 0 {
 		founding = 0
 	}
 	opts := chain.Options{
-		Me: me, Incarnation: RandomID(6), Founding: founding, CopiesLeast: set.MinReplicas, ZonesLeast: set.MinZones, SelfMembers: set.Membership == settings.AutomaticMembership,
-		Unsynced: opened.Refused != nil,
+		Self: me, Incarnation: RandomID(6), BootstrapCount: founding, MinReplicas: set.MinReplicas, MinZones: set.MinZones, AutoMembership: set.Membership == settings.AutomaticMembership,
+		Unsynced: opened.WriteErr != nil,
 	}
-	if opts.SelfMembers {
+	if opts.AutoMembership {
 		opts = SelfPaced(opts)
 	}
-	if opened.Fresh {
-		opts.Founders, opts.First = set.Founders, len(set.Founders) > 0
+	if opened.Created {
+		opts.BootstrapAddrs, opts.FirstStart = set.Founders, len(set.Founders) > 0
 	}
 	node, err := chain.NewNode(opts, opened.Records, clock.NowUs())
 	if err != nil {
@@ -188,7 +188,7 @@
 		web: rpc.Client(500, set.Listen), inner: rpc.NodeClient(innerDialMs, set.Listen),
 		act: actor.New(mailboxMost), saves: newSaveQueue(), pace: func() <-chan time.Time { return time.After(retryEvery) },
 		peers: map[string]chan wire.Message{}, bulk: map[string]*bulkSend{}, waiters: map[string][]chan wire.Result{}, replies: map[uint64]chan wire.Lease{}, words: map[uint64]chan bool{},
-		follows: map[string]*followed{}, rebuilds: opened.Fresh && founding == 0 && len(set.Founders) == 0, failed: make(chan error, 1),
+		follows: map[string]*followed{}, rebuilds: opened.Created && founding == 0 && len(set.Founders) == 0, failed: make(chan error, 1),
 		frames: map[string]*framed{},
 	}
 	h.replicas = &listed{h}
@@ -198,8 +198,8 @@
 
 // SelfPaced gives a chain whose control nodes take in and drop each other the times that they keep to.
 func SelfPaced(o chain.Options) chain.Options {
-	o.HelloUs, o.BeatUs, o.SuspectUs = selfBeatUs, selfBeatUs, selfSuspectUs
-	o.LeaseUs, o.CompareUs, o.GatherUs, o.AskUs = selfLeaseUs, selfCompareUs, selfGatherUs, selfAskUs
+	o.HelloIntervalUs, o.HeartbeatIntervalUs, o.SuspectTimeoutUs = selfBeatUs, selfBeatUs, selfSuspectUs
+	o.LeaseDurationUs, o.VoteRecoveryTimeoutUs, o.GatherTimeoutUs, o.PrepareTimeoutUs = selfLeaseUs, selfCompareUs, selfGatherUs, selfAskUs
 	return o
 }
 
@@ -211,7 +211,7 @@
 	}
 	server := &http.Server{Handler: h.handler(), ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = server.Serve(listener) }()
-	_ = h.log.Log("event", "started", "id", h.core.Node.Me().ID, "phase", string(h.core.Node.Phase()), "disabled", h.set.Disable.String())
+	_ = h.log.Log("event", "started", "id", h.core.Node.Self().ID, "phase", string(h.core.Node.Phase()), "disabled", h.set.Disable.String())
 	h.act.Spawn(func() { h.act.Loop(tickEvery, func() { h.step(Event{}) }) })
 	h.act.Spawn(h.saver)
 	h.act.Spawn(h.seeker)
@@ -297,7 +297,7 @@
 	if addr == "" || addr == h.set.Advertise {
 		return
 	}
-	if l.Chain.Bulk() {
+	if l.Chain.CarriesSnapshot() {
 		h.sendBulk(addr, l)
 		return
 	}
@@ -365,7 +365,7 @@
 		return
 	case <-time.After(peerWait):
 	}
-	if alone, ran := actor.Ask(h.act.Ctx, h.act, func() bool { return h.core.Node.Phase() == chain.Fresh }); ran && alone {
+	if alone, ran := actor.Ask(h.act.Ctx, h.act, func() bool { return h.core.Node.Phase() == chain.PhaseBootstrap }); ran && alone {
 		select {
 		case h.failed <- fault.New(fault.DamagedData, h.set.DataDir, "it holds no chain, and no partner was met within %v to copy one from; kept folders are untouched", peerWait):
 		default:
@@ -381,7 +381,7 @@
 				continue
 			}
 			ctx, done := context.WithTimeout(h.act.Ctx, 500*time.Millisecond)
-			where, err := rpc.NewCaller[wire.MembershipRequest, wire.MembershipResponse](h.inner, seed, rpc.WherePath).Call(ctx, &wire.MembershipRequest{From: h.core.Node.Me()})
+			where, err := rpc.NewCaller[wire.MembershipRequest, wire.MembershipResponse](h.inner, seed, rpc.WherePath).Call(ctx, &wire.MembershipRequest{From: h.core.Node.Self()})
 			done()
 			if err != nil {
 				continue
@@ -415,12 +415,12 @@
 			w.ControlNodes = append(w.ControlNodes, m)
 		}
 	}
-	add(h.core.Node.Me())
-	for _, s := range w.View.Order {
+	add(h.core.Node.Self())
+	for _, s := range w.View.Replicas {
 		add(s.Member)
 	}
 	for _, p := range h.core.Node.Peers() {
-		if p.Sound {
+		if p.Alive {
 			add(p.Member)
 		}
 	}
--- a/internal/controlplane/controlnode/incarnation_test.go
+++ b/internal/controlplane/controlnode/incarnation_test.go
@@ -26,7 +26,7 @@
 	p.lives++
 	addr := fmt.Sprint("a", i)
 	node, err := chain.NewNode(chain.Options{
-		Me: chain.Member{ID: "o" + addr, Name: "o" + addr, Addr: addr}, Incarnation: fmt.Sprint(p.lives), Founders: []string{"a0", "a1"}, SelfMembers: true, CopiesLeast: 2,
+		Self: chain.Member{ID: "o" + addr, Name: "o" + addr, Addr: addr}, Incarnation: fmt.Sprint(p.lives), BootstrapAddrs: []string{"a0", "a1"}, AutoMembership: true, MinReplicas: 2,
 	}, p.disks[i], p.nowUs)
 	if err != nil {
 		p.t.Fatal(err)
@@ -43,8 +43,8 @@
 	for _, e := range p.cores[i].Step(ev) {
 		switch {
 		case e.Save != nil:
-			if e.Save.Copy != nil {
-				p.disks[i] = append(p.disks[i], chain.Record{Copy: e.Save.Copy})
+			if e.Save.Snapshot != nil {
+				p.disks[i] = append(p.disks[i], chain.Record{Snapshot: e.Save.Snapshot})
 			}
 			p.disks[i] = append(p.disks[i], e.Save.Records...)
 			p.step(i, Event{Saved: e.Save.Seq})
--- a/internal/controlplane/controlnode/keep_test.go
+++ b/internal/controlplane/controlnode/keep_test.go
@@ -32,9 +32,9 @@
 		if i%2 == 1 {
 			state = large
 		}
-		h.saves.put(chain.Save{Seq: i, Copy: &chain.Copy{Index: i, View: 1, State: state}})
+		h.saves.put(chain.Persist{Seq: i, Snapshot: &chain.Snapshot{Index: i, View: 1, State: state}})
 	}
-	h.saves.put(chain.Save{Seq: copies + 1})
+	h.saves.put(chain.Persist{Seq: copies + 1})
 	for h.saves.waiting() > 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -47,15 +47,15 @@
 	if err := h.disk.Close(); err != nil {
 		t.Fatal(err)
 	}
-	opened, err := storage.Open(folder, chain.Seal{Identity: "core-1-again", Name: "core-1"})
+	opened, err := storage.Open(folder, chain.Owner{MemberID: "core-1-again", Name: "core-1"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer opened.Store.Close()
 	kept := []uint64{}
 	for _, r := range opened.Records {
-		if r.Copy != nil {
-			kept = append(kept, r.Copy.Index)
+		if r.Snapshot != nil {
+			kept = append(kept, r.Snapshot.Index)
 		}
 	}
 	if len(kept) != 1 || kept[0] != copies {
--- a/internal/controlplane/controlnode/leave.go
+++ b/internal/controlplane/controlnode/leave.go
@@ -26,7 +26,7 @@
 	for waiting := true; waiting && !left; {
 		select {
 		case <-check.C:
-			left, _ = actor.Ask(h.act.Ctx, h.act, h.core.Node.Left)
+			left, _ = actor.Ask(h.act.Ctx, h.act, h.core.Node.ShutdownComplete)
 		case <-deadline.C:
 			waiting = false
 		}
--- a/internal/controlplane/controlnode/malformed_test.go
+++ b/internal/controlplane/controlnode/malformed_test.go
@@ -81,9 +81,9 @@
 	case m == nil:
 		return fmt.Sprint(l.Result != nil, l.Report != nil, l.Suspicion != nil, l.Gossip != nil, l.DrainConfirmation != nil, l.Outliers != nil)
 	case m.Forward != nil:
-		return fmt.Sprint("forward", len(m.Forward.Entries) > 0, m.Forward.Copy != nil)
+		return fmt.Sprint("forward", len(m.Forward.Entries) > 0, m.Forward.Snapshot != nil)
 	}
-	return fmt.Sprint(m.Hello != nil, m.Prepare != nil, m.Promise != nil, m.Accept != nil, m.Accepting != nil, m.Ack != nil, m.Lease != nil, m.Joining != nil, m.Submit != nil)
+	return fmt.Sprint(m.Hello != nil, m.Prepare != nil, m.Promise != nil, m.Accept != nil, m.Accepted != nil, m.Ack != nil, m.Lease != nil, m.InstallSnapshot != nil, m.Submit != nil)
 }
 
 // numbered is an operator's order that takes version n+1.
--- a/internal/controlplane/controlnode/members.go
+++ b/internal/controlplane/controlnode/members.go
@@ -12,10 +12,10 @@
 // fitMember finds the identity that an order is about, or why it must not be taken. Only a control node whose view
 // and state are the chain's of now may refuse it.
 func (c *Core) fitMember(nowUs int64, m *statemachine.MembershipChange, evenAlive bool) *fault.Fault {
-	if !c.Node.Current(nowUs) {
+	if !c.Node.UpToDate(nowUs) {
 		return fault.New(fault.NotServing, "", "this office has no word of the chain: ask another")
 	}
-	return c.Node.FitMember(m, evenAlive)
+	return c.Node.ResolveMemberChange(m, evenAlive)
 }
 
 // member takes an operator's order about one control node. It is refused here where this control node can see that
--- a/internal/controlplane/controlnode/replicas.go
+++ b/internal/controlplane/controlnode/replicas.go
@@ -103,14 +103,14 @@
 	if !due && !asks && !c.soft.urgent && !c.soft.wants {
 		return
 	}
-	heard := wire.Gossip{By: c.Node.Me().ID, Incarnation: c.Node.Incarnation(), RequestAll: c.soft.wants}
+	heard := wire.Gossip{By: c.Node.Self().ID, Incarnation: c.Node.Incarnation(), RequestAll: c.soft.wants}
 	if due {
 		c.soft.tellUs = nowUs
 		c.soft.Roster.Sweep(nowUs)
 		heard.Gateways = c.soft.Hub.PrimarySubscribers()
 	}
 	for _, p := range c.Node.Peers() {
-		if !p.Sound {
+		if !p.Alive {
 			continue
 		}
 		t := c.soft.told[p.Member.ID]
@@ -145,7 +145,7 @@
 	c.soft.Outliers = t
 	c.effects = append(c.effects, Effect{Note: "outliers", Trouble: t.String()})
 	for _, p := range c.Node.Peers() {
-		if p.Sound {
+		if p.Alive {
 			table := t
 			c.send(p.Member.Addr, wire.Message{Outliers: &table})
 		}
@@ -153,14 +153,14 @@
 }
 
 // settled: what this control node knows as committed is the chain's, not what a disk alone remembers.
-func (c *Core) settled() bool { return c.Node.Settled() }
+func (c *Core) settled() bool { return c.Node.Initialized() }
 
 func (c *Core) frames(nowUs int64) {
 	if nowUs-c.controlNodesUs >= controlNodesEveryUs {
 		c.controlNodesUs, c.known = nowUs, c.controlNodes(nowUs)
 	}
 	for _, p := range c.soft.Hub.Frames(distribution.FrameInput{
-		NowUs: nowUs, Self: c.Node.Me().ID, State: c.Node.State(), View: c.Node.View(), ControlNodes: c.known, Committed: c.settled(), Behind: !c.Node.Current(nowUs), Registry: c.soft.Roster, Outliers: c.soft.Outliers,
+		NowUs: nowUs, Self: c.Node.Self().ID, State: c.Node.State(), View: c.Node.View(), ControlNodes: c.known, Committed: c.settled(), Behind: !c.Node.UpToDate(nowUs), Registry: c.soft.Roster, Outliers: c.soft.Outliers,
 	}) {
 		push := p
 		c.effects = append(c.effects, Effect{Frame: &push})
@@ -170,18 +170,18 @@
 // control nodes are those that gateways may follow: the ones that are heard. A control node that is behind names all members of its
 // view as well, since the ones that it does not hear may be current.
 func (c *Core) controlNodes(nowUs int64) []chain.Member {
-	all := []chain.Member{c.Node.Me()}
+	all := []chain.Member{c.Node.Self()}
 	for _, p := range c.Node.Peers() {
-		if p.Sound {
+		if p.Alive {
 			all = append(all, p.Member)
 		}
 	}
-	if c.Node.Current(nowUs) {
+	if c.Node.UpToDate(nowUs) {
 		return all
 	}
 	view := c.Node.View()
 	members := slices.Clone(view.Voters)
-	for _, s := range view.Order {
+	for _, s := range view.Replicas {
 		members = append(members, s.Member)
 	}
 	for _, m := range members {
@@ -198,7 +198,7 @@
 	c.soft.Hub.RecordGateway(nowUs, r.Gateway)
 	if c.Node.IsHead() {
 		c.controller(controller.Event{NowUs: nowUs, Report: &r})
-	} else if head := c.Node.View().Head(); head.Addr != "" && head.ID != c.Node.Me().ID {
+	} else if head := c.Node.View().Head(); head.Addr != "" && head.ID != c.Node.Self().ID {
 		c.send(head.Addr, wire.Message{Report: &r})
 	}
 }
--- a/internal/controlplane/controlnode/save_test.go
+++ b/internal/controlplane/controlnode/save_test.go
@@ -26,7 +26,7 @@
 	const saves = uint64(3 * 1024)
 	h.act.Tell(func() {
 		for i := uint64(1); i <= saves; i++ {
-			h.saves.put(chain.Save{Seq: 1 << 40, Records: []chain.Record{{Entry: &chain.Entry{Index: i, View: 1, Change: statemachine.Change{ID: "c"}}}}})
+			h.saves.put(chain.Persist{Seq: 1 << 40, Records: []chain.Record{{Entry: &chain.Entry{Index: i, View: 1, Change: statemachine.Change{ID: "c"}}}}})
 		}
 	})
 	soon, done := context.WithTimeout(t.Context(), 10*time.Second)
@@ -44,7 +44,7 @@
 	if err := h.disk.Close(); err != nil {
 		t.Fatal(err)
 	}
-	opened, err := storage.Open(folder, chain.Seal{Identity: "core-1-again", Name: "core-1"})
+	opened, err := storage.Open(folder, chain.Owner{MemberID: "core-1-again", Name: "core-1"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/controlnode/saver.go
+++ b/internal/controlplane/controlnode/saver.go
@@ -20,8 +20,8 @@
 // disk is where the chain's records and copies are kept; after an error the same may be tried again.
 type disk interface {
 	Write(records []chain.Record, fresh bool) (from uint64, err error)
-	Keep(c chain.Copy, from uint64) error
-	Forget(before uint64) error
+	SaveSnapshot(c chain.Snapshot, from uint64) error
+	Compact(before uint64) error
 	LogBytes() int64
 	Close() error
 }
@@ -30,13 +30,13 @@
 // chain bounds how many there are.
 type saveQueue struct {
 	mu   sync.Mutex
-	list []chain.Save
+	list []chain.Persist
 	more chan struct{}
 }
 
 func newSaveQueue() *saveQueue { return &saveQueue{more: make(chan struct{}, 1)} }
 
-func (q *saveQueue) put(s chain.Save) {
+func (q *saveQueue) put(s chain.Persist) {
 	q.mu.Lock()
 	q.list = append(q.list, s)
 	q.mu.Unlock()
@@ -53,11 +53,11 @@
 }
 
 // take waits for the next one; false once over is closed.
-func (q *saveQueue) take(over <-chan struct{}) (chain.Save, bool) {
+func (q *saveQueue) take(over <-chan struct{}) (chain.Persist, bool) {
 	for {
 		select {
 		case <-over:
-			return chain.Save{}, false
+			return chain.Persist{}, false
 		default:
 		}
 		q.mu.Lock()
@@ -70,7 +70,7 @@
 		q.mu.Unlock()
 		select {
 		case <-over:
-			return chain.Save{}, false
+			return chain.Persist{}, false
 		case <-q.more:
 		}
 	}
@@ -107,9 +107,9 @@
 }
 
 // write brings a save's records to the log and tells where they are.
-func (h *Host) write(s chain.Save) (from uint64, done bool) {
+func (h *Host) write(s chain.Persist) (from uint64, done bool) {
 	done = h.retryUntilTaken(s.Seq, func() (err error) {
-		from, err = h.disk.Write(s.Records, s.Fresh)
+		from, err = h.disk.Write(s.Records, s.Compact)
 		return err
 	})
 	return from, done
@@ -118,7 +118,7 @@
 // saver brings what the chain wants on the disk there, in order. It begins with what was found there and may not
 // have been synced.
 func (h *Host) saver() {
-	opening := chain.Save{Seq: chain.OpeningSave}
+	opening := chain.Persist{Seq: chain.OpeningPersistSeq}
 	if _, done := h.write(opening); !done {
 		return
 	}
@@ -135,7 +135,7 @@
 		if !done {
 			return
 		}
-		if s.Copy != nil {
+		if s.Snapshot != nil {
 			before = h.keepAfter(before, s, from)
 			continue
 		}
@@ -144,7 +144,7 @@
 }
 
 // keepAfter keeps a copy beside the log, once the copy before it is kept; it gives what is closed at its end.
-func (h *Host) keepAfter(before <-chan struct{}, s chain.Save, from uint64) <-chan struct{} {
+func (h *Host) keepAfter(before <-chan struct{}, s chain.Persist, from uint64) <-chan struct{} {
 	kept := make(chan struct{})
 	h.act.Spawn(func() {
 		defer close(kept)
@@ -165,15 +165,15 @@
 // keep writes a copy while the log goes on, and only then lets go of what it stands for. Copies are kept one
 // after another in the log's order: an older one must not take a newer one's place. Nobody waits for a copy
 // that only stands for the log; without a peer's copy, though, a control node is none.
-func (h *Host) keep(s chain.Save, from uint64) {
+func (h *Host) keep(s chain.Persist, from uint64) {
 	waited := s.Seq
-	if s.Fresh {
+	if s.Compact {
 		waited = 0
 	}
-	if !h.retryUntilTaken(waited, func() error { return h.disk.Keep(*s.Copy, from) }) {
+	if !h.retryUntilTaken(waited, func() error { return h.disk.SaveSnapshot(*s.Snapshot, from) }) {
 		return
 	}
-	if s.Fresh && !h.retryUntilTaken(0, func() error { return h.disk.Forget(from) }) {
+	if s.Compact && !h.retryUntilTaken(0, func() error { return h.disk.Compact(from) }) {
 		return
 	}
 	h.tell(Event{Saved: s.Seq, LogBytes: h.disk.LogBytes()})
--- a/internal/controlplane/controlnode/saver_test.go
+++ b/internal/controlplane/controlnode/saver_test.go
@@ -40,7 +40,7 @@
 	return 7, nil
 }
 
-func (d *moody) Keep(c chain.Copy, _ uint64) error {
+func (d *moody) SaveSnapshot(c chain.Snapshot, _ uint64) error {
 	if err := <-d.copies; err != nil {
 		return err
 	}
@@ -50,7 +50,7 @@
 	return nil
 }
 
-func (d *moody) Forget(before uint64) error {
+func (d *moody) Compact(before uint64) error {
 	if err := <-d.copies; err != nil {
 		return err
 	}
@@ -99,15 +99,15 @@
 	}
 }
 
-func record(i uint64) chain.Record { return chain.Record{Whole: i} }
+func record(i uint64) chain.Record { return chain.Record{CaughtUpView: i} }
 
 // A disk that refuses a write again and again ends nothing: the same is tried at the control node's pace, what
 // comes after it waits behind it, and all of it is there once, in order.
 func TestAControlNodeOutlivesADiskThatRefuses(t *testing.T) {
 	h, d := onMoody(t)
-	h.saves.put(chain.Save{Seq: 1, Records: []chain.Record{record(1)}})
-	h.saves.put(chain.Save{Seq: 2, Records: []chain.Record{record(2)}, Copy: &chain.Copy{Index: 9, State: statemachine.NewState()}, Fresh: true})
-	h.saves.put(chain.Save{Seq: 3, Records: []chain.Record{record(3)}})
+	h.saves.put(chain.Persist{Seq: 1, Records: []chain.Record{record(1)}})
+	h.saves.put(chain.Persist{Seq: 2, Records: []chain.Record{record(2)}, Snapshot: &chain.Snapshot{Index: 9, State: statemachine.NewState()}, Compact: true})
+	h.saves.put(chain.Persist{Seq: 3, Records: []chain.Record{record(3)}})
 	for _, word := range []error{syscall.ENOSPC, syscall.ENOSPC, syscall.EIO, nil, syscall.ENOSPC, nil, nil} {
 		d.log <- word
 	}
@@ -122,7 +122,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i, r := range d.kept {
-		if r.Whole != uint64(i+1) {
+		if r.CaughtUpView != uint64(i+1) {
 			t.Fatalf("record %d is %+v", i, r)
 		}
 	}
@@ -136,7 +136,7 @@
 // Only a disk that has lost what it had synced ends the control node.
 func TestADiskThatLostWhatItHadSyncedEndsTheControlNode(t *testing.T) {
 	h, d := onMoody(t)
-	h.saves.put(chain.Save{Seq: 1, Records: []chain.Record{record(1)}})
+	h.saves.put(chain.Persist{Seq: 1, Records: []chain.Record{record(1)}})
 	d.log <- fault.New(fault.DamagedData, "chain", "a segment held 10 synced bytes and holds 5")
 	if err := <-h.failed; err == nil {
 		t.Fatal("it goes on")
@@ -148,7 +148,7 @@
 	h, d := onMoody(t)
 	h.act.Tell(func() {
 		for i := uint64(1); i <= 50_000; i++ {
-			h.saves.put(chain.Save{Seq: i, Records: []chain.Record{record(i)}})
+			h.saves.put(chain.Persist{Seq: i, Records: []chain.Record{record(i)}})
 		}
 	})
 	wait(t, h, "the actor answers", func() bool { return h.saves.waiting() >= 49_999 })
--- a/internal/controlplane/controlnode/unsure_test.go
+++ b/internal/controlplane/controlnode/unsure_test.go
@@ -21,7 +21,7 @@
 func cutOffHost(t *testing.T) *Host {
 	t.Helper()
 	folder := t.TempDir()
-	seal := chain.Seal{Identity: "core-1", Name: "core-1"}
+	seal := chain.Owner{MemberID: "core-1", Name: "core-1"}
 	opened, err := storage.Open(folder, seal)
 	if err != nil {
 		t.Fatal(err)
@@ -31,16 +31,16 @@
 	}
 	view := chain.View{Number: 4, Voters: members}
 	for _, m := range members {
-		view.Order = append(view.Order, chain.Seat{Member: m, Incarnation: "before"})
+		view.Replicas = append(view.Replicas, chain.Replica{Member: m, Incarnation: "before"})
 	}
 	state := statemachine.NewState()
 	state.Apply(1, statemachine.Change{ID: "op-first", Config: &statemachine.ConfigChange{Doc: &configuration.Declaration{Name: "old", Zones: []string{"a"}}}})
 	state.Revision, state.Doc = 1, &configuration.Declaration{Name: "old", Zones: []string{"a"}}
-	from, err := opened.Store.Write([]chain.Record{{View: &view}, {Whole: 4}}, true)
+	from, err := opened.Store.Write([]chain.Record{{View: &view}, {CaughtUpView: 4}}, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := opened.Store.Keep(chain.Copy{Index: 1, View: 4, State: state}, from); err != nil {
+	if err := opened.Store.SaveSnapshot(chain.Snapshot{Index: 1, View: 4, State: state}, from); err != nil {
 		t.Fatal(err)
 	}
 	if err := opened.Store.Close(); err != nil {
--- a/internal/controlplane/distribution/update_publisher.go
+++ b/internal/controlplane/distribution/update_publisher.go
@@ -130,7 +130,7 @@
 // Ring is every node that is watched or watches: the control nodes seated and the gateways that report.
 func (p *UpdatePublisher) Ring(nowUs int64, view chain.View) []failuredetector.Node {
 	ring := []failuredetector.Node{}
-	for _, s := range view.Order {
+	for _, s := range view.Replicas {
 		ring = append(ring, failuredetector.Node{ID: s.ID, Addr: s.Addr})
 	}
 	for _, id := range p.gatewayIDs() {
--- a/internal/controlplane/storage/bounds_test.go
+++ b/internal/controlplane/storage/bounds_test.go
@@ -36,13 +36,13 @@
 	b := &trio{nowUs: clock.Sec, disk: newTrial()}
 	addrs := []string{"m0", "m1", "m2"}
 	for _, addr := range addrs {
-		node, err := chain.NewNode(chain.Options{Me: chain.Member{ID: addr, Name: addr, Addr: addr}, Incarnation: addr + "/1", Founding: 3, LogMost: logMost}, nil, b.nowUs)
+		node, err := chain.NewNode(chain.Options{Self: chain.Member{ID: addr, Name: addr, Addr: addr}, Incarnation: addr + "/1", BootstrapCount: 3, MaxLogBytes: logMost}, nil, b.nowUs)
 		if err != nil {
 			t.Fatal(err)
 		}
 		b.nodes = append(b.nodes, node)
 	}
-	o, err := open(b.disk, "/data", chain.Seal{Identity: "m1", Name: "m1"})
+	o, err := openFiles(b.disk, "/data", chain.Owner{MemberID: "m1", Name: "m1"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,27 +67,27 @@
 		switch {
 		case e.Send != nil:
 			b.inbox = append(b.inbox, message{e.Send.Addr, e.Send.Msg})
-		case e.Save != nil:
+		case e.Persist != nil:
 			var bytes int64
 			if i == 1 {
-				from, err := b.store.Write(e.Save.Records, e.Save.Fresh)
+				from, err := b.store.Write(e.Persist.Records, e.Persist.Compact)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if e.Save.Copy != nil {
+				if e.Persist.Snapshot != nil {
 					b.copies++
-					if err := b.store.Keep(*e.Save.Copy, from); err != nil {
+					if err := b.store.SaveSnapshot(*e.Persist.Snapshot, from); err != nil {
 						t.Fatal(err)
 					}
 				}
-				if e.Save.Fresh {
-					if err := b.store.Forget(from); err != nil {
+				if e.Persist.Compact {
+					if err := b.store.Compact(from); err != nil {
 						t.Fatal(err)
 					}
 				}
 				bytes = b.store.LogBytes()
 			}
-			b.step(t, i, chain.Event{Saved: e.Save.Seq, LogBytes: bytes})
+			b.step(t, i, chain.Event{Saved: e.Persist.Seq, LogBytes: bytes})
 		case e.Applied != nil && i == 2:
 			b.acked++
 		}
@@ -104,7 +104,7 @@
 			l := b.inbox[0]
 			b.inbox = b.inbox[1:]
 			for i, n := range b.nodes {
-				if n.Me().Addr == l.to {
+				if n.Self().Addr == l.to {
 					b.step(t, i, chain.Event{Got: &l.msg})
 				}
 			}
@@ -188,7 +188,7 @@
 	b := newTrio(t, logMost)
 	b.changed(t, 1, 100)
 	for range 200 {
-		node, err := chain.NewNode(chain.Options{Me: chain.Member{ID: "m2", Name: "m2", Addr: "m2"}, Incarnation: fmt.Sprint("m2/", b.nowUs)}, nil, b.nowUs)
+		node, err := chain.NewNode(chain.Options{Self: chain.Member{ID: "m2", Name: "m2", Addr: "m2"}, Incarnation: fmt.Sprint("m2/", b.nowUs)}, nil, b.nowUs)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controlplane/storage/catchup_test.go
+++ b/internal/controlplane/storage/catchup_test.go
@@ -106,7 +106,7 @@
 	m.comeBack(with)
 	backUs, from := c.nowUs, c.changes
 	if !c.pass(caughtUpWithin, m.caughtUp) {
-		c.fail("not caught up after %d ms: %s, %s, at %d of %d", caughtUpWithin/clock.Ms, m.node.Phase(), m.node.WaitsFor(), m.node.Commit(), c.newest)
+		c.fail("not caught up after %d ms: %s, %s, at %d of %d", caughtUpWithin/clock.Ms, m.node.Phase(), m.node.WaitReason(), m.node.CommitIndex(), c.newest)
 	}
 	tookUs, copied := c.nowUs-backUs, m.copies
 	c.pass(2*clock.Sec, nil)
