--- a/internal/controlplane/storage/cluster_test.go
+++ b/internal/controlplane/storage/cluster_test.go
@@ -75,7 +75,7 @@
 	linkUs  int64
 	// received counts the bytes of messages from others, and copies those of them that carried a whole state.
 	received, copies int64
-	saves            []chain.Save
+	saves            []chain.Persist
 	// losesPowerIn counts down the changes of the disk that a copy takes; before the last one power is lost, and
 	// leaves one of the disks that it may leave.
 	losesPowerIn int
@@ -146,7 +146,7 @@
 	c.starts++
 	m.boot++
 	m.coreUs, m.diskUs, m.linkUs, m.saves = 0, 0, 0, nil
-	opened, err := open(m.disk, "/data", chain.Seal{Identity: m.me.ID, Name: m.me.Name})
+	opened, err := openFiles(m.disk, "/data", chain.Owner{MemberID: m.me.ID, Name: m.me.Name})
 	if err != nil {
 		c.fail("%s does not open: %v", m.me.Name, err)
 		m.loseDisk()
@@ -154,15 +154,15 @@
 		return
 	}
 	m.store = opened.Store
-	m.me.ID = m.store.Seal().Identity
+	m.me.ID = m.store.Owner().MemberID
 	opts := chain.Options{
-		Me: m.me, Incarnation: fmt.Sprint(m.me.ID, "/", c.starts), SelfMembers: true,
-		HelloUs: 200 * clock.Ms, BeatUs: 200 * clock.Ms, SuspectUs: 800 * clock.Ms, LeaseUs: 700 * clock.Ms,
-		CompareUs: 900 * clock.Ms, GatherUs: 1300 * clock.Ms, AskUs: 200 * clock.Ms,
-		LogMost: c.logMost, KeepMost: c.keepMost, Unsynced: opened.Refused != nil,
+		Self: m.me, Incarnation: fmt.Sprint(m.me.ID, "/", c.starts), AutoMembership: true,
+		HelloIntervalUs: 200 * clock.Ms, HeartbeatIntervalUs: 200 * clock.Ms, SuspectTimeoutUs: 800 * clock.Ms, LeaseDurationUs: 700 * clock.Ms,
+		VoteRecoveryTimeoutUs: 900 * clock.Ms, GatherTimeoutUs: 1300 * clock.Ms, PrepareTimeoutUs: 200 * clock.Ms,
+		MaxLogBytes: c.logMost, MaxRetainedEntries: c.keepMost, Unsynced: opened.WriteErr != nil,
 	}
 	if first {
-		opts.Founders, opts.First = []string{"a", "b", "c"}, true
+		opts.BootstrapAddrs, opts.FirstStart = []string{"a", "b", "c"}, true
 	}
 	if m.node, err = chain.NewNode(opts, opened.Records, c.nowUs); err != nil {
 		c.t.Fatal(err)
@@ -172,11 +172,11 @@
 		addrs = append(addrs, other.me.Addr)
 	}
 	m.handle(handleUs, chain.Event{Learn: addrs})
-	m.insist(chain.OpeningSave, c.nowUs+syncUs, func() error {
+	m.insist(chain.OpeningPersistSeq, c.nowUs+syncUs, func() error {
 		if _, err := m.store.Write(nil, false); err != nil {
 			return err
 		}
-		m.step(chain.Event{Saved: chain.OpeningSave, LogBytes: m.store.LogBytes()})
+		m.step(chain.Event{Saved: chain.OpeningPersistSeq, LogBytes: m.store.LogBytes()})
 		return nil
 	})
 	m.tick()
@@ -218,8 +218,8 @@
 		switch {
 		case e.Send != nil:
 			m.send(e.Send.Addr, e.Send.Msg)
-		case e.Save != nil:
-			if m.saves = append(m.saves, *e.Save); len(m.saves) == 1 {
+		case e.Persist != nil:
+			if m.saves = append(m.saves, *e.Persist); len(m.saves) == 1 {
 				m.save()
 			}
 		case e.Applied != nil && e.Applied.Entry.Change.Config != nil:
@@ -235,7 +235,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	size, bulk := int64(len(raw)), msg.Bulk()
+	size, bulk := int64(len(raw)), msg.CarriesSnapshot()
 	cost := costs{linkNsPerByte, codeNsPerByte}
 	if bulk {
 		cost = c.copyCosts
@@ -269,15 +269,15 @@
 	c := m.cluster
 	s := m.saves[0]
 	m.diskUs = max(m.diskUs, c.nowUs) + syncUs
-	if s.Fresh {
+	if s.Compact {
 		m.diskUs += syncUs
 	}
 	m.insist(s.Seq, m.diskUs, func() error {
-		from, err := m.store.Write(s.Records, s.Fresh)
+		from, err := m.store.Write(s.Records, s.Compact)
 		if err != nil {
 			return err
 		}
-		if s.Copy != nil {
+		if s.Snapshot != nil {
 			m.insist(s.Seq, c.nowUs+3*syncUs, func() error { return m.keep(s, from) })
 		} else {
 			m.step(chain.Event{Saved: s.Seq, LogBytes: m.store.LogBytes()})
@@ -305,16 +305,16 @@
 	})
 }
 
-func (m *member) keep(s chain.Save, from uint64) error {
-	left := m.powerLostWhile(func() error { return m.store.Keep(*s.Copy, from) })
+func (m *member) keep(s chain.Persist, from uint64) error {
+	left := m.powerLostWhile(func() error { return m.store.SaveSnapshot(*s.Snapshot, from) })
 	if left.disk != nil {
 		m.stop()
 		m.disk = left.disk.settled()
 		return nil
 	}
 	m.cluster.weigh(m)
-	if left.err == nil && s.Fresh {
-		left.err = m.store.Forget(from)
+	if left.err == nil && s.Compact {
+		left.err = m.store.Compact(from)
 	}
 	if left.err == nil {
 		m.step(chain.Event{Saved: s.Seq, LogBytes: m.store.LogBytes()})
@@ -365,7 +365,7 @@
 
 // place finds the member at a place of the newest view.
 func (c *cluster) place(at int) *member {
-	order := c.head().node.View().Order
+	order := c.head().node.View().Replicas
 	for _, m := range c.members {
 		if m.me.ID == order[at].ID {
 			return m
@@ -387,7 +387,7 @@
 func (m *member) caughtUp() bool {
 	n := m.node
 	view := n.View()
-	return n.Phase() == chain.Serving && n.WaitsFor() == "" && view.Votes(m.me.ID) && len(view.Order) == 3 && n.Commit()+2 >= m.cluster.newest
+	return n.Phase() == chain.PhaseServing && n.WaitReason() == "" && view.IsVoter(m.me.ID) && len(view.Replicas) == 3 && n.CommitIndex()+2 >= m.cluster.newest
 }
 
 // submitNext begins the next change; it is sent again until it is acknowledged.
@@ -413,17 +413,17 @@
 // is under way.
 func (c *cluster) judge(m *member) {
 	n := m.node
-	if n.Open(c.nowUs) && n.Commit() < c.newest {
-		c.fail("%s answers as tail at %d, %d was acknowledged", m.me.ID, n.Commit(), c.newest)
+	if n.TailReady(c.nowUs) && n.CommitIndex() < c.newest {
+		c.fail("%s answers as tail at %d, %d was acknowledged", m.me.ID, n.CommitIndex(), c.newest)
 	}
-	if n.HeadFresh(c.nowUs) && n.Last() < c.newest {
-		c.fail("%s gives orders at %d, %d was acknowledged", m.me.ID, n.Last(), c.newest)
+	if n.HeadConfirmed(c.nowUs) && n.LastIndex() < c.newest {
+		c.fail("%s gives orders at %d, %d was acknowledged", m.me.ID, n.LastIndex(), c.newest)
 	}
 	if c.change == nil {
 		return
 	}
 	out, seen := n.State().Outcomes[c.change.ID]
-	if !seen || !n.Kept(out.Index) {
+	if !seen || !n.Durable(out.Index) {
 		return
 	}
 	if out.Fault != nil {
--- a/internal/controlplane/storage/codec.go
+++ b/internal/controlplane/storage/codec.go
@@ -15,32 +15,32 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-const frameBytes = 4
+const checksumBytes = 4
 
 // Frame puts a checksum before a payload.
 func Frame(payload []byte) []byte {
-	framed := make([]byte, frameBytes, frameBytes+len(payload))
+	framed := make([]byte, checksumBytes, checksumBytes+len(payload))
 	binary.LittleEndian.PutUint32(framed, crc32.Checksum(payload, castagnoli))
 	return append(framed, payload...)
 }
 
 // Unframe is the payload of a frame, or the fault that its checksum shows.
 func Unframe(framed []byte) ([]byte, *fault.Fault) {
-	if len(framed) < frameBytes {
+	if len(framed) < checksumBytes {
 		return nil, fault.New(fault.DamagedData, "", "a record of %d bytes has no checksum", len(framed))
 	}
-	payload := framed[frameBytes:]
+	payload := framed[checksumBytes:]
 	if binary.LittleEndian.Uint32(framed) != crc32.Checksum(payload, castagnoli) {
 		return nil, fault.New(fault.DamagedData, "", "checksum does not match")
 	}
 	return payload, nil
 }
 
-// decode reads one record of the log, a batch. What this version does not know is a fault, not something to leave out:
+// decodeRecords reads one record of the log, a batch. What this version does not know is a fault, not something to leave out:
 // the rest would be read as a history that it is not.
-func decode(payload []byte) ([]chain.Record, *fault.Fault) {
+func decodeRecords(payload []byte) ([]chain.Record, *fault.Fault) {
 	var batch []chain.Record
-	if bad := decodeStrictly(bytes.NewReader(payload), &batch); bad != nil {
+	if bad := decodeStrict(bytes.NewReader(payload), &batch); bad != nil {
 		return nil, bad
 	}
 	for _, r := range batch {
@@ -51,33 +51,33 @@
 	return batch, nil
 }
 
-// unknownField begins the error by which the JSON package tells that a field is not known.
-const unknownField = "json: unknown field "
+// unknownFieldPrefix begins the error by which the JSON package tells that a field is not known.
+const unknownFieldPrefix = "json: unknown field "
 
-func decodeStrictly(from io.Reader, into any) *fault.Fault {
+func decodeStrict(from io.Reader, into any) *fault.Fault {
 	decoder := json.NewDecoder(from)
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(into)
 	switch {
 	case err == nil:
 		return nil
-	case strings.HasPrefix(err.Error(), unknownField):
+	case strings.HasPrefix(err.Error(), unknownFieldPrefix):
 		return fault.New(fault.UnknownFormat, "", "%v: a later version wrote it", err)
 	}
 	return fault.New(fault.DamagedData, "", "%v", err)
 }
 
-// kept is a copy as it is put away, with the place of the log's record that it stands before: what is in the
+// storedSnapshot is a copy as it is put away, with the place of the log's record that it stands before: what is in the
 // log before that place came before the copy.
-type kept struct {
-	chain.Copy
-	From uint64 `json:"from"`
+type storedSnapshot struct {
+	chain.Snapshot
+	FirstRecord uint64 `json:"from"`
 }
 
-// packed is a copy as it lies on the disk, where for a while there are two of it beside the log.
-func packed(c kept) ([]byte, error) {
+// encodeSnapshot is a copy as it lies on the disk, where for a while there are two of it beside the log.
+func encodeSnapshot(c storedSnapshot) ([]byte, error) {
 	var buf bytes.Buffer
-	buf.Write(make([]byte, frameBytes))
+	buf.Write(make([]byte, checksumBytes))
 	zip, err := gzip.NewWriterLevel(&buf, gzip.BestSpeed)
 	if err != nil {
 		return nil, err
@@ -89,12 +89,12 @@
 		return nil, err
 	}
 	framed := buf.Bytes()
-	binary.LittleEndian.PutUint32(framed, crc32.Checksum(framed[frameBytes:], castagnoli))
+	binary.LittleEndian.PutUint32(framed, crc32.Checksum(framed[checksumBytes:], castagnoli))
 	return framed, nil
 }
 
-// unpack reads a copy as it lies on the disk.
-func unpack(framed []byte) (*kept, *fault.Fault) {
+// decodeSnapshot reads a copy as it lies on the disk.
+func decodeSnapshot(framed []byte) (*storedSnapshot, *fault.Fault) {
 	payload, bad := Unframe(framed)
 	if bad != nil {
 		return nil, bad
@@ -103,8 +103,8 @@
 	if err != nil {
 		return nil, fault.New(fault.DamagedData, "", "%v", err)
 	}
-	c := &kept{}
-	if bad := decodeStrictly(zip, c); bad != nil {
+	c := &storedSnapshot{}
+	if bad := decodeStrict(zip, c); bad != nil {
 		return nil, bad
 	}
 	return c, nil
--- a/internal/controlplane/storage/codec_test.go
+++ b/internal/controlplane/storage/codec_test.go
@@ -91,7 +91,7 @@
 	if err := zip.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(dir, logDir, copyName), Frame(buf.Bytes()), 0o640); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, logDir, snapshotName), Frame(buf.Bytes()), 0o640); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -118,13 +118,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := o.Store.Keep(chain.Copy{Index: 2, View: 2, State: statemachine.NewState()}, 1); err != nil {
+	if err := o.Store.SaveSnapshot(chain.Snapshot{Index: 2, View: 2, State: statemachine.NewState()}, 1); err != nil {
 		t.Fatal(err)
 	}
 	if err := o.Store.Close(); err != nil {
 		t.Fatal(err)
 	}
-	at := filepath.Join(dir, logDir, copyName)
+	at := filepath.Join(dir, logDir, snapshotName)
 	raw, err := os.ReadFile(at)
 	if err != nil {
 		t.Fatal(err)
@@ -133,7 +133,7 @@
 		spoilt := bytes.Clone(raw)
 		spoilt[i] ^= 1
 		for _, damaged := range [][]byte{spoilt, raw[:i]} {
-			if _, bad := unpack(damaged); bad == nil || bad.Code != fault.DamagedData {
+			if _, bad := decodeSnapshot(damaged); bad == nil || bad.Code != fault.DamagedData {
 				t.Fatalf("byte %d: %v", i, bad)
 			}
 		}
--- a/internal/controlplane/storage/crash_test.go
+++ b/internal/controlplane/storage/crash_test.go
@@ -81,9 +81,9 @@
 	return from, err
 }
 
-func (u *user) copyOf(h history) chain.Copy {
+func (u *user) copyOf(h history) chain.Snapshot {
 	*u.copies = append(*u.copies, slices.Clone(h))
-	return chain.Copy{Index: uint64(len(h)), View: uint64(len(*u.copies)), State: statemachine.NewState()}
+	return chain.Snapshot{Index: uint64(len(h)), View: uint64(len(*u.copies)), State: statemachine.NewState()}
 }
 
 // compact begins the log anew on a copy, while another save is written between two changes of the disk that
@@ -106,7 +106,7 @@
 			u.disk.before = inner
 		}
 	}
-	kept := u.attempt(unchanged, func() error { return u.store.Keep(c, from) })
+	kept := u.attempt(unchanged, func() error { return u.store.SaveSnapshot(c, from) })
 	u.disk.before = outer
 	if kept != nil || err != nil {
 		return errors.Join(kept, err)
@@ -114,7 +114,7 @@
 	if _, err := u.write(false, 1); err != nil {
 		return err
 	}
-	return u.attempt(unchanged, func() error { return u.store.Forget(from) })
+	return u.attempt(unchanged, func() error { return u.store.Compact(from) })
 }
 
 // adopt takes a peer's copy in the place of a history that ends otherwise.
@@ -131,14 +131,14 @@
 	if err != nil {
 		return err
 	}
-	return u.attempt(func(history) history { return theirs }, func() error { return u.store.Keep(c, from) })
+	return u.attempt(func(history) history { return theirs }, func() error { return u.store.SaveSnapshot(c, from) })
 }
 
 const smallSegment = 250
 
 // enter opens the folder. Once it is open and the disk takes bytes, what was found counts as saved.
 func (u *user) enter(want []string) error {
-	o, err := open(u.disk, "/data", mine)
+	o, err := openFiles(u.disk, "/data", mine)
 	if err != nil {
 		return err
 	}
@@ -150,8 +150,8 @@
 		return fmt.Errorf("found %q, want one of %q", found, want)
 	}
 	u.store = o.Store
-	u.store.log.most = smallSegment
-	if o.Refused != nil {
+	u.store.log.maxSegmentBytes = smallSegment
+	if o.WriteErr != nil {
 		if err := u.attempt(unchanged, func() error { _, err := u.store.Write(nil, false); return err }); err != nil {
 			return err
 		}
@@ -166,8 +166,8 @@
 	h, gap := history{}, uint64(0)
 	for _, r := range records {
 		switch {
-		case r.Copy != nil:
-			h, gap = slices.Clone((*u.copies)[r.Copy.View-1]), 0
+		case r.Snapshot != nil:
+			h, gap = slices.Clone((*u.copies)[r.Snapshot.View-1]), 0
 		case r.Entry != nil && r.Entry.Index <= uint64(len(h)):
 			h = append(h[:r.Entry.Index-1], r.Entry.Change.ID)
 		case r.Entry != nil && r.Entry.Index == uint64(len(h))+1:
@@ -394,10 +394,10 @@
 	if err != nil {
 		return err
 	}
-	if err := u.attempt(unchanged, func() error { return u.store.Forget(from) }); err != nil {
+	if err := u.attempt(unchanged, func() error { return u.store.Compact(from) }); err != nil {
 		return err
 	}
-	return u.attempt(unchanged, func() error { return u.store.Keep(c, from) })
+	return u.attempt(unchanged, func() error { return u.store.SaveSnapshot(c, from) })
 }
 
 // What a disk gives back while it refuses every sync does not count as saved until it takes one.
@@ -412,8 +412,8 @@
 	}
 	killed := d.copied()
 	killed.fullFrom, killed.fullSpan = 1, 3
-	o, err := open(killed, "/data", mine)
-	if err != nil || o.Refused == nil {
+	o, err := openFiles(killed, "/data", mine)
+	if err != nil || o.WriteErr == nil {
 		t.Fatal(o, err)
 	}
 	for range 2 {
--- a/internal/controlplane/storage/diskuse_test.go
+++ b/internal/controlplane/storage/diskuse_test.go
@@ -90,7 +90,7 @@
 		m.start(false)
 	}
 	c.pass(15*clock.Sec, nil)
-	if m.node.Kept(c.newest) {
+	if m.node.Durable(c.newest) {
 		c.fail("it counts %d as kept with a full disk", c.newest)
 	}
 	if c.changes < before+300 {
@@ -98,7 +98,7 @@
 	}
 	m.disk.fullSpan = 0
 	if !c.pass(caughtUpWithin, m.caughtUp) {
-		c.fail("not caught up %d ms after room is there: %s, %s", caughtUpWithin/clock.Ms, m.node.Phase(), m.node.WaitsFor())
+		c.fail("not caught up %d ms after room is there: %s, %s", caughtUpWithin/clock.Ms, m.node.Phase(), m.node.WaitReason())
 	}
 	c.acknowledge(5)
 	if c.mostDisk > 2<<20 {
--- a/internal/controlplane/storage/files.go
+++ b/internal/controlplane/storage/files.go
@@ -5,10 +5,10 @@
 	"os"
 )
 
-// files is what the store needs of a file system; a test puts one in its place that refuses.
-type files interface {
+// fileSystem is what the store needs of a file system; a test puts one in its place that refuses.
+type fileSystem interface {
 	MkdirAll(path string) error
-	Names(folder string) ([]string, error)
+	DirNames(folder string) ([]string, error)
 	ReadFile(path string) ([]byte, error)
 	Size(path string) (int64, error)
 	Create(path string) (file, error)
@@ -16,7 +16,7 @@
 	Truncate(path string, size int64) error
 	Rename(from, to string) error
 	Remove(path string) error
-	SyncFolder(path string) error
+	SyncDir(path string) error
 }
 
 type file interface {
@@ -25,11 +25,11 @@
 	Close() error
 }
 
-type osFiles struct{}
+type osFileSystem struct{}
 
-func (osFiles) MkdirAll(path string) error { return os.MkdirAll(path, 0o755) }
+func (osFileSystem) MkdirAll(path string) error { return os.MkdirAll(path, 0o755) }
 
-func (osFiles) Names(folder string) ([]string, error) {
+func (osFileSystem) DirNames(folder string) ([]string, error) {
 	entries, err := os.ReadDir(folder)
 	names := make([]string, 0, len(entries))
 	for _, e := range entries {
@@ -38,9 +38,9 @@
 	return names, err
 }
 
-func (osFiles) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
+func (osFileSystem) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
 
-func (osFiles) Size(path string) (int64, error) {
+func (osFileSystem) Size(path string) (int64, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return 0, err
@@ -48,21 +48,21 @@
 	return info.Size(), nil
 }
 
-func (osFiles) Create(path string) (file, error) {
+func (osFileSystem) Create(path string) (file, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, 0o640)
 }
 
-func (osFiles) Append(path string) (file, error) {
+func (osFileSystem) Append(path string) (file, error) {
 	return os.OpenFile(path, os.O_WRONLY|os.O_APPEND, 0)
 }
 
-func (osFiles) Truncate(path string, size int64) error { return os.Truncate(path, size) }
+func (osFileSystem) Truncate(path string, size int64) error { return os.Truncate(path, size) }
 
-func (osFiles) Rename(from, to string) error { return os.Rename(from, to) }
+func (osFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
-func (osFiles) Remove(path string) error { return os.Remove(path) }
+func (osFileSystem) Remove(path string) error { return os.Remove(path) }
 
-func (osFiles) SyncFolder(path string) error {
+func (osFileSystem) SyncDir(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
 		return err
--- a/internal/controlplane/storage/lock.go
+++ b/internal/controlplane/storage/lock.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	lockName  = "lock"
-	lockEvery = 50 * time.Millisecond
+	lockName          = "lock"
+	lockRetryInterval = 50 * time.Millisecond
 )
 
-// FolderLock keeps every other process off a data folder until it is closed or this process ends. Its file holds the
+// DirLock keeps every other process off a data folder until it is closed or this process ends. Its file holds the
 // name of the member that uses the folder.
-type FolderLock struct {
+type DirLock struct {
 	// file is nil where the disk refuses to hold a lock.
 	file *os.File
 }
@@ -25,23 +25,23 @@
 // Lock takes the lock of a data folder for the member of a name. It waits so long for a process that holds it, as one
 // that was told to end may take a moment; not for one of another member, whose folder it is: foreign_data. A disk that
 // refuses to hold a lock is used without one: it may still take records.
-func Lock(folder, name string, wait time.Duration) (*FolderLock, error) {
+func Lock(folder, name string, wait time.Duration) (*DirLock, error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return &FolderLock{}, nil
+		return &DirLock{}, nil
 	}
 	path := filepath.Join(folder, lockName)
 	held, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o640)
 	if err != nil {
-		return &FolderLock{}, nil
+		return &DirLock{}, nil
 	}
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
-	again := time.NewTicker(lockEvery)
+	again := time.NewTicker(lockRetryInterval)
 	defer again.Stop()
 	for {
 		err := syscall.Flock(int(held.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		if !errors.Is(err, syscall.EWOULDBLOCK) && !errors.Is(err, syscall.EINTR) {
-			return &FolderLock{file: held}, nil
+			return &DirLock{file: held}, nil
 		}
 		if owner, _ := os.ReadFile(path); len(owner) > 0 && string(owner) != name {
 			_ = held.Close()
@@ -56,9 +56,9 @@
 	}
 }
 
-// Own writes down which member uses the folder, once it is known to be that member's. Where the disk takes no bytes,
+// WriteOwner writes down which member uses the folder, once it is known to be that member's. Where the disk takes no bytes,
 // others learn only that it is in use.
-func (l *FolderLock) Own(name string) {
+func (l *DirLock) WriteOwner(name string) {
 	if l.file == nil {
 		return
 	}
@@ -71,7 +71,7 @@
 }
 
 // Close lets go of the folder.
-func (l *FolderLock) Close() error {
+func (l *DirLock) Close() error {
 	if l.file == nil {
 		return nil
 	}
--- a/internal/controlplane/storage/lock_test.go
+++ b/internal/controlplane/storage/lock_test.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first.Own("core-1")
+	first.WriteOwner("core-1")
 	var bad *fault.Fault
 	if _, err := Lock(folder, "other", time.Hour); !errors.As(err, &bad) || bad.Code != fault.ForeignData {
 		t.Fatalf("another member beside it: %v", err)
@@ -70,7 +70,7 @@
 		if err != nil {
 			t.Fatalf("%s once it has ended: %v", name, err)
 		}
-		next.Own(name)
+		next.WriteOwner(name)
 		if owner, err := os.ReadFile(filepath.Join(folder, lockName)); err != nil || string(owner) != name {
 			t.Errorf("the lock is %s's, and says %q, %v", name, owner, err)
 		}
--- a/internal/controlplane/storage/power_test.go
+++ b/internal/controlplane/storage/power_test.go
@@ -109,7 +109,7 @@
 	return nil
 }
 
-func (d *powerDisk) Names(folder string) ([]string, error) {
+func (d *powerDisk) DirNames(folder string) ([]string, error) {
 	if d.names[folder] == nil {
 		return nil, missing(folder)
 	}
@@ -188,7 +188,7 @@
 	return nil
 }
 
-func (d *powerDisk) SyncFolder(path string) error {
+func (d *powerDisk) SyncDir(path string) error {
 	if d.names[path] == nil {
 		return missing(path)
 	}
@@ -232,7 +232,7 @@
 	if err := h.disk.change(true); err != nil {
 		return err
 	}
-	isCopy := strings.HasPrefix(filepath.Base(h.path), copyName)
+	isCopy := strings.HasPrefix(filepath.Base(h.path), snapshotName)
 	if h.disk.lie == copiesAreUnsynced && isCopy || h.disk.lie == logIsUnsynced && !isCopy {
 		return nil
 	}
--- a/internal/controlplane/storage/refusal_test.go
+++ b/internal/controlplane/storage/refusal_test.go
@@ -60,7 +60,7 @@
 
 func (d *trial) MkdirAll(string) error { return d.op("mkdir") }
 
-func (d *trial) Names(folder string) ([]string, error) {
+func (d *trial) DirNames(folder string) ([]string, error) {
 	names := []string{}
 	for path := range d.now {
 		if filepath.Dir(path) == folder {
@@ -138,7 +138,7 @@
 	return nil
 }
 
-func (d *trial) SyncFolder(string) error {
+func (d *trial) SyncDir(string) error {
 	if err := d.op("sync folder"); err != nil {
 		return err
 	}
@@ -257,19 +257,19 @@
 // found holds what a folder gives back against what was synced: all of it, in order and once, and at
 // most the one write under way besides.
 func (c *caller) found(d *trial) string {
-	o, err := open(d, "/data", chain.Seal{Identity: "core-1-zz", Name: "core-1"})
+	o, err := openFiles(d, "/data", chain.Owner{MemberID: "core-1-zz", Name: "core-1"})
 	if err != nil {
 		return err.Error()
 	}
-	if len(c.synced) > 0 && (o.Fresh || o.Store.Seal() != mine) {
-		return fmt.Sprintf("it came back as %+v, fresh %v", o.Store.Seal(), o.Fresh)
+	if len(c.synced) > 0 && (o.Created || o.Store.Owner() != mine) {
+		return fmt.Sprintf("it came back as %+v, fresh %v", o.Store.Owner(), o.Created)
 	}
 	got := []uint64{}
 	copied := uint64(0)
 	for _, r := range o.Records {
 		switch {
-		case r.Copy != nil:
-			copied = r.Copy.Index
+		case r.Snapshot != nil:
+			copied = r.Snapshot.Index
 		case r.Entry != nil:
 			got = append(got, r.Entry.Index)
 		}
@@ -290,15 +290,15 @@
 // life is a store's whole life: records, a copy with a fresh beginning, forgetting, and records again.
 func life(d *trial, judge func(c *caller) string) (string, int) {
 	c := &caller{}
-	var o *Opened
+	var o *OpenResult
 	if err := c.insist(func() (err error) {
-		o, err = open(d, "/data", mine)
+		o, err = openFiles(d, "/data", mine)
 		return err
 	}); err != nil {
 		return err.Error(), 0
 	}
 	c.store = o.Store
-	c.store.log.most = 600
+	c.store.log.maxSegmentBytes = 600
 	seen := ""
 	look := func(at string) {
 		if seen == "" {
@@ -329,9 +329,11 @@
 		upto := next
 		from, err := c.write(true, some(2)...)
 		step(err)
-		step(c.insist(func() error { return c.store.Keep(chain.Copy{Index: upto, State: statemachine.NewState()}, from) }))
+		step(c.insist(func() error {
+			return c.store.SaveSnapshot(chain.Snapshot{Index: upto, State: statemachine.NewState()}, from)
+		}))
 		c.copied = upto
-		step(c.insist(func() error { return c.store.Forget(from) }))
+		step(c.insist(func() error { return c.store.Compact(from) }))
 		step(func() error { _, err := c.write(false, some(3)...); return err }())
 	}
 	step(c.store.Close())
--- a/internal/controlplane/storage/storage.go
+++ b/internal/controlplane/storage/storage.go
@@ -19,72 +19,74 @@
 // a copy is kept by another meanwhile. After a write that the disk refused, the same may be tried again:
 // what is in the store then is what it was before.
 type Store struct {
-	dir    string
-	fs     files
-	mu     sync.Mutex
-	log    *wal
-	seal   chain.Seal
-	sealed bool
+	dir          string
+	files        fileSystem
+	mu           sync.Mutex
+	log          *wal
+	owner        chain.Owner
+	ownerWritten bool
 }
 
-// Opened is what a folder held.
-type Opened struct {
+// OpenResult is what a folder held.
+type OpenResult struct {
 	Store *Store
 	// Records are those of the log in order, with the copy in the place where it was taken.
 	Records []chain.Record
-	// Fresh: the folder was empty, and now bears the seal that Open was given.
-	Fresh bool
-	// Cut is how many bytes of a torn last record are not among the records.
-	Cut int
-	// Refused is why the disk took no bytes while the folder was opened. All of it is read all the same;
+	// Created: the folder was empty, and now bears the seal that Open was given.
+	Created bool
+	// TornBytes is how many bytes of a torn last record are not among the records.
+	TornBytes int
+	// WriteErr is why the disk took no bytes while the folder was opened. All of it is read all the same;
 	// what could not be written goes before the next records.
-	Refused error
+	WriteErr error
 }
 
 const (
-	logDir   = "chain"
-	copyName = "copy"
-	newMark  = ".new"
+	logDir       = "chain"
+	snapshotName = "copy"
+	tempSuffix   = ".new"
 )
 
 // Open reads all records. A torn last record is cut, since its sync cannot have
 // returned; damage anywhere before it is a fault for the caller to name.
-func Open(folder string, seal chain.Seal) (*Opened, error) { return open(osFiles{}, folder, seal) }
+func Open(folder string, seal chain.Owner) (*OpenResult, error) {
+	return openFiles(osFileSystem{}, folder, seal)
+}
 
-func open(fs files, folder string, seal chain.Seal) (*Opened, error) {
+func openFiles(fs fileSystem, folder string, seal chain.Owner) (*OpenResult, error) {
 	dir := filepath.Join(folder, logDir)
-	s := &Store{dir: dir, fs: fs, log: &wal{fs: fs, dir: dir, most: segmentMost}}
-	opened := &Opened{Store: s}
+	s := &Store{dir: dir, files: fs, log: &wal{files: fs, dir: dir, maxSegmentBytes: maxSegmentBytes}}
+	opened := &OpenResult{Store: s}
 	if err := opened.read(); err != nil {
 		return nil, err
 	}
-	if bad := opened.claim(seal); bad != nil {
+	if bad := opened.checkOwner(seal); bad != nil {
 		return nil, bad
 	}
-	_ = fs.Remove(filepath.Join(dir, copyName+newMark))
+	_ = fs.Remove(filepath.Join(dir, snapshotName+tempSuffix))
 	_, err := s.Write(nil, false)
 	if os.IsPermission(err) {
 		return nil, fault.New(fault.DataNotWritable, dir, "%v", err)
 	}
-	opened.Refused = err
+	opened.WriteErr = err
 	return opened, nil
 }
 
 // read reads the copy and all records of the log.
-func (o *Opened) read() error {
+func (o *OpenResult) read() error {
 	s := o.Store
-	held, err := s.readCopy()
+	held, err := s.readSnapshot()
 	if err != nil {
 		return err
 	}
-	o.Cut, err = s.log.load(func(payload []byte) error {
-		if held != nil && s.log.next >= held.From {
-			o.Records = append(o.Records, chain.Record{Copy: &held.Copy})
+	o.TornBytes, err = s.log.load(func(payload []byte) error {
+		if held != nil && s.log.nextIndex >= held.FirstRecord {
+			o.Records = append(o.Records, chain.Record{Snapshot: &held.Snapshot})
 			held = nil
 		}
-		batch, bad := decode(payload)
+		batch, bad := decodeRecords(payload)
 		if bad != nil {
-			return fault.New(bad.Code, s.dir, "record %d: %s", s.log.next, bad.Detail)
+			return fault.New(bad.Code, s.dir, "record %d: %s", s.log.nextIndex, bad.Detail)
 		}
 		o.Records = append(o.Records, batch...)
 		return nil
@@ -97,34 +99,34 @@
 		return fault.New(fault.DataNotWritable, s.dir, "%v", err)
 	}
 	if held != nil {
-		o.Records = append(o.Records, chain.Record{Copy: &held.Copy})
+		o.Records = append(o.Records, chain.Record{Snapshot: &held.Snapshot})
 	}
 	return nil
 }
 
-// claim finds the seal among the records, which must be of this name, or takes the given one for an empty folder.
-func (o *Opened) claim(seal chain.Seal) *fault.Fault {
+// checkOwner finds the seal among the records, which must be of this name, or takes the given one for an empty folder.
+func (o *OpenResult) checkOwner(seal chain.Owner) *fault.Fault {
 	s := o.Store
 	for _, r := range o.Records {
-		if r.Seal != nil {
-			s.seal = *r.Seal
+		if r.Owner != nil {
+			s.owner = *r.Owner
 		}
 	}
 	switch {
-	case s.seal.Identity == "" && len(o.Records) > 0:
+	case s.owner.MemberID == "" && len(o.Records) > 0:
 		return fault.New(fault.ForeignData, s.dir, "records without a seal")
-	case s.seal.Identity == "":
-		o.Fresh, s.seal = true, seal
-	case s.seal.Name != seal.Name:
-		return fault.New(fault.ForeignData, s.dir, "the folder belongs to %q, not to %q", s.seal.Name, seal.Name)
+	case s.owner.MemberID == "":
+		o.Created, s.owner = true, seal
+	case s.owner.Name != seal.Name:
+		return fault.New(fault.ForeignData, s.dir, "the folder belongs to %q, not to %q", s.owner.Name, seal.Name)
 	default:
-		s.sealed = true
+		s.ownerWritten = true
 	}
 	return nil
 }
 
-// Seal is whose folder this is.
-func (s *Store) Seal() chain.Seal { return s.seal }
+// Owner is whose folder this is.
+func (s *Store) Owner() chain.Owner { return s.owner }
 
 // Write returns once the records are synced, with their place in the log. fresh begins them with what a
 // log needs, so that all before them can go once a copy is kept. Without records it only makes good what
@@ -132,12 +134,12 @@
 func (s *Store) Write(records []chain.Record, fresh bool) (from uint64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	from = s.log.next
-	if fresh || !s.sealed {
-		records = append([]chain.Record{{Seal: &s.seal}}, records...)
+	from = s.log.nextIndex
+	if fresh || !s.ownerWritten {
+		records = append([]chain.Record{{Owner: &s.owner}}, records...)
 	}
 	if len(records) == 0 {
-		return from, s.log.mend()
+		return from, s.log.repair()
 	}
 	raw, err := json.Marshal(records)
 	if err != nil {
@@ -149,7 +151,7 @@
 	if err := s.log.append(raw, fresh); err != nil {
 		return from, err
 	}
-	s.sealed = true
+	s.ownerWritten = true
 	return from, nil
 }
 
@@ -157,33 +159,33 @@
 func (s *Store) LogBytes() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.log.bytes()
+	return s.log.sizeBytes()
 }
 
-// Keep puts a copy in the place of the one before; from is the place of the record that it stands before, and
+// SaveSnapshot puts a copy in the place of the one before; from is the place of the record that it stands before, and
 // nothing in the log before that is read on top of it. It returns once the copy would outlast a loss of
 // power; until then the older one and the log stand.
-func (s *Store) Keep(c chain.Copy, from uint64) error {
-	framed, err := packed(kept{c, from})
+func (s *Store) SaveSnapshot(c chain.Snapshot, from uint64) error {
+	framed, err := encodeSnapshot(storedSnapshot{c, from})
 	if err != nil {
 		return err
 	}
 	if err := s.beforeSync(); err != nil {
 		return err
 	}
-	at := filepath.Join(s.dir, copyName)
-	if err := s.writeNew(at+newMark, framed); err != nil {
-		_ = s.fs.Remove(at + newMark)
+	at := filepath.Join(s.dir, snapshotName)
+	if err := s.writeNew(at+tempSuffix, framed); err != nil {
+		_ = s.files.Remove(at + tempSuffix)
 		return err
 	}
-	if err := s.fs.Rename(at+newMark, at); err != nil {
+	if err := s.files.Rename(at+tempSuffix, at); err != nil {
 		return err
 	}
-	return s.fs.SyncFolder(s.dir)
+	return s.files.SyncDir(s.dir)
 }
 
 func (s *Store) writeNew(path string, raw []byte) error {
-	f, err := s.fs.Create(path)
+	f, err := s.files.Create(path)
 	if err != nil {
 		return err
 	}
@@ -191,22 +193,22 @@
 	return writeAll(f, raw)
 }
 
-// Forget drops the log before a place, once a copy stands for it.
-func (s *Store) Forget(before uint64) error {
+// Compact drops the log before a place, once a copy stands for it.
+func (s *Store) Compact(before uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.log.forget(before)
+	return s.log.compact(before)
 }
 
-func (s *Store) readCopy() (*kept, error) {
-	framed, err := s.fs.ReadFile(filepath.Join(s.dir, copyName))
+func (s *Store) readSnapshot() (*storedSnapshot, error) {
+	framed, err := s.files.ReadFile(filepath.Join(s.dir, snapshotName))
 	if os.IsNotExist(err) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, fault.New(fault.DataNotWritable, s.dir, "%v", err)
 	}
-	c, bad := unpack(framed)
+	c, bad := decodeSnapshot(framed)
 	if bad != nil {
 		return nil, fault.New(bad.Code, s.dir, "the copy: %s", bad.Detail)
 	}
@@ -217,15 +219,15 @@
 func (s *Store) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.log.leave()
+	s.log.closeTail()
 	return nil
 }
 
-// SetAside keeps a damaged folder under another name, so that nothing is erased.
-func SetAside(folder, mark string) (string, error) {
-	to := filepath.Join(folder, logDir+".damaged-"+mark)
+// Quarantine keeps a damaged folder under another name, so that nothing is erased.
+func Quarantine(folder, suffix string) (string, error) {
+	to := filepath.Join(folder, logDir+".damaged-"+suffix)
 	if err := os.Rename(filepath.Join(folder, logDir), to); err != nil {
 		return to, err
 	}
-	return to, osFiles{}.SyncFolder(folder)
+	return to, osFileSystem{}.SyncDir(folder)
 }
--- a/internal/controlplane/storage/storage_test.go
+++ b/internal/controlplane/storage/storage_test.go
@@ -15,7 +15,7 @@
 	"petreltide/internal/process/clock"
 )
 
-var mine = chain.Seal{Identity: "core-1-aa", Name: "core-1"}
+var mine = chain.Owner{MemberID: "core-1-aa", Name: "core-1"}
 
 func entry(i uint64) chain.Record {
 	return chain.Record{Entry: &chain.Entry{Index: i, View: 1, Change: statemachine.Change{ID: "c"}}}
@@ -48,9 +48,9 @@
 	return names[len(names)-1]
 }
 
-func reopened(t *testing.T, dir string) (*Opened, error) {
+func reopened(t *testing.T, dir string) (*OpenResult, error) {
 	t.Helper()
-	o, err := Open(dir, chain.Seal{Identity: "core-1-bb", Name: "core-1"})
+	o, err := Open(dir, chain.Owner{MemberID: "core-1-bb", Name: "core-1"})
 	if err == nil {
 		t.Cleanup(func() { _ = o.Store.Close() })
 	}
@@ -62,8 +62,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(o.Records) != 6 || o.Fresh || o.Store.Seal() != mine || o.Records[5].Entry.Index != 5 {
-		t.Fatalf("%d records, fresh %v, %+v", len(o.Records), o.Fresh, o.Store.Seal())
+	if len(o.Records) != 6 || o.Created || o.Store.Owner() != mine || o.Records[5].Entry.Index != 5 {
+		t.Fatalf("%d records, fresh %v, %+v", len(o.Records), o.Created, o.Store.Owner())
 	}
 }
 
@@ -81,7 +81,7 @@
 		if err != nil {
 			t.Fatalf("cut %d: %v", cut, err)
 		}
-		if len(o.Records) != 5 || o.Cut == 0 {
+		if len(o.Records) != 5 || o.TornBytes == 0 {
 			t.Fatalf("cut %d: %d records", cut, len(o.Records))
 		}
 		if _, err := o.Store.Write([]chain.Record{entry(5)}, false); err != nil {
@@ -110,21 +110,21 @@
 	if err != nil || len(after) != len(raw) {
 		t.Fatal("the damaged file was changed")
 	}
-	kept, err := SetAside(dir, "x")
+	kept, err := Quarantine(dir, "x")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(kept); err != nil {
 		t.Fatal(err)
 	}
-	if o, err := reopened(t, dir); err != nil || !o.Fresh || o.Store.Seal().Identity == mine.Identity {
+	if o, err := reopened(t, dir); err != nil || !o.Created || o.Store.Owner().MemberID == mine.MemberID {
 		t.Fatal("a set-aside folder must come back as a new member", err)
 	}
 }
 
 func TestForeignFolderIsRefused(t *testing.T) {
 	dir := filled(t, 2)
-	_, err := Open(dir, chain.Seal{Identity: "core-9-zz", Name: "core-9"})
+	_, err := Open(dir, chain.Owner{MemberID: "core-9-zz", Name: "core-9"})
 	var bad *fault.Fault
 	if !errors.As(err, &bad) || bad.Code != fault.ForeignData {
 		t.Fatalf("got %v", err)
@@ -146,17 +146,17 @@
 			t.Fatal(err)
 		}
 		if at == "half kept" {
-			if err := os.WriteFile(filepath.Join(dir, logDir, copyName+".new"), []byte("half"), 0o644); err != nil {
+			if err := os.WriteFile(filepath.Join(dir, logDir, snapshotName+".new"), []byte("half"), 0o644); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if at == "kept" || at == "forgotten" {
-			if err := o.Store.Keep(chain.Copy{Index: 50, View: 2, State: statemachine.NewState()}, from); err != nil {
+			if err := o.Store.SaveSnapshot(chain.Snapshot{Index: 50, View: 2, State: statemachine.NewState()}, from); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if at == "forgotten" {
-			if err := o.Store.Forget(from); err != nil {
+			if err := o.Store.Compact(from); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -169,11 +169,11 @@
 		}
 		copied := 0
 		for _, r := range o.Records {
-			if r.Copy != nil {
+			if r.Snapshot != nil {
 				copied++
 			}
 		}
-		if len(o.Records) != want.records || copied != want.copied || o.Store.Seal() != mine {
+		if len(o.Records) != want.records || copied != want.copied || o.Store.Owner() != mine {
 			t.Errorf("%s: %d records, %d copies, want %+v", at, len(o.Records), copied, want)
 		}
 	}
@@ -194,7 +194,7 @@
 	if _, err := o.Store.Write([]chain.Record{{View: &chain.View{Number: 2}}}, false); err != nil {
 		t.Fatal(err)
 	}
-	if err := o.Store.Keep(chain.Copy{Index: 12, View: 2, State: statemachine.NewState()}, from); err != nil {
+	if err := o.Store.SaveSnapshot(chain.Snapshot{Index: 12, View: 2, State: statemachine.NewState()}, from); err != nil {
 		t.Fatal(err)
 	}
 	last := func() uint64 {
@@ -203,11 +203,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		node, err := chain.NewNode(chain.Options{Me: chain.Member{ID: mine.Identity}, Incarnation: "x"}, o.Records, clock.Sec)
+		node, err := chain.NewNode(chain.Options{Self: chain.Member{ID: mine.MemberID}, Incarnation: "x"}, o.Records, clock.Sec)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return node.Last()
+		return node.LastIndex()
 	}
 	if got := last(); got != 12 {
 		t.Errorf("after the copy at 12 the last entry is %d", got)
@@ -229,13 +229,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := o.Store.Keep(chain.Copy{Index: 2, View: 2, State: statemachine.NewState()}, 1); err != nil {
+	if err := o.Store.SaveSnapshot(chain.Snapshot{Index: 2, View: 2, State: statemachine.NewState()}, 1); err != nil {
 		t.Fatal(err)
 	}
 	if err := o.Store.Close(); err != nil {
 		t.Fatal(err)
 	}
-	at := filepath.Join(dir, logDir, copyName)
+	at := filepath.Join(dir, logDir, snapshotName)
 	raw, err := os.ReadFile(at)
 	if err != nil {
 		t.Fatal(err)
@@ -275,12 +275,12 @@
 			cut = 0
 		}
 		raw = raw[:len(raw)-cut]
-		kept := intact(raw)
-		if kept < 0 || kept > len(raw) || intact(raw[:kept]) != kept {
+		kept := intactBytes(raw)
+		if kept < 0 || kept > len(raw) || intactBytes(raw[:kept]) != kept {
 			t.Fatal(kept, len(raw))
 		}
-		if _, _, ok := split(raw[kept:]); ok && !allZero(raw[kept:]) {
-			if framed, rest, _ := split(raw[kept:]); len(rest) > 0 {
+		if _, _, ok := splitRecord(raw[kept:]); ok && !allZero(raw[kept:]) {
+			if framed, rest, _ := splitRecord(raw[kept:]); len(rest) > 0 {
 				t.Fatalf("cut at %d of %d, before a record of %d and %d more bytes", kept, len(raw), len(framed), len(rest))
 			}
 		}
--- a/internal/dataplane/controlclient/subscriber.go
+++ b/internal/dataplane/controlclient/subscriber.go
@@ -31,7 +31,7 @@
 type Effect struct {
 	AskWhere  []string
 	Follow    *Follow
-	Report    *chain.Seat
+	Report    *chain.Replica
 	Snapshot  *scheduling.Snapshot
 	LeaseUs   int64
 	Beats     []failuredetector.Node
@@ -41,7 +41,7 @@
 // Follow asks for the changes that the tail pushes. Number tells streams apart.
 type Follow struct {
 	Number uint64
-	Tail   chain.Seat
+	Tail   chain.Replica
 	Ask    wire.SubscribeRequest
 }
 
@@ -64,7 +64,7 @@
 	seekUs   int64
 	ackUs    int64
 	follow   uint64
-	tail     chain.Seat
+	tail     chain.Replica
 	open     bool
 	triedUs  int64
 	leasedUs int64
@@ -87,7 +87,7 @@
 func (l *Subscriber) Where() wire.MembershipResponse { return l.where }
 
 // Tail is the seat that it follows.
-func (l *Subscriber) Tail() chain.Seat { return l.where.View.Tail() }
+func (l *Subscriber) Tail() chain.Replica { return l.where.View.Tail() }
 
 // ControlNodes are all addresses that may be a control node's, those that were met first.
 func (l *Subscriber) ControlNodes() []string {
--- a/internal/dataplane/controlclient/subscriber_test.go
+++ b/internal/dataplane/controlclient/subscriber_test.go
@@ -12,9 +12,9 @@
 func met(t *testing.T) (*Subscriber, int64) {
 	t.Helper()
 	l := New(Options{Gateway: "d", Incarnation: "i", Addr: "d:1", Seeds: []string{"s1:1", "s2:1"}})
-	seat := chain.Seat{Member: chain.Member{ID: "o1", Addr: "o1:1"}, Incarnation: "x"}
+	seat := chain.Replica{Member: chain.Member{ID: "o1", Addr: "o1:1"}, Incarnation: "x"}
 	follows := 0
-	for _, e := range l.Step(Event{NowUs: clock.Sec, Where: &wire.MembershipResponse{View: chain.View{Number: 1, Order: []chain.Seat{seat}}, ControlNodes: []chain.Member{seat.Member}}}) {
+	for _, e := range l.Step(Event{NowUs: clock.Sec, Where: &wire.MembershipResponse{View: chain.View{Number: 1, Replicas: []chain.Replica{seat}}, ControlNodes: []chain.Member{seat.Member}}}) {
 		if e.Follow != nil {
 			follows++
 		}
--- a/internal/dataplane/gateway/control.go
+++ b/internal/dataplane/gateway/control.go
@@ -92,7 +92,7 @@
 }
 
 // report tells the tail what this gateway has taken and what it holds, and brings back the lease.
-func (h *Host) report(tail chain.Seat, report wire.Report) {
+func (h *Host) report(tail chain.Replica, report wire.Report) {
 	ctx, done := context.WithTimeout(h.act.Ctx, 600*time.Millisecond)
 	defer done()
 	lease, err := rpc.NewCaller[wire.Report, wire.Lease](h.inner, tail.Addr, rpc.AckPath).Call(ctx, &report)
@@ -101,11 +101,11 @@
 	}
 }
 
-func (h *Host) tail() chain.Seat {
+func (h *Host) tail() chain.Replica {
 	if w := h.where.Load(); w != nil {
 		return w.View.Tail()
 	}
-	return chain.Seat{}
+	return chain.Replica{}
 }
 
 // Submit carries a change through any control node that answers.
--- a/tests/fleet/day.go
+++ b/tests/fleet/day.go
@@ -171,14 +171,14 @@
 	if f.Until(short, "there is an open tail", func() bool {
 		var ok bool
 		tail, ok = f.Tail(short)
-		return ok && len(tail.View.Order) > 0
+		return ok && len(tail.View.Replicas) > 0
 	}) != nil {
 		return ""
 	}
 	if place < 0 {
-		place = len(tail.View.Order) - 1
+		place = len(tail.View.Replicas) - 1
 	}
-	return tail.View.Order[min(place, len(tail.View.Order)-1)].Name
+	return tail.View.Replicas[min(place, len(tail.View.Replicas)-1)].Name
 }
 
 func pause(ctx context.Context, span time.Duration) {
--- a/tests/fleet/faults.go
+++ b/tests/fleet/faults.go
@@ -97,12 +97,12 @@
 	defer done()
 	return f.Until(ctx, "every office has its seat and vote", func() bool {
 		tail, ok := f.Tail(ctx)
-		if !ok || len(tail.View.Order) != f.Plan.ControlNodes {
+		if !ok || len(tail.View.Replicas) != f.Plan.ControlNodes {
 			return false
 		}
 		for _, name := range f.Names("control-node") {
 			mine, ok := f.Status(ctx, name)
-			if !ok || mine.Phase != chain.Serving || !tail.View.Seated(mine.ControlNode.ID) || !tail.View.Votes(mine.ControlNode.ID) {
+			if !ok || mine.Phase != chain.PhaseServing || !tail.View.HasReplica(mine.ControlNode.ID) || !tail.View.IsVoter(mine.ControlNode.ID) {
 				return false
 			}
 		}
--- a/tests/fleet/fleet_test.go
+++ b/tests/fleet/fleet_test.go
@@ -244,17 +244,17 @@
 	}
 	if err := f.Until(ctx, "the damaged office is back by copy, with a vote", func() bool {
 		tail, ok := f.Tail(ctx)
-		if !ok || len(tail.View.Order) != 3 {
+		if !ok || len(tail.View.Replicas) != 3 {
 			return false
 		}
-		for _, s := range tail.View.Order {
-			if s.Name == name && before.View.Votes(s.ID) {
+		for _, s := range tail.View.Replicas {
+			if s.Name == name && before.View.IsVoter(s.ID) {
 				return false
 			}
 		}
 		votes := 0
 		for _, v := range tail.View.Voters {
-			if tail.View.Seated(v.ID) {
+			if tail.View.HasReplica(v.ID) {
 				votes++
 			}
 		}
@@ -320,7 +320,7 @@
 			}
 			if err := f.Until(ctx, "the view is whole again", func() bool {
 				tail, ok := f.Tail(ctx)
-				return ok && len(tail.View.Order) == 3
+				return ok && len(tail.View.Replicas) == 3
 			}); err != nil {
 				return err
 			}
@@ -338,7 +338,7 @@
 	}
 	if err := f.Until(ctx, "all offices are back and the layout stands", func() bool {
 		tail, ok := f.Tail(ctx)
-		return ok && tail.View.Number > before.View.Number && len(tail.View.Order) == 3 && tail.Epoch > before.Epoch && f.Settled(ctx)
+		return ok && tail.View.Number > before.View.Number && len(tail.View.Replicas) == 3 && tail.Epoch > before.Epoch && f.Settled(ctx)
 	}); err != nil {
 		t.Fatal(err)
 	}
--- a/tests/fleet/measure.go
+++ b/tests/fleet/measure.go
@@ -308,7 +308,7 @@
 		}
 		if err := f.Until(ctx, "the office has its seat again", func() bool {
 			tail, ok := f.Tail(ctx)
-			return ok && len(tail.View.Order) == f.Plan.ControlNodes && f.Settled(ctx)
+			return ok && len(tail.View.Replicas) == f.Plan.ControlNodes && f.Settled(ctx)
 		}); err != nil {
 			return err
 		}
--- a/tests/history/operators_test.go
+++ b/tests/history/operators_test.go
@@ -159,7 +159,7 @@
 // whole: all control nodes serve, so that one may lose its disk.
 func (w *walk) whole() bool {
 	for _, o := range w.controlNodes {
-		if o.core == nil || w.nowUs < o.thawUs || o.core.Node.Phase() != chain.Serving || len(o.core.Node.View().Order) < controlNodes {
+		if o.core == nil || w.nowUs < o.thawUs || o.core.Node.Phase() != chain.PhaseServing || len(o.core.Node.View().Replicas) < controlNodes {
 			return false
 		}
 	}
--- a/tests/history/walk_test.go
+++ b/tests/history/walk_test.go
@@ -114,10 +114,10 @@
 	o.incarnation++
 	o.waiters = map[string][]func(statemachine.Outcome){}
 	opts := controlnode.SelfPaced(chain.Options{
-		Me: chain.Member{ID: fmt.Sprint("o", o.addr, "-", o.wipes), Name: "o" + o.addr, Addr: o.addr, Zone: "z"}, Incarnation: fmt.Sprint(o.addr, "/", o.incarnation), CopiesLeast: 2, SelfMembers: true,
+		Self: chain.Member{ID: fmt.Sprint("o", o.addr, "-", o.wipes), Name: "o" + o.addr, Addr: o.addr, Zone: "z"}, Incarnation: fmt.Sprint(o.addr, "/", o.incarnation), MinReplicas: 2, AutoMembership: true,
 	})
 	if first {
-		opts.Founders, opts.First = []string{"a0", "a1", "a2"}, true
+		opts.BootstrapAddrs, opts.FirstStart = []string{"a0", "a1", "a2"}, true
 	}
 	node, err := chain.NewNode(opts, o.records, o.walk.nowUs)
 	if err != nil {
@@ -194,13 +194,13 @@
 	}
 }
 
-func (o *walkControlNode) sync(s chain.Save) {
+func (o *walkControlNode) sync(s chain.Persist) {
 	o.later(clock.Ms+o.walk.r.Int63n(15*clock.Ms), func() {
-		if s.Fresh {
+		if s.Compact {
 			o.records = nil
 		}
-		if s.Copy != nil {
-			o.records = append(o.records, chain.Record{Copy: s.Copy})
+		if s.Snapshot != nil {
+			o.records = append(o.records, chain.Record{Snapshot: s.Snapshot})
 		}
 		o.records = append(o.records, s.Records...)
 		o.step(controlnode.Event{Saved: s.Seq})
@@ -292,7 +292,7 @@
 // read gives the declaration in force to done, where this control node or the tail it knows can say.
 func (o *walkControlNode) read(done func(*configuration.Declaration)) {
 	node := o.core.Node
-	if node.Open(o.walk.nowUs) || o.walk.plant == "reads-old" {
+	if node.TailReady(o.walk.nowUs) || o.walk.plant == "reads-old" {
 		done(node.State().Doc)
 		return
 	}
@@ -302,7 +302,7 @@
 		}
 		o.walk.after(clock.Ms+o.walk.r.Int63n(20*clock.Ms), func() {
 			tail.later(0, func() {
-				if tail.core.Node.Open(o.walk.nowUs) {
+				if tail.core.Node.TailReady(o.walk.nowUs) {
 					doc := tail.core.Node.State().Doc
 					o.walk.after(clock.Ms, func() { done(doc) })
 				}
--- a/tests/simulator/control_nodes.go
+++ b/tests/simulator/control_nodes.go
@@ -40,7 +40,7 @@
 	o.waiters, o.replies, o.follows = map[string]func(wire.Result){}, map[uint64]func(wire.Lease){}, map[string]*gatewayNode{}
 	o.saver = saver{on: &o.machine, disk: &o.disk, step: o.step, end: func() { o.crash(0, 0) }}
 	me := chain.Member{ID: o.disk.identity, Name: o.named, Addr: o.addr, Zone: o.zone}
-	node, err := chain.NewNode(chain.Options{Me: me, Incarnation: o.sim.newIncarnation(), Founding: o.founding}, clone(o.disk.records), o.clock())
+	node, err := chain.NewNode(chain.Options{Self: me, Incarnation: o.sim.newIncarnation(), BootstrapCount: o.founding}, clone(o.disk.records), o.clock())
 	if err != nil {
 		panic(err)
 	}
@@ -80,9 +80,9 @@
 
 func (o *controlNode) where() wire.MembershipResponse {
 	n := o.core.Node
-	w := wire.MembershipResponse{View: n.View(), ControlNodes: []chain.Member{n.Me()}}
+	w := wire.MembershipResponse{View: n.View(), ControlNodes: []chain.Member{n.Self()}}
 	for _, p := range n.Peers() {
-		if p.Sound {
+		if p.Alive {
 			w.ControlNodes = append(w.ControlNodes, p.Member)
 		}
 	}
@@ -156,7 +156,7 @@
 		if o.up && o.disk.full {
 			s.watch.Stake(rules.UnsyncedCopy)
 		}
-		if !o.up || tail.core.Node.View().Place(o.core.Node.Me().ID, o.core.Node.Incarnation()) < 0 {
+		if !o.up || tail.core.Node.View().Position(o.core.Node.Self().ID, o.core.Node.Incarnation()) < 0 {
 			continue
 		}
 		if o.disk.held < index {
@@ -178,7 +178,7 @@
 		s.watch.Break(rules.ConfigLost, "%s applies another change at %d", o.name, a.Entry.Index)
 	}
 	s.agreed[a.Entry.Index] = string(raw)
-	if n := o.core.Node; n.IsTail() && n.WritesTaken() {
+	if n := o.core.Node; n.IsTail() && n.AcceptsWrites() {
 		s.counted(o, a.Entry.Index)
 	}
 	if c := a.Entry.Change.Config; c != nil && a.Outcome.Fault == nil && !a.Outcome.Repeated {
--- a/tests/simulator/disk.go
+++ b/tests/simulator/disk.go
@@ -21,7 +21,7 @@
 
 // keeping is a save with a copy that is on its way to the disk, and how far it has come.
 type keeping struct {
-	save chain.Save
+	save chain.Persist
 	step copyStep
 }
 
@@ -53,7 +53,7 @@
 		return
 	}
 	copied := k.step >= copySynced || k.step == copyRenamed && kept.renamed
-	forgotten := k.save.Fresh && k.step == logForgotten && kept.removed
+	forgotten := k.save.Compact && k.step == logForgotten && kept.removed
 	records := k.save.Records
 	if copied {
 		records = recordsOf(k.save)
@@ -79,8 +79,8 @@
 	d.records = append(d.records, clone(records)...)
 	for _, r := range records {
 		switch {
-		case r.Copy != nil:
-			d.held = r.Copy.Index
+		case r.Snapshot != nil:
+			d.held = r.Snapshot.Index
 		case r.Entry != nil:
 			d.held = r.Entry.Index
 		}
@@ -88,11 +88,11 @@
 }
 
 // recordsOf is what a save leaves on the disk; a copy stands before what came with it.
-func recordsOf(s chain.Save) []chain.Record {
-	if s.Copy == nil {
+func recordsOf(s chain.Persist) []chain.Record {
+	if s.Snapshot == nil {
 		return s.Records
 	}
-	return append([]chain.Record{{Copy: s.Copy}}, s.Records...)
+	return append([]chain.Record{{Snapshot: s.Snapshot}}, s.Records...)
 }
 
 // saver does with a control node's saves what its host does: in order, one at a time, and again until the disk
@@ -102,13 +102,13 @@
 	disk    *disk
 	step    func(controlnode.Event)
 	end     func()
-	pending []chain.Save
+	pending []chain.Persist
 	writing bool
 	// kept, where it is set, is told how far a copy under way has come.
 	kept func(step copyStep)
 }
 
-func (w *saver) put(save chain.Save) {
+func (w *saver) put(save chain.Persist) {
 	w.pending = append(w.pending, save)
 	w.write()
 }
@@ -121,7 +121,7 @@
 	w.writing = true
 	save, boot := w.pending[0], w.on.boot
 	doneUs := max(s.nowUs+300+s.r.Int63n(1500)+w.disk.slowUs, w.disk.stallUs)
-	if save.Copy != nil {
+	if save.Snapshot != nil {
 		w.keep(save, doneUs)
 	}
 	var try func()
@@ -134,7 +134,7 @@
 			return
 		}
 		if !w.disk.full {
-			w.disk.write(recordsOf(save), save.Fresh)
+			w.disk.write(recordsOf(save), save.Compact)
 		}
 		w.disk.keeping = nil
 		w.pending, w.writing = w.pending[1:], false
@@ -145,7 +145,7 @@
 }
 
 // keep takes a copy through its steps until the whole save is done.
-func (w *saver) keep(save chain.Save, doneUs int64) {
+func (w *saver) keep(save chain.Persist, doneUs int64) {
 	s, boot := w.on.sim, w.on.boot
 	k := &keeping{save: save}
 	w.disk.keeping = k
--- a/tests/simulator/disk_test.go
+++ b/tests/simulator/disk_test.go
@@ -20,12 +20,12 @@
 	s.ops.play(s.nowUs + 40*sec)
 	s.runUntil(s.nowUs + 3*sec)
 	o := s.controlNodes[0]
-	order := o.core.Node.View().Order
+	order := o.core.Node.View().Replicas
 	if len(order) != 3 {
 		return fmt.Sprint("it begins with ", order)
 	}
 	for _, other := range s.controlNodes {
-		if other.core.Node.Me().ID == order[at].ID {
+		if other.core.Node.Self().ID == order[at].ID {
 			o = other
 		}
 	}
@@ -39,7 +39,7 @@
 	s.runUntil(s.nowUs + 1200*ms)
 	seated := func() bool {
 		for _, other := range s.controlNodes {
-			if n := other.core.Node; other != o && n.View().Seated(o.disk.identity) {
+			if n := other.core.Node; other != o && n.View().HasReplica(o.disk.identity) {
 				return true
 			}
 		}
@@ -48,7 +48,7 @@
 	commit := func() (most uint64) {
 		for _, other := range s.controlNodes {
 			if other != o {
-				most = max(most, other.core.Node.Commit())
+				most = max(most, other.core.Node.CommitIndex())
 			}
 		}
 		return most
@@ -73,7 +73,7 @@
 		return "nothing was acknowledged meanwhile: " + s.why()
 	}
 	s.runUntil(backUs + 4*sec)
-	if n := o.core.Node; !o.up || !seated() || n.View().Place(n.Me().ID, n.Incarnation()) < 0 || n.WaitsFor() != "" {
+	if n := o.core.Node; !o.up || !seated() || n.View().Position(n.Self().ID, n.Incarnation()) < 0 || n.WaitReason() != "" {
 		return "it is not back 4 s after its disk takes bytes: " + s.why()
 	}
 	if len(s.watch.Breaches) > 0 {
@@ -143,7 +143,7 @@
 	s.crashControlNode(o, 0, torn, 300*ms)
 	backUs := s.nowUs + 300*ms
 	s.runUntil(backUs + 5*sec)
-	if n := o.core.Node; !o.up || n.View().Place(n.Me().ID, n.Incarnation()) < 0 || n.WaitsFor() != "" {
+	if n := o.core.Node; !o.up || n.View().Position(n.Self().ID, n.Incarnation()) < 0 || n.WaitReason() != "" {
 		return "it is not back 5 s after its second start: " + s.why()
 	}
 	if len(s.watch.Breaches) > 0 {
@@ -175,11 +175,11 @@
 	for step := nothingWritten; step < copySteps; step++ {
 		for torn := 0; torn < 4; torn++ {
 			d := disk{records: []chain.Record{entry(1), entry(2)}}
-			d.keeping = &keeping{save: chain.Save{Records: []chain.Record{entry(3)}, Copy: &chain.Copy{Index: 2}, Fresh: true}, step: step}
+			d.keeping = &keeping{save: chain.Persist{Records: []chain.Record{entry(3)}, Snapshot: &chain.Snapshot{Index: 2}, Compact: true}, step: step}
 			d.stop(torn)
 			left := ""
 			for _, r := range d.records {
-				if r.Copy != nil {
+				if r.Snapshot != nil {
 					left += "c"
 				} else {
 					left += fmt.Sprint(r.Entry.Index)
--- a/tests/simulator/gateways.go
+++ b/tests/simulator/gateways.go
@@ -154,7 +154,7 @@
 		return
 	}
 	s.send(&d.machine, &o.machine, func() {
-		if !o.core.Node.Open(o.clock()) {
+		if !o.core.Node.TailReady(o.clock()) {
 			s.send(&o.machine, &d.machine, func() { d.subscribe(controlclient.Event{Closed: f.Number}) })
 			return
 		}
--- a/tests/simulator/member_test.go
+++ b/tests/simulator/member_test.go
@@ -20,7 +20,7 @@
 		return
 	}
 	held := m
-	if bad := o.core.Node.FitMember(&held, true); bad != nil && bad.Code == "not_serving" {
+	if bad := o.core.Node.ResolveMemberChange(&held, true); bad != nil && bad.Code == "not_serving" {
 		again()
 		return
 	}
@@ -65,10 +65,10 @@
 	view := newest.core.Node.View()
 	for _, v := range view.Voters {
 		names[v.Name] = v.ID
-		seated = seated && view.Seated(v.ID)
+		seated = seated && view.HasReplica(v.ID)
 	}
 	for _, o := range s.controlNodes {
-		if o.up && o.core.Node.Open(o.clock()) {
+		if o.up && o.core.Node.TailReady(o.clock()) {
 			return names, seated, o.core.Node.State().Membership
 		}
 	}
@@ -111,7 +111,7 @@
 			}
 			step("added", statemachine.MembershipChange{Action: statemachine.AddMember, Name: "core-3"}, func(n map[string]string) bool { return len(n) == 4 && n["core-3"] != "" })
 			old := s.controlNodes[1]
-			oldID := old.core.Node.Me().ID
+			oldID := old.core.Node.Self().ID
 			s.empty(old.name, old.zone)
 			s.runUntil(s.nowUs + 2*sec)
 			if names, _, _ := s.votes(); names[old.name] != oldID {
--- a/tests/simulator/operators.go
+++ b/tests/simulator/operators.go
@@ -536,7 +536,7 @@
 		}
 	}
 	for _, o := range s.controlNodes {
-		if !o.up || !o.core.Node.Open(o.clock()) {
+		if !o.up || !o.core.Node.TailReady(o.clock()) {
 			continue
 		}
 		st := o.core.Node.State()
--- a/tests/simulator/routed_control_nodes.go
+++ b/tests/simulator/routed_control_nodes.go
@@ -70,10 +70,10 @@
 	o.waiters, o.streams, o.words = map[string]func(wire.Result){}, map[string]*frameStream{}, map[uint64]func(bool){}
 	o.saver = saver{on: &o.machine, disk: &o.disk, step: o.step, end: func() { o.crash(0) }, kept: o.keepsCopy}
 	opts := chain.Options{
-		Me: chain.Member{ID: o.disk.identity, Name: o.name, Addr: o.addr, Zone: o.zone}, Incarnation: o.sim.newIncarnation(), CopiesLeast: o.day.tolerated() + 1, SelfMembers: true,
+		Self: chain.Member{ID: o.disk.identity, Name: o.name, Addr: o.addr, Zone: o.zone}, Incarnation: o.sim.newIncarnation(), MinReplicas: o.day.tolerated() + 1, AutoMembership: true,
 	}
 	opts = controlnode.SelfPaced(opts)
-	opts.Founders, opts.First = o.founders, len(o.founders) > 0
+	opts.BootstrapAddrs, opts.FirstStart = o.founders, len(o.founders) > 0
 	o.founders = nil
 	node, err := chain.NewNode(opts, clone(o.disk.records), o.clock())
 	if err != nil {
@@ -150,12 +150,12 @@
 // where are the addresses that this control node knows of.
 func (o *routedControlNode) where() []string {
 	n := o.core.Node
-	addrs := []string{n.Me().Addr}
-	for _, s := range n.View().Order {
+	addrs := []string{n.Self().Addr}
+	for _, s := range n.View().Replicas {
 		addrs = append(addrs, s.Addr)
 	}
 	for _, p := range n.Peers() {
-		if p.Sound {
+		if p.Alive {
 			addrs = append(addrs, p.Member.Addr)
 		}
 	}
@@ -337,7 +337,7 @@
 // read is the declaration that was acknowledged last, where this control node can say.
 func (o *routedControlNode) read(answer func(*configuration.Declaration, bool)) {
 	n := o.core.Node
-	if n.Open(o.clock()) || o.day.plan.Plant == "unleased" && n.IsTail() {
+	if n.TailReady(o.clock()) || o.day.plan.Plant == "unleased" && n.IsTail() {
 		answer(n.State().Doc, true)
 		return
 	}
@@ -348,7 +348,7 @@
 	}
 	fail := func() { answer(nil, false) }
 	o.day.carry(&o.machine, &tail.machine, 700*ms, func() {
-		open, doc := tail.core.Node.Open(tail.clock()), tail.core.Node.State().Doc
+		open, doc := tail.core.Node.TailReady(tail.clock()), tail.core.Node.State().Doc
 		o.day.carry(&tail.machine, &o.machine, 700*ms, func() { answer(doc, open) }, fail)
 	}, fail)
 }
@@ -441,5 +441,5 @@
 
 // caughtUp: it serves, and has for as long as the platform counts a machine as lost after its return.
 func (o *routedControlNode) caughtUp() bool {
-	return o.up && o.thawUs <= o.sim.nowUs && o.core.Node.Phase() == chain.Serving && o.sim.nowUs-o.sinceUs > o.day.catchUpUs()
+	return o.up && o.thawUs <= o.sim.nowUs && o.core.Node.Phase() == chain.PhaseServing && o.sim.nowUs-o.sinceUs > o.day.catchUpUs()
 }
--- a/tests/simulator/routed_cutoff.go
+++ b/tests/simulator/routed_cutoff.go
@@ -144,11 +144,11 @@
 	case TailRole:
 		return n.IsTail()
 	case MiddleRole:
-		return n.Phase() == chain.Serving && !n.IsHead() && !n.IsTail()
+		return n.Phase() == chain.PhaseServing && !n.IsHead() && !n.IsTail()
 	case ControllerRole:
 		return o.isLeader()
 	case JoinerRole:
-		return n.Phase() == chain.Outside && n.Last() > 0
+		return n.Phase() == chain.PhaseStandby && n.LastIndex() > 0
 	case FollowedRole:
 		return o.streams[o.day.gateways[0].name] != nil
 	}
--- a/tests/simulator/routed_repairs.go
+++ b/tests/simulator/routed_repairs.go
@@ -123,7 +123,7 @@
 	o.now(o.boot, func() { o.step(controlnode.Event{Leave: true}) })
 	var look func()
 	look = func() {
-		if o.up && !o.core.Node.Left() && d.nowUs < endUs && d.plan.Plant != "abrupt-office" {
+		if o.up && !o.core.Node.ShutdownComplete() && d.nowUs < endUs && d.plan.Plant != "abrupt-office" {
 			d.at(d.nowUs+25*ms, look)
 			return
 		}
