--- a/cmd/petreltide/print.go
+++ b/cmd/petreltide/print.go
@@ -96,9 +96,9 @@
 	}
 	for _, s := range st.Shadows {
 		fmt.Fprintf(w, "shadow    %s: %d runs, %d faulted", s.Name, s.Runs, s.Faulted)
-		if s.Parted != nil {
-			fmt.Fprintf(w, "; parted from %s in %d of %d%s%s", st.Policy.Name, s.Parted.Runs-s.Parted.Same, s.Parted.Runs,
-				most("; it alone would", s.Parted.Only), most("; it would not", s.Parted.Left))
+		if s.Difference != nil {
+			fmt.Fprintf(w, "; parted from %s in %d of %d%s%s", st.Policy.Name, s.Difference.Runs-s.Difference.Same, s.Difference.Runs,
+				most("; it alone would", s.Difference.Only), most("; it would not", s.Difference.Left))
 		}
 		fmt.Fprintln(w)
 	}
--- a/cmd/petreltide/status.go
+++ b/cmd/petreltide/status.go
@@ -20,7 +20,7 @@
 
 const routesShown = 20
 
-func printLeadership(w io.Writer, n *controller.Note) {
+func printLeadership(w io.Writer, n *controller.LeaderStatus) {
 	if n == nil {
 		return
 	}
--- a/cmd/petreltide/status_test.go
+++ b/cmd/petreltide/status_test.go
@@ -76,7 +76,7 @@
 	load := statemachine.ReplicaCommand{Number: 12, Replica: "i-2", Incarnation: "i-2", Action: statemachine.Load, Unit: "m2", SizeMb: 20}
 	return controlnode.Status{
 		Holder: "core-1-ab", Epoch: 41, Pending: []statemachine.ReplicaCommand{load}, Replicas: []statemachine.Replica{},
-		Demand: []controller.GatewayNote{{Gateway: "front-1", Zone: "a", Addr: gatewayAddr}, {Gateway: "front-2", Zone: "b", Addr: "127.0.0.1:1"}},
+		Demand: []controller.GatewayStatus{{Gateway: "front-1", Zone: "a", Addr: gatewayAddr}, {Gateway: "front-2", Zone: "b", Addr: "127.0.0.1:1"}},
 		Fleet: &controlnode.Fleet{
 			Version: 9, Gateways: []string{"front-1", "front-2"},
 			Routes: []configuration.Route{{Name: "letters", Host: "h.example", Prefix: "/l/", RetryClass: configuration.Streaming, Resumable: true, TimeoutMs: 5000, Priority: 1, MaxAttempts: 2,
@@ -87,9 +87,9 @@
 				{ID: "i-2", Service: "scribe", Zone: "b", State: controlnode.ReplicaUnreachable, AgoMs: 4000, Units: []string{"m1"}, HeldMb: 80, RoomMb: 100, Order: &load},
 				{ID: "i-3", Service: "quill", Zone: "b", State: controlnode.ReplicaUnheard, AgoMs: -1, Units: []string{}},
 			},
-			Leadership: &controller.Note{Holder: "core-1-ab", Fence: 41, OrdersInMs: 700, Orders: []controller.OrderNote{{ReplicaCommand: load, SentAgoMs: -1}},
-				Store: []controller.StoreNote{{Service: "scribe", Left: 3, Running: 1, AtOnce: 7, Began: 4, WindowMs: 5000}},
-				Needs: map[string]controller.NeedNote{"m1": {Rate: 2.5}}},
+			Leadership: &controller.LeaderStatus{Holder: "core-1-ab", Fence: 41, OrdersInMs: 700, Orders: []controller.OrderStatus{{ReplicaCommand: load, SentAgoMs: -1}},
+				Store:  []controller.StoreStatus{{Service: "scribe", Left: 3, Running: 1, AtOnce: 7, Began: 4, WindowMs: 5000}},
+				Demand: map[string]controller.DemandStatus{"m1": {Rate: 2.5}}},
 		},
 	}
 }
--- a/internal/controlplane/controller/basis.go
+++ b/internal/controlplane/controller/basis.go
@@ -70,23 +70,23 @@
 	return sumMb <= r.CapacityMb
 }
 
-// outdatedReport says whether a report shows a state from before an order that the replica is known to have taken.
-func (o *standingOrder) outdatedReport(r *statemachine.Replica, report *wire.ReplicaState) bool {
+// isOutdatedReport says whether a report shows a state from before an order that the replica is known to have taken.
+func (o *standingOrder) isOutdatedReport(r *statemachine.Replica, report *wire.ReplicaState) bool {
 	if known := recordedBasis(r); known != nil && report.Orders < known.orders {
 		return true
 	}
 	if o.basis == nil {
 		return false
 	}
-	if o.said == wire.OrderRunning {
+	if o.answer == wire.OrderRunning {
 		return report.Orders <= o.basis.orders
 	}
 	return report.Orders < o.basis.orders
 }
 
 // withResult adds to a settled order what the replica holds after it, where that is known.
-func (f *Controller) withResult(s *statemachine.State, t statemachine.ReplicaCommand, settled statemachine.CommandResult) statemachine.CommandResult {
-	o, r := f.routed.orders[t.Number], s.Replicas[t.Replica]
+func (c *Controller) withResult(s *statemachine.State, t statemachine.ReplicaCommand, settled statemachine.CommandResult) statemachine.CommandResult {
+	o, r := c.routed.orders[t.Number], s.Replicas[t.Replica]
 	if o == nil || o.result == nil || r == nil {
 		return settled
 	}
--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -17,35 +17,35 @@
 )
 
 const (
-	listEveryUs        = 400 * clock.Ms
-	askEveryUs         = 250 * clock.Ms
-	askBusyUs          = 50 * clock.Ms
-	orderEveryUs       = 600 * clock.Ms
-	policyEveryUs      = 500 * clock.Ms
-	policyLeastUs      = 60 * clock.Ms
-	policyLostUs       = 5 * clock.Sec
-	shareEveryUs       = 400 * clock.Ms
-	unreachableAfterUs = 1500 * clock.Ms
-	gatewayLiveUs      = 2500 * clock.Ms
-	reportLateUs       = 600 * clock.Ms
-	gatewayGoneUs      = 15 * clock.Sec
-	gapMostUs          = 500 * clock.Ms
-	writeLostUs        = 2 * clock.Sec
-	emptyListMost      = 8
-	keyMarkUs          = 3600 * clock.Sec
-	keyMarks           = 24
-	attemptsLeast      = 24
-	attemptsMost       = 4096
-	attemptSeconds     = 5
+	listIntervalUs        = 400 * clock.Ms
+	reportIntervalUs      = 250 * clock.Ms
+	busyReportIntervalUs  = 50 * clock.Ms
+	orderRetryUs          = 600 * clock.Ms
+	policyIntervalUs      = 500 * clock.Ms
+	minPolicyIntervalUs   = 60 * clock.Ms
+	policyTimeoutUs       = 5 * clock.Sec
+	shareIntervalUs       = 400 * clock.Ms
+	unreachableAfterUs    = 1500 * clock.Ms
+	gatewayLiveUs         = 2500 * clock.Ms
+	reportOverdueUs       = 600 * clock.Ms
+	gatewayRemovedAfterUs = 15 * clock.Sec
+	maxTickGapUs          = 500 * clock.Ms
+	writeTimeoutUs        = 2 * clock.Sec
+	maxBadListings        = 8
+	keyMarkIntervalUs     = 3600 * clock.Sec
+	maxKeyMarks           = 24
+	minAttempts           = 24
+	maxAttempts           = 4096
+	attemptSeconds        = 5
 )
 
-type told struct {
-	addr    string
-	state   wire.ReplicaState
-	atUs    int64
-	askedUs int64
-	heardUs int64
-	movedUs int64
+type replicaState struct {
+	addr            string
+	report          wire.ReplicaState
+	reportedUs      int64
+	requestedUs     int64
+	newestRequestUs int64
+	settledUs       int64
 }
 
 // Controller decides what the one leading controller does: it reads the ledger and what replicas,
@@ -64,8 +64,8 @@
 	listAtUs   int64
 	empties    int
 	stales     int
-	replicas   map[string]*told
-	gateways   map[string]*gatewayRow
+	replicas   map[string]*replicaState
+	gateways   map[string]*gatewayState
 	view       uint64
 	viewUs     int64
 	checked    bool
@@ -83,13 +83,13 @@
 	counted    []scaler.Count
 	marks      []uint64
 	markUs     int64
-	routed     routed
-	turns      turns
+	routed     routedMemory
+	turns      predecessorOrders
 	outliers   *outlier.Fleet
 	judges     uint64
 	Faults     map[fault.Code]uint64
-	Policy     PolicyNote
-	Shadows    []PolicyNote
+	Policy     PolicyStatus
+	Shadows    []PolicyStatus
 	effects    []Effect
 }
 
@@ -110,154 +110,154 @@
 // NewWith makes a controller that remembers nothing yet.
 func NewWith(me string, opts Options) *Controller {
 	return &Controller{
-		me: me, opts: opts, replicas: map[string]*told{}, gateways: map[string]*gatewayRow{},
+		me: me, opts: opts, replicas: map[string]*replicaState{}, gateways: map[string]*gatewayState{},
 		jury: failuredetector.NewSuspicionQuorum(), orderUs: map[uint64]int64{}, Faults: map[fault.Code]uint64{}, routed: newRouted(), outliers: outlier.NewFleet(opts.Outlier),
 	}
 }
 
 // Counts are how many replicas of each model the scaler wants.
-func (f *Controller) Counts() []scaler.Count { return f.counted }
+func (c *Controller) Counts() []scaler.Count { return c.counted }
 
 // IsLeader says whether this controller leads, by its own claim in the ledger.
-func (f *Controller) IsLeader(s *statemachine.State) bool {
-	return f.claimed > 0 && s.Epoch == f.claimed && s.Leader == f.me
+func (c *Controller) IsLeader(s *statemachine.State) bool {
+	return c.claimed > 0 && s.Epoch == c.claimed && s.Leader == c.me
 }
 
-// sorted gives a map's keys in order.
-func sorted[V any](m map[string]V) []string {
+// sortedKeys gives a map's keys in order.
+func sortedKeys[V any](m map[string]V) []string {
 	return slices.Sorted(maps.Keys(m))
 }
 
 // Step takes one event and returns what is to be done.
-func (f *Controller) Step(seen Seen, ev Event) []Effect {
-	f.effects = nil
+func (c *Controller) Step(snapshot Snapshot, ev Event) []Effect {
+	c.effects = nil
 	switch {
 	case ev.Report != nil:
-		f.reported(seen, ev.NowUs, ev.Report)
+		c.onGatewayReport(snapshot, ev.NowUs, ev.Report)
 	case ev.Silence != nil:
-		f.jury.Report(ev.NowUs, *ev.Silence)
+		c.jury.Report(ev.NowUs, *ev.Silence)
 	case ev.Listed != nil:
-		f.listed(ev.NowUs, *ev.Listed)
-	case ev.Told != nil && seen.isRouted():
-		f.routedTold(seen, *ev.Told)
-		f.act(seen)
-	case ev.Ordered != nil && seen.isRouted():
-		f.routedOrdered(seen, *ev.Ordered)
-		f.act(seen)
+		c.onPlatformListing(ev.NowUs, *ev.Listed)
+	case ev.Told != nil && snapshot.isRouted():
+		c.onRoutedReplicaReport(snapshot, *ev.Told)
+		c.act(snapshot)
+	case ev.Ordered != nil && snapshot.isRouted():
+		c.onRoutedOrderResult(snapshot, *ev.Ordered)
+		c.act(snapshot)
 	case ev.Told != nil:
-		f.told(ev.NowUs, *ev.Told)
-		if f.settles(seen.State, ev.Told.Replica) {
-			f.act(seen)
+		c.onReplicaReport(ev.NowUs, *ev.Told)
+		if c.hasOutcome(snapshot.State, ev.Told.Replica) {
+			c.act(snapshot)
 		}
 	case ev.Ordered != nil:
-		f.ordered(*ev.Ordered)
+		c.onOrderResult(*ev.Ordered)
 	case ev.Policy != nil:
-		f.ran(seen, *ev.Policy)
-		f.act(seen)
+		c.onPolicyResult(snapshot, *ev.Policy)
+		c.act(snapshot)
 	case ev.Wrote != nil:
-		f.wrote(seen, *ev.Wrote)
+		c.onWriteResult(snapshot, *ev.Wrote)
 	default:
-		f.tick(seen)
+		c.tick(snapshot)
 	}
-	return f.effects
+	return c.effects
 }
 
-// reported takes a gateway's report, and acts at once where calls wait for a unit that has no place.
-func (f *Controller) reported(seen Seen, nowUs int64, report *wire.Report) {
-	f.gateways[report.Gateway] = &gatewayRow{report: *report, atUs: nowUs}
-	f.jury.Report(nowUs, failuredetector.SuspicionReport{Reporter: report.Gateway, Suspects: report.Suspects})
-	f.hearOutcomes(seen, report)
-	if seen.isRouted() && f.unplaced(seen, report) {
-		f.moved = true
-		f.act(seen)
+// onGatewayReport takes a gateway's report, and acts at once where calls wait for a unit that has no place.
+func (c *Controller) onGatewayReport(snapshot Snapshot, nowUs int64, report *wire.Report) {
+	c.gateways[report.Gateway] = &gatewayState{report: *report, reportedUs: nowUs}
+	c.jury.Report(nowUs, failuredetector.SuspicionReport{Reporter: report.Gateway, Suspects: report.Suspects})
+	c.onCallOutcomes(snapshot, report)
+	if snapshot.isRouted() && c.hasUnplacedCalls(snapshot, report) {
+		c.moved = true
+		c.act(snapshot)
 	}
 }
 
-func (f *Controller) do(e Effect) { f.effects = append(f.effects, e) }
+func (c *Controller) emit(e Effect) { c.effects = append(c.effects, e) }
 
-func (f *Controller) count(code fault.Code) { f.Faults[code]++ }
+func (c *Controller) count(code fault.Code) { c.Faults[code]++ }
 
 // tick claims leadership where this control node leads and nobody holds it for it, and does what is due by time.
-func (f *Controller) tick(seen Seen) {
-	if f.routed.bornUs == 0 {
-		f.routed.bornUs = seen.NowUs
-		f.turns.follow(seen.State)
+func (c *Controller) tick(snapshot Snapshot) {
+	if c.routed.bornUs == 0 {
+		c.routed.bornUs = snapshot.NowUs
+		c.turns.reset(snapshot.State)
 	}
-	if !seen.Head {
-		f.leave()
+	if !snapshot.IsHead {
+		c.resign()
 		return
 	}
-	if !f.IsLeader(seen.State) {
-		f.claim(seen)
+	if !c.IsLeader(snapshot.State) {
+		c.claim(snapshot)
 		return
 	}
-	gapUs := seen.NowUs - f.tickUs
-	f.tickUs = seen.NowUs
-	if !seen.Fresh || gapUs > gapMostUs {
-		f.bucket.Empty()
+	gapUs := snapshot.NowUs - c.tickUs
+	c.tickUs = snapshot.NowUs
+	if !snapshot.IsFresh || gapUs > maxTickGapUs {
+		c.bucket.Reset()
 	}
 	switch {
-	case !seen.Fresh:
-	case seen.isRouted():
-		f.routedTick(seen)
+	case !snapshot.IsFresh:
+	case snapshot.isRouted():
+		c.routedTick(snapshot)
 	default:
-		f.declaredTick(seen)
+		c.declaredTick(snapshot)
 	}
 }
 
 // claim asks the ledger for leadership, again where the last claim may be lost.
-func (f *Controller) claim(seen Seen) {
-	if f.claimUs != 0 && seen.NowUs-f.claimUs <= writeLostUs {
+func (c *Controller) claim(snapshot Snapshot) {
+	if c.claimUs != 0 && snapshot.NowUs-c.claimUs <= writeTimeoutUs {
 		return
 	}
-	f.leave()
-	f.claimUs = seen.NowUs
-	f.claimed = seen.State.Epoch + 1
-	f.do(Effect{Write: &statemachine.Change{
-		ID: fmt.Sprintf("claim-%s-%d", f.me, f.claimed), Epoch: f.claimed, Claim: &statemachine.Claim{Leader: f.me},
+	c.resign()
+	c.claimUs = snapshot.NowUs
+	c.claimed = snapshot.State.Epoch + 1
+	c.emit(Effect{Write: &statemachine.Change{
+		ID: fmt.Sprintf("claim-%s-%d", c.me, c.claimed), Epoch: c.claimed, Claim: &statemachine.Claim{Leader: c.me},
 	}})
 }
 
 // declaredTick is a tick of whoever leads over replicas that the platform lists.
-func (f *Controller) declaredTick(seen Seen) {
-	f.fill(seen)
-	if seen.View != f.view {
-		f.view, f.viewUs, f.checked, f.listUs = seen.View, seen.NowUs, false, 0
+func (c *Controller) declaredTick(snapshot Snapshot) {
+	c.refillBudget(snapshot)
+	if snapshot.ViewNumber != c.view {
+		c.view, c.viewUs, c.checked, c.listUs = snapshot.ViewNumber, snapshot.NowUs, false, 0
 	}
-	if seen.NowUs-f.listUs >= listEveryUs {
-		f.listUs = seen.NowUs
-		f.do(Effect{PollList: true})
+	if snapshot.NowUs-c.listUs >= listIntervalUs {
+		c.listUs = snapshot.NowUs
+		c.emit(Effect{PollList: true})
 	}
-	f.askReplicas(seen.NowUs, seen.State)
-	f.orders(seen)
-	f.startPolicy(seen)
-	f.write(seen)
+	c.requestReports(snapshot.NowUs, snapshot.State)
+	c.sendOrders(snapshot)
+	c.startPolicy(snapshot)
+	c.writeDue(snapshot)
 }
 
 // act writes and asks the policy at once where an event has made it worthwhile, not at the next tick.
-func (f *Controller) act(seen Seen) {
-	if !seen.Head || !seen.Fresh || !f.IsLeader(seen.State) {
+func (c *Controller) act(snapshot Snapshot) {
+	if !snapshot.IsHead || !snapshot.IsFresh || !c.IsLeader(snapshot.State) {
 		return
 	}
-	if seen.isRouted() {
-		f.routedOrders(seen)
-		f.startResident(seen)
+	if snapshot.isRouted() {
+		c.pursueOrders(snapshot)
+		c.runResident(snapshot)
 	} else {
-		f.fill(seen)
-		f.startPolicy(seen)
+		c.refillBudget(snapshot)
+		c.startPolicy(snapshot)
 	}
-	f.write(seen)
+	c.writeDue(snapshot)
 }
 
-// leave forgets all that only a leader needs.
-func (f *Controller) leave() {
-	fresh := NewWith(f.me, f.opts)
-	fresh.Faults, fresh.writes, fresh.gateways, fresh.Policy = f.Faults, f.writes, f.gateways, f.Policy
-	fresh.turns = f.turns
-	fresh.run, fresh.jury = f.run, f.jury
-	fresh.routed.foreignUs, fresh.routed.bornUs, fresh.routed.loadsUs = f.routed.foreignUs, f.routed.bornUs, f.routed.loadsUs
-	fresh.routed.changedUs, fresh.routed.known, fresh.routed.missedUs = f.routed.changedUs, f.routed.known, f.routed.missedUs
-	effects := f.effects
-	*f = *fresh
-	f.effects = effects
+// resign forgets all that only a leader needs.
+func (c *Controller) resign() {
+	fresh := NewWith(c.me, c.opts)
+	fresh.Faults, fresh.writes, fresh.gateways, fresh.Policy = c.Faults, c.writes, c.gateways, c.Policy
+	fresh.turns = c.turns
+	fresh.run, fresh.jury = c.run, c.jury
+	fresh.routed.foreignUs, fresh.routed.bornUs, fresh.routed.loadsUs = c.routed.foreignUs, c.routed.bornUs, c.routed.loadsUs
+	fresh.routed.changedUs, fresh.routed.known, fresh.routed.missedUs = c.routed.changedUs, c.routed.known, c.routed.missedUs
+	effects := c.effects
+	*c = *fresh
+	c.effects = effects
 }
--- a/internal/controlplane/controller/controller_test.go
+++ b/internal/controlplane/controller/controller_test.go
@@ -19,7 +19,7 @@
 	list   wire.ReplicaList
 	states map[string]*wire.ReplicaState
 	orders []wire.Order
-	runs   []Run
+	runs   []PolicyRun
 	mute   bool
 }
 
@@ -40,8 +40,8 @@
 	return s
 }
 
-func (r *rig) seen() Seen {
-	return Seen{NowUs: r.nowUs, State: r.s, Head: true, Fresh: true, Writes: true}
+func (r *rig) seen() Snapshot {
+	return Snapshot{NowUs: r.nowUs, State: r.s, IsHead: true, IsFresh: true, CanWrite: true}
 }
 
 func (r *rig) feed(ev Event) {
@@ -50,14 +50,14 @@
 		switch {
 		case e.PollList:
 			list := r.list
-			r.feed(Event{Listed: &Listed{List: &list}})
+			r.feed(Event{Listed: &PlatformListing{List: &list}})
 		case e.Ask != nil:
 			known := r.states[e.Ask.Replica]
 			if known == nil {
 				continue
 			}
 			st := *known
-			r.feed(Event{Told: &Told{AskedUs: e.Ask.AskedUs, Replica: e.Ask.Replica, Addr: e.Ask.Addr, State: &st}})
+			r.feed(Event{Told: &ReplicaReport{RequestedUs: e.Ask.RequestedUs, Replica: e.Ask.Replica, Addr: e.Ask.Addr, State: &st}})
 		case e.Order != nil:
 			r.orders = append(r.orders, e.Order.Order)
 			if !r.mute {
@@ -69,7 +69,7 @@
 			r.feed(Event{Wrote: &out})
 		case e.Run != nil:
 			r.runs = append(r.runs, *e.Run)
-			r.feed(Event{Policy: &PolicyDone{Run: e.Run.Number, Revision: e.Run.Revision}})
+			r.feed(Event{Policy: &PolicyResult{Number: e.Run.Number, Revision: e.Run.Revision}})
 		}
 	}
 }
@@ -82,7 +82,7 @@
 
 func (r *rig) propose(replica string) {
 	last := r.runs[len(r.runs)-1]
-	r.feed(Event{Policy: &PolicyDone{Run: last.Number, Revision: last.Revision, Live: placement.Answer{Proposals: []placement.Proposal{{Step: statemachine.Load, Replica: replica, Unit: "m"}}}}})
+	r.feed(Event{Policy: &PolicyResult{Number: last.Number, Revision: last.Revision, Live: placement.RunResult{Proposals: []placement.Proposal{{Step: statemachine.Load, Replica: replica, Unit: "m"}}}}})
 	r.pass(200 * clock.Ms)
 }
 
@@ -184,15 +184,15 @@
 	r.propose("r1")
 	r.orders = nil
 	r.nowUs += 2 * clock.Sec
-	seen := r.seen()
-	seen.Fresh = false
-	for _, e := range r.f.Step(seen, Event{NowUs: r.nowUs}) {
+	snapshot := r.seen()
+	snapshot.IsFresh = false
+	for _, e := range r.f.Step(snapshot, Event{NowUs: r.nowUs}) {
 		if e.Order != nil || e.Write != nil {
 			t.Fatalf("a head that the chain has not answered acts: %+v", e)
 		}
 	}
-	seen.Head = false
-	if r.f.Step(seen, Event{NowUs: r.nowUs}); r.f.IsLeader(r.s) {
+	snapshot.IsHead = false
+	if r.f.Step(snapshot, Event{NowUs: r.nowUs}); r.f.IsLeader(r.s) {
 		t.Fatal("a control node that is not the head keeps leadership")
 	}
 }
@@ -202,7 +202,7 @@
 	r.pass(2 * clock.Sec)
 	good := r.list
 	for _, bad := range []*wire.ReplicaList{nil, {Version: 0}, {Version: 9}, {Version: 9, Replicas: []wire.ListedReplica{{ID: "r1"}}}} {
-		r.feed(Event{Listed: &Listed{List: bad}})
+		r.feed(Event{Listed: &PlatformListing{List: bad}})
 		r.feed(Event{})
 		if len(r.s.Replicas) != 2 {
 			t.Fatalf("%+v dropped replicas", bad)
--- a/internal/controlplane/controller/hear.go
+++ b/internal/controlplane/controller/hear.go
@@ -6,130 +6,130 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// listed takes the platform's list, unless it looks older or emptier than can be true.
-func (f *Controller) listed(nowUs int64, l Listed) {
+// onPlatformListing takes the platform's list, unless it looks older or emptier than can be true.
+func (c *Controller) onPlatformListing(nowUs int64, l PlatformListing) {
 	switch {
 	case l.List == nil:
-		f.count(fault.PlatformInvalidAnswer)
-	case f.list != nil && l.List.Version < f.list.Version && f.stales < emptyListMost:
-		f.stales++
-		f.count(fault.PlatformInvalidAnswer)
-	case len(l.List.Replicas) == 0 && f.list != nil && len(f.list.Replicas) > 0 && f.empties < emptyListMost:
-		f.empties++
-		f.count(fault.PlatformInvalidAnswer)
+		c.count(fault.PlatformInvalidAnswer)
+	case c.list != nil && l.List.Version < c.list.Version && c.stales < maxBadListings:
+		c.stales++
+		c.count(fault.PlatformInvalidAnswer)
+	case len(l.List.Replicas) == 0 && c.list != nil && len(c.list.Replicas) > 0 && c.empties < maxBadListings:
+		c.empties++
+		c.count(fault.PlatformInvalidAnswer)
 	default:
-		if !fitList(l.List) {
-			f.count(fault.PlatformInvalidAnswer)
+		if !isValidListing(l.List) {
+			c.count(fault.PlatformInvalidAnswer)
 			return
 		}
-		f.empties, f.stales = 0, 0
-		f.list, f.listAtUs = l.List, nowUs
+		c.empties, c.stales = 0, 0
+		c.list, c.listAtUs = l.List, nowUs
 	}
 }
 
-// fitList: a list in which anything is odd is not taken at all.
-func fitList(list *wire.ReplicaList) bool {
-	seen := map[string]bool{}
+// isValidListing: a list in which anything is odd is not taken at all.
+func isValidListing(list *wire.ReplicaList) bool {
+	known := map[string]bool{}
 	for _, r := range list.Replicas {
-		if r.ID == "" || r.Addr == "" || r.CapacityMB <= 0 || r.Slots <= 0 || seen[r.ID] {
+		if r.ID == "" || r.Addr == "" || r.CapacityMB <= 0 || r.Slots <= 0 || known[r.ID] {
 			return false
 		}
-		seen[r.ID] = true
+		known[r.ID] = true
 	}
 	return true
 }
 
-// fitHoldings: what takes less than no room would make room for too much.
-func fitHoldings(holds []statemachine.ResidentUnit) bool {
-	seen := map[string]bool{}
+// areValidHoldings: what takes less than no room would make room for too much.
+func areValidHoldings(holds []statemachine.ResidentUnit) bool {
+	known := map[string]bool{}
 	for _, h := range holds {
-		if h.Unit == "" || h.SizeMb < 0 || seen[h.Unit] {
+		if h.Unit == "" || h.SizeMb < 0 || known[h.Unit] {
 			return false
 		}
-		seen[h.Unit] = true
+		known[h.Unit] = true
 	}
 	return true
 }
 
-// ordered takes a declared replica's answer to an order.
-func (f *Controller) ordered(o Ordered) {
-	row := f.replicas[o.Replica]
+// onOrderResult takes a declared replica's answer to an order.
+func (c *Controller) onOrderResult(o OrderResult) {
+	row := c.replicas[o.Replica]
 	if o.State.State == wire.OrderInDoubt || o.State.State == wire.OrderBusy {
 		return
 	}
 	if o.State.State == wire.OrderFailed {
-		f.count(fault.CommandRejected)
+		c.count(fault.CommandRejected)
 		return
 	}
-	if row == nil || row.state.Incarnation != o.Incarnation {
+	if row == nil || row.report.Incarnation != o.Incarnation {
 		return
 	}
-	if last := row.state.LastOrder; last == nil || last.Number < o.State.Number {
+	if last := row.report.LastOrder; last == nil || last.Number < o.State.Number {
 		state := o.State
-		row.state.LastOrder = &state
+		row.report.LastOrder = &state
 	}
 }
 
-// settles: the replica's word for its last order ends what the ledger holds as pending.
-func (f *Controller) settles(s *statemachine.State, replica string) bool {
+// hasOutcome: the replica's word for its last order ends what the ledger holds as pending.
+func (c *Controller) hasOutcome(s *statemachine.State, replica string) bool {
 	t, pending := s.Pending[replica]
-	row := f.replicas[replica]
-	return pending && row != nil && row.state.LastOrder != nil && row.state.Incarnation == t.Incarnation && row.state.LastOrder.Number >= t.Number && row.state.LastOrder.State != wire.OrderRunning
+	row := c.replicas[replica]
+	return pending && row != nil && row.report.LastOrder != nil && row.report.Incarnation == t.Incarnation && row.report.LastOrder.Number >= t.Number && row.report.LastOrder.State != wire.OrderRunning
 }
 
-// askReplicas asks listed replicas for their reports, more often while an order is pending there.
-func (f *Controller) askReplicas(nowUs int64, s *statemachine.State) {
-	if f.list == nil {
+// requestReports asks listed replicas for their reports, more often while an order is pending there.
+func (c *Controller) requestReports(nowUs int64, s *statemachine.State) {
+	if c.list == nil {
 		return
 	}
-	for _, l := range f.list.Replicas {
-		row := f.replicas[l.ID]
+	for _, l := range c.list.Replicas {
+		row := c.replicas[l.ID]
 		if row == nil || row.addr != l.Addr {
-			row = &told{addr: l.Addr}
-			f.replicas[l.ID] = row
+			row = &replicaState{addr: l.Addr}
+			c.replicas[l.ID] = row
 		}
-		spanUs := askEveryUs
+		spanUs := reportIntervalUs
 		if _, pending := s.Pending[l.ID]; pending {
-			spanUs = askBusyUs
+			spanUs = busyReportIntervalUs
 		}
-		if nowUs-row.askedUs >= spanUs {
-			row.askedUs = nowUs
-			f.do(Effect{Ask: &Ask{AskedUs: nowUs, Replica: l.ID, Addr: l.Addr}})
+		if nowUs-row.requestedUs >= spanUs {
+			row.requestedUs = nowUs
+			c.emit(Effect{Ask: &ReportRequest{RequestedUs: nowUs, Replica: l.ID, Addr: l.Addr}})
 		}
 	}
 }
 
-// noteFleet writes down what differs between the ledger and what the platform lists and replicas report.
-func (f *Controller) noteFleet(seen Seen, update *statemachine.LeaderUpdate) {
-	if f.list == nil {
+// recordListing writes down what differs between the ledger and what the platform lists and replicas report.
+func (c *Controller) recordListing(snapshot Snapshot, update *statemachine.LeaderUpdate) {
+	if c.list == nil {
 		return
 	}
 	listed := map[string]bool{}
-	for _, l := range f.list.Replicas {
+	for _, l := range c.list.Replicas {
 		listed[l.ID] = true
-		f.noteListed(seen, l, update)
+		c.recordListedReplica(snapshot, l, update)
 	}
-	for _, id := range seen.State.ReplicaIDs() {
+	for _, id := range snapshot.State.ReplicaIDs() {
 		if !listed[id] {
 			update.RemovedReplicas = append(update.RemovedReplicas, id)
-			delete(f.replicas, id)
+			delete(c.replicas, id)
 		}
 	}
 }
 
-// noteListed compares one listed replica with the ledger, and writes down what differs. A replica whose incarnation was
+// recordListedReplica compares one listed replica with the ledger, and writes down what differs. A replica whose incarnation was
 // never heard is not written down yet.
-func (f *Controller) noteListed(seen Seen, l wire.ListedReplica, update *statemachine.LeaderUpdate) {
-	row, have := f.replicas[l.ID], seen.State.Replicas[l.ID]
+func (c *Controller) recordListedReplica(snapshot Snapshot, l wire.ListedReplica, update *statemachine.LeaderUpdate) {
+	row, have := c.replicas[l.ID], snapshot.State.Replicas[l.ID]
 	leaving := l.State != wire.ListedReady
 	n := statemachine.ReplicaUpdate{
 		ID: l.ID, Addr: l.Addr, Zone: l.Zone, CapacityMb: l.CapacityMB, Slots: l.Slots, Draining: leaving, RemainingMs: leftMs(have, leaving, l.RemainingMs),
 	}
-	spoke := row != nil && row.atUs > 0
-	n.Unreachable = spoke && seen.NowUs-row.atUs > unreachableAfterUs
+	spoke := row != nil && row.reportedUs > 0
+	n.Unreachable = spoke && snapshot.NowUs-row.reportedUs > unreachableAfterUs
 	switch {
 	case spoke && !n.Unreachable:
-		n.Incarnation = row.state.Incarnation
+		n.Incarnation = row.report.Incarnation
 	case have != nil && have.Addr == l.Addr:
 		n.Incarnation = have.Incarnation
 	}
@@ -144,73 +144,73 @@
 		n.Unreachable = have.Unreachable
 	}
 	if spoke && !n.Unreachable {
-		n.ResidentKnown, n.Resident = f.retold(seen.State, have, row)
+		n.ResidentKnown, n.Resident = c.reportedHoldings(snapshot.State, have, row)
 	}
-	if rowDiffers(have, n) || have.Incarnation != n.Incarnation {
+	if differsFrom(have, n) || have.Incarnation != n.Incarnation {
 		update.Replicas = append(update.Replicas, n)
 	}
 }
 
-// retold takes a replica's own word for its holdings, but only while no order is pending and
+// reportedHoldings takes a replica's own word for its holdings, but only while no order is pending and
 // its last order is the one the ledger settled, so that an old report undoes nothing.
-func (f *Controller) retold(s *statemachine.State, have *statemachine.Replica, row *told) (bool, []statemachine.ResidentUnit) {
-	if have == nil || have.Incarnation != row.state.Incarnation {
-		return true, row.state.Loaded
+func (c *Controller) reportedHoldings(s *statemachine.State, have *statemachine.Replica, row *replicaState) (bool, []statemachine.ResidentUnit) {
+	if have == nil || have.Incarnation != row.report.Incarnation {
+		return true, row.report.Loaded
 	}
-	if _, pending := s.Pending[have.ID]; pending || row.heardUs <= row.movedUs {
+	if _, pending := s.Pending[have.ID]; pending || row.newestRequestUs <= row.settledUs {
 		return false, nil
 	}
-	same := len(row.state.Loaded) == len(have.Resident)
-	for _, h := range row.state.Loaded {
+	same := len(row.report.Loaded) == len(have.Resident)
+	for _, h := range row.report.Loaded {
 		if have.Resident[h.Unit] != h.SizeMb {
 			same = false
 		}
 	}
-	if same || (row.state.LastOrder != nil && row.state.LastOrder.State == wire.OrderRunning) {
+	if same || (row.report.LastOrder != nil && row.report.LastOrder.State == wire.OrderRunning) {
 		return false, nil
 	}
-	return true, row.state.Loaded
+	return true, row.report.Loaded
 }
 
-// settle writes down the outcome of each pending ticket that its replica's last order tells.
-func (f *Controller) settle(nowUs int64, s *statemachine.State, update *statemachine.LeaderUpdate) {
-	for _, id := range sorted(s.Pending) {
+// settleTickets writes down the outcome of each pending ticket that its replica's last order tells.
+func (c *Controller) settleTickets(nowUs int64, s *statemachine.State, update *statemachine.LeaderUpdate) {
+	for _, id := range sortedKeys(s.Pending) {
 		t := s.Pending[id]
-		row := f.replicas[id]
-		if row == nil || row.atUs == 0 || row.state.Incarnation != t.Incarnation || row.state.LastOrder == nil {
+		row := c.replicas[id]
+		if row == nil || row.reportedUs == 0 || row.report.Incarnation != t.Incarnation || row.report.LastOrder == nil {
 			continue
 		}
-		last := row.state.LastOrder
+		last := row.report.LastOrder
 		switch {
 		case last.Number == t.Number && last.State == wire.OrderDone:
-			update.Results = append(update.Results, f.withResult(s, t, statemachine.CommandResult{Number: t.Number, Succeeded: true}))
+			update.Results = append(update.Results, c.withResult(s, t, statemachine.CommandResult{Number: t.Number, Succeeded: true}))
 		case last.Number == t.Number && last.State == wire.OrderFailed:
-			f.count(fault.ReplicaFailed)
-			update.Results = append(update.Results, f.withResult(s, t, statemachine.CommandResult{Number: t.Number, Reason: last.Reason}))
+			c.count(fault.ReplicaFailed)
+			update.Results = append(update.Results, c.withResult(s, t, statemachine.CommandResult{Number: t.Number, Reason: last.Reason}))
 		case last.Number > t.Number:
 			update.Results = append(update.Results, statemachine.CommandResult{Number: t.Number, Reason: "voided by a newer order"})
 		default:
 			continue
 		}
-		delete(f.orderUs, t.Number)
-		row.movedUs = nowUs
-		f.came(nowUs, t)
+		delete(c.orderUs, t.Number)
+		row.settledUs = nowUs
+		c.recordArrival(nowUs, t)
 	}
 }
 
-// told takes a declared replica's report.
-func (f *Controller) told(nowUs int64, t Told) {
-	row := f.replicas[t.Replica]
+// onReplicaReport takes a declared replica's report.
+func (c *Controller) onReplicaReport(nowUs int64, t ReplicaReport) {
+	row := c.replicas[t.Replica]
 	if row == nil || row.addr != t.Addr {
-		row = &told{addr: t.Addr, askedUs: nowUs}
-		f.replicas[t.Replica] = row
+		row = &replicaState{addr: t.Addr, requestedUs: nowUs}
+		c.replicas[t.Replica] = row
 	}
-	if t.State == nil || t.State.ID != t.Replica || t.State.Incarnation == "" || !fitHoldings(t.State.Loaded) {
-		f.count(fault.ReplicaFailed)
+	if t.State == nil || t.State.ID != t.Replica || t.State.Incarnation == "" || !areValidHoldings(t.State.Loaded) {
+		c.count(fault.ReplicaFailed)
 		return
 	}
-	if t.AskedUs < row.heardUs {
+	if t.RequestedUs < row.newestRequestUs {
 		return
 	}
-	row.state, row.atUs, row.heardUs = *t.State, nowUs, t.AskedUs
+	row.report, row.reportedUs, row.newestRequestUs = *t.State, nowUs, t.RequestedUs
 }
--- a/internal/controlplane/controller/late_test.go
+++ b/internal/controlplane/controller/late_test.go
@@ -37,8 +37,8 @@
 	doneUs := 60 * clock.Sec
 	done := statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: s.Pending["r1"].Number, Succeeded: true}}}
 	s.Apply(5, statemachine.Change{ID: "e", Epoch: 1, LeaderUpdate: &done})
-	f.Saw(doneUs, 1, done, s)
-	f.leave()
+	f.OnApplied(doneUs, 1, done, s)
+	f.resign()
 	for _, c := range []struct {
 		name   string
 		lateUs int64
@@ -53,7 +53,7 @@
 		soft.ReadDelayUs = c.lateUs
 		soft.HandleHeartbeat(c.atUs, registry.ReplicaStatus{ID: "r1", Service: "s", Addr: "a", Slots: 4, Seq: 9})
 		update := &statemachine.LeaderUpdate{}
-		f.noteRoster(Seen{NowUs: c.atUs, State: s, Roster: soft}, update)
+		f.recordRegistry(Snapshot{NowUs: c.atUs, State: s, Registry: soft}, update)
 		if taken := len(update.Replicas) > 0; taken != c.taken {
 			t.Errorf("%s: taken %v, want %v", c.name, taken, c.taken)
 		}
@@ -65,14 +65,14 @@
 func TestASettlementThatWasNotSeenIsSomebodysOrder(t *testing.T) {
 	s := routedState(t)
 	f := NewWith("me", Options{LeaseUs: 3 * clock.Sec})
-	f.Step(Seen{NowUs: clock.Sec, State: s, Roster: registry.New(clock.Sec)}, Event{NowUs: clock.Sec})
+	f.Step(Snapshot{NowUs: clock.Sec, State: s, Registry: registry.New(clock.Sec)}, Event{NowUs: clock.Sec})
 
 	number := s.Pending["r1"].Number
 	s.Apply(5, statemachine.Change{ID: "before", Epoch: 2, Claim: &statemachine.Claim{Leader: "other"}})
 	s.Apply(6, statemachine.Change{ID: "settled", Epoch: 2, LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: number, Succeeded: true}}}})
 	nowUs := 60 * clock.Sec
 	head := func() {
-		f.Step(Seen{NowUs: nowUs, State: s, Head: true, Fresh: true, Writes: true, Roster: registry.New(clock.Sec)}, Event{NowUs: nowUs})
+		f.Step(Snapshot{NowUs: nowUs, State: s, IsHead: true, IsFresh: true, CanWrite: true, Registry: registry.New(clock.Sec)}, Event{NowUs: nowUs})
 	}
 	head()
 	s.Apply(7, statemachine.Change{ID: "mine", Epoch: 3, Claim: &statemachine.Claim{Leader: "me"}})
@@ -80,10 +80,10 @@
 	if !f.IsLeader(s) {
 		t.Fatal("it does not lead")
 	}
-	if f.mayOrder(nowUs+2*clock.Sec, "r1") {
+	if f.canOrder(nowUs+2*clock.Sec, "r1") {
 		t.Error("it orders the replica within the lease of a holder whose order it did not see")
 	}
-	if !f.mayOrder(nowUs+4*clock.Sec, "r1") {
+	if !f.canOrder(nowUs+4*clock.Sec, "r1") {
 		t.Error("it waits longer than the lease")
 	}
 }
--- a/internal/controlplane/controller/needs.go
+++ b/internal/controlplane/controller/needs.go
@@ -8,22 +8,22 @@
 	"petreltide/internal/process/clock"
 )
 
-// need is how often a unit was called for, smoothed, and when last.
-type need struct {
+// demandEstimate is how often a unit was called for, smoothed, and when last.
+type demandEstimate struct {
 	rate   float64
 	tokens float64
 	lastUs int64
 }
 
 const (
-	needsEveryUs   = 200 * clock.Ms
-	needsSpanMostS = 2.0
-	needsMemoryS   = 6.0
-	// A need below needRateLeast that was not called for in needForgetUs is forgotten.
-	needRateLeast = 0.01
-	needForgetUs  = 120 * clock.Sec
-	// slowRateLeast is the least rate from which tokens a call are told.
-	slowRateLeast = 0.2
+	demandIntervalUs = 200 * clock.Ms
+	maxDemandSpanS   = 2.0
+	demandDecayS     = 6.0
+	// A need below minDemandRate that was not called for in demandForgottenUs is forgotten.
+	minDemandRate     = 0.01
+	demandForgottenUs = 120 * clock.Sec
+	// minSlowRate is the least rate from which tokens a call are told.
+	minSlowRate = 0.2
 )
 
 // demandSums are sums over the reports of all gateways, by unit: calls a second, tokens a second, and calls a
@@ -43,31 +43,31 @@
 	models map[string]float64
 }
 
-// countNeeds smooths what gateways count: a rise is believed at once, a fall over some seconds.
-func (f *Controller) countNeeds(nowUs int64) {
-	r := &f.routed
-	if nowUs-r.demandUs < needsEveryUs {
+// updateDemand smooths what gateways count: a rise is believed at once, a fall over some seconds.
+func (c *Controller) updateDemand(nowUs int64) {
+	r := &c.routed
+	if nowUs-r.demandUs < demandIntervalUs {
 		return
 	}
-	spanS := min(float64(nowUs-r.demandUs)/float64(clock.Sec), needsSpanMostS)
+	spanS := min(float64(nowUs-r.demandUs)/float64(clock.Sec), maxDemandSpanS)
 	r.demandUs = nowUs
-	reports := f.reporting(nowUs)
-	r.noteWaiting(nowUs, reports)
+	reports := c.recentReports(nowUs)
+	r.recordWaiting(nowUs, reports)
 	sums := sumDemand(reports)
-	if !f.opts.Disable.Has(feature.DemandForecast) {
-		f.expect(nowUs, sums)
+	if !c.opts.Disable.Has(feature.DemandForecast) {
+		c.addForecast(nowUs, sums)
 	}
-	sums.believeRecent()
+	sums.adoptRecent()
 	r.raise(nowUs, sums)
 	r.smooth(nowUs, spanS, sums)
 }
 
-// noteWaiting counts units that calls wait for as called for now.
-func (r *routed) noteWaiting(nowUs int64, reports []*wire.Report) {
+// recordWaiting counts units that calls wait for as called for now.
+func (r *routedMemory) recordWaiting(nowUs int64, reports []*wire.Report) {
 	for _, report := range reports {
 		for unit, n := range report.Queued {
 			if n > 0 {
-				r.need(unit).lastUs = nowUs
+				r.estimate(unit).lastUs = nowUs
 			}
 		}
 	}
@@ -83,25 +83,25 @@
 	return sums
 }
 
-// believeRecent takes the rate of the shorter time where it is well above that of the longer one.
-func (d demandSums) believeRecent() {
+// adoptRecent takes the rate of the shorter time where it is well above that of the longer one.
+func (d demandSums) adoptRecent() {
 	for unit, fast := range d.recent {
 		slow := d.rates[unit]
-		if fast <= recentLeast || fast*recentCut <= slow {
+		if fast <= minRecentRate || fast*recentDiscount <= slow {
 			continue
 		}
-		d.tokens[unit] *= fast * recentCut / max(slow, slowRateLeast)
-		if slow < slowRateLeast {
-			d.tokens[unit] = fast * recentCut * tokensUnknown
+		d.tokens[unit] *= fast * recentDiscount / max(slow, minSlowRate)
+		if slow < minSlowRate {
+			d.tokens[unit] = fast * recentDiscount * defaultTokensPerCall
 		}
-		d.rates[unit] = fast * recentCut
+		d.rates[unit] = fast * recentDiscount
 	}
 }
 
 // raise takes each need up to what is called for now.
-func (r *routed) raise(nowUs int64, sums demandSums) {
+func (r *routedMemory) raise(nowUs int64, sums demandSums) {
 	for unit, rate := range sums.rates {
-		n := r.need(unit)
+		n := r.estimate(unit)
 		if rate > 0 {
 			n.lastUs = nowUs
 		}
@@ -111,34 +111,34 @@
 }
 
 // smooth lets each need follow what is called for now, and forgets those that nobody calls for any more.
-func (r *routed) smooth(nowUs int64, spanS float64, sums demandSums) {
-	keep := 1 - spanS/needsMemoryS
+func (r *routedMemory) smooth(nowUs int64, spanS float64, sums demandSums) {
+	keep := 1 - spanS/demandDecayS
 	for unit, n := range r.needs {
 		n.rate += (sums.rates[unit] - n.rate) * (1 - keep)
 		n.tokens += (sums.tokens[unit] - n.tokens) * (1 - keep)
-		if n.rate < needRateLeast && nowUs-n.lastUs > needForgetUs {
+		if n.rate < minDemandRate && nowUs-n.lastUs > demandForgottenUs {
 			delete(r.needs, unit)
 		}
 	}
 }
 
-// expect raises a model that has only begun to be called on a route to what the other models of that route
+// addForecast raises a model that has only begun to be called on a route to what the other models of that route
 // are called: by the time it shows in the counts, its calls would already wait.
-func (f *Controller) expect(nowUs int64, sums demandSums) {
-	rates, tokens := f.routed.expected(nowUs, f.demandOfRoutes())
+func (c *Controller) addForecast(nowUs int64, sums demandSums) {
+	rates, tokens := c.routed.forecast(nowUs, c.routeDemands())
 	for model, rate := range rates {
-		if rate > expectLeast {
+		if rate > minForecastRate {
 			sums.rates[model] += rate
 			sums.tokens[model] += tokens[model]
 		}
 	}
 }
 
-// demandOfRoutes sums what gateways report of each route and its models.
-func (f *Controller) demandOfRoutes() map[string]*routeDemand {
+// routeDemands sums what gateways report of each route and its models.
+func (c *Controller) routeDemands() map[string]*routeDemand {
 	routes := map[string]*routeDemand{}
-	for _, id := range sorted(f.gateways) {
-		for key, rate := range f.gateways[id].report.RouteArrivals {
+	for _, id := range sortedKeys(c.gateways) {
+		for key, rate := range c.gateways[id].report.RouteArrivals {
 			name, model, _ := strings.Cut(key, "|")
 			d := routes[name]
 			if d == nil {
@@ -152,22 +152,22 @@
 	return routes
 }
 
-// expected is what is missing to an even share of its routes' calls, by model, for models that have only begun to
+// forecast is what is missing to an even share of its routes' calls, by model, for models that have only begun to
 // be called there. It remembers since when each is called.
-func (r *routed) expected(nowUs int64, routes map[string]*routeDemand) (rates, tokens map[string]float64) {
+func (r *routedMemory) forecast(nowUs int64, routes map[string]*routeDemand) (rates, tokens map[string]float64) {
 	rates, tokens = map[string]float64{}, map[string]float64{}
 	begun := map[routeModel]int64{}
 	for name, d := range routes {
-		even := d.rate / float64(len(d.models)) * expectCut
+		even := d.rate / float64(len(d.models)) * forecastDiscount
 		for model, rate := range d.models {
 			sinceUs, known := r.begunUs[routeModel{name, model}]
 			if !known {
 				sinceUs = nowUs
 			}
 			begun[routeModel{name, model}] = sinceUs
-			if rate < even && nowUs-sinceUs < expectUs {
+			if rate < even && nowUs-sinceUs < forecastSpanUs {
 				rates[model] += even - rate
-				tokens[model] += (even - rate) * tokensUnknown
+				tokens[model] += (even - rate) * defaultTokensPerCall
 			}
 		}
 	}
@@ -175,10 +175,10 @@
 	return rates, tokens
 }
 
-func (r *routed) need(unit string) *need {
+func (r *routedMemory) estimate(unit string) *demandEstimate {
 	n := r.needs[unit]
 	if n == nil {
-		n = &need{}
+		n = &demandEstimate{}
 		r.needs[unit] = n
 	}
 	return n
--- a/internal/controlplane/controller/note.go
+++ b/internal/controlplane/controller/note.go
@@ -5,17 +5,17 @@
 	"petreltide/internal/process/clock"
 )
 
-// OrderNote is an order that stands at a replica. SentAgoMs is below 0 while it has not been sent by this
+// OrderStatus is an order that stands at a replica. SentAgoMs is below 0 while it has not been sent by this
 // holder; Said is what the replica answered: running, done, busy, in_doubt, or nothing yet.
-type OrderNote struct {
+type OrderStatus struct {
 	statemachine.ReplicaCommand
 	SentAgoMs int64  `json:"sentAgoMs"`
-	Said      string `json:"said,omitempty"`
+	Answer    string `json:"said,omitempty"`
 }
 
-// StoreNote is what the weight store still gives a service: loads that may begin now, loads from it that
+// StoreStatus is what the weight store still gives a service: loads that may begin now, loads from it that
 // run, how many it bears at full speed, and loads that began within the window.
-type StoreNote struct {
+type StoreStatus struct {
 	Service  string `json:"service"`
 	Left     int    `json:"left"`
 	Running  int    `json:"running"`
@@ -24,65 +24,65 @@
 	WindowMs int64  `json:"windowMs"`
 }
 
-// NeedNote is how often a model or adapter is called for: calls and prompt tokens a second, smoothed.
-type NeedNote struct {
+// DemandStatus is how often a model or adapter is called for: calls and prompt tokens a second, smoothed.
+type DemandStatus struct {
 	Rate   float64 `json:"rate"`
 	Tokens float64 `json:"tokens"`
 	AgoMs  int64   `json:"agoMs"`
 }
 
-// Note is what the control node that leads knows of replicas that make themselves known, beyond the
+// LeaderStatus is what the control node that leads knows of replicas that make themselves known, beyond the
 // ledger. OrdersInMs is how long it still waits out its predecessor before it orders every replica.
-type Note struct {
-	Holder     string              `json:"holder"`
-	Fence      uint64              `json:"fence"`
-	OrdersInMs int64               `json:"ordersInMs"`
-	Orders     []OrderNote         `json:"orders"`
-	Store      []StoreNote         `json:"store"`
-	Needs      map[string]NeedNote `json:"needs,omitempty"`
+type LeaderStatus struct {
+	Holder     string                  `json:"holder"`
+	Fence      uint64                  `json:"fence"`
+	OrdersInMs int64                   `json:"ordersInMs"`
+	Orders     []OrderStatus           `json:"orders"`
+	Store      []StoreStatus           `json:"store"`
+	Demand     map[string]DemandStatus `json:"needs,omitempty"`
 }
 
-// Note is nil where this control node does not lead, or nothing is sent by routes.
-func (f *Controller) Note(nowUs int64, s *statemachine.State) *Note {
-	if s.Doc == nil || !s.Doc.Routed() || !f.IsLeader(s) {
+// Status is nil where this control node does not lead, or nothing is sent by routes.
+func (c *Controller) Status(nowUs int64, s *statemachine.State) *LeaderStatus {
+	if s.Doc == nil || !s.Doc.Routed() || !c.IsLeader(s) {
 		return nil
 	}
-	n := &Note{Holder: s.Leader, Fence: s.Epoch, Orders: f.orderNotes(nowUs, s), Store: f.storeNotes(nowUs, s), Needs: map[string]NeedNote{}}
-	if lastUs := f.lastTurnUs(nowUs, s); lastUs > 0 {
+	n := &LeaderStatus{Holder: s.Leader, Fence: s.Epoch, Orders: c.orderStatuses(nowUs, s), Store: c.storeStatuses(nowUs, s), Demand: map[string]DemandStatus{}}
+	if lastUs := c.longestWaitUs(nowUs, s); lastUs > 0 {
 		n.OrdersInMs = (lastUs + clock.Ms - 1) / clock.Ms
 	}
-	for unit, need := range f.routed.needs {
-		n.Needs[unit] = NeedNote{Rate: need.rate, Tokens: need.tokens, AgoMs: (nowUs - need.lastUs) / clock.Ms}
+	for unit, need := range c.routed.needs {
+		n.Demand[unit] = DemandStatus{Rate: need.rate, Tokens: need.tokens, AgoMs: (nowUs - need.lastUs) / clock.Ms}
 	}
 	return n
 }
 
-// orderNotes shows the standing orders, and when each was sent.
-func (f *Controller) orderNotes(nowUs int64, s *statemachine.State) []OrderNote {
-	notes := []OrderNote{}
-	for _, id := range sorted(s.Pending) {
-		row := OrderNote{ReplicaCommand: s.Pending[id], SentAgoMs: -1}
-		if o := f.routed.orders[row.Number]; o != nil && o.sentUs > 0 {
-			row.SentAgoMs, row.Said = (nowUs-o.sentUs)/clock.Ms, o.said
+// orderStatuses shows the standing orders, and when each was sent.
+func (c *Controller) orderStatuses(nowUs int64, s *statemachine.State) []OrderStatus {
+	notes := []OrderStatus{}
+	for _, id := range sortedKeys(s.Pending) {
+		row := OrderStatus{ReplicaCommand: s.Pending[id], SentAgoMs: -1}
+		if o := c.routed.orders[row.Number]; o != nil && o.sentUs > 0 {
+			row.SentAgoMs, row.Answer = (nowUs-o.sentUs)/clock.Ms, o.answer
 		}
 		notes = append(notes, row)
 	}
 	return notes
 }
 
-// storeNotes shows how many loads each service's store bears, and how many run and began lately.
-func (f *Controller) storeNotes(nowUs int64, s *statemachine.State) []StoreNote {
-	notes := []StoreNote{}
-	windowUs := f.windowUs()
-	began := f.routed.loadsWithin(nowUs, windowUs)
+// storeStatuses shows how many loads each service's store bears, and how many run and began lately.
+func (c *Controller) storeStatuses(nowUs int64, s *statemachine.State) []StoreStatus {
+	notes := []StoreStatus{}
+	windowUs := c.storeWindowUs()
+	began := c.routed.loadsWithin(nowUs, windowUs)
 	for i := range s.Doc.Services {
 		svc := &s.Doc.Services[i]
 		if svc.Engine == nil {
 			continue
 		}
-		notes = append(notes, StoreNote{
-			Service: svc.Name, Left: f.storeLeft(nowUs, s, svc), AtOnce: svc.Engine.MaxConcurrentLoads(), WindowMs: windowUs / clock.Ms,
-			Running: storeLoads(s, svc), Began: began,
+		notes = append(notes, StoreStatus{
+			Service: svc.Name, Left: c.storeLoadsLeft(nowUs, s, svc), AtOnce: svc.Engine.MaxConcurrentLoads(), WindowMs: windowUs / clock.Ms,
+			Running: pendingStoreLoads(s, svc), Began: began,
 		})
 	}
 	return notes
--- a/internal/controlplane/controller/note_test.go
+++ b/internal/controlplane/controller/note_test.go
@@ -9,7 +9,7 @@
 
 func TestTheNoteIsTheHoldersAlone(t *testing.T) {
 	f := newFleet(t, 3, 6)
-	note := func(i int) *Note { return f.fs[i].Note(f.nowUs, f.s) }
+	note := func(i int) *LeaderStatus { return f.fs[i].Status(f.nowUs, f.s) }
 	f.pass(4 * clock.Sec)
 	orders, began := 0, 0
 	for range 60 {
@@ -20,17 +20,17 @@
 			t.Fatalf("%+v of holder %s, epoch %d, pending %v", n, f.s.Leader, f.s.Epoch, f.s.Pending)
 		}
 		store := n.Store[0]
-		if left := f.fs[f.head].storeLeft(f.nowUs, f.s, f.s.Doc.Service("s")); store.Left != left || store.Left+store.Running > store.AtOnce || store.WindowMs != 5000 {
+		if left := f.fs[f.head].storeLoadsLeft(f.nowUs, f.s, f.s.Doc.Service("s")); store.Left != left || store.Left+store.Running > store.AtOnce || store.WindowMs != 5000 {
 			t.Fatalf("%+v, it gives %d", store, left)
 		}
 		for _, o := range n.Orders {
-			if o.Said != "" && o.SentAgoMs < 0 {
+			if o.Answer != "" && o.SentAgoMs < 0 {
 				t.Fatalf("%+v was answered before it was sent", o)
 			}
 		}
 		orders, began = orders+len(n.Orders), max(began, store.Began)
 	}
-	if n := note(f.head); n.Needs["m2"].Rate <= n.Needs["m3"].Rate || n.OrdersInMs != 0 {
+	if n := note(f.head); n.Demand["m2"].Rate <= n.Demand["m3"].Rate || n.OrdersInMs != 0 {
 		t.Errorf("%+v", n)
 	}
 	if orders == 0 || began == 0 {
@@ -40,7 +40,7 @@
 	f.pass(300 * clock.Ms)
 	f.take()
 	f.pass(500 * clock.Ms)
-	if n := note(f.head); n == nil || n.OrdersInMs < 1500 || n.OrdersInMs > (holderFreshUs+fleetLeaseUs+leaseSlackUs)/1000 {
+	if n := note(f.head); n == nil || n.OrdersInMs < 1500 || n.OrdersInMs > (leaderFreshUs+fleetLeaseUs+leaseSlackUs)/1000 {
 		t.Errorf("right after a takeover: %+v", n)
 	}
 	if n := note(f.old); n != nil {
--- a/internal/controlplane/controller/orders_explore_test.go
+++ b/internal/controlplane/controller/orders_explore_test.go
@@ -182,7 +182,7 @@
 	case 14:
 		m.replaceReplica()
 	case 15:
-		m.pass(forgottenUs + 2*clock.Sec)
+		m.pass(unseenRemovedAfterUs + 2*clock.Sec)
 	}
 }
 
--- a/internal/controlplane/controller/orders_model_test.go
+++ b/internal/controlplane/controller/orders_model_test.go
@@ -199,7 +199,7 @@
 	}
 	for _, o := range m.controlNodes {
 		if o.frozen == nil {
-			o.controller.Saw(m.nowUs, c.Epoch, *c.LeaderUpdate, m.state)
+			o.controller.OnApplied(m.nowUs, c.Epoch, *c.LeaderUpdate, m.state)
 		}
 	}
 	return out
@@ -223,8 +223,8 @@
 		state = o.frozen
 	}
 	leads := m.leads(i)
-	seen := Seen{NowUs: m.nowUs, State: state, Head: leads, Fresh: leads, Writes: true, Roster: o.roster}
-	for _, effect := range o.controller.Step(seen, ev) {
+	snapshot := Snapshot{NowUs: m.nowUs, State: state, IsHead: leads, IsFresh: leads, CanWrite: true, Registry: o.roster}
+	for _, effect := range o.controller.Step(snapshot, ev) {
 		switch {
 		case effect.Write != nil:
 			m.write(i, *effect.Write)
@@ -258,10 +258,10 @@
 }
 
 // ask brings a replica's report: its state of a little while ago.
-func (m *orderModel) ask(i int, ask Ask) {
+func (m *orderModel) ask(i int, ask ReportRequest) {
 	from := m.controlNodes[i].controller
 	m.later(modelTickUs, func() {
-		told := Told{AskedUs: ask.AskedUs, Replica: ask.Replica, Addr: ask.Addr}
+		told := ReplicaReport{RequestedUs: ask.RequestedUs, Replica: ask.Replica, Addr: ask.Addr}
 		r := m.at(ask.Addr)
 		if lost := r != nil && m.plant == plantLostReports && r.addr == "address0"; r != nil && !lost {
 			state := r.report(m.nowUs - modelReportLagUs)
@@ -298,7 +298,7 @@
 			return
 		}
 		answered = true
-		ordered := Ordered{Replica: order.Command.Replica, Incarnation: order.Command.Incarnation, Expected: order.ExpectedOrders, State: wire.OrderState{Number: order.Command.Number, Epoch: order.Epoch, State: state}}
+		ordered := OrderResult{Replica: order.Command.Replica, Incarnation: order.Command.Incarnation, Expected: order.ExpectedOrders, State: wire.OrderState{Number: order.Command.Number, Epoch: order.Epoch, State: state}}
 		m.back(i, from, Event{Ordered: &ordered})
 	}
 	arrive := func(healed bool) {
@@ -595,7 +595,7 @@
 
 // unsettled says what stands, or in what the ledger and the replicas differ; empty where all is settled.
 func (m *orderModel) unsettled() string {
-	for _, id := range sorted(m.state.Pending) {
+	for _, id := range sortedKeys(m.state.Pending) {
 		t := m.state.Pending[id]
 		return fmt.Sprintf("ticket %d stands (%s %s at %s)", t.Number, t.Action, t.Unit, id)
 	}
--- a/internal/controlplane/controller/outliers.go
+++ b/internal/controlplane/controller/outliers.go
@@ -6,36 +6,36 @@
 )
 
 // serviceOf is the service of an incarnation of a replica, "" where it is not known or has ended.
-func (s Seen) serviceOf(id string) string {
-	if e := s.Roster.Entry(id); e != nil && !e.Removed {
+func (s Snapshot) serviceOf(id string) string {
+	if e := s.Registry.Entry(id); e != nil && !e.Removed {
 		return e.Service
 	}
 	return ""
 }
 
-func (f *Controller) hearOutcomes(seen Seen, r *wire.Report) {
-	if seen.isRouted() && (len(r.Attempts) > 0 || len(r.Outcomes) > 0) {
-		f.outliers.Hear(seen.NowUs, outlier.Report{Gateway: r.Gateway, Zone: r.Zone, Attempts: r.Attempts, Counts: r.Outcomes}, seen.serviceOf)
+func (c *Controller) onCallOutcomes(snapshot Snapshot, r *wire.Report) {
+	if snapshot.isRouted() && (len(r.Attempts) > 0 || len(r.Outcomes) > 0) {
+		c.outliers.Hear(snapshot.NowUs, outlier.Report{Gateway: r.Gateway, Zone: r.Zone, Attempts: r.Attempts, Counts: r.Outcomes}, snapshot.serviceOf)
 	}
 }
 
 // judgeOutliers works out the verdicts; a new leader goes on from those of the one before.
-func (f *Controller) judgeOutliers(seen Seen) {
-	if f.judges != f.claimed {
-		f.judges = f.claimed
-		f.outliers.Inherit(seen.NowUs, f.claimed, seen.Outliers, seen.serviceOf)
+func (c *Controller) judgeOutliers(snapshot Snapshot) {
+	if c.judges != c.claimed {
+		c.judges = c.claimed
+		c.outliers.Inherit(snapshot.NowUs, c.claimed, snapshot.Outliers, snapshot.serviceOf)
 	}
-	if !f.outliers.Due(seen.NowUs) {
+	if !c.outliers.Due(snapshot.NowUs) {
 		return
 	}
 	replicas := map[string]int{}
-	for _, id := range seen.Roster.IDs() {
-		if e := seen.Roster.Entry(id); !e.Removed && !e.Unreachable && !e.Draining {
+	for _, id := range snapshot.Registry.IDs() {
+		if e := snapshot.Registry.Entry(id); !e.Removed && !e.Unreachable && !e.Draining {
 			replicas[e.Service]++
 		}
 	}
-	if f.outliers.Judge(seen.NowUs, f.claimed, replicas, func(id string) bool { return seen.serviceOf(id) != "" }) {
-		table := f.outliers.Table()
-		f.do(Effect{Outliers: &table})
+	if c.outliers.Judge(snapshot.NowUs, c.claimed, replicas, func(id string) bool { return snapshot.serviceOf(id) != "" }) {
+		table := c.outliers.Table()
+		c.emit(Effect{Outliers: &table})
 	}
 }
--- a/internal/controlplane/controller/outliers_test.go
+++ b/internal/controlplane/controller/outliers_test.go
@@ -19,31 +19,31 @@
 		f.claimed = 1
 		s := statemachine.NewState()
 		s.Epoch, s.Leader, s.Doc = 1, "me", fleetDoc()
-		seen := Seen{NowUs: clock.Sec, State: s, Roster: registry.New(3 * clock.Sec)}
+		snapshot := Snapshot{NowUs: clock.Sec, State: s, Registry: registry.New(3 * clock.Sec)}
 		service := s.Doc.Services[0].Name
 		for i := range 8 {
-			seen.Roster.HandleHeartbeat(seen.NowUs, registry.ReplicaStatus{ID: fmt.Sprint("r", i), Service: service, Addr: fmt.Sprint("r", i), Zone: "a", Slots: 4, Seq: 1})
+			snapshot.Registry.HandleHeartbeat(snapshot.NowUs, registry.ReplicaStatus{ID: fmt.Sprint("r", i), Service: service, Addr: fmt.Sprint("r", i), Zone: "a", Slots: 4, Seq: 1})
 		}
 		s.Replicas["r0"] = &statemachine.Replica{ID: "r0", Service: service, Resident: map[string]int64{"m0": 1}}
 		var table *outlier.Table
 		for i := range 20 {
-			seen.NowUs += 200 * clock.Ms
+			snapshot.NowUs += 200 * clock.Ms
 			for _, gateway := range []string{"d1", "d2"} {
 				rep := wire.Report{Gateway: gateway, Zone: "a", Attempts: map[string]int{service: 8}}
 				if i >= 5 {
 					rep.Outcomes = []outlier.Counts{{Replica: "r0", Bad: map[string]int{outlier.ErrorAnswer.String(): 1}}, {Replica: "unknown", Bad: map[string]int{"silence": 9, "nonsense": 9}}}
 				}
-				f.Step(seen, Event{NowUs: seen.NowUs, Report: &rep})
+				f.Step(snapshot, Event{NowUs: snapshot.NowUs, Report: &rep})
 			}
 			f.effects = nil
-			f.judgeOutliers(seen)
+			f.judgeOutliers(snapshot)
 			for _, e := range f.effects {
 				if e.Outliers != nil {
 					table = e.Outliers
 				}
 			}
 		}
-		held := f.home(seen, s.Replicas["r0"], nil, nil).Usable && f.placed(s, "m0")
+		held := f.candidate(snapshot, s.Replicas["r0"], nil, nil).Usable && f.isPlaced(s, "m0")
 		switch {
 		case off && (table != nil || !held):
 			t.Errorf("it is off: %v, used %t", table, held)
--- a/internal/controlplane/controller/resident.go
+++ b/internal/controlplane/controller/resident.go
@@ -10,61 +10,61 @@
 	"petreltide/internal/process/clock"
 )
 
-// cameMost bounds how many units at replicas the controller remembers the arrival of.
-const cameMost = 20000
+// maxTrackedArrivals bounds how many units at replicas the controller remembers the arrival of.
+const maxTrackedArrivals = 20000
 
-// startResident asks the policy for each service with an engine, at once where calls wait for a model that
+// runResident asks the policy for each service with an engine, at once where calls wait for a model that
 // nobody has.
-func (f *Controller) startResident(seen Seen) {
-	s := seen.State
-	spanUs := routedPolicyUs
-	if f.moved {
-		spanUs = routedUrgentUs
+func (c *Controller) runResident(snapshot Snapshot) {
+	s := snapshot.State
+	spanUs := residentIntervalUs
+	if c.moved {
+		spanUs = minResidentIntervalUs
 	}
-	if f.proposed != nil || seen.NowUs-f.policyUs < spanUs || !f.mayPlan(seen.NowUs) {
+	if c.proposed != nil || snapshot.NowUs-c.policyUs < spanUs || !c.canPlan(snapshot.NowUs) {
 		return
 	}
-	services := f.services(seen)
+	services := c.residentInputs(snapshot)
 	if len(services) == 0 {
 		return
 	}
-	f.policyUs, f.moved = seen.NowUs, false
-	f.run++
-	answer := placement.Answer{Policy: placement.ResidentName}
-	clear(f.routed.unplaced)
+	c.policyUs, c.moved = snapshot.NowUs, false
+	c.run++
+	answer := placement.RunResult{Policy: placement.ResidentName}
+	clear(c.routed.unplaced)
 	for _, in := range services {
 		proposals, unplaced := placement.Resident(in)
 		answer.Proposals = append(answer.Proposals, proposals...)
 		for _, unit := range unplaced {
-			f.routed.unplaced[unit] = true
+			c.routed.unplaced[unit] = true
 		}
 	}
-	f.Policy = noted(f.Policy, answer)
+	c.Policy = withRun(c.Policy, answer)
 	if len(answer.Proposals) > 0 {
-		f.proposed, f.proposedAt = answer.Proposals, s.Revision
+		c.proposed, c.proposedAt = answer.Proposals, s.Revision
 	}
 }
 
-// unplaced: calls wait at a gateway for a model or an adapter that no replica holds, that is on its way to
+// hasUnplacedCalls: calls wait at a gateway for a model or an adapter that no replica holds, that is on its way to
 // none, and of which the policy does not know already that it has no place now.
-func (f *Controller) unplaced(seen Seen, r *wire.Report) bool {
+func (c *Controller) hasUnplacedCalls(snapshot Snapshot, r *wire.Report) bool {
 	for unit, n := range r.Queued {
-		if n > 0 && !f.routed.unplaced[unit] && !f.placed(seen.State, unit) {
+		if n > 0 && !c.routed.unplaced[unit] && !c.isPlaced(snapshot.State, unit) {
 			return true
 		}
 	}
 	return false
 }
 
-// placed: some replica that calls may go to holds a unit or loads it.
-func (f *Controller) placed(s *statemachine.State, unit string) bool {
+// isPlaced: some replica that calls may go to holds a unit or loads it.
+func (c *Controller) isPlaced(s *statemachine.State, unit string) bool {
 	for _, t := range s.Pending {
 		if t.Unit == unit && t.Action == statemachine.Load {
 			return true
 		}
 	}
 	for id, r := range s.Replicas {
-		if _, holds := r.Resident[unit]; holds && !r.Draining && !r.Unreachable && !f.outliers.Kept(id) && s.Pending[id].Unit != unit {
+		if _, holds := r.Resident[unit]; holds && !r.Draining && !r.Unreachable && !c.outliers.Kept(id) && s.Pending[id].Unit != unit {
 			return true
 		}
 	}
@@ -77,18 +77,18 @@
 // callLoad is what gateways report of calls now: those that wait and those that have no first piece yet by unit,
 // and those that run and that have no first piece yet by replica and unit.
 type callLoad struct {
-	waiting, unread  map[string]int
-	runsAt, unreadAt callCounts
+	waiting, unstarted     map[string]int
+	runningAt, unstartedAt callCounts
 }
 
-// services gives what the placement policy reads of each service with an engine.
-func (f *Controller) services(seen Seen) []placement.Service {
+// residentInputs gives what the placement policy reads of each service with an engine.
+func (c *Controller) residentInputs(snapshot Snapshot) []placement.Service {
 	all := []placement.Service{}
-	calls := loadOf(f.reporting(seen.NowUs))
-	services := seen.State.Doc.Services
+	calls := loadOf(c.recentReports(snapshot.NowUs))
+	services := snapshot.State.Doc.Services
 	for i := range services {
 		if services[i].Engine != nil {
-			all = append(all, f.service(seen, &services[i], calls))
+			all = append(all, c.residentInput(snapshot, &services[i], calls))
 		}
 	}
 	return all
@@ -96,112 +96,112 @@
 
 // loadOf sums the counts of calls in the reports of gateways.
 func loadOf(reports []*wire.Report) callLoad {
-	load := callLoad{waiting: map[string]int{}, unread: map[string]int{}, runsAt: callCounts{}, unreadAt: callCounts{}}
+	load := callLoad{waiting: map[string]int{}, unstarted: map[string]int{}, runningAt: callCounts{}, unstartedAt: callCounts{}}
 	for _, report := range reports {
 		addTo(load.waiting, report.Queued)
 		for key, n := range report.ModelInFlight {
-			load.runsAt.add(atOf(key), n)
+			load.runningAt.add(parseReplicaUnit(key), n)
 		}
 		for key, n := range report.PendingPrefill {
-			at := atOf(key)
-			load.unreadAt.add(at, n)
-			load.unread[at.unit] += n
+			at := parseReplicaUnit(key)
+			load.unstartedAt.add(at, n)
+			load.unstarted[at.unit] += n
 		}
 	}
 	return load
 }
 
-// atOf reads a key of a gateway's report.
-func atOf(key string) unitAt {
+// parseReplicaUnit reads a key of a gateway's report.
+func parseReplicaUnit(key string) replicaUnit {
 	replica, unit, _ := strings.Cut(key, "|")
-	return unitAt{replica, unit}
+	return replicaUnit{replica, unit}
 }
 
-func (c callCounts) add(at unitAt, n int) {
+func (c callCounts) add(at replicaUnit, n int) {
 	if c[at.replica] == nil {
 		c[at.replica] = map[string]int{}
 	}
 	c[at.replica][at.unit] += n
 }
 
-// service gives what the placement policy reads of one service.
-func (f *Controller) service(seen Seen, svc *configuration.Service, calls callLoad) placement.Service {
-	s := seen.State
+// residentInput gives what the placement policy reads of one service.
+func (c *Controller) residentInput(snapshot Snapshot, svc *configuration.Service, calls callLoad) placement.Service {
+	s := snapshot.State
 	in := placement.Service{
-		Name: svc.Name, Engine: svc.Engine, Models: map[string]placement.Need{}, Adapters: map[string]placement.Need{},
-		StoreLeft: f.storeLeft(seen.NowUs, s, svc), Spares: sparesUsual, Disable: f.opts.Disable,
+		Name: svc.Name, Engine: svc.Engine, Models: map[string]placement.Demand{}, Adapters: map[string]placement.Demand{},
+		StoreLoadsLeft: c.storeLoadsLeft(snapshot.NowUs, s, svc), MinSpares: defaultSpares, Disable: c.opts.Disable,
 	}
 	for _, id := range s.ReplicaIDs() {
 		if r := s.Replicas[id]; r.Service == svc.Name {
-			in.Homes = append(in.Homes, f.home(seen, r, calls.runsAt[id], calls.unreadAt[id]))
+			in.Candidates = append(in.Candidates, c.candidate(snapshot, r, calls.runningAt[id], calls.unstartedAt[id]))
 		}
 	}
-	for _, unit := range f.unitsCalled(calls) {
+	for _, unit := range c.calledUnits(calls) {
 		model, adapter := configuration.SplitUnit(unit)
 		switch {
 		case s.Doc.EngineModel(svc.Name, model) == nil:
 		case adapter != "":
-			in.Adapters[unit] = f.needOf(seen.NowUs, unit, calls)
+			in.Adapters[unit] = c.unitDemand(snapshot.NowUs, unit, calls)
 		default:
-			in.Models[unit] = f.needOf(seen.NowUs, unit, calls)
+			in.Models[unit] = c.unitDemand(snapshot.NowUs, unit, calls)
 		}
 	}
 	return in
 }
 
-// unitsCalled names the units that were called for lately or are waited for.
-func (f *Controller) unitsCalled(calls callLoad) []string {
-	units := sorted(f.routed.needs)
+// calledUnits names the units that were called for lately or are waited for.
+func (c *Controller) calledUnits(calls callLoad) []string {
+	units := sortedKeys(c.routed.needs)
 	for unit := range calls.waiting {
-		if f.routed.needs[unit] == nil {
+		if c.routed.needs[unit] == nil {
 			units = append(units, unit)
 		}
 	}
 	return units
 }
 
-// needOf is what calls ask of a unit, as the placement policy reads it.
-func (f *Controller) needOf(nowUs int64, unit string, calls callLoad) placement.Need {
-	n := f.routed.needs[unit]
+// unitDemand is what calls ask of a unit, as the placement policy reads it.
+func (c *Controller) unitDemand(nowUs int64, unit string, calls callLoad) placement.Demand {
+	n := c.routed.needs[unit]
 	if n == nil {
-		n = &need{}
+		n = &demandEstimate{}
 	}
-	return placement.Need{
-		Rate: n.rate, Demand: (n.tokens/tokensPerMs + n.rate*decodeMsPerCall) / 1000,
-		Waiting: calls.waiting[unit], Unread: calls.unread[unit], IdleMs: (nowUs - n.lastUs) / clock.Ms,
+	return placement.Demand{
+		Rate: n.rate, Utilization: (n.tokens/tokensPerMs + n.rate*decodeMsPerCall) / 1000,
+		Waiting: calls.waiting[unit], Unstarted: calls.unstarted[unit], IdleMs: (nowUs - n.lastUs) / clock.Ms,
 	}
 }
 
-// home is one replica as the placement policy reads it.
-func (f *Controller) home(seen Seen, r *statemachine.Replica, runs, unread map[string]int) placement.Home {
-	h := placement.Home{
-		ID: r.ID, Usable: !r.Draining && !r.Unreachable && !f.outliers.Kept(r.ID), FreeMb: r.CapacityMb - seen.State.ReservedMb(r.ID), Holds: r.Resident, Had: r.EverLoaded,
-		Runs: runs, Unread: unread, AgeMs: map[string]int64{},
+// candidate is one replica as the placement policy reads it.
+func (c *Controller) candidate(snapshot Snapshot, r *statemachine.Replica, runs, unread map[string]int) placement.Candidate {
+	h := placement.Candidate{
+		ID: r.ID, Usable: !r.Draining && !r.Unreachable && !c.outliers.Kept(r.ID), FreeMb: r.CapacityMb - snapshot.State.ReservedMb(r.ID), SizeMbOf: r.Resident, WarmUnits: r.EverLoaded,
+		Running: runs, Unstarted: unread, ResidentMs: map[string]int64{},
 	}
 	for unit := range r.Resident {
-		if atUs, ok := f.routed.cameUs[unitAt{r.ID, unit}]; ok {
-			h.AgeMs[unit] = (seen.NowUs - atUs) / clock.Ms
+		if atUs, ok := c.routed.cameUs[replicaUnit{r.ID, unit}]; ok {
+			h.ResidentMs[unit] = (snapshot.NowUs - atUs) / clock.Ms
 		}
 	}
-	if in, ok := f.routed.intents[r.ID]; ok && seen.NowUs-in.atUs < intentUs {
-		h.Intended = in.unit
+	if in, ok := c.routed.intents[r.ID]; ok && snapshot.NowUs-in.atUs < reservationUs {
+		h.ReservedFor = in.unit
 	}
-	h.Busy = !f.mayOrder(seen.NowUs, r.ID)
-	if t, pending := seen.State.Pending[r.ID]; pending {
+	h.Busy = !c.canOrder(snapshot.NowUs, r.ID)
+	if t, pending := snapshot.State.Pending[r.ID]; pending {
 		h.Busy = true
 		if t.Action == statemachine.Load {
-			h.Coming = t.Unit
+			h.Loading = t.Unit
 		} else {
-			h.Going = t.Unit
+			h.Unloading = t.Unit
 		}
 	}
 	return h
 }
 
-// came remembers when a unit came to a replica.
-func (f *Controller) came(nowUs int64, t statemachine.ReplicaCommand) {
-	f.routed.cameUs[unitAt{t.Replica, t.Unit}] = nowUs
-	if len(f.routed.cameUs) > cameMost {
-		f.routed.cameUs = map[unitAt]int64{}
+// recordArrival remembers when a unit came to a replica.
+func (c *Controller) recordArrival(nowUs int64, t statemachine.ReplicaCommand) {
+	c.routed.cameUs[replicaUnit{t.Replica, t.Unit}] = nowUs
+	if len(c.routed.cameUs) > maxTrackedArrivals {
+		c.routed.cameUs = map[replicaUnit]int64{}
 	}
 }
--- a/internal/controlplane/controller/routed.go
+++ b/internal/controlplane/controller/routed.go
@@ -10,41 +10,41 @@
 const OrderFlightUs = 900 * clock.Ms
 
 const (
-	routedPolicyUs  = 500 * clock.Ms
-	routedUrgentUs  = 30 * clock.Ms
-	holderFreshUs   = 1100 * clock.Ms
-	leaseSlackUs    = OrderFlightUs + 100*clock.Ms
-	askLateUs       = 300 * clock.Ms
-	askAgainUs      = 90 * clock.Ms
-	askLostUs       = 1200 * clock.Ms
-	orderAgainUs    = 700 * clock.Ms
-	orderVoidUs     = 1200 * clock.Ms
-	outdatedMostUs  = 10 * clock.Sec
-	sendLateUs      = 300 * clock.Ms
-	adapterDoneUs   = 25 * clock.Ms
-	quietLeastUs    = 40 * clock.Ms
-	quietMostUs     = 700 * clock.Ms
-	loadSlackUs     = 15 * clock.Ms
-	warmFirstUs     = 620 * clock.Ms
-	unloadFirstUs   = 215 * clock.Ms
-	sparesUsual     = 1
-	intentUs        = 2 * clock.Sec
-	forgottenUs     = 15 * clock.Sec
-	wordLateUs      = 2 * clock.Sec
-	noteEveryUs     = 250 * clock.Ms
-	trustSpans      = 3
-	recentLeast     = 3.0
-	recentCut       = 0.85
-	tokensUnknown   = 1500.0
-	expectCut       = 0.8
-	expectLeast     = 0.5
-	expectUs        = 5 * clock.Sec
-	tokensPerMs     = 20.0
-	decodeMsPerCall = 25.0
+	residentIntervalUs    = 500 * clock.Ms
+	minResidentIntervalUs = 30 * clock.Ms
+	leaderFreshUs         = 1100 * clock.Ms
+	leaseSlackUs          = OrderFlightUs + 100*clock.Ms
+	busyCheckUs           = 300 * clock.Ms
+	recheckUs             = 90 * clock.Ms
+	requestTimeoutUs      = 1200 * clock.Ms
+	orderTimeoutUs        = 700 * clock.Ms
+	orderVanishedUs       = 1200 * clock.Ms
+	maxOutdatedUs         = 10 * clock.Sec
+	recountAfterUs        = 300 * clock.Ms
+	adapterLoadUs         = 25 * clock.Ms
+	minQuietUs            = 40 * clock.Ms
+	maxQuietUs            = 700 * clock.Ms
+	loadSlackUs           = 15 * clock.Ms
+	warmLoadUs            = 620 * clock.Ms
+	unloadUs              = 215 * clock.Ms
+	defaultSpares         = 1
+	reservationUs         = 2 * clock.Sec
+	unseenRemovedAfterUs  = 15 * clock.Sec
+	reportDelayUs         = 2 * clock.Sec
+	registryIntervalUs    = 250 * clock.Ms
+	trustFactor           = 3
+	minRecentRate         = 3.0
+	recentDiscount        = 0.85
+	defaultTokensPerCall  = 1500.0
+	forecastDiscount      = 0.8
+	minForecastRate       = 0.5
+	forecastSpanUs        = 5 * clock.Sec
+	tokensPerMs           = 20.0
+	decodeMsPerCall       = 25.0
 )
 
-// routed is the controller's memory for replicas that make themselves known.
-type routed struct {
+// routedMemory is the controller's memory for replicas that make themselves known.
+type routedMemory struct {
 	leaderSinceUs int64
 	foreignUs     int64
 	bornUs        int64
@@ -52,88 +52,88 @@
 	known         uint64
 	missedUs      int64
 	orders        map[uint64]*standingOrder
-	needs         map[string]*need
-	cameUs        map[unitAt]int64
-	trustedUs     map[unitAt]int64
+	needs         map[string]*demandEstimate
+	cameUs        map[replicaUnit]int64
+	trustedUs     map[replicaUnit]int64
 	changedUs     map[string]int64
 	unseenUs      map[string]int64
 	demandUs      int64
 	begunUs       map[routeModel]int64
-	intents       map[string]intent
+	intents       map[string]reservation
 	unplaced      map[string]bool
-	noted         notedAt
+	noted         comparedVersion
 }
 
-// unitAt is a model or an adapter at one replica.
-type unitAt struct {
+// replicaUnit is a model or an adapter at one replica.
+type replicaUnit struct {
 	replica, unit string
 }
 
-// intent is the model that room is being made for at a replica.
-type intent struct {
+// reservation is the model that room is being made for at a replica.
+type reservation struct {
 	unit string
 	atUs int64
 }
 
-func newRouted() routed {
-	return routed{
-		orders: map[uint64]*standingOrder{}, needs: map[string]*need{}, intents: map[string]intent{}, unplaced: map[string]bool{},
-		cameUs: map[unitAt]int64{}, trustedUs: map[unitAt]int64{}, changedUs: map[string]int64{}, unseenUs: map[string]int64{},
+func newRouted() routedMemory {
+	return routedMemory{
+		orders: map[uint64]*standingOrder{}, needs: map[string]*demandEstimate{}, intents: map[string]reservation{}, unplaced: map[string]bool{},
+		cameUs: map[replicaUnit]int64{}, trustedUs: map[replicaUnit]int64{}, changedUs: map[string]int64{}, unseenUs: map[string]int64{},
 	}
 }
 
-// Saw notes the tickets and settled orders of whoever leads, as they are applied: a successor
+// OnApplied notes the tickets and settled orders of whoever leads, as they are applied: a successor
 // waits out their lease, and counts their loads.
-func (f *Controller) Saw(nowUs int64, epoch uint64, d statemachine.LeaderUpdate, s *statemachine.State) {
+func (c *Controller) OnApplied(nowUs int64, epoch uint64, d statemachine.LeaderUpdate, s *statemachine.State) {
 	if s.Doc == nil || !s.Doc.Routed() {
 		return
 	}
-	if foreign := epoch != f.claimed || !f.IsLeader(s); !f.turns.saw(nowUs, foreign, d, s) {
-		f.routed.foreignUs = nowUs
+	if foreign := epoch != c.claimed || !c.IsLeader(s); !c.turns.onApplied(nowUs, foreign, d, s) {
+		c.routed.foreignUs = nowUs
 	}
-	f.routed.missed(nowUs, s, len(d.Commands))
+	c.routed.detectUnseenTickets(nowUs, s, len(d.Commands))
 	for _, t := range d.Commands {
-		f.routed.noteLoad(nowUs, s, t)
+		c.routed.recordLoad(nowUs, s, t)
 	}
 	for _, done := range d.Results {
-		delete(f.routed.orders, done.Number)
+		delete(c.routed.orders, done.Number)
 	}
 	if len(d.Results) > 0 {
 		for id, r := range s.Replicas {
 			if r.ModifiedIndex == s.Index {
-				f.routed.changedUs[id] = nowUs
+				c.routed.changedUs[id] = nowUs
 			}
 		}
 	}
 }
 
 // routedTick is a tick of whoever leads over replicas that make themselves known.
-func (f *Controller) routedTick(seen Seen) {
-	if f.routed.leaderSinceUs == 0 {
-		f.beginDuty(seen)
+func (c *Controller) routedTick(snapshot Snapshot) {
+	if c.routed.leaderSinceUs == 0 {
+		c.beginLeadership(snapshot)
 	}
-	f.countNeeds(seen.NowUs)
-	f.judgeOutliers(seen)
-	f.routedOrders(seen)
-	f.startResident(seen)
-	f.write(seen)
+	c.updateDemand(snapshot.NowUs)
+	c.judgeOutliers(snapshot)
+	c.pursueOrders(snapshot)
+	c.runResident(snapshot)
+	c.writeDue(snapshot)
 }
 
-// beginDuty notes what an earlier holder may still have on its way.
-func (f *Controller) beginDuty(seen Seen) {
-	r := &f.routed
-	r.leaderSinceUs = seen.NowUs
-	if seen.State.NextNumber > 1 {
+// beginLeadership notes what an earlier holder may still have on its way.
+func (c *Controller) beginLeadership(snapshot Snapshot) {
+	r := &c.routed
+	r.leaderSinceUs = snapshot.NowUs
+	if snapshot.State.NextNumber > 1 {
 		r.foreignUs = max(r.foreignUs, r.bornUs)
 	}
-	f.turns.unseen(seen.NowUs, seen.State)
-	if f.turns.next != seen.State.NextNumber {
-		f.turns.follow(seen.State)
-		r.foreignUs = seen.NowUs
+	c.turns.recordUnseen(snapshot.NowUs, snapshot.State)
+	if c.turns.nextTicket != snapshot.State.NextNumber {
+		c.turns.reset(snapshot.State)
+		r.foreignUs = snapshot.NowUs
 	}
-	for id, t := range seen.State.Pending {
-		if t.Epoch != f.claimed {
-			f.turns.atUs[id] = max(f.turns.atUs[id], seen.NowUs+holderFreshUs)
+	for id, t := range snapshot.State.Pending {
+		if t.Epoch != c.claimed {
+			c.turns.lastOrderUs[id] = max(c.turns.lastOrderUs[id], snapshot.NowUs+leaderFreshUs)
 		}
 	}
 }
--- a/internal/controlplane/controller/routed_test.go
+++ b/internal/controlplane/controller/routed_test.go
@@ -120,7 +120,7 @@
 	if c.LeaderUpdate != nil && len(c.LeaderUpdate.Commands)+len(c.LeaderUpdate.Results) > 0 {
 		for i := range f.fs {
 			if f.fs[i] != nil {
-				f.fs[i].Saw(f.nowUs, c.Epoch, *c.LeaderUpdate, f.s)
+				f.fs[i].OnApplied(f.nowUs, c.Epoch, *c.LeaderUpdate, f.s)
 			}
 		}
 	}
@@ -130,8 +130,8 @@
 func (f *fleet) step(i int, ev Event) {
 	ev.NowUs = f.nowUs
 	leads := i == f.head || (i == f.old && f.nowUs < f.oldUs)
-	seen := Seen{NowUs: f.nowUs, State: f.s, Head: leads, Fresh: leads, Writes: true, Roster: f.rosters[i]}
-	for _, e := range f.fs[i].Step(seen, ev) {
+	snapshot := Snapshot{NowUs: f.nowUs, State: f.s, IsHead: leads, IsFresh: leads, CanWrite: true, Registry: f.rosters[i]}
+	for _, e := range f.fs[i].Step(snapshot, ev) {
 		me := f.fs[i]
 		back := func(ev Event) {
 			if f.fs[i] == me {
@@ -153,7 +153,7 @@
 		case e.Ask != nil:
 			ask := *e.Ask
 			f.later(1+f.r.Int63n(20*clock.Ms), func() {
-				told := Told{AskedUs: ask.AskedUs, Replica: ask.Replica, Addr: ask.Addr}
+				told := ReplicaReport{RequestedUs: ask.RequestedUs, Replica: ask.Replica, Addr: ask.Addr}
 				if m := f.machines[ask.Replica]; m != nil && f.r.Intn(100) >= f.lose {
 					told.State = &wire.ReplicaState{ID: m.id, Incarnation: m.id, Busy: m.busy.Unit != "", Orders: m.taken, Units: m.units()}
 					for n := range f.orders[ask.Replica] {
@@ -180,11 +180,11 @@
 				}
 				if state != "" && f.r.Intn(100) >= f.lose {
 					f.later(1+f.r.Int63n(25*clock.Ms), func() {
-						back(Event{Ordered: &Ordered{Replica: o.Command.Replica, Incarnation: o.Command.Incarnation, State: wire.OrderState{Number: o.Command.Number, Epoch: o.Epoch, State: state}}})
+						back(Event{Ordered: &OrderResult{Replica: o.Command.Replica, Incarnation: o.Command.Incarnation, State: wire.OrderState{Number: o.Command.Number, Epoch: o.Epoch, State: state}}})
 					})
 				} else {
 					f.later(900*clock.Ms, func() {
-						back(Event{Ordered: &Ordered{Replica: o.Command.Replica, Incarnation: o.Command.Incarnation, State: wire.OrderState{Number: o.Command.Number, Epoch: o.Epoch, State: wire.OrderInDoubt}}})
+						back(Event{Ordered: &OrderResult{Replica: o.Command.Replica, Incarnation: o.Command.Incarnation, State: wire.OrderState{Number: o.Command.Number, Epoch: o.Epoch, State: wire.OrderInDoubt}}})
 					})
 				}
 			})
@@ -402,11 +402,11 @@
 		unread   func(ms int64) map[string]int
 		from, to int64
 	}{
-		"nothing there":       {func(int64) map[string]int { return nil }, quietLeastUs, quietLeastUs + 60*clock.Ms},
+		"nothing there":       {func(int64) map[string]int { return nil }, minQuietUs, minQuietUs + 60*clock.Ms},
 		"calls that begin":    {func(ms int64) map[string]int { return map[string]int{"r|m0": max(0, int(300-ms))} }, 300 * clock.Ms, 400 * clock.Ms},
-		"calls that never do": {func(int64) map[string]int { return map[string]int{"r|m0": 1} }, quietMostUs, quietMostUs + 60*clock.Ms},
-		"calls elsewhere":     {func(int64) map[string]int { return map[string]int{"q|m0": 9, "r|m1": 9} }, quietLeastUs, quietLeastUs + 60*clock.Ms},
-		"an adapter's own":    {func(int64) map[string]int { return map[string]int{"r|m0/a1": 9} }, quietLeastUs, quietLeastUs + 60*clock.Ms},
+		"calls that never do": {func(int64) map[string]int { return map[string]int{"r|m0": 1} }, maxQuietUs, maxQuietUs + 60*clock.Ms},
+		"calls elsewhere":     {func(int64) map[string]int { return map[string]int{"q|m0": 9, "r|m1": 9} }, minQuietUs, minQuietUs + 60*clock.Ms},
+		"an adapter's own":    {func(int64) map[string]int { return map[string]int{"r|m0/a1": 9} }, minQuietUs, minQuietUs + 60*clock.Ms},
 	} {
 		s := statemachine.NewState()
 		s.Apply(1, statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: fleetDoc()}})
@@ -417,7 +417,7 @@
 		var step func(ev Event)
 		step = func(ev Event) {
 			ev.NowUs = nowUs
-			for _, e := range f.Step(Seen{NowUs: nowUs, State: s, Head: true, Fresh: true, Writes: true, Roster: ros}, ev) {
+			for _, e := range f.Step(Snapshot{NowUs: nowUs, State: s, IsHead: true, IsFresh: true, CanWrite: true, Registry: ros}, ev) {
 				switch {
 				case e.Write != nil:
 					index++
@@ -471,26 +471,26 @@
 		if out := s.Apply(index, statemachine.Change{ID: fmt.Sprint("d", index), Epoch: s.Epoch, LeaderUpdate: &update}); len(out.Faults) > 0 {
 			t.Fatal(out.Faults)
 		}
-		from.Saw(nowUs, s.Epoch, update, s)
+		from.OnApplied(nowUs, s.Epoch, update, s)
 	}
 	most := svc.Engine.MaxConcurrentLoads()
 	load(clock.Sec, "r0")
-	if left := from.storeLeft(clock.Sec, s, svc); left != most-1 {
+	if left := from.storeLoadsLeft(clock.Sec, s, svc); left != most-1 {
 		t.Errorf("%d loads are left to who saw the only ticket, want %d", left, most-1)
 	}
-	if left := late.storeLeft(clock.Sec, s, svc); left != 0 {
+	if left := late.storeLoadsLeft(clock.Sec, s, svc); left != 0 {
 		t.Errorf("%d loads are left to who did not see the ticket", left)
 	}
-	if left := late.storeLeft(7*clock.Sec, s, svc); left != most-1 {
+	if left := late.storeLoadsLeft(7*clock.Sec, s, svc); left != most-1 {
 		t.Errorf("%d loads are left a window later, want %d", left, most-1)
 	}
 	load(8*clock.Sec, "r1")
-	late.Saw(8*clock.Sec, s.Epoch, statemachine.LeaderUpdate{Commands: make([]statemachine.ReplicaCommand, 1)}, s)
+	late.OnApplied(8*clock.Sec, s.Epoch, statemachine.LeaderUpdate{Commands: make([]statemachine.ReplicaCommand, 1)}, s)
 	if late.routed.missedUs >= 8*clock.Sec {
 		t.Error("a ticket that was seen counts as missed")
 	}
 	load(9*clock.Sec, "r2")
-	if late.storeLeft(9*clock.Sec, s, svc); late.routed.missedUs != 9*clock.Sec {
+	if late.storeLoadsLeft(9*clock.Sec, s, svc); late.routed.missedUs != 9*clock.Sec {
 		t.Error("a ticket that was not seen is not missed")
 	}
 }
--- a/internal/controlplane/controller/rows.go
+++ b/internal/controlplane/controller/rows.go
@@ -8,43 +8,43 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// notedAt is what the ledger was last compared with.
-type notedAt struct {
+// comparedVersion is what the ledger was last compared with.
+type comparedVersion struct {
 	roster, holds, index uint64
 	atUs                 int64
 }
 
-// outdated: what a replica said may be older than the last order that changed what it holds, as words lie
+// isOutdated: what a replica said may be older than the last order that changed what it holds, as words lie
 // in sockets, links and frozen machines for a while.
-func (r *routed) outdated(e *registry.Entry) bool {
-	return e.ConfirmedUs <= max(r.changedUs[e.ID], r.bornUs)+wordLateUs
+func (r *routedMemory) isOutdated(e *registry.Entry) bool {
+	return e.ConfirmedUs <= max(r.changedUs[e.ID], r.bornUs)+reportDelayUs
 }
 
-// noteRoster writes down what tickets need to know of replicas: their incarnations, their room and what they hold.
+// recordRegistry writes down what tickets need to know of replicas: their incarnations, their room and what they hold.
 // It changes with notices, incarnations and loads, not with heartbeats.
-func (f *Controller) noteRoster(seen Seen, update *statemachine.LeaderUpdate) {
-	now := notedAt{seen.Roster.Revision, seen.State.ReplicasIndex, seen.State.Revision, f.routed.noted.atUs}
-	if now == f.routed.noted && seen.NowUs-now.atUs < noteEveryUs {
+func (c *Controller) recordRegistry(snapshot Snapshot, update *statemachine.LeaderUpdate) {
+	now := comparedVersion{snapshot.Registry.Revision, snapshot.State.ReplicasIndex, snapshot.State.Revision, c.routed.noted.atUs}
+	if now == c.routed.noted && snapshot.NowUs-now.atUs < registryIntervalUs {
 		return
 	}
-	now.atUs = seen.NowUs
-	f.routed.noted = now
-	for _, id := range seen.Roster.IDs() {
-		f.noteEntry(seen, seen.Roster.Entry(id), update)
+	now.atUs = snapshot.NowUs
+	c.routed.noted = now
+	for _, id := range snapshot.Registry.IDs() {
+		c.recordEntry(snapshot, snapshot.Registry.Entry(id), update)
 	}
-	for _, id := range seen.State.ReplicaIDs() {
-		f.noteUnseen(seen, id, update)
+	for _, id := range snapshot.State.ReplicaIDs() {
+		c.recordUnseen(snapshot, id, update)
 	}
 }
 
-// noteEntry compares one replica's own word with the ledger, and writes down what differs.
-func (f *Controller) noteEntry(seen Seen, e *registry.Entry, update *statemachine.LeaderUpdate) {
-	have := seen.State.Replicas[e.ID]
-	svc := seen.State.Doc.Service(e.Service)
+// recordEntry compares one replica's own word with the ledger, and writes down what differs.
+func (c *Controller) recordEntry(snapshot Snapshot, e *registry.Entry, update *statemachine.LeaderUpdate) {
+	have := snapshot.State.Replicas[e.ID]
+	svc := snapshot.State.Doc.Service(e.Service)
 	if e.Removed || svc == nil || svc.Engine == nil {
 		if have != nil {
 			update.RemovedReplicas = append(update.RemovedReplicas, e.ID)
-			delete(f.routed.changedUs, e.ID)
+			delete(c.routed.changedUs, e.ID)
 		}
 		return
 	}
@@ -52,48 +52,48 @@
 		ID: e.ID, Incarnation: e.ID, Addr: e.Addr, Zone: e.Zone, CapacityMb: svc.Engine.CapacityMB, Slots: e.Slots, Draining: e.Draining,
 		RemainingMs: leftMs(have, e.Draining, e.RemainingMs), Unreachable: e.Unreachable, Service: e.Service,
 	}
-	f.noteUnits(seen, e, svc, &n)
-	if rowDiffers(have, n) {
+	c.recordUnits(snapshot, e, svc, &n)
+	if differsFrom(have, n) {
 		update.Replicas = append(update.Replicas, n)
 	}
 }
 
-// noteUnits adds what a replica holds where the ledger has something else and the replica's word is new enough.
+// recordUnits adds what a replica holds where the ledger has something else and the replica's word is new enough.
 // Where it is not, the next write compares again.
-func (f *Controller) noteUnits(seen Seen, e *registry.Entry, svc *configuration.Service, n *statemachine.ReplicaUpdate) {
-	have := seen.State.Replicas[e.ID]
-	_, pending := seen.State.Pending[e.ID]
-	units := f.routed.withTrusted(seen.NowUs, have, e.Units)
+func (c *Controller) recordUnits(snapshot Snapshot, e *registry.Entry, svc *configuration.Service, n *statemachine.ReplicaUpdate) {
+	have := snapshot.State.Replicas[e.ID]
+	_, pending := snapshot.State.Pending[e.ID]
+	units := c.routed.withTrusted(snapshot.NowUs, have, e.Units)
 	switch {
 	case have == nil:
-		n.ResidentKnown, n.Resident, n.CommandsTaken = true, holdings(seen.State.Doc, svc, units), new(uint64)
-	case pending || sameUnits(have, units):
-	case f.routed.outdated(e):
-		f.routed.noted = notedAt{}
+		n.ResidentKnown, n.Resident, n.CommandsTaken = true, holdings(snapshot.State.Doc, svc, units), new(uint64)
+	case pending || holdsExactly(have, units):
+	case c.routed.isOutdated(e):
+		c.routed.noted = comparedVersion{}
 	default:
-		n.ResidentKnown, n.Resident = true, holdings(seen.State.Doc, svc, units)
+		n.ResidentKnown, n.Resident = true, holdings(snapshot.State.Doc, svc, units)
 	}
 }
 
-// noteUnseen takes a replica out of the ledger once no control node has heard of it for long enough.
-func (f *Controller) noteUnseen(seen Seen, id string, update *statemachine.LeaderUpdate) {
-	if seen.Roster.Entry(id) != nil {
-		delete(f.routed.unseenUs, id)
+// recordUnseen takes a replica out of the ledger once no control node has heard of it for long enough.
+func (c *Controller) recordUnseen(snapshot Snapshot, id string, update *statemachine.LeaderUpdate) {
+	if snapshot.Registry.Entry(id) != nil {
+		delete(c.routed.unseenUs, id)
 		return
 	}
-	sinceUs, known := f.routed.unseenUs[id]
+	sinceUs, known := c.routed.unseenUs[id]
 	if !known {
-		f.routed.unseenUs[id] = seen.NowUs
-	} else if seen.NowUs-sinceUs > forgottenUs {
+		c.routed.unseenUs[id] = snapshot.NowUs
+	} else if snapshot.NowUs-sinceUs > unseenRemovedAfterUs {
 		update.RemovedReplicas = append(update.RemovedReplicas, id)
-		delete(f.routed.unseenUs, id)
-		delete(f.routed.changedUs, id)
+		delete(c.routed.unseenUs, id)
+		delete(c.routed.changedUs, id)
 	}
 }
 
-// rowDiffers: the ledger has no row of a replica, or one that says something else than the note. The incarnation is not
+// differsFrom: the ledger has no row of a replica, or one that says something else than the note. The incarnation is not
 // looked at.
-func rowDiffers(have *statemachine.Replica, n statemachine.ReplicaUpdate) bool {
+func differsFrom(have *statemachine.Replica, n statemachine.ReplicaUpdate) bool {
 	return have == nil || have.Addr != n.Addr || have.Zone != n.Zone || have.CapacityMb != n.CapacityMb ||
 		have.Slots != n.Slots || have.Draining != n.Draining || have.Unreachable != n.Unreachable || n.ResidentKnown
 }
@@ -108,12 +108,12 @@
 
 // withTrusted adds what was settled by its time alone and the replica has not yet shown: a load that takes
 // longer than stated keeps its room until it comes, or has had three times its time.
-func (r *routed) withTrusted(nowUs int64, have *statemachine.Replica, units []string) []string {
+func (r *routedMemory) withTrusted(nowUs int64, have *statemachine.Replica, units []string) []string {
 	if have == nil || len(r.trustedUs) == 0 {
 		return units
 	}
 	for unit := range have.Resident {
-		key := unitAt{have.ID, unit}
+		key := replicaUnit{have.ID, unit}
 		untilUs, trusted := r.trustedUs[key]
 		if !trusted {
 			continue
@@ -127,8 +127,8 @@
 	return units
 }
 
-// sameUnits: the ledger's row holds just these units.
-func sameUnits(have *statemachine.Replica, units []string) bool {
+// holdsExactly: the ledger's row holds just these units.
+func holdsExactly(have *statemachine.Replica, units []string) bool {
 	if len(have.Resident) != len(units) {
 		return false
 	}
--- a/internal/controlplane/controller/share.go
+++ b/internal/controlplane/controller/share.go
@@ -6,21 +6,21 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// grant hands out attempt numbers for every model at every replica, before those of a gateway run out.
-func (f *Controller) grant(seen Seen, update *statemachine.LeaderUpdate) {
-	s := seen.State
-	gateways := f.live(seen.NowUs)
+// grantAttempts hands out attempt numbers for every model at every replica, before those of a gateway run out.
+func (c *Controller) grantAttempts(snapshot Snapshot, update *statemachine.LeaderUpdate) {
+	s := snapshot.State
+	gateways := c.liveGateways(snapshot.NowUs)
 	for _, id := range s.ReplicaIDs() {
 		r := s.Replicas[id]
 		if r.Draining || r.Unreachable || r.Incarnation == "" {
 			continue
 		}
-		for _, unit := range sorted(r.Resident) {
+		for _, unit := range sortedKeys(r.Resident) {
 			if s.Doc.Model(unit) == nil {
 				continue
 			}
 			for _, gateway := range gateways {
-				if ask, needed := f.grantAsk(s, r, unit, gateway); needed {
+				if ask, needed := c.grantRequest(s, r, unit, gateway); needed {
 					update.Grants = append(update.Grants, ask)
 				}
 			}
@@ -28,11 +28,11 @@
 	}
 }
 
-// grantAsk gives what a gateway should be granted for a model at a replica; it is needed where the gateway has no
+// grantRequest gives what a gateway should be granted for a model at a replica; it is needed where the gateway has no
 // grant of these lives, or less than half of one left.
-func (f *Controller) grantAsk(s *statemachine.State, r *statemachine.Replica, model, gateway string) (ask statemachine.GrantRequest, needed bool) {
-	report := f.gateways[gateway].report
-	want := min(max(uint64(report.Arrivals[model]*2*attemptSeconds), attemptsLeast), attemptsMost)
+func (c *Controller) grantRequest(s *statemachine.State, r *statemachine.Replica, model, gateway string) (ask statemachine.GrantRequest, needed bool) {
+	report := c.gateways[gateway].report
+	want := min(max(uint64(report.Arrivals[model]*2*attemptSeconds), minAttempts), maxAttempts)
 	ask = statemachine.GrantRequest{Gateway: gateway, GatewayIncarnation: report.Incarnation, Replica: r.ID, Incarnation: r.Incarnation, Model: model, Count: want}
 	g := statemachine.Grant{Gateway: gateway, Replica: r.ID, Model: model}
 	have, ok := s.Grants[g.Key()]
@@ -50,14 +50,14 @@
 	arrivalWeight = 0.1
 )
 
-// share divides a replica's slots by what each gateway has there and what waits for its models.
-func (f *Controller) share(seen Seen, update *statemachine.LeaderUpdate) {
-	if seen.NowUs-f.shareUs < shareEveryUs {
+// divideSlots divides a replica's slots by what each gateway has there and what waits for its models.
+func (c *Controller) divideSlots(snapshot Snapshot, update *statemachine.LeaderUpdate) {
+	if snapshot.NowUs-c.shareUs < shareIntervalUs {
 		return
 	}
-	f.shareUs = seen.NowUs
-	s := seen.State
-	gateways := f.live(seen.NowUs)
+	c.shareUs = snapshot.NowUs
+	s := snapshot.State
+	gateways := c.liveGateways(snapshot.NowUs)
 	if len(gateways) == 0 {
 		return
 	}
@@ -66,8 +66,8 @@
 		if r.Draining || r.Unreachable {
 			continue
 		}
-		shares := divide(r.Slots, gateways, f.weights(r, gateways))
-		if !f.worthwhile(r, shares) {
+		shares := divide(r.Slots, gateways, c.gatewayWeights(r, gateways))
+		if !c.shouldRewriteShares(r, shares) {
 			continue
 		}
 		if update.Quotas == nil {
@@ -77,13 +77,13 @@
 	}
 }
 
-// weights are what gateways have at a replica and what waits and arrives for its models, in the gateways' order.
-func (f *Controller) weights(r *statemachine.Replica, gateways []string) []float64 {
+// gatewayWeights are what gateways have at a replica and what waits and arrives for its models, in the gateways' order.
+func (c *Controller) gatewayWeights(r *statemachine.Replica, gateways []string) []float64 {
 	weights := make([]float64, len(gateways))
 	for i, gateway := range gateways {
-		report := f.gateways[gateway].report
+		report := c.gateways[gateway].report
 		weights[i] = idleWeight + float64(report.InFlight[r.ID])
-		for _, unit := range sorted(r.Resident) {
+		for _, unit := range sortedKeys(r.Resident) {
 			weights[i] += float64(report.Queued[unit]) * waitingWeight
 			weights[i] += report.Arrivals[unit] * arrivalWeight
 		}
@@ -130,9 +130,9 @@
 	return order
 }
 
-// worthwhile: new shares differ enough from those in force to be written down, or give a slot to a gateway that
+// shouldRewriteShares: new shares differ enough from those in force to be written down, or give a slot to a gateway that
 // has used up what it had.
-func (f *Controller) worthwhile(r *statemachine.Replica, shares map[string]int) bool {
+func (c *Controller) shouldRewriteShares(r *statemachine.Replica, shares map[string]int) bool {
 	if len(r.Quotas) != len(shares) {
 		return true
 	}
@@ -142,7 +142,7 @@
 		if !ok {
 			return true
 		}
-		row := f.gateways[gateway]
+		row := c.gateways[gateway]
 		if n > had && row != nil && row.report.InFlight[r.ID] >= had {
 			return true
 		}
@@ -151,18 +151,18 @@
 	return moved*3 > r.Slots*2
 }
 
-// markKeys notes a place of the log every hour; idempotency keys from before the oldest such place are forgotten.
-func (f *Controller) markKeys(seen Seen, update *statemachine.LeaderUpdate) {
-	if f.markUs == 0 {
-		f.markUs = seen.NowUs
+// expireIdempotencyKeys notes a place of the log every hour; idempotency keys from before the oldest such place are forgotten.
+func (c *Controller) expireIdempotencyKeys(snapshot Snapshot, update *statemachine.LeaderUpdate) {
+	if c.markUs == 0 {
+		c.markUs = snapshot.NowUs
 	}
-	if seen.NowUs-f.markUs < keyMarkUs {
+	if snapshot.NowUs-c.markUs < keyMarkIntervalUs {
 		return
 	}
-	f.markUs = seen.NowUs
-	f.marks = append(f.marks, seen.State.Index)
-	if len(f.marks) > keyMarks {
-		update.ForgetKeysBefore = f.marks[0]
-		f.marks = f.marks[1:]
+	c.markUs = snapshot.NowUs
+	c.marks = append(c.marks, snapshot.State.Index)
+	if len(c.marks) > maxKeyMarks {
+		update.ForgetKeysBefore = c.marks[0]
+		c.marks = c.marks[1:]
 	}
 }
--- a/internal/controlplane/controller/slow_test.go
+++ b/internal/controlplane/controller/slow_test.go
@@ -21,15 +21,15 @@
 	var step func(ev Event)
 	step = func(ev Event) {
 		ev.NowUs = nowUs
-		for _, e := range f.Step(Seen{NowUs: nowUs, State: s, Head: true, Fresh: true, Writes: true, Roster: ros}, ev) {
+		for _, e := range f.Step(Snapshot{NowUs: nowUs, State: s, IsHead: true, IsFresh: true, CanWrite: true, Registry: ros}, ev) {
 			switch {
 			case e.Write != nil:
 				index++
 				out := s.Apply(index, *e.Write)
-				f.Saw(nowUs, e.Write.Epoch, leaderUpdateOf(e.Write), s)
+				f.OnApplied(nowUs, e.Write.Epoch, leaderUpdateOf(e.Write), s)
 				step(Event{Wrote: &out})
 			case e.Order != nil:
-				step(Event{Ordered: &Ordered{Replica: "r", Incarnation: "r", State: wireRunning(e.Order.Order.Command.Number)}})
+				step(Event{Ordered: &OrderResult{Replica: "r", Incarnation: "r", State: wireRunning(e.Order.Order.Command.Number)}})
 			}
 		}
 	}
@@ -52,11 +52,11 @@
 	if s.Replicas["r"].Resident["m0"] == 0 {
 		t.Fatal("the load was not settled by its time")
 	}
-	pass(2*loadMs*1000 + wordLateUs/2)
+	pass(2*loadMs*1000 + reportDelayUs/2)
 	if s.Replicas["r"].Resident["m0"] == 0 {
 		t.Fatal("its room was given out again while it may still be under way")
 	}
-	pass(3*loadMs*1000 + 2*wordLateUs + clock.Sec)
+	pass(3*loadMs*1000 + 2*reportDelayUs + clock.Sec)
 	if s.Replicas["r"].Resident["m0"] != 0 {
 		t.Fatal("a load that never came keeps its room for ever")
 	}
--- a/internal/controlplane/controller/store.go
+++ b/internal/controlplane/controller/store.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	windowUsualUs = 5 * clock.Sec
+	defaultWindowUs = 5 * clock.Sec
 	// windowSlackUs is how much longer loads count here than in the store's own window.
 	windowSlackUs = 400 * clock.Ms
 	// storeBurst is how many loads the window allows beyond the rate, storeCut how many of them are not used.
 	storeBurst = 3
 	storeCut   = 1
-	// loadsMost bounds how many loads are remembered.
-	loadsMost = 4096
+	// maxTrackedLoads bounds how many loads are remembered.
+	maxTrackedLoads = 4096
 )
 
-// missed notes that tickets were issued which this controller did not see one by one: as many loads may lie
+// detectUnseenTickets notes that tickets were issued which this controller did not see one by one: as many loads may lie
 // behind them as the store's window bears. Numbers rise by one, so that a gap shows.
-func (r *routed) missed(nowUs int64, s *statemachine.State, news int) {
+func (r *routedMemory) detectUnseenTickets(nowUs int64, s *statemachine.State, news int) {
 	if r.known == 0 {
 		r.known = 1
 	}
@@ -31,19 +31,19 @@
 	r.known = s.NextNumber
 }
 
-// noteLoad counts a ticket against the store's window, if its load reads from the store.
-func (r *routed) noteLoad(nowUs int64, s *statemachine.State, t statemachine.ReplicaCommand) {
-	if !fromStore(s.Replicas[t.Replica], t) {
+// recordLoad counts a ticket against the store's window, if its load reads from the store.
+func (r *routedMemory) recordLoad(nowUs int64, s *statemachine.State, t statemachine.ReplicaCommand) {
+	if !readsFromStore(s.Replicas[t.Replica], t) {
 		return
 	}
 	r.loadsUs = append(r.loadsUs, nowUs)
-	if len(r.loadsUs) > loadsMost {
-		r.loadsUs = append([]int64(nil), r.loadsUs[loadsMost/2:]...)
+	if len(r.loadsUs) > maxTrackedLoads {
+		r.loadsUs = append([]int64(nil), r.loadsUs[maxTrackedLoads/2:]...)
 	}
 }
 
 // loadsWithin counts the loads from the store that began within a span up to now.
-func (r *routed) loadsWithin(nowUs, spanUs int64) int {
+func (r *routedMemory) loadsWithin(nowUs, spanUs int64) int {
 	n := 0
 	for _, atUs := range r.loadsUs {
 		if nowUs-atUs < spanUs {
@@ -53,51 +53,51 @@
 	return n
 }
 
-// fromStore: a ticket loads a model that its replica never had, so that the weights come from the store. Adapters,
+// readsFromStore: a ticket loads a model that its replica never had, so that the weights come from the store. Adapters,
 // and models that the replica had before, come from elsewhere.
-func fromStore(have *statemachine.Replica, t statemachine.ReplicaCommand) bool {
+func readsFromStore(have *statemachine.Replica, t statemachine.ReplicaCommand) bool {
 	return t.Action == statemachine.Load && !strings.Contains(t.Unit, "/") && (have == nil || !have.EverLoaded[t.Unit])
 }
 
-// storeLoads counts a service's pending loads from the store.
-func storeLoads(s *statemachine.State, service *configuration.Service) int {
+// pendingStoreLoads counts a service's pending loads from the store.
+func pendingStoreLoads(s *statemachine.State, service *configuration.Service) int {
 	n := 0
 	for _, t := range s.Pending {
-		if have := s.Replicas[t.Replica]; have != nil && have.Service == service.Name && fromStore(have, t) {
+		if have := s.Replicas[t.Replica]; have != nil && have.Service == service.Name && readsFromStore(have, t) {
 			n++
 		}
 	}
 	return n
 }
 
-// windowUs is the span over which the store's loads are counted.
-func (f *Controller) windowUs() int64 {
-	if f.opts.StoreWindowUs == 0 {
-		return windowUsualUs
+// storeWindowUs is the span over which the store's loads are counted.
+func (c *Controller) storeWindowUs() int64 {
+	if c.opts.StoreWindowUs == 0 {
+		return defaultWindowUs
 	}
-	return f.opts.StoreWindowUs
+	return c.opts.StoreWindowUs
 }
 
-// storeLeft is how many loads from the store may begin now: what the sliding window still allows, and no
+// storeLoadsLeft is how many loads from the store may begin now: what the sliding window still allows, and no
 // more at once than the store bears at full speed.
-func (f *Controller) storeLeft(nowUs int64, s *statemachine.State, service *configuration.Service) int {
+func (c *Controller) storeLoadsLeft(nowUs int64, s *statemachine.State, service *configuration.Service) int {
 	e := service.Engine
-	windowUs := f.windowUs()
-	overshoot := max(f.opts.StoreOvershoot, 1)
+	windowUs := c.storeWindowUs()
+	overshoot := max(c.opts.StoreOvershoot, 1)
 	most := int(e.LoadsPerSecond*float64(windowUs)/float64(clock.Sec)*overshoot+storeBurst) - storeCut
-	spent := f.routed.loadsWithin(nowUs, windowUs+windowSlackUs)
-	if f.routed.missed(nowUs, s, 0); f.routed.missedUs > 0 && nowUs-f.routed.missedUs < windowUs+windowSlackUs {
+	spent := c.routed.loadsWithin(nowUs, windowUs+windowSlackUs)
+	if c.routed.detectUnseenTickets(nowUs, s, 0); c.routed.missedUs > 0 && nowUs-c.routed.missedUs < windowUs+windowSlackUs {
 		spent += most
 	}
-	return max(0, min(most-spent, e.MaxConcurrentLoads()-storeLoads(s, service)))
+	return max(0, min(most-spent, e.MaxConcurrentLoads()-pendingStoreLoads(s, service)))
 }
 
-// leftFor sums what the store still gives over all services; each is checked by its own account as well.
-func (f *Controller) leftFor(nowUs int64, s *statemachine.State) int {
+// totalStoreLoadsLeft sums what the store still gives over all services; each is checked by its own account as well.
+func (c *Controller) totalStoreLoadsLeft(nowUs int64, s *statemachine.State) int {
 	left := 0
 	for i := range s.Doc.Services {
 		if s.Doc.Services[i].Engine != nil {
-			left += f.storeLeft(nowUs, s, &s.Doc.Services[i])
+			left += c.storeLoadsLeft(nowUs, s, &s.Doc.Services[i])
 		}
 	}
 	return left
--- a/internal/controlplane/controller/tickets.go
+++ b/internal/controlplane/controller/tickets.go
@@ -5,43 +5,43 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// orders sends what the ledger holds and the replica has not seen yet. The ticket keeps its
+// sendOrders sends what the ledger holds and the replica has not seen yet. The ticket keeps its
 // number, so a replica that did see it answers with its state instead of doing it again.
-func (f *Controller) orders(seen Seen) {
-	s := seen.State
-	for _, id := range sorted(s.Pending) {
+func (c *Controller) sendOrders(snapshot Snapshot) {
+	s := snapshot.State
+	for _, id := range sortedKeys(s.Pending) {
 		t := s.Pending[id]
-		row := f.replicas[id]
-		if row == nil || row.atUs == 0 || row.state.Incarnation != t.Incarnation {
+		row := c.replicas[id]
+		if row == nil || row.reportedUs == 0 || row.report.Incarnation != t.Incarnation {
 			continue
 		}
-		if last := row.state.LastOrder; last != nil && last.Number >= t.Number {
+		if last := row.report.LastOrder; last != nil && last.Number >= t.Number {
 			continue
 		}
-		sentUs, sent := f.orderUs[t.Number]
-		if sent && seen.NowUs-sentUs < orderEveryUs {
+		sentUs, sent := c.orderUs[t.Number]
+		if sent && snapshot.NowUs-sentUs < orderRetryUs {
 			continue
 		}
-		f.orderUs[t.Number] = seen.NowUs
-		f.do(Effect{Order: &Order{Addr: row.addr, Order: wire.Order{Command: t, Epoch: s.Epoch}}})
+		c.orderUs[t.Number] = snapshot.NowUs
+		c.emit(Effect{Order: &Order{Addr: row.addr, Order: wire.Order{Command: t, Epoch: s.Epoch}}})
 	}
 }
 
-func (f *Controller) unconfirmedMb(s *statemachine.State) int64 {
-	sumMb := f.issuingMb
+func (c *Controller) unconfirmedMb(s *statemachine.State) int64 {
+	sumMb := c.issuingMb
 	for _, t := range s.Pending {
-		row := f.replicas[t.Replica]
-		seen := row != nil && row.atUs > 0 && row.state.Incarnation == t.Incarnation && row.state.LastOrder != nil && row.state.LastOrder.Number >= t.Number
-		if t.Action == statemachine.Load && !seen {
+		row := c.replicas[t.Replica]
+		acknowledged := row != nil && row.reportedUs > 0 && row.report.Incarnation == t.Incarnation && row.report.LastOrder != nil && row.report.LastOrder.Number >= t.Number
+		if t.Action == statemachine.Load && !acknowledged {
 			sumMb += t.SizeMb
 		}
 	}
 	return sumMb
 }
 
-// fill brings the bucket up to now; what it may not hold any more must be gone before it is spent from.
-func (f *Controller) fill(seen Seen) {
-	if seen.State.Doc != nil {
-		f.bucket.Fill(seen.NowUs, seen.State.Doc.Store, f.unconfirmedMb(seen.State))
+// refillBudget brings the bucket up to now; what it may not hold any more must be gone before it is spent from.
+func (c *Controller) refillBudget(snapshot Snapshot) {
+	if snapshot.State.Doc != nil {
+		c.bucket.Fill(snapshot.NowUs, snapshot.State.Doc.Store, c.unconfirmedMb(snapshot.State))
 	}
 }
--- a/internal/controlplane/controller/turns_test.go
+++ b/internal/controlplane/controller/turns_test.go
@@ -74,15 +74,15 @@
 				t.Fatal(out.Fault, out.Faults)
 			}
 			if c.LeaderUpdate != nil && !deaf {
-				f.Saw(nowUs, c.Epoch, *c.LeaderUpdate, s)
+				f.OnApplied(nowUs, c.Epoch, *c.LeaderUpdate, s)
 			}
 		}
 		apply(0, statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: fleetDoc()}})
 		apply(0, statemachine.Change{ID: "k1", Epoch: 1, Claim: &statemachine.Claim{Leader: "one"}})
-		seen := Seen{State: s, Writes: true, Roster: registry.New(3 * clock.Sec)}
+		snapshot := Snapshot{State: s, CanWrite: true, Registry: registry.New(3 * clock.Sec)}
 		tick := func(nowUs int64) {
-			seen.NowUs = nowUs
-			f.Step(seen, Event{NowUs: nowUs})
+			snapshot.NowUs = nowUs
+			f.Step(snapshot, Event{NowUs: nowUs})
 		}
 		tick(clock.Sec)
 		note := func(id string) statemachine.ReplicaUpdate {
@@ -91,7 +91,7 @@
 		apply(8*clock.Sec, statemachine.Change{ID: "d1", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{note("r0"), note("r1")},
 			Commands: []statemachine.ReplicaCommand{{Replica: "r0", Incarnation: "r0", Revision: s.Revision, Action: statemachine.Load, Unit: "m0"}}}})
 		apply(9*clock.Sec, statemachine.Change{ID: "d2", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: 1, Succeeded: true}}}})
-		seen.Head, seen.Fresh = true, true
+		snapshot.IsHead, snapshot.IsFresh = true, true
 		tick(9500 * clock.Ms)
 		apply(9500*clock.Ms, statemachine.Change{ID: "k2", Epoch: 2, Claim: &statemachine.Claim{Leader: "two"}})
 		tick(9600 * clock.Ms)
@@ -100,7 +100,7 @@
 			wait = map[string]int64{"r0": fleetLeaseUs + leaseSlackUs, "r1": fleetLeaseUs + leaseSlackUs}
 		}
 		for id, us := range wait {
-			if got := max(f.ordersInUs(9600*clock.Ms, id), 0); got != us {
+			if got := max(f.waitUs(9600*clock.Ms, id), 0); got != us {
 				t.Errorf("%s: %s may be ordered in %d ms, want %d", name, id, got/1000, us/1000)
 			}
 		}
@@ -111,12 +111,12 @@
 // Whoever leads next leaves a whole lease between that arrival and its own first order.
 func TestAnOrderThatWasOnItsWayIsNoTurnWithinTheLease(t *testing.T) {
 	f := NewWith("two", Options{LeaseUs: fleetLeaseUs})
-	f.turns.atUs = map[string]int64{"r0": 9 * clock.Sec}
+	f.turns.lastOrderUs = map[string]int64{"r0": 9 * clock.Sec}
 	arrivedUs := 9*clock.Sec + OrderFlightUs
-	if f.mayOrder(arrivedUs+fleetLeaseUs, "r0") {
+	if f.canOrder(arrivedUs+fleetLeaseUs, "r0") {
 		t.Error("ordered within a lease of an order that took its whole time")
 	}
-	if !f.mayOrder(arrivedUs+fleetLeaseUs+200*clock.Ms, "r0") {
+	if !f.canOrder(arrivedUs+fleetLeaseUs+200*clock.Ms, "r0") {
 		t.Error("it waits longer than there is a reason for")
 	}
 }
--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -279,7 +279,7 @@
 		if a.Entry.Index <= c.bornLast {
 			sawUs = c.bornUs
 		}
-		c.Controller.Saw(sawUs, change.Epoch, *change.LeaderUpdate, c.Node.State())
+		c.Controller.OnApplied(sawUs, change.Epoch, *change.LeaderUpdate, c.Node.State())
 	}
 	if change.LeaderUpdate != nil && change.Epoch == c.Node.State().Epoch {
 		out := a.Outcome
@@ -312,13 +312,13 @@
 }
 
 func (c *Core) controller(ev controller.Event) {
-	seen := controller.Seen{
-		NowUs: ev.NowUs, State: c.Node.State(), Head: c.Node.IsHead(),
-		Fresh: c.Node.HeadConfirmed(ev.NowUs), Writes: c.Node.AcceptsWrites(), View: c.Node.View().Number,
-		Roster: c.soft.Roster, Outliers: c.soft.Outliers,
+	seen := controller.Snapshot{
+		NowUs: ev.NowUs, State: c.Node.State(), IsHead: c.Node.IsHead(),
+		IsFresh: c.Node.HeadConfirmed(ev.NowUs), CanWrite: c.Node.AcceptsWrites(), ViewNumber: c.Node.View().Number,
+		Registry: c.soft.Roster, Outliers: c.soft.Outliers,
 	}
-	if !seen.Writes {
-		seen.Fresh = false
+	if !seen.CanWrite {
+		seen.IsFresh = false
 	}
 	for _, e := range c.Controller.Step(seen, ev) {
 		if e.Write != nil {
@@ -361,12 +361,12 @@
 	Emptied     []string                       `json:"emptied,omitempty"`
 	Peers       []chain.PeerStatus             `json:"partners"`
 	Gateways    []distribution.GatewayStatus   `json:"desks,omitempty"`
-	Demand      []controller.GatewayNote       `json:"demand,omitempty"`
+	Demand      []controller.GatewayStatus     `json:"demand,omitempty"`
 	Replicas    []statemachine.Replica         `json:"replicas"`
 	Pending     []statemachine.ReplicaCommand  `json:"pending"`
 	Counts      any                            `json:"counts,omitempty"`
-	Policy      controller.PolicyNote          `json:"policy"`
-	Shadows     []controller.PolicyNote        `json:"shadows,omitempty"`
+	Policy      controller.PolicyStatus        `json:"policy"`
+	Shadows     []controller.PolicyStatus      `json:"shadows,omitempty"`
 	Faults      map[fault.Code]uint64          `json:"faults,omitempty"`
 	Refused     map[fault.Code]uint64          `json:"refused,omitempty"`
 	Keys        int                            `json:"keys"`
--- a/internal/controlplane/controlnode/fleet.go
+++ b/internal/controlplane/controlnode/fleet.go
@@ -18,7 +18,7 @@
 	// Gateways are those that live, as far as this control node knows; they share the further tries.
 	Gateways []string `json:"desks"`
 	// Leadership is known at the control node that holds it.
-	Leadership *controller.Note `json:"duty,omitempty"`
+	Leadership *controller.LeaderStatus `json:"duty,omitempty"`
 }
 
 // ServiceNote is a service in force. Models and RoomMb are 0 where it has no engine.
@@ -75,7 +75,7 @@
 	}
 	f := &Fleet{
 		Version: s.Doc.Version, Routes: s.Doc.WithoutSource().Routes, Services: []ServiceNote{}, Replicas: []ReplicaNote{},
-		Gateways: c.soft.Hub.Gateways(nowUs), Leadership: c.Controller.Note(nowUs, s),
+		Gateways: c.soft.Hub.Gateways(nowUs), Leadership: c.Controller.Status(nowUs, s),
 	}
 	count := map[string]int{}
 	for _, id := range c.soft.Roster.IDs() {
--- a/internal/controlplane/controlnode/host.go
+++ b/internal/controlplane/controlnode/host.go
@@ -442,7 +442,7 @@
 	case e.Run != nil:
 		run := *e.Run
 		h.act.Spawn(func() {
-			done := controller.PolicyDone{Run: run.Number, Revision: run.Revision}
+			done := controller.PolicyResult{Number: run.Number, Revision: run.Revision}
 			done.Live = placement.Run(run.Live, run.Fleet)
 			for _, s := range run.Shadows {
 				done.Shadows = append(done.Shadows, placement.Run(s, run.Fleet))
@@ -455,18 +455,18 @@
 func (h *Host) pollList() {
 	ctx, done := context.WithTimeout(h.act.Ctx, platformWait)
 	defer done()
-	listed := controller.Listed{}
+	listed := controller.PlatformListing{}
 	var err error
 	if listed.List, err = h.replicas.List(ctx); err != nil {
-		listed = controller.Listed{Err: err.Error()}
+		listed = controller.PlatformListing{Err: err.Error()}
 	}
 	h.tell(Event{Controller: &controller.Event{Listed: &listed}})
 }
 
-func (h *Host) askReplica(a controller.Ask) {
+func (h *Host) askReplica(a controller.ReportRequest) {
 	ctx, done := context.WithTimeout(h.act.Ctx, replicaWait)
 	defer done()
-	told := controller.Told{AskedUs: a.AskedUs, Replica: a.Replica, Addr: a.Addr}
+	told := controller.ReplicaReport{RequestedUs: a.RequestedUs, Replica: a.Replica, Addr: a.Addr}
 	var err error
 	if told.State, err = h.replicas.State(ctx, a.Replica, a.Addr); err != nil {
 		told.State, told.Err = nil, err.Error()
@@ -482,7 +482,7 @@
 	if err != nil {
 		state = wire.OrderState{Number: o.Order.Command.Number, State: wire.OrderInDoubt, Reason: err.Error()}
 	}
-	h.tell(Event{Controller: &controller.Event{Ordered: &controller.Ordered{Replica: o.Order.Command.Replica, Incarnation: o.Order.Command.Incarnation, Expected: o.Order.ExpectedOrders, State: state}}})
+	h.tell(Event{Controller: &controller.Event{Ordered: &controller.OrderResult{Replica: o.Order.Command.Replica, Incarnation: o.Order.Command.Incarnation, Expected: o.Order.ExpectedOrders, State: state}}})
 }
 
 // Submit carries a change to the head and waits for the tail's result.
--- a/internal/controlplane/controlnode/incarnation_test.go
+++ b/internal/controlplane/controlnode/incarnation_test.go
@@ -112,10 +112,10 @@
 	p.start(0)
 	p.pass(1500 * clock.Ms)
 	p.start(1)
-	for n := 0; n < 400 && (p.cores[0].Controller.Note(p.nowUs, p.cores[0].Node.State()) == nil); n++ {
+	for n := 0; n < 400 && (p.cores[0].Controller.Status(p.nowUs, p.cores[0].Node.State()) == nil); n++ {
 		p.pass(25 * clock.Ms)
 	}
-	note := p.cores[0].Controller.Note(p.nowUs, p.cores[0].Node.State())
+	note := p.cores[0].Controller.Status(p.nowUs, p.cores[0].Node.State())
 	if note == nil {
 		t.Fatal("the first control node does not lead")
 	}
--- a/internal/controlplane/placement/bucket.go
+++ b/internal/controlplane/placement/bucket.go
@@ -2,8 +2,8 @@
 
 import "petreltide/internal/api/configuration"
 
-// rateUsed is the part of the store's rate that is used; the rest is a margin.
-const rateUsed = 0.98
+// usableRateFraction is the part of the store's rate that is used; the rest is a margin.
+const usableRateFraction = 0.98
 
 // Bucket is the weight store's rate. It starts empty after a takeover or a gap. An order that
 // may still reach its replica at any time keeps its size out of the burst until it is confirmed.
@@ -15,14 +15,14 @@
 // Fill adds the rate since the last call, up to the burst less what is unconfirmed in MB.
 func (b *Bucket) Fill(nowUs int64, store configuration.Store, unconfirmedMb int64) {
 	if b.atUs != 0 && nowUs > b.atUs {
-		b.TokensMb += float64(nowUs-b.atUs) / 1e6 * float64(store.MBPerSecond) * rateUsed
+		b.TokensMb += float64(nowUs-b.atUs) / 1e6 * float64(store.MBPerSecond) * usableRateFraction
 	}
 	b.TokensMb = min(b.TokensMb, float64(store.BurstMB-unconfirmedMb))
 	b.atUs = nowUs
 }
 
-// Empty starts the bucket anew with nothing in it.
-func (b *Bucket) Empty() { *b = Bucket{} }
+// Reset starts the bucket anew with nothing in it.
+func (b *Bucket) Reset() { *b = Bucket{} }
 
 // Spend takes a load's size in MB out of the bucket.
 func (b *Bucket) Spend(mb int64) { b.TokensMb -= float64(mb) }
--- a/internal/controlplane/placement/check.go
+++ b/internal/controlplane/placement/check.go
@@ -18,75 +18,75 @@
 // Check takes or refuses each proposal against a running account of room, rate and pending
 // orders, so that two proposals of one answer cannot both use the same room.
 func Check(s *statemachine.State, freeTokensMb float64, proposals []Proposal) (tickets []statemachine.ReplicaCommand, verdicts []Verdict) {
-	a := &account{s: s, taken: map[string]bool{}, loads: s.PendingLoads(), tokensMb: freeTokensMb}
+	a := &checker{state: s, ordered: map[string]bool{}, pendingLoads: s.PendingLoads(), tokensMb: freeTokensMb}
 	return a.checkAll(proposals, a.checkDeclared)
 }
 
 // CheckRouted takes or refuses each proposal for services with engines, against a running account of
 // room, places, pending orders and what the store still gives.
 func CheckRouted(s *statemachine.State, storeLeft int, proposals []Proposal) (tickets []statemachine.ReplicaCommand, verdicts []Verdict) {
-	a := &account{s: s, taken: map[string]bool{}, storeLeft: storeLeft}
+	a := &checker{state: s, ordered: map[string]bool{}, storeLeft: storeLeft}
 	return a.checkAll(proposals, a.checkRouted)
 }
 
-// account is what the proposals of one answer have used up so far.
-type account struct {
-	s *statemachine.State
-	// taken are replicas that have a ticket of this answer; each gets one at the most.
-	taken map[string]bool
-	// loads are those that are pending or taken, tokensMb what may be loaded now; both of replicas that the platform lists.
-	loads    int
-	tokensMb float64
+// checker is what the proposals of one answer have used up so far.
+type checker struct {
+	state *statemachine.State
+	// ordered are replicas that have a ticket of this answer; each gets one at the most.
+	ordered map[string]bool
+	// pendingLoads are those that are pending or taken, tokensMb what may be loaded now; both of replicas that the platform lists.
+	pendingLoads int
+	tokensMb     float64
 	// storeLeft is how many loads the store still gives to replicas that make themselves known.
 	storeLeft int
 }
 
 // checkAll gives a verdict on each proposal, in order, and the tickets of those that were taken.
-func (a *account) checkAll(proposals []Proposal, check func(Proposal) (statemachine.ReplicaCommand, *fault.Fault)) (tickets []statemachine.ReplicaCommand, verdicts []Verdict) {
+func (c *checker) checkAll(proposals []Proposal, check func(Proposal) (statemachine.ReplicaCommand, *fault.Fault)) (tickets []statemachine.ReplicaCommand, verdicts []Verdict) {
 	for _, p := range proposals {
 		t, f := check(p)
 		verdicts = append(verdicts, Verdict{Proposal: p, Fault: f})
 		if f != nil {
 			continue
 		}
-		a.taken[p.Replica] = true
+		c.ordered[p.Replica] = true
 		tickets = append(tickets, t)
 	}
 	return tickets, verdicts
 }
 
 // checkDeclared checks a proposal for a replica that the platform lists.
-func (a *account) checkDeclared(p Proposal) (statemachine.ReplicaCommand, *fault.Fault) {
-	r := a.s.Replicas[p.Replica]
+func (c *checker) checkDeclared(p Proposal) (statemachine.ReplicaCommand, *fault.Fault) {
+	r := c.state.Replicas[p.Replica]
 	if r == nil {
 		return statemachine.ReplicaCommand{}, fault.New(fault.ReplicaUnknown, p.Replica, "no such replica")
 	}
-	t, f := a.step(r, p)
+	t, f := c.checkStep(r, p)
 	switch {
 	case f != nil:
 		return t, f
 	case p.Step == statemachine.Unload:
-		return t, a.adapterLeft(r, p)
+		return t, c.checkNoAdaptersLeft(r, p)
 	}
-	sizeMb, _, known := a.s.Doc.UnitSize(p.Unit)
+	sizeMb, _, known := c.state.Doc.UnitSize(p.Unit)
 	if !known {
 		return t, fault.New(fault.PolicyInvalidResult, p.Unit, "no such model or adapter")
 	}
-	if f := a.mayHold(r, p, sizeMb); f != nil {
+	if f := c.checkMayLoad(r, p, sizeMb); f != nil {
 		return t, f
 	}
-	if f := a.spendRate(p, sizeMb); f != nil {
+	if f := c.spendStoreRate(p, sizeMb); f != nil {
 		return t, f
 	}
 	t.SizeMb = sizeMb
 	return t, nil
 }
 
-// step checks that a replica may get an order, and that the step is one: an unload of what is held there, whose
+// checkStep checks that a replica may get an order, and that the step is one: an unload of what is held there, whose
 // ticket is whole with that, or a load.
-func (a *account) step(r *statemachine.Replica, p Proposal) (statemachine.ReplicaCommand, *fault.Fault) {
-	t := statemachine.ReplicaCommand{Revision: a.s.Revision, Replica: r.ID, Incarnation: r.Incarnation, Action: p.Step, Unit: p.Unit, Reason: p.Why}
-	if _, pending := a.s.Pending[p.Replica]; pending || a.taken[p.Replica] {
+func (c *checker) checkStep(r *statemachine.Replica, p Proposal) (statemachine.ReplicaCommand, *fault.Fault) {
+	t := statemachine.ReplicaCommand{Revision: c.state.Revision, Replica: r.ID, Incarnation: r.Incarnation, Action: p.Step, Unit: p.Unit, Reason: p.Why}
+	if _, pending := c.state.Pending[p.Replica]; pending || c.ordered[p.Replica] {
 		return t, fault.New(fault.ReplicaBusy, p.Replica, "an order is pending")
 	}
 	switch p.Step {
@@ -103,50 +103,50 @@
 	return t, fault.New(fault.PolicyInvalidResult, p.Replica, "no such step %q", p.Step)
 }
 
-// adapterLeft: a model does not go from a replica while adapters of it are there.
-func (a *account) adapterLeft(r *statemachine.Replica, p Proposal) *fault.Fault {
+// checkNoAdaptersLeft: a model does not go from a replica while adapters of it are there.
+func (c *checker) checkNoAdaptersLeft(r *statemachine.Replica, p Proposal) *fault.Fault {
 	for unit := range r.Resident {
-		if adapter := a.s.Doc.Adapter(unit); adapter != nil && adapter.Model == p.Unit {
+		if adapter := c.state.Doc.Adapter(unit); adapter != nil && adapter.Model == p.Unit {
 			return fault.New(fault.CommandRejected, p.Replica, "adapter %s of %s is still held", unit, p.Unit)
 		}
 	}
 	return nil
 }
 
-// mayHold: a listed replica stays, does not hold a unit yet, has its model if it is an adapter, and has room for it.
-func (a *account) mayHold(r *statemachine.Replica, p Proposal, sizeMb int64) *fault.Fault {
-	if !r.AcceptsLoads(a.s.Doc) {
+// checkMayLoad: a listed replica stays, does not hold a unit yet, has its model if it is an adapter, and has room for it.
+func (c *checker) checkMayLoad(r *statemachine.Replica, p Proposal, sizeMb int64) *fault.Fault {
+	if !r.AcceptsLoads(c.state.Doc) {
 		return fault.New(fault.ReplicaDraining, p.Replica, "it is leaving, dark or in an emptied zone")
 	}
 	if _, held := r.Resident[p.Unit]; held {
 		return fault.New(fault.UnitAlreadyLoaded, p.Replica, "%s is already held", p.Unit)
 	}
-	if adapter := a.s.Doc.Adapter(p.Unit); adapter != nil {
+	if adapter := c.state.Doc.Adapter(p.Unit); adapter != nil {
 		if _, base := r.Resident[adapter.Model]; !base {
 			return fault.New(fault.UnitNotLoaded, p.Replica, "adapter %s needs model %s there", adapter.Name, adapter.Model)
 		}
 	}
-	return a.room(r, p, sizeMb)
+	return c.checkCapacity(r, p, sizeMb)
 }
 
-// room: a unit fits beside all that is held or on its way.
-func (a *account) room(r *statemachine.Replica, p Proposal, sizeMb int64) *fault.Fault {
-	if takenMb := a.s.ReservedMb(r.ID); takenMb+sizeMb > r.CapacityMb {
+// checkCapacity: a unit fits beside all that is held or on its way.
+func (c *checker) checkCapacity(r *statemachine.Replica, p Proposal, sizeMb int64) *fault.Fault {
+	if takenMb := c.state.ReservedMb(r.ID); takenMb+sizeMb > r.CapacityMb {
 		return fault.New(fault.InsufficientCapacity, p.Replica, "%s takes %d MB, %d of %d MB are taken", p.Unit, sizeMb, takenMb, r.CapacityMb)
 	}
 	return nil
 }
 
-// spendRate takes a load out of what the weight store bears now.
-func (a *account) spendRate(p Proposal, sizeMb int64) *fault.Fault {
-	if a.loads >= a.s.Doc.Store.Loads {
-		return fault.New(fault.StoreRateLimited, p.Replica, "%d loads are running", a.loads)
+// spendStoreRate takes a load out of what the weight store bears now.
+func (c *checker) spendStoreRate(p Proposal, sizeMb int64) *fault.Fault {
+	if c.pendingLoads >= c.state.Doc.Store.Loads {
+		return fault.New(fault.StoreRateLimited, p.Replica, "%d loads are running", c.pendingLoads)
 	}
-	if a.tokensMb < float64(sizeMb) {
-		return fault.New(fault.StoreRateLimited, p.Replica, "%.0f MB may be loaded now, %s takes %d", a.tokensMb, p.Unit, sizeMb)
+	if c.tokensMb < float64(sizeMb) {
+		return fault.New(fault.StoreRateLimited, p.Replica, "%.0f MB may be loaded now, %s takes %d", c.tokensMb, p.Unit, sizeMb)
 	}
-	a.tokensMb -= float64(sizeMb)
-	a.loads++
+	c.tokensMb -= float64(sizeMb)
+	c.pendingLoads++
 	return nil
 }
 
--- a/internal/controlplane/placement/placement.go
+++ b/internal/controlplane/placement/placement.go
@@ -15,13 +15,13 @@
 
 // Bounds of one run of a policy: interpreter steps, proposals it may make, and time.
 const (
-	StepsMost     = 3_000_000
-	ProposalsMost = 64
-	TimeMost      = 400 * time.Millisecond
+	MaxSteps     = 3_000_000
+	MaxProposals = 64
+	MaxRunTime   = 400 * time.Millisecond
 )
 
-// whyMost bounds the reason that a policy gives for a proposal, in bytes.
-const whyMost = 200
+// maxReasonBytes bounds the reason that a policy gives for a proposal, in bytes.
+const maxReasonBytes = 200
 
 // Proposal is one load or unload that a policy wants. Unit is a model, or an adapter as model/adapter.
 type Proposal struct {
@@ -35,16 +35,16 @@
 
 // Replica is one replica as a policy sees it. Sizes are in MB; InFlight counts requests that run there.
 type Replica struct {
-	ID       string
-	Zone     string
-	RoomMb   int64
-	FreeMb   int64
-	Slots    int
-	Holds    []string
-	Loading  string
-	Usable   bool
-	Busy     bool
-	InFlight int
+	ID         string
+	Zone       string
+	CapacityMb int64
+	FreeMb     int64
+	Slots      int
+	Units      []string
+	Loading    string
+	Usable     bool
+	Busy       bool
+	InFlight   int
 }
 
 // Fleet is all that a policy sees: the declaration, the scaler's counts, arrivals a second and waiting requests by
@@ -57,8 +57,8 @@
 	Replicas []Replica
 }
 
-// Answer is what a run of a policy gave: its proposals, or the fault that ended it, and the steps it took.
-type Answer struct {
+// RunResult is what a run of a policy gave: its proposals, or the fault that ended it, and the steps it took.
+type RunResult struct {
 	Policy    string
 	Proposals []Proposal
 	Fault     *fault.Fault
@@ -67,9 +67,9 @@
 
 var dialect = &syntax.FileOptions{Set: true, While: true, TopLevelControl: true, GlobalReassign: true}
 
-func thread(name string) *starlark.Thread {
+func newThread(name string) *starlark.Thread {
 	t := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
-	t.SetMaxExecutionSteps(StepsMost)
+	t.SetMaxExecutionSteps(MaxSteps)
 	return t
 }
 
@@ -79,7 +79,7 @@
 	if err != nil {
 		return fault.New(fault.PolicyCompile, name, "%v", err)
 	}
-	globals, err := program.Init(thread(name), nil)
+	globals, err := program.Init(newThread(name), nil)
 	if err != nil {
 		return fault.New(fault.PolicyCompile, name, "%v", err)
 	}
@@ -95,10 +95,10 @@
 
 // Run asks a policy for proposals. It is deterministic but for the time cap, which only ever
 // turns an answer into a typed fault.
-func Run(p configuration.Policy, fleet Fleet) (answer Answer) {
+func Run(p configuration.Policy, fleet Fleet) (answer RunResult) {
 	answer.Policy = p.Name
-	t := thread(p.Name)
-	wakeup := time.AfterFunc(TimeMost, func() { t.Cancel("time cap") })
+	t := newThread(p.Name)
+	wakeup := time.AfterFunc(MaxRunTime, func() { t.Cancel("time cap") })
 	defer wakeup.Stop()
 	defer func() {
 		answer.Steps = t.ExecutionSteps()
@@ -116,14 +116,14 @@
 		answer.Fault = fault.New(fault.PolicyCompile, p.Name, "it defines no function propose(fleet)")
 		return answer
 	}
-	view := fleet.starlark()
+	view := fleet.toStarlark()
 	view.Freeze()
 	result, err := starlark.Call(t, propose, starlark.Tuple{view}, nil)
 	if err != nil {
 		answer.Fault = runFault(p.Name, err)
 		return answer
 	}
-	answer.Proposals, answer.Fault = read(p.Name, result)
+	answer.Proposals, answer.Fault = parseAnswer(p.Name, result)
 	return answer
 }
 
@@ -135,14 +135,14 @@
 	return fault.New(fault.PolicyFailed, name, "%s", text)
 }
 
-// read takes a policy's answer, a list of dicts, as proposals.
-func read(name string, result starlark.Value) ([]Proposal, *fault.Fault) {
+// parseAnswer takes a policy's answer, a list of dicts, as proposals.
+func parseAnswer(name string, result starlark.Value) ([]Proposal, *fault.Fault) {
 	list, ok := result.(*starlark.List)
 	if !ok {
 		return nil, fault.New(fault.PolicyInvalidResult, name, "propose returned %s, wants a list", result.Type())
 	}
-	if list.Len() > ProposalsMost {
-		return nil, fault.New(fault.PolicyLimit, name, "%d proposals, at most %d", list.Len(), ProposalsMost)
+	if list.Len() > MaxProposals {
+		return nil, fault.New(fault.PolicyLimit, name, "%d proposals, at most %d", list.Len(), MaxProposals)
 	}
 	proposals := []Proposal{}
 	for i := 0; i < list.Len(); i++ {
@@ -150,7 +150,7 @@
 		if !ok {
 			return nil, fault.New(fault.PolicyInvalidResult, name, "proposal %d is %s, wants a dict", i, list.Index(i).Type())
 		}
-		p, f := readProposal(name, i, d)
+		p, f := parseProposal(name, i, d)
 		if f != nil {
 			return nil, f
 		}
@@ -159,8 +159,8 @@
 	return proposals, nil
 }
 
-// readProposal takes one dict of a policy's answer.
-func readProposal(name string, i int, d *starlark.Dict) (p Proposal, f *fault.Fault) {
+// parseProposal takes one dict of a policy's answer.
+func parseProposal(name string, i int, d *starlark.Dict) (p Proposal, f *fault.Fault) {
 	for _, item := range d.Items() {
 		key, okKey := starlark.AsString(item[0])
 		value, okValue := starlark.AsString(item[1])
@@ -175,7 +175,7 @@
 		case "unit":
 			p.Unit = value
 		case "why":
-			p.Why = value[:min(len(value), whyMost)]
+			p.Why = value[:min(len(value), maxReasonBytes)]
 		default:
 			return p, fault.New(fault.PolicyInvalidResult, name, "proposal %d: unknown key %q", i, key)
 		}
@@ -183,8 +183,8 @@
 	return p, nil
 }
 
-// starlark gives a fleet as policies read it.
-func (f Fleet) starlark() *starlark.Dict {
+// toStarlark gives a fleet as policies read it.
+func (f Fleet) toStarlark() *starlark.Dict {
 	str := func(s string) starlark.Value { return starlark.String(s) }
 	num := func(n int64) starlark.Value { return starlark.MakeInt64(n) }
 	counts, models, adapters := starlark.NewDict(0), starlark.NewDict(0), starlark.NewDict(0)
@@ -192,27 +192,27 @@
 		_ = counts.SetKey(str(c.Model), num(int64(c.Replicas)))
 	}
 	for _, m := range f.Doc.Models {
-		_ = models.SetKey(str(m.Name), dict("size", num(m.SizeMB), "load_ms", num(m.LoadMs), "weight", num(int64(m.Weight)),
+		_ = models.SetKey(str(m.Name), newDict("size", num(m.SizeMB), "load_ms", num(m.LoadMs), "weight", num(int64(m.Weight)),
 			"rate", starlark.Float(f.Rates[m.Name]), "waiting", num(int64(f.Waiting[m.Name]))))
 	}
 	for _, a := range f.Doc.Adapters {
-		_ = adapters.SetKey(str(a.Name), dict("model", str(a.Model), "size", num(a.SizeMB), "load_ms", num(a.LoadMs),
+		_ = adapters.SetKey(str(a.Name), newDict("model", str(a.Model), "size", num(a.SizeMB), "load_ms", num(a.LoadMs),
 			"rate", starlark.Float(f.Rates[a.Name]), "waiting", num(int64(f.Waiting[a.Name]))))
 	}
 	replicas := []starlark.Value{}
 	for _, r := range f.Replicas {
 		holds := []starlark.Value{}
-		for _, h := range r.Holds {
+		for _, h := range r.Units {
 			holds = append(holds, str(h))
 		}
-		replicas = append(replicas, dict("id", str(r.ID), "zone", str(r.Zone), "room", num(r.RoomMb), "free", num(r.FreeMb),
+		replicas = append(replicas, newDict("id", str(r.ID), "zone", str(r.Zone), "room", num(r.CapacityMb), "free", num(r.FreeMb),
 			"slots", num(int64(r.Slots)), "holds", starlark.NewList(holds), "loading", str(r.Loading),
 			"usable", starlark.Bool(r.Usable), "busy", starlark.Bool(r.Busy), "in_flight", num(int64(r.InFlight))))
 	}
-	return dict("counts", counts, "models", models, "adapters", adapters, "replicas", starlark.NewList(replicas))
+	return newDict("counts", counts, "models", models, "adapters", adapters, "replicas", starlark.NewList(replicas))
 }
 
-func dict(pairs ...any) *starlark.Dict {
+func newDict(pairs ...any) *starlark.Dict {
 	d := starlark.NewDict(len(pairs) / 2)
 	for i := 0; i < len(pairs); i += 2 {
 		_ = d.SetKey(starlark.String(pairs[i].(string)), pairs[i+1].(starlark.Value))
--- a/internal/controlplane/placement/placement_test.go
+++ b/internal/controlplane/placement/placement_test.go
@@ -27,7 +27,7 @@
 	if b.TokensMb <= 500 || b.TokensMb > 1500 {
 		t.Fatalf("%f a second after it was confirmed", b.TokensMb)
 	}
-	b.Empty()
+	b.Reset()
 	b.Fill(70_000_000, store, 0)
 	if b.TokensMb != 0 {
 		t.Fatal("a takeover inherits tokens")
--- a/internal/controlplane/placement/resident.go
+++ b/internal/controlplane/placement/resident.go
@@ -9,153 +9,153 @@
 // a cache of models. Others are written as programs; every proposal is checked alike.
 const ResidentName = "resident"
 
-// Need is what calls ask of a model or an adapter. Rate is calls a second, Demand the share of one
+// Demand is what calls ask of a model or an adapter. Rate is calls a second, Demand the share of one
 // replica's time that they take; Waiting calls find no replica that has it.
-type Need struct {
-	Rate    float64
-	Demand  float64
-	Waiting int
-	// Unread calls are at replicas and have no first piece yet.
-	Unread int
-	IdleMs int64
+type Demand struct {
+	Rate        float64
+	Utilization float64
+	Waiting     int
+	// Unstarted calls are at replicas and have no first piece yet.
+	Unstarted int
+	IdleMs    int64
 }
 
-// Home is one replica of a service with an engine.
-type Home struct {
-	ID     string
-	Usable bool
-	Busy   bool
-	FreeMb int64
-	Holds  map[string]int64
-	Had    map[string]bool
-	Coming string
-	Going  string
-	// Intended is the model that room was made for here a moment ago.
-	Intended string
-	Runs     map[string]int
-	Unread   map[string]int
-	AgeMs    map[string]int64
+// Candidate is one replica of a service with an engine.
+type Candidate struct {
+	ID        string
+	Usable    bool
+	Busy      bool
+	FreeMb    int64
+	SizeMbOf  map[string]int64
+	WarmUnits map[string]bool
+	Loading   string
+	Unloading string
+	// ReservedFor is the model that room was made for here a moment ago.
+	ReservedFor string
+	Running     map[string]int
+	Unstarted   map[string]int
+	ResidentMs  map[string]int64
 }
 
-// Service is one service's part of the fleet, as the resident policy reads it. StoreLeft is how many loads
+// Service is one service's part of the fleet, as the resident policy reads it. StoreLoadsLeft is how many loads
 // from the store may begin now.
 type Service struct {
-	Name      string
-	Engine    *configuration.Engine
-	Homes     []Home
-	Models    map[string]Need
-	Adapters  map[string]Need
-	StoreLeft int
-	Spares    int
+	Name           string
+	Engine         *configuration.Engine
+	Candidates     []Candidate
+	Models         map[string]Demand
+	Adapters       map[string]Demand
+	StoreLoadsLeft int
+	MinSpares      int
 	// Disable are mechanisms that are switched off.
 	Disable feature.Disabled
 }
 
-// resident is one run of the policy.
-type resident struct {
-	in    Service
-	sizes map[string]*configuration.EngineModel
+// residentRun is one run of the policy.
+type residentRun struct {
+	in          Service
+	modelByName map[string]*configuration.EngineModel
 	// By replica, in the order of in.Homes: MB that are free, whether it has its proposal of this run, the share of
 	// its time that calls take, and what may go from it.
-	free    []int64
-	taken   []bool
-	demand  []float64
-	victims [][]victim
+	freeMb      []int64
+	busy        []bool
+	utilization []float64
+	victims     [][]victim
 	// By model: copies that there are or that are coming, and how many there should be.
-	held map[string]int
-	want map[string]int
-	// store is how many loads from the store may still be proposed.
-	store int
+	copies       map[string]int
+	wantedCopies map[string]int
+	// storeLoadsLeft is how many loads from the store may still be proposed.
+	storeLoadsLeft int
 
-	out      []Proposal
-	unplaced []string
+	proposals []Proposal
+	unplaced  []string
 }
 
 // Resident proposes loads for models that calls wait for, then for adapters, then copies of models whose
 // calls take more than their replicas should give, and unloads what is worth least to make room for them.
 func Resident(in Service) (proposals []Proposal, unplaced []string) {
-	p := newResident(in)
+	p := newResidentRun(in)
 	usable := p.countCopies()
-	p.wantCopies(usable)
+	p.computeWantedCopies(usable)
 	p.spreadDemand()
-	p.intended()
-	p.models()
-	p.adapters()
+	p.continueReservations()
+	p.placeModels()
+	p.placeAdapters()
 	if !p.in.Disable.Has(feature.SpareCapacity) {
-		p.spares()
+		p.keepSpares()
 	}
-	return p.out, p.unplaced
+	return p.proposals, p.unplaced
 }
 
-func newResident(in Service) *resident {
-	homes := len(in.Homes)
-	p := &resident{
-		in: in, sizes: map[string]*configuration.EngineModel{}, held: map[string]int{}, want: map[string]int{}, store: in.StoreLeft,
-		free: make([]int64, homes), taken: make([]bool, homes), demand: make([]float64, homes), victims: make([][]victim, homes),
+func newResidentRun(in Service) *residentRun {
+	homes := len(in.Candidates)
+	p := &residentRun{
+		in: in, modelByName: map[string]*configuration.EngineModel{}, copies: map[string]int{}, wantedCopies: map[string]int{}, storeLoadsLeft: in.StoreLoadsLeft,
+		freeMb: make([]int64, homes), busy: make([]bool, homes), utilization: make([]float64, homes), victims: make([][]victim, homes),
 	}
 	for i := range in.Engine.Models {
-		p.sizes[in.Engine.Models[i].Name] = &in.Engine.Models[i]
+		p.modelByName[in.Engine.Models[i].Name] = &in.Engine.Models[i]
 	}
-	for i := range in.Homes {
-		p.free[i], p.taken[i] = in.Homes[i].FreeMb, in.Homes[i].Busy
+	for i := range in.Candidates {
+		p.freeMb[i], p.busy[i] = in.Candidates[i].FreeMb, in.Candidates[i].Busy
 	}
 	return p
 }
 
 // countCopies counts at how many usable replicas each model is or is coming, and how many are usable.
-func (p *resident) countCopies() (usable int) {
-	for i := range p.in.Homes {
-		h := &p.in.Homes[i]
+func (r *residentRun) countCopies() (usable int) {
+	for i := range r.in.Candidates {
+		h := &r.in.Candidates[i]
 		if !h.Usable {
 			continue
 		}
 		usable++
-		for unit := range h.Holds {
-			if p.sizes[unit] != nil && unit != h.Going {
-				p.held[unit]++
+		for unit := range h.SizeMbOf {
+			if r.modelByName[unit] != nil && unit != h.Unloading {
+				r.copies[unit]++
 			}
 		}
-		if p.sizes[h.Coming] != nil {
-			p.held[h.Coming]++
+		if r.modelByName[h.Loading] != nil {
+			r.copies[h.Loading]++
 		}
 	}
 	return usable
 }
 
-// wantCopies says how many copies of each model there should be, as far as there is room.
-func (p *resident) wantCopies(usable int) {
-	for name, n := range p.in.Models {
-		if p.sizes[name] != nil {
-			p.want[name] = min(p.wanted(name, n), usable)
+// computeWantedCopies says how many copies of each model there should be, as far as there is room.
+func (r *residentRun) computeWantedCopies(usable int) {
+	for name, n := range r.in.Models {
+		if r.modelByName[name] != nil {
+			r.wantedCopies[name] = min(r.copiesFor(name, n), usable)
 		}
 	}
-	p.share(usable)
+	r.limitToCapacity(usable)
 }
 
 // spreadDemand divides what each model's calls take among the replicas that hold it.
-func (p *resident) spreadDemand() {
-	for i := range p.in.Homes {
-		for unit := range p.in.Homes[i].Holds {
-			if p.held[unit] > 0 {
-				p.demand[i] += p.in.Models[unit].Demand / float64(p.held[unit])
+func (r *residentRun) spreadDemand() {
+	for i := range r.in.Candidates {
+		for unit := range r.in.Candidates[i].SizeMbOf {
+			if r.copies[unit] > 0 {
+				r.utilization[i] += r.in.Models[unit].Utilization / float64(r.copies[unit])
 			}
 		}
 	}
 }
 
-// intended goes on with what room was made for, at the replica where it was made, and counts it as on its
+// continueReservations goes on with what room was made for, at the replica where it was made, and counts it as on its
 // way: more copies may be begun beside it.
-func (p *resident) intended() {
-	for i := range p.in.Homes {
-		h := &p.in.Homes[i]
-		if h.Intended == "" || p.sizes[h.Intended] == nil || !h.Usable || !p.wants(h.Intended) {
+func (r *residentRun) continueReservations() {
+	for i := range r.in.Candidates {
+		h := &r.in.Candidates[i]
+		if h.ReservedFor == "" || r.modelByName[h.ReservedFor] == nil || !h.Usable || !r.needsCopy(h.ReservedFor) {
 			continue
 		}
-		held, free := p.held[h.Intended], !p.taken[i]
-		p.placeAt(i, h.Intended)
-		if free && !p.taken[i] && !h.Had[h.Intended] {
-			p.store--
+		held, free := r.copies[h.ReservedFor], !r.busy[i]
+		r.placeModelAt(i, h.ReservedFor)
+		if free && !r.busy[i] && !h.WarmUnits[h.ReservedFor] {
+			r.storeLoadsLeft--
 		}
-		p.held[h.Intended], p.taken[i] = held+1, true
+		r.copies[h.ReservedFor], r.busy[i] = held+1, true
 	}
 }
--- a/internal/controlplane/placement/resident_adapters.go
+++ b/internal/controlplane/placement/resident_adapters.go
@@ -10,113 +10,113 @@
 )
 
 const (
-	// adapterYoungMs is how long an adapter stays where it came.
-	adapterYoungMs = 800
-	// adapterLatelyMs is over how long an adapter's last call loses its worth.
-	adapterLatelyMs = 5000
-	// besideCost is what each adapter beside it costs one, fullCost what it costs that another has to go first.
-	besideCost = 0.02
-	fullCost   = 0.5
+	// minAdapterResidentMs is how long an adapter stays where it came.
+	minAdapterResidentMs = 800
+	// adapterRecencyDecayMs is over how long an adapter's last call loses its worth.
+	adapterRecencyDecayMs = 5000
+	// neighborCost is what each adapter beside it costs one, evictionCost what it costs that another has to go first.
+	neighborCost = 0.02
+	evictionCost = 0.5
 )
 
-// adapters gives each adapter that calls wait for a place beside its model.
-func (p *resident) adapters() {
+// placeAdapters gives each adapter that calls wait for a place beside its model.
+func (r *residentRun) placeAdapters() {
 	units := []string{}
-	for unit, n := range p.in.Adapters {
+	for unit, n := range r.in.Adapters {
 		if n.Waiting > 0 {
 			units = append(units, unit)
 		}
 	}
 	slices.SortFunc(units, func(a, b string) int {
-		if c := cmp.Compare(p.in.Adapters[b].Waiting, p.in.Adapters[a].Waiting); c != 0 {
+		if c := cmp.Compare(r.in.Adapters[b].Waiting, r.in.Adapters[a].Waiting); c != 0 {
 			return c
 		}
 		return cmp.Compare(a, b)
 	})
 	for _, unit := range units {
-		p.adapter(unit)
+		r.placeAdapter(unit)
 	}
 }
 
-// adapter proposes the first step by which an adapter comes to the replica with its model where that costs least,
+// placeAdapter proposes the first step by which an adapter comes to the replica with its model where that costs least,
 // unless it is somewhere already.
-func (p *resident) adapter(unit string) {
+func (r *residentRun) placeAdapter(unit string) {
 	model, adapter := configuration.SplitUnit(unit)
-	m := p.sizes[model]
-	if m == nil || !m.HasAdapter(adapter) || p.adapterPlaced(unit, model) {
+	m := r.modelByName[model]
+	if m == nil || !m.HasAdapter(adapter) || r.isAdapterPlaced(unit, model) {
 		return
 	}
-	best := adapterPlace{at: -1}
-	for i := range p.in.Homes {
-		if place, may := p.weighPlace(i, m); may && (best.at < 0 || place.cost < best.cost) {
+	best := adapterSlot{index: -1}
+	for i := range r.in.Candidates {
+		if place, may := r.adapterCandidate(i, m); may && (best.index < 0 || place.cost < best.cost) {
 			best = place
 		}
 	}
 	switch {
-	case best.at < 0:
-		p.unplaced = append(p.unplaced, unit)
+	case best.index < 0:
+		r.unplaced = append(r.unplaced, unit)
 	case best.victim != "":
-		p.propose(best.at, statemachine.Unload, best.victim, "a place for "+unit)
+		r.propose(best.index, statemachine.Unload, best.victim, "a place for "+unit)
 	default:
-		p.propose(best.at, statemachine.Load, unit, "asked for")
+		r.propose(best.index, statemachine.Load, unit, "asked for")
 	}
 }
 
-// adapterPlaced: some usable replica, from which its model does not go, holds an adapter or is loading it.
-func (p *resident) adapterPlaced(unit, model string) bool {
-	for i := range p.in.Homes {
-		h := &p.in.Homes[i]
-		if !h.Usable || h.Going == model {
+// isAdapterPlaced: some usable replica, from which its model does not go, holds an adapter or is loading it.
+func (r *residentRun) isAdapterPlaced(unit, model string) bool {
+	for i := range r.in.Candidates {
+		h := &r.in.Candidates[i]
+		if !h.Usable || h.Unloading == model {
 			continue
 		}
-		if _, has := h.Holds[unit]; (has && h.Going != unit) || h.Coming == unit {
+		if _, has := h.SizeMbOf[unit]; (has && h.Unloading != unit) || h.Loading == unit {
 			return true
 		}
 	}
 	return false
 }
 
-// adapterPlace is a place for an adapter: the replica, the adapter that has to go first, if any, and what it costs.
-type adapterPlace struct {
-	at     int
+// adapterSlot is a place for an adapter: the replica, the adapter that has to go first, if any, and what it costs.
+type adapterSlot struct {
+	index  int
 	victim string
 	cost   float64
 }
 
-// weighPlace weighs a replica as the place for one more adapter of a model.
-func (p *resident) weighPlace(i int, m *configuration.EngineModel) (place adapterPlace, may bool) {
-	h := &p.in.Homes[i]
-	if !h.Usable || h.Going == m.Name {
+// adapterCandidate weighs a replica as the place for one more adapter of a model.
+func (r *residentRun) adapterCandidate(i int, m *configuration.EngineModel) (place adapterSlot, may bool) {
+	h := &r.in.Candidates[i]
+	if !h.Usable || h.Unloading == m.Name {
 		return place, false
 	}
-	if _, has := h.Holds[m.Name]; !has || p.taken[i] {
+	if _, has := h.SizeMbOf[m.Name]; !has || r.busy[i] {
 		return place, false
 	}
-	places, least, leastWorth := p.leastAdapter(h)
-	place = adapterPlace{at: i, cost: p.demand[i] + besideCost*float64(places)}
-	if places < p.in.Engine.MaxAdapters && p.free[i] >= m.AdapterMB {
+	places, least, leastWorth := r.leastValuableAdapter(h)
+	place = adapterSlot{index: i, cost: r.utilization[i] + neighborCost*float64(places)}
+	if places < r.in.Engine.MaxAdapters && r.freeMb[i] >= m.AdapterMB {
 		return place, true
 	}
 	if least == "" {
 		return place, false
 	}
 	place.victim = least
-	place.cost += fullCost + leastWorth
+	place.cost += evictionCost + leastWorth
 	return place, true
 }
 
-// leastAdapter counts a replica's adapters, and names the one that is worth least of those that are not young.
-func (p *resident) leastAdapter(h *Home) (places int, least string, leastWorth float64) {
-	for other := range h.Holds {
+// leastValuableAdapter counts a replica's adapters, and names the one that is worth least of those that are not young.
+func (r *residentRun) leastValuableAdapter(h *Candidate) (places int, least string, leastWorth float64) {
+	for other := range h.SizeMbOf {
 		if _, adapter := configuration.SplitUnit(other); adapter == "" {
 			continue
 		}
 		places++
-		if age, known := h.AgeMs[other]; known && age < adapterYoungMs {
+		if age, known := h.ResidentMs[other]; known && age < minAdapterResidentMs {
 			continue
 		}
-		n := p.in.Adapters[other]
-		worth := n.Rate + math.Exp(-float64(n.IdleMs)/adapterLatelyMs)
+		n := r.in.Adapters[other]
+		worth := n.Rate + math.Exp(-float64(n.IdleMs)/adapterRecencyDecayMs)
 		if least == "" || worth < leastWorth || (worth == leastWorth && other < least) {
 			least, leastWorth = other, worth
 		}
@@ -125,7 +125,7 @@
 }
 
 // propose gives a replica its proposal of this run.
-func (p *resident) propose(i int, step statemachine.Action, unit, why string) {
-	p.taken[i] = true
-	p.out = append(p.out, Proposal{Step: step, Replica: p.in.Homes[i].ID, Unit: unit, Why: why})
+func (r *residentRun) propose(i int, step statemachine.Action, unit, why string) {
+	r.busy[i] = true
+	r.proposals = append(r.proposals, Proposal{Step: step, Replica: r.in.Candidates[i].ID, Unit: unit, Why: why})
 }
--- a/internal/controlplane/placement/resident_test.go
+++ b/internal/controlplane/placement/resident_test.go
@@ -60,17 +60,17 @@
 		h.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{n}}})
 		h.ages[n.ID] = map[string]int64{}
 	}
-	h.in = Service{Name: "s", Engine: e, Models: map[string]Need{}, Adapters: map[string]Need{}, StoreLeft: r.Intn(4), Spares: r.Intn(3)}
+	h.in = Service{Name: "s", Engine: e, Models: map[string]Demand{}, Adapters: map[string]Demand{}, StoreLoadsLeft: r.Intn(4), MinSpares: r.Intn(3)}
 	for _, m := range e.Models {
 		if r.Intn(3) > 0 {
-			n := Need{Rate: []float64{0, 0.2, 0.5, 2, 20}[r.Intn(5)], IdleMs: r.Int63n(30_000)}
-			n.Demand = n.Rate * 0.06
+			n := Demand{Rate: []float64{0, 0.2, 0.5, 2, 20}[r.Intn(5)], IdleMs: r.Int63n(30_000)}
+			n.Utilization = n.Rate * 0.06
 			if r.Intn(3) == 0 {
 				n.Waiting = r.Intn(6)
 			}
 			h.in.Models[m.Name] = n
 			for a := 1; a <= m.Adapters; a++ {
-				h.in.Adapters[fmt.Sprint(m.Name, "/a", a)] = Need{Rate: r.Float64(), Waiting: r.Intn(3), IdleMs: r.Int63n(9000)}
+				h.in.Adapters[fmt.Sprint(m.Name, "/a", a)] = Demand{Rate: r.Float64(), Waiting: r.Intn(3), IdleMs: r.Int63n(9000)}
 			}
 		}
 	}
@@ -79,40 +79,40 @@
 
 // homes reads the ledger as the controller does.
 func (h *hall) homes(fresh bool) {
-	h.in.Homes = nil
+	h.in.Candidates = nil
 	for _, id := range h.s.ReplicaIDs() {
 		r := h.s.Replicas[id]
-		home := Home{ID: id, Usable: !r.Draining && !r.Unreachable, FreeMb: r.CapacityMb - h.s.ReservedMb(id), Holds: maps.Clone(r.Resident), Had: maps.Clone(r.EverLoaded),
-			Runs: map[string]int{}, Unread: map[string]int{}, AgeMs: h.ages[id]}
+		home := Candidate{ID: id, Usable: !r.Draining && !r.Unreachable, FreeMb: r.CapacityMb - h.s.ReservedMb(id), SizeMbOf: maps.Clone(r.Resident), WarmUnits: maps.Clone(r.EverLoaded),
+			Running: map[string]int{}, Unstarted: map[string]int{}, ResidentMs: h.ages[id]}
 		if t, pending := h.s.Pending[id]; pending {
 			home.Busy = true
-			if home.Coming = t.Unit; t.Action == statemachine.Unload {
-				home.Coming, home.Going = "", t.Unit
+			if home.Loading = t.Unit; t.Action == statemachine.Unload {
+				home.Loading, home.Unloading = "", t.Unit
 			}
 		}
 		for unit := range r.Resident {
 			if fresh {
-				home.Runs[unit], home.Unread[unit] = h.r.Intn(3), max(0, h.r.Intn(4)-2)
+				home.Running[unit], home.Unstarted[unit] = h.r.Intn(3), max(0, h.r.Intn(4)-2)
 				h.ages[id][unit] = h.r.Int63n(4000)
 			}
 		}
-		h.in.Homes = append(h.in.Homes, home)
+		h.in.Candidates = append(h.in.Candidates, home)
 	}
 }
 
 func (h *hall) held(model string) (n int) {
-	for _, home := range h.in.Homes {
-		if _, has := home.Holds[model]; (has && home.Going != model || home.Coming == model) && home.Usable {
+	for _, home := range h.in.Candidates {
+		if _, has := home.SizeMbOf[model]; (has && home.Unloading != model || home.Loading == model) && home.Usable {
 			n++
 		}
 	}
 	return n
 }
 
-func (h *hall) home(id string) *Home {
-	for i := range h.in.Homes {
-		if h.in.Homes[i].ID == id {
-			return &h.in.Homes[i]
+func (h *hall) home(id string) *Candidate {
+	for i := range h.in.Candidates {
+		if h.in.Candidates[i].ID == id {
+			return &h.in.Candidates[i]
 		}
 	}
 	return nil
@@ -126,7 +126,7 @@
 		for round := 0; round < 4; round++ {
 			h.homes(true)
 			proposals, _ := Resident(h.in)
-			tickets, verdicts := CheckRouted(h.s, h.in.StoreLeft, proposals)
+			tickets, verdicts := CheckRouted(h.s, h.in.StoreLoadsLeft, proposals)
 			for _, v := range verdicts {
 				if v.Fault != nil {
 					t.Fatalf("seed %d: the checker refuses %+v: %v", seed, v.Proposal, v.Fault)
@@ -144,7 +144,7 @@
 				case !home.Usable || home.Busy:
 					t.Fatalf("seed %d: %+v at a replica that is not free for it", seed, p)
 				case p.Step == statemachine.Load:
-					if loads++; !strings.Contains(p.Unit, "/") && !home.Had[p.Unit] {
+					if loads++; !strings.Contains(p.Unit, "/") && !home.WarmUnits[p.Unit] {
 						fromStore++
 					}
 				case strings.Contains(p.Unit, "/") || h.s.Doc.EngineModel("s", p.Unit) == nil:
@@ -155,16 +155,16 @@
 					if n.Waiting > 0 && h.held(p.Unit) <= gone[p.Unit] {
 						t.Fatalf("seed %d: %+v, and calls wait for it", seed, p)
 					}
-					if n.Rate >= secondRate && h.held(p.Unit) <= gone[p.Unit] {
+					if n.Rate >= secondCopyRate && h.held(p.Unit) <= gone[p.Unit] {
 						t.Fatalf("seed %d: %+v, the last copy of what is called %.1f times a second", seed, p, n.Rate)
 					}
-					if home.Unread[p.Unit] > 0 || (home.AgeMs[p.Unit] > 0 && home.AgeMs[p.Unit] < youngMs) {
+					if home.Unstarted[p.Unit] > 0 || (home.ResidentMs[p.Unit] > 0 && home.ResidentMs[p.Unit] < minResidentMs) {
 						t.Fatalf("seed %d: %+v, with calls that have not begun or only just there", seed, p)
 					}
 				}
 			}
-			if fromStore > h.in.StoreLeft {
-				t.Fatalf("seed %d: %d loads from the store, %d are left", seed, fromStore, h.in.StoreLeft)
+			if fromStore > h.in.StoreLoadsLeft {
+				t.Fatalf("seed %d: %d loads from the store, %d are left", seed, fromStore, h.in.StoreLoadsLeft)
 			}
 			h.waitingFirst(t, seed, proposals)
 			for _, id := range slices.Sorted(maps.Keys(h.s.Pending)) {
@@ -198,11 +198,11 @@
 		if n.Waiting == 0 || h.held(name) > 0 || served[name] || other == "" {
 			continue
 		}
-		for _, home := range h.in.Homes {
+		for _, home := range h.in.Candidates {
 			if taken := slices.ContainsFunc(proposals, func(p Proposal) bool { return p.Replica == home.ID && p.Unit != other }); taken || home.Busy || !home.Usable {
 				continue
 			}
-			if _, has := home.Holds[name]; !has && home.FreeMb >= h.s.Doc.EngineModel("s", name).SizeMB && (home.Had[name] || h.in.StoreLeft > 0) {
+			if _, has := home.SizeMbOf[name]; !has && home.FreeMb >= h.s.Doc.EngineModel("s", name).SizeMB && (home.WarmUnits[name] || h.in.StoreLoadsLeft > 0) {
 				t.Fatalf("seed %d: %s is fetched, and calls wait for %s, which fits at %s", seed, other, name, home.ID)
 			}
 		}
@@ -215,13 +215,13 @@
 	rounds := 0
 	for seed := int64(0); seed < 400; seed++ {
 		h := newHall(t, seed)
-		h.in.StoreLeft = 3
+		h.in.StoreLoadsLeft = 3
 		wanted := ""
 		for _, m := range h.in.Engine.Models {
 			n := h.in.Models[m.Name]
 			n.Waiting = 0
 			if seed%2 == 0 {
-				n.Rate, n.Demand, n.IdleMs = 0, 0, 1<<30
+				n.Rate, n.Utilization, n.IdleMs = 0, 0, 1<<30
 			}
 			h.in.Models[m.Name] = n
 			wanted = m.Name
@@ -251,7 +251,7 @@
 			}
 			proposals, _ := Resident(h.in)
 			said = append(said, proposals...)
-			tickets, _ := CheckRouted(h.s, h.in.StoreLeft, proposals)
+			tickets, _ := CheckRouted(h.s, h.in.StoreLoadsLeft, proposals)
 			h.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Commands: tickets}})
 			for _, id := range slices.Sorted(maps.Keys(h.s.Pending)) {
 				h.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: h.s.Pending[id].Number, Succeeded: true}}}})
@@ -276,15 +276,15 @@
 	for i := range 4 {
 		e.Models = append(e.Models, configuration.EngineModel{Name: fmt.Sprint("m", i), SizeMB: 45, LoadMs: 1000})
 	}
-	in := Service{Name: "s", Engine: e, StoreLeft: 2, Adapters: map[string]Need{},
-		Homes:  []Home{{ID: "r", Usable: true, FreeMb: 10, Holds: map[string]int64{"m0": 45, "m1": 45}, AgeMs: map[string]int64{"m1": 5000}}},
-		Models: map[string]Need{"m1": {Rate: 0.2, IdleMs: 3000}, "m2": {Rate: 0.1, Waiting: 1}},
+	in := Service{Name: "s", Engine: e, StoreLoadsLeft: 2, Adapters: map[string]Demand{},
+		Candidates: []Candidate{{ID: "r", Usable: true, FreeMb: 10, SizeMbOf: map[string]int64{"m0": 45, "m1": 45}, ResidentMs: map[string]int64{"m1": 5000}}},
+		Models:     map[string]Demand{"m1": {Rate: 0.2, IdleMs: 3000}, "m2": {Rate: 0.1, Waiting: 1}},
 	}
 	proposals, _ := Resident(in)
 	if len(proposals) != 1 || proposals[0].Unit != "m1" || proposals[0].For != "m2" {
 		t.Errorf("%+v, want m1 to make room for m2", proposals)
 	}
-	in.Models["m1"] = Need{Rate: 2, Demand: 0.2}
+	in.Models["m1"] = Demand{Rate: 2, Utilization: 0.2}
 	if proposals, _ = Resident(in); len(proposals) != 1 || proposals[0].Unit != "m0" {
 		t.Errorf("%+v, want m0 to make room for m2 while m1 is called often", proposals)
 	}
@@ -294,18 +294,18 @@
 // made for one at one replica, no other was begun elsewhere.
 func TestRoomInTheMakingDoesNotKeepFurtherCopiesWaiting(t *testing.T) {
 	e := &configuration.Engine{Slots: 8, CacheTokens: 1, CapacityMB: 100, LoadsPerSecond: 40, Models: []configuration.EngineModel{{Name: "hot", SizeMB: 60, LoadMs: 2000}, {Name: "cold", SizeMB: 60, LoadMs: 2000}}}
-	in := Service{Name: "s", Engine: e, StoreLeft: 10, Models: map[string]Need{"hot": {Rate: 30, Demand: 2.8}, "cold": {IdleMs: 60_000}}, Adapters: map[string]Need{}}
+	in := Service{Name: "s", Engine: e, StoreLoadsLeft: 10, Models: map[string]Demand{"hot": {Rate: 30, Utilization: 2.8}, "cold": {IdleMs: 60_000}}, Adapters: map[string]Demand{}}
 	for i := range 8 {
-		h := Home{ID: fmt.Sprint("r", i), Usable: true, FreeMb: 40, Holds: map[string]int64{"cold": 60}}
+		h := Candidate{ID: fmt.Sprint("r", i), Usable: true, FreeMb: 40, SizeMbOf: map[string]int64{"cold": 60}}
 		switch i {
 		case 0:
-			h.Holds = map[string]int64{"hot": 60}
+			h.SizeMbOf = map[string]int64{"hot": 60}
 		case 1, 2:
-			h.Busy, h.Going, h.Intended = true, "cold", "hot"
+			h.Busy, h.Unloading, h.ReservedFor = true, "cold", "hot"
 		case 3:
-			h.FreeMb, h.Holds, h.Intended = 100, map[string]int64{}, "hot"
+			h.FreeMb, h.SizeMbOf, h.ReservedFor = 100, map[string]int64{}, "hot"
 		}
-		in.Homes = append(in.Homes, h)
+		in.Candidates = append(in.Candidates, h)
 	}
 	out, _ := Resident(in)
 	begun := map[string]int{}
@@ -317,7 +317,7 @@
 	if len(begun) != 2 || begun["r3"] != 1 {
 		t.Errorf("begun at %v: want r3, where there is room by now, and one more beside it", begun)
 	}
-	in.Models["hot"] = Need{Rate: 4, Demand: 1.2}
+	in.Models["hot"] = Demand{Rate: 4, Utilization: 1.2}
 	if out, _ := Resident(in); slices.ContainsFunc(out, func(p Proposal) bool { return p.For == "hot" }) {
 		t.Errorf("%v: four copies are wanted, and four are held or on their way", out)
 	}
@@ -326,9 +326,9 @@
 // A spare is made ahead of calls, and not at all where that is switched off.
 func TestSpareRoomIsMadeUnlessItIsSwitchedOff(t *testing.T) {
 	e := &configuration.Engine{Slots: 8, CapacityMB: 100, LoadsPerSecond: 2, Models: []configuration.EngineModel{{Name: "m", SizeMB: 60, LoadMs: 1000}}}
-	in := Service{Name: "s", Engine: e, StoreLeft: 2, Spares: 1, Models: map[string]Need{}, Adapters: map[string]Need{}}
+	in := Service{Name: "s", Engine: e, StoreLoadsLeft: 2, MinSpares: 1, Models: map[string]Demand{}, Adapters: map[string]Demand{}}
 	for i := range 3 {
-		in.Homes = append(in.Homes, Home{ID: fmt.Sprint("r", i), Usable: true, FreeMb: 40, Holds: map[string]int64{"m": 60}})
+		in.Candidates = append(in.Candidates, Candidate{ID: fmt.Sprint("r", i), Usable: true, FreeMb: 40, SizeMbOf: map[string]int64{"m": 60}})
 	}
 	if out, _ := Resident(in); len(out) != 1 || out[0].Step != statemachine.Unload {
 		t.Errorf("%v: want room for one more model at one replica", out)
--- a/internal/controlplane/placement/routed.go
+++ b/internal/controlplane/placement/routed.go
@@ -7,12 +7,12 @@
 )
 
 // checkRouted checks a proposal for a replica that makes itself known.
-func (a *account) checkRouted(p Proposal) (statemachine.ReplicaCommand, *fault.Fault) {
-	r := a.s.Replicas[p.Replica]
+func (c *checker) checkRouted(p Proposal) (statemachine.ReplicaCommand, *fault.Fault) {
+	r := c.state.Replicas[p.Replica]
 	if r == nil || r.Service == "" {
 		return statemachine.ReplicaCommand{}, fault.New(fault.ReplicaUnknown, p.Replica, "no such replica of a service with an engine")
 	}
-	t, f := a.step(r, p)
+	t, f := c.checkStep(r, p)
 	if f != nil || p.Step == statemachine.Unload {
 		return t, f
 	}
@@ -22,18 +22,18 @@
 	if _, held := r.Resident[p.Unit]; held {
 		return t, fault.New(fault.UnitAlreadyLoaded, p.Replica, "%s is already held", p.Unit)
 	}
-	sizeMb, _, known := a.s.Doc.EngineUnitSize(r.Service, p.Unit)
+	sizeMb, _, known := c.state.Doc.EngineUnitSize(r.Service, p.Unit)
 	if !known {
 		return t, fault.New(fault.PolicyInvalidResult, p.Unit, "no such model or adapter")
 	}
-	if f := a.room(r, p, sizeMb); f != nil {
+	if f := c.checkCapacity(r, p, sizeMb); f != nil {
 		return t, f
 	}
 	if _, adapter := configuration.SplitUnit(p.Unit); adapter == "" && !r.EverLoaded[p.Unit] {
-		if a.storeLeft <= 0 {
+		if c.storeLeft <= 0 {
 			return t, fault.New(fault.StoreRateLimited, p.Replica, "the store gives nothing more now")
 		}
-		a.storeLeft--
+		c.storeLeft--
 	}
 	t.SizeMb = sizeMb
 	return t, nil
--- a/internal/controlplane/scaler/scaler.go
+++ b/internal/controlplane/scaler/scaler.go
@@ -6,10 +6,10 @@
 	"petreltide/internal/api/configuration"
 )
 
-// Room is one replica and how much it holds.
-type Room struct {
-	ID     string
-	RoomMb int64
+// Replica is one replica and how much it holds.
+type Replica struct {
+	ID         string
+	CapacityMb int64
 }
 
 // Input is what the counts depend on: calls a second and calls waiting by model, and the replicas that can be used.
@@ -17,7 +17,7 @@
 	Doc     *configuration.Declaration
 	Rates   map[string]float64
 	Waiting map[string]int
-	Usable  []Room
+	Usable  []Replica
 }
 
 // Count is how many replicas a model gets, and Wanted how many it would get if there were room. PerSecond and LatencyMs
@@ -35,22 +35,22 @@
 const (
 	// queueSeconds is the time over which calls that wait are spread when they are counted as a rate.
 	queueSeconds = 10.0
-	// weightAlone makes a weight without a rate less urgent than any rate.
-	weightAlone = 1e6
+	// weightOnlyDivisor makes a weight without a rate less urgent than any rate.
+	weightOnlyDivisor = 1e6
 )
 
 // Choose is the source's rule for one model over counts 1..most: lowest latency among those
 // that cover the rate, fewer replicas when latencies are similar, and the most throughput
 // when nothing covers.
-func Choose(table []configuration.CapacityPoint, rate float64, most, similarPct int) (configuration.CapacityPoint, bool) {
-	most = min(most, len(table))
-	if most < 1 {
+func Choose(table []configuration.CapacityPoint, rate float64, maxReplicas, similarPct int) (configuration.CapacityPoint, bool) {
+	maxReplicas = min(maxReplicas, len(table))
+	if maxReplicas < 1 {
 		return configuration.CapacityPoint{}, false
 	}
-	table = table[:most]
-	best := quickest(table, rate)
+	table = table[:maxReplicas]
+	best := fastestPoint(table, rate)
 	if best == nil {
-		return *strongest(table), false
+		return *highestThroughput(table), false
 	}
 	limitMs := best.LatencyMs + best.LatencyMs*int64(similarPct)/100
 	for _, p := range table {
@@ -61,8 +61,8 @@
 	return *best, true
 }
 
-// quickest is the point of the lowest latency that covers the rate; nil where none does.
-func quickest(table []configuration.CapacityPoint, rate float64) *configuration.CapacityPoint {
+// fastestPoint is the point of the lowest latency that covers the rate; nil where none does.
+func fastestPoint(table []configuration.CapacityPoint, rate float64) *configuration.CapacityPoint {
 	var best *configuration.CapacityPoint
 	for i := range table {
 		p := &table[i]
@@ -73,8 +73,8 @@
 	return best
 }
 
-// strongest is the point of the most throughput.
-func strongest(table []configuration.CapacityPoint) *configuration.CapacityPoint {
+// highestThroughput is the point of the most throughput.
+func highestThroughput(table []configuration.CapacityPoint) *configuration.CapacityPoint {
 	best := &table[0]
 	for i := range table {
 		if table[i].CallsPerSecond > best.CallsPerSecond {
@@ -88,11 +88,11 @@
 // leaving ones; the spares' room is left out when counts are raised above one.
 func Decide(in Input) []Count {
 	p := newPlan(in)
-	order := p.wanted()
-	p.byUrgency(order)
-	p.first(order)
-	p.raise(order)
-	p.lookUp()
+	order := p.lookUpWanted()
+	p.sortByUrgency(order)
+	p.placeFirst(order)
+	p.addReplicas(order)
+	p.lookUpPerformance()
 	return p.counts
 }
 
@@ -101,8 +101,8 @@
 	in     Input
 	spares int
 	counts []Count
-	// wholeMb is the room of all usable replicas, budgetMb that without the largest as spares.
-	wholeMb, budgetMb, usedMb int64
+	// capacityMb is the room of all usable replicas, budgetMb that without the largest as spares.
+	capacityMb, budgetMb, usedMb int64
 }
 
 func newPlan(in Input) *plan {
@@ -110,19 +110,19 @@
 	p := &plan{in: in, spares: min(in.Doc.Scaler.StandbyReplicas, max(0, usable-1)), counts: make([]Count, len(in.Doc.Models))}
 	rooms := make([]int64, 0, usable)
 	for _, r := range in.Usable {
-		rooms = append(rooms, r.RoomMb)
-		p.wholeMb += r.RoomMb
+		rooms = append(rooms, r.CapacityMb)
+		p.capacityMb += r.CapacityMb
 	}
 	sort.Slice(rooms, func(i, j int) bool { return rooms[i] > rooms[j] })
-	p.budgetMb = p.wholeMb
+	p.budgetMb = p.capacityMb
 	for _, mb := range rooms[:p.spares] {
 		p.budgetMb -= mb
 	}
 	return p
 }
 
-// wanted looks up how many replicas each model should have, and gives the places of those that should have any.
-func (p *plan) wanted() (order []int) {
+// lookUpWanted looks up how many replicas each model should have, and gives the places of those that should have any.
+func (p *plan) lookUpWanted() (order []int) {
 	usable := len(p.in.Usable)
 	order = make([]int, 0, len(p.counts))
 	for i, m := range p.in.Doc.Models {
@@ -138,27 +138,27 @@
 	return order
 }
 
-// byUrgency sorts models by rate and weight; without a rate, by weight alone.
-func (p *plan) byUrgency(order []int) {
+// sortByUrgency sorts models by rate and weight; without a rate, by weight alone.
+func (p *plan) sortByUrgency(order []int) {
 	urgent := func(i int) float64 {
 		weight := p.in.Doc.Models[i].Weight
-		return p.counts[i].Rate*float64(1+weight) + float64(weight)/weightAlone
+		return p.counts[i].Rate*float64(1+weight) + float64(weight)/weightOnlyDivisor
 	}
 	sort.SliceStable(order, func(a, b int) bool { return urgent(order[a]) > urgent(order[b]) })
 }
 
-// first gives each model one replica, while there is room at all.
-func (p *plan) first(order []int) {
+// placeFirst gives each model one replica, while there is room at all.
+func (p *plan) placeFirst(order []int) {
 	for _, i := range order {
-		if sizeMb := p.in.Doc.Models[i].SizeMB; p.usedMb+sizeMb <= p.wholeMb {
+		if sizeMb := p.in.Doc.Models[i].SizeMB; p.usedMb+sizeMb <= p.capacityMb {
 			p.counts[i].Replicas = 1
 			p.usedMb += sizeMb
 		}
 	}
 }
 
-// raise gives models one replica more in turns, up to what they want and the spares leave room for.
-func (p *plan) raise(order []int) {
+// addReplicas gives models one replica more in turns, up to what they want and the spares leave room for.
+func (p *plan) addReplicas(order []int) {
 	for raised := true; raised; {
 		raised = false
 		for _, i := range order {
@@ -172,8 +172,8 @@
 	}
 }
 
-// lookUp adds what the tables say of the counts.
-func (p *plan) lookUp() {
+// lookUpPerformance adds what the tables say of the counts.
+func (p *plan) lookUpPerformance() {
 	for i := range p.counts {
 		c := &p.counts[i]
 		if c.Replicas == 0 {
--- a/internal/controlplane/scaler/scaler_test.go
+++ b/internal/controlplane/scaler/scaler_test.go
@@ -57,7 +57,7 @@
 		})
 	}
 	for i := 0; i < replicas; i++ {
-		in.Usable = append(in.Usable, Room{ID: fmt.Sprintf("r%d", i), RoomMb: 100})
+		in.Usable = append(in.Usable, Replica{ID: fmt.Sprintf("r%d", i), CapacityMb: 100})
 	}
 	return in
 }
--- a/tests/history/walk_test.go
+++ b/tests/history/walk_test.go
@@ -175,7 +175,7 @@
 			o.answer(e.Result.Outcome)
 		case e.Controller != nil && e.Controller.PollList:
 			o.later(clock.Ms, func() {
-				o.step(controlnode.Event{Controller: &controller.Event{NowUs: o.walk.nowUs, Listed: &controller.Listed{}}})
+				o.step(controlnode.Event{Controller: &controller.Event{NowUs: o.walk.nowUs, Listed: &controller.PlatformListing{}}})
 			})
 		}
 	}
--- a/tests/simulator/control_nodes.go
+++ b/tests/simulator/control_nodes.go
@@ -229,7 +229,7 @@
 	case e.PollList:
 		mood := s.platMood
 		o.later(wait(), func() {
-			listed := controller.Listed{Err: mood}
+			listed := controller.PlatformListing{Err: mood}
 			switch mood {
 			case "":
 				list := s.plat.List(s.nowUs)
@@ -250,7 +250,7 @@
 		s.send(&o.machine, &p.machine, func() {
 			st := clone(p.core.State())
 			s.send(&p.machine, &o.machine, func() {
-				o.tell(controller.Event{Told: &controller.Told{AskedUs: ask.AskedUs, Replica: ask.Replica, Addr: ask.Addr, State: &st}})
+				o.tell(controller.Event{Told: &controller.ReplicaReport{RequestedUs: ask.RequestedUs, Replica: ask.Replica, Addr: ask.Addr, State: &st}})
 			})
 		})
 	case e.Order != nil:
@@ -266,11 +266,11 @@
 			state := p.take(order)
 			s.spring("ticket", o)
 			s.send(&p.machine, &o.machine, func() {
-				o.tell(controller.Event{Ordered: &controller.Ordered{Replica: order.Command.Replica, Incarnation: order.Command.Incarnation, State: state}})
+				o.tell(controller.Event{Ordered: &controller.OrderResult{Replica: order.Command.Replica, Incarnation: order.Command.Incarnation, State: state}})
 			})
 		})
 	case e.Run != nil:
-		done := controller.PolicyDone{Run: e.Run.Number, Revision: e.Run.Revision, Live: placement.Run(e.Run.Live, e.Run.Fleet)}
+		done := controller.PolicyResult{Number: e.Run.Number, Revision: e.Run.Revision, Live: placement.Run(e.Run.Live, e.Run.Fleet)}
 		for _, p := range e.Run.Shadows {
 			done.Shadows = append(done.Shadows, placement.Run(p, e.Run.Fleet))
 		}
--- a/tests/simulator/routed_control_nodes.go
+++ b/tests/simulator/routed_control_nodes.go
@@ -361,10 +361,10 @@
 	d := o.day
 	switch {
 	case e.PollList:
-		o.later(ms, func() { o.tell(controller.Event{Listed: &controller.Listed{}}) })
+		o.later(ms, func() { o.tell(controller.Event{Listed: &controller.PlatformListing{}}) })
 	case e.Ask != nil:
 		ask := *e.Ask
-		told := controller.Told{AskedUs: ask.AskedUs, Replica: ask.Replica, Addr: ask.Addr}
+		told := controller.ReplicaReport{RequestedUs: ask.RequestedUs, Replica: ask.Replica, Addr: ask.Addr}
 		fail := func() { o.later(ms, func() { o.tell(controller.Event{Told: &told}) }) }
 		p := d.replicaAt(ask.Addr)
 		if p == nil {
@@ -389,7 +389,7 @@
 	t := w.Command
 	state := wire.OrderState{Number: t.Number, Epoch: w.Epoch}
 	tell := func() {
-		o.tell(controller.Event{Ordered: &controller.Ordered{Replica: t.Replica, Incarnation: t.Incarnation, Expected: w.ExpectedOrders, State: state}})
+		o.tell(controller.Event{Ordered: &controller.OrderResult{Replica: t.Replica, Incarnation: t.Incarnation, Expected: w.ExpectedOrders, State: state}})
 	}
 	doubt := func() {
 		o.later(ms, func() {
