--- a/tests/simulator/control_nodes.go
+++ b/tests/simulator/control_nodes.go
@@ -123,12 +123,14 @@
 				continue
 			}
 			message := clone(e.Message.Message)
+			s.show("message", message)
 			s.send(&o.machine, &to.machine, func() { to.step(controlnode.Event{Message: &message}) })
 		case e.Save != nil:
 			o.saver.put(*e.Save)
 		case e.Push != nil:
 			if d := o.follows[e.Push.Gateway]; d != nil {
 				news := clone(e.Push.Update)
+				s.show("news", news)
 				s.send(&o.machine, &d.machine, func() { d.news(news) })
 			}
 		case e.Result != nil:
@@ -167,6 +169,8 @@
 
 // applied checks that all control nodes apply the same change at the same place, whatever they are told.
 func (s *Sim) applied(o *controlNode, a chain.Applied) {
+	s.show("applied", a.Entry.Change)
+	s.show("outcome", a.Outcome)
 	raw, err := json.Marshal(a.Entry.Change)
 	if err != nil {
 		panic(err)
@@ -255,6 +259,7 @@
 		})
 	case e.Order != nil:
 		order := clone(e.Order.Order)
+		s.show("order", order)
 		p := s.servers[order.Command.Replica]
 		if p == nil || p.addr != e.Order.Addr || !p.up {
 			return
--- a/tests/simulator/gateways.go
+++ b/tests/simulator/gateways.go
@@ -172,6 +172,7 @@
 	}
 	report := clone(d.decider.Report(d.clock()))
 	report.Addr, report.Zone, report.Suspects = d.addr, d.zone, d.subscriber.Silent(d.clock())
+	s.show("report", report)
 	s.send(&d.machine, &o.machine, func() {
 		o.replySeq++
 		o.replies[o.replySeq] = func(l wire.Lease) {
--- a/tests/simulator/routed.go
+++ b/tests/simulator/routed.go
@@ -27,6 +27,8 @@
 	Repairs      Repairs
 	Closing      string
 	Plant        string
+	// Trace is as in Plan.
+	Trace func(atUs int64, kind string, what any)
 }
 
 const (
@@ -99,7 +101,7 @@
 func newRoutedDay(plan RoutedPlan) *routedDay {
 	d := &routedDay{
 		plan: plan, engine: routedEngine(), disks: map[string]*replica.Disk{}, replicas: map[string]*replicaNode{}, ports: 8000,
-		Sim: &Sim{r: rand.New(rand.NewSource(plan.Seed)), cuts: map[[2]string]int{}, nowUs: sec, caused: map[string]int{}},
+		Sim: &Sim{r: rand.New(rand.NewSource(plan.Seed)), cuts: map[[2]string]int{}, nowUs: sec, caused: map[string]int{}, trace: plan.Trace},
 	}
 	d.store = &replica.Store{AtOnce: d.engine.MaxConcurrentLoads()}
 	d.seen = &rules.Day{Bounds: rules.SmallBounds(d.engine.LoadsPerSecond)}
@@ -325,6 +327,7 @@
 func (d *routedDay) step() {
 	it := heap.Pop(&d.q).(*item)
 	d.nowUs = max(d.nowUs, it.atUs)
+	d.show("event", it.seq)
 	it.act()
 	d.events++
 }
--- a/tests/simulator/routed_control_nodes.go
+++ b/tests/simulator/routed_control_nodes.go
@@ -180,6 +180,7 @@
 				continue
 			}
 			message := clone(e.Message.Message)
+			d.show("message", message)
 			d.send(&o.machine, &to.machine, func() { to.step(controlnode.Event{Message: &message}) })
 		case e.Save != nil:
 			o.saver.put(*e.Save)
@@ -205,6 +206,7 @@
 		return
 	}
 	f = clone(f)
+	o.day.show("frame", f)
 	if o.day.plan.Plant == "sure" {
 		f.PossiblyStale = false
 	}
@@ -386,6 +388,7 @@
 // order is what the platform's side of a control node makes of a ticket, and of the replica's answer to it.
 func (o *routedControlNode) order(w wire.Order, addr string) {
 	d := o.day
+	d.show("order", w)
 	t := w.Command
 	state := wire.OrderState{Number: t.Number, Epoch: w.Epoch}
 	tell := func() {
--- a/tests/simulator/routed_frames.go
+++ b/tests/simulator/routed_frames.go
@@ -43,6 +43,7 @@
 		case e.Report != "":
 			report := clone(t.decider.Report(t.clock()))
 			report.Addr, report.Zone = t.addr, t.zone
+			d.show("report", report)
 			if o := d.controlNodeAt(e.Report); o != nil {
 				d.carry(&t.machine, &o.machine, 600*ms, func() { o.step(controlnode.Event{GatewayReport: &report}) }, func() {})
 			}
--- a/tests/simulator/sim.go
+++ b/tests/simulator/sim.go
@@ -39,6 +39,8 @@
 	Declared     bool
 	CalmUs       int64
 	Steps        int
+	// Trace, where it is set, is shown each event and all that is sent, ordered and applied, with its time.
+	Trace func(atUs int64, kind string, what any)
 }
 
 type item struct {
@@ -92,6 +94,7 @@
 	incarnations int
 	events       int
 	Log          []string
+	trace        func(atUs int64, kind string, what any)
 }
 
 type machine struct {
@@ -134,6 +137,12 @@
 	}
 }
 
+func (s *Sim) show(kind string, what any) {
+	if s.trace != nil {
+		s.trace(s.nowUs, kind, what)
+	}
+}
+
 func (s *Sim) newIncarnation() string {
 	s.incarnations++
 	return fmt.Sprintf("i%d", s.incarnations)
@@ -187,7 +196,7 @@
 func New(plan Plan) *Sim {
 	s := &Sim{
 		plan: plan, r: rand.New(rand.NewSource(plan.Seed)), cuts: map[[2]string]int{}, loss: plan.Loss,
-		servers: map[string]*serverNode{}, watch: rules.NewWatch(), agreed: map[uint64]string{}, nowUs: sec, caused: map[string]int{},
+		servers: map[string]*serverNode{}, watch: rules.NewWatch(), agreed: map[uint64]string{}, nowUs: sec, caused: map[string]int{}, trace: plan.Trace,
 	}
 	if plan.Doc == nil {
 		s.plan.Doc = Doc()
@@ -219,6 +228,7 @@
 	}
 	it := heap.Pop(&s.q).(*item)
 	s.nowUs = max(s.nowUs, it.atUs)
+	s.show("event", it.seq)
 	it.act()
 	s.events++
 	return len(s.watch.Breaches) == 0
