--- a/cmd/petreltide/print.go
+++ b/cmd/petreltide/print.go
@@ -71,7 +71,7 @@
 		for _, mb := range r.Resident {
 			heldMb += mb
 		}
-		fmt.Fprintf(w, "replica   %s zone %s %s: %d held, %d of %d MB\n", r.ID, r.Zone, listedState(r), len(r.Resident), heldMb, r.CapacityMb)
+		fmt.Fprintf(w, "replica   %s zone %s %s: %d held, %d of %d MB\n", r.ID, r.Zone, listedState(r), len(r.Resident), heldMb, r.CapacityMB)
 	}
 }
 
--- a/cmd/petreltide/status_test.go
+++ b/cmd/petreltide/status_test.go
@@ -73,7 +73,7 @@
 
 func fleetStatus(gatewayAddr string) controlnode.Status {
 	left := int64(850)
-	load := statemachine.ReplicaCommand{Number: 12, Replica: "i-2", Incarnation: "i-2", Action: statemachine.Load, Unit: "m2", SizeMb: 20}
+	load := statemachine.ReplicaCommand{Number: 12, Replica: "i-2", Incarnation: "i-2", Action: statemachine.Load, Unit: "m2", SizeMB: 20}
 	return controlnode.Status{
 		Holder: "core-1-ab", Epoch: 41, Pending: []statemachine.ReplicaCommand{load}, Replicas: []statemachine.Replica{},
 		Demand: []controller.GatewayStatus{{Gateway: "front-1", Zone: "a", Addr: gatewayAddr}, {Gateway: "front-2", Zone: "b", Addr: "127.0.0.1:1"}},
--- a/internal/controlplane/controller/basis.go
+++ b/internal/controlplane/controller/basis.go
@@ -57,9 +57,9 @@
 		return true
 	}
 	model, adapter := configuration.SplitUnit(t.Unit)
-	sumMb, adapters := t.SizeMb, 0
+	sumMb, adapters := t.SizeMB, 0
 	for _, held := range holdings(doc, svc, b.units) {
-		sumMb += held.SizeMb
+		sumMb += held.SizeMB
 		if strings.Contains(held.Unit, "/") {
 			adapters++
 		}
@@ -67,7 +67,7 @@
 	if adapter != "" && (adapters >= svc.Engine.MaxAdapters || !slices.Contains(b.units, model)) {
 		return false
 	}
-	return sumMb <= r.CapacityMb
+	return sumMb <= r.CapacityMB
 }
 
 // isOutdatedReport says whether a report shows a state from before an order that the replica is known to have taken.
--- a/internal/controlplane/controller/controller_test.go
+++ b/internal/controlplane/controller/controller_test.go
@@ -137,7 +137,7 @@
 				last.State = wire.OrderRunning
 			case "sent, done":
 				last.State = wire.OrderDone
-				two.states["r1"].Loaded = []statemachine.ResidentUnit{{Unit: "m", SizeMb: 60}}
+				two.states["r1"].Loaded = []statemachine.ResidentUnit{{Unit: "m", SizeMB: 60}}
 			case "sent, failed":
 				last.State = wire.OrderFailed
 			case "overtaken":
@@ -154,11 +154,11 @@
 			_, held := two.s.Replicas["r1"].Resident["m"]
 			switch at {
 			case "written, not sent":
-				if len(two.orders) == 0 || two.orders[0].Command.Number != ticket.Number || !stillPending || two.s.ReservedMb("r1") != 60 {
+				if len(two.orders) == 0 || two.orders[0].Command.Number != ticket.Number || !stillPending || two.s.ReservedMB("r1") != 60 {
 					t.Fatalf("orders %+v", two.orders)
 				}
 			case "sent, running":
-				if len(two.orders) != 0 || !stillPending || two.s.ReservedMb("r1") != 60 {
+				if len(two.orders) != 0 || !stillPending || two.s.ReservedMB("r1") != 60 {
 					t.Fatalf("orders %+v, pending %v", two.orders, stillPending)
 				}
 			case "sent, done":
--- a/internal/controlplane/controller/fuzz_test.go
+++ b/internal/controlplane/controller/fuzz_test.go
@@ -27,8 +27,8 @@
 		}
 		r.pass(clock.Sec)
 		for id, replica := range r.s.Replicas {
-			if taken := r.s.ReservedMb(id); replica.CapacityMb > 0 && taken < 0 {
-				t.Fatalf("%s takes %d MB of %d", id, taken, replica.CapacityMb)
+			if taken := r.s.ReservedMB(id); replica.CapacityMB > 0 && taken < 0 {
+				t.Fatalf("%s takes %d MB of %d", id, taken, replica.CapacityMB)
 			}
 		}
 	})
--- a/internal/controlplane/controller/hear.go
+++ b/internal/controlplane/controller/hear.go
@@ -43,7 +43,7 @@
 func areValidHoldings(holds []statemachine.ResidentUnit) bool {
 	known := map[string]bool{}
 	for _, h := range holds {
-		if h.Unit == "" || h.SizeMb < 0 || known[h.Unit] {
+		if h.Unit == "" || h.SizeMB < 0 || known[h.Unit] {
 			return false
 		}
 		known[h.Unit] = true
@@ -123,7 +123,7 @@
 	row, have := c.replicas[l.ID], snapshot.State.Replicas[l.ID]
 	leaving := l.State != wire.ListedReady
 	n := statemachine.ReplicaUpdate{
-		ID: l.ID, Addr: l.Addr, Zone: l.Zone, CapacityMb: l.CapacityMB, Slots: l.Slots, Draining: leaving, RemainingMs: leftMs(have, leaving, l.RemainingMs),
+		ID: l.ID, Addr: l.Addr, Zone: l.Zone, CapacityMB: l.CapacityMB, Slots: l.Slots, Draining: leaving, RemainingMs: leftMs(have, leaving, l.RemainingMs),
 	}
 	spoke := row != nil && row.reportedUs > 0
 	n.Unreachable = spoke && snapshot.NowUs-row.reportedUs > unreachableAfterUs
@@ -162,7 +162,7 @@
 	}
 	same := len(row.report.Loaded) == len(have.Resident)
 	for _, h := range row.report.Loaded {
-		if have.Resident[h.Unit] != h.SizeMb {
+		if have.Resident[h.Unit] != h.SizeMB {
 			same = false
 		}
 	}
--- a/internal/controlplane/controller/late_test.go
+++ b/internal/controlplane/controller/late_test.go
@@ -18,7 +18,7 @@
 	for i, c := range []statemachine.Change{
 		{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: doc}},
 		{ID: "k", Epoch: 1, Claim: &statemachine.Claim{Leader: "before"}},
-		{ID: "d", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: "r1", Incarnation: "r1", Addr: "a", CapacityMb: 100, Slots: 4, Service: "s", ResidentKnown: true}}}},
+		{ID: "d", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: "r1", Incarnation: "r1", Addr: "a", CapacityMB: 100, Slots: 4, Service: "s", ResidentKnown: true}}}},
 		{ID: "t", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Commands: []statemachine.ReplicaCommand{{Revision: 1, Replica: "r1", Incarnation: "r1", Action: statemachine.Load, Unit: "m"}}}},
 	} {
 		if out := s.Apply(uint64(i+1), c); out.Fault != nil || len(out.Faults) > 0 {
--- a/internal/controlplane/controller/orders_model_test.go
+++ b/internal/controlplane/controller/orders_model_test.go
@@ -399,7 +399,7 @@
 	if _, there := r.holds[model]; adapter != "" && !there {
 		return false
 	}
-	sumMb, places := t.SizeMb, strings.Count(t.Unit, "/")
+	sumMb, places := t.SizeMB, strings.Count(t.Unit, "/")
 	for unit, sizeMb := range r.holds {
 		sumMb += sizeMb
 		places += strings.Count(unit, "/")
@@ -442,7 +442,7 @@
 	if t := r.underway; t != nil && nowUs >= r.doneUs {
 		r.underway = nil
 		if t.Action == statemachine.Load {
-			r.holds[t.Unit] = t.SizeMb
+			r.holds[t.Unit] = t.SizeMB
 			r.disk[t.Unit] = true
 		} else {
 			maps.DeleteFunc(r.holds, func(unit string, _ int64) bool { return unit == t.Unit || strings.HasPrefix(unit, t.Unit+"/") })
--- a/internal/controlplane/controller/policy.go
+++ b/internal/controlplane/controller/policy.go
@@ -62,7 +62,7 @@
 // policyReplica is one replica as the placement policies read it.
 func (c *Controller) policyReplica(s *statemachine.State, r *statemachine.Replica) placement.Replica {
 	row := placement.Replica{
-		ID: r.ID, Zone: r.Zone, CapacityMb: r.CapacityMb, FreeMb: r.CapacityMb - s.ReservedMb(r.ID), Slots: r.Slots,
+		ID: r.ID, Zone: r.Zone, CapacityMb: r.CapacityMB, FreeMb: r.CapacityMB - s.ReservedMB(r.ID), Slots: r.Slots,
 		Units: sortedKeys(r.Resident), Usable: r.AcceptsLoads(s.Doc),
 	}
 	if t, pending := s.Pending[r.ID]; pending {
--- a/internal/controlplane/controller/routed_test.go
+++ b/internal/controlplane/controller/routed_test.go
@@ -212,7 +212,7 @@
 		m.busy, m.doneUs = t, f.nowUs+f.r.Int63n(300*clock.Ms)
 		return wire.OrderRunning
 	}
-	sum, places := t.SizeMb, 0
+	sum, places := t.SizeMB, 0
 	for unit, mb := range m.holds {
 		sum += mb
 		places += strings.Count(unit, "/")
@@ -281,7 +281,7 @@
 			m := f.machines[id]
 			if m.busy.Unit != "" && f.nowUs >= m.doneUs {
 				if m.busy.Action == statemachine.Load {
-					m.holds[m.busy.Unit] = m.busy.SizeMb
+					m.holds[m.busy.Unit] = m.busy.SizeMB
 					m.disk[m.busy.Unit] = true
 				} else {
 					for unit := range m.holds {
@@ -466,7 +466,7 @@
 	index := uint64(2)
 	load := func(nowUs int64, id string) {
 		index++
-		update := statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: id, Incarnation: id, CapacityMb: fleetRoomMb, Slots: 8, Service: "s"}},
+		update := statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: id, Incarnation: id, CapacityMB: fleetRoomMb, Slots: 8, Service: "s"}},
 			Commands: []statemachine.ReplicaCommand{{Replica: id, Incarnation: id, Revision: s.Revision, Action: statemachine.Load, Unit: "m0"}}}
 		if out := s.Apply(index, statemachine.Change{ID: fmt.Sprint("d", index), Epoch: s.Epoch, LeaderUpdate: &update}); len(out.Faults) > 0 {
 			t.Fatal(out.Faults)
--- a/internal/controlplane/controller/rows.go
+++ b/internal/controlplane/controller/rows.go
@@ -49,7 +49,7 @@
 		return
 	}
 	n := statemachine.ReplicaUpdate{
-		ID: e.ID, Incarnation: e.ID, Addr: e.Addr, Zone: e.Zone, CapacityMb: svc.Engine.CapacityMB, Slots: e.Slots, Draining: e.Draining,
+		ID: e.ID, Incarnation: e.ID, Addr: e.Addr, Zone: e.Zone, CapacityMB: svc.Engine.CapacityMB, Slots: e.Slots, Draining: e.Draining,
 		RemainingMs: leftMs(have, e.Draining, e.RemainingMs), Unreachable: e.Unreachable, Service: e.Service,
 	}
 	c.recordUnits(snapshot, e, svc, &n)
@@ -94,7 +94,7 @@
 // differsFrom: the ledger has no row of a replica, or one that says something else than the note. The incarnation is not
 // looked at.
 func differsFrom(have *statemachine.Replica, n statemachine.ReplicaUpdate) bool {
-	return have == nil || have.Addr != n.Addr || have.Zone != n.Zone || have.CapacityMb != n.CapacityMb ||
+	return have == nil || have.Addr != n.Addr || have.Zone != n.Zone || have.CapacityMB != n.CapacityMB ||
 		have.Slots != n.Slots || have.Draining != n.Draining || have.Unreachable != n.Unreachable || n.ResidentKnown
 }
 
@@ -148,7 +148,7 @@
 		if !ok {
 			sizeMb = svc.Engine.CapacityMB / 2
 		}
-		all = append(all, statemachine.ResidentUnit{Unit: u, SizeMb: sizeMb})
+		all = append(all, statemachine.ResidentUnit{Unit: u, SizeMB: sizeMb})
 	}
 	return all
 }
--- a/internal/controlplane/controller/tickets.go
+++ b/internal/controlplane/controller/tickets.go
@@ -33,7 +33,7 @@
 		row := c.replicas[t.Replica]
 		acknowledged := row != nil && row.reportedUs > 0 && row.report.Incarnation == t.Incarnation && row.report.LastOrder != nil && row.report.LastOrder.Number >= t.Number
 		if t.Action == statemachine.Load && !acknowledged {
-			sumMb += t.SizeMb
+			sumMb += t.SizeMB
 		}
 	}
 	return sumMb
--- a/internal/controlplane/controller/turns_test.go
+++ b/internal/controlplane/controller/turns_test.go
@@ -86,7 +86,7 @@
 		}
 		tick(clock.Sec)
 		note := func(id string) statemachine.ReplicaUpdate {
-			return statemachine.ReplicaUpdate{ID: id, Incarnation: id, CapacityMb: fleetRoomMb, Slots: 8, Service: "s"}
+			return statemachine.ReplicaUpdate{ID: id, Incarnation: id, CapacityMB: fleetRoomMb, Slots: 8, Service: "s"}
 		}
 		apply(8*clock.Sec, statemachine.Change{ID: "d1", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{note("r0"), note("r1")},
 			Commands: []statemachine.ReplicaCommand{{Replica: "r0", Incarnation: "r0", Revision: s.Revision, Action: statemachine.Load, Unit: "m0"}}}})
--- a/internal/controlplane/controller/write.go
+++ b/internal/controlplane/controller/write.go
@@ -58,8 +58,8 @@
 	}
 	for _, t := range tickets {
 		if t.Action == statemachine.Load {
-			c.bucket.Spend(t.SizeMb)
-			c.issuingMb += t.SizeMb
+			c.bucket.Spend(t.SizeMB)
+			c.issuingMb += t.SizeMB
 		}
 	}
 	update.Commands = tickets
--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -388,7 +388,7 @@
 		Commit: c.Node.CommitIndex(), Last: c.Node.LastIndex(), Epoch: s.Epoch, Holder: s.Leader, IsLeader: c.Controller.IsLeader(s),
 		Revision: s.Revision, Peers: c.Node.Peers(), Gateways: c.Room.Gateways(nowUs), Demand: c.Controller.Gateways(nowUs),
 		Counts: c.Controller.Counts(), Policy: c.Controller.Policy, Shadows: c.Controller.Shadows,
-		Faults: copyOf(c.Controller.Faults), Refused: copyOf(s.RefusalCounts), Keys: len(s.Keys), Member: s.Membership, MemberOn: c.Node.MemberChangeWaitReason(), Grants: len(s.Grants), Loads: s.TotalLoads, LoadedMb: s.TotalLoadedMb,
+		Faults: copyOf(c.Controller.Faults), Refused: copyOf(s.RefusalCounts), Keys: len(s.Keys), Member: s.Membership, MemberOn: c.Node.MemberChangeWaitReason(), Grants: len(s.Grants), Loads: s.TotalLoads, LoadedMb: s.TotalLoadedMB,
 		Pending: []statemachine.ReplicaCommand{}, Replicas: []statemachine.Replica{}, Fleet: c.fleet(nowUs), Outliers: c.soft.Outliers.Rows,
 	}
 	if s.Doc != nil {
--- a/internal/controlplane/controlnode/fleet.go
+++ b/internal/controlplane/controlnode/fleet.go
@@ -106,8 +106,8 @@
 	s := c.Node.State()
 	row := ReplicaNote{ID: id, State: ReplicaUnheard, AgoMs: -1, Units: []string{}}
 	if have := s.Replicas[id]; have != nil {
-		row.Service, row.Addr, row.Zone, row.Slots, row.RoomMb = have.Service, have.Addr, have.Zone, have.Slots, have.CapacityMb
-		row.HeldMb = s.ReservedMb(id)
+		row.Service, row.Addr, row.Zone, row.Slots, row.RoomMb = have.Service, have.Addr, have.Zone, have.Slots, have.CapacityMB
+		row.HeldMb = s.ReservedMB(id)
 		row.Units = slices.Sorted(maps.Keys(have.Resident))
 	}
 	if t, pending := s.Pending[id]; pending {
--- a/internal/controlplane/controlnode/fleet_test.go
+++ b/internal/controlplane/controlnode/fleet_test.go
@@ -33,7 +33,7 @@
 	}}})
 	s.Apply(2, statemachine.Change{ID: "claim", Epoch: 1, Claim: &statemachine.Claim{Leader: "o"}})
 	known := func(id string) statemachine.ReplicaUpdate {
-		return statemachine.ReplicaUpdate{ID: id, Incarnation: id, Addr: id, Zone: "z", CapacityMb: 100, Slots: 4, Service: "s", ResidentKnown: true, Resident: []statemachine.ResidentUnit{{Unit: "m", SizeMb: 30}}}
+		return statemachine.ReplicaUpdate{ID: id, Incarnation: id, Addr: id, Zone: "z", CapacityMB: 100, Slots: 4, Service: "s", ResidentKnown: true, Resident: []statemachine.ResidentUnit{{Unit: "m", SizeMB: 30}}}
 	}
 	s.Apply(3, statemachine.Change{ID: "fleet", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{known("ready"), known("never")}}})
 	out := s.Apply(4, statemachine.Change{ID: "ticket", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Commands: []statemachine.ReplicaCommand{{Replica: "ready", Incarnation: "ready", Revision: 1, Action: statemachine.Load, Unit: "n"}}}})
--- a/internal/controlplane/controlnode/incarnation_test.go
+++ b/internal/controlplane/controlnode/incarnation_test.go
@@ -98,7 +98,7 @@
 	p.pass(clock.Sec)
 	s := p.head().Node.State()
 	p.write(statemachine.Change{ID: "d1", Epoch: s.Epoch, LeaderUpdate: &statemachine.LeaderUpdate{
-		Replicas: []statemachine.ReplicaUpdate{{ID: "r", Incarnation: "r", CapacityMb: 100, Slots: 4, Service: "s"}},
+		Replicas: []statemachine.ReplicaUpdate{{ID: "r", Incarnation: "r", CapacityMB: 100, Slots: 4, Service: "s"}},
 		Commands: []statemachine.ReplicaCommand{{Replica: "r", Incarnation: "r", Revision: s.Revision, Action: statemachine.Load, Unit: "m"}},
 	}})
 	p.write(statemachine.Change{ID: "d2", Epoch: s.Epoch, LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: s.NextNumber - 1, Succeeded: true}}}})
--- a/internal/controlplane/controlnode/malformed_test.go
+++ b/internal/controlplane/controlnode/malformed_test.go
@@ -105,7 +105,7 @@
 		{ID: "an empty edit", Config: &statemachine.ConfigChange{Base: 3, Version: 9, Edit: &configuration.Edit{}}},
 		{ID: "claim", Epoch: 1, Claim: &statemachine.Claim{}},
 		{ID: "duty", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{
-			Replicas:        []statemachine.ReplicaUpdate{{}, {ID: "r", Incarnation: "r", CapacityMb: -1, Slots: -1, ResidentKnown: true, Resident: []statemachine.ResidentUnit{{}, {Unit: "m", SizeMb: -1}}}},
+			Replicas:        []statemachine.ReplicaUpdate{{}, {ID: "r", Incarnation: "r", CapacityMB: -1, Slots: -1, ResidentKnown: true, Resident: []statemachine.ResidentUnit{{}, {Unit: "m", SizeMB: -1}}}},
 			RemovedReplicas: []string{"", "none"}, Commands: []statemachine.ReplicaCommand{{}, {Replica: "r", Incarnation: "r", Action: statemachine.Load}}, Results: []statemachine.CommandResult{{}, {Number: 1 << 63}},
 			Grants: []statemachine.GrantRequest{{Replica: "r", Incarnation: "r", Count: 1}}, Quotas: map[string]map[string]int{"r": nil, "none": {"d": -1}}, RemovedGateways: []string{""}, ForgetKeysBefore: 1 << 63,
 		}},
@@ -134,7 +134,7 @@
 			tr := newTrio(t)
 			if before {
 				tr.step(0, Event{Submit: &statemachine.Change{ID: "claimed", Epoch: 1, Claim: &statemachine.Claim{Leader: "oa0"}}})
-				tr.step(0, Event{Submit: &statemachine.Change{ID: "fleet", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: "q", Incarnation: "q", CapacityMb: 10, Slots: 1}}}}})
+				tr.step(0, Event{Submit: &statemachine.Change{ID: "fleet", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: "q", Incarnation: "q", CapacityMB: 10, Slots: 1}}}}})
 			}
 			if broken := survives(tr, 0, Event{Submit: &c}); broken != "" {
 				t.Errorf("%q, with a replica %v: %.900s", c.ID, before, broken)
--- a/internal/controlplane/distribution/frame_publisher_test.go
+++ b/internal/controlplane/distribution/frame_publisher_test.go
@@ -23,7 +23,7 @@
 	s.Apply(1, statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: doc}})
 	update := &statemachine.LeaderUpdate{}
 	for _, id := range ids {
-		update.Replicas = append(update.Replicas, statemachine.ReplicaUpdate{ID: id, Incarnation: id, Addr: id, CapacityMb: 100, Slots: 4, Service: "s", ResidentKnown: true, Resident: []statemachine.ResidentUnit{{Unit: "m1", SizeMb: 10}}})
+		update.Replicas = append(update.Replicas, statemachine.ReplicaUpdate{ID: id, Incarnation: id, Addr: id, CapacityMB: 100, Slots: 4, Service: "s", ResidentKnown: true, Resident: []statemachine.ResidentUnit{{Unit: "m1", SizeMB: 10}}})
 		update.Commands = append(update.Commands, statemachine.ReplicaCommand{Revision: 1, Replica: id, Incarnation: id, Action: statemachine.Load, Unit: "m2"})
 	}
 	if out := s.Apply(2, statemachine.Change{ID: "d", LeaderUpdate: update}); out.Fault != nil || len(out.Faults) > 0 {
--- a/internal/controlplane/placement/check.go
+++ b/internal/controlplane/placement/check.go
@@ -78,7 +78,7 @@
 	if f := c.spendStoreRate(p, sizeMb); f != nil {
 		return t, f
 	}
-	t.SizeMb = sizeMb
+	t.SizeMB = sizeMb
 	return t, nil
 }
 
@@ -95,7 +95,7 @@
 		if !held {
 			return t, fault.New(fault.UnitNotLoaded, p.Replica, "%s is not held", p.Unit)
 		}
-		t.SizeMb = heldMb
+		t.SizeMB = heldMb
 		return t, nil
 	case statemachine.Load:
 		return t, nil
@@ -131,8 +131,8 @@
 
 // checkCapacity: a unit fits beside all that is held or on its way.
 func (c *checker) checkCapacity(r *statemachine.Replica, p Proposal, sizeMb int64) *fault.Fault {
-	if takenMb := c.state.ReservedMb(r.ID); takenMb+sizeMb > r.CapacityMb {
-		return fault.New(fault.InsufficientCapacity, p.Replica, "%s takes %d MB, %d of %d MB are taken", p.Unit, sizeMb, takenMb, r.CapacityMb)
+	if takenMb := c.state.ReservedMB(r.ID); takenMb+sizeMb > r.CapacityMB {
+		return fault.New(fault.InsufficientCapacity, p.Replica, "%s takes %d MB, %d of %d MB are taken", p.Unit, sizeMb, takenMb, r.CapacityMB)
 	}
 	return nil
 }
--- a/internal/controlplane/placement/resident_test.go
+++ b/internal/controlplane/placement/resident_test.go
@@ -40,22 +40,22 @@
 		t.Fatal(out.Fault)
 	}
 	for i := range 1 + r.Intn(9) {
-		n := statemachine.ReplicaUpdate{ID: fmt.Sprint("r", i), Incarnation: "i", Addr: "a", Zone: "z", CapacityMb: 100, Slots: 8, Service: "s", ResidentKnown: true, Draining: r.Intn(10) == 0, Unreachable: r.Intn(10) == 0}
+		n := statemachine.ReplicaUpdate{ID: fmt.Sprint("r", i), Incarnation: "i", Addr: "a", Zone: "z", CapacityMB: 100, Slots: 8, Service: "s", ResidentKnown: true, Draining: r.Intn(10) == 0, Unreachable: r.Intn(10) == 0}
 		left, places := int64(100), e.MaxAdapters
 		for _, m := range r.Perm(len(e.Models)) {
 			if m := e.Models[m]; m.SizeMB <= left && r.Intn(3) > 0 {
-				n.Resident = append(n.Resident, statemachine.ResidentUnit{Unit: m.Name, SizeMb: m.SizeMB})
+				n.Resident = append(n.Resident, statemachine.ResidentUnit{Unit: m.Name, SizeMB: m.SizeMB})
 				left -= m.SizeMB
 				for a := 1; a <= m.Adapters; a++ {
 					if places > 0 && m.AdapterMB <= left && r.Intn(2) == 0 {
-						n.Resident = append(n.Resident, statemachine.ResidentUnit{Unit: fmt.Sprint(m.Name, "/a", a), SizeMb: m.AdapterMB})
+						n.Resident = append(n.Resident, statemachine.ResidentUnit{Unit: fmt.Sprint(m.Name, "/a", a), SizeMB: m.AdapterMB})
 						places, left = places-1, left-m.AdapterMB
 					}
 				}
 			}
 		}
 		if r.Intn(20) == 0 && left > 3 {
-			n.Resident = append(n.Resident, statemachine.ResidentUnit{Unit: "of an older configuration", SizeMb: 3})
+			n.Resident = append(n.Resident, statemachine.ResidentUnit{Unit: "of an older configuration", SizeMB: 3})
 		}
 		h.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{n}}})
 		h.ages[n.ID] = map[string]int64{}
@@ -82,7 +82,7 @@
 	h.in.Candidates = nil
 	for _, id := range h.s.ReplicaIDs() {
 		r := h.s.Replicas[id]
-		home := Candidate{ID: id, Usable: !r.Draining && !r.Unreachable, FreeMb: r.CapacityMb - h.s.ReservedMb(id), SizeMbOf: maps.Clone(r.Resident), WarmUnits: maps.Clone(r.EverLoaded),
+		home := Candidate{ID: id, Usable: !r.Draining && !r.Unreachable, FreeMb: r.CapacityMB - h.s.ReservedMB(id), SizeMbOf: maps.Clone(r.Resident), WarmUnits: maps.Clone(r.EverLoaded),
 			Running: map[string]int{}, Unstarted: map[string]int{}, ResidentMs: h.ages[id]}
 		if t, pending := h.s.Pending[id]; pending {
 			home.Busy = true
--- a/internal/controlplane/placement/routed.go
+++ b/internal/controlplane/placement/routed.go
@@ -35,6 +35,6 @@
 		}
 		c.storeLeft--
 	}
-	t.SizeMb = sizeMb
+	t.SizeMB = sizeMb
 	return t, nil
 }
--- a/internal/controlplane/statemachine/commands.go
+++ b/internal/controlplane/statemachine/commands.go
@@ -25,7 +25,7 @@
 	Incarnation string `json:"inc"`
 	Action      Action `json:"step"`
 	Unit        string `json:"unit"`
-	SizeMb      int64  `json:"sizeMb"`
+	SizeMB      int64  `json:"sizeMb"`
 	Reason      string `json:"why,omitempty"`
 }
 
@@ -80,10 +80,10 @@
 // applyCommand changes what a replica holds as a ticket says.
 func (s *State) applyCommand(replica *Replica, command ReplicaCommand) {
 	if command.Action == Load {
-		replica.Resident[command.Unit] = command.SizeMb
+		replica.Resident[command.Unit] = command.SizeMB
 		replica.recordLoaded(command.Unit)
 		s.TotalLoads++
-		s.TotalLoadedMb += command.SizeMb
+		s.TotalLoadedMB += command.SizeMB
 		return
 	}
 	delete(replica.Resident, command.Unit)
@@ -114,16 +114,16 @@
 		if s.Doc == nil {
 			return fault.New(fault.PolicyInvalidResult, command.Unit, "no declaration yet")
 		}
-		sizeMb, known := s.unitSizeMb(r, command.Unit)
+		sizeMB, known := s.unitSize(r, command.Unit)
 		if !known {
 			return fault.New(fault.PolicyInvalidResult, command.Unit, "no such model or adapter")
 		}
-		command.SizeMb = sizeMb
+		command.SizeMB = sizeMB
 		if f := s.checkAdapter(r, command.Unit); f != nil {
 			return f
 		}
-		if reservedMb := s.ReservedMb(command.Replica); reservedMb+sizeMb > r.CapacityMb {
-			return fault.New(fault.InsufficientCapacity, command.Replica, "%s takes %d MB, %d of %d MB are taken", command.Unit, sizeMb, reservedMb, r.CapacityMb)
+		if reservedMB := s.ReservedMB(command.Replica); reservedMB+sizeMB > r.CapacityMB {
+			return fault.New(fault.InsufficientCapacity, command.Replica, "%s takes %d MB, %d of %d MB are taken", command.Unit, sizeMB, reservedMB, r.CapacityMB)
 		}
 		if !s.Doc.Routed() && s.PendingLoads() >= s.Doc.Store.Loads {
 			return fault.New(fault.StoreRateLimited, command.Replica, "%d loads are running", s.PendingLoads())
@@ -132,7 +132,7 @@
 		if !resident {
 			return fault.New(fault.UnitNotLoaded, command.Replica, "%s is not held", command.Unit)
 		}
-		command.SizeMb = r.Resident[command.Unit]
+		command.SizeMB = r.Resident[command.Unit]
 	default:
 		return fault.New(fault.PolicyInvalidResult, command.Replica, "no such step %q", command.Action)
 	}
@@ -146,13 +146,13 @@
 	return nil
 }
 
-func (s *State) unitSizeMb(r *Replica, unit string) (int64, bool) {
+func (s *State) unitSize(r *Replica, unit string) (int64, bool) {
 	if r.Service != "" {
-		sizeMb, _, known := s.Doc.EngineUnitSize(r.Service, unit)
-		return sizeMb, known
+		sizeMB, _, known := s.Doc.EngineUnitSize(r.Service, unit)
+		return sizeMB, known
 	}
-	sizeMb, _, known := s.Doc.UnitSize(unit)
-	return sizeMb, known
+	sizeMB, _, known := s.Doc.UnitSize(unit)
+	return sizeMB, known
 }
 
 // checkAdapter: an adapter of a service's model needs the model there, and one of the replica's places.
--- a/internal/controlplane/statemachine/configuration.go
+++ b/internal/controlplane/statemachine/configuration.go
@@ -143,18 +143,18 @@
 	return edits, revision <= s.Revision && uint64(len(edits)) == s.Revision-revision
 }
 
-func (s *State) checkModelSizes(d *configuration.Declaration) *fault.Fault {
-	var largestMb int64
+func (s *State) checkModelSizes(declaration *configuration.Declaration) *fault.Fault {
+	var largestMB int64
 	for _, r := range s.Replicas {
-		largestMb = max(largestMb, r.CapacityMb)
+		largestMB = max(largestMB, r.CapacityMB)
 	}
-	sheet := &fault.List{}
-	if largestMb > 0 {
-		for _, m := range d.Models {
-			if m.SizeMB > largestMb {
-				sheet.Addf(fault.InvalidConfig, "models."+m.Name+".sizeMb", "%d MB fits no listed replica (largest %d MB)", m.SizeMB, largestMb)
+	invalid := &fault.List{}
+	if largestMB > 0 {
+		for _, m := range declaration.Models {
+			if m.SizeMB > largestMB {
+				invalid.Addf(fault.InvalidConfig, "models."+m.Name+".sizeMb", "%d MB fits no listed replica (largest %d MB)", m.SizeMB, largestMB)
 			}
 		}
 	}
-	return sheet.Combined(fault.InvalidConfig)
+	return invalid.Combined(fault.InvalidConfig)
 }
--- a/internal/controlplane/statemachine/configuration_test.go
+++ b/internal/controlplane/statemachine/configuration_test.go
@@ -194,7 +194,7 @@
 	if out := s.Apply(index, order(0, 1, doc, nil)); out.Fault != nil {
 		t.Fatal(out.Fault)
 	}
-	do(LeaderUpdate{Replicas: []ReplicaUpdate{{ID: "r", Incarnation: "r", CapacityMb: 100, Slots: 1, Service: "s", ResidentKnown: true}}})
+	do(LeaderUpdate{Replicas: []ReplicaUpdate{{ID: "r", Incarnation: "r", CapacityMB: 100, Slots: 1, Service: "s", ResidentKnown: true}}})
 	ticket := func(step Action, unit string) ReplicaCommand {
 		return ReplicaCommand{Replica: "r", Incarnation: "r", Revision: s.Revision, Action: step, Unit: unit}
 	}
@@ -221,7 +221,7 @@
 			continue
 		}
 		stands := s.Pending["r"]
-		if c.step == Load && s.ReservedMb("r") < s.Replicas["r"].Resident["m"]+stands.SizeMb {
+		if c.step == Load && s.ReservedMB("r") < s.Replicas["r"].Resident["m"]+stands.SizeMB {
 			t.Errorf("%s in doubt has lost its room", c.unit)
 		}
 		if busy := do(LeaderUpdate{Commands: []ReplicaCommand{ticket(Load, "o")}}); len(busy) != 1 || busy[0].Code != fault.ReplicaBusy {
@@ -229,7 +229,7 @@
 		}
 		do(LeaderUpdate{Results: []CommandResult{{Number: stands.Number, Succeeded: c.done}}})
 	}
-	want := &Replica{ID: "r", Incarnation: "r", CapacityMb: 100, Slots: 1, Service: "s", Resident: map[string]int64{"o": 30}, EverLoaded: map[string]bool{"m": true, "n": true, "o": true}, NextAttempt: 1}
+	want := &Replica{ID: "r", Incarnation: "r", CapacityMB: 100, Slots: 1, Service: "s", Resident: map[string]int64{"o": 30}, EverLoaded: map[string]bool{"m": true, "n": true, "o": true}, NextAttempt: 1}
 	if diff := cmp.Diff(want, s.Replicas["r"], cmpopts.IgnoreFields(Replica{}, "ModifiedIndex")); diff != "" {
 		t.Error(diff)
 	}
@@ -238,7 +238,7 @@
 	if faults := do(LeaderUpdate{Commands: []ReplicaCommand{stale}}); len(faults) != 1 || faults[0].Code != fault.StaleBase {
 		t.Errorf("proposed under an older revision: %v", faults)
 	}
-	if faults := do(LeaderUpdate{Replicas: []ReplicaUpdate{{ID: "r", Incarnation: "r2", CapacityMb: 100, Slots: 1, Service: "s"}}, Commands: []ReplicaCommand{ticket(Load, "n")}}); len(faults) != 1 || faults[0].Code != fault.ReplicaUnknown || len(s.Replicas["r"].EverLoaded) != 0 {
+	if faults := do(LeaderUpdate{Replicas: []ReplicaUpdate{{ID: "r", Incarnation: "r2", CapacityMB: 100, Slots: 1, Service: "s"}}, Commands: []ReplicaCommand{ticket(Load, "n")}}); len(faults) != 1 || faults[0].Code != fault.ReplicaUnknown || len(s.Replicas["r"].EverLoaded) != 0 {
 		t.Errorf("for an incarnation that has ended: %v", faults)
 	}
 }
--- a/internal/controlplane/statemachine/leader_update.go
+++ b/internal/controlplane/statemachine/leader_update.go
@@ -39,50 +39,50 @@
 		out.Fault = fault.New(fault.StaleEpoch, "epoch", "written under %d, current is %d", c.Epoch, s.Epoch)
 		return
 	}
-	sheet := &fault.List{}
+	rejected := &fault.List{}
 	changed := false
-	for _, n := range c.LeaderUpdate.Replicas {
-		s.upsertReplica(n)
+	for _, replica := range c.LeaderUpdate.Replicas {
+		s.upsertReplica(replica)
 		changed = true
 	}
 	for _, id := range c.LeaderUpdate.RemovedReplicas {
 		s.removeReplica(id)
 		changed = true
 	}
-	for _, d := range c.LeaderUpdate.Results {
-		changed = s.resolveCommand(d) || changed
+	for _, result := range c.LeaderUpdate.Results {
+		changed = s.resolveCommand(result) || changed
 	}
-	for _, t := range c.LeaderUpdate.Commands {
-		if f := s.issueCommand(c.Epoch, t); f != nil {
-			sheet.Add(f)
+	for _, command := range c.LeaderUpdate.Commands {
+		if f := s.issueCommand(c.Epoch, command); f != nil {
+			rejected.Add(f)
 		}
 	}
 	s.forgetKeys(c.LeaderUpdate.ForgetKeysBefore)
 	for _, gateway := range c.LeaderUpdate.RemovedGateways {
 		s.removeGateway(gateway)
 	}
-	for _, g := range c.LeaderUpdate.Grants {
-		if f := s.issueGrant(c.Epoch, g); f != nil {
-			sheet.Add(f)
+	for _, request := range c.LeaderUpdate.Grants {
+		if f := s.issueGrant(c.Epoch, request); f != nil {
+			rejected.Add(f)
 			continue
 		}
 		changed = true
 	}
-	for id, shares := range c.LeaderUpdate.Quotas {
-		if r := s.Replicas[id]; r != nil && totalQuota(shares) <= r.Slots {
-			r.Quotas = shares
+	for id, quotas := range c.LeaderUpdate.Quotas {
+		if r := s.Replicas[id]; r != nil && totalQuota(quotas) <= r.Slots {
+			r.Quotas = quotas
 			changed = true
 		}
 	}
 	if changed {
 		s.UpdateIndex = s.Index
 	}
-	out.Faults = sheet.Faults
+	out.Faults = rejected.Faults
 }
 
-func totalQuota(shares map[string]int) int {
+func totalQuota(quotas map[string]int) int {
 	sum := 0
-	for _, n := range shares {
+	for _, n := range quotas {
 		sum += n
 	}
 	return sum
--- a/internal/controlplane/statemachine/replicas.go
+++ b/internal/controlplane/statemachine/replicas.go
@@ -14,7 +14,7 @@
 	Incarnation   string           `json:"inc"`
 	Addr          string           `json:"addr"`
 	Zone          string           `json:"zone"`
-	CapacityMb    int64            `json:"roomMb"`
+	CapacityMB    int64            `json:"roomMb"`
 	Slots         int              `json:"slots"`
 	Draining      bool             `json:"leaving,omitempty"`
 	RemainingMs   int64            `json:"leftMs,omitempty"`
@@ -31,8 +31,8 @@
 }
 
 // AcceptsLoads says whether a replica may be given more to hold.
-func (r *Replica) AcceptsLoads(d *configuration.Declaration) bool {
-	return !r.Draining && !r.Unreachable && r.Incarnation != "" && (d == nil || !d.IsDrained(r.Zone))
+func (r *Replica) AcceptsLoads(declaration *configuration.Declaration) bool {
+	return !r.Draining && !r.Unreachable && r.Incarnation != "" && (declaration == nil || !declaration.IsDrained(r.Zone))
 }
 
 // ReplicaUpdate writes down what a replica says of itself; Holds counts only with Told.
@@ -41,7 +41,7 @@
 	Incarnation   string         `json:"inc"`
 	Addr          string         `json:"addr"`
 	Zone          string         `json:"zone"`
-	CapacityMb    int64          `json:"roomMb"`
+	CapacityMB    int64          `json:"roomMb"`
 	Slots         int            `json:"slots"`
 	Draining      bool           `json:"leaving,omitempty"`
 	RemainingMs   int64          `json:"leftMs,omitempty"`
@@ -56,7 +56,7 @@
 // ResidentUnit is a model or an adapter at a replica, and the room it takes.
 type ResidentUnit struct {
 	Unit   string `json:"unit"`
-	SizeMb int64  `json:"sizeMb"`
+	SizeMB int64  `json:"sizeMb"`
 }
 
 // ReplicaIDs are all replicas in order.
@@ -64,23 +64,23 @@
 	return slices.Sorted(maps.Keys(s.Replicas))
 }
 
-// ReservedMb counts what is held and what may be held: a load in doubt keeps its room,
+// ReservedMB counts what is held and what may be held: a load in doubt keeps its room,
 // and an unload gives its room back only once it is settled.
-func (s *State) ReservedMb(replica string) int64 {
+func (s *State) ReservedMB(replica string) int64 {
 	row := s.Replicas[replica]
 	if row == nil {
 		return 0
 	}
-	var sumMb int64
+	var sumMB int64
 	for _, mb := range row.Resident {
-		sumMb += mb
+		sumMB += mb
 	}
 	if command, ok := s.Pending[replica]; ok && command.Action == Load {
 		if _, resident := row.Resident[command.Unit]; !resident {
-			sumMb += command.SizeMb
+			sumMB += command.SizeMB
 		}
 	}
-	return sumMb
+	return sumMB
 }
 
 func (s *State) upsertReplica(update ReplicaUpdate) {
@@ -94,7 +94,7 @@
 		r = &Replica{ID: update.ID, Incarnation: update.Incarnation, Resident: map[string]int64{}, NextAttempt: 1}
 		s.Replicas[update.ID] = r
 	}
-	r.Addr, r.Zone, r.CapacityMb, r.Slots = update.Addr, update.Zone, update.CapacityMb, update.Slots
+	r.Addr, r.Zone, r.CapacityMB, r.Slots = update.Addr, update.Zone, update.CapacityMB, update.Slots
 	r.Draining, r.RemainingMs, r.Unreachable, r.Service = update.Draining, update.RemainingMs, update.Unreachable, update.Service
 	r.ModifiedIndex, s.ReplicasIndex = s.Index, s.Index
 	if update.ResidentKnown {
@@ -103,10 +103,10 @@
 }
 
 // setResident sets all that a replica holds, and after how many orders, where that is known.
-func (r *Replica) setResident(units []ResidentUnit, orders *uint64) {
-	r.Resident, r.CommandsTaken = map[string]int64{}, orders
+func (r *Replica) setResident(units []ResidentUnit, commandsTaken *uint64) {
+	r.Resident, r.CommandsTaken = map[string]int64{}, commandsTaken
 	for _, unit := range units {
-		r.Resident[unit.Unit] = unit.SizeMb
+		r.Resident[unit.Unit] = unit.SizeMB
 		r.recordLoaded(unit.Unit)
 	}
 }
--- a/internal/controlplane/statemachine/state.go
+++ b/internal/controlplane/statemachine/state.go
@@ -68,7 +68,7 @@
 	Membership    *MembershipChange     `json:"member,omitempty"`
 	MembershipID  string                `json:"memberId,omitempty"`
 	TotalLoads    uint64                `json:"loads"`
-	TotalLoadedMb int64                 `json:"loadedMb"`
+	TotalLoadedMB int64                 `json:"loadedMb"`
 }
 
 // NewState is the state before the first entry.
--- a/internal/controlplane/statemachine/state_test.go
+++ b/internal/controlplane/statemachine/state_test.go
@@ -18,7 +18,7 @@
 	must(t, s, Change{ID: "claim", Epoch: 1, Claim: &Claim{Leader: "one"}})
 	notes := []ReplicaUpdate{}
 	for i := 0; i < 4; i++ {
-		notes = append(notes, ReplicaUpdate{ID: fmt.Sprintf("r%d", i), Incarnation: "i", CapacityMb: 100, Slots: 4})
+		notes = append(notes, ReplicaUpdate{ID: fmt.Sprintf("r%d", i), Incarnation: "i", CapacityMB: 100, Slots: 4})
 	}
 	must(t, s, Change{ID: "n", Epoch: 1, LeaderUpdate: &LeaderUpdate{Replicas: notes}})
 	return s
@@ -65,7 +65,7 @@
 		t.Fatalf("beyond room got %q", got)
 	}
 	must(t, s, Change{ID: "u", Epoch: 1, LeaderUpdate: &LeaderUpdate{Commands: []ReplicaCommand{{Replica: "r0", Incarnation: "i", Revision: 1, Action: Unload, Unit: "a"}}}})
-	if s.ReservedMb("r0") != 60 {
+	if s.ReservedMB("r0") != 60 {
 		t.Fatal("an unconfirmed unload gave its room back")
 	}
 	if len(s.Replicas["r1"].Resident) != 0 {
@@ -102,7 +102,7 @@
 	if _, kept := s.Grants[Grant{Gateway: "y", Replica: "r0", Model: "a"}.Key()]; kept {
 		t.Fatal("a gone gateway keeps its grant")
 	}
-	must(t, s, Change{ID: "n2", Epoch: 1, LeaderUpdate: &LeaderUpdate{Replicas: []ReplicaUpdate{{ID: "r0", Incarnation: "new", CapacityMb: 100, Slots: 4}}}})
+	must(t, s, Change{ID: "n2", Epoch: 1, LeaderUpdate: &LeaderUpdate{Replicas: []ReplicaUpdate{{ID: "r0", Incarnation: "new", CapacityMB: 100, Slots: 4}}}})
 	if len(s.Grants) != 0 {
 		t.Fatal("grants outlive the replica they were for")
 	}
--- a/internal/dataplane/controlclient/mirror_test.go
+++ b/internal/dataplane/controlclient/mirror_test.go
@@ -206,7 +206,7 @@
 		return
 	}
 	if have == nil {
-		c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: id, Incarnation: id, Addr: id, Zone: "a", CapacityMb: 100, Slots: 4, Service: "s", ResidentKnown: true}}}})
+		c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: id, Incarnation: id, Addr: id, Zone: "a", CapacityMB: 100, Slots: 4, Service: "s", ResidentKnown: true}}}})
 		return
 	}
 	t = statemachine.ReplicaCommand{Replica: id, Incarnation: id, Revision: c.head.Revision, Action: statemachine.Load, Unit: []string{"m1", "m2", "m3", "m1/a1"}[c.r.Intn(4)]}
--- a/tests/modelserver/core.go
+++ b/tests/modelserver/core.go
@@ -98,7 +98,7 @@
 	}
 	sort.Strings(units)
 	for _, u := range units {
-		st.Loaded = append(st.Loaded, statemachine.ResidentUnit{Unit: u, SizeMb: c.holds[u]})
+		st.Loaded = append(st.Loaded, statemachine.ResidentUnit{Unit: u, SizeMB: c.holds[u]})
 	}
 	if c.last != nil {
 		last := *c.last
@@ -143,13 +143,13 @@
 	c.last = &wire.OrderState{Number: t.Number, Epoch: t.Epoch, State: wire.OrderRunning}
 	switch t.Action {
 	case statemachine.Load:
-		if c.TakenMb()+t.SizeMb > c.opts.RoomMb {
+		if c.TakenMb()+t.SizeMB > c.opts.RoomMb {
 			seen.Over = true
 			c.last.State, c.last.Reason = wire.OrderFailed, "no room"
 			return *c.last, false
 		}
 		held := t
-		c.order, c.doneUs, c.fetched = &held, nowUs+c.opts.LoadUs(t.SizeMb), !c.opts.Fetch
+		c.order, c.doneUs, c.fetched = &held, nowUs+c.opts.LoadUs(t.SizeMB), !c.opts.Fetch
 		return *c.last, true
 	case statemachine.Unload:
 		held := t
@@ -172,7 +172,7 @@
 		}
 		delete(c.holds, c.order.Unit)
 	} else {
-		c.holds[c.order.Unit] = c.order.SizeMb
+		c.holds[c.order.Unit] = c.order.SizeMB
 	}
 	c.last.State = wire.OrderDone
 	c.order = nil
--- a/tests/modelserver/host.go
+++ b/tests/modelserver/host.go
@@ -103,7 +103,7 @@
 // fetch holds one request to the weight store for as long as the weights take.
 func (h *Host) fetch(o wire.Order) {
 	id, _ := h.core.ID()
-	raw, _ := json.Marshal(map[string]any{"replica": id, "unit": o.Command.Unit, "sizeMb": o.Command.SizeMb, "holdUs": h.core.LoadUs(o.Command.SizeMb)})
+	raw, _ := json.Marshal(map[string]any{"replica": id, "unit": o.Command.Unit, "sizeMb": o.Command.SizeMB, "holdUs": h.core.LoadUs(o.Command.SizeMB)})
 	res, err := http.Post("http://"+h.store+"/store/fetch", "application/json", bytes.NewReader(raw))
 	if err == nil {
 		_ = res.Body.Close()
--- a/tests/simulator/sim.go
+++ b/tests/simulator/sim.go
@@ -586,14 +586,14 @@
 		return state
 	}
 	before := len(s.plat.Store.Broken)
-	if store := s.plat.Store; store.Running()+1 >= store.Loads || store.LevelMb(s.nowUs)+float64(o.Command.SizeMb) > 0.8*float64(store.BurstMb) {
+	if store := s.plat.Store; store.Running()+1 >= store.Loads || store.LevelMb(s.nowUs)+float64(o.Command.SizeMB) > 0.8*float64(store.BurstMb) {
 		s.watch.Stake(rules.OverStore)
 	}
-	s.plat.Store.Fetch(s.nowUs, platform.Fetch{Replica: p.addr, Unit: o.Command.Unit, SizeMb: o.Command.SizeMb})
+	s.plat.Store.Fetch(s.nowUs, platform.Fetch{Replica: p.addr, Unit: o.Command.Unit, SizeMb: o.Command.SizeMB})
 	for _, b := range s.plat.Store.Broken[before:] {
 		s.watch.Break(rules.OverStore, "%s", b)
 	}
-	holdUs := p.core.LoadUs(o.Command.SizeMb)
+	holdUs := p.core.LoadUs(o.Command.SizeMB)
 	if _, loadMs, known := s.plan.Doc.UnitSize(o.Command.Unit); known && s.plan.Declared {
 		holdUs = loadMs * ms
 	}
