--- a/cmd/petreltide/status.go
+++ b/cmd/petreltide/status.go
@@ -148,8 +148,8 @@
 		fmt.Fprintf(w, "tries     %s at %s: %d of %d further ones sent for %d calls, a share among %d gateways\n", b.Service, st.Gateway, b.Spent, b.Most, b.Calls, b.Gateways)
 	}
 	for _, replica := range slices.Sorted(maps.Keys(st.Connections)) {
-		if c := st.Connections[replica]; c.Open >= c.Most {
-			fmt.Fprintf(w, "full      %s has all its %d connections to %s open\n", st.Gateway, c.Most, replica)
+		if c := st.Connections[replica]; c.Open >= c.Max {
+			fmt.Fprintf(w, "full      %s has all its %d connections to %s open\n", st.Gateway, c.Max, replica)
 		}
 	}
 }
--- a/internal/dataplane/controlclient/mirror_test.go
+++ b/internal/dataplane/controlclient/informer_test.go
@@ -62,7 +62,7 @@
 // screen is a gateway's mirror with its streams to the control nodes; frames travel as JSON.
 type screen struct {
 	t       *testing.T
-	m       *Mirror
+	m       *Informer
 	cores   map[string]*core
 	streams map[uint64]*core
 	down    map[string]bool
@@ -79,22 +79,22 @@
 		s.cores[c.addr] = c
 		addrs = append(addrs, c.addr)
 	}
-	s.m = NewMirror(Options{Gateway: gateway, Incarnation: "i", Seeds: addrs})
+	s.m = NewInformer(Options{Gateway: gateway, Incarnation: "i", Seeds: addrs})
 	return s
 }
 
-func (s *screen) step(nowUs int64, ev MirrorEvent) {
+func (s *screen) step(nowUs int64, ev InformerEvent) {
 	ev.NowUs = nowUs
 	for _, e := range s.m.Step(ev) {
 		switch {
 		case e.Open != nil:
 			s.opened++
-			s.asked = e.Open.Ask.Revision
+			s.asked = e.Open.Request.Revision
 			if c := s.cores[e.Open.Addr]; c != nil && !s.down[e.Open.Addr] {
-				c.hub.Follow(nowUs, e.Open.Ask)
+				c.hub.Follow(nowUs, e.Open.Request)
 				s.streams[e.Open.Number] = c
 			} else {
-				s.step(nowUs, MirrorEvent{Closed: e.Open.Number})
+				s.step(nowUs, InformerEvent{Closed: e.Open.Number})
 			}
 		case e.Close != 0:
 			s.hangUp(e.Close)
@@ -116,7 +116,7 @@
 
 func (s *screen) lose(nowUs int64, stream uint64) {
 	s.hangUp(stream)
-	s.step(nowUs, MirrorEvent{Closed: stream})
+	s.step(nowUs, InformerEvent{Closed: stream})
 }
 
 // carry brings what each control node has to tell; lose in 100 frames are lost, each with its stream.
@@ -140,10 +140,10 @@
 				s.t.Fatal(err)
 			}
 			f.ControlNode = c.addr
-			s.step(nowUs, MirrorEvent{Frame: &f, Stream: stream})
+			s.step(nowUs, InformerEvent{Frame: &f, Stream: stream})
 		}
 	}
-	s.step(nowUs, MirrorEvent{})
+	s.step(nowUs, InformerEvent{})
 }
 
 func (s *screen) open() []uint64 {
@@ -391,10 +391,10 @@
 		"one that does not fit":   {&wire.Frame{Revision: 6, EditsFrom: 5, Edits: []*configuration.Edit{{Version: 9, Routes: []configuration.Route{route("a", 2), route("a", 3)}}}}, 5, 1, true},
 		"a whole one instead":     {&wire.Frame{Revision: 9, Declaration: &configuration.Declaration{Version: 9, Routes: []configuration.Route{route("a", 4)}}}, 9, 4, false},
 	} {
-		m := NewMirror(Options{Gateway: "d", Seeds: []string{"one"}})
+		m := NewInformer(Options{Gateway: "d", Seeds: []string{"one"}})
 		stream := uint64(0)
 		closed := false
-		step := func(ev MirrorEvent) {
+		step := func(ev InformerEvent) {
 			for _, e := range m.Step(ev) {
 				if e.Open != nil {
 					stream = e.Open.Number
@@ -402,12 +402,12 @@
 				closed = closed || e.Close != 0
 			}
 		}
-		step(MirrorEvent{NowUs: clock.Sec})
-		step(MirrorEvent{NowUs: clock.Sec, Stream: stream, Frame: &wire.Frame{Complete: true, Revision: 5, Declaration: doc}})
+		step(InformerEvent{NowUs: clock.Sec})
+		step(InformerEvent{NowUs: clock.Sec, Stream: stream, Frame: &wire.Frame{Complete: true, Revision: 5, Declaration: doc}})
 		c.frame.Replicas = []wire.ReplicaRow{{ReplicaStatus: registry.ReplicaStatus{ID: "r", Seq: 1}}}
-		step(MirrorEvent{NowUs: clock.Sec + 1, Stream: stream, Frame: c.frame})
-		if m.revision != c.revision || m.doc.Route("a").TimeoutMs != c.ms || closed != c.dropped {
-			t.Errorf("%s: revision %d, %d ms, dropped %v", name, m.revision, m.doc.Route("a").TimeoutMs, closed)
+		step(InformerEvent{NowUs: clock.Sec + 1, Stream: stream, Frame: c.frame})
+		if m.revision != c.revision || m.declaration.Route("a").TimeoutMs != c.ms || closed != c.dropped {
+			t.Errorf("%s: revision %d, %d ms, dropped %v", name, m.revision, m.declaration.Route("a").TimeoutMs, closed)
 		}
 	}
 }
@@ -444,10 +444,10 @@
 		"stale at both":                   {row(0, stale), row(0, stale), at(0, func(n *wire.ReplicaUpdate) { n.Stale = true })},
 	} {
 		for turn := range 2 {
-			m := NewMirror(Options{Gateway: "d", Seeds: []string{"one", "two"}})
+			m := NewInformer(Options{Gateway: "d", Seeds: []string{"one", "two"}})
 			streams := []uint64{}
 			var snap *scheduling.Snapshot
-			step := func(ev MirrorEvent) {
+			step := func(ev InformerEvent) {
 				ev.NowUs = clock.Sec
 				for _, e := range m.Step(ev) {
 					if e.Open != nil {
@@ -458,14 +458,14 @@
 					}
 				}
 			}
-			step(MirrorEvent{})
+			step(InformerEvent{})
 			rows, orders := []wire.ReplicaRow{c.a, c.b}, []wire.PendingOrders{{Number: 4, Rows: []wire.PendingOrder{{Replica: "r", Unit: "new"}}}, {Number: 3, Rows: []wire.PendingOrder{{Replica: "r", Unit: "old", Unload: true}}}}
 			if turn == 1 {
 				slices.Reverse(rows)
 				slices.Reverse(orders)
 			}
 			for i, stream := range streams {
-				step(MirrorEvent{Stream: stream, Frame: &wire.Frame{Complete: true, Replicas: []wire.ReplicaRow{rows[i]}, Orders: &orders[i]}})
+				step(InformerEvent{Stream: stream, Frame: &wire.Frame{Complete: true, Replicas: []wire.ReplicaRow{rows[i]}, Orders: &orders[i]}})
 			}
 			want := c.want
 			if want != nil {
@@ -484,10 +484,10 @@
 // the time its next copies were asked for; at 400 gateways reports must still not crowd the one who reads them.
 func TestReportsComeOftenEnoughToSeeARise(t *testing.T) {
 	for _, c := range []struct{ gateways, least, most int }{{9, 30, 40}, {63, 20, 30}, {400, 5, 10}} {
-		m := NewMirror(Options{Gateway: "d", Seeds: []string{"one"}})
+		m := NewInformer(Options{Gateway: "d", Seeds: []string{"one"}})
 		stream, reports := uint64(0), 0
 		for us := clock.Sec; us < 11*clock.Sec; us += 10 * clock.Ms {
-			ev := MirrorEvent{NowUs: us}
+			ev := InformerEvent{NowUs: us}
 			if stream > 0 && us%(200*clock.Ms) == 0 {
 				ev.Stream, ev.Frame = stream, &wire.Frame{Complete: true, GatewayCount: c.gateways}
 			}
@@ -522,7 +522,7 @@
 	for ; nowUs < clock.Sec+350*clock.Ms; nowUs += 50 * clock.Ms {
 		s.carry(nowUs, r, 0)
 	}
-	if most := 2 * 350 / 100; s.opened > most+mirrorStreams {
+	if most := 2 * 350 / 100; s.opened > most+streamCount {
 		t.Errorf("%d tries in 350 ms", s.opened)
 	}
 	clear(s.down)
--- a/internal/dataplane/controlclient/lost_test.go
+++ b/internal/dataplane/controlclient/lost_test.go
@@ -46,7 +46,7 @@
 			s.lose(nowUs, stream)
 		}
 	}
-	roundUs := int64(len(cores)) * mirrorTryUs
+	roundUs := int64(len(cores)) * openIntervalUs
 	for endUs := nowUs + roundUs + patienceUs; s.m.Live() == 0; nowUs += 50 * clock.Ms {
 		if nowUs > endUs {
 			t.Fatalf("it follows nobody %d ms after the loss", (roundUs+patienceUs)/clock.Ms)
@@ -57,12 +57,12 @@
 
 // A control node that answers again is in its place once more.
 func TestAControlNodeThatAnswersIsNoLongerLast(t *testing.T) {
-	m := NewMirror(Options{Gateway: "g", Incarnation: "i", Seeds: []string{"a"}})
-	m.failedUs["a"] = clock.Sec
+	m := NewInformer(Options{Gateway: "g", Incarnation: "i", Seeds: []string{"a"}})
+	m.failedAtUs["a"] = clock.Sec
 	m.sources[1] = &source{stream: 1, addr: "a", live: true}
-	m.answered(m.sources[1])
-	m.closed(2*clock.Sec, 1)
-	if _, failed := m.failedUs["a"]; failed {
+	m.markLive(m.sources[1])
+	m.streamClosed(2*clock.Sec, 1)
+	if _, failed := m.failedAtUs["a"]; failed {
 		t.Error("a stream that had brought frames counts as one that never came up")
 	}
 }
--- /dev/null
+++ b/internal/dataplane/controlclient/snapshot.go
@@ -0,0 +1,106 @@
+package controlclient
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"petreltide/internal/api/wire"
+	"petreltide/internal/dataplane/scheduling"
+)
+
+// publish writes what was folded as a snapshot that never changes; it shares with the last one what has not.
+func (i *Informer) publish(nowUs int64) {
+	i.snapshotNumber++
+	snap := &scheduling.Snapshot{
+		Number: i.snapshotNumber, View: i.view.Number, Revision: i.revision, Doc: i.declaration, AtUs: nowUs, Gateways: i.gatewayCount,
+		Trials: i.outliers.In(i.opts.Zone),
+	}
+	if i.snapshot != nil {
+		snap.Replicas, snap.ByService = i.snapshot.Replicas, i.snapshot.ByService
+	} else {
+		snap.Replicas, snap.ByService = map[string]*wire.ReplicaUpdate{}, map[string][]*wire.ReplicaUpdate{}
+	}
+	relist := i.copyChanged(snap)
+	if i.replicaIDs == nil {
+		i.replicaIDs = slices.Sorted(maps.Keys(i.replicas))
+	}
+	snap.IDs = i.replicaIDs
+	relistServices(snap, relist)
+	i.snapshot = snap
+	i.emit(InformerEffect{Snapshot: snap})
+}
+
+// copyChanged writes what is new of the replicas that were touched, and gives the services of which a replica came
+// or went: their lists are not right any more. A list that only has new rows is copied and written here.
+func (i *Informer) copyChanged(snap *scheduling.Snapshot) (relist map[string]bool) {
+	relist = map[string]bool{}
+	if len(i.changed) == 0 {
+		return relist
+	}
+	snap.Replicas, snap.ByService = maps.Clone(snap.Replicas), maps.Clone(snap.ByService)
+	copied := map[string]bool{}
+	for id := range i.changed {
+		previous := snap.Replicas[id]
+		r, known := i.replicas[id]
+		if !known {
+			if previous != nil {
+				delete(snap.Replicas, id)
+				relist[previous.Service], i.replicaIDs = true, nil
+			}
+			continue
+		}
+		update := i.updateOf(r)
+		snap.Replicas[id] = update
+		switch {
+		case previous == nil:
+			relist[r.Service], i.replicaIDs = true, nil
+		case previous.Service != r.Service:
+			relist[r.Service], relist[previous.Service] = true, true
+		default:
+			replaceRow(snap, copied, update)
+		}
+	}
+	clear(i.changed)
+	return relist
+}
+
+// replaceRow writes a replica's row anew in the list of its service, which is copied first if it is not yet.
+func replaceRow(snap *scheduling.Snapshot, copied map[string]bool, update *wire.ReplicaUpdate) {
+	if !copied[update.Service] {
+		copied[update.Service] = true
+		snap.ByService[update.Service] = slices.Clone(snap.ByService[update.Service])
+	}
+	rows := snap.ByService[update.Service]
+	at, _ := slices.BinarySearchFunc(rows, update.ID, func(n *wire.ReplicaUpdate, id string) int { return cmp.Compare(n.ID, id) })
+	rows[at] = update
+}
+
+// relistServices lists the replicas of some services anew, in the order of their names.
+func relistServices(snap *scheduling.Snapshot, services map[string]bool) {
+	if len(services) == 0 {
+		return
+	}
+	for service := range services {
+		delete(snap.ByService, service)
+	}
+	for _, id := range snap.IDs {
+		if update := snap.Replicas[id]; services[update.Service] {
+			snap.ByService[update.Service] = append(snap.ByService[update.Service], update)
+		}
+	}
+}
+
+// updateOf is a replica's row as the decider reads it.
+func (i *Informer) updateOf(r wire.ReplicaRow) *wire.ReplicaUpdate {
+	update := &wire.ReplicaUpdate{
+		ID: r.ID, Incarnation: r.ID, Addr: r.Addr, Zone: r.Zone, Service: r.Service, Slots: r.Slots, Draining: r.Draining, RemainingMs: r.RemainingMs,
+		Unreachable: r.Unreachable, Stale: r.Stale, Loaded: r.Units, MaxInFlight: r.Slots,
+	}
+	if o, stands := i.orders[r.ID]; stands && o.Unload {
+		update.Unloading = o.Unit
+	} else if stands {
+		update.Loading = o.Unit
+	}
+	return update
+}
--- a/internal/dataplane/controlclient/behind_test.go
+++ b/internal/dataplane/controlclient/staleness_test.go
@@ -32,7 +32,7 @@
 	d.log.config()
 	d.apply(func(*core) bool { return true })
 	d.pass(3 * clock.Sec)
-	if d.m.Live() != mirrorStreams || d.snap == nil || d.snap.Revision != 1 {
+	if d.m.Live() != streamCount || d.snap == nil || d.snap.Revision != 1 {
 		t.Fatalf("%d streams, %+v", d.m.Live(), d.snap)
 	}
 	return d
@@ -80,7 +80,7 @@
 				t.Errorf("seed %d: %s is followed, which is behind", seed, c.addr)
 			}
 		}
-		if n := len(d.streams); n != mirrorStreams {
+		if n := len(d.streams); n != streamCount {
 			t.Errorf("seed %d: %d streams", seed, n)
 		}
 	}
@@ -96,7 +96,7 @@
 		}
 		for range 200 {
 			d.pass(50 * clock.Ms)
-			if n := len(d.streams); n < mirrorStreams || n > mirrorStreams+1 {
+			if n := len(d.streams); n < streamCount || n > streamCount+1 {
 				t.Fatalf("seed %d: %d streams", seed, n)
 			}
 			if d.snap.Replicas["r"] == nil {
@@ -112,7 +112,7 @@
 			c.behind = false
 		}
 		d.pass(5 * clock.Sec)
-		if n := len(d.streams); n != mirrorStreams {
+		if n := len(d.streams); n != streamCount {
 			t.Errorf("seed %d: %d streams", seed, n)
 		}
 	}
--- a/internal/dataplane/controlclient/streams.go
+++ b/internal/dataplane/controlclient/streams.go
@@ -10,61 +10,61 @@
 	"petreltide/internal/process/clock"
 )
 
-func (m *Mirror) tick(nowUs int64, urgent bool) {
-	for _, n := range slices.Sorted(maps.Keys(m.sources)) {
-		if s := m.sources[n]; nowUs-s.heardUs > mirrorSilentUs {
-			m.drop(nowUs, s)
+func (i *Informer) tick(nowUs int64, urgent bool) {
+	for _, n := range slices.Sorted(maps.Keys(i.sources)) {
+		if s := i.sources[n]; nowUs-s.receivedAtUs > frameTimeoutUs {
+			i.drop(nowUs, s)
 		}
 	}
-	if len(m.outliers.Rows) > 0 && nowUs-m.judgedUs > verdictLostUs {
+	if len(i.outliers.Rows) > 0 && nowUs-i.outliersAtUs > outlierTimeoutUs {
 		// Nobody upholds these verdicts any more: this gateway goes by its own sight.
-		m.outliers.Rows = nil
-		if m.snap != nil {
-			m.publish(nowUs)
+		i.outliers.Rows = nil
+		if i.snapshot != nil {
+			i.publish(nowUs)
 		}
 	}
-	m.nearer(nowUs)
-	m.leaveBehind(nowUs)
-	if len(m.sources) < mirrorStreams && nowUs-m.triedUs >= m.unlessFirst(mirrorTryUs) {
-		m.open(nowUs, "")
+	i.preferZone(nowUs)
+	i.replaceStale(nowUs)
+	if len(i.sources) < streamCount && nowUs-i.openedAtUs >= i.backoff(openIntervalUs) {
+		i.open(nowUs, "")
 	}
-	m.report(nowUs, urgent)
+	i.report(nowUs, urgent)
 }
 
 // open takes the next control node in this gateway's own order, so that gateways spread over control nodes. Those that
 // did not answer come after the others, the one that was tried longest ago first: however many of them are gone for
 // good, all are tried in turn. The address named first, if any, comes before all.
-func (m *Mirror) open(nowUs int64, first string) {
-	m.triedUs = nowUs
-	taken := map[string]bool{}
-	for _, s := range m.sources {
-		taken[s.addr] = true
+func (i *Informer) open(nowUs int64, first string) {
+	i.openedAtUs = nowUs
+	followed := map[string]bool{}
+	for _, s := range i.sources {
+		followed[s.addr] = true
 	}
 	free := []string{}
-	for _, addr := range m.ControlNodes() {
-		if !taken[addr] && nowUs >= m.avoidUntilUs[addr] {
+	for _, addr := range i.ControlNodes() {
+		if !followed[addr] && nowUs >= i.backoffUntilUs[addr] {
 			free = append(free, addr)
 		}
 	}
 	slices.SortStableFunc(free, func(a, b string) int {
 		return cmp.Or(
 			compareFirst(first, a, b),
-			m.compareBehind(nowUs, a, b),
-			cmp.Compare(m.failedUs[a], m.failedUs[b]),
-			cmp.Compare(m.rank(a), m.rank(b)),
+			i.compareStaleness(nowUs, a, b),
+			cmp.Compare(i.failedAtUs[a], i.failedAtUs[b]),
+			cmp.Compare(i.rank(a), i.rank(b)),
 		)
 	})
-	main, own := false, m.own(nowUs)
-	for _, s := range m.sources {
-		main = main || (!s.spare && (own == "" || s.addr == own))
-	}
-	for _, addr := range free[:min(len(free), max(1, mirrorStreams-len(m.sources)))] {
-		m.streams++
-		spare := main
-		main = true
-		m.sources[m.streams] = &source{stream: m.streams, addr: addr, spare: spare, heardUs: nowUs, rows: map[string]wire.ReplicaRow{}}
-		m.do(MirrorEffect{Open: &Stream{Number: m.streams, Addr: addr, Ask: wire.SubscribeRequest{
-			Gateway: m.opts.Gateway, Incarnation: m.opts.Incarnation, Addr: m.opts.Addr, Zone: m.opts.Zone, Revision: m.revision, Standby: spare,
+	primary, preferred := false, i.zoneControlNode(nowUs)
+	for _, s := range i.sources {
+		primary = primary || (!s.standby && (preferred == "" || s.addr == preferred))
+	}
+	for _, addr := range free[:min(len(free), max(1, streamCount-len(i.sources)))] {
+		i.lastStream++
+		standby := primary
+		primary = true
+		i.sources[i.lastStream] = &source{stream: i.lastStream, addr: addr, standby: standby, receivedAtUs: nowUs, replicas: map[string]wire.ReplicaRow{}}
+		i.emit(InformerEffect{Open: &Stream{Number: i.lastStream, Addr: addr, Request: wire.SubscribeRequest{
+			Gateway: i.opts.Gateway, Incarnation: i.opts.Incarnation, Addr: i.opts.Addr, Zone: i.opts.Zone, Revision: i.revision, Standby: standby,
 		}}})
 	}
 }
@@ -80,80 +80,80 @@
 	return 0
 }
 
-// own is the control node of this gateway's own zone, if one is known that may be asked.
-func (m *Mirror) own(nowUs int64) string {
-	for _, id := range slices.Sorted(maps.Keys(m.controlNodes)) {
-		if o := m.controlNodes[id]; o.Zone != "" && o.Zone == m.opts.Zone && nowUs >= m.avoidUntilUs[o.Addr] && !m.wasBehind(nowUs, o.Addr, mirrorBehindNearUs) {
+// zoneControlNode is the control node of this gateway's own zone, if one is known that may be asked.
+func (i *Informer) zoneControlNode(nowUs int64) string {
+	for _, id := range slices.Sorted(maps.Keys(i.controlNodes)) {
+		if o := i.controlNodes[id]; o.Zone != "" && o.Zone == i.opts.Zone && nowUs >= i.backoffUntilUs[o.Addr] && !i.wasStale(nowUs, o.Addr, staleZoneBackoffUs) {
 			return o.Addr
 		}
 	}
 	return ""
 }
 
-// nearer lets the control node of this gateway's own zone be the main one, a stream at a time: what goes over a
+// preferZone lets the control node of this gateway's own zone be the main one, a stream at a time: what goes over a
 // spare stream is little, and the rest then need not cross zones.
-func (m *Mirror) nearer(nowUs int64) {
-	own := m.own(nowUs)
-	if own == "" || len(m.sources) != mirrorStreams || m.Live() < mirrorStreams {
+func (i *Informer) preferZone(nowUs int64) {
+	preferred := i.zoneControlNode(nowUs)
+	if preferred == "" || len(i.sources) != streamCount || i.Live() < streamCount {
 		return
 	}
-	var main, spare *source
-	for _, n := range slices.Sorted(maps.Keys(m.sources)) {
-		switch s := m.sources[n]; {
-		case s.addr == own && !s.spare:
-			main = s
-		case s.addr == own:
-			spare = s
+	var primary, standby *source
+	for _, n := range slices.Sorted(maps.Keys(i.sources)) {
+		switch s := i.sources[n]; {
+		case s.addr == preferred && !s.standby:
+			primary = s
+		case s.addr == preferred:
+			standby = s
 		}
 	}
 	var drop *source
-	for _, n := range slices.Sorted(maps.Keys(m.sources)) {
-		s := m.sources[n]
+	for _, n := range slices.Sorted(maps.Keys(i.sources)) {
+		s := i.sources[n]
 		switch {
-		case main != nil && s != main && !s.spare, main == nil && spare != nil && s == spare, main == nil && spare == nil && s.spare:
+		case primary != nil && s != primary && !s.standby, primary == nil && standby != nil && s == standby, primary == nil && standby == nil && s.standby:
 			drop = s
 		}
 	}
 	if drop != nil {
-		m.do(MirrorEffect{Close: drop.stream})
-		delete(m.sources, drop.stream)
-		m.open(nowUs, own)
+		i.emit(InformerEffect{Close: drop.stream})
+		delete(i.sources, drop.stream)
+		i.open(nowUs, preferred)
 	}
 }
 
 // rank is this gateway's own order of the control nodes: those of its zone, then by lot.
-func (m *Mirror) rank(addr string) uint64 {
-	for _, o := range m.controlNodes {
-		if o.Addr == addr && o.Zone == m.opts.Zone {
+func (i *Informer) rank(addr string) uint64 {
+	for _, o := range i.controlNodes {
+		if o.Addr == addr && o.Zone == i.opts.Zone {
 			return 0
 		}
 	}
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(m.opts.Gateway + "|" + addr))
+	_, _ = h.Write([]byte(i.opts.Gateway + "|" + addr))
 	x := h.Sum64()
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	return x ^ x>>33
 }
 
-func (m *Mirror) report(nowUs int64, urgent bool) {
+func (i *Informer) report(nowUs int64, urgent bool) {
 	if urgent {
-		m.urgentUs = nowUs
+		i.urgentAtUs = nowUs
 	}
-	spanUs := mirrorReportUs + mirrorEachUs*int64(m.gateways)
-	if m.failing {
-		spanUs = min(spanUs, mirrorFailUs)
+	intervalUs := reportIntervalUs + reportIntervalPerGatewayUs*int64(i.gatewayCount)
+	if i.failing {
+		intervalUs = min(intervalUs, failureReportIntervalUs)
 	}
-	if m.urgentUs > m.reportUs {
-		spanUs = 20 * clock.Ms
+	if i.urgentAtUs > i.reportedAtUs {
+		intervalUs = 20 * clock.Ms
 	}
-	if nowUs-m.reportUs < spanUs {
+	if nowUs-i.reportedAtUs < intervalUs {
 		return
 	}
 	var to *source
-	for _, n := range slices.Sorted(maps.Keys(m.sources)) {
-		s := m.sources[n]
-		if s.whole && (to == nil || (to.spare && !s.spare) || s.heardUs > to.heardUs+500*clock.Ms) {
+	for _, n := range slices.Sorted(maps.Keys(i.sources)) {
+		s := i.sources[n]
+		if s.complete && (to == nil || (to.standby && !s.standby) || s.receivedAtUs > to.receivedAtUs+500*clock.Ms) {
 			to = s
 		}
 	}
@@ -161,9 +161,9 @@
 		return
 	}
 	addr := to.addr
-	if head := m.view.Head(); head.Addr != "" && nowUs >= m.deafUs[head.Addr] {
+	if head := i.view.Head(); head.Addr != "" && nowUs >= i.unreachableUntilUs[head.Addr] {
 		addr = head.Addr
 	}
-	m.reportUs = nowUs
-	m.do(MirrorEffect{Report: addr})
+	i.reportedAtUs = nowUs
+	i.emit(InformerEffect{Report: addr})
 }
--- a/internal/dataplane/controlclient/subscriber.go
+++ b/internal/dataplane/controlclient/subscriber.go
@@ -9,40 +9,40 @@
 )
 
 const (
-	seekUs     = 250 * clock.Ms
-	seekIdleUs = 1000 * clock.Ms
-	ackUs      = 200 * clock.Ms
-	followUs   = 300 * clock.Ms
-	quietUs    = 2500 * clock.Ms
-	leaseCutUs = 50 * clock.Ms
+	membershipIntervalUs     = 250 * clock.Ms
+	membershipIdleIntervalUs = 1000 * clock.Ms
+	ackIntervalUs            = 200 * clock.Ms
+	followRetryUs            = 300 * clock.Ms
+	followTimeoutUs          = 2500 * clock.Ms
+	leaseMarginUs            = 50 * clock.Ms
 )
 
 // Event is one thing that happened to the subscriber; with all fields but NowUs empty, time has passed.
 type Event struct {
-	NowUs  int64
-	Where  *wire.MembershipResponse
-	News   *wire.GatewayUpdate
-	Lease  *wire.Lease
-	Beat   *failuredetector.Heartbeat
-	Closed uint64
+	NowUs      int64
+	Membership *wire.MembershipResponse
+	Update     *wire.GatewayUpdate
+	Lease      *wire.Lease
+	Heartbeat  *failuredetector.Heartbeat
+	Closed     uint64
 }
 
 // Effect is one thing that the subscriber wants done.
 type Effect struct {
-	AskWhere  []string
-	Follow    *Follow
-	Report    *chain.Replica
-	Snapshot  *scheduling.Snapshot
-	LeaseUs   int64
-	Beats     []failuredetector.Node
-	Farewells []failuredetector.Node
+	RequestMembership []string
+	Follow            *Follow
+	Report            *chain.Replica
+	Snapshot          *scheduling.Snapshot
+	LeaseUs           int64
+	Heartbeats        []failuredetector.Node
+	Farewells         []failuredetector.Node
 }
 
 // Follow asks for the changes that the tail pushes. Number tells streams apart.
 type Follow struct {
-	Number uint64
-	Tail   chain.Replica
-	Ask    wire.SubscribeRequest
+	Number  uint64
+	Tail    chain.Replica
+	Request wire.SubscribeRequest
 }
 
 // Options are who the subscriber is and where it asks first.
@@ -57,143 +57,143 @@
 // Subscriber finds the open tail, follows its news and keeps the gateway's lease. Seeds are only a
 // first contact: from then on it asks the control nodes it has met.
 type Subscriber struct {
-	opts     Options
-	where    wire.MembershipResponse
-	snap     *scheduling.Snapshot
-	leaseUs  int64
-	seekUs   int64
-	ackUs    int64
-	follow   uint64
-	tail     chain.Replica
-	open     bool
-	triedUs  int64
-	leasedUs int64
-	ring     []failuredetector.Node
-	named    []failuredetector.Node
-	watch    *failuredetector.Monitor
-	beatUs   int64
-	effects  []Effect
+	opts           Options
+	membership     wire.MembershipResponse
+	snapshot       *scheduling.Snapshot
+	leaseUs        int64
+	membershipAtUs int64
+	ackedAtUs      int64
+	stream         uint64
+	followed       chain.Replica
+	streamOpen     bool
+	followedAtUs   int64
+	leasedAtUs     int64
+	ring           []failuredetector.Node
+	watchers       []failuredetector.Node
+	monitor        *failuredetector.Monitor
+	heartbeatAtUs  int64
+	effects        []Effect
 }
 
 // New is a subscriber that knows nothing but its seeds.
 func New(opts Options) *Subscriber {
-	return &Subscriber{opts: opts, watch: failuredetector.NewMonitor()}
+	return &Subscriber{opts: opts, monitor: failuredetector.NewMonitor()}
 }
 
-// Silent are the nodes that this one watches and has not heard for too long.
-func (l *Subscriber) Silent(nowUs int64) []string { return l.watch.Suspects(nowUs) }
+// Suspects are the nodes that this one watches and has not heard for too long.
+func (s *Subscriber) Suspects(nowUs int64) []string { return s.monitor.Suspects(nowUs) }
 
-// Where is what it was last told of the control nodes and their view.
-func (l *Subscriber) Where() wire.MembershipResponse { return l.where }
+// Membership is what it was last told of the control nodes and their view.
+func (s *Subscriber) Membership() wire.MembershipResponse { return s.membership }
 
 // Tail is the seat that it follows.
-func (l *Subscriber) Tail() chain.Replica { return l.where.View.Tail() }
+func (s *Subscriber) Tail() chain.Replica { return s.membership.View.Tail() }
 
 // ControlNodes are all addresses that may be a control node's, those that were met first.
-func (l *Subscriber) ControlNodes() []string {
+func (s *Subscriber) ControlNodes() []string {
 	addrs := []string{}
-	seen := map[string]bool{l.opts.Addr: true}
-	for _, m := range l.where.ControlNodes {
+	seen := map[string]bool{s.opts.Addr: true}
+	for _, m := range s.membership.ControlNodes {
 		if !seen[m.Addr] {
 			seen[m.Addr] = true
 			addrs = append(addrs, m.Addr)
 		}
 	}
-	for _, s := range l.opts.Seeds {
-		if !seen[s] {
-			seen[s] = true
-			addrs = append(addrs, s)
+	for _, seed := range s.opts.Seeds {
+		if !seen[seed] {
+			seen[seed] = true
+			addrs = append(addrs, seed)
 		}
 	}
 	return addrs
 }
 
 // Step takes one event and returns what is to be done.
-func (l *Subscriber) Step(ev Event) []Effect {
-	l.effects = nil
+func (s *Subscriber) Step(ev Event) []Effect {
+	s.effects = nil
 	switch {
-	case ev.Where != nil:
-		l.met(*ev.Where)
-	case ev.News != nil:
-		l.news(ev.NowUs, *ev.News)
+	case ev.Membership != nil:
+		s.applyMembership(*ev.Membership)
+	case ev.Update != nil:
+		s.applyUpdate(ev.NowUs, *ev.Update)
 	case ev.Lease != nil:
-		l.lease(ev.NowUs, *ev.Lease)
-	case ev.Beat != nil:
-		l.watch.Receive(ev.NowUs, *ev.Beat)
+		s.applyLease(ev.NowUs, *ev.Lease)
+	case ev.Heartbeat != nil:
+		s.monitor.Receive(ev.NowUs, *ev.Heartbeat)
 	case ev.Closed != 0:
-		if ev.Closed == l.follow {
-			l.open = false
+		if ev.Closed == s.stream {
+			s.streamOpen = false
 		}
 	}
-	l.tick(ev.NowUs)
-	return l.effects
+	s.tick(ev.NowUs)
+	return s.effects
 }
 
-func (l *Subscriber) met(w wire.MembershipResponse) {
-	if len(w.ControlNodes) == 0 || w.View.Number < l.where.View.Number {
+func (s *Subscriber) applyMembership(w wire.MembershipResponse) {
+	if len(w.ControlNodes) == 0 || w.View.Number < s.membership.View.Number {
 		return
 	}
-	l.where = w
+	s.membership = w
 }
 
-func (l *Subscriber) news(nowUs int64, n wire.GatewayUpdate) {
-	if l.snap != nil && (n.View < l.snap.View || n.Number < l.snap.Number) {
+func (s *Subscriber) applyUpdate(nowUs int64, n wire.GatewayUpdate) {
+	if s.snapshot != nil && (n.View < s.snapshot.View || n.Number < s.snapshot.Number) {
 		return
 	}
-	if n.Declaration == nil && n.Revision > 0 && (l.snap == nil || l.snap.Revision != n.Revision) {
-		l.open = false
+	if n.Declaration == nil && n.Revision > 0 && (s.snapshot == nil || s.snapshot.Revision != n.Revision) {
+		s.streamOpen = false
 		return
 	}
-	l.snap = scheduling.Fold(l.snap, n, nowUs)
-	l.effects = append(l.effects, Effect{Snapshot: l.snap})
-	l.ackUs = 0
+	s.snapshot = scheduling.Fold(s.snapshot, n, nowUs)
+	s.effects = append(s.effects, Effect{Snapshot: s.snapshot})
+	s.ackedAtUs = 0
 }
 
-func (l *Subscriber) lease(nowUs int64, g wire.Lease) {
+func (s *Subscriber) applyLease(nowUs int64, g wire.Lease) {
 	if len(g.Ring) > 0 {
-		l.ring = g.Ring
+		s.ring = g.Ring
 	}
-	if !g.OK || l.snap == nil || g.View < l.snap.View {
+	if !g.OK || s.snapshot == nil || g.View < s.snapshot.View {
 		return
 	}
-	l.leasedUs = nowUs
-	if untilUs := g.SentUs + g.LeaseUs - leaseCutUs; untilUs > l.leaseUs {
-		l.leaseUs = untilUs
-		l.effects = append(l.effects, Effect{LeaseUs: untilUs})
+	s.leasedAtUs = nowUs
+	if untilUs := g.SentUs + g.LeaseUs - leaseMarginUs; untilUs > s.leaseUs {
+		s.leaseUs = untilUs
+		s.effects = append(s.effects, Effect{LeaseUs: untilUs})
 	}
 }
 
-func (l *Subscriber) tick(nowUs int64) {
-	spanUs := seekUs
-	if nowUs < l.leaseUs {
-		spanUs = seekIdleUs
+func (s *Subscriber) tick(nowUs int64) {
+	intervalUs := membershipIntervalUs
+	if nowUs < s.leaseUs {
+		intervalUs = membershipIdleIntervalUs
 	}
-	if nowUs-l.seekUs >= spanUs {
-		l.seekUs = nowUs
-		l.effects = append(l.effects, Effect{AskWhere: l.ControlNodes()})
+	if nowUs-s.membershipAtUs >= intervalUs {
+		s.membershipAtUs = nowUs
+		s.effects = append(s.effects, Effect{RequestMembership: s.ControlNodes()})
 	}
-	if nowUs-l.beatUs >= failuredetector.HeartbeatIntervalUs && len(l.ring) > 0 {
-		l.beatUs = nowUs
-		named := failuredetector.WatchersOf(l.ring, l.opts.Gateway)
-		l.effects = append(l.effects, Effect{Beats: named, Farewells: failuredetector.Departed(l.named, named)})
-		l.named = named
+	if nowUs-s.heartbeatAtUs >= failuredetector.HeartbeatIntervalUs && len(s.ring) > 0 {
+		s.heartbeatAtUs = nowUs
+		watchers := failuredetector.WatchersOf(s.ring, s.opts.Gateway)
+		s.effects = append(s.effects, Effect{Heartbeats: watchers, Farewells: failuredetector.Departed(s.watchers, watchers)})
+		s.watchers = watchers
 	}
-	tail := l.Tail()
-	if tail.ID != l.tail.ID || tail.Incarnation != l.tail.Incarnation || (l.open && nowUs-max(l.leasedUs, l.triedUs) > quietUs) {
-		l.open = false
+	tail := s.Tail()
+	if tail.ID != s.followed.ID || tail.Incarnation != s.followed.Incarnation || (s.streamOpen && nowUs-max(s.leasedAtUs, s.followedAtUs) > followTimeoutUs) {
+		s.streamOpen = false
 	}
-	if tail.Addr != "" && !l.open && nowUs-l.triedUs >= followUs {
-		l.triedUs, l.tail, l.open = nowUs, tail, true
-		l.follow++
-		ask := wire.SubscribeRequest{Gateway: l.opts.Gateway, Incarnation: l.opts.Incarnation, Addr: l.opts.Addr, Zone: l.opts.Zone}
-		if l.snap != nil {
-			ask.Revision, ask.Number = l.snap.Revision, l.snap.Number
+	if tail.Addr != "" && !s.streamOpen && nowUs-s.followedAtUs >= followRetryUs {
+		s.followedAtUs, s.followed, s.streamOpen = nowUs, tail, true
+		s.stream++
+		request := wire.SubscribeRequest{Gateway: s.opts.Gateway, Incarnation: s.opts.Incarnation, Addr: s.opts.Addr, Zone: s.opts.Zone}
+		if s.snapshot != nil {
+			request.Revision, request.Number = s.snapshot.Revision, s.snapshot.Number
 		}
-		l.effects = append(l.effects, Effect{Follow: &Follow{Number: l.follow, Tail: tail, Ask: ask}})
+		s.effects = append(s.effects, Effect{Follow: &Follow{Number: s.stream, Tail: tail, Request: request}})
 	}
-	if l.snap != nil && l.open && nowUs-l.ackUs >= ackUs {
-		l.ackUs = nowUs
-		held := l.tail
-		l.effects = append(l.effects, Effect{Report: &held})
+	if s.snapshot != nil && s.streamOpen && nowUs-s.ackedAtUs >= ackIntervalUs {
+		s.ackedAtUs = nowUs
+		followed := s.followed
+		s.effects = append(s.effects, Effect{Report: &followed})
 	}
 }
--- a/internal/dataplane/controlclient/subscriber_test.go
+++ b/internal/dataplane/controlclient/subscriber_test.go
@@ -14,7 +14,7 @@
 	l := New(Options{Gateway: "d", Incarnation: "i", Addr: "d:1", Seeds: []string{"s1:1", "s2:1"}})
 	seat := chain.Replica{Member: chain.Member{ID: "o1", Addr: "o1:1"}, Incarnation: "x"}
 	follows := 0
-	for _, e := range l.Step(Event{NowUs: clock.Sec, Where: &wire.MembershipResponse{View: chain.View{Number: 1, Replicas: []chain.Replica{seat}}, ControlNodes: []chain.Member{seat.Member}}}) {
+	for _, e := range l.Step(Event{NowUs: clock.Sec, Membership: &wire.MembershipResponse{View: chain.View{Number: 1, Replicas: []chain.Replica{seat}}, ControlNodes: []chain.Member{seat.Member}}}) {
 		if e.Follow != nil {
 			follows++
 		}
@@ -27,9 +27,9 @@
 
 func TestNewsThatSkipsADeclarationIsNotTaken(t *testing.T) {
 	l, now := met(t)
-	l.Step(Event{NowUs: now + 1, News: &wire.GatewayUpdate{Number: 5, Revision: 1, Declaration: &configuration.Declaration{Name: "one"}}})
+	l.Step(Event{NowUs: now + 1, Update: &wire.GatewayUpdate{Number: 5, Revision: 1, Declaration: &configuration.Declaration{Name: "one"}}})
 	took, again := false, false
-	for _, e := range l.Step(Event{NowUs: now + clock.Sec, News: &wire.GatewayUpdate{Number: 6, Revision: 2}}) {
+	for _, e := range l.Step(Event{NowUs: now + clock.Sec, Update: &wire.GatewayUpdate{Number: 6, Revision: 2}}) {
 		took = took || e.Snapshot != nil
 		again = again || e.Follow != nil
 	}
@@ -40,12 +40,12 @@
 
 func TestLeaseIsCountedFromWhenItWasAskedFor(t *testing.T) {
 	l, now := met(t)
-	l.Step(Event{NowUs: now + 1, News: &wire.GatewayUpdate{Number: 5, View: 3}})
+	l.Step(Event{NowUs: now + 1, Update: &wire.GatewayUpdate{Number: 5, View: 3}})
 	var untilUs int64
 	for _, e := range l.Step(Event{NowUs: now + clock.Sec, Lease: &wire.Lease{OK: true, View: 3, SentUs: now, LeaseUs: 1_200_000}}) {
 		untilUs = max(untilUs, e.LeaseUs)
 	}
-	if untilUs != now+1_200_000-leaseCutUs {
+	if untilUs != now+1_200_000-leaseMarginUs {
 		t.Fatalf("until %d", untilUs)
 	}
 	for _, e := range l.Step(Event{NowUs: now + clock.Sec, Lease: &wire.Lease{OK: true, View: 2, SentUs: now + clock.Sec, LeaseUs: 1_200_000}}) {
--- a/internal/dataplane/controlclient/verdict_test.go
+++ b/internal/dataplane/controlclient/verdict_test.go
@@ -44,7 +44,7 @@
 	if rows := pass(clock.Sec); len(rows) != 1 {
 		t.Errorf("an older table from the other control node undid it: %v", rows)
 	}
-	if rows := pass(verdictLostUs + clock.Sec); len(rows) != 0 {
+	if rows := pass(outlierTimeoutUs + clock.Sec); len(rows) != 0 {
 		t.Errorf("long after anybody upheld it: %v", rows)
 	}
 	one.outliers = outlier.Table{Epoch: 2, Number: 2, Rows: []outlier.Row{out}}
--- a/internal/dataplane/gateway/calls.go
+++ b/internal/dataplane/gateway/calls.go
@@ -11,96 +11,96 @@
 	"petreltide/internal/process/clock"
 )
 
-// CallAsk is what a caller sends.
-type CallAsk struct {
+// CallRequest is what a caller sends.
+type CallRequest struct {
 	Kind       string   `json:"kind"`
 	Model      string   `json:"model"`
 	Adapter    string   `json:"adapter,omitempty"`
 	Prefix     []string `json:"prefix,omitempty"`
 	Prompt     string   `json:"prompt"`
 	DeadlineMs int64    `json:"expiryMs,omitempty"`
-	Resume     *bool    `json:"resumable,omitempty"`
-	Had        []string `json:"had,omitempty"`
-	MostOut    int      `json:"mostOut,omitempty"`
+	Resumable  *bool    `json:"resumable,omitempty"`
+	Received   []string `json:"had,omitempty"`
+	MaxOutput  int      `json:"mostOut,omitempty"`
 }
 
 const (
-	prefixPartsMost = 64
-	keyMost         = 200
-	pieceMost       = 1 << 20
-	streamMost      = 64 << 20
+	maxPrefixSegments = 64
+	maxKeyBytes       = 200
+	maxChunkBytes     = 1 << 20
+	maxStreamBytes    = 64 << 20
 	// undeclaredRetryMs is when a caller is told to try again while there is no declaration yet.
 	undeclaredRetryMs = 500
 )
 
-// read checks everything that can be checked without asking the decider.
-func (h *Host) read(w http.ResponseWriter, r *http.Request) (ask *CallAsk, c *scheduling.Call, resumable bool, bad *fault.Fault) {
-	ask, bad = h.decode(w, r)
+// parseCall checks everything that can be checked without asking the decider.
+func (h *Host) parseCall(w http.ResponseWriter, r *http.Request) (request *CallRequest, c *scheduling.Call, resumable bool, bad *fault.Fault) {
+	request, bad = h.decode(w, r)
 	if bad != nil {
 		return nil, nil, false, bad
 	}
-	s := h.snap.Load()
+	s := h.snapshot.Load()
 	if s == nil || s.Doc == nil {
 		f := fault.New(fault.NoLease, "", "this desk has no declaration yet")
 		f.RetryMs = undeclaredRetryMs
 		return nil, nil, false, f
 	}
 	last := r.Header.Get("Last-Event-Id")
-	once := ask.Resume != nil && !*ask.Resume
-	kind, bad := s.Lookup(scheduling.Asked{Kind: ask.Kind, Model: ask.Model, Adapter: ask.Adapter, Once: once, Had: last != ""}, clock.NowUs(), h.leaseUs.Load())
+	nonResumable := request.Resumable != nil && !*request.Resumable
+	kind, bad := s.Lookup(scheduling.Asked{Kind: request.Kind, Model: request.Model, Adapter: request.Adapter, Once: nonResumable, Had: last != ""}, clock.NowUs(), h.leaseUs.Load())
 	if bad == nil {
-		bad = ask.check(r.Header.Get("Idempotency-Key"))
+		bad = request.check(r.Header.Get("Idempotency-Key"))
 	}
 	if bad != nil {
 		return nil, nil, false, bad
 	}
 	c = &scheduling.Call{
-		ID: h.set.Name + "-" + controlnode.RandomID(8), Kind: kind.Name, Model: ask.Model, Adapter: ask.Adapter,
-		Prefix: ask.Prefix, Once: once, MostMs: ask.DeadlineMs, TakenUs: clock.NowUs(),
+		ID: h.settings.Name + "-" + controlnode.RandomID(8), Kind: kind.Name, Model: request.Model, Adapter: request.Adapter,
+		Prefix: request.Prefix, Once: nonResumable, MostMs: request.DeadlineMs, TakenUs: clock.NowUs(),
 	}
-	if f := resumeAt(last, ask, c); f != nil {
+	if f := resumeAt(last, request, c); f != nil {
 		return nil, nil, false, f
 	}
-	return ask, c, kind.Resumable && !once, nil
+	return request, c, kind.Resumable && !nonResumable, nil
 }
 
 // decode reads a body of at most the size that is set, as one JSON value without unknown fields.
-func (h *Host) decode(w http.ResponseWriter, r *http.Request) (*CallAsk, *fault.Fault) {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(h.set.MaxBodyKB)<<10))
+func (h *Host) decode(w http.ResponseWriter, r *http.Request) (*CallRequest, *fault.Fault) {
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(h.settings.MaxBodyKB)<<10))
 	if err != nil {
 		if _, ok := err.(*http.MaxBytesError); ok {
-			return nil, fault.New(fault.TooLarge, "", "a body may have %d KiB", h.set.MaxBodyKB)
+			return nil, fault.New(fault.TooLarge, "", "a body may have %d KiB", h.settings.MaxBodyKB)
 		}
 		return nil, fault.New(fault.BadJSON, "", "%v", err)
 	}
-	ask := &CallAsk{}
-	if bad := fault.DecodeJSON(raw, ask); bad != nil {
+	request := &CallRequest{}
+	if bad := fault.DecodeJSON(raw, request); bad != nil {
 		return nil, bad
 	}
-	return ask, nil
+	return request, nil
 }
 
 // check refuses what is wrong with any declaration.
-func (ask *CallAsk) check(key string) *fault.Fault {
+func (q *CallRequest) check(key string) *fault.Fault {
 	switch {
-	case ask.Prompt == "":
+	case q.Prompt == "":
 		return fault.New(fault.BadField, "prompt", "it is empty")
-	case len(ask.Prefix) > prefixPartsMost:
-		return fault.New(fault.BadField, "prefix", "%d parts, at most %d", len(ask.Prefix), prefixPartsMost)
-	case ask.DeadlineMs < 0:
-		return fault.New(fault.PastDeadline, "expiryMs", "it is %d ms in the past", -ask.DeadlineMs)
-	case ask.MostOut < 0:
+	case len(q.Prefix) > maxPrefixSegments:
+		return fault.New(fault.BadField, "prefix", "%d parts, at most %d", len(q.Prefix), maxPrefixSegments)
+	case q.DeadlineMs < 0:
+		return fault.New(fault.PastDeadline, "expiryMs", "it is %d ms in the past", -q.DeadlineMs)
+	case q.MaxOutput < 0:
 		return fault.New(fault.BadField, "mostOut", "it is negative")
-	case len(key) > keyMost:
-		return fault.New(fault.BadField, "Idempotency-Key", "longer than %d bytes", keyMost)
+	case len(key) > maxKeyBytes:
+		return fault.New(fault.BadField, "Idempotency-Key", "longer than %d bytes", maxKeyBytes)
 	}
 	return nil
 }
 
 // resumeAt lets a caller go on at any gateway: it names the last piece and sends all it holds.
-func resumeAt(last string, ask *CallAsk, c *scheduling.Call) *fault.Fault {
+func resumeAt(last string, request *CallRequest, c *scheduling.Call) *fault.Fault {
 	if last == "" {
-		if len(ask.Had) > 0 {
+		if len(request.Received) > 0 {
 			return fault.New(fault.BadLastEventID, "Last-Event-Id", "pieces are sent without it")
 		}
 		return nil
@@ -109,8 +109,8 @@
 	switch {
 	case err != nil || n < 0 || strconv.Itoa(n) != last:
 		return fault.New(fault.BadLastEventID, "Last-Event-Id", "%q is not a piece number", last)
-	case n != len(ask.Had):
-		return fault.New(fault.BadLastEventID, "had", "%d pieces are sent, the last one named is %d", len(ask.Had), n)
+	case n != len(request.Received):
+		return fault.New(fault.BadLastEventID, "had", "%d pieces are sent, the last one named is %d", len(request.Received), n)
 	}
 	c.Had = n
 	c.Progress.Store(int64(n))
@@ -119,24 +119,24 @@
 
 // serveCall carries one call of the product's own interface.
 func (h *Host) serveCall(w http.ResponseWriter, r *http.Request) {
-	h.calls.Add(1)
-	defer h.calls.Add(-1)
-	ask, c, resumable, bad := h.read(w, r)
+	h.activeCalls.Add(1)
+	defer h.activeCalls.Add(-1)
+	request, c, resumable, bad := h.parseCall(w, r)
 	if bad != nil {
-		refuse(w, statusOf(bad), bad)
+		writeFault(w, httpStatus(bad), bad)
 		return
 	}
 	key := r.Header.Get("Idempotency-Key")
 	keyed := key != "" && !resumable
 	if keyed {
-		if f := h.claim(r.Context(), key, c); f != nil {
-			refuse(w, statusOf(f), f)
+		if f := h.claimKey(r.Context(), key, c); f != nil {
+			writeFault(w, httpStatus(f), f)
 			return
 		}
 	}
-	s := &stream{w: w, flush: http.NewResponseController(w).Flush, pieces: append([]string(nil), ask.Had...)}
-	end := h.carry(r.Context(), c, &attemptsEdge{h: h, ask: ask, call: c, s: s})
+	s := &stream{w: w, flush: http.NewResponseController(w).Flush, chunks: append([]string(nil), request.Received...)}
+	end := h.runCall(r.Context(), c, &nativeExchange{host: h, request: request, call: c, stream: s})
 	if keyed {
-		h.endKey(key, c, end)
+		h.completeKey(key, c, end)
 	}
 }
--- a/internal/dataplane/gateway/fuzz_test.go
+++ b/internal/dataplane/gateway/fuzz_test.go
@@ -21,7 +21,7 @@
 	h := Open(settings.Gateway{Name: "front", Listen: "127.0.0.1:1", Advertise: "127.0.0.1:1", MaxQueue: 4, MaxBodyKB: 64}, logring.NewRing("", io.Discard))
 	doc := &configuration.Declaration{Kinds: []configuration.Kind{{Name: "pages", Urgency: 3, Resumable: true, DeadlineMs: 1000}, {Name: "fixes", Urgency: 8, DeadlineMs: 1000}},
 		Models: []configuration.Model{{Name: "m"}}, Adapters: []configuration.Adapter{{Name: "a", Model: "m"}}}
-	h.snap.Store(scheduling.Fold(nil, wire.GatewayUpdate{Number: 1, Revision: 1, Declaration: doc}, 1))
+	h.snapshot.Store(scheduling.Fold(nil, wire.GatewayUpdate{Number: 1, Revision: 1, Declaration: doc}, 1))
 	h.leaseUs.Store(1 << 60)
 	return h
 }
@@ -36,14 +36,14 @@
 	f.Fuzz(func(t *testing.T, body []byte, last, key string) {
 		r := httptest.NewRequest(http.MethodPost, "/v1/calls", bytes.NewReader(body))
 		r.Header["Last-Event-Id"], r.Header["Idempotency-Key"] = []string{last}, []string{key}
-		ask, c, _, bad := h.read(httptest.NewRecorder(), r)
+		ask, c, _, bad := h.parseCall(httptest.NewRecorder(), r)
 		if bad != nil {
-			if bad.Code == "" || statusOf(bad) < 400 {
+			if bad.Code == "" || httpStatus(bad) < 400 {
 				t.Fatalf("%+v", bad)
 			}
 			return
 		}
-		if c.Model != "m" || (c.Kind != "pages" && c.Kind != "fixes") || ask.Prompt == "" || c.Had != len(ask.Had) || c.MostMs < 0 || (c.Had > 0 && c.Kind != "pages") {
+		if c.Model != "m" || (c.Kind != "pages" && c.Kind != "fixes") || ask.Prompt == "" || c.Had != len(ask.Received) || c.MostMs < 0 || (c.Had > 0 && c.Kind != "pages") {
 			t.Fatalf("%+v taken as %+v", ask, c)
 		}
 	})
@@ -60,7 +60,7 @@
 		rec := httptest.NewRecorder()
 		s := &stream{w: rec, flush: func() error { return nil }}
 		c := &scheduling.Call{ID: "c"}
-		ending, _ := h.readPieces(c, scheduling.Start{Call: c, Attempt: "r/i/1"}, s, bytes.NewReader(raw))
+		ending, _ := h.readChunks(c, scheduling.Start{Call: c, Attempt: "r/i/1"}, s, bytes.NewReader(raw))
 		dec := json.NewDecoder(bytes.NewReader(raw))
 		whole := 0
 		for {
@@ -79,8 +79,8 @@
 			}
 			whole++
 		}
-		if len(s.pieces) != whole || strings.Count(rec.Body.String(), "event: piece") != whole {
-			t.Fatalf("%d pieces went on, %d were whole", len(s.pieces), whole)
+		if len(s.chunks) != whole || strings.Count(rec.Body.String(), "event: piece") != whole {
+			t.Fatalf("%d pieces went on, %d were whole", len(s.chunks), whole)
 		}
 	})
 }
@@ -102,8 +102,8 @@
 	s := &stream{w: httptest.NewRecorder(), flush: func() error { return nil }}
 	c := &scheduling.Call{ID: "c"}
 	e := &endless{}
-	ending, why := host().readPieces(c, scheduling.Start{Call: c, Attempt: "r/i/1"}, s, e)
-	if ending != scheduling.Broken || e.n > 4*pieceMost || len(s.pieces) != 0 {
+	ending, why := host().readChunks(c, scheduling.Start{Call: c, Attempt: "r/i/1"}, s, e)
+	if ending != scheduling.Broken || e.n > 4*maxChunkBytes || len(s.chunks) != 0 {
 		t.Fatal(ending, why, fmt.Sprint(e.n))
 	}
 }
--- a/internal/dataplane/gateway/handler.go
+++ b/internal/dataplane/gateway/handler.go
@@ -31,7 +31,7 @@
 // Connections are how many a gateway has open to one replica, and its share of what the replica takes.
 type Connections struct {
 	Open int `json:"open"`
-	Most int `json:"most"`
+	Max  int `json:"most"`
 }
 
 func (h *Host) handler() http.Handler {
@@ -41,30 +41,30 @@
 	mux.HandleFunc("GET /v1/ready", h.ready)
 	mux.HandleFunc("GET /v1/log", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(h.ring.Bytes()) })
 	rpc.Serve(mux, rpc.WherePath, func(context.Context, *wire.MembershipRequest) (*wire.MembershipResponse, error) {
-		if w := h.where.Load(); w != nil {
+		if w := h.membership.Load(); w != nil {
 			return w, nil
 		}
 		return &wire.MembershipResponse{}, nil
 	})
 	rpc.Serve(mux, rpc.BeatPath, func(_ context.Context, b *failuredetector.Heartbeat) (*wire.Ack, error) {
-		h.tellSubscriber(controlclient.Event{Beat: b})
+		h.postSubscriber(controlclient.Event{Heartbeat: b})
 		return &wire.Ack{}, nil
 	})
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		refuse(w, http.StatusNotFound, fault.New(fault.NotFound, "path", "%s %s", r.Method, r.URL.Path))
+		writeFault(w, http.StatusNotFound, fault.New(fault.NotFound, "path", "%s %s", r.Method, r.URL.Path))
 	})
 	return mux
 }
 
 func (h *Host) status(w http.ResponseWriter, _ *http.Request) {
-	st := Status{Gateway: h.set.Name, Incarnation: h.incarnation, Zone: h.set.Zone, Tail: h.tail().ID}
-	if now, ran := actor.Ask(h.act.Ctx, h.act, func() Status { return Status{Work: h.decider.Note(), Gauges: h.decider.Gauges()} }); ran {
+	st := Status{Gateway: h.settings.Name, Incarnation: h.incarnation, Zone: h.settings.Zone, Tail: h.tail().ID}
+	if now, executed := actor.Ask(h.act.Ctx, h.act, func() Status { return Status{Work: h.decider.Note(), Gauges: h.decider.Gauges()} }); executed {
 		st.Work, st.Gauges = now.Work, now.Gauges
 	}
-	if h.open != nil {
+	if h.openConnections != nil {
 		st.Connections = map[string]Connections{}
-		for replica, n := range h.open() {
-			st.Connections[replica] = Connections{Open: n, Most: h.ConnectionShare(replica)}
+		for replica, n := range h.openConnections() {
+			st.Connections[replica] = Connections{Open: n, Max: h.MaxConnections(replica)}
 		}
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -73,19 +73,19 @@
 
 // ready is for whoever hands clients to this gateway.
 func (h *Host) ready(w http.ResponseWriter, _ *http.Request) {
-	f, ran := actor.Ask(h.act.Ctx, h.act, func() *fault.Fault { return h.decider.Ready(clock.NowUs()) })
-	if !ran {
+	f, executed := actor.Ask(h.act.Ctx, h.act, func() *fault.Fault { return h.decider.Ready(clock.NowUs()) })
+	if !executed {
 		f = fault.New(fault.Draining, "", "stopping")
 	}
 	if f != nil {
-		refuse(w, http.StatusServiceUnavailable, f)
+		writeFault(w, http.StatusServiceUnavailable, f)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(map[string]bool{"ready": true})
 }
 
-func refuse(w http.ResponseWriter, status int, f *fault.Fault) {
+func writeFault(w http.ResponseWriter, status int, f *fault.Fault) {
 	if f.Run == "" {
 		f.Run = fault.RunNone
 	}
@@ -97,7 +97,7 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"error": f})
 }
 
-func statusOf(f *fault.Fault) int {
+func httpStatus(f *fault.Fault) int {
 	switch f.Code {
 	case fault.BadJSON, fault.BadField, fault.BadLastEventID, fault.PastDeadline:
 		return http.StatusBadRequest
--- a/internal/dataplane/gateway/host.go
+++ b/internal/dataplane/gateway/host.go
@@ -23,73 +23,73 @@
 )
 
 const (
-	tickEvery   = 20 * time.Millisecond
-	mirrorTick  = 50 * time.Millisecond
-	gapUs       = 500 * clock.Ms
-	keyWait     = 2500 * time.Millisecond
-	cancelWait  = 2 * time.Second
-	askedWait   = time.Second
-	mailboxMost = 16384
+	tickInterval         = 20 * time.Millisecond
+	informerTickInterval = 50 * time.Millisecond
+	maxTickGapUs         = 500 * clock.Ms
+	submitTimeout        = 2500 * time.Millisecond
+	cancelTimeout        = 2 * time.Second
+	continueTimeout      = time.Second
+	mailboxCapacity      = 16384
 )
 
 // Host runs one gateway: its listeners, its connection to the control nodes and its decider, which only its actor
 // touches.
 type Host struct {
-	set         settings.Gateway
-	incarnation string
-	decider     *scheduling.Decider
-	ring        *logring.Ring
-	log         log.Logger
-	inner       *http.Client
-	attempts    *http.Client
+	settings      settings.Gateway
+	incarnation   string
+	decider       *scheduling.Decider
+	ring          *logring.Ring
+	log           log.Logger
+	nodeClient    *http.Client
+	attemptClient *http.Client
 
-	snap    atomic.Pointer[scheduling.Snapshot]
-	leaseUs atomic.Int64
-	calls   atomic.Int64
-	callSeq atomic.Int64
+	snapshot     atomic.Pointer[scheduling.Snapshot]
+	leaseUs      atomic.Int64
+	activeCalls  atomic.Int64
+	callSequence atomic.Int64
 
-	act        *actor.Actor
-	lastUs     int64
-	waiting    map[string]*caller
-	where      atomic.Pointer[wire.MembershipResponse]
-	subscriber *controlclient.Subscriber
-	unfollow   context.CancelFunc
+	act          *actor.Actor
+	lastTickUs   int64
+	callers      map[string]*caller
+	membership   atomic.Pointer[wire.MembershipResponse]
+	subscriber   *controlclient.Subscriber
+	cancelFollow context.CancelFunc
 
-	mirror  *controlclient.Mirror
-	streams map[uint64]context.CancelFunc
-	doors   []Door
+	informer  *controlclient.Informer
+	streams   map[uint64]context.CancelFunc
+	listeners []Listener
 	// declared is closed once this gateway has a declaration.
-	declared chan struct{}
-	open     func() map[string]int
-	// Room is shared by all doors.
-	Room *Room
+	declared        chan struct{}
+	openConnections func() map[string]int
+	// Memory is shared by all doors.
+	Memory *MemoryLimit
 }
 
-// Door is a listener of another interface than this one's own: it takes calls and hands them to Serve.
-type Door interface {
+// Listener is a listener of another interface than this one's own: it takes calls and hands them to Serve.
+type Listener interface {
 	Serve() error
-	// Linger says that no new callers are wanted; those that come are served.
-	Linger()
+	// BeginDrain says that no new callers are wanted; those that come are served.
+	BeginDrain()
 	Shutdown(ctx context.Context) error
 }
 
 type caller struct {
-	next   chan scheduling.Effect
-	cancel context.CancelFunc
-	wanted bool
+	next            chan scheduling.Effect
+	cancel          context.CancelFunc
+	cancelRequested bool
 }
 
 func (c *caller) arm(cancel context.CancelFunc) {
 	c.cancel = cancel
-	if cancel != nil && c.wanted {
+	if cancel != nil && c.cancelRequested {
 		cancel()
 	}
-	c.wanted = false
+	c.cancelRequested = false
 }
 
 func (c *caller) stop() {
 	if c.cancel == nil {
-		c.wanted = true
+		c.cancelRequested = true
 		return
 	}
 	c.cancel()
@@ -101,48 +101,48 @@
 	attempts := rpc.Client(400, set.Listen)
 	attempts.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	attempts.Transport.(*http.Transport).DisableKeepAlives = true
-	attempts.Transport.(*http.Transport).ExpectContinueTimeout = askedWait
+	attempts.Transport.(*http.Transport).ExpectContinueTimeout = continueTimeout
 	h := &Host{
-		set: set, incarnation: incarnation, ring: ring, log: ring.Logger("desk", set.Name), inner: rpc.NodeClient(400, set.Listen), attempts: attempts,
+		settings: set, incarnation: incarnation, ring: ring, log: ring.Logger("desk", set.Name), nodeClient: rpc.NodeClient(400, set.Listen), attemptClient: attempts,
 		decider: scheduling.New(scheduling.Options{
 			Gateway: set.Name, Incarnation: incarnation, Zone: set.Zone, QueueMax: set.MaxQueue,
 			Budget:   scheduling.BudgetOptions{Ratio: set.RetryBudget.Ratio, Slack: set.RetryBudget.Slack, WindowUs: set.RetryBudget.WindowMs * clock.Ms},
 			Patience: scheduling.PatienceOptions{LeastMs: set.FirstTokenTimeout.MinMs, Aims: set.FirstTokenTimeout.LatencyTargets, Gaps: set.FirstTokenTimeout.TokenGaps},
 			Outlier:  set.Outlier.Options(), Disable: set.Disable,
 		}),
-		act: actor.New(mailboxMost), waiting: map[string]*caller{},
-		streams: map[uint64]context.CancelFunc{}, declared: make(chan struct{}), Room: &Room{Most: int64(set.MemoryMB) << 20 / roomShare},
+		act: actor.New(mailboxCapacity), callers: map[string]*caller{},
+		streams: map[uint64]context.CancelFunc{}, declared: make(chan struct{}), Memory: &MemoryLimit{MaxBytes: int64(set.MemoryMB) << 20 / memoryDivisor},
 	}
 	opts := controlclient.Options{Gateway: set.Name, Incarnation: incarnation, Addr: set.Advertise, Zone: set.Zone, Seeds: set.Seeds}
 	h.subscriber = controlclient.New(opts)
 	if set.Attempts == settings.DeclaredAttempts {
-		h.mirror = controlclient.NewMirror(opts)
+		h.informer = controlclient.NewInformer(opts)
 	}
 	return h
 }
 
-// Counted says, before Run, who knows how many connections to each replica are open.
-func (h *Host) Counted(open func() map[string]int) { h.open = open }
+// SetConnectionCounter says, before Run, who knows how many connections to each replica are open.
+func (h *Host) SetConnectionCounter(open func() map[string]int) { h.openConnections = open }
 
-// Enter adds a door before Run.
-func (h *Host) Enter(d Door) { h.doors = append(h.doors, d) }
+// AddListener adds a door before Run.
+func (h *Host) AddListener(d Listener) { h.listeners = append(h.listeners, d) }
 
 // Run serves until ctx ends, then drains: what waits and what streams is given its time.
 func (h *Host) Run(ctx context.Context) error {
-	listener, err := net.Listen("tcp", h.set.Listen)
+	listener, err := net.Listen("tcp", h.settings.Listen)
 	if err != nil {
 		return fault.New(fault.BadSettings, "listen", "%v", err)
 	}
 	server := &http.Server{Handler: h.handler(), ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = server.Serve(listener) }()
-	every := tickEvery
-	if h.mirror != nil {
-		every = mirrorTick
+	every := tickInterval
+	if h.informer != nil {
+		every = informerTickInterval
 	}
 	h.act.Spawn(func() { h.act.Loop(every, h.tick) })
-	_ = h.log.Log("event", "started", "inc", h.incarnation, "disabled", h.set.Disable.String())
-	failed := make(chan error, len(h.doors))
-	for _, d := range h.doors {
+	_ = h.log.Log("event", "started", "inc", h.incarnation, "disabled", h.settings.Disable.String())
+	failed := make(chan error, len(h.listeners))
+	for _, d := range h.listeners {
 		go func() {
 			if err := d.Serve(); err != nil {
 				failed <- err
@@ -156,9 +156,9 @@
 		h.act.End()
 		return errors.Trace(err)
 	}
-	h.tell(scheduling.Event{Drain: true})
-	h.leaveDoors()
-	deadline := time.NewTimer(time.Duration(h.set.DrainMs) * time.Millisecond)
+	h.post(scheduling.Event{Drain: true})
+	h.drainListeners()
+	deadline := time.NewTimer(time.Duration(h.settings.DrainMs) * time.Millisecond)
 	defer deadline.Stop()
 	look := time.NewTicker(20 * time.Millisecond)
 	defer look.Stop()
@@ -168,7 +168,7 @@
 			h.ring.Dump("the drain ran out of time with calls still open")
 			left = false
 		case <-look.C:
-			left = h.calls.Load() > 0
+			left = h.activeCalls.Load() > 0
 		}
 	}
 	closing, done := context.WithTimeout(context.Background(), 2*time.Second)
@@ -182,21 +182,21 @@
 	return nil
 }
 
-// leaveDoors lets those in who were on their way, then takes nobody new and waits for those inside.
-func (h *Host) leaveDoors() {
-	if len(h.doors) == 0 {
+// drainListeners lets those in who were on their way, then takes nobody new and waits for those inside.
+func (h *Host) drainListeners() {
+	if len(h.listeners) == 0 {
 		return
 	}
-	for _, d := range h.doors {
-		d.Linger()
+	for _, d := range h.listeners {
+		d.BeginDrain()
 	}
-	linger := time.NewTimer(time.Duration(h.set.LingerMs) * time.Millisecond)
+	linger := time.NewTimer(time.Duration(h.settings.LingerMs) * time.Millisecond)
 	defer linger.Stop()
 	<-linger.C
-	h.tell(scheduling.Event{Close: true})
-	closing, done := context.WithTimeout(context.Background(), time.Duration(max(h.set.DrainMs-h.set.LingerMs, 100))*time.Millisecond)
+	h.post(scheduling.Event{Close: true})
+	closing, done := context.WithTimeout(context.Background(), time.Duration(max(h.settings.DrainMs-h.settings.LingerMs, 100))*time.Millisecond)
 	defer done()
-	for _, d := range h.doors {
+	for _, d := range h.listeners {
 		_ = d.Shutdown(closing)
 	}
 }
@@ -204,19 +204,19 @@
 // tick also notes when this process woke after a gap: its lease has run out by itself.
 func (h *Host) tick() {
 	nowUs := clock.NowUs()
-	if h.lastUs > 0 && nowUs-h.lastUs > gapUs {
-		_ = h.log.Log("event", "woke after a gap", "gapMs", (nowUs-h.lastUs)/1000)
+	if h.lastTickUs > 0 && nowUs-h.lastTickUs > maxTickGapUs {
+		_ = h.log.Log("event", "woke after a gap", "gapMs", (nowUs-h.lastTickUs)/1000)
 	}
-	h.lastUs = nowUs
+	h.lastTickUs = nowUs
 	h.step(scheduling.Event{})
-	if h.mirror != nil {
-		h.reflect(controlclient.MirrorEvent{})
+	if h.informer != nil {
+		h.stepInformer(controlclient.InformerEvent{})
 		return
 	}
-	h.subscribe(controlclient.Event{})
+	h.stepSubscriber(controlclient.Event{})
 }
 
-func (h *Host) tell(ev scheduling.Event) { h.act.Tell(func() { h.step(ev) }) }
+func (h *Host) post(ev scheduling.Event) { h.act.Tell(func() { h.step(ev) }) }
 
 func (h *Host) do(act func()) bool { return h.act.Do(h.act.Ctx, act) }
 
@@ -224,30 +224,30 @@
 	ev.NowUs = clock.NowUs()
 	urgent := false
 	defer func() {
-		if urgent && h.mirror != nil {
-			h.reflect(controlclient.MirrorEvent{Urgent: true})
+		if urgent && h.informer != nil {
+			h.stepInformer(controlclient.InformerEvent{Urgent: true})
 		}
 	}()
 	for _, e := range h.decider.Step(ev) {
 		switch {
 		case e.Start != nil:
-			h.hand(e.Start.Call.ID, e)
+			h.deliver(e.Start.Call.ID, e)
 		case e.Give != nil:
-			h.hand(e.Give.Call.ID, e)
+			h.deliver(e.Give.Call.ID, e)
 		case e.Over != nil:
-			h.hand(e.Over.Call.ID, e)
+			h.deliver(e.Over.Call.ID, e)
 		case e.Unplaced:
 			urgent = true
 		case e.Cancel != "":
-			if c := h.waiting[e.Cancel]; c != nil {
+			if c := h.callers[e.Cancel]; c != nil {
 				c.stop()
 			}
 		}
 	}
 }
 
-func (h *Host) hand(id string, e scheduling.Effect) {
-	c := h.waiting[id]
+func (h *Host) deliver(id string, e scheduling.Effect) {
+	c := h.callers[id]
 	if c == nil {
 		if e.Start != nil {
 			h.step(scheduling.Event{Gone: id})
@@ -256,7 +256,7 @@
 		return
 	}
 	if e.Start == nil {
-		delete(h.waiting, id)
+		delete(h.callers, id)
 	}
 	c.next <- e
 }
--- a/internal/dataplane/gateway/mirror.go
+++ b/internal/dataplane/gateway/informer.go
@@ -14,18 +14,18 @@
 	"petreltide/internal/process/rpc"
 )
 
-// Edge is the side of a call that faces its caller, in whatever interface it came by.
-type Edge interface {
+// Exchange is the side of a call that faces its caller, in whatever interface it came by.
+type Exchange interface {
 	// Attempt sends the call to one replica and passes its answer on as it comes.
 	Attempt(ctx context.Context, st scheduling.Start) (scheduling.Ending, string)
 	// Fail is the one final answer of the product's own.
 	Fail(f *fault.Fault)
-	// Opened says that an answer has begun.
-	Opened() bool
+	// ResponseStarted says that an answer has begun.
+	ResponseStarted() bool
 }
 
 // Snapshot is the newest news; it is never changed.
-func (h *Host) Snapshot() *scheduling.Snapshot { return h.snap.Load() }
+func (h *Host) Snapshot() *scheduling.Snapshot { return h.snapshot.Load() }
 
 // AwaitDeclaration waits until this gateway has one, or for as long as ctx lasts.
 func (h *Host) AwaitDeclaration(ctx context.Context) {
@@ -41,8 +41,8 @@
 
 // Ready is nil when this gateway can take calls now, or says why it cannot.
 func (h *Host) Ready() *fault.Fault {
-	f, ran := actor.Ask(h.act.Ctx, h.act, func() *fault.Fault { return h.decider.Ready(clock.NowUs()) })
-	if !ran {
+	f, executed := actor.Ask(h.act.Ctx, h.act, func() *fault.Fault { return h.decider.Ready(clock.NowUs()) })
+	if !executed {
 		return fault.New(fault.Draining, "", "stopping")
 	}
 	return f
@@ -51,35 +51,35 @@
 // Seeds are other control nodes for first contact, where the ones in the settings have changed.
 func (h *Host) Seeds(addrs []string) {
 	h.act.Tell(func() {
-		if h.mirror != nil {
-			h.reflect(controlclient.MirrorEvent{Seeds: addrs})
+		if h.informer != nil {
+			h.stepInformer(controlclient.InformerEvent{Seeds: addrs})
 		}
 	})
 }
 
 // Serve takes one call through the decider and its attempts to its one final answer, and says what ran.
-func (h *Host) Serve(ctx context.Context, c *scheduling.Call, e Edge) string {
-	h.calls.Add(1)
-	defer h.calls.Add(-1)
+func (h *Host) Serve(ctx context.Context, c *scheduling.Call, e Exchange) string {
+	h.activeCalls.Add(1)
+	defer h.activeCalls.Add(-1)
 	if c.ID == "" {
-		c.ID = h.incarnation + "-" + strconv.FormatInt(h.callSeq.Add(1), 36)
+		c.ID = h.incarnation + "-" + strconv.FormatInt(h.callSequence.Add(1), 36)
 	}
 	if c.TakenUs == 0 {
 		c.TakenUs = clock.NowUs()
 	}
-	return h.carry(ctx, c, e)
+	return h.runCall(ctx, c, e)
 }
 
-func (h *Host) reflect(ev controlclient.MirrorEvent) {
+func (h *Host) stepInformer(ev controlclient.InformerEvent) {
 	ev.NowUs = clock.NowUs()
 	ev.Failing = h.decider.Failing()
-	for _, e := range h.mirror.Step(ev) {
+	for _, e := range h.informer.Step(ev) {
 		switch {
 		case e.Open != nil:
 			ctx, done := context.WithCancel(h.act.Ctx)
 			h.streams[e.Open.Number] = done
 			stream := *e.Open
-			h.act.Spawn(func() { h.frames(ctx, stream) })
+			h.act.Spawn(func() { h.followFrames(ctx, stream) })
 		case e.Close != 0:
 			if done := h.streams[e.Close]; done != nil {
 				done()
@@ -87,12 +87,12 @@
 			delete(h.streams, e.Close)
 		case e.Report != "":
 			report := h.decider.Report(ev.NowUs)
-			report.Addr, report.Zone = h.set.Advertise, h.set.Zone
+			report.Addr, report.Zone = h.settings.Advertise, h.settings.Zone
 			addr := e.Report
-			h.act.Spawn(func() { h.tellControlNode(addr, report) })
+			h.act.Spawn(func() { h.sendReport(addr, report) })
 		case e.Snapshot != nil:
-			first := e.Snapshot.Doc != nil && (h.snap.Load() == nil || h.snap.Load().Doc == nil)
-			h.snap.Store(e.Snapshot)
+			first := e.Snapshot.Doc != nil && (h.snapshot.Load() == nil || h.snapshot.Load().Doc == nil)
+			h.snapshot.Store(e.Snapshot)
 			h.step(scheduling.Event{Snapshot: e.Snapshot})
 			if first {
 				close(h.declared)
@@ -102,51 +102,51 @@
 	}
 }
 
-// frames holds one control node's stream.
-func (h *Host) frames(ctx context.Context, s controlclient.Stream) {
+// followFrames holds one control node's stream.
+func (h *Host) followFrames(ctx context.Context, s controlclient.Stream) {
 	defer h.act.Tell(func() {
 		delete(h.streams, s.Number)
-		h.reflect(controlclient.MirrorEvent{Closed: s.Number})
+		h.stepInformer(controlclient.InformerEvent{Closed: s.Number})
 	})
-	stream, err := rpc.NewCaller[wire.SubscribeRequest, wire.Frame](h.inner, s.Addr, rpc.FramesPath).Stream(ctx, &s.Ask)
+	stream, err := rpc.NewCaller[wire.SubscribeRequest, wire.Frame](h.nodeClient, s.Addr, rpc.FramesPath).Stream(ctx, &s.Request)
 	if err != nil {
 		return
 	}
 	for stream.Receive() {
 		frame := stream.Msg()
-		h.act.Tell(func() { h.reflect(controlclient.MirrorEvent{Frame: frame, Stream: s.Number}) })
+		h.act.Tell(func() { h.stepInformer(controlclient.InformerEvent{Frame: frame, Stream: s.Number}) })
 	}
 	_ = stream.Close()
 }
 
-func (h *Host) tellControlNode(addr string, report wire.Report) {
+func (h *Host) sendReport(addr string, report wire.Report) {
 	ctx, done := context.WithTimeout(h.act.Ctx, 600*time.Millisecond)
 	defer done()
-	if _, err := rpc.NewCaller[wire.Report, wire.Ack](h.inner, addr, rpc.TellPath).Call(ctx, &report); err != nil && h.act.Ctx.Err() == nil {
-		h.act.Tell(func() { h.reflect(controlclient.MirrorEvent{Unreached: addr}) })
+	if _, err := rpc.NewCaller[wire.Report, wire.Ack](h.nodeClient, addr, rpc.TellPath).Call(ctx, &report); err != nil && h.act.Ctx.Err() == nil {
+		h.act.Tell(func() { h.stepInformer(controlclient.InformerEvent{Unreachable: addr}) })
 	}
 }
 
-// ConnectionShare is how many connections this gateway may have to a replica: its share of what the replica
+// MaxConnections is how many connections this gateway may have to a replica: its share of what the replica
 // takes from all gateways together, within what this process may open.
-func (h *Host) ConnectionShare(replica string) int {
-	snap := h.snap.Load()
+func (h *Host) MaxConnections(replica string) int {
+	snap := h.snapshot.Load()
 	if snap == nil || snap.Doc == nil {
-		return shareLeast
+		return minConnections
 	}
-	most := shareMost
-	if h.set.MaxConnections > 0 {
-		most = min(most, h.set.MaxConnections/max(1, len(snap.Replicas)))
+	limit := maxConnections
+	if h.settings.MaxConnections > 0 {
+		limit = min(limit, h.settings.MaxConnections/max(1, len(snap.Replicas)))
 	}
 	if r := snap.Replicas[replica]; r != nil {
 		if svc := snap.Doc.Service(r.Service); svc != nil && svc.MaxConnections > 0 {
-			most = min(most, svc.MaxConnections*9/10/max(snap.Gateways, 1))
+			limit = min(limit, svc.MaxConnections*9/10/max(snap.Gateways, 1))
 		}
 	}
-	return max(most, shareLeast)
+	return max(limit, minConnections)
 }
 
 const (
-	shareLeast = 2
-	shareMost  = 256
+	minConnections = 2
+	maxConnections = 256
 )
--- a/internal/dataplane/gateway/keys.go
+++ b/internal/dataplane/gateway/keys.go
@@ -8,13 +8,13 @@
 	"petreltide/internal/dataplane/scheduling"
 )
 
-func (h *Host) claim(ctx context.Context, key string, c *scheduling.Call) *fault.Fault {
-	change := statemachine.Change{ID: "key-" + c.ID, Key: &statemachine.KeyChange{Key: key, Gateway: h.set.Name, GatewayIncarnation: h.incarnation, Call: c.ID}}
+func (h *Host) claimKey(ctx context.Context, key string, c *scheduling.Call) *fault.Fault {
+	change := statemachine.Change{ID: "key-" + c.ID, Key: &statemachine.KeyChange{Key: key, Gateway: h.settings.Name, GatewayIncarnation: h.incarnation, Call: c.ID}}
 	result, err := h.Submit(ctx, change)
 	if err != nil {
 		f := fault.New(fault.Overloaded, "Idempotency-Key", "the key could not be claimed in time")
 		f.Run, f.RetryMs = fault.RunNone, 1000
-		h.free(key, c)
+		h.releaseKey(key, c)
 		return f
 	}
 	out := result.Outcome
@@ -30,28 +30,28 @@
 	if out.Key.Ended != "" {
 		f.Code, f.Run = fault.KeyEnded, out.Key.Ended
 		f.Detail = "the call with this key has ended"
-	} else if out.Key.Gateway == h.set.Name && out.Key.GatewayIncarnation != h.incarnation {
+	} else if out.Key.Gateway == h.settings.Name && out.Key.GatewayIncarnation != h.incarnation {
 		f.Code, f.Detail = fault.KeyUnknown, "the desk that took it went down; what it did is not known"
 	}
 	return f
 }
 
-func (h *Host) keyChange(key string, c *scheduling.Call, end string) {
-	change := statemachine.Change{ID: "key-" + end + "-" + c.ID, Key: &statemachine.KeyChange{Key: key, Gateway: h.set.Name, GatewayIncarnation: h.incarnation, Call: c.ID, End: end, Release: end == ""}}
-	h.calls.Add(1)
+func (h *Host) submitKey(key string, c *scheduling.Call, end string) {
+	change := statemachine.Change{ID: "key-" + end + "-" + c.ID, Key: &statemachine.KeyChange{Key: key, Gateway: h.settings.Name, GatewayIncarnation: h.incarnation, Call: c.ID, End: end, Release: end == ""}}
+	h.activeCalls.Add(1)
 	h.act.Spawn(func() {
-		defer h.calls.Add(-1)
+		defer h.activeCalls.Add(-1)
 		if _, err := h.Submit(h.act.Ctx, change); err != nil {
 			_ = h.log.Log("event", "key end not recorded", "call", c.ID, "end", end, "err", err)
 		}
 	})
 }
 
-func (h *Host) free(key string, c *scheduling.Call) { h.keyChange(key, c, "") }
+func (h *Host) releaseKey(key string, c *scheduling.Call) { h.submitKey(key, c, "") }
 
-func (h *Host) endKey(key string, c *scheduling.Call, end string) {
+func (h *Host) completeKey(key string, c *scheduling.Call, end string) {
 	if end == fault.RunNone {
 		end = ""
 	}
-	h.keyChange(key, c, end)
+	h.submitKey(key, c, end)
 }
--- a/internal/dataplane/gateway/redirect_test.go
+++ b/internal/dataplane/gateway/redirect_test.go
@@ -22,7 +22,7 @@
 			http.Redirect(w, r, other.URL, status)
 		}))
 		h := Open(settings.Gateway{Name: "d", Listen: "127.0.0.1:0"}, logring.NewRing("", io.Discard))
-		res, err := h.attempts.Post(replica.URL, "application/json", strings.NewReader("{}"))
+		res, err := h.attemptClient.Post(replica.URL, "application/json", strings.NewReader("{}"))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/dataplane/gateway/carry.go
+++ b/internal/dataplane/gateway/run.go
@@ -12,40 +12,40 @@
 // drainRetryMs is when a caller that came too late is told to try again.
 const drainRetryMs = 200
 
-// carry takes one call through the decider and its attempts to the one final answer.
-func (h *Host) carry(ctx context.Context, c *scheduling.Call, edge Edge) string {
+// runCall takes one call through the decider and its attempts to the one final answer.
+func (h *Host) runCall(ctx context.Context, c *scheduling.Call, exchange Exchange) string {
 	mine := &caller{next: make(chan scheduling.Effect, 4)}
 	if !h.do(func() {
-		h.waiting[c.ID] = mine
+		h.callers[c.ID] = mine
 		h.step(scheduling.Event{Arrived: c})
 	}) {
-		edge.Fail(&fault.Fault{Code: fault.Draining, Run: fault.RunNone, RetryMs: drainRetryMs})
+		exchange.Fail(&fault.Fault{Code: fault.Draining, Run: fault.RunNone, RetryMs: drainRetryMs})
 		return fault.RunNone
 	}
-	defer h.act.Tell(func() { delete(h.waiting, c.ID) })
-	ran, why := fault.RunNone, ""
+	defer h.act.Tell(func() { delete(h.callers, c.ID) })
+	executed, why := fault.RunNone, ""
 	for {
 		e, here := h.next(ctx, c, mine)
 		switch {
 		case !here:
-			return ran
+			return executed
 		case e.Give != nil:
-			return h.giveUp(c, e.Give.Fault, edge)
+			return h.rejectCall(c, e.Give.Fault, exchange)
 		case e.Over != nil:
-			return endOver(e.Over.Ending, why, edge)
+			return failUnresolved(e.Over.Ending, why, exchange)
 		}
 		var ending scheduling.Ending
-		ending, why = h.attempt(ctx, *e.Start, mine, edge)
+		ending, why = h.attempt(ctx, *e.Start, mine, exchange)
 		switch {
 		case ending == scheduling.Done:
 			return fault.RunYes
 		case ending == scheduling.Failed:
 			return fault.RunUnknown
 		case scheduling.MayHaveRun(ending):
-			ran = fault.RunUnknown
+			executed = fault.RunUnknown
 		}
 		if ctx.Err() != nil {
-			return ran
+			return executed
 		}
 	}
 }
@@ -62,51 +62,51 @@
 	select {
 	case e = <-mine.next:
 		if e.Start != nil {
-			h.tell(scheduling.Event{Ended: &scheduling.Ended{Call: c.ID, Attempt: e.Start.Attempt, Ending: scheduling.Unsent}})
+			h.post(scheduling.Event{Ended: &scheduling.Ended{Call: c.ID, Attempt: e.Start.Attempt, Ending: scheduling.Unsent}})
 		}
 	default:
 	}
 	return scheduling.Effect{}, false
 }
 
-// giveUp gives the caller the fault by which the decider gave its call up.
-func (h *Host) giveUp(c *scheduling.Call, f *fault.Fault, edge Edge) string {
+// rejectCall gives the caller the fault by which the decider gave its call up.
+func (h *Host) rejectCall(c *scheduling.Call, f *fault.Fault, exchange Exchange) string {
 	if c.Routed != nil {
 		_ = h.log.Log("event", "given up", "path", c.Kind, "model", c.Model, "adapter", c.Adapter,
 			"waitedMs", (clock.NowUs()-c.TakenUs)/clock.Ms, "mostMs", c.MostMs, "retryMs", f.RetryMs, "why", f.Detail)
 	}
-	edge.Fail(f)
+	exchange.Fail(f)
 	return f.Run
 }
 
-// endOver gives the caller the end of a call whose last attempt ended so that no other may follow.
-func endOver(ending scheduling.Ending, why string, edge Edge) string {
+// failUnresolved gives the caller the end of a call whose last attempt ended so that no other may follow.
+func failUnresolved(ending scheduling.Ending, why string, exchange Exchange) string {
 	f := fault.New(fault.OutcomeUnknown, "", "%s", why)
 	f.Run = fault.RunUnknown
 	if ending == scheduling.Final {
 		f.Code = fault.Expired
-	} else if edge.Opened() {
+	} else if exchange.ResponseStarted() {
 		f.Code, f.Run = fault.StreamBroken, fault.RunPartial
 	}
-	edge.Fail(f)
+	exchange.Fail(f)
 	return f.Run
 }
 
 // attempt runs one attempt and tells the decider how it ended, and that the caller has left if it has.
-func (h *Host) attempt(ctx context.Context, st scheduling.Start, mine *caller, edge Edge) (scheduling.Ending, string) {
-	ending, why := h.sendAttempt(ctx, st, mine, edge)
+func (h *Host) attempt(ctx context.Context, st scheduling.Start, mine *caller, exchange Exchange) (scheduling.Ending, string) {
+	ending, why := h.sendAttempt(ctx, st, mine, exchange)
 	if ctx.Err() != nil {
-		h.tell(scheduling.Event{Gone: st.Call.ID})
+		h.post(scheduling.Event{Gone: st.Call.ID})
 	}
-	h.tell(scheduling.Event{Ended: &scheduling.Ended{Call: st.Call.ID, Attempt: st.Attempt, Ending: ending}})
+	h.post(scheduling.Event{Ended: &scheduling.Ended{Call: st.Call.ID, Attempt: st.Attempt, Ending: ending}})
 	return ending, why
 }
 
 // sendAttempt runs one attempt. Those under granted numbers run under a context that the decider can end.
-func (h *Host) sendAttempt(ctx context.Context, st scheduling.Start, mine *caller, edge Edge) (scheduling.Ending, string) {
+func (h *Host) sendAttempt(ctx context.Context, st scheduling.Start, mine *caller, exchange Exchange) (scheduling.Ending, string) {
 	if st.Call.Routed != nil {
 		fromUs := clock.NowUs()
-		ending, why := edge.Attempt(ctx, st)
+		ending, why := exchange.Attempt(ctx, st)
 		h.logAttempt(st, fromUs, ending, why)
 		return ending, why
 	}
@@ -115,7 +115,7 @@
 	defer cancel()
 	h.do(func() { mine.arm(cancel) })
 	defer h.do(func() { mine.arm(nil) })
-	return edge.Attempt(attemptCtx, st)
+	return exchange.Attempt(attemptCtx, st)
 }
 
 // logAttempt notes what became of an attempt on a route, and how long its parts took; firstMs is -1 where nothing came.
--- a/internal/dataplane/gateway/stream.go
+++ b/internal/dataplane/gateway/stream.go
@@ -10,39 +10,39 @@
 )
 
 type (
-	// pieceEvent is a piece of the answer, endEvent its end after so many pieces, brokenEvent an end that is none.
-	pieceEvent struct {
+	// chunkEvent is a piece of the answer, endEvent its end after so many pieces, brokenEvent an end that is none.
+	chunkEvent struct {
 		Text string `json:"text"`
 	}
 	endEvent struct {
-		Pieces int `json:"pieces"`
+		Chunks int `json:"pieces"`
 	}
 	brokenEvent struct {
 		Error  *fault.Fault `json:"error"`
-		Pieces int          `json:"pieces"`
+		Chunks int          `json:"pieces"`
 	}
 )
 
 type stream struct {
-	w      http.ResponseWriter
-	flush  func() error
-	opened bool
-	failed bool
-	pieces []string
+	w           http.ResponseWriter
+	flush       func() error
+	headersSent bool
+	failed      bool
+	chunks      []string
 }
 
-func (s *stream) open() {
-	if s.opened {
+func (s *stream) sendHeaders() {
+	if s.headersSent {
 		return
 	}
-	s.opened = true
+	s.headersSent = true
 	s.w.Header().Set("Content-Type", "text/event-stream")
 	s.w.Header().Set("Cache-Control", "no-store")
 	s.w.WriteHeader(http.StatusOK)
 }
 
 func (s *stream) event(id int, name string, v any) {
-	s.open()
+	s.sendHeaders()
 	raw, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -64,9 +64,9 @@
 }
 
 func (s *stream) fail(f *fault.Fault) {
-	if !s.opened {
-		refuse(s.w, statusOf(f), f)
+	if !s.headersSent {
+		writeFault(s.w, httpStatus(f), f)
 		return
 	}
-	s.event(0, "broken", brokenEvent{Error: f, Pieces: len(s.pieces)})
+	s.event(0, "broken", brokenEvent{Error: f, Chunks: len(s.chunks)})
 }
--- /dev/null
+++ b/internal/dataplane/upstream/idle_timeout.go
@@ -0,0 +1,66 @@
+package upstream
+
+import "petreltide/internal/process/clock"
+
+const (
+	minIdleUs           = 50 * clock.Ms
+	idleRaiseIntervalUs = 2 * clock.Sec
+	idleRaiseFactor     = 1.25
+	unlimitedIdleUs     = 60 * clock.Sec
+	closeWindowUs       = 10 * clock.Sec
+	shortIdleDivisor    = 4
+)
+
+// idleTimeout is how long connections of one service are used again after they lay idle. It falls to half
+// the age at which reused ones were found dead, and rises slowly while none is.
+type idleTimeout struct {
+	timeoutUs  int64
+	raisedAtUs int64
+	closes     map[string]earlyClose
+}
+
+type earlyClose struct {
+	atUs   int64
+	idleUs int64
+}
+
+func (t *idleTimeout) current(nowUs int64) int64 {
+	if t == nil || t.timeoutUs == 0 {
+		return unlimitedIdleUs
+	}
+	for nowUs-t.raisedAtUs >= idleRaiseIntervalUs {
+		t.raisedAtUs += idleRaiseIntervalUs
+		if t.timeoutUs = int64(float64(t.timeoutUs) * idleRaiseFactor); t.timeoutUs >= unlimitedIdleUs {
+			t.timeoutUs = 0
+			return unlimitedIdleUs
+		}
+	}
+	return t.timeoutUs
+}
+
+// recordClose takes a reused connection that ended before the first byte of an answer. One replica alone may be
+// ill; where a second shows the same soon after, it is how long the service keeps connections. short says
+// that it had not lain idle long enough for that: what ended then is the replica's doing.
+func (t *idleTimeout) recordClose(nowUs int64, replica string, idleUs int64) (short bool) {
+	currentUs := t.current(nowUs)
+	if idleUs <= max(currentUs/shortIdleDivisor, minIdleUs) && currentUs < unlimitedIdleUs {
+		return true
+	}
+	if idleUs <= minIdleUs {
+		return true
+	}
+	longestUs := int64(0)
+	for other, d := range t.closes {
+		switch {
+		case nowUs-d.atUs > closeWindowUs:
+			delete(t.closes, other)
+		case other != replica:
+			longestUs = max(longestUs, d.idleUs)
+		}
+	}
+	t.closes[replica] = earlyClose{nowUs, idleUs}
+	if longestUs > 0 {
+		t.timeoutUs, t.raisedAtUs = max(min(currentUs, idleUs/2, longestUs/2), minIdleUs), nowUs
+	}
+	return false
+}
--- a/tests/callers/callers.go
+++ b/tests/callers/callers.go
@@ -16,9 +16,9 @@
 )
 
 // Ask sends one attempt to one gateway and notes all the caller sees.
-func Ask(ctx context.Context, client *http.Client, addr string, ask gateway.CallAsk, key string, t rules.Told) rules.Told {
+func Ask(ctx context.Context, client *http.Client, addr string, ask gateway.CallRequest, key string, t rules.Told) rules.Told {
 	t.Gateway, t.StartUs, t.Key = addr, clock.NowUs(), key
-	t.Kind, t.Model, t.Adapter, t.Prompt, t.MostOut, t.Had = ask.Kind, ask.Model, ask.Adapter, ask.Prompt, ask.MostOut, len(ask.Had)
+	t.Kind, t.Model, t.Adapter, t.Prompt, t.MostOut, t.Had = ask.Kind, ask.Model, ask.Adapter, ask.Prompt, ask.MaxOutput, len(ask.Received)
 	raw, err := json.Marshal(ask)
 	if err != nil {
 		panic(err)
@@ -32,8 +32,8 @@
 	if key != "" {
 		req.Header.Set("Idempotency-Key", key)
 	}
-	if len(ask.Had) > 0 {
-		req.Header.Set("Last-Event-Id", strconv.Itoa(len(ask.Had)))
+	if len(ask.Received) > 0 {
+		req.Header.Set("Last-Event-Id", strconv.Itoa(len(ask.Received)))
 	}
 	res, err := client.Do(req)
 	if err != nil {
--- a/tests/capacity/hollow.go
+++ b/tests/capacity/hollow.go
@@ -106,7 +106,7 @@
 	incarnation    string
 
 	mu      sync.Mutex
-	mirror  *controlclient.Mirror
+	mirror  *controlclient.Informer
 	cancels map[uint64]context.CancelFunc
 	known   []bool
 	load    *wire.Report
@@ -121,7 +121,7 @@
 	d.incarnation = controlnode.RandomID(6)
 	d.mu.Lock()
 	d.cancels = map[uint64]context.CancelFunc{}
-	d.mirror = controlclient.NewMirror(controlclient.Options{Gateway: d.name, Incarnation: d.incarnation, Addr: platform.Gateway(d.ip), Zone: d.zone, Seeds: seeds})
+	d.mirror = controlclient.NewInformer(controlclient.Options{Gateway: d.name, Incarnation: d.incarnation, Addr: platform.Gateway(d.ip), Zone: d.zone, Seeds: seeds})
 	d.load = d.draw()
 	d.mu.Unlock()
 	pause(ctx, time.Duration(d.r.Int63n(int64(time.Second))))
@@ -136,7 +136,7 @@
 			d.mu.Unlock()
 		}
 		if !d.dead.Load() {
-			d.step(ctx, controlclient.MirrorEvent{})
+			d.step(ctx, controlclient.InformerEvent{})
 		}
 		select {
 		case <-ctx.Done():
@@ -145,7 +145,7 @@
 	}
 }
 
-func (d *hollowGateway) step(ctx context.Context, ev controlclient.MirrorEvent) {
+func (d *hollowGateway) step(ctx context.Context, ev controlclient.InformerEvent) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	ev.NowUs = clock.NowUs()
@@ -153,13 +153,13 @@
 		switch {
 		case e.Open != nil:
 			stream := *e.Open
-			stream.Ask.Revision = d.revision.Load()
+			stream.Request.Revision = d.revision.Load()
 			following, done := context.WithCancel(ctx)
 			d.cancels[stream.Number] = done
 			d.spawn(func() {
 				d.follow(following, stream)
 				if ctx.Err() == nil {
-					d.step(ctx, controlclient.MirrorEvent{Closed: stream.Number})
+					d.step(ctx, controlclient.InformerEvent{Closed: stream.Number})
 				}
 			})
 		case e.Close != 0:
@@ -191,7 +191,7 @@
 }
 
 func (d *hollowGateway) follow(ctx context.Context, s controlclient.Stream) {
-	stream, err := rpc.NewCaller[wire.SubscribeRequest, frame](d.client, s.Addr, rpc.FramesPath).Stream(ctx, &s.Ask)
+	stream, err := rpc.NewCaller[wire.SubscribeRequest, frame](d.client, s.Addr, rpc.FramesPath).Stream(ctx, &s.Request)
 	if err != nil {
 		return
 	}
@@ -206,7 +206,7 @@
 		if have := d.revision.Load(); f.Revision > have && d.revision.CompareAndSwap(have, f.Revision) {
 			d.world.track.has(d.name, f.Revision)
 		}
-		d.step(ctx, controlclient.MirrorEvent{Stream: s.Number, Frame: &wire.Frame{
+		d.step(ctx, controlclient.InformerEvent{Stream: s.Number, Frame: &wire.Frame{
 			ControlNode: f.ControlNode, Complete: f.Whole, CaughtUp: f.Settled, View: f.View, ControlNodes: f.ControlNodes, GatewayCount: f.Gateways,
 		}})
 	}
--- a/tests/fleet/demand.go
+++ b/tests/fleet/demand.go
@@ -31,7 +31,7 @@
 
 // Next draws a call: interactive kinds carry most, popular models come first, and calls share
 // the first parts of their prompts.
-func Next(r *rand.Rand, d Demand, n int) gateway.CallAsk {
+func Next(r *rand.Rand, d Demand, n int) gateway.CallRequest {
 	kinds := d.Doc.Kinds
 	whole := 0
 	for _, k := range kinds {
@@ -52,7 +52,7 @@
 		i = len(models)/2 + r.Intn(len(models)/2)
 	}
 	model := models[min(i, len(models)-1)]
-	ask := gateway.CallAsk{Kind: kind.Name, Model: model.Name, DeadlineMs: d.DeadlineMs}
+	ask := gateway.CallRequest{Kind: kind.Name, Model: model.Name, DeadlineMs: d.DeadlineMs}
 	if r.Intn(3) == 0 {
 		fits := []string{}
 		for _, a := range d.Doc.Adapters {
@@ -93,7 +93,7 @@
 	open.Wait()
 }
 
-func (f *Fleet) oneCall(client *http.Client, doc *configuration.Declaration, ask gateway.CallAsk, pick int) {
+func (f *Fleet) oneCall(client *http.Client, doc *configuration.Declaration, ask gateway.CallRequest, pick int) {
 	kind := doc.Kind(ask.Kind)
 	prompt := ask.Prompt
 	for try := 0; try < 3; try++ {
--- a/tests/fleet/fleet_test.go
+++ b/tests/fleet/fleet_test.go
@@ -157,7 +157,7 @@
 	addr := f.Proc(name).Addr
 	got := make(chan rules.Told, 1)
 	go func() {
-		got <- callers.Ask(ctx, rpc.Client(500, ""), addr, gateway.CallAsk{Kind: "letters", Model: "m0", Prompt: "drain me", MostOut: 60}, "", rules.Told{Tag: "drain"})
+		got <- callers.Ask(ctx, rpc.Client(500, ""), addr, gateway.CallRequest{Kind: "letters", Model: "m0", Prompt: "drain me", MaxOutput: 60}, "", rules.Told{Tag: "drain"})
 	}()
 	if err := f.Until(ctx, "the call streams", func() bool {
 		var st struct {
--- a/tests/fleet/measure.go
+++ b/tests/fleet/measure.go
@@ -89,7 +89,7 @@
 			return err
 		}
 		straight = append(straight, float64(NowUs()-began)/1000)
-		t := callers.Ask(ctx, kept, addr, gateway.CallAsk{Kind: doc.Kinds[0].Name, Model: model, Prompt: prompt, MostOut: 1}, "", rules.Told{Tag: prompt})
+		t := callers.Ask(ctx, kept, addr, gateway.CallRequest{Kind: doc.Kinds[0].Name, Model: model, Prompt: prompt, MaxOutput: 1}, "", rules.Told{Tag: prompt})
 		if !t.Ended {
 			return errors.Errorf("a call ended with %s", t.Code)
 		}
@@ -118,7 +118,7 @@
 			for n := 0; ctx.Err() == nil; n++ {
 				m := doc.Models[(w+n)%8]
 				prompt := fmt.Sprintf("rate-%d-%d", w, n)
-				t := callers.Ask(ctx, client, addr, gateway.CallAsk{Kind: doc.Kinds[0].Name, Model: m.Name, Prompt: prompt, MostOut: 1}, "", rules.Told{Tag: prompt})
+				t := callers.Ask(ctx, client, addr, gateway.CallRequest{Kind: doc.Kinds[0].Name, Model: m.Name, Prompt: prompt, MaxOutput: 1}, "", rules.Told{Tag: prompt})
 				if t.EndUs < fromUs.Load() {
 					continue
 				}
@@ -366,7 +366,7 @@
 	beganUs := NowUs()
 	client := rpc.Client(200, "")
 	for {
-		t := callers.Ask(ctx, client, f.Proc(name).Addr, gateway.CallAsk{Kind: doc.Kinds[0].Name, Model: doc.Models[0].Name, Prompt: fmt.Sprintf("again-%d", NowUs()), MostOut: 1}, "", rules.Told{})
+		t := callers.Ask(ctx, client, f.Proc(name).Addr, gateway.CallRequest{Kind: doc.Kinds[0].Name, Model: doc.Models[0].Name, Prompt: fmt.Sprintf("again-%d", NowUs()), MaxOutput: 1}, "", rules.Told{})
 		if t.Ended {
 			break
 		}
--- a/tests/golden/forms_test.go
+++ b/tests/golden/forms_test.go
@@ -80,7 +80,7 @@
 	{"failuredetector/node", failuredetector.Node{}},
 	{"failuredetector/silence", failuredetector.SuspicionReport{}},
 	{"fault/fault", fault.Fault{}},
-	{"gateway/call-ask", gateway.CallAsk{}},
+	{"gateway/call-ask", gateway.CallRequest{}},
 	{"gateway/connections", gateway.Connections{}},
 	{"gateway/status", gateway.Status{}},
 	{"outlier/counts", outlier.Counts{}},
--- a/tests/simulator/gateways.go
+++ b/tests/simulator/gateways.go
@@ -30,7 +30,7 @@
 
 type callState struct {
 	call    *scheduling.Call
-	ask     gateway.CallAsk
+	ask     gateway.CallRequest
 	told    rules.Told
 	attempt string
 	stop    func()
@@ -86,19 +86,19 @@
 	d.calls = map[string]*callState{}
 }
 
-func (d *gatewayNode) news(n wire.GatewayUpdate) { d.subscribe(controlclient.Event{News: &n}) }
+func (d *gatewayNode) news(n wire.GatewayUpdate) { d.subscribe(controlclient.Event{Update: &n}) }
 
 func (d *gatewayNode) subscribe(ev controlclient.Event) {
 	s := d.sim
 	ev.NowUs = d.clock()
 	for _, e := range d.subscriber.Step(ev) {
 		switch {
-		case e.AskWhere != nil:
-			for _, addr := range e.AskWhere {
+		case e.RequestMembership != nil:
+			for _, addr := range e.RequestMembership {
 				if o := s.controlNodeAt(addr); o != nil {
 					s.send(&d.machine, &o.machine, func() {
 						where := o.where()
-						s.send(&o.machine, &d.machine, func() { d.subscribe(controlclient.Event{Where: &where}) })
+						s.send(&o.machine, &d.machine, func() { d.subscribe(controlclient.Event{Membership: &where}) })
 					})
 				}
 			}
@@ -106,8 +106,8 @@
 			d.follow(*e.Follow)
 		case e.Report != nil:
 			d.report(e.Report.Addr)
-		case e.Beats != nil:
-			for _, n := range e.Beats {
+		case e.Heartbeats != nil:
+			for _, n := range e.Heartbeats {
 				d.beat(n.Addr, false)
 			}
 			for _, n := range e.Farewells {
@@ -141,7 +141,7 @@
 	}
 	for _, to := range s.gateways {
 		if to.addr == addr {
-			s.send(&d.machine, &to.machine, func() { to.subscribe(controlclient.Event{Beat: &b}) })
+			s.send(&d.machine, &to.machine, func() { to.subscribe(controlclient.Event{Heartbeat: &b}) })
 		}
 	}
 }
@@ -159,7 +159,7 @@
 			return
 		}
 		o.follows[d.name] = d
-		ask := f.Ask
+		ask := f.Request
 		o.step(controlnode.Event{Follow: &ask})
 	})
 }
@@ -171,7 +171,7 @@
 		return
 	}
 	report := clone(d.decider.Report(d.clock()))
-	report.Addr, report.Zone, report.Suspects = d.addr, d.zone, d.subscriber.Silent(d.clock())
+	report.Addr, report.Zone, report.Suspects = d.addr, d.zone, d.subscriber.Suspects(d.clock())
 	s.show("report", report)
 	s.send(&d.machine, &o.machine, func() {
 		o.replySeq++
@@ -349,7 +349,7 @@
 		}
 	})
 	attempt := wire.Attempt{ID: st.Attempt, Ticket: st.Ticket, Incarnation: st.Incarnation, Call: st.Call.ID, Model: c.ask.Model, Adapter: c.ask.Adapter,
-		Prefix: c.ask.Prefix, Prompt: c.ask.Prompt, Received: append(append([]string(nil), c.ask.Had...), c.told.Pieces...), NextChunk: c.told.Had + len(c.told.Pieces) + 1, MaxOutput: c.ask.MostOut}
+		Prefix: c.ask.Prefix, Prompt: c.ask.Prompt, Received: append(append([]string(nil), c.ask.Received...), c.told.Pieces...), NextChunk: c.told.Had + len(c.told.Pieces) + 1, MaxOutput: c.ask.MaxOutput}
 	boot := d.boot
 	asked := false
 	d.later(sec, func() {
@@ -482,7 +482,7 @@
 }
 
 // take is a call reaching this gateway.
-func (d *gatewayNode) take(ask gateway.CallAsk, t rules.Told, done func(rules.Told)) {
+func (d *gatewayNode) take(ask gateway.CallRequest, t rules.Told, done func(rules.Told)) {
 	s := d.sim
 	t.TakenUs = s.nowUs
 	s.watch.Taken(t.Tag, s.nowUs)
@@ -571,14 +571,14 @@
 	next()
 }
 
-func (s *Sim) draw(r *rand.Rand, label string, n int) gateway.CallAsk {
+func (s *Sim) draw(r *rand.Rand, label string, n int) gateway.CallRequest {
 	d := s.plan.Doc
 	kind := byUrgency(d)[[]int{0, 1, 1, 2, 2, 2, 2}[r.Intn(7)]%len(d.Kinds)]
 	m := d.Models[min(int(r.ExpFloat64()*float64(len(d.Models))/4), len(d.Models)-1)]
 	if s.rareOnly {
 		m = d.Models[len(d.Models)/2+r.Intn(len(d.Models)/2)]
 	}
-	ask := gateway.CallAsk{Kind: kind.Name, Model: m.Name, Prefix: []string{"house", fmt.Sprintf("school %d", r.Intn(4))}, Prompt: fmt.Sprintf("%s.%d go", label, n)}
+	ask := gateway.CallRequest{Kind: kind.Name, Model: m.Name, Prefix: []string{"house", fmt.Sprintf("school %d", r.Intn(4))}, Prompt: fmt.Sprintf("%s.%d go", label, n)}
 	if s.ops.once["model of "+d.Adapters[1].Name] && r.Intn(8) == 0 {
 		ask.Adapter, ask.Model = d.Adapters[1].Name, s.ops.elsewhere()
 		return ask
@@ -593,10 +593,10 @@
 	return ask
 }
 
-func (s *Sim) call(ask gateway.CallAsk, key string, at, try int) {
+func (s *Sim) call(ask gateway.CallRequest, key string, at, try int) {
 	d := s.gateways[at%len(s.gateways)]
 	t := rules.Told{Tag: modelserver.TagOf(ask.Prompt), Key: key, Kind: ask.Kind, Model: ask.Model, Adapter: ask.Adapter, Prompt: ask.Prompt, Gateway: d.name,
-		StartUs: s.nowUs, Had: len(ask.Had), MostOut: ask.MostOut, Resumable: s.ops.mayResume(ask.Kind)}
+		StartUs: s.nowUs, Had: len(ask.Received), MostOut: ask.MaxOutput, Resumable: s.ops.mayResume(ask.Kind)}
 	s.watch.Asked(t)
 	done := func(t rules.Told) { s.askAgain(t, ask, key, at, try) }
 	if !d.up {
@@ -618,13 +618,13 @@
 
 // askAgain is what a sensible caller does: it comes back when it was told to, asks what became of
 // a keyed call, and goes on with a stream that was cut where that is allowed.
-func (s *Sim) askAgain(t rules.Told, ask gateway.CallAsk, key string, at, try int) {
+func (s *Sim) askAgain(t rules.Told, ask gateway.CallRequest, key string, at, try int) {
 	if t.Ended || try >= 4 || t.Code == "hung up" {
 		return
 	}
 	switch {
 	case t.Resumable && t.Broken && t.Had+len(t.Pieces) > 0:
-		ask.Had = append(append([]string(nil), ask.Had...), t.Pieces...)
+		ask.Received = append(append([]string(nil), ask.Received...), t.Pieces...)
 	case t.Run == fault.RunNone && (t.RetryMs > 0 || t.Code == "down"), key != "" && !t.Resumable && t.Run != fault.RunNone:
 		ask.Prompt = fmt.Sprintf("%s.r%d go", modelserver.TagOf(ask.Prompt), try+1)
 	default:
--- a/tests/simulator/moves_test.go
+++ b/tests/simulator/moves_test.go
@@ -19,7 +19,7 @@
 	s.runUntil(s.nowUs + 6*sec)
 	fromUs := s.nowUs
 	for n := 0; n < 120; n++ {
-		ask := gateway.CallAsk{Kind: "pages", Model: p.modelAt(s, n), Prompt: fmt.Sprintf("move-%d-%d go", seed, n), MostOut: 60}
+		ask := gateway.CallRequest{Kind: "pages", Model: p.modelAt(s, n), Prompt: fmt.Sprintf("move-%d-%d go", seed, n), MaxOutput: 60}
 		s.at(fromUs+int64(n)*25*ms, func() { s.call(ask, "", n, 0) })
 	}
 	s.runUntil(fromUs + 2500*ms)
--- a/tests/simulator/routed_frames.go
+++ b/tests/simulator/routed_frames.go
@@ -31,7 +31,7 @@
 	return nil, false
 }
 
-func (t *routedGateway) reflect(ev controlclient.MirrorEvent) {
+func (t *routedGateway) reflect(ev controlclient.InformerEvent) {
 	d := t.day
 	ev.NowUs = t.clock()
 	for _, e := range t.mirror.Step(ev) {
@@ -111,7 +111,7 @@
 	}
 	f := &frameStream{gateway: t, number: s.Number, down: d.pipe(&o.machine, &t.machine)}
 	t.streams[s.Number] = f
-	ask := s.Ask
+	ask := s.Request
 	d.carry(&t.machine, &o.machine, 5*sec, func() { o.subscribe(f, ask) }, func() {
 		t.now(t.boot, func() { t.closed(s.Number) })
 	})
@@ -119,14 +119,14 @@
 
 func (t *routedGateway) closed(number uint64) {
 	delete(t.streams, number)
-	t.reflect(controlclient.MirrorEvent{Closed: number})
+	t.reflect(controlclient.InformerEvent{Closed: number})
 }
 
 func (t *routedGateway) frame(number uint64, f *wire.Frame) {
-	t.reflect(controlclient.MirrorEvent{Frame: f, Stream: number})
+	t.reflect(controlclient.InformerEvent{Frame: f, Stream: number})
 }
 
 // reseed gives the mirror other first contacts.
 func (t *routedGateway) reseed(seeds []string) {
-	t.reflect(controlclient.MirrorEvent{Seeds: seeds})
+	t.reflect(controlclient.InformerEvent{Seeds: seeds})
 }
--- a/tests/simulator/routed_gateways.go
+++ b/tests/simulator/routed_gateways.go
@@ -27,7 +27,7 @@
 	zone        string
 	incarnation string
 	decider     *scheduling.Decider
-	mirror      *controlclient.Mirror
+	mirror      *controlclient.Informer
 	snap        *scheduling.Snapshot
 	older       *scheduling.Snapshot
 	open        map[string]*exchange
@@ -59,7 +59,7 @@
 		budget.WindowUs = 0
 	}
 	t.decider = scheduling.New(scheduling.Options{Gateway: t.name, Incarnation: t.incarnation, Zone: t.zone, QueueMax: 200, Budget: budget})
-	t.mirror = controlclient.NewMirror(controlclient.Options{Gateway: t.name, Incarnation: t.incarnation, Addr: t.addr, Zone: t.zone, Seeds: d.seeds})
+	t.mirror = controlclient.NewInformer(controlclient.Options{Gateway: t.name, Incarnation: t.incarnation, Addr: t.addr, Zone: t.zone, Seeds: d.seeds})
 	t.snap, t.older, t.open, t.streams, t.kept = nil, nil, map[string]*exchange{}, map[uint64]*frameStream{}, map[string]int64{}
 	d.over(t.name, "down")
 	t.tick()
@@ -68,7 +68,7 @@
 func (t *routedGateway) tick() {
 	t.later(50*ms, func() {
 		t.step(scheduling.Event{})
-		t.reflect(controlclient.MirrorEvent{})
+		t.reflect(controlclient.InformerEvent{})
 		t.tick()
 	})
 }
@@ -128,7 +128,7 @@
 		}
 	}
 	if urgent {
-		t.reflect(controlclient.MirrorEvent{Urgent: true})
+		t.reflect(controlclient.InformerEvent{Urgent: true})
 	}
 }
 
--- a/tests/testbed/input_test.go
+++ b/tests/testbed/input_test.go
@@ -205,7 +205,7 @@
 				defer group.Done()
 				ctx, done := context.WithTimeout(context.Background(), time.Duration(hangMs)*time.Millisecond)
 				defer done()
-				ask := gateway.CallAsk{Kind: "letters", Model: "m0", Prompt: tag + " go", DeadlineMs: 3000}
+				ask := gateway.CallRequest{Kind: "letters", Model: "m0", Prompt: tag + " go", DeadlineMs: 3000}
 				got := callers.Ask(ctx, http.DefaultClient, s.Gateways[i%len(s.Gateways)], ask, "", rules.Told{Tag: tag})
 				mu.Lock()
 				defer mu.Unlock()
