--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -104,11 +104,8 @@
 	Disable feature.Disabled
 }
 
-// New makes a controller with the usual options.
-func New(me string) *Controller { return NewWith(me, Options{}) }
-
-// NewWith makes a controller that remembers nothing yet.
-func NewWith(me string, opts Options) *Controller {
+// New makes a controller of this identity that remembers nothing yet.
+func New(me string, opts Options) *Controller {
 	return &Controller{
 		me: me, opts: opts, replicas: map[string]*replicaState{}, gateways: map[string]*gatewayState{},
 		jury: failuredetector.NewSuspicionQuorum(), orderUs: map[uint64]int64{}, Faults: map[fault.Code]uint64{}, routed: newRouted(), outliers: outlier.NewFleet(opts.Outlier),
@@ -129,43 +126,57 @@
 }
 
 // Step takes one event and returns what is to be done.
-func (c *Controller) Step(snapshot Snapshot, ev Event) []Effect {
+func (c *Controller) Step(snapshot Snapshot, event Event) []Effect {
 	c.effects = nil
-	switch {
-	case ev.Report != nil:
-		c.onGatewayReport(snapshot, ev.NowUs, ev.Report)
-	case ev.Silence != nil:
-		c.jury.Report(ev.NowUs, *ev.Silence)
-	case ev.Listed != nil:
-		c.onPlatformListing(ev.NowUs, *ev.Listed)
-	case ev.Told != nil && snapshot.isRouted():
-		c.onRoutedReplicaReport(snapshot, *ev.Told)
+	switch event := event.(type) {
+	case Tick:
+		c.tick(snapshot)
+	case GatewayReport:
+		c.onGatewayReport(snapshot, event.Report)
+	case WatcherReport:
+		c.jury.Report(snapshot.NowUs, event.Report)
+	case PlatformListing:
+		c.onPlatformListing(snapshot.NowUs, event)
+	case ReplicaReport:
+		c.onReplicaReport(snapshot, event)
+	case OrderResult:
+		c.onOrderResult(snapshot, event)
+	case PolicyResult:
+		c.onPolicyResult(snapshot, event)
 		c.act(snapshot)
-	case ev.Ordered != nil && snapshot.isRouted():
-		c.onRoutedOrderResult(snapshot, *ev.Ordered)
+	case WriteResult:
+		c.onWriteResult(snapshot, event.Outcome)
+	}
+	return c.effects
+}
+
+// onReplicaReport takes a replica's report, and acts at once where that may end an order.
+func (c *Controller) onReplicaReport(snapshot Snapshot, report ReplicaReport) {
+	if snapshot.isRouted() {
+		c.onRoutedReplicaReport(snapshot, report)
 		c.act(snapshot)
-	case ev.Told != nil:
-		c.onReplicaReport(ev.NowUs, *ev.Told)
-		if c.hasOutcome(snapshot.State, ev.Told.Replica) {
-			c.act(snapshot)
-		}
-	case ev.Ordered != nil:
-		c.onOrderResult(*ev.Ordered)
-	case ev.Policy != nil:
-		c.onPolicyResult(snapshot, *ev.Policy)
+		return
+	}
+	c.onDeclaredReplicaReport(snapshot.NowUs, report)
+	if c.hasOutcome(snapshot.State, report.Replica) {
 		c.act(snapshot)
-	case ev.Wrote != nil:
-		c.onWriteResult(snapshot, *ev.Wrote)
-	default:
-		c.tick(snapshot)
 	}
-	return c.effects
+}
+
+// onOrderResult takes a replica's answer to an order.
+func (c *Controller) onOrderResult(snapshot Snapshot, result OrderResult) {
+	if snapshot.isRouted() {
+		c.onRoutedOrderResult(snapshot, result)
+		c.act(snapshot)
+		return
+	}
+	c.onDeclaredOrderResult(result)
 }
 
 // onGatewayReport takes a gateway's report, and acts at once where calls wait for a unit that has no place.
-func (c *Controller) onGatewayReport(snapshot Snapshot, nowUs int64, report *wire.Report) {
-	c.gateways[report.Gateway] = &gatewayState{report: *report, reportedUs: nowUs}
-	c.jury.Report(nowUs, failuredetector.SuspicionReport{Reporter: report.Gateway, Suspects: report.Suspects})
+func (c *Controller) onGatewayReport(snapshot Snapshot, report *wire.Report) {
+	c.gateways[report.Gateway] = &gatewayState{report: *report, reportedUs: snapshot.NowUs}
+	c.jury.Report(snapshot.NowUs, failuredetector.SuspicionReport{Reporter: report.Gateway, Suspects: report.Suspects})
 	c.onCallOutcomes(snapshot, report)
 	if snapshot.isRouted() && c.hasUnplacedCalls(snapshot, report) {
 		c.moved = true
@@ -213,7 +224,7 @@
 	c.resign()
 	c.claimUs = snapshot.NowUs
 	c.claimed = snapshot.State.Epoch + 1
-	c.emit(Effect{Write: &statemachine.Change{
+	c.emit(WriteChange{Change: &statemachine.Change{
 		ID: fmt.Sprintf("claim-%s-%d", c.me, c.claimed), Epoch: c.claimed, Claim: &statemachine.Claim{Leader: c.me},
 	}})
 }
@@ -226,7 +237,7 @@
 	}
 	if snapshot.NowUs-c.listUs >= listIntervalUs {
 		c.listUs = snapshot.NowUs
-		c.emit(Effect{PollList: true})
+		c.emit(PollPlatform{})
 	}
 	c.requestReports(snapshot.NowUs, snapshot.State)
 	c.sendOrders(snapshot)
@@ -251,7 +262,7 @@
 
 // resign forgets all that only a leader needs.
 func (c *Controller) resign() {
-	fresh := NewWith(c.me, c.opts)
+	fresh := New(c.me, c.opts)
 	fresh.Faults, fresh.writes, fresh.gateways, fresh.Policy = c.Faults, c.writes, c.gateways, c.Policy
 	fresh.turns = c.turns
 	fresh.run, fresh.jury = c.run, c.jury
--- a/internal/controlplane/controller/controller_test.go
+++ b/internal/controlplane/controller/controller_test.go
@@ -24,7 +24,7 @@
 }
 
 func newRig(t *testing.T, me string, s *statemachine.State) *rig {
-	r := &rig{t: t, f: New(me), s: s, nowUs: clock.Sec, states: map[string]*wire.ReplicaState{}, list: wire.ReplicaList{Version: 1}}
+	r := &rig{t: t, f: New(me, Options{}), s: s, nowUs: clock.Sec, states: map[string]*wire.ReplicaState{}, list: wire.ReplicaList{Version: 1}}
 	for _, id := range []string{"r1", "r2"} {
 		r.list.Replicas = append(r.list.Replicas, wire.ListedReplica{ID: id, Addr: id, Zone: "a", CapacityMB: 100, Slots: 4, State: wire.ListedReady})
 		r.states[id] = &wire.ReplicaState{ID: id, Incarnation: "i"}
@@ -45,44 +45,43 @@
 }
 
 func (r *rig) feed(ev Event) {
-	ev.NowUs = r.nowUs
 	for _, e := range r.f.Step(r.seen(), ev) {
-		switch {
-		case e.PollList:
+		switch e := e.(type) {
+		case PollPlatform:
 			list := r.list
-			r.feed(Event{Listed: &PlatformListing{List: &list}})
-		case e.Ask != nil:
-			known := r.states[e.Ask.Replica]
+			r.feed(PlatformListing{List: &list})
+		case ReportRequest:
+			known := r.states[e.Replica]
 			if known == nil {
 				continue
 			}
 			st := *known
-			r.feed(Event{Told: &ReplicaReport{RequestedUs: e.Ask.RequestedUs, Replica: e.Ask.Replica, Addr: e.Ask.Addr, State: &st}})
-		case e.Order != nil:
-			r.orders = append(r.orders, e.Order.Order)
+			r.feed(ReplicaReport{RequestedUs: e.RequestedUs, Replica: e.Replica, Addr: e.Addr, State: &st})
+		case SendOrder:
+			r.orders = append(r.orders, e.Order)
 			if !r.mute {
-				t := e.Order.Order.Command
+				t := e.Order.Command
 				r.states[t.Replica].LastOrder = &wire.OrderState{Number: t.Number, State: wire.OrderRunning}
 			}
-		case e.Write != nil:
-			out := r.s.Apply(r.s.Index+1, *e.Write)
-			r.feed(Event{Wrote: &out})
-		case e.Run != nil:
-			r.runs = append(r.runs, *e.Run)
-			r.feed(Event{Policy: &PolicyResult{Number: e.Run.Number, Revision: e.Run.Revision}})
+		case WriteChange:
+			out := r.s.Apply(r.s.Index+1, *e.Change)
+			r.feed(WriteResult{Outcome: out})
+		case PolicyRun:
+			r.runs = append(r.runs, e)
+			r.feed(PolicyResult{Number: e.Number, Revision: e.Revision})
 		}
 	}
 }
 
 func (r *rig) pass(us int64) {
 	for end := r.nowUs + us; r.nowUs < end; r.nowUs += 25 * clock.Ms {
-		r.feed(Event{})
+		r.feed(Tick{})
 	}
 }
 
 func (r *rig) propose(replica string) {
 	last := r.runs[len(r.runs)-1]
-	r.feed(Event{Policy: &PolicyResult{Number: last.Number, Revision: last.Revision, Live: placement.RunResult{Proposals: []placement.Proposal{{Step: statemachine.Load, Replica: replica, Unit: "m"}}}}})
+	r.feed(PolicyResult{Number: last.Number, Revision: last.Revision, Live: placement.RunResult{Proposals: []placement.Proposal{{Step: statemachine.Load, Replica: replica, Unit: "m"}}}})
 	r.pass(200 * clock.Ms)
 }
 
@@ -186,13 +185,14 @@
 	r.nowUs += 2 * clock.Sec
 	snapshot := r.seen()
 	snapshot.IsFresh = false
-	for _, e := range r.f.Step(snapshot, Event{NowUs: r.nowUs}) {
-		if e.Order != nil || e.Write != nil {
+	for _, e := range r.f.Step(snapshot, Tick{}) {
+		switch e.(type) {
+		case SendOrder, WriteChange:
 			t.Fatalf("a head that the chain has not answered acts: %+v", e)
 		}
 	}
 	snapshot.IsHead = false
-	if r.f.Step(snapshot, Event{NowUs: r.nowUs}); r.f.IsLeader(r.s) {
+	if r.f.Step(snapshot, Tick{}); r.f.IsLeader(r.s) {
 		t.Fatal("a control node that is not the head keeps leadership")
 	}
 }
@@ -202,8 +202,8 @@
 	r.pass(2 * clock.Sec)
 	good := r.list
 	for _, bad := range []*wire.ReplicaList{nil, {Version: 0}, {Version: 9}, {Version: 9, Replicas: []wire.ListedReplica{{ID: "r1"}}}} {
-		r.feed(Event{Listed: &PlatformListing{List: bad}})
-		r.feed(Event{})
+		r.feed(PlatformListing{List: bad})
+		r.feed(Tick{})
 		if len(r.s.Replicas) != 2 {
 			t.Fatalf("%+v dropped replicas", bad)
 		}
@@ -229,7 +229,7 @@
 	r.propose("r1")
 	spent := full - r.f.bucket.TokensMb
 	r.nowUs += clock.Ms
-	r.feed(Event{})
+	r.feed(Tick{})
 	if most := full - spent + 2; r.f.bucket.TokensMb > most {
 		t.Fatalf("%v tokens a millisecond after spending %v of %v", r.f.bucket.TokensMb, spent, full)
 	}
--- a/internal/controlplane/controller/fuzz_test.go
+++ b/internal/controlplane/controller/fuzz_test.go
@@ -19,11 +19,11 @@
 		r.pass(clock.Sec)
 		told := &wire.ReplicaState{}
 		if json.Unmarshal(state, told) == nil {
-			r.feed(Event{Told: &ReplicaReport{RequestedUs: r.nowUs, Replica: "r1", Addr: "r1", State: told}})
+			r.feed(ReplicaReport{RequestedUs: r.nowUs, Replica: "r1", Addr: "r1", State: told})
 		}
 		listed := &wire.ReplicaList{}
 		if json.Unmarshal(list, listed) == nil {
-			r.feed(Event{Listed: &PlatformListing{List: listed}})
+			r.feed(PlatformListing{List: listed})
 		}
 		r.pass(clock.Sec)
 		for id, replica := range r.s.Replicas {
--- a/internal/controlplane/controller/hear.go
+++ b/internal/controlplane/controller/hear.go
@@ -51,8 +51,8 @@
 	return true
 }
 
-// onOrderResult takes a declared replica's answer to an order.
-func (c *Controller) onOrderResult(o OrderResult) {
+// onDeclaredOrderResult takes a declared replica's answer to an order.
+func (c *Controller) onDeclaredOrderResult(o OrderResult) {
 	row := c.replicas[o.Replica]
 	if o.State.State == wire.OrderInDoubt || o.State.State == wire.OrderBusy {
 		return
@@ -94,7 +94,7 @@
 		}
 		if nowUs-row.requestedUs >= spanUs {
 			row.requestedUs = nowUs
-			c.emit(Effect{Ask: &ReportRequest{RequestedUs: nowUs, Replica: l.ID, Addr: l.Addr}})
+			c.emit(ReportRequest{RequestedUs: nowUs, Replica: l.ID, Addr: l.Addr})
 		}
 	}
 }
@@ -198,8 +198,8 @@
 	}
 }
 
-// onReplicaReport takes a declared replica's report.
-func (c *Controller) onReplicaReport(nowUs int64, t ReplicaReport) {
+// onDeclaredReplicaReport takes a declared replica's report.
+func (c *Controller) onDeclaredReplicaReport(nowUs int64, t ReplicaReport) {
 	row := c.replicas[t.Replica]
 	if row == nil || row.addr != t.Addr {
 		row = &replicaState{addr: t.Addr, requestedUs: nowUs}
--- a/internal/controlplane/controller/late_test.go
+++ b/internal/controlplane/controller/late_test.go
@@ -32,7 +32,7 @@
 // control node, and was taken for its newest word; the controller then ordered a load beyond the replica's room.
 func TestWordsOlderThanTheLastOrderDoNotOverruleIt(t *testing.T) {
 	s := routedState(t)
-	f := New("me")
+	f := New("me", Options{})
 	f.routed.bornUs = clock.Sec
 	doneUs := 60 * clock.Sec
 	done := statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: s.Pending["r1"].Number, Succeeded: true}}}
@@ -64,15 +64,15 @@
 // pending, was cut off meanwhile and begins from a copy in which it is settled saw neither; it waits the lease out.
 func TestASettlementThatWasNotSeenIsSomebodysOrder(t *testing.T) {
 	s := routedState(t)
-	f := NewWith("me", Options{LeaseUs: 3 * clock.Sec})
-	f.Step(Snapshot{NowUs: clock.Sec, State: s, Registry: registry.New(clock.Sec)}, Event{NowUs: clock.Sec})
+	f := New("me", Options{LeaseUs: 3 * clock.Sec})
+	f.Step(Snapshot{NowUs: clock.Sec, State: s, Registry: registry.New(clock.Sec)}, Tick{})
 
 	number := s.Pending["r1"].Number
 	s.Apply(5, statemachine.Change{ID: "before", Epoch: 2, Claim: &statemachine.Claim{Leader: "other"}})
 	s.Apply(6, statemachine.Change{ID: "settled", Epoch: 2, LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: number, Succeeded: true}}}})
 	nowUs := 60 * clock.Sec
 	head := func() {
-		f.Step(Snapshot{NowUs: nowUs, State: s, IsHead: true, IsFresh: true, CanWrite: true, Registry: registry.New(clock.Sec)}, Event{NowUs: nowUs})
+		f.Step(Snapshot{NowUs: nowUs, State: s, IsHead: true, IsFresh: true, CanWrite: true, Registry: registry.New(clock.Sec)}, Tick{})
 	}
 	head()
 	s.Apply(7, statemachine.Change{ID: "mine", Epoch: 3, Claim: &statemachine.Claim{Leader: "me"}})
--- a/internal/controlplane/controller/orders.go
+++ b/internal/controlplane/controller/orders.go
@@ -94,7 +94,7 @@
 func (c *Controller) requestOutcome(nowUs int64, t statemachine.ReplicaCommand, e *registry.Entry, o *standingOrder) {
 	if nowUs >= o.checkUs && !o.requested {
 		o.requested, o.requestedUs = true, nowUs
-		c.emit(Effect{Ask: &ReportRequest{RequestedUs: nowUs, Replica: t.Replica, Addr: e.Addr}})
+		c.emit(ReportRequest{RequestedUs: nowUs, Replica: t.Replica, Addr: e.Addr})
 	} else if o.requested && nowUs-o.requestedUs > requestTimeoutUs {
 		o.requested, o.checkUs = false, nowUs
 	}
@@ -146,7 +146,7 @@
 	}
 	o.sentUs, o.answer = snapshot.NowUs, ""
 	expected := o.basis.orders
-	c.emit(Effect{Order: &Order{Addr: e.Addr, Order: wire.Order{Command: t, Epoch: c.claimed, Leader: c.me, ExpectedOrders: &expected}}})
+	c.emit(SendOrder{Addr: e.Addr, Order: wire.Order{Command: t, Epoch: c.claimed, Leader: c.me, ExpectedOrders: &expected}})
 }
 
 // onRoutedOrderResult takes a replica's answer to an order; what it means in the end is seen by what it holds.
--- a/internal/controlplane/controller/orders_model_test.go
+++ b/internal/controlplane/controller/orders_model_test.go
@@ -162,7 +162,7 @@
 	case plantNoWindow:
 		opts.StoreOvershoot = 10
 	}
-	m.controlNodes[i] = &modelControlNode{controller: NewWith(fmt.Sprint("office", i), opts), roster: registry.New(3 * clock.Sec)}
+	m.controlNodes[i] = &modelControlNode{controller: New(fmt.Sprint("office", i), opts), roster: registry.New(3 * clock.Sec)}
 }
 
 // birth begins a new incarnation of a replica, with nothing held and this disk.
@@ -217,7 +217,6 @@
 // step lets one controller take an event, and carries its effects.
 func (m *orderModel) step(i int, ev Event) {
 	o := m.controlNodes[i]
-	ev.NowUs = m.nowUs
 	state := m.state
 	if o.frozen != nil {
 		state = o.frozen
@@ -225,13 +224,13 @@
 	leads := m.leads(i)
 	snapshot := Snapshot{NowUs: m.nowUs, State: state, IsHead: leads, IsFresh: leads, CanWrite: true, Registry: o.roster}
 	for _, effect := range o.controller.Step(snapshot, ev) {
-		switch {
-		case effect.Write != nil:
-			m.write(i, *effect.Write)
-		case effect.Ask != nil:
-			m.ask(i, *effect.Ask)
-		case effect.Order != nil:
-			m.send(i, *effect.Order)
+		switch effect := effect.(type) {
+		case WriteChange:
+			m.write(i, *effect.Change)
+		case ReportRequest:
+			m.ask(i, effect)
+		case SendOrder:
+			m.send(i, effect)
 		}
 	}
 }
@@ -252,7 +251,7 @@
 		}
 		out := m.apply(change)
 		if change.LeaderUpdate != nil {
-			m.back(i, from, Event{Wrote: &out})
+			m.back(i, from, WriteResult{Outcome: out})
 		}
 	})
 }
@@ -268,7 +267,7 @@
 			state.ID, state.Incarnation = ask.Replica, ask.Replica
 			told.State = &state
 		}
-		m.later(modelTickUs, func() { m.back(i, from, Event{Told: &told}) })
+		m.later(modelTickUs, func() { m.back(i, from, told) })
 	})
 }
 
@@ -283,7 +282,7 @@
 }
 
 // send puts an order into the network: it may lie there, come twice, or its answer may be lost.
-func (m *orderModel) send(i int, effect Order) {
+func (m *orderModel) send(i int, effect SendOrder) {
 	from, order := m.controlNodes[i].controller, effect.Order
 	if m.plant == plantUncounted {
 		order.ExpectedOrders = nil
@@ -299,7 +298,7 @@
 		}
 		answered = true
 		ordered := OrderResult{Replica: order.Command.Replica, Incarnation: order.Command.Incarnation, Expected: order.ExpectedOrders, State: wire.OrderState{Number: order.Command.Number, Epoch: order.Epoch, State: state}}
-		m.back(i, from, Event{Ordered: &ordered})
+		m.back(i, from, ordered)
 	}
 	arrive := func(healed bool) {
 		state := m.arrive(effect.Addr, order, healed)
@@ -469,7 +468,7 @@
 		for i := range m.controlNodes {
 			m.hear(i)
 			m.controlNodes[i].roster.Sweep(m.nowUs)
-			m.step(i, Event{})
+			m.step(i, Tick{})
 		}
 	}
 }
--- a/internal/controlplane/controller/outliers.go
+++ b/internal/controlplane/controller/outliers.go
@@ -5,14 +5,6 @@
 	"petreltide/internal/outlier"
 )
 
-// serviceOf is the service of an incarnation of a replica, "" where it is not known or has ended.
-func (s Snapshot) serviceOf(id string) string {
-	if e := s.Registry.Entry(id); e != nil && !e.Removed {
-		return e.Service
-	}
-	return ""
-}
-
 func (c *Controller) onCallOutcomes(snapshot Snapshot, r *wire.Report) {
 	if snapshot.isRouted() && (len(r.Attempts) > 0 || len(r.Outcomes) > 0) {
 		c.outliers.Hear(snapshot.NowUs, outlier.Report{Gateway: r.Gateway, Zone: r.Zone, Attempts: r.Attempts, Counts: r.Outcomes}, snapshot.serviceOf)
@@ -35,7 +27,6 @@
 		}
 	}
 	if c.outliers.Judge(snapshot.NowUs, c.claimed, replicas, func(id string) bool { return snapshot.serviceOf(id) != "" }) {
-		table := c.outliers.Table()
-		c.emit(Effect{Outliers: &table})
+		c.emit(PublishVerdicts{Table: c.outliers.Table()})
 	}
 }
--- a/internal/controlplane/controller/outliers_test.go
+++ b/internal/controlplane/controller/outliers_test.go
@@ -15,7 +15,7 @@
 // detector switched off neither does.
 func TestWhatGatewaysTellOfAReplicaBecomesAVerdict(t *testing.T) {
 	for _, off := range []bool{false, true} {
-		f := NewWith("me", Options{Outlier: outlier.Options{Off: off}})
+		f := New("me", Options{Outlier: outlier.Options{Off: off}})
 		f.claimed = 1
 		s := statemachine.NewState()
 		s.Epoch, s.Leader, s.Doc = 1, "me", fleetDoc()
@@ -33,13 +33,13 @@
 				if i >= 5 {
 					rep.Outcomes = []outlier.Counts{{Replica: "r0", Bad: map[string]int{outlier.ErrorAnswer.String(): 1}}, {Replica: "unknown", Bad: map[string]int{"silence": 9, "nonsense": 9}}}
 				}
-				f.Step(snapshot, Event{NowUs: snapshot.NowUs, Report: &rep})
+				f.Step(snapshot, GatewayReport{Report: &rep})
 			}
 			f.effects = nil
 			f.judgeOutliers(snapshot)
 			for _, e := range f.effects {
-				if e.Outliers != nil {
-					table = e.Outliers
+				if verdicts, ok := e.(PublishVerdicts); ok {
+					table = &verdicts.Table
 				}
 			}
 		}
--- a/internal/controlplane/controller/policy.go
+++ b/internal/controlplane/controller/policy.go
@@ -28,7 +28,7 @@
 	c.run++
 	fleet := c.policyInput(snapshot.NowUs, s)
 	c.counted = fleet.Counts
-	c.emit(Effect{Run: &PolicyRun{Number: c.run, Revision: s.Revision, Live: s.Doc.Policy, Shadows: s.Doc.Shadows, Fleet: fleet}})
+	c.emit(PolicyRun{Number: c.run, Revision: s.Revision, Live: s.Doc.Policy, Shadows: s.Doc.Shadows, Fleet: fleet})
 }
 
 // isPolicyDue: the policies may run, none of their proposals waits, and no run is under way.
--- a/internal/controlplane/controller/routed_test.go
+++ b/internal/controlplane/controller/routed_test.go
@@ -98,7 +98,7 @@
 }
 
 func (f *fleet) restart(i int) {
-	f.fs[i] = NewWith(fmt.Sprint("office", i), Options{LeaseUs: fleetLeaseUs, StoreWindowUs: fleetWindowUs, StoreOvershoot: fleetOver})
+	f.fs[i] = New(fmt.Sprint("office", i), Options{LeaseUs: fleetLeaseUs, StoreWindowUs: fleetWindowUs, StoreOvershoot: fleetOver})
 	if f.rosters[i] == nil {
 		f.rosters[i] = registry.New(3 * clock.Sec)
 	}
@@ -128,7 +128,6 @@
 }
 
 func (f *fleet) step(i int, ev Event) {
-	ev.NowUs = f.nowUs
 	leads := i == f.head || (i == f.old && f.nowUs < f.oldUs)
 	snapshot := Snapshot{NowUs: f.nowUs, State: f.s, IsHead: leads, IsFresh: leads, CanWrite: true, Registry: f.rosters[i]}
 	for _, e := range f.fs[i].Step(snapshot, ev) {
@@ -138,20 +137,20 @@
 				f.step(i, ev)
 			}
 		}
-		switch {
-		case e.Write != nil:
-			change := *e.Write
+		switch e := e.(type) {
+		case WriteChange:
+			change := *e.Change
 			f.later(1+f.r.Int63n(30*clock.Ms), func() {
 				if i != f.head {
 					return
 				}
 				out := f.apply(change)
 				if change.LeaderUpdate != nil {
-					back(Event{Wrote: &out})
+					back(WriteResult{Outcome: out})
 				}
 			})
-		case e.Ask != nil:
-			ask := *e.Ask
+		case ReportRequest:
+			ask := e
 			f.later(1+f.r.Int63n(20*clock.Ms), func() {
 				told := ReplicaReport{RequestedUs: ask.RequestedUs, Replica: ask.Replica, Addr: ask.Addr}
 				if m := f.machines[ask.Replica]; m != nil && f.r.Intn(100) >= f.lose {
@@ -160,10 +159,10 @@
 						f.orders[ask.Replica][n].asked = true
 					}
 				}
-				back(Event{Told: &told})
+				back(told)
 			})
-		case e.Order != nil:
-			o := e.Order.Order
+		case SendOrder:
+			o := e.Order
 			all := f.orders[o.Command.Replica]
 			for _, before := range all {
 				if before.t.Number == o.Command.Number {
@@ -180,11 +179,11 @@
 				}
 				if state != "" && f.r.Intn(100) >= f.lose {
 					f.later(1+f.r.Int63n(25*clock.Ms), func() {
-						back(Event{Ordered: &OrderResult{Replica: o.Command.Replica, Incarnation: o.Command.Incarnation, State: wire.OrderState{Number: o.Command.Number, Epoch: o.Epoch, State: state}}})
+						back(OrderResult{Replica: o.Command.Replica, Incarnation: o.Command.Incarnation, State: wire.OrderState{Number: o.Command.Number, Epoch: o.Epoch, State: state}})
 					})
 				} else {
 					f.later(900*clock.Ms, func() {
-						back(Event{Ordered: &OrderResult{Replica: o.Command.Replica, Incarnation: o.Command.Incarnation, State: wire.OrderState{Number: o.Command.Number, Epoch: o.Epoch, State: wire.OrderInDoubt}}})
+						back(OrderResult{Replica: o.Command.Replica, Incarnation: o.Command.Incarnation, State: wire.OrderState{Number: o.Command.Number, Epoch: o.Epoch, State: wire.OrderInDoubt}})
 					})
 				}
 			})
@@ -302,7 +301,7 @@
 		}
 		for i := range f.fs {
 			f.rosters[i].Sweep(f.nowUs)
-			f.step(i, Event{})
+			f.step(i, Tick{})
 		}
 	}
 	if f.broken != "" {
@@ -312,7 +311,7 @@
 
 func (f *fleet) demand(waiting map[string]int, rates map[string]float64) {
 	for i := range f.fs {
-		f.step(i, Event{Report: &wire.Report{Gateway: "d", Queued: waiting, Arrivals: rates, RecentArrivals: rates, PromptTokens: rates}})
+		f.step(i, GatewayReport{Report: &wire.Report{Gateway: "d", Queued: waiting, Arrivals: rates, RecentArrivals: rates, PromptTokens: rates}})
 	}
 }
 
@@ -410,21 +409,22 @@
 	} {
 		s := statemachine.NewState()
 		s.Apply(1, statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: fleetDoc()}})
-		f, ros, index := New("one"), registry.New(3*clock.Sec), uint64(1)
+		f, ros, index := New("one", Options{}), registry.New(3*clock.Sec), uint64(1)
 		row := registry.ReplicaStatus{ID: "r", Service: "s", Addr: "r", Slots: 8, Seq: 1, Units: []string{"m0"}}
 		nowUs := clock.Sec
 		sentUs := int64(0)
 		var step func(ev Event)
 		step = func(ev Event) {
-			ev.NowUs = nowUs
 			for _, e := range f.Step(Snapshot{NowUs: nowUs, State: s, IsHead: true, IsFresh: true, CanWrite: true, Registry: ros}, ev) {
-				switch {
-				case e.Write != nil:
+				switch e := e.(type) {
+				case WriteChange:
 					index++
-					out := s.Apply(index, *e.Write)
-					step(Event{Wrote: &out})
-				case e.Order != nil && sentUs == 0:
-					sentUs = nowUs
+					out := s.Apply(index, *e.Change)
+					step(WriteResult{Outcome: out})
+				case SendOrder:
+					if sentUs == 0 {
+						sentUs = nowUs
+					}
 				}
 			}
 		}
@@ -432,7 +432,7 @@
 			nowUs += 25 * clock.Ms
 			ros.HandleHeartbeat(nowUs, row)
 			row.Seq++
-			step(Event{})
+			step(Tick{})
 		}
 		if s.Replicas["r"] == nil {
 			t.Fatalf("%s: the replica is not written down", name)
@@ -445,8 +445,8 @@
 		begunUs := nowUs
 		for ; nowUs < begunUs+1200*clock.Ms; nowUs += 5 * clock.Ms {
 			ms := (nowUs - begunUs) / 1000
-			step(Event{Report: &wire.Report{Gateway: "d", PendingPrefill: c.unread(ms)}})
-			step(Event{})
+			step(GatewayReport{Report: &wire.Report{Gateway: "d", PendingPrefill: c.unread(ms)}})
+			step(Tick{})
 		}
 		if waited := sentUs - begunUs; sentUs == 0 || waited < c.from || waited > c.to {
 			t.Errorf("%s: sent after %d ms, want %d to %d", name, waited/1000, c.from/1000, c.to/1000)
@@ -461,7 +461,7 @@
 	s.Apply(1, statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: fleetDoc()}})
 	s.Apply(2, statemachine.Change{ID: "k", Epoch: 1, Claim: &statemachine.Claim{Leader: "one"}})
 	opts := Options{LeaseUs: fleetLeaseUs, StoreWindowUs: fleetWindowUs, StoreOvershoot: fleetOver}
-	from, late := NewWith("one", opts), NewWith("two", opts)
+	from, late := New("one", opts), New("two", opts)
 	svc := s.Doc.Service("s")
 	index := uint64(2)
 	load := func(nowUs int64, id string) {
--- a/internal/controlplane/controller/slow_test.go
+++ b/internal/controlplane/controller/slow_test.go
@@ -15,21 +15,20 @@
 func TestASlowLoadKeepsItsRoomUntilItIsShown(t *testing.T) {
 	s := statemachine.NewState()
 	s.Apply(1, statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: fleetDoc()}})
-	f, ros, index := New("one"), registry.New(3*clock.Sec), uint64(1)
+	f, ros, index := New("one", Options{}), registry.New(3*clock.Sec), uint64(1)
 	row := registry.ReplicaStatus{ID: "r", Service: "s", Addr: "r", Slots: 8, Seq: 1}
 	nowUs := clock.Sec
 	var step func(ev Event)
 	step = func(ev Event) {
-		ev.NowUs = nowUs
 		for _, e := range f.Step(Snapshot{NowUs: nowUs, State: s, IsHead: true, IsFresh: true, CanWrite: true, Registry: ros}, ev) {
-			switch {
-			case e.Write != nil:
+			switch e := e.(type) {
+			case WriteChange:
 				index++
-				out := s.Apply(index, *e.Write)
-				f.OnApplied(nowUs, e.Write.Epoch, leaderUpdateOf(e.Write), s)
-				step(Event{Wrote: &out})
-			case e.Order != nil:
-				step(Event{Ordered: &OrderResult{Replica: "r", Incarnation: "r", State: wireRunning(e.Order.Order.Command.Number)}})
+				out := s.Apply(index, *e.Change)
+				f.OnApplied(nowUs, e.Change.Epoch, leaderUpdateOf(e.Change), s)
+				step(WriteResult{Outcome: out})
+			case SendOrder:
+				step(OrderResult{Replica: "r", Incarnation: "r", State: wireRunning(e.Order.Command.Number)})
 			}
 		}
 	}
@@ -38,7 +37,7 @@
 			nowUs += 25 * clock.Ms
 			row.Seq++
 			ros.HandleHeartbeat(nowUs, row)
-			step(Event{})
+			step(Tick{})
 		}
 	}
 	pass(6 * clock.Sec)
--- a/internal/controlplane/controller/tickets.go
+++ b/internal/controlplane/controller/tickets.go
@@ -23,7 +23,7 @@
 			continue
 		}
 		c.orderUs[t.Number] = snapshot.NowUs
-		c.emit(Effect{Order: &Order{Addr: row.addr, Order: wire.Order{Command: t, Epoch: s.Epoch}}})
+		c.emit(SendOrder{Addr: row.addr, Order: wire.Order{Command: t, Epoch: s.Epoch}})
 	}
 }
 
--- a/internal/controlplane/controller/turns_test.go
+++ b/internal/controlplane/controller/turns_test.go
@@ -67,7 +67,7 @@
 	for name, deaf := range map[string]bool{"saw them": false, "came by a copy": true} {
 		s := statemachine.NewState()
 		index := uint64(0)
-		f := NewWith("two", Options{LeaseUs: fleetLeaseUs, StoreWindowUs: fleetWindowUs, StoreOvershoot: fleetOver})
+		f := New("two", Options{LeaseUs: fleetLeaseUs, StoreWindowUs: fleetWindowUs, StoreOvershoot: fleetOver})
 		apply := func(nowUs int64, c statemachine.Change) {
 			index++
 			if out := s.Apply(index, c); out.Fault != nil || len(out.Faults) > 0 {
@@ -82,7 +82,7 @@
 		snapshot := Snapshot{State: s, CanWrite: true, Registry: registry.New(3 * clock.Sec)}
 		tick := func(nowUs int64) {
 			snapshot.NowUs = nowUs
-			f.Step(snapshot, Event{NowUs: nowUs})
+			f.Step(snapshot, Tick{})
 		}
 		tick(clock.Sec)
 		note := func(id string) statemachine.ReplicaUpdate {
@@ -110,7 +110,7 @@
 // An order may reach its replica long after the last that the ledger shows of it, as over a link that loses packets.
 // Whoever leads next leaves a whole lease between that arrival and its own first order.
 func TestAnOrderThatWasOnItsWayIsNoTurnWithinTheLease(t *testing.T) {
-	f := NewWith("two", Options{LeaseUs: fleetLeaseUs})
+	f := New("two", Options{LeaseUs: fleetLeaseUs})
 	f.turns.lastOrderUs = map[string]int64{"r0": 9 * clock.Sec}
 	arrivedUs := 9*clock.Sec + OrderFlightUs
 	if f.canOrder(arrivedUs+fleetLeaseUs, "r0") {
--- a/internal/controlplane/controller/write.go
+++ b/internal/controlplane/controller/write.go
@@ -118,7 +118,7 @@
 	c.writes++
 	c.writing = fmt.Sprintf("duty-%s-%d-%d", c.me, c.claimed, c.writes)
 	c.writeUs = snapshot.NowUs
-	c.emit(Effect{Write: &statemachine.Change{ID: c.writing, Epoch: c.claimed, LeaderUpdate: update}})
+	c.emit(WriteChange{Change: &statemachine.Change{ID: c.writing, Epoch: c.claimed, LeaderUpdate: update}})
 }
 
 // onWriteResult takes the outcome of the change under way, and goes on at once.
--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -30,7 +30,7 @@
 	Leave      bool
 	Follow     *wire.SubscribeRequest
 	Report     *Reported
-	Controller *controller.Event
+	Controller controller.Event
 	Beat       *failuredetector.Heartbeat
 	Heard      *registry.ReplicaStatus
 	Left       string
@@ -56,7 +56,7 @@
 	Result     *wire.Result
 	Lease      *Leased
 	Word       *WordReply
-	Controller *controller.Effect
+	Controller controller.Effect
 	Applied    *chain.Applied
 	Trouble    string
 	Note       string
@@ -110,7 +110,7 @@
 // NewCoreWith is a control node around its part of the chain.
 func NewCoreWith(node *chain.Node, opts CoreOptions) *Core {
 	return &Core{
-		Node: node, Room: distribution.NewUpdatePublisher(), Controller: controller.NewWith(node.Self().ID, opts.Controller), Watch: failuredetector.NewMonitor(), soft: newSoft(opts.UnreachableUs),
+		Node: node, Room: distribution.NewUpdatePublisher(), Controller: controller.New(node.Self().ID, opts.Controller), Watch: failuredetector.NewMonitor(), soft: newSoft(opts.UnreachableUs),
 		bornUs: node.NowUs(), bornLast: node.LastIndex(),
 	}
 }
@@ -138,7 +138,7 @@
 	case ev.Report != nil:
 		c.report(ev.NowUs, *ev.Report)
 	case ev.Controller != nil:
-		c.controller(*ev.Controller)
+		c.controller(ev.NowUs, ev.Controller)
 	case ev.Beat != nil:
 		c.Watch.Receive(ev.NowUs, *ev.Beat)
 	case ev.Heard != nil:
@@ -153,7 +153,7 @@
 		c.routedReport(ev.NowUs, *ev.GatewayReport)
 	default:
 		c.chain(chain.Event{NowUs: ev.NowUs})
-		c.controller(controller.Event{NowUs: ev.NowUs})
+		c.controller(ev.NowUs, controller.Tick{})
 		c.saySilence(ev.NowUs)
 		c.memberDone(ev.NowUs)
 		c.settleDepartures(ev.NowUs)
@@ -178,9 +178,9 @@
 	case l.Result != nil:
 		c.effects = append(c.effects, Effect{Result: l.Result})
 	case l.Report != nil:
-		c.controller(controller.Event{NowUs: nowUs, Report: l.Report})
+		c.controller(nowUs, controller.GatewayReport{Report: l.Report})
 	case l.Suspicion != nil:
-		c.controller(controller.Event{NowUs: nowUs, Silence: l.Suspicion})
+		c.controller(nowUs, controller.WatcherReport{Report: *l.Suspicion})
 	case l.Gossip != nil:
 		c.heardFrom(nowUs, *l.Gossip)
 	case l.DrainConfirmation != nil:
@@ -207,7 +207,7 @@
 	c.silentUs = nowUs
 	s := &failuredetector.SuspicionReport{Reporter: c.Node.Self().ID, Suspects: c.Watch.Suspects(nowUs)}
 	if c.Node.IsHead() {
-		c.controller(controller.Event{NowUs: nowUs, Silence: s})
+		c.controller(nowUs, controller.WatcherReport{Report: *s})
 	} else if head := c.Node.View().Head(); head.Addr != "" {
 		c.send(head.Addr, wire.Message{Suspicion: s})
 	}
@@ -223,7 +223,7 @@
 		return
 	}
 	if c.Node.IsHead() {
-		c.controller(controller.Event{NowUs: nowUs, Report: &r.Report})
+		c.controller(nowUs, controller.GatewayReport{Report: &r.Report})
 		return
 	}
 	report := r.Report
@@ -283,7 +283,7 @@
 	}
 	if change.LeaderUpdate != nil && change.Epoch == c.Node.State().Epoch {
 		out := a.Outcome
-		c.controller(controller.Event{NowUs: nowUs, Wrote: &out})
+		c.controller(nowUs, controller.WriteResult{Outcome: out})
 	}
 	if !c.Node.IsTail() || change.Origin == "" || !c.Node.AcceptsWrites() {
 		return
@@ -311,26 +311,24 @@
 	c.send(origin, wire.Message{Result: &r})
 }
 
-func (c *Core) controller(ev controller.Event) {
+func (c *Core) controller(nowUs int64, event controller.Event) {
 	seen := controller.Snapshot{
-		NowUs: ev.NowUs, State: c.Node.State(), IsHead: c.Node.IsHead(),
-		IsFresh: c.Node.HeadConfirmed(ev.NowUs), CanWrite: c.Node.AcceptsWrites(), ViewNumber: c.Node.View().Number,
+		NowUs: nowUs, State: c.Node.State(), IsHead: c.Node.IsHead(),
+		IsFresh: c.Node.HeadConfirmed(nowUs), CanWrite: c.Node.AcceptsWrites(), ViewNumber: c.Node.View().Number,
 		Registry: c.soft.Roster, Outliers: c.soft.Outliers,
 	}
 	if !seen.CanWrite {
 		seen.IsFresh = false
 	}
-	for _, e := range c.Controller.Step(seen, ev) {
-		if e.Write != nil {
-			c.chain(chain.Event{NowUs: ev.NowUs, Submit: e.Write})
-			continue
+	for _, effect := range c.Controller.Step(seen, event) {
+		switch effect := effect.(type) {
+		case controller.WriteChange:
+			c.chain(chain.Event{NowUs: nowUs, Submit: effect.Change})
+		case controller.PublishVerdicts:
+			c.judged(effect.Table)
+		default:
+			c.effects = append(c.effects, Effect{Controller: effect})
 		}
-		if e.Outliers != nil {
-			c.judged(*e.Outliers)
-			continue
-		}
-		held := e
-		c.effects = append(c.effects, Effect{Controller: &held})
 	}
 }
 
--- a/internal/controlplane/controlnode/host.go
+++ b/internal/controlplane/controlnode/host.go
@@ -260,9 +260,6 @@
 
 func (h *Host) step(ev Event) {
 	ev.NowUs = clock.NowUs()
-	if ev.Controller != nil {
-		ev.Controller.NowUs = ev.NowUs
-	}
 	for _, e := range h.core.Step(ev) {
 		switch {
 		case e.Message != nil:
@@ -286,7 +283,7 @@
 				delete(h.words, e.Word.Reply)
 			}
 		case e.Controller != nil:
-			h.controller(*e.Controller)
+			h.controller(e.Controller)
 		case e.Note != "":
 			_ = h.log.Log("event", e.Note, "what", e.Trouble, "number", h.core.Node.View().Number)
 		}
@@ -427,27 +424,24 @@
 	return w
 }
 
-func (h *Host) controller(e controller.Effect) {
-	switch {
-	case e.PollList:
+func (h *Host) controller(effect controller.Effect) {
+	switch effect := effect.(type) {
+	case controller.PollPlatform:
 		h.act.Spawn(h.pollList)
-	case e.Ask != nil:
-		ask := *e.Ask
-		h.act.Spawn(func() { h.askReplica(ask) })
-	case e.Order != nil:
-		order := *e.Order
-		_ = h.log.Log("event", "order", "ticket", order.Order.Command.Number, "step", string(order.Order.Command.Action),
-			"unit", order.Order.Command.Unit, "replica", order.Order.Command.Replica, "epoch", order.Order.Epoch)
-		h.act.Spawn(func() { h.order(order) })
-	case e.Run != nil:
-		run := *e.Run
+	case controller.ReportRequest:
+		h.act.Spawn(func() { h.askReplica(effect) })
+	case controller.SendOrder:
+		_ = h.log.Log("event", "order", "ticket", effect.Order.Command.Number, "step", string(effect.Order.Command.Action),
+			"unit", effect.Order.Command.Unit, "replica", effect.Order.Command.Replica, "epoch", effect.Order.Epoch)
+		h.act.Spawn(func() { h.order(effect) })
+	case controller.PolicyRun:
 		h.act.Spawn(func() {
-			done := controller.PolicyResult{Number: run.Number, Revision: run.Revision}
-			done.Live = placement.Run(run.Live, run.Fleet)
-			for _, s := range run.Shadows {
-				done.Shadows = append(done.Shadows, placement.Run(s, run.Fleet))
+			done := controller.PolicyResult{Number: effect.Number, Revision: effect.Revision}
+			done.Live = placement.Run(effect.Live, effect.Fleet)
+			for _, s := range effect.Shadows {
+				done.Shadows = append(done.Shadows, placement.Run(s, effect.Fleet))
 			}
-			h.tell(Event{Controller: &controller.Event{Policy: &done}})
+			h.tell(Event{Controller: done})
 		})
 	}
 }
@@ -460,7 +454,7 @@
 	if listed.List, err = h.replicas.List(ctx); err != nil {
 		listed = controller.PlatformListing{Err: err.Error()}
 	}
-	h.tell(Event{Controller: &controller.Event{Listed: &listed}})
+	h.tell(Event{Controller: listed})
 }
 
 func (h *Host) askReplica(a controller.ReportRequest) {
@@ -471,10 +465,10 @@
 	if told.State, err = h.replicas.State(ctx, a.Replica, a.Addr); err != nil {
 		told.State, told.Err = nil, err.Error()
 	}
-	h.tell(Event{Controller: &controller.Event{Told: &told}})
+	h.tell(Event{Controller: told})
 }
 
-func (h *Host) order(o controller.Order) {
+func (h *Host) order(o controller.SendOrder) {
 	ctx, done := context.WithTimeout(h.act.Ctx, replicaWait)
 	defer done()
 	state, err := h.replicas.Order(ctx, o.Addr, o.Order)
@@ -482,7 +476,7 @@
 	if err != nil {
 		state = wire.OrderState{Number: o.Order.Command.Number, State: wire.OrderInDoubt, Reason: err.Error()}
 	}
-	h.tell(Event{Controller: &controller.Event{Ordered: &controller.OrderResult{Replica: o.Order.Command.Replica, Incarnation: o.Order.Command.Incarnation, Expected: o.Order.ExpectedOrders, State: state}}})
+	h.tell(Event{Controller: controller.OrderResult{Replica: o.Order.Command.Replica, Incarnation: o.Order.Command.Incarnation, Expected: o.Order.ExpectedOrders, State: state}})
 }
 
 // Submit carries a change to the head and waits for the tail's result.
--- a/internal/controlplane/controlnode/replicas.go
+++ b/internal/controlplane/controlnode/replicas.go
@@ -197,7 +197,7 @@
 func (c *Core) routedReport(nowUs int64, r wire.Report) {
 	c.soft.Hub.RecordGateway(nowUs, r.Gateway)
 	if c.Node.IsHead() {
-		c.controller(controller.Event{NowUs: nowUs, Report: &r})
+		c.controller(nowUs, controller.GatewayReport{Report: &r})
 	} else if head := c.Node.View().Head(); head.Addr != "" && head.ID != c.Node.Self().ID {
 		c.send(head.Addr, wire.Message{Report: &r})
 	}
--- a/tests/history/walk_test.go
+++ b/tests/history/walk_test.go
@@ -173,10 +173,10 @@
 			o.sync(*e.Save)
 		case e.Result != nil:
 			o.answer(e.Result.Outcome)
-		case e.Controller != nil && e.Controller.PollList:
-			o.later(clock.Ms, func() {
-				o.step(controlnode.Event{Controller: &controller.Event{NowUs: o.walk.nowUs, Listed: &controller.PlatformListing{}}})
-			})
+		case e.Controller != nil:
+			if _, polls := e.Controller.(controller.PollPlatform); polls {
+				o.later(clock.Ms, func() { o.step(controlnode.Event{Controller: controller.PlatformListing{}}) })
+			}
 		}
 	}
 	o.damage()
--- a/tests/simulator/control_nodes.go
+++ b/tests/simulator/control_nodes.go
@@ -112,9 +112,6 @@
 func (o *controlNode) step(ev controlnode.Event) {
 	s := o.sim
 	ev.NowUs = o.clock()
-	if ev.Controller != nil {
-		ev.Controller.NowUs = ev.NowUs
-	}
 	for _, e := range o.core.Step(ev) {
 		switch {
 		case e.Message != nil:
@@ -143,7 +140,7 @@
 				reply(e.Lease.Lease)
 			}
 		case e.Controller != nil:
-			o.controller(*e.Controller)
+			o.controller(e.Controller)
 		case e.Applied != nil:
 			s.applied(o, *e.Applied)
 		case e.Note != "":
@@ -224,13 +221,13 @@
 	again()
 }
 
-func (o *controlNode) tell(ev controller.Event) { o.step(controlnode.Event{Controller: &ev}) }
+func (o *controlNode) tell(ev controller.Event) { o.step(controlnode.Event{Controller: ev}) }
 
-func (o *controlNode) controller(e controller.Effect) {
+func (o *controlNode) controller(effect controller.Effect) {
 	s := o.sim
 	wait := func() int64 { return 200 + s.r.Int63n(2000) }
-	switch {
-	case e.PollList:
+	switch effect := effect.(type) {
+	case controller.PollPlatform:
 		mood := s.platMood
 		o.later(wait(), func() {
 			listed := controller.PlatformListing{Err: mood}
@@ -243,25 +240,24 @@
 			case "stale":
 				listed.List = &wire.ReplicaList{Version: 0}
 			}
-			o.tell(controller.Event{Listed: &listed})
+			o.tell(listed)
 		})
-	case e.Ask != nil:
-		ask := *e.Ask
-		p := s.servers[ask.Replica]
-		if p == nil || p.addr != ask.Addr || !p.up {
+	case controller.ReportRequest:
+		p := s.servers[effect.Replica]
+		if p == nil || p.addr != effect.Addr || !p.up {
 			return
 		}
 		s.send(&o.machine, &p.machine, func() {
 			st := clone(p.core.State())
 			s.send(&p.machine, &o.machine, func() {
-				o.tell(controller.Event{Told: &controller.ReplicaReport{RequestedUs: ask.RequestedUs, Replica: ask.Replica, Addr: ask.Addr, State: &st}})
+				o.tell(controller.ReplicaReport{RequestedUs: effect.RequestedUs, Replica: effect.Replica, Addr: effect.Addr, State: &st})
 			})
 		})
-	case e.Order != nil:
-		order := clone(e.Order.Order)
+	case controller.SendOrder:
+		order := clone(effect.Order)
 		s.show("order", order)
 		p := s.servers[order.Command.Replica]
-		if p == nil || p.addr != e.Order.Addr || !p.up {
+		if p == nil || p.addr != effect.Addr || !p.up {
 			return
 		}
 		if s.plan.Plant == "forger" && order.Command.Number%5 == 0 {
@@ -271,14 +267,14 @@
 			state := p.take(order)
 			s.spring("ticket", o)
 			s.send(&p.machine, &o.machine, func() {
-				o.tell(controller.Event{Ordered: &controller.OrderResult{Replica: order.Command.Replica, Incarnation: order.Command.Incarnation, State: state}})
+				o.tell(controller.OrderResult{Replica: order.Command.Replica, Incarnation: order.Command.Incarnation, State: state})
 			})
 		})
-	case e.Run != nil:
-		done := controller.PolicyResult{Number: e.Run.Number, Revision: e.Run.Revision, Live: placement.Run(e.Run.Live, e.Run.Fleet)}
-		for _, p := range e.Run.Shadows {
-			done.Shadows = append(done.Shadows, placement.Run(p, e.Run.Fleet))
+	case controller.PolicyRun:
+		done := controller.PolicyResult{Number: effect.Number, Revision: effect.Revision, Live: placement.Run(effect.Live, effect.Fleet)}
+		for _, p := range effect.Shadows {
+			done.Shadows = append(done.Shadows, placement.Run(p, effect.Fleet))
 		}
-		o.later(2*ms, func() { o.tell(controller.Event{Policy: &done}) })
+		o.later(2*ms, func() { o.tell(done) })
 	}
 }
--- a/tests/simulator/routed_control_nodes.go
+++ b/tests/simulator/routed_control_nodes.go
@@ -165,9 +165,6 @@
 func (o *routedControlNode) step(ev controlnode.Event) {
 	d := o.day
 	ev.NowUs = o.clock()
-	if ev.Controller != nil {
-		ev.Controller.NowUs = ev.NowUs
-	}
 	if d.plan.Plant == "forgets-orders" {
 		clear(o.core.Node.State().Outcomes)
 		o.core.Node.State().OutcomeIDs = nil
@@ -193,7 +190,7 @@
 		case e.Word != nil:
 			o.answered(*e.Word)
 		case e.Controller != nil:
-			o.controller(*e.Controller)
+			o.controller(e.Controller)
 		case e.Note != "":
 			d.note("%s: %s %d %s", o.name, e.Note, o.core.Node.View().Number, e.Trouble)
 		}
@@ -355,20 +352,19 @@
 	}, fail)
 }
 
-func (o *routedControlNode) tell(ev controller.Event) { o.step(controlnode.Event{Controller: &ev}) }
+func (o *routedControlNode) tell(ev controller.Event) { o.step(controlnode.Event{Controller: ev}) }
 
 const replicaWaitUs = 900 * ms
 
-func (o *routedControlNode) controller(e controller.Effect) {
+func (o *routedControlNode) controller(effect controller.Effect) {
 	d := o.day
-	switch {
-	case e.PollList:
-		o.later(ms, func() { o.tell(controller.Event{Listed: &controller.PlatformListing{}}) })
-	case e.Ask != nil:
-		ask := *e.Ask
-		told := controller.ReplicaReport{RequestedUs: ask.RequestedUs, Replica: ask.Replica, Addr: ask.Addr}
-		fail := func() { o.later(ms, func() { o.tell(controller.Event{Told: &told}) }) }
-		p := d.replicaAt(ask.Addr)
+	switch effect := effect.(type) {
+	case controller.PollPlatform:
+		o.later(ms, func() { o.tell(controller.PlatformListing{}) })
+	case controller.ReportRequest:
+		told := controller.ReplicaReport{RequestedUs: effect.RequestedUs, Replica: effect.Replica, Addr: effect.Addr}
+		fail := func() { o.later(ms, func() { o.tell(told) }) }
+		p := d.replicaAt(effect.Addr)
 		if p == nil {
 			fail()
 			return
@@ -376,12 +372,12 @@
 		d.carry(&o.machine, &p.machine, replicaWaitUs, func() {
 			r := p.core.Report(d.nowUs)
 			d.carry(&p.machine, &o.machine, replicaWaitUs, func() {
-				told.State = &wire.ReplicaState{ID: ask.Replica, Incarnation: ask.Replica, Active: r.Running, Busy: r.Busy, Orders: r.Orders, Units: r.Units}
-				o.tell(controller.Event{Told: &told})
+				told.State = &wire.ReplicaState{ID: effect.Replica, Incarnation: effect.Replica, Active: r.Running, Busy: r.Busy, Orders: r.Orders, Units: r.Units}
+				o.tell(told)
 			}, fail)
 		}, fail)
-	case e.Order != nil:
-		o.order(clone(e.Order.Order), e.Order.Addr)
+	case controller.SendOrder:
+		o.order(clone(effect.Order), effect.Addr)
 	}
 }
 
@@ -392,7 +388,7 @@
 	t := w.Command
 	state := wire.OrderState{Number: t.Number, Epoch: w.Epoch}
 	tell := func() {
-		o.tell(controller.Event{Ordered: &controller.OrderResult{Replica: t.Replica, Incarnation: t.Incarnation, Expected: w.ExpectedOrders, State: state}})
+		o.tell(controller.OrderResult{Replica: t.Replica, Incarnation: t.Incarnation, Expected: w.ExpectedOrders, State: state})
 	}
 	doubt := func() {
 		o.later(ms, func() {
