--- a/cmd/petreltide/compare.go
+++ b/cmd/petreltide/compare.go
@@ -141,7 +141,7 @@
 // liveFleet reaches a fleet through its control nodes and gateways.
 type liveFleet struct{ o *controlNodes }
 
-func (l liveFleet) Config(ctx context.Context) (controlnode.ConfigNow, error) {
+func (l liveFleet) Config(ctx context.Context) (controlnode.CurrentConfig, error) {
 	return current(ctx, l.o)
 }
 
@@ -194,7 +194,7 @@
 		return look, fault.New(fault.NotServing, st.ControlNode.ID, "the tail has no lease now")
 	}
 	look.Revision, look.Loads, look.LoadedMb = st.Revision, st.Loads, st.LoadedMb
-	look.Leader = fmt.Sprintf("%s under epoch %d", st.Holder, st.Epoch)
+	look.Leader = fmt.Sprintf("%s under epoch %d", st.LeaseHolder, st.Epoch)
 	for _, r := range st.Replicas {
 		look.Replicas[r.ID] = fmt.Sprintf("%s (leaving %v, dark %v)", r.Incarnation, r.Draining, r.Unreachable)
 	}
--- a/cmd/petreltide/member.go
+++ b/cmd/petreltide/member.go
@@ -104,7 +104,7 @@
 		}
 	}
 	if st.Member != nil {
-		waits := st.MemberOn
+		waits := st.MemberWaitingFor
 		if waits == "" {
 			waits = "nothing: it is being written off"
 		}
--- a/cmd/petreltide/operators.go
+++ b/cmd/petreltide/operators.go
@@ -143,8 +143,8 @@
 	return err
 }
 
-func current(ctx context.Context, o *controlNodes) (controlnode.ConfigNow, error) {
-	now := controlnode.ConfigNow{}
+func current(ctx context.Context, o *controlNodes) (controlnode.CurrentConfig, error) {
+	now := controlnode.CurrentConfig{}
 	_, err := read(ctx, o, "/v1/config", &now)
 	return now, err
 }
--- a/cmd/petreltide/print.go
+++ b/cmd/petreltide/print.go
@@ -44,16 +44,16 @@
 	}
 	fmt.Fprintf(w, "node      %s (%s), zone %s\n", st.ControlNode.ID, st.Phase, st.ControlNode.Zone)
 	fmt.Fprintf(w, "view      %d: %s\n", st.View.Number, strings.Join(seats, " > "))
-	if st.WaitsFor != "" {
-		fmt.Fprintf(w, "waits for %s\n", st.WaitsFor)
+	if st.WaitingFor != "" {
+		fmt.Fprintf(w, "waits for %s\n", st.WaitingFor)
 	}
-	fmt.Fprintf(w, "leader    %s under epoch %d\n", st.Holder, st.Epoch)
+	fmt.Fprintf(w, "leader    %s under epoch %d\n", st.LeaseHolder, st.Epoch)
 	if st.Fleet != nil {
 		printLeadership(w, st.Fleet.Leadership)
 	}
 	fmt.Fprintf(w, "revision  %d, commit %d of %d\n", st.Revision, st.Commit, st.Last)
-	if len(st.Emptied) > 0 {
-		fmt.Fprintf(w, "emptied   %s\n", strings.Join(st.Emptied, ", "))
+	if len(st.EmptiedZones) > 0 {
+		fmt.Fprintf(w, "emptied   %s\n", strings.Join(st.EmptiedZones, ", "))
 	}
 	for _, p := range st.Peers {
 		fmt.Fprintf(w, "peer      %s %s, last message %d ms ago\n", p.Member.ID, p.Phase, p.LastHelloAgoMs)
--- a/cmd/petreltide/status.go
+++ b/cmd/petreltide/status.go
@@ -62,8 +62,8 @@
 		if s.Models > 0 {
 			fmt.Fprintf(w, ", %d models", s.Models)
 		}
-		if s.ConnectionsMost > 0 {
-			fmt.Fprintf(w, ", %d connections each", s.ConnectionsMost)
+		if s.MaxConnections > 0 {
+			fmt.Fprintf(w, ", %d connections each", s.MaxConnections)
 		}
 		fmt.Fprintln(w)
 	}
@@ -78,7 +78,7 @@
 	}
 }
 
-func replicaLine(r controlnode.ReplicaNote) string {
+func replicaLine(r controlnode.ReplicaStatus) string {
 	line := fmt.Sprintf("replica   %s %s zone %s %s", r.ID, r.Service, r.Zone, r.State)
 	if r.LeftMs != nil {
 		line += fmt.Sprintf(", %d ms left", *r.LeftMs)
@@ -89,8 +89,8 @@
 	if r.AgoMs >= 0 {
 		line += fmt.Sprintf(", last heartbeat %d ms ago", r.AgoMs)
 	}
-	if r.RoomMb > 0 {
-		line += fmt.Sprintf(": %d held, %d of %d MB", len(r.Units), r.HeldMb, r.RoomMb)
+	if r.CapacityMb > 0 {
+		line += fmt.Sprintf(": %d held, %d of %d MB", len(r.Units), r.ReservedMb, r.CapacityMb)
 	}
 	if r.Order != nil {
 		line += fmt.Sprintf("; command %d: %s %s", r.Order.Number, r.Order.Action, r.Order.Unit)
--- a/cmd/petreltide/status_test.go
+++ b/cmd/petreltide/status_test.go
@@ -75,17 +75,17 @@
 	left := int64(850)
 	load := statemachine.ReplicaCommand{Number: 12, Replica: "i-2", Incarnation: "i-2", Action: statemachine.Load, Unit: "m2", SizeMB: 20}
 	return controlnode.Status{
-		Holder: "core-1-ab", Epoch: 41, Pending: []statemachine.ReplicaCommand{load}, Replicas: []statemachine.Replica{},
+		LeaseHolder: "core-1-ab", Epoch: 41, Pending: []statemachine.ReplicaCommand{load}, Replicas: []statemachine.Replica{},
 		Demand: []controller.GatewayStatus{{Gateway: "front-1", Zone: "a", Addr: gatewayAddr}, {Gateway: "front-2", Zone: "b", Addr: "127.0.0.1:1"}},
 		Fleet: &controlnode.Fleet{
 			Version: 9, Gateways: []string{"front-1", "front-2"},
 			Routes: []configuration.Route{{Name: "letters", Host: "h.example", Prefix: "/l/", RetryClass: configuration.Streaming, Resumable: true, TimeoutMs: 5000, Priority: 1, MaxAttempts: 2,
 				Split: []configuration.WeightedService{{Service: "scribe", Weight: 90}, {Service: "quill", Weight: 10}}}},
-			Services: []controlnode.ServiceNote{{Name: "scribe", Models: 2, Replicas: 2, ConnectionsMost: 370}, {Name: "quill", Replicas: 1}},
-			Replicas: []controlnode.ReplicaNote{
-				{ID: "i-1", Service: "scribe", Zone: "a", State: controlnode.ReplicaDraining, LeftMs: &left, Stage: "decode", AgoMs: 20, Units: []string{"m1", "m1/a1"}, HeldMb: 61, RoomMb: 100},
-				{ID: "i-2", Service: "scribe", Zone: "b", State: controlnode.ReplicaUnreachable, AgoMs: 4000, Units: []string{"m1"}, HeldMb: 80, RoomMb: 100, Order: &load},
-				{ID: "i-3", Service: "quill", Zone: "b", State: controlnode.ReplicaUnheard, AgoMs: -1, Units: []string{}},
+			Services: []controlnode.ServiceStatus{{Name: "scribe", Models: 2, Replicas: 2, MaxConnections: 370}, {Name: "quill", Replicas: 1}},
+			Replicas: []controlnode.ReplicaStatus{
+				{ID: "i-1", Service: "scribe", Zone: "a", State: controlnode.ReplicaDraining, LeftMs: &left, Stage: "decode", AgoMs: 20, Units: []string{"m1", "m1/a1"}, ReservedMb: 61, CapacityMb: 100},
+				{ID: "i-2", Service: "scribe", Zone: "b", State: controlnode.ReplicaUnreachable, AgoMs: 4000, Units: []string{"m1"}, ReservedMb: 80, CapacityMb: 100, Order: &load},
+				{ID: "i-3", Service: "quill", Zone: "b", State: controlnode.ReplicaUnreported, AgoMs: -1, Units: []string{}},
 			},
 			Leadership: &controller.LeaderStatus{Holder: "core-1-ab", Fence: 41, OrdersInMs: 700, Orders: []controller.OrderStatus{{ReplicaCommand: load, SentAgoMs: -1}},
 				Store:  []controller.StoreStatus{{Service: "scribe", Left: 3, Running: 1, AtOnce: 7, Began: 4, WindowMs: 5000}},
--- a/internal/controlplane/controlnode/bulk_test.go
+++ b/internal/controlplane/controlnode/bulk_test.go
@@ -57,8 +57,8 @@
 	}
 	send("second")
 	if !h.act.Do(ctx, func() {
-		if len(h.bulk) != 1 || h.bulk[addr].reader != "b-1/second" {
-			t.Errorf("on its way: %+v", h.bulk)
+		if len(h.transfers) != 1 || h.transfers[addr].recipient != "b-1/second" {
+			t.Errorf("on its way: %+v", h.transfers)
 		}
 	}) {
 		t.Fatal("the control node stands still")
--- a/internal/controlplane/controlnode/config.go
+++ b/internal/controlplane/controlnode/config.go
@@ -15,11 +15,11 @@
 	"petreltide/internal/process/actor"
 )
 
-// bodyMost bounds what an operator may send, in bytes.
-const bodyMost = 4 << 20
+// maxBodyBytes bounds what an operator may send, in bytes.
+const maxBodyBytes = 4 << 20
 
-// ConfigNow is the declaration in force, with the revision that a change has to name as its base.
-type ConfigNow struct {
+// CurrentConfig is the declaration in force, with the revision that a change has to name as its base.
+type CurrentConfig struct {
 	Revision    uint64                     `json:"revision"`
 	Index       uint64                     `json:"index"`
 	Declaration *configuration.Declaration `json:"declaration"`
@@ -30,20 +30,20 @@
 type Applied struct {
 	Change   string `json:"change"`
 	Revision uint64 `json:"revision"`
-	Again    bool   `json:"again,omitempty"`
+	Repeated bool   `json:"again,omitempty"`
 	State    string `json:"state"`
 }
 
 // config is what this control node itself holds, which may be old.
-func (h *Host) config(ctx context.Context) (ConfigNow, bool) {
-	return actor.Ask(ctx, h.act, func() ConfigNow {
+func (h *Host) config(ctx context.Context) (CurrentConfig, bool) {
+	return actor.Ask(ctx, h.act, func() CurrentConfig {
 		s := h.core.Node.State()
-		return ConfigNow{Revision: s.Revision, Index: s.Index, Declaration: s.Doc}
+		return CurrentConfig{Revision: s.Revision, Index: s.Index, Declaration: s.Doc}
 	})
 }
 
 // configAt waits a little for a revision the operator already knows of.
-func (h *Host) configAt(ctx context.Context, base uint64) ConfigNow {
+func (h *Host) configAt(ctx context.Context, base uint64) CurrentConfig {
 	for wait := 0; ; wait++ {
 		now, ran := h.config(ctx)
 		if !ran || now.Revision >= base || wait >= 20 {
@@ -60,7 +60,7 @@
 func (h *Host) getConfig(w http.ResponseWriter, r *http.Request) {
 	now, known := h.newestConfig(r.Context())
 	if !known {
-		writeFault(w, newestUnknown())
+		writeFault(w, errConfigUnknown())
 		return
 	}
 	writeJSON(w, http.StatusOK, now)
@@ -68,24 +68,24 @@
 
 // newestConfig is what an operator's change is judged by before it goes to the chain; false where nobody can
 // say what is in force.
-func (h *Host) newestConfig(ctx context.Context) (ConfigNow, bool) {
+func (h *Host) newestConfig(ctx context.Context) (CurrentConfig, bool) {
 	newest, known := h.Newest(ctx)
-	return ConfigNow{Revision: newest.Revision, Index: newest.Index, Declaration: newest.Doc}, known
+	return CurrentConfig{Revision: newest.Revision, Index: newest.Index, Declaration: newest.Doc}, known
 }
 
-func newestUnknown() *fault.Fault {
+func errConfigUnknown() *fault.Fault {
 	return fault.New(fault.NotServing, "", "this office cannot say what is in force: ask another")
 }
 
-func (h *Host) read(w http.ResponseWriter, r *http.Request) ([]byte, *fault.Fault) {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
+func (h *Host) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *fault.Fault) {
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		return nil, fault.New(fault.TooLarge, "", "%v", err)
 	}
 	return raw, nil
 }
 
-func baseOf(r *http.Request) (uint64, bool, *fault.Fault) {
+func baseRevision(r *http.Request) (uint64, bool, *fault.Fault) {
 	text := r.URL.Query().Get("base")
 	if text == "" {
 		return 0, false, nil
@@ -97,7 +97,7 @@
 	return base, true, nil
 }
 
-func changeOf(r *http.Request) (string, *fault.Fault) {
+func changeID(r *http.Request) (string, *fault.Fault) {
 	id := r.URL.Query().Get("change")
 	if id == "" {
 		return "op-" + RandomID(8), nil
@@ -108,42 +108,42 @@
 	return "op-" + id, nil
 }
 
-type asked struct {
-	raw  []byte
-	base uint64
-	id   string
+type configRequest struct {
+	body     []byte
+	base     uint64
+	changeID string
 }
 
-// asked reads what a whole declaration and a patch have in common.
-func (h *Host) asked(w http.ResponseWriter, r *http.Request) (asked, bool) {
-	raw, badBody := h.read(w, r)
-	base, given, badBase := baseOf(r)
-	id, badID := changeOf(r)
+// readConfigRequest reads what a whole declaration and a patch have in common.
+func (h *Host) readConfigRequest(w http.ResponseWriter, r *http.Request) (configRequest, bool) {
+	raw, badBody := h.readBody(w, r)
+	base, given, badBase := baseRevision(r)
+	id, badID := changeID(r)
 	if badBase == nil && !given {
 		badBase = fault.New(fault.BadField, "base", "name the revision this is based on (0 for the first)")
 	}
 	for _, bad := range []*fault.Fault{badBody, badBase, badID} {
 		if bad != nil {
 			writeFault(w, bad)
-			return asked{}, false
+			return configRequest{}, false
 		}
 	}
-	return asked{raw, base, id}, true
+	return configRequest{raw, base, id}, true
 }
 
 func (h *Host) putConfig(w http.ResponseWriter, r *http.Request) {
-	if a, ok := h.asked(w, r); ok {
-		h.take(w, r, a)
+	if a, ok := h.readConfigRequest(w, r); ok {
+		h.submitDeclaration(w, r, a)
 	}
 }
 
-func (h *Host) take(w http.ResponseWriter, r *http.Request, a asked) {
-	doc, bad := configuration.Parse(a.raw, placement.Compile)
+func (h *Host) submitDeclaration(w http.ResponseWriter, r *http.Request, a configRequest) {
+	doc, bad := configuration.Parse(a.body, placement.Compile)
 	if bad != nil {
 		writeFault(w, bad)
 		return
 	}
-	h.change(w, r, statemachine.Change{ID: a.id, Config: &statemachine.ConfigChange{Base: a.base, Doc: doc}})
+	h.submitAndRespond(w, r, statemachine.Change{ID: a.changeID, Config: &statemachine.ConfigChange{Base: a.base, Doc: doc}})
 }
 
 // patchStep is what becomes of a patch at this control node.
@@ -154,20 +154,20 @@
 	mergeHere patchStep = iota
 	// baseAhead: the base may come into force yet, and the patch be taken by another control node then.
 	baseAhead
-	// leaveToChain: the base has been passed. The patch can't be taken any more, but it may have been taken before,
+	// deferToChain: the base has been passed. The patch can't be taken any more, but it may have been taken before,
 	// and only the chain knows for sure.
-	leaveToChain
+	deferToChain
 	// nothingToPatch: no patch can build on the empty state.
 	nothingToPatch
 )
 
 // nextPatchStep judges a patch by the newest configuration there is.
-func nextPatchStep(now ConfigNow, base uint64) patchStep {
+func nextPatchStep(now CurrentConfig, base uint64) patchStep {
 	switch {
 	case now.Revision < base:
 		return baseAhead
 	case now.Revision > base:
-		return leaveToChain
+		return deferToChain
 	case now.Declaration == nil:
 		return nothingToPatch
 	}
@@ -176,7 +176,7 @@
 
 // patchBase is what a patch is judged by: this control node's own declaration where that is past the patch's base
 // already, as revisions only rise, else the newest.
-func (h *Host) patchBase(ctx context.Context, base uint64) (ConfigNow, bool) {
+func (h *Host) patchBase(ctx context.Context, base uint64) (CurrentConfig, bool) {
 	if own, ran := h.config(ctx); ran && own.Revision > base {
 		return own, true
 	}
@@ -184,17 +184,17 @@
 }
 
 func (h *Host) patchConfig(w http.ResponseWriter, r *http.Request) {
-	a, ok := h.asked(w, r)
+	a, ok := h.readConfigRequest(w, r)
 	if !ok {
 		return
 	}
-	if first, seen := h.seen(r.Context(), a.id); seen {
-		h.reply(r.Context(), w, a.id, wire.Result{Outcome: first, OnAllGateways: true})
+	if first, seen := h.outcome(r.Context(), a.changeID); seen {
+		h.respondApplied(r.Context(), w, a.changeID, wire.Result{Outcome: first, OnAllGateways: true})
 		return
 	}
 	now, known := h.patchBase(r.Context(), a.base)
 	if !known {
-		writeFault(w, newestUnknown())
+		writeFault(w, errConfigUnknown())
 		return
 	}
 	switch nextPatchStep(now, a.base) {
@@ -204,22 +204,22 @@
 	case nothingToPatch:
 		writeFault(w, fault.New(fault.StaleBase, "base", "there is no declaration yet"))
 		return
-	case leaveToChain:
-		h.change(w, r, statemachine.Change{ID: a.id, Config: &statemachine.ConfigChange{Base: a.base, Doc: now.Declaration}})
+	case deferToChain:
+		h.submitAndRespond(w, r, statemachine.Change{ID: a.changeID, Config: &statemachine.ConfigChange{Base: a.base, Doc: now.Declaration}})
 		return
 	}
-	merged, bad := configuration.Merge(now.Declaration, a.raw)
+	merged, bad := configuration.Merge(now.Declaration, a.body)
 	if bad != nil {
 		writeFault(w, bad)
 		return
 	}
-	a.raw = merged
-	h.take(w, r, a)
+	a.body = merged
+	h.submitDeclaration(w, r, a)
 }
 
-func (h *Host) seen(ctx context.Context, id string) (statemachine.Outcome, bool) {
+func (h *Host) outcome(ctx context.Context, id string) (statemachine.Outcome, bool) {
 	first, ran := actor.Ask(ctx, h.act, func() *statemachine.Outcome {
-		out, seen := h.core.Seen(id)
+		out, seen := h.core.Outcome(id)
 		if !seen {
 			return nil
 		}
@@ -231,15 +231,15 @@
 	return *first, true
 }
 
-func (h *Host) change(w http.ResponseWriter, r *http.Request, c statemachine.Change) {
-	result, ok := h.Submit(r.Context(), c, answerWait)
+func (h *Host) submitAndRespond(w http.ResponseWriter, r *http.Request, c statemachine.Change) {
+	result, ok := h.Submit(r.Context(), c, changeTimeout)
 	if ok {
-		h.reply(r.Context(), w, c.ID, result)
+		h.respondApplied(r.Context(), w, c.ID, result)
 		return
 	}
-	if out, seen := h.seen(r.Context(), c.ID); seen {
+	if out, seen := h.outcome(r.Context(), c.ID); seen {
 		out.Repeated = false
-		h.reply(r.Context(), w, c.ID, wire.Result{Outcome: out})
+		h.respondApplied(r.Context(), w, c.ID, wire.Result{Outcome: out})
 		return
 	}
 	doubt := fault.New(fault.InDoubt, "", "no answer from the chain in time; send the same change id %q again to learn what became of it", c.ID[3:])
@@ -247,15 +247,15 @@
 	writeFault(w, doubt)
 }
 
-// reply waits a little until this control node shows what it answers: the tail answers before the control nodes ahead of
+// respondApplied waits a little until this control node shows what it answers: the tail answers before the control nodes ahead of
 // it have heard that the change is committed.
-func (h *Host) reply(ctx context.Context, w http.ResponseWriter, id string, r wire.Result) {
+func (h *Host) respondApplied(ctx context.Context, w http.ResponseWriter, id string, r wire.Result) {
 	if r.Outcome.Fault != nil {
 		writeFault(w, r.Outcome.Fault)
 		return
 	}
 	h.configAt(ctx, r.Outcome.Revision)
-	a := Applied{Change: id[3:], Revision: r.Outcome.Revision, Again: r.Outcome.Repeated, State: "everywhere"}
+	a := Applied{Change: id[3:], Revision: r.Outcome.Revision, Repeated: r.Outcome.Repeated, State: "everywhere"}
 	status := http.StatusOK
 	if r.Outcome.IsMembership {
 		a.State = "ordered"
@@ -266,11 +266,11 @@
 	writeJSON(w, status, a)
 }
 
-// zone is a read, a merge and a write; it loses to another operator's change at most a few
+// postZone is a read, a merge and a write; it loses to another operator's change at most a few
 // times before it says so.
-func (h *Host) zone(w http.ResponseWriter, r *http.Request) {
+func (h *Host) postZone(w http.ResponseWriter, r *http.Request) {
 	zone, act := r.PathValue("zone"), r.PathValue("act")
-	id, bad := changeOf(r)
+	id, bad := changeID(r)
 	if bad == nil && act != "empty" && act != "restore" {
 		bad = fault.New(fault.NotFound, "act", "%q: want empty or restore", act)
 	}
@@ -281,7 +281,7 @@
 	for try := 0; ; try++ {
 		now, known := h.newestConfig(r.Context())
 		if !known {
-			writeFault(w, newestUnknown())
+			writeFault(w, errConfigUnknown())
 			return
 		}
 		if now.Declaration == nil {
@@ -306,19 +306,19 @@
 		if try > 0 {
 			c.ID = id + "-" + strconv.Itoa(try)
 		}
-		result, ok := h.Submit(r.Context(), c, answerWait)
+		result, ok := h.Submit(r.Context(), c, changeTimeout)
 		if ok && result.Outcome.Fault != nil && result.Outcome.Fault.Code == fault.StaleBase && try < 8 {
 			continue
 		}
 		if !ok {
-			if out, seen := h.seen(r.Context(), c.ID); seen {
-				h.reply(r.Context(), w, c.ID, wire.Result{Outcome: out})
+			if out, seen := h.outcome(r.Context(), c.ID); seen {
+				h.respondApplied(r.Context(), w, c.ID, wire.Result{Outcome: out})
 				return
 			}
 			writeFault(w, fault.New(fault.InDoubt, "", "no answer from the chain in time; ask status, or send the same change id again"))
 			return
 		}
-		h.reply(r.Context(), w, id, result)
+		h.respondApplied(r.Context(), w, id, result)
 		return
 	}
 }
--- a/internal/controlplane/controlnode/control_nodes_test.go
+++ b/internal/controlplane/controlnode/control_nodes_test.go
@@ -8,7 +8,7 @@
 
 func (tr *trio) namedBy(i int) map[string]bool {
 	named := map[string]bool{}
-	for _, m := range tr.cores[i].controlNodes(tr.nowUs) {
+	for _, m := range tr.cores[i].reachableMembers(tr.nowUs) {
 		named[m.Addr] = true
 	}
 	return named
--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -15,7 +15,7 @@
 	"petreltide/internal/process/clock"
 )
 
-const memberEveryUs = 500 * clock.Ms
+const memberDoneRetryUs = 500 * clock.Ms
 
 // Event is one thing that happens to a control node; at most one field beside NowUs and Reply is set. With none it
 // is a tick.
@@ -55,7 +55,7 @@
 	Frame      *distribution.FramePush
 	Result     *wire.Result
 	Lease      *Leased
-	Word       *WordReply
+	Word       *ReplicaAcknowledged
 	Controller controller.Effect
 	Applied    *chain.Applied
 	Trouble    string
@@ -76,24 +76,24 @@
 
 // Core is a control node's whole reducer: the chain, the tail's feed and the head's controller.
 type Core struct {
-	Node           *chain.Node
-	Room           *distribution.UpdatePublisher
-	Controller     *controller.Controller
-	effects        []Effect
-	Watch          *failuredetector.Monitor
-	silentUs       int64
-	memberUs       int64
-	checked        uint64
-	soft           soft
-	controlNodesUs int64
-	known          []chain.Member
-	stepUs         int64
-	sleptUs        int64
-	wokeUs         int64
-	// bornUs and bornLast are when this incarnation began, and what its log held then: whatever was settled in there was
+	Node               *chain.Node
+	Snapshots          *distribution.UpdatePublisher
+	Controller         *controller.Controller
+	effects            []Effect
+	FailureDetector    *failuredetector.Monitor
+	suspectsReportedUs int64
+	memberDoneUs       int64
+	checked            uint64
+	soft               softState
+	membersUs          int64
+	members            []chain.Member
+	stepUs             int64
+	pausedUs           int64
+	resumedUs          int64
+	// startUs and startIndex are when this incarnation began, and what its log held then: whatever was settled in there was
 	// ordered before.
-	bornUs   int64
-	bornLast uint64
+	startUs    int64
+	startIndex uint64
 	// rejectedUs is when a message that was not read was last told of.
 	rejectedUs int64
 }
@@ -110,18 +110,18 @@
 // NewCoreWith is a control node around its part of the chain.
 func NewCoreWith(node *chain.Node, opts CoreOptions) *Core {
 	return &Core{
-		Node: node, Room: distribution.NewUpdatePublisher(), Controller: controller.New(node.Self().ID, opts.Controller), Watch: failuredetector.NewMonitor(), soft: newSoft(opts.UnreachableUs),
-		bornUs: node.NowUs(), bornLast: node.LastIndex(),
+		Node: node, Snapshots: distribution.NewUpdatePublisher(), Controller: controller.New(node.Self().ID, opts.Controller), FailureDetector: failuredetector.NewMonitor(), soft: newSoftState(opts.UnreachableUs),
+		startUs: node.NowUs(), startIndex: node.LastIndex(),
 	}
 }
 
 // Step takes one event and returns what has to be done because of it, in order.
 func (c *Core) Step(ev Event) []Effect {
 	c.effects = nil
-	c.woke(ev.NowUs)
+	c.detectPause(ev.NowUs)
 	switch {
 	case ev.Message != nil:
-		c.receive(ev.NowUs, *ev.Message)
+		c.messageReceived(ev.NowUs, *ev.Message)
 	case ev.Saved != 0:
 		c.chain(chain.Event{NowUs: ev.NowUs, Saved: ev.Saved, LogBytes: ev.LogBytes})
 	case ev.Refused != 0:
@@ -133,79 +133,79 @@
 	case ev.Leave:
 		c.chain(chain.Event{NowUs: ev.NowUs, Leave: true})
 	case ev.Follow != nil:
-		c.Room.SetActive(ev.NowUs, c.Node.TailReady(ev.NowUs))
-		c.Room.Follow(ev.NowUs, *ev.Follow)
+		c.Snapshots.SetActive(ev.NowUs, c.Node.TailReady(ev.NowUs))
+		c.Snapshots.Follow(ev.NowUs, *ev.Follow)
 	case ev.Report != nil:
-		c.report(ev.NowUs, *ev.Report)
+		c.gatewayReported(ev.NowUs, *ev.Report)
 	case ev.Controller != nil:
 		c.controller(ev.NowUs, ev.Controller)
 	case ev.Beat != nil:
-		c.Watch.Receive(ev.NowUs, *ev.Beat)
+		c.FailureDetector.Receive(ev.NowUs, *ev.Beat)
 	case ev.Heard != nil:
-		c.word(ev.NowUs, *ev.Heard, ev.Reply)
+		c.replicaReported(ev.NowUs, *ev.Heard, ev.Reply)
 	case ev.Left != "":
-		c.left(ev.NowUs, ev.Left, ev.Reply)
+		c.replicaRemoved(ev.NowUs, ev.Left, ev.Reply)
 	case ev.Subscribe != nil:
 		c.soft.Hub.Follow(ev.NowUs, *ev.Subscribe)
 	case ev.Unfollow != nil:
 		c.soft.Hub.Unfollow(ev.Unfollow.Gateway, ev.Unfollow.Incarnation)
 	case ev.GatewayReport != nil:
-		c.routedReport(ev.NowUs, *ev.GatewayReport)
+		c.routedGatewayReported(ev.NowUs, *ev.GatewayReport)
 	default:
 		c.chain(chain.Event{NowUs: ev.NowUs})
 		c.controller(ev.NowUs, controller.Tick{})
-		c.saySilence(ev.NowUs)
-		c.memberDone(ev.NowUs)
-		c.settleDepartures(ev.NowUs)
+		c.reportSuspects(ev.NowUs)
+		c.completeMemberChange(ev.NowUs)
+		c.resolveDepartures(ev.NowUs)
 	}
-	c.Room.SetActive(ev.NowUs, c.Node.TailReady(ev.NowUs))
-	for _, p := range c.Room.Updates(c.Node.State(), c.Node.View()) {
+	c.Snapshots.SetActive(ev.NowUs, c.Node.TailReady(ev.NowUs))
+	for _, p := range c.Snapshots.Updates(c.Node.State(), c.Node.View()) {
 		push := p
 		c.effects = append(c.effects, Effect{Push: &push})
 	}
-	for _, a := range c.Room.ReleasedResults(ev.NowUs) {
-		c.answer(a.Origin, a.Result)
+	for _, a := range c.Snapshots.ReleasedResults(ev.NowUs) {
+		c.respond(a.Origin, a.Result)
 	}
-	c.tellControlNodes(ev.NowUs)
-	c.frames(ev.NowUs)
+	c.gossip(ev.NowUs)
+	c.pushFrames(ev.NowUs)
 	return c.effects
 }
 
-func (c *Core) receive(nowUs int64, l wire.Message) {
+func (c *Core) messageReceived(nowUs int64, message wire.Message) {
 	switch {
-	case l.Chain != nil:
-		c.chain(chain.Event{NowUs: nowUs, Got: l.Chain})
-	case l.Result != nil:
-		c.effects = append(c.effects, Effect{Result: l.Result})
-	case l.Report != nil:
-		c.controller(nowUs, controller.GatewayReport{Report: l.Report})
-	case l.Suspicion != nil:
-		c.controller(nowUs, controller.WatcherReport{Report: *l.Suspicion})
-	case l.Gossip != nil:
-		c.heardFrom(nowUs, *l.Gossip)
-	case l.DrainConfirmation != nil:
-		c.confirmed(nowUs, *l.DrainConfirmation)
-	case l.Outliers != nil && l.Outliers.After(c.soft.Outliers):
-		c.soft.Outliers = *l.Outliers
+	case message.Chain != nil:
+		c.chain(chain.Event{NowUs: nowUs, Got: message.Chain})
+	case message.Result != nil:
+		c.effects = append(c.effects, Effect{Result: message.Result})
+	case message.Report != nil:
+		c.controller(nowUs, controller.GatewayReport{Report: message.Report})
+	case message.Suspicion != nil:
+		c.controller(nowUs, controller.WatcherReport{Report: *message.Suspicion})
+	case message.Gossip != nil:
+		c.gossipReceived(nowUs, *message.Gossip)
+	case message.DrainConfirmation != nil:
+		c.departuresConfirmed(nowUs, *message.DrainConfirmation)
+	case message.Outliers != nil && message.Outliers.After(c.soft.Outliers):
+		c.soft.Outliers = *message.Outliers
 	}
 }
 
-// memberDone is the head's: it takes an order about members out of the ledger once the view has it.
-func (c *Core) memberDone(nowUs int64) {
-	if nowUs-c.memberUs < memberEveryUs || !c.Node.IsHead() || !c.Node.MemberChangeDone() {
+// completeMemberChange is the head's: it takes an order about members out of the ledger once the view has it.
+func (c *Core) completeMemberChange(nowUs int64) {
+	if nowUs-c.memberDoneUs < memberDoneRetryUs || !c.Node.IsHead() || !c.Node.MemberChangeDone() {
 		return
 	}
-	c.memberUs = nowUs
+	c.memberDoneUs = nowUs
 	id := c.Node.State().MembershipID
 	c.chain(chain.Event{NowUs: nowUs, Submit: &statemachine.Change{ID: "done-" + id, Membership: &statemachine.MembershipChange{Action: statemachine.MembershipDone, Name: id}}})
 }
 
-func (c *Core) saySilence(nowUs int64) {
-	if nowUs-c.silentUs < failuredetector.HeartbeatIntervalUs {
+func (c *Core) reportSuspects(nowUs int64) {
+	if nowUs-c.suspectsReportedUs < failuredetector.HeartbeatIntervalUs {
 		return
 	}
-	c.silentUs = nowUs
-	s := &failuredetector.SuspicionReport{Reporter: c.Node.Self().ID, Suspects: c.Watch.Suspects(nowUs)}
+	c.suspectsReportedUs = nowUs
+	s := &failuredetector.SuspicionReport{Reporter: c.Node.Self().ID, Suspects: c.FailureDetector.Suspects(nowUs)}
 	if c.Node.IsHead() {
 		c.controller(nowUs, controller.WatcherReport{Report: *s})
 	} else if head := c.Node.View().Head(); head.Addr != "" {
@@ -213,11 +213,11 @@
 	}
 }
 
-func (c *Core) report(nowUs int64, r Reported) {
-	c.Room.SetActive(nowUs, c.Node.TailReady(nowUs))
+func (c *Core) gatewayReported(nowUs int64, r Reported) {
+	c.Snapshots.SetActive(nowUs, c.Node.TailReady(nowUs))
 	view := c.Node.View().Number
-	lease := c.Room.Report(nowUs, view, c.Node.State().UpdateIndex, c.checked == view, r.Report)
-	lease.Ring = c.Room.Ring(nowUs, c.Node.View())
+	lease := c.Snapshots.Report(nowUs, view, c.Node.State().UpdateIndex, c.checked == view, r.Report)
+	lease.Ring = c.Snapshots.Ring(nowUs, c.Node.View())
 	c.effects = append(c.effects, Effect{Lease: &Leased{Reply: r.Reply, Lease: lease}})
 	if !c.Node.TailReady(nowUs) {
 		return
@@ -230,8 +230,8 @@
 	c.send(c.Node.View().Head().Addr, wire.Message{Report: &report})
 }
 
-func (c *Core) send(addr string, l wire.Message) {
-	c.effects = append(c.effects, Effect{Message: &Message{Addr: addr, Message: l}})
+func (c *Core) send(addr string, message wire.Message) {
+	c.effects = append(c.effects, Effect{Message: &Message{Addr: addr, Message: message}})
 }
 
 func (c *Core) chain(ev chain.Event) {
@@ -245,7 +245,7 @@
 		case e.Applied != nil:
 			c.applied(ev.NowUs, *e.Applied)
 		case e.Viewed != nil:
-			c.Room.SetActive(ev.NowUs, c.Node.TailReady(ev.NowUs))
+			c.Snapshots.SetActive(ev.NowUs, c.Node.TailReady(ev.NowUs))
 			c.effects = append(c.effects, Effect{Note: "view", Trouble: viewText(*e.Viewed)})
 		case e.Rejected != nil:
 			c.rejected(ev.NowUs, e.Rejected)
@@ -257,11 +257,11 @@
 	}
 }
 
-// rejectedEveryUs is how often messages that are not read are told of at most: their sender goes on.
-const rejectedEveryUs = 10 * clock.Sec
+// rejectedLogIntervalUs is how often messages that are not read are told of at most: their sender goes on.
+const rejectedLogIntervalUs = 10 * clock.Sec
 
 func (c *Core) rejected(nowUs int64, why *fault.Fault) {
-	if c.rejectedUs != 0 && nowUs-c.rejectedUs < rejectedEveryUs {
+	if c.rejectedUs != 0 && nowUs-c.rejectedUs < rejectedLogIntervalUs {
 		return
 	}
 	c.rejectedUs = nowUs
@@ -276,8 +276,8 @@
 	c.effects = append(c.effects, Effect{Applied: &a})
 	if change.LeaderUpdate != nil && len(change.LeaderUpdate.Commands)+len(change.LeaderUpdate.Results) > 0 {
 		sawUs := nowUs
-		if a.Entry.Index <= c.bornLast {
-			sawUs = c.bornUs
+		if a.Entry.Index <= c.startIndex {
+			sawUs = c.startUs
 		}
 		c.Controller.OnApplied(sawUs, change.Epoch, *change.LeaderUpdate, c.Node.State())
 	}
@@ -289,21 +289,21 @@
 		return
 	}
 	if change.Config != nil && a.Outcome.Fault == nil && change.Config.Version == 0 {
-		c.Room.SetActive(nowUs, c.Node.TailReady(nowUs))
-		c.Room.AwaitAcknowledgements(change.Origin, a.Outcome, c.Node.State().UpdateIndex)
+		c.Snapshots.SetActive(nowUs, c.Node.TailReady(nowUs))
+		c.Snapshots.AwaitAcknowledgements(change.Origin, a.Outcome, c.Node.State().UpdateIndex)
 		return
 	}
-	c.answer(change.Origin, wire.Result{Outcome: a.Outcome, OnAllGateways: true})
+	c.respond(change.Origin, wire.Result{Outcome: a.Outcome, OnAllGateways: true})
 }
 
-// Seen is the outcome of a change that was taken before and may be acknowledged here again.
-func (c *Core) Seen(id string) (statemachine.Outcome, bool) {
+// Outcome is the outcome of a change that was taken before and may be acknowledged here again.
+func (c *Core) Outcome(id string) (statemachine.Outcome, bool) {
 	out, seen := c.Node.State().Outcomes[id]
 	out.Repeated = true
 	return out, seen && c.Node.Durable(out.Index)
 }
 
-func (c *Core) answer(origin string, r wire.Result) {
+func (c *Core) respond(origin string, r wire.Result) {
 	if origin == c.Node.Self().Addr {
 		c.effects = append(c.effects, Effect{Result: &r})
 		return
@@ -315,7 +315,7 @@
 	seen := controller.Snapshot{
 		NowUs: nowUs, State: c.Node.State(), IsHead: c.Node.IsHead(),
 		IsFresh: c.Node.HeadConfirmed(nowUs), CanWrite: c.Node.AcceptsWrites(), ViewNumber: c.Node.View().Number,
-		Registry: c.soft.Roster, Outliers: c.soft.Outliers,
+		Registry: c.soft.Registry, Outliers: c.soft.Outliers,
 	}
 	if !seen.CanWrite {
 		seen.IsFresh = false
@@ -325,7 +325,7 @@
 		case controller.WriteChange:
 			c.chain(chain.Event{NowUs: nowUs, Submit: effect.Change})
 		case controller.PublishVerdicts:
-			c.judged(effect.Table)
+			c.outliersJudged(effect.Table)
 		default:
 			c.effects = append(c.effects, Effect{Controller: effect})
 		}
@@ -345,35 +345,35 @@
 
 // Status is what a control node knows of itself, the chain and the fleet. It is this control node's own view, and may be old.
 type Status struct {
-	ControlNode chain.Member                   `json:"office"`
-	Phase       chain.Phase                    `json:"phase"`
-	View        chain.View                     `json:"view"`
-	Open        bool                           `json:"open"`
-	WaitsFor    string                         `json:"waitsFor,omitempty"`
-	Commit      uint64                         `json:"commit"`
-	Last        uint64                         `json:"last"`
-	Epoch       uint64                         `json:"epoch"`
-	Holder      string                         `json:"holder"`
-	IsLeader    bool                           `json:"onDuty"`
-	Revision    uint64                         `json:"revision"`
-	Emptied     []string                       `json:"emptied,omitempty"`
-	Peers       []chain.PeerStatus             `json:"partners"`
-	Gateways    []distribution.GatewayStatus   `json:"desks,omitempty"`
-	Demand      []controller.GatewayStatus     `json:"demand,omitempty"`
-	Replicas    []statemachine.Replica         `json:"replicas"`
-	Pending     []statemachine.ReplicaCommand  `json:"pending"`
-	Counts      any                            `json:"counts,omitempty"`
-	Policy      controller.PolicyStatus        `json:"policy"`
-	Shadows     []controller.PolicyStatus      `json:"shadows,omitempty"`
-	Faults      map[fault.Code]uint64          `json:"faults,omitempty"`
-	Refused     map[fault.Code]uint64          `json:"refused,omitempty"`
-	Keys        int                            `json:"keys"`
-	Member      *statemachine.MembershipChange `json:"member,omitempty"`
-	MemberOn    string                         `json:"memberWaitsFor,omitempty"`
-	Grants      int                            `json:"grants"`
-	Loads       uint64                         `json:"loads"`
-	LoadedMb    int64                          `json:"loadedMb"`
-	Fleet       *Fleet                         `json:"fleet,omitempty"`
+	ControlNode      chain.Member                   `json:"office"`
+	Phase            chain.Phase                    `json:"phase"`
+	View             chain.View                     `json:"view"`
+	Open             bool                           `json:"open"`
+	WaitingFor       string                         `json:"waitsFor,omitempty"`
+	Commit           uint64                         `json:"commit"`
+	Last             uint64                         `json:"last"`
+	Epoch            uint64                         `json:"epoch"`
+	LeaseHolder      string                         `json:"holder"`
+	IsLeader         bool                           `json:"onDuty"`
+	Revision         uint64                         `json:"revision"`
+	EmptiedZones     []string                       `json:"emptied,omitempty"`
+	Peers            []chain.PeerStatus             `json:"partners"`
+	Gateways         []distribution.GatewayStatus   `json:"desks,omitempty"`
+	Demand           []controller.GatewayStatus     `json:"demand,omitempty"`
+	Replicas         []statemachine.Replica         `json:"replicas"`
+	Pending          []statemachine.ReplicaCommand  `json:"pending"`
+	Counts           any                            `json:"counts,omitempty"`
+	Policy           controller.PolicyStatus        `json:"policy"`
+	Shadows          []controller.PolicyStatus      `json:"shadows,omitempty"`
+	Faults           map[fault.Code]uint64          `json:"faults,omitempty"`
+	Refused          map[fault.Code]uint64          `json:"refused,omitempty"`
+	Keys             int                            `json:"keys"`
+	Member           *statemachine.MembershipChange `json:"member,omitempty"`
+	MemberWaitingFor string                         `json:"memberWaitsFor,omitempty"`
+	Grants           int                            `json:"grants"`
+	Loads            uint64                         `json:"loads"`
+	LoadedMb         int64                          `json:"loadedMb"`
+	Fleet            *Fleet                         `json:"fleet,omitempty"`
 	// Outliers are the replicas that gateways are kept from, wholly or in part.
 	Outliers []outlier.Row `json:"outliers,omitempty"`
 }
@@ -382,15 +382,15 @@
 func (c *Core) Status(nowUs int64) Status {
 	s := c.Node.State()
 	st := Status{
-		ControlNode: c.Node.Self(), Phase: c.Node.Phase(), View: c.Node.View(), Open: c.Node.TailReady(nowUs), WaitsFor: c.Node.WaitReason(),
-		Commit: c.Node.CommitIndex(), Last: c.Node.LastIndex(), Epoch: s.Epoch, Holder: s.Leader, IsLeader: c.Controller.IsLeader(s),
-		Revision: s.Revision, Peers: c.Node.Peers(), Gateways: c.Room.Gateways(nowUs), Demand: c.Controller.Gateways(nowUs),
+		ControlNode: c.Node.Self(), Phase: c.Node.Phase(), View: c.Node.View(), Open: c.Node.TailReady(nowUs), WaitingFor: c.Node.WaitReason(),
+		Commit: c.Node.CommitIndex(), Last: c.Node.LastIndex(), Epoch: s.Epoch, LeaseHolder: s.Leader, IsLeader: c.Controller.IsLeader(s),
+		Revision: s.Revision, Peers: c.Node.Peers(), Gateways: c.Snapshots.Gateways(nowUs), Demand: c.Controller.Gateways(nowUs),
 		Counts: c.Controller.Counts(), Policy: c.Controller.Policy, Shadows: c.Controller.Shadows,
-		Faults: copyOf(c.Controller.Faults), Refused: copyOf(s.RefusalCounts), Keys: len(s.Keys), Member: s.Membership, MemberOn: c.Node.MemberChangeWaitReason(), Grants: len(s.Grants), Loads: s.TotalLoads, LoadedMb: s.TotalLoadedMB,
-		Pending: []statemachine.ReplicaCommand{}, Replicas: []statemachine.Replica{}, Fleet: c.fleet(nowUs), Outliers: c.soft.Outliers.Rows,
+		Faults: copyOf(c.Controller.Faults), Refused: copyOf(s.RefusalCounts), Keys: len(s.Keys), Member: s.Membership, MemberWaitingFor: c.Node.MemberChangeWaitReason(), Grants: len(s.Grants), Loads: s.TotalLoads, LoadedMb: s.TotalLoadedMB,
+		Pending: []statemachine.ReplicaCommand{}, Replicas: []statemachine.Replica{}, Fleet: c.fleetStatus(nowUs), Outliers: c.soft.Outliers.Rows,
 	}
 	if s.Doc != nil {
-		st.Emptied = s.Doc.DrainedZones
+		st.EmptiedZones = s.Doc.DrainedZones
 	}
 	for _, id := range s.ReplicaIDs() {
 		r := *s.Replicas[id]
--- a/internal/controlplane/controlnode/departures_test.go
+++ b/internal/controlplane/controlnode/departures_test.go
@@ -153,7 +153,7 @@
 		}
 		know := 0
 		for _, c := range tr.cores {
-			if e := c.soft.Roster.Entry("r"); e != nil && (e.Draining || e.Removed) && e.Removed == (ev.Left != "") {
+			if e := c.soft.Registry.Entry("r"); e != nil && (e.Draining || e.Removed) && e.Removed == (ev.Left != "") {
 				know++
 			}
 		}
@@ -207,7 +207,7 @@
 func TestAControlNodeCutOffRefusesNoOrderAboutMembers(t *testing.T) {
 	tr := newTrio(t)
 	ask := func(i int) fault.Code {
-		bad := tr.cores[i].fitMember(tr.nowUs, &statemachine.MembershipChange{Action: statemachine.AddMember, Name: "oa1"}, false)
+		bad := tr.cores[i].checkMember(tr.nowUs, &statemachine.MembershipChange{Action: statemachine.AddMember, Name: "oa1"}, false)
 		if bad == nil {
 			return ""
 		}
--- a/internal/controlplane/controlnode/fleet.go
+++ b/internal/controlplane/controlnode/fleet.go
@@ -13,21 +13,21 @@
 type Fleet struct {
 	Version  uint64                `json:"version"`
 	Routes   []configuration.Route `json:"routes"`
-	Services []ServiceNote         `json:"services"`
-	Replicas []ReplicaNote         `json:"replicas"`
+	Services []ServiceStatus       `json:"services"`
+	Replicas []ReplicaStatus       `json:"replicas"`
 	// Gateways are those that live, as far as this control node knows; they share the further tries.
 	Gateways []string `json:"desks"`
 	// Leadership is known at the control node that holds it.
 	Leadership *controller.LeaderStatus `json:"duty,omitempty"`
 }
 
-// ServiceNote is a service in force. Models and RoomMb are 0 where it has no engine.
-type ServiceNote struct {
-	Name            string `json:"name"`
-	ConnectionsMost int    `json:"connectionsMost,omitempty"`
-	Models          int    `json:"models,omitempty"`
-	RoomMb          int64  `json:"roomMb,omitempty"`
-	Replicas        int    `json:"replicas"`
+// ServiceStatus is a service in force. Models and CapacityMb are 0 where it has no engine.
+type ServiceStatus struct {
+	Name           string `json:"name"`
+	MaxConnections int    `json:"connectionsMost,omitempty"`
+	Models         int    `json:"models,omitempty"`
+	CapacityMb     int64  `json:"roomMb,omitempty"`
+	Replicas       int    `json:"replicas"`
 }
 
 // ReplicaState is what a control node makes of a replica's heartbeats.
@@ -40,91 +40,91 @@
 	ReplicaDraining ReplicaState = "draining"
 	// ReplicaUnreachable replicas have missed their heartbeats for longer than is borne.
 	ReplicaUnreachable ReplicaState = "dark"
-	// ReplicaGone replicas have ended.
-	ReplicaGone ReplicaState = "gone"
-	// ReplicaUnheard means that the ledger knows it, and nobody has heard it since this control node started.
-	ReplicaUnheard ReplicaState = "unheard"
+	// ReplicaRemoved replicas have ended.
+	ReplicaRemoved ReplicaState = "gone"
+	// ReplicaUnreported means that the ledger knows it, and nobody has heard it since this control node started.
+	ReplicaUnreported ReplicaState = "unheard"
 )
 
-// ReplicaNote is one incarnation of a replica. LeftMs is what is left now of the time it named, and only there
-// where it named one; Stage is its own word and known where it was heard; HeldMb counts what is held and what
+// ReplicaStatus is one incarnation of a replica. LeftMs is what is left now of the time it named, and only there
+// where it named one; Stage is its own word and known where it was heard; ReservedMb counts what is held and what
 // may come by the order that stands.
-type ReplicaNote struct {
-	ID      string                       `json:"id"`
-	Service string                       `json:"service"`
-	Addr    string                       `json:"addr"`
-	Zone    string                       `json:"zone"`
-	Release string                       `json:"release,omitempty"`
-	State   ReplicaState                 `json:"state"`
-	Stage   string                       `json:"stage,omitempty"`
-	AgoMs   int64                        `json:"agoMs"`
-	LeftMs  *int64                       `json:"leftMs,omitempty"`
-	ColdMs  int64                        `json:"coldMs,omitempty"`
-	Slots   int                          `json:"slots"`
-	Units   []string                     `json:"units"`
-	HeldMb  int64                        `json:"heldMb"`
-	RoomMb  int64                        `json:"roomMb,omitempty"`
-	Order   *statemachine.ReplicaCommand `json:"order,omitempty"`
+type ReplicaStatus struct {
+	ID         string                       `json:"id"`
+	Service    string                       `json:"service"`
+	Addr       string                       `json:"addr"`
+	Zone       string                       `json:"zone"`
+	Release    string                       `json:"release,omitempty"`
+	State      ReplicaState                 `json:"state"`
+	Stage      string                       `json:"stage,omitempty"`
+	AgoMs      int64                        `json:"agoMs"`
+	LeftMs     *int64                       `json:"leftMs,omitempty"`
+	WarmupMs   int64                        `json:"coldMs,omitempty"`
+	Slots      int                          `json:"slots"`
+	Units      []string                     `json:"units"`
+	ReservedMb int64                        `json:"heldMb"`
+	CapacityMb int64                        `json:"roomMb,omitempty"`
+	Order      *statemachine.ReplicaCommand `json:"order,omitempty"`
 }
 
-// fleet is nil where the declaration in force has no routes.
-func (c *Core) fleet(nowUs int64) *Fleet {
+// fleetStatus is nil where the declaration in force has no routes.
+func (c *Core) fleetStatus(nowUs int64) *Fleet {
 	s := c.Node.State()
 	if s.Doc == nil || !s.Doc.Routed() {
 		return nil
 	}
 	f := &Fleet{
-		Version: s.Doc.Version, Routes: s.Doc.WithoutSource().Routes, Services: []ServiceNote{}, Replicas: []ReplicaNote{},
+		Version: s.Doc.Version, Routes: s.Doc.WithoutSource().Routes, Services: []ServiceStatus{}, Replicas: []ReplicaStatus{},
 		Gateways: c.soft.Hub.Gateways(nowUs), Leadership: c.Controller.Status(nowUs, s),
 	}
 	count := map[string]int{}
-	for _, id := range c.soft.Roster.IDs() {
-		row := c.replicaNote(nowUs, id)
+	for _, id := range c.soft.Registry.IDs() {
+		row := c.replicaStatus(nowUs, id)
 		f.Replicas = append(f.Replicas, row)
 		if row.State == ReplicaReady || row.State == ReplicaDraining {
 			count[row.Service]++
 		}
 	}
 	for _, id := range s.ReplicaIDs() {
-		if c.soft.Roster.Entry(id) == nil {
-			f.Replicas = append(f.Replicas, c.replicaNote(nowUs, id))
+		if c.soft.Registry.Entry(id) == nil {
+			f.Replicas = append(f.Replicas, c.replicaStatus(nowUs, id))
 		}
 	}
 	for i := range s.Doc.Services {
 		svc := &s.Doc.Services[i]
-		row := ServiceNote{Name: svc.Name, ConnectionsMost: svc.MaxConnections, Replicas: count[svc.Name]}
+		row := ServiceStatus{Name: svc.Name, MaxConnections: svc.MaxConnections, Replicas: count[svc.Name]}
 		if svc.Engine != nil {
-			row.Models, row.RoomMb = len(svc.Engine.Models), svc.Engine.CapacityMB
+			row.Models, row.CapacityMb = len(svc.Engine.Models), svc.Engine.CapacityMB
 		}
 		f.Services = append(f.Services, row)
 	}
 	return f
 }
 
-// replicaNote joins a replica's own word with what the ledger holds of it.
-func (c *Core) replicaNote(nowUs int64, id string) ReplicaNote {
+// replicaStatus joins a replica's own word with what the ledger holds of it.
+func (c *Core) replicaStatus(nowUs int64, id string) ReplicaStatus {
 	s := c.Node.State()
-	row := ReplicaNote{ID: id, State: ReplicaUnheard, AgoMs: -1, Units: []string{}}
+	row := ReplicaStatus{ID: id, State: ReplicaUnreported, AgoMs: -1, Units: []string{}}
 	if have := s.Replicas[id]; have != nil {
-		row.Service, row.Addr, row.Zone, row.Slots, row.RoomMb = have.Service, have.Addr, have.Zone, have.Slots, have.CapacityMB
-		row.HeldMb = s.ReservedMB(id)
+		row.Service, row.Addr, row.Zone, row.Slots, row.CapacityMb = have.Service, have.Addr, have.Zone, have.Slots, have.CapacityMB
+		row.ReservedMb = s.ReservedMB(id)
 		row.Units = slices.Sorted(maps.Keys(have.Resident))
 	}
 	if t, pending := s.Pending[id]; pending {
 		row.Order = &t
 	}
-	e := c.soft.Roster.Entry(id)
+	e := c.soft.Registry.Entry(id)
 	if e == nil {
 		return row
 	}
 	row.Service, row.Addr, row.Zone, row.Release, row.Stage = e.Service, e.Addr, e.Zone, e.Release, e.Stage
-	row.AgoMs, row.ColdMs, row.Slots = (nowUs-e.LastHeartbeatUs)/1000, e.WarmUpMs, e.Slots
+	row.AgoMs, row.WarmupMs, row.Slots = (nowUs-e.LastHeartbeatUs)/1000, e.WarmUpMs, e.Slots
 	if e.Units != nil {
 		row.Units = append([]string{}, e.Units...)
 	}
 	switch {
 	case e.Removed:
-		row.State = ReplicaGone
+		row.State = ReplicaRemoved
 	case e.Unreachable:
 		row.State = ReplicaUnreachable
 	case e.Draining:
--- a/internal/controlplane/controlnode/fleet_test.go
+++ b/internal/controlplane/controlnode/fleet_test.go
@@ -44,23 +44,23 @@
 		return registry.ReplicaStatus{ID: id, Service: "s", Addr: id, Zone: "z", Slots: 4, Seq: seq, Units: []string{"m"}, Stage: "decode"}
 	}
 	nowUs := 10 * clock.Sec
-	c.heard(nowUs-4*clock.Sec, row("dark", 1))
-	c.heard(nowUs-2*clock.Sec, row("gone", 1))
-	c.gone(nowUs-clock.Sec, "gone")
+	c.replicaHeartbeat(nowUs-4*clock.Sec, row("dark", 1))
+	c.replicaHeartbeat(nowUs-2*clock.Sec, row("gone", 1))
+	c.replicaEnded(nowUs-clock.Sec, "gone")
 	notice := row("notice", 1)
 	notice.Draining, notice.RemainingMs = true, 900
-	c.heard(nowUs-200*clock.Ms, notice)
+	c.replicaHeartbeat(nowUs-200*clock.Ms, notice)
 	leaving := row("leaving", 1)
 	leaving.Draining, leaving.Service, leaving.Units = true, "plain", nil
-	c.heard(nowUs, leaving)
-	c.heard(nowUs-20*clock.Ms, row("ready", 1))
-	c.soft.Roster.Sweep(nowUs)
+	c.replicaHeartbeat(nowUs, leaving)
+	c.replicaHeartbeat(nowUs-20*clock.Ms, row("ready", 1))
+	c.soft.Registry.Sweep(nowUs)
 
 	f := c.Status(nowUs).Fleet
 	order := s.Pending["ready"]
 	leftMs := int64(700)
-	base := ReplicaNote{Service: "s", Zone: "z", Stage: "decode", Slots: 4, Units: []string{"m"}}
-	with := func(id string, state ReplicaState, agoMs int64, edit func(*ReplicaNote)) ReplicaNote {
+	base := ReplicaStatus{Service: "s", Zone: "z", Stage: "decode", Slots: 4, Units: []string{"m"}}
+	with := func(id string, state ReplicaState, agoMs int64, edit func(*ReplicaStatus)) ReplicaStatus {
 		r := base
 		r.ID, r.Addr, r.State, r.AgoMs = id, id, state, agoMs
 		if edit != nil {
@@ -68,13 +68,13 @@
 		}
 		return r
 	}
-	want := []ReplicaNote{
+	want := []ReplicaStatus{
 		with("dark", ReplicaUnreachable, 4000, nil),
-		with("gone", ReplicaGone, 1000, nil),
-		with("leaving", ReplicaDraining, 0, func(r *ReplicaNote) { r.Service, r.Units = "plain", []string{} }),
-		with("notice", ReplicaDraining, 200, func(r *ReplicaNote) { r.LeftMs = &leftMs }),
-		with("ready", ReplicaReady, 20, func(r *ReplicaNote) { r.RoomMb, r.HeldMb, r.Order = 100, 70, &order }),
-		with("never", ReplicaUnheard, -1, func(r *ReplicaNote) { r.RoomMb, r.HeldMb, r.Stage = 100, 30, "" }),
+		with("gone", ReplicaRemoved, 1000, nil),
+		with("leaving", ReplicaDraining, 0, func(r *ReplicaStatus) { r.Service, r.Units = "plain", []string{} }),
+		with("notice", ReplicaDraining, 200, func(r *ReplicaStatus) { r.LeftMs = &leftMs }),
+		with("ready", ReplicaReady, 20, func(r *ReplicaStatus) { r.CapacityMb, r.ReservedMb, r.Order = 100, 70, &order }),
+		with("never", ReplicaUnreported, -1, func(r *ReplicaStatus) { r.CapacityMb, r.ReservedMb, r.Stage = 100, 30, "" }),
 	}
 	if diff := cmp.Diff(want, f.Replicas); diff != "" {
 		t.Error(diff)
@@ -82,7 +82,7 @@
 	if f.Version != 7 || len(f.Routes) != 1 || f.Routes[0].Source != nil || f.Leadership != nil {
 		t.Errorf("%+v", f)
 	}
-	if diff := cmp.Diff([]ServiceNote{{Name: "plain", ConnectionsMost: 9, Replicas: 1}, {Name: "s", Models: 2, RoomMb: 100, Replicas: 2}}, f.Services); diff != "" {
+	if diff := cmp.Diff([]ServiceStatus{{Name: "plain", MaxConnections: 9, Replicas: 1}, {Name: "s", Models: 2, CapacityMb: 100, Replicas: 2}}, f.Services); diff != "" {
 		t.Error(diff)
 	}
 	if _, err := json.Marshal(c.Status(nowUs)); err != nil {
--- a/internal/controlplane/controlnode/forms_test.go
+++ b/internal/controlplane/controlnode/forms_test.go
@@ -42,7 +42,7 @@
 	"read":              Read{},
 	"newest":            Newest{},
 	"status":            Status{},
-	"configuration-now": ConfigNow{},
+	"configuration-now": CurrentConfig{},
 	"applied":           Applied{},
 }
 
--- a/internal/controlplane/controlnode/frames.go
+++ b/internal/controlplane/controlnode/frames.go
@@ -10,43 +10,43 @@
 )
 
 const (
-	framesMost = 256
-	readWait   = 700 * time.Millisecond
+	frameStreamCapacity = 256
+	readTimeout         = 700 * time.Millisecond
 )
 
-// framed is one gateway's stream; one that does not keep up is ended, and the gateway follows anew.
-type framed struct {
+// frameStream is one gateway's stream; one that does not keep up is ended, and the gateway follows anew.
+type frameStream struct {
 	incarnation string
 	frames      chan *wire.Frame
-	over        chan struct{}
+	closed      chan struct{}
 }
 
-func (h *Host) frame(gateway string, f *wire.Frame) {
-	s := h.frames[gateway]
+func (h *Host) pushFrame(gateway string, f *wire.Frame) {
+	s := h.frameStreams[gateway]
 	if s == nil {
 		return
 	}
 	select {
 	case s.frames <- f:
 	default:
-		delete(h.frames, gateway)
-		close(s.over)
+		delete(h.frameStreams, gateway)
+		close(s.closed)
 	}
 }
 
 func (h *Host) serveFrames(ctx context.Context, f *wire.SubscribeRequest, send func(*wire.Frame) error) error {
-	mine := &framed{incarnation: f.Incarnation, frames: make(chan *wire.Frame, framesMost), over: make(chan struct{})}
+	mine := &frameStream{incarnation: f.Incarnation, frames: make(chan *wire.Frame, frameStreamCapacity), closed: make(chan struct{})}
 	defer h.act.Tell(func() {
-		if h.frames[f.Gateway] == mine {
-			delete(h.frames, f.Gateway)
+		if h.frameStreams[f.Gateway] == mine {
+			delete(h.frameStreams, f.Gateway)
 			h.step(Event{Unfollow: &Unfollow{Gateway: f.Gateway, Incarnation: f.Incarnation}})
 		}
 	})
 	if !h.act.Do(ctx, func() {
-		if prior := h.frames[f.Gateway]; prior != nil {
-			close(prior.over)
+		if prior := h.frameStreams[f.Gateway]; prior != nil {
+			close(prior.closed)
 		}
-		h.frames[f.Gateway] = mine
+		h.frameStreams[f.Gateway] = mine
 		h.step(Event{Subscribe: f})
 	}) {
 		return fault.New(fault.NotServing, "", "stopping")
@@ -57,7 +57,7 @@
 			return nil
 		case <-h.act.Ctx.Done():
 			return nil
-		case <-mine.over:
+		case <-mine.closed:
 			return fault.New(fault.NotServing, "", "followed anew, or too slow")
 		case frame := <-mine.frames:
 			if err := send(frame); err != nil {
@@ -71,9 +71,9 @@
 // answered as it was the first time; no result means that it may yet be taken.
 func (h *Host) Configure(ctx context.Context, mark string, c statemachine.ConfigChange) (statemachine.Outcome, bool) {
 	id := "op-" + mark
-	if out, seen := h.seen(ctx, id); seen {
+	if out, seen := h.outcome(ctx, id); seen {
 		return out, true
 	}
-	result, ok := h.Submit(ctx, statemachine.Change{ID: id, Config: &c}, answerWait)
+	result, ok := h.Submit(ctx, statemachine.Change{ID: id, Config: &c}, changeTimeout)
 	return result.Outcome, ok
 }
--- a/internal/controlplane/controlnode/host.go
+++ b/internal/controlplane/controlnode/host.go
@@ -28,26 +28,26 @@
 )
 
 const (
-	tickEvery    = 25 * time.Millisecond
-	mailboxMost  = 8192
-	peerMost     = 1024
-	answerWait   = 8 * time.Second
-	peerWait     = 15 * time.Second
-	keyWait      = 2 * time.Second
-	resubmit     = 400 * time.Millisecond
-	replicaWait  = time.Duration(controller.OrderFlightUs) * time.Microsecond
-	platformWait = 800 * time.Millisecond
-
-	seekSettled = 5 * time.Second
-	// lockWait is how long a control node waits for the process before it to let go of the data folder.
-	lockWait      = 10 * time.Second
-	innerDialMs   = 250
-	selfBeatUs    = 200 * clock.Ms
-	selfSuspectUs = 800 * clock.Ms
-	selfLeaseUs   = 700 * clock.Ms
-	selfCompareUs = 900 * clock.Ms
-	selfGatherUs  = 1300 * clock.Ms
-	selfAskUs     = 200 * clock.Ms
+	tickInterval     = 25 * time.Millisecond
+	mailboxCapacity  = 8192
+	outboxCapacity   = 1024
+	changeTimeout    = 8 * time.Second
+	peerTimeout      = 15 * time.Second
+	submitTimeout    = 2 * time.Second
+	resubmitInterval = 400 * time.Millisecond
+	replicaTimeout   = time.Duration(controller.OrderFlightUs) * time.Microsecond
+	platformTimeout  = 800 * time.Millisecond
+
+	discoveryIntervalSettled = 5 * time.Second
+	// lockTimeout is how long a control node waits for the process before it to let go of the data folder.
+	lockTimeout       = 10 * time.Second
+	peerDialTimeoutMs = 250
+	selfHeartbeatUs   = 200 * clock.Ms
+	selfSuspectUs     = 800 * clock.Ms
+	selfLeaseUs       = 700 * clock.Ms
+	selfCompareUs     = 900 * clock.Ms
+	selfGatherUs      = 1300 * clock.Ms
+	selfAskUs         = 200 * clock.Ms
 )
 
 // RandomID is as many random bytes, in hexadecimal.
@@ -61,59 +61,59 @@
 
 // Host runs a Core: it gives it events one at a time and carries out its effects on disk, network and clock.
 type Host struct {
-	set   settings.ControlNode
-	core  *Core
-	disk  disk
-	lock  *storage.DirLock
-	ring  *logring.Ring
-	log   log.Logger
-	web   *http.Client
-	inner *http.Client
-
-	act   *actor.Actor
-	saves *saveQueue
-	pace  func() <-chan time.Time
-	peers map[string]chan wire.Message
-	bulk  map[string]*bulkSend
+	settings      settings.ControlNode
+	core          *Core
+	disk          disk
+	lock          *storage.DirLock
+	ring          *logring.Ring
+	log           log.Logger
+	replicaClient *http.Client
+	peerClient    *http.Client
+
+	act        *actor.Actor
+	saveQueue  *saveQueue
+	retryTimer func() <-chan time.Time
+	outboxes   map[string]chan wire.Message
+	transfers  map[string]*stateTransfer
 	// waiters are the callers that wait for the outcome of a change, by its id.
-	waiters  map[string][]chan wire.Result
-	replies  map[uint64]chan wire.Lease
-	words    map[uint64]chan bool
-	replySeq uint64
-	follows  map[string]*followed
-	rebuilds bool
-	failed   chan error
-
-	seeds    atomic.Pointer[[]string]
-	replicas Replicas
-	frames   map[string]*framed
-	doors    []Door
+	waiters          map[string][]chan wire.Result
+	leases           map[uint64]chan wire.Lease
+	acknowledgements map[uint64]chan bool
+	lastWaiter       uint64
+	newsStreams      map[string]*newsStream
+	rebuilding       bool
+	fatal            chan error
+
+	seeds        atomic.Pointer[[]string]
+	replicas     ReplicaTransport
+	frameStreams map[string]*frameStream
+	listeners    []Listener
 }
 
-// Replicas is how the controller reaches replicas and learns which there are.
-type Replicas interface {
+// ReplicaTransport is how the controller reaches replicas and learns which there are.
+type ReplicaTransport interface {
 	// List is the platform's list; nil where replicas make themselves known.
 	List(ctx context.Context) (*wire.ReplicaList, error)
 	State(ctx context.Context, replica, addr string) (*wire.ReplicaState, error)
-	Order(ctx context.Context, addr string, o wire.Order) (wire.OrderState, error)
+	Order(ctx context.Context, addr string, order wire.Order) (wire.OrderState, error)
 }
 
-// Door is a listener of another interface than this one's own.
-type Door interface {
+// Listener is a listener of another interface than this one's own.
+type Listener interface {
 	Serve() error
 	Shutdown(ctx context.Context) error
 }
 
-// Reach replaces how replicas are reached, before Run.
-func (h *Host) Reach(r Replicas) { h.replicas = r }
+// SetReplicaTransport replaces how replicas are reached, before Run.
+func (h *Host) SetReplicaTransport(r ReplicaTransport) { h.replicas = r }
 
-// Seeds are other control nodes for first contact, where the ones in the settings have changed.
-func (h *Host) Seeds(addrs []string) { h.seeds.Store(&addrs) }
+// SetSeeds are other control nodes for first contact, where the ones in the settings have changed.
+func (h *Host) SetSeeds(addrs []string) { h.seeds.Store(&addrs) }
 
-// Enter adds a door before Run.
-func (h *Host) Enter(d Door) { h.doors = append(h.doors, d) }
+// AddListener adds a door before Run.
+func (h *Host) AddListener(d Listener) { h.listeners = append(h.listeners, d) }
 
-type followed struct {
+type newsStream struct {
 	latest chan wire.GatewayUpdate
 }
 
@@ -121,7 +121,7 @@
 // control node comes back as a new member; it never votes on what it can no longer know.
 func Open(set settings.ControlNode, ring *logring.Ring) (*Host, error) {
 	logger := ring.Logger("office", set.Name)
-	lock, err := storage.Lock(set.DataDir, set.Name, lockWait)
+	lock, err := storage.Lock(set.DataDir, set.Name, lockTimeout)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -184,70 +184,70 @@
 		},
 	})
 	h := &Host{
-		set: set, core: core, disk: opened.Store, ring: ring, log: logger,
-		web: rpc.Client(500, set.Listen), inner: rpc.NodeClient(innerDialMs, set.Listen),
-		act: actor.New(mailboxMost), saves: newSaveQueue(), pace: func() <-chan time.Time { return time.After(retryEvery) },
-		peers: map[string]chan wire.Message{}, bulk: map[string]*bulkSend{}, waiters: map[string][]chan wire.Result{}, replies: map[uint64]chan wire.Lease{}, words: map[uint64]chan bool{},
-		follows: map[string]*followed{}, rebuilds: opened.Created && founding == 0 && len(set.Founders) == 0, failed: make(chan error, 1),
-		frames: map[string]*framed{},
-	}
-	h.replicas = &listed{h}
+		settings: set, core: core, disk: opened.Store, ring: ring, log: logger,
+		replicaClient: rpc.Client(500, set.Listen), peerClient: rpc.NodeClient(peerDialTimeoutMs, set.Listen),
+		act: actor.New(mailboxCapacity), saveQueue: newSaveQueue(), retryTimer: func() <-chan time.Time { return time.After(diskRetryInterval) },
+		outboxes: map[string]chan wire.Message{}, transfers: map[string]*stateTransfer{}, waiters: map[string][]chan wire.Result{}, leases: map[uint64]chan wire.Lease{}, acknowledgements: map[uint64]chan bool{},
+		newsStreams: map[string]*newsStream{}, rebuilding: opened.Created && founding == 0 && len(set.Founders) == 0, fatal: make(chan error, 1),
+		frameStreams: map[string]*frameStream{},
+	}
+	h.replicas = &declaredReplicas{h}
 	h.seeds.Store(&set.Seeds)
 	return h, nil
 }
 
 // SelfPaced gives a chain whose control nodes take in and drop each other the times that they keep to.
-func SelfPaced(o chain.Options) chain.Options {
-	o.HelloIntervalUs, o.HeartbeatIntervalUs, o.SuspectTimeoutUs = selfBeatUs, selfBeatUs, selfSuspectUs
-	o.LeaseDurationUs, o.VoteRecoveryTimeoutUs, o.GatherTimeoutUs, o.PrepareTimeoutUs = selfLeaseUs, selfCompareUs, selfGatherUs, selfAskUs
-	return o
+func SelfPaced(order chain.Options) chain.Options {
+	order.HelloIntervalUs, order.HeartbeatIntervalUs, order.SuspectTimeoutUs = selfHeartbeatUs, selfHeartbeatUs, selfSuspectUs
+	order.LeaseDurationUs, order.VoteRecoveryTimeoutUs, order.GatherTimeoutUs, order.PrepareTimeoutUs = selfLeaseUs, selfCompareUs, selfGatherUs, selfAskUs
+	return order
 }
 
 // Run serves until ctx ends. A disk that refuses or hangs does not end it.
 func (h *Host) Run(ctx context.Context) error {
-	listener, err := net.Listen("tcp", h.set.Listen)
+	listener, err := net.Listen("tcp", h.settings.Listen)
 	if err != nil {
 		return fault.New(fault.BadSettings, "listen", "%v", err)
 	}
 	server := &http.Server{Handler: h.handler(), ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = server.Serve(listener) }()
-	_ = h.log.Log("event", "started", "id", h.core.Node.Self().ID, "phase", string(h.core.Node.Phase()), "disabled", h.set.Disable.String())
-	h.act.Spawn(func() { h.act.Loop(tickEvery, func() { h.step(Event{}) }) })
-	h.act.Spawn(h.saver)
-	h.act.Spawn(h.seeker)
-	for _, d := range h.doors {
+	_ = h.log.Log("event", "started", "id", h.core.Node.Self().ID, "phase", string(h.core.Node.Phase()), "disabled", h.settings.Disable.String())
+	h.act.Spawn(func() { h.act.Loop(tickInterval, func() { h.step(Event{}) }) })
+	h.act.Spawn(h.persistLoop)
+	h.act.Spawn(h.discoverPeers)
+	for _, d := range h.listeners {
 		go func() {
 			if err := d.Serve(); err != nil {
 				select {
-				case h.failed <- err:
+				case h.fatal <- err:
 				default:
 				}
 			}
 		}()
 	}
-	if h.rebuilds {
-		h.act.Spawn(h.waitForPeer)
+	if h.rebuilding {
+		h.act.Spawn(h.failWithoutPeer)
 	}
 	var failure error
 	select {
 	case <-ctx.Done():
-		h.handOver()
-	case failure = <-h.failed:
+		h.leave()
+	case failure = <-h.fatal:
 		h.ring.Dump("stopping: " + failure.Error())
 	}
 	h.act.Stop()
 	closing, done := context.WithTimeout(context.Background(), time.Second)
 	defer done()
-	for _, d := range h.doors {
+	for _, d := range h.listeners {
 		_ = d.Shutdown(closing)
 	}
 	_ = server.Shutdown(closing)
 	_ = server.Close()
 	h.act.End()
-	return errors.Trace(first(failure, h.disk.Close(), h.lock.Close()))
+	return errors.Trace(firstError(failure, h.disk.Close(), h.lock.Close()))
 }
 
-func first(errs ...error) error {
+func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -256,7 +256,7 @@
 	return nil
 }
 
-func (h *Host) tell(ev Event) { h.act.Tell(func() { h.step(ev) }) }
+func (h *Host) post(ev Event) { h.act.Tell(func() { h.step(ev) }) }
 
 func (h *Host) step(ev Event) {
 	ev.NowUs = clock.NowUs()
@@ -265,22 +265,22 @@
 		case e.Message != nil:
 			h.send(e.Message.Addr, e.Message.Message)
 		case e.Save != nil:
-			h.saves.put(*e.Save)
+			h.saveQueue.put(*e.Save)
 		case e.Push != nil:
-			h.push(e.Push.Gateway, e.Push.Update)
+			h.pushNews(e.Push.Gateway, e.Push.Update)
 		case e.Frame != nil:
-			h.frame(e.Frame.Gateway, e.Frame.Frame)
+			h.pushFrame(e.Frame.Gateway, e.Frame.Frame)
 		case e.Result != nil:
-			h.answer(*e.Result)
+			h.deliverResult(*e.Result)
 		case e.Lease != nil:
-			if reply := h.replies[e.Lease.Reply]; reply != nil {
+			if reply := h.leases[e.Lease.Reply]; reply != nil {
 				reply <- e.Lease.Lease
-				delete(h.replies, e.Lease.Reply)
+				delete(h.leases, e.Lease.Reply)
 			}
 		case e.Word != nil:
-			if reply := h.words[e.Word.Reply]; reply != nil {
+			if reply := h.acknowledgements[e.Word.Reply]; reply != nil {
 				reply <- e.Word.OK
-				delete(h.words, e.Word.Reply)
+				delete(h.acknowledgements, e.Word.Reply)
 			}
 		case e.Controller != nil:
 			h.controller(e.Controller)
@@ -290,40 +290,40 @@
 	}
 }
 
-func (h *Host) send(addr string, l wire.Message) {
-	if addr == "" || addr == h.set.Advertise {
+func (h *Host) send(addr string, message wire.Message) {
+	if addr == "" || addr == h.settings.Advertise {
 		return
 	}
-	if l.Chain.CarriesSnapshot() {
-		h.sendBulk(addr, l)
+	if message.Chain.CarriesSnapshot() {
+		h.sendState(addr, message)
 		return
 	}
-	box := h.peers[addr]
+	box := h.outboxes[addr]
 	if box == nil {
-		box = make(chan wire.Message, peerMost)
-		h.peers[addr] = box
-		h.act.Spawn(func() { h.carry(addr, box) })
+		box = make(chan wire.Message, outboxCapacity)
+		h.outboxes[addr] = box
+		h.act.Spawn(func() { h.deliverBatches(addr, box) })
 	}
 	select {
-	case box <- l:
+	case box <- message:
 	default:
 	}
 }
 
-func (h *Host) carry(addr string, box chan wire.Message) {
-	caller := rpc.NewCaller[wire.Batch, wire.Ack](h.inner, addr, rpc.BatchPath)
+func (h *Host) deliverBatches(addr string, box chan wire.Message) {
+	caller := rpc.NewCaller[wire.Batch, wire.Ack](h.peerClient, addr, rpc.BatchPath)
 	for {
 		batch := wire.Batch{}
 		select {
 		case <-h.act.Ctx.Done():
 			return
-		case l := <-box:
-			batch.Messages = append(batch.Messages, l)
+		case message := <-box:
+			batch.Messages = append(batch.Messages, message)
 		}
 		for more := true; more && len(batch.Messages) < 128; {
 			select {
-			case l := <-box:
-				batch.Messages = append(batch.Messages, l)
+			case message := <-box:
+				batch.Messages = append(batch.Messages, message)
 			default:
 				more = false
 			}
@@ -334,8 +334,8 @@
 	}
 }
 
-func (h *Host) push(gateway string, news wire.GatewayUpdate) {
-	f := h.follows[gateway]
+func (h *Host) pushNews(gateway string, news wire.GatewayUpdate) {
+	f := h.newsStreams[gateway]
 	if f == nil {
 		return
 	}
@@ -355,45 +355,45 @@
 	}
 }
 
-// waitForPeer stops a control node that holds nothing, may found nothing, and meets no chain.
-func (h *Host) waitForPeer() {
+// failWithoutPeer stops a control node that holds nothing, may found nothing, and meets no chain.
+func (h *Host) failWithoutPeer() {
 	select {
 	case <-h.act.Ctx.Done():
 		return
-	case <-time.After(peerWait):
+	case <-time.After(peerTimeout):
 	}
 	if alone, ran := actor.Ask(h.act.Ctx, h.act, func() bool { return h.core.Node.Phase() == chain.PhaseBootstrap }); ran && alone {
 		select {
-		case h.failed <- fault.New(fault.DamagedData, h.set.DataDir, "it holds no chain, and no partner was met within %v to copy one from; kept folders are untouched", peerWait):
+		case h.fatal <- fault.New(fault.DamagedData, h.settings.DataDir, "it holds no chain, and no partner was met within %v to copy one from; kept folders are untouched", peerTimeout):
 		default:
 		}
 	}
 }
 
-// seeker keeps asking the seeds, first contacts only, until the control nodes know each other.
-func (h *Host) seeker() {
+// discoverPeers keeps asking the seeds, first contacts only, until the control nodes know each other.
+func (h *Host) discoverPeers() {
 	for {
 		for _, seed := range *h.seeds.Load() {
-			if seed == h.set.Advertise {
+			if seed == h.settings.Advertise {
 				continue
 			}
 			ctx, done := context.WithTimeout(h.act.Ctx, 500*time.Millisecond)
-			where, err := rpc.NewCaller[wire.MembershipRequest, wire.MembershipResponse](h.inner, seed, rpc.WherePath).Call(ctx, &wire.MembershipRequest{From: h.core.Node.Self()})
+			where, err := rpc.NewCaller[wire.MembershipRequest, wire.MembershipResponse](h.peerClient, seed, rpc.WherePath).Call(ctx, &wire.MembershipRequest{From: h.core.Node.Self()})
 			done()
 			if err != nil {
 				continue
 			}
 			learned := []string{}
 			for _, m := range where.ControlNodes {
-				if m.Addr != h.set.Advertise {
+				if m.Addr != h.settings.Advertise {
 					learned = append(learned, m.Addr)
 				}
 			}
-			h.tell(Event{Learn: learned})
+			h.post(Event{Learn: learned})
 		}
 		span := time.Second
-		if settled, ran := actor.Ask(h.act.Ctx, h.act, h.core.settled); ran && settled {
-			span = seekSettled
+		if settled, ran := actor.Ask(h.act.Ctx, h.act, h.core.committed); ran && settled {
+			span = discoveryIntervalSettled
 		}
 		select {
 		case <-h.act.Ctx.Done():
@@ -403,7 +403,7 @@
 	}
 }
 
-func (h *Host) where() wire.MembershipResponse {
+func (h *Host) location() wire.MembershipResponse {
 	w := wire.MembershipResponse{View: h.core.Node.View()}
 	seen := map[string]bool{}
 	add := func(m chain.Member) {
@@ -441,57 +441,57 @@
 			for _, s := range effect.Shadows {
 				done.Shadows = append(done.Shadows, placement.Run(s, effect.Fleet))
 			}
-			h.tell(Event{Controller: done})
+			h.post(Event{Controller: done})
 		})
 	}
 }
 
 func (h *Host) pollList() {
-	ctx, done := context.WithTimeout(h.act.Ctx, platformWait)
+	ctx, done := context.WithTimeout(h.act.Ctx, platformTimeout)
 	defer done()
 	listed := controller.PlatformListing{}
 	var err error
 	if listed.List, err = h.replicas.List(ctx); err != nil {
 		listed = controller.PlatformListing{Err: err.Error()}
 	}
-	h.tell(Event{Controller: listed})
+	h.post(Event{Controller: listed})
 }
 
 func (h *Host) askReplica(a controller.ReportRequest) {
-	ctx, done := context.WithTimeout(h.act.Ctx, replicaWait)
+	ctx, done := context.WithTimeout(h.act.Ctx, replicaTimeout)
 	defer done()
 	told := controller.ReplicaReport{RequestedUs: a.RequestedUs, Replica: a.Replica, Addr: a.Addr}
 	var err error
 	if told.State, err = h.replicas.State(ctx, a.Replica, a.Addr); err != nil {
 		told.State, told.Err = nil, err.Error()
 	}
-	h.tell(Event{Controller: told})
+	h.post(Event{Controller: told})
 }
 
-func (h *Host) order(o controller.SendOrder) {
-	ctx, done := context.WithTimeout(h.act.Ctx, replicaWait)
+func (h *Host) order(order controller.SendOrder) {
+	ctx, done := context.WithTimeout(h.act.Ctx, replicaTimeout)
 	defer done()
-	state, err := h.replicas.Order(ctx, o.Addr, o.Order)
-	_ = h.log.Log("event", "ordered", "ticket", o.Order.Command.Number, "state", state.State, "why", state.Reason, "err", err)
+	state, err := h.replicas.Order(ctx, order.Addr, order.Order)
+	_ = h.log.Log("event", "ordered", "ticket", order.Order.Command.Number, "state", state.State, "why", state.Reason, "err", err)
 	if err != nil {
-		state = wire.OrderState{Number: o.Order.Command.Number, State: wire.OrderInDoubt, Reason: err.Error()}
+		state = wire.OrderState{Number: order.Order.Command.Number, State: wire.OrderInDoubt, Reason: err.Error()}
 	}
-	h.tell(Event{Controller: controller.OrderResult{Replica: o.Order.Command.Replica, Incarnation: o.Order.Command.Incarnation, Expected: o.Order.ExpectedOrders, State: state}})
+	h.post(Event{Controller: controller.OrderResult{Replica: order.Order.Command.Replica, Incarnation: order.Order.Command.Incarnation, Expected: order.Order.ExpectedOrders, State: state}})
 }
 
 // Submit carries a change to the head and waits for the tail's result.
 func (h *Host) Submit(ctx context.Context, c statemachine.Change, wait time.Duration) (wire.Result, bool) {
-	c.Origin = h.set.Advertise
+	c.Origin = h.settings.Advertise
 	waiter := make(chan wire.Result, 4)
-	defer h.act.Tell(func() { h.stopWaiting(c.ID, waiter) })
+	defer h.act.Tell(func() { h.removeWaiter(c.ID, waiter) })
 	if !h.act.Do(ctx, func() { h.waiters[c.ID] = append(h.waiters[c.ID], waiter) }) {
 		return wire.Result{}, false
 	}
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
-	again := time.NewTicker(resubmit)
+	again := time.NewTicker(resubmitInterval)
 	defer again.Stop()
-	h.tell(Event{Submit: &c})
+	h.post(Event{Submit: &c})
 	for {
 		select {
 		case r := <-waiter:
@@ -500,7 +500,7 @@
 			}
 			return r, true
 		case <-again.C:
-			h.tell(Event{Submit: &c})
+			h.post(Event{Submit: &c})
 		case <-deadline.C:
 			return wire.Result{}, false
 		case <-ctx.Done():
--- a/internal/controlplane/controlnode/keep_test.go
+++ b/internal/controlplane/controlnode/keep_test.go
@@ -25,22 +25,22 @@
 	for i := range 20_000 {
 		large.Outcomes[fmt.Sprintf("change-%d", i)] = statemachine.Outcome{ID: fmt.Sprintf("change-%d", i)}
 	}
-	h.act.Spawn(h.saver)
+	h.act.Spawn(h.persistLoop)
 	const copies = 20
 	for i := uint64(1); i <= copies; i++ {
 		state := statemachine.NewState()
 		if i%2 == 1 {
 			state = large
 		}
-		h.saves.put(chain.Persist{Seq: i, Snapshot: &chain.Snapshot{Index: i, View: 1, State: state}})
+		h.saveQueue.put(chain.Persist{Seq: i, Snapshot: &chain.Snapshot{Index: i, View: 1, State: state}})
 	}
-	h.saves.put(chain.Persist{Seq: copies + 1})
-	for h.saves.waiting() > 0 {
+	h.saveQueue.put(chain.Persist{Seq: copies + 1})
+	for h.saveQueue.len() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	h.act.End()
 	select {
-	case err := <-h.failed:
+	case err := <-h.fatal:
 		t.Fatalf("the control node would end: %v", err)
 	default:
 	}
--- a/internal/controlplane/controlnode/leave.go
+++ b/internal/controlplane/controlnode/leave.go
@@ -7,20 +7,20 @@
 	"petreltide/internal/process/clock"
 )
 
-// leaveCheckEvery is how often a process that is to end asks whether it may.
-const leaveCheckEvery = 25 * time.Millisecond
+// leaveCheckInterval is how often a process that is to end asks whether it may.
+const leaveCheckInterval = 25 * time.Millisecond
 
-// handOver gives the other control nodes the time that the settings allow to take over this one's seat, its vote and
+// leave gives the other control nodes the time that the settings allow to take over this one's seat, its vote and
 // what only it holds. The control node serves on meanwhile.
-func (h *Host) handOver() {
-	if h.set.HandoverTimeoutMs <= 0 {
+func (h *Host) leave() {
+	if h.settings.HandoverTimeoutMs <= 0 {
 		return
 	}
-	h.tell(Event{Leave: true})
+	h.post(Event{Leave: true})
 	fromUs := clock.NowUs()
-	deadline := time.NewTimer(time.Duration(h.set.HandoverTimeoutMs) * time.Millisecond)
+	deadline := time.NewTimer(time.Duration(h.settings.HandoverTimeoutMs) * time.Millisecond)
 	defer deadline.Stop()
-	check := time.NewTicker(leaveCheckEvery)
+	check := time.NewTicker(leaveCheckInterval)
 	defer check.Stop()
 	left := false
 	for waiting := true; waiting && !left; {
--- a/internal/controlplane/controlnode/listed.go
+++ b/internal/controlplane/controlnode/listed.go
@@ -14,21 +14,21 @@
 	"petreltide/internal/api/wire"
 )
 
-// listed is this product's own interface to the platform's list and to replicas.
-type listed struct{ h *Host }
+// declaredReplicas is this product's own interface to the platform's list and to replicas.
+type declaredReplicas struct{ h *Host }
 
-func (l *listed) List(ctx context.Context) (*wire.ReplicaList, error) {
+func (message *declaredReplicas) List(ctx context.Context) (*wire.ReplicaList, error) {
 	list := &wire.ReplicaList{}
-	return list, l.get(ctx, "http://"+l.h.set.Platform+"/v1/replicas", list)
+	return list, message.get(ctx, "http://"+message.h.settings.Platform+"/v1/replicas", list)
 }
 
-func (l *listed) State(ctx context.Context, _, addr string) (*wire.ReplicaState, error) {
+func (message *declaredReplicas) State(ctx context.Context, _, addr string) (*wire.ReplicaState, error) {
 	state := &wire.ReplicaState{}
-	return state, l.get(ctx, "http://"+addr+"/v1/state", state)
+	return state, message.get(ctx, "http://"+addr+"/v1/state", state)
 }
 
-func (l *listed) Order(ctx context.Context, addr string, o wire.Order) (wire.OrderState, error) {
-	raw, err := json.Marshal(o)
+func (message *declaredReplicas) Order(ctx context.Context, addr string, order wire.Order) (wire.OrderState, error) {
+	raw, err := json.Marshal(order)
 	if err != nil {
 		panic(err)
 	}
@@ -38,25 +38,25 @@
 	}
 	req.ContentLength = int64(len(raw))
 	req.Header.Set("Content-Type", "application/json")
-	res, err := l.h.web.Do(req)
+	res, err := message.h.replicaClient.Do(req)
 	if err != nil {
 		return wire.OrderState{}, errors.Trace(err)
 	}
 	defer res.Body.Close()
 	state := wire.OrderState{}
 	answer, err := io.ReadAll(io.LimitReader(res.Body, 1<<16))
-	if err != nil || res.StatusCode != http.StatusOK || json.Unmarshal(answer, &state) != nil || state.Number != o.Command.Number {
-		return wire.OrderState{Number: o.Command.Number, State: wire.OrderFailed, Reason: res.Status}, nil
+	if err != nil || res.StatusCode != http.StatusOK || json.Unmarshal(answer, &state) != nil || state.Number != order.Command.Number {
+		return wire.OrderState{Number: order.Command.Number, State: wire.OrderFailed, Reason: res.Status}, nil
 	}
 	return state, nil
 }
 
-func (l *listed) get(ctx context.Context, url string, into any) error {
+func (message *declaredReplicas) get(ctx context.Context, url string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	res, err := l.h.web.Do(req)
+	res, err := message.h.replicaClient.Do(req)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -71,8 +71,8 @@
 	return errors.Trace(json.Unmarshal(raw, into))
 }
 
-// answer gives a result to every caller that waits for it.
-func (h *Host) answer(r wire.Result) {
+// deliverResult gives a result to every caller that waits for it.
+func (h *Host) deliverResult(r wire.Result) {
 	for _, waiter := range h.waiters[r.Outcome.ID] {
 		select {
 		case waiter <- r:
@@ -81,8 +81,8 @@
 	}
 }
 
-// stopWaiting takes one caller off those that wait for a change.
-func (h *Host) stopWaiting(id string, waiter chan wire.Result) {
+// removeWaiter takes one caller off those that wait for a change.
+func (h *Host) removeWaiter(id string, waiter chan wire.Result) {
 	left := slices.DeleteFunc(h.waiters[id], func(w chan wire.Result) bool { return w == waiter })
 	if len(left) == 0 {
 		delete(h.waiters, id)
--- a/internal/controlplane/controlnode/malformed_test.go
+++ b/internal/controlplane/controlnode/malformed_test.go
@@ -56,12 +56,12 @@
 func messages(t *testing.T) map[string][][]byte {
 	tr := newTrio(t)
 	raws := map[string][][]byte{}
-	tr.tap = func(l wire.Message) {
-		raw, err := json.Marshal(l)
+	tr.tap = func(message wire.Message) {
+		raw, err := json.Marshal(message)
 		if err != nil {
 			t.Fatal(err)
 		}
-		raws[kindOf(l)] = append(raws[kindOf(l)], raw)
+		raws[kindOf(message)] = append(raws[kindOf(message)], raw)
 	}
 	for n := range 3 {
 		tr.step(0, Event{Submit: numbered(n)})
@@ -75,11 +75,11 @@
 	return raws
 }
 
-func kindOf(l wire.Message) string {
-	m := l.Chain
+func kindOf(message wire.Message) string {
+	m := message.Chain
 	switch {
 	case m == nil:
-		return fmt.Sprint(l.Result != nil, l.Report != nil, l.Suspicion != nil, l.Gossip != nil, l.DrainConfirmation != nil, l.Outliers != nil)
+		return fmt.Sprint(message.Result != nil, message.Report != nil, message.Suspicion != nil, message.Gossip != nil, message.DrainConfirmation != nil, message.Outliers != nil)
 	case m.Forward != nil:
 		return fmt.Sprint("forward", len(m.Forward.Entries) > 0, m.Forward.Snapshot != nil)
 	}
@@ -165,15 +165,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var l wire.Message
-		if json.Unmarshal(raw, &l) != nil {
+		var message wire.Message
+		if json.Unmarshal(raw, &message) != nil {
 			continue
 		}
 		read++
 		if n%25 == 0 {
 			tr = newTrio(t)
 		}
-		if broken := survives(tr, r.Intn(3), Event{Message: &l}); broken != "" {
+		if broken := survives(tr, r.Intn(3), Event{Message: &message}); broken != "" {
 			if !found[broken[:40]] {
 				t.Errorf("message %d, %s: %.1500s", n, raw, broken)
 			}
--- a/internal/controlplane/controlnode/members.go
+++ b/internal/controlplane/controlnode/members.go
@@ -9,25 +9,25 @@
 	"petreltide/internal/process/actor"
 )
 
-// fitMember finds the identity that an order is about, or why it must not be taken. Only a control node whose view
+// checkMember finds the identity that an order is about, or why it must not be taken. Only a control node whose view
 // and state are the chain's of now may refuse it.
-func (c *Core) fitMember(nowUs int64, m *statemachine.MembershipChange, evenAlive bool) *fault.Fault {
+func (c *Core) checkMember(nowUs int64, m *statemachine.MembershipChange, evenAlive bool) *fault.Fault {
 	if !c.Node.UpToDate(nowUs) {
 		return fault.New(fault.NotServing, "", "this office has no word of the chain: ask another")
 	}
 	return c.Node.ResolveMemberChange(m, evenAlive)
 }
 
-// member takes an operator's order about one control node. It is refused here where this control node can see that
+// postMember takes an operator's order about one control node. It is refused here where this control node can see that
 // it must not be carried out; what was taken waits until it is safe.
-func (h *Host) member(w http.ResponseWriter, r *http.Request) {
-	id, bad := changeOf(r)
+func (h *Host) postMember(w http.ResponseWriter, r *http.Request) {
+	id, bad := changeID(r)
 	m := statemachine.MembershipChange{Action: statemachine.MembershipAction(r.PathValue("act")), Name: r.PathValue("name")}
 	if bad == nil {
 		var seen bool
 		var first statemachine.Outcome
-		if first, seen = h.seen(r.Context(), id); seen {
-			h.reply(r.Context(), w, id, wire.Result{Outcome: first, OnAllGateways: true})
+		if first, seen = h.outcome(r.Context(), id); seen {
+			h.respondApplied(r.Context(), w, id, wire.Result{Outcome: first, OnAllGateways: true})
 			return
 		}
 		evenAlive := r.URL.Query().Get("even-alive") == "true"
@@ -38,7 +38,7 @@
 		asked := m
 		got, ran := actor.Ask(r.Context(), h.act, func() fit {
 			f := fit{change: asked}
-			f.bad = h.core.fitMember(h.core.Node.NowUs(), &f.change, evenAlive)
+			f.bad = h.core.checkMember(h.core.Node.NowUs(), &f.change, evenAlive)
 			return f
 		})
 		m, bad = got.change, got.bad
@@ -50,5 +50,5 @@
 		writeFault(w, bad)
 		return
 	}
-	h.change(w, r, statemachine.Change{ID: id, Membership: &m})
+	h.submitAndRespond(w, r, statemachine.Change{ID: id, Membership: &m})
 }
--- a/internal/controlplane/controlnode/newest.go
+++ b/internal/controlplane/controlnode/newest.go
@@ -39,12 +39,12 @@
 		return own, true
 	}
 	tail, ran := actor.Ask(ctx, h.act, func() string { return h.core.Node.View().Tail().Addr })
-	if !ran || tail == "" || tail == h.set.Advertise {
+	if !ran || tail == "" || tail == h.settings.Advertise {
 		return Newest{}, false
 	}
-	ctx, done := context.WithTimeout(ctx, readWait)
+	ctx, done := context.WithTimeout(ctx, readTimeout)
 	defer done()
-	got, err := rpc.NewCaller[Read, Newest](h.inner, tail, rpc.ReadPath).Call(ctx, &Read{})
+	got, err := rpc.NewCaller[Read, Newest](h.peerClient, tail, rpc.ReadPath).Call(ctx, &Read{})
 	if err != nil {
 		return Newest{}, false
 	}
--- a/internal/controlplane/controlnode/orders_test.go
+++ b/internal/controlplane/controlnode/orders_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.act.Spawn(func() { h.act.Loop(tickEvery, func() { h.step(Event{}) }) })
+	h.act.Spawn(func() { h.act.Loop(tickInterval, func() { h.step(Event{}) }) })
 	t.Cleanup(func() {
 		h.act.End()
 		if err := h.disk.Close(); err != nil {
@@ -74,7 +74,7 @@
 	waiting(t, h, id, 1)
 	go submit(t.Context())
 	waiting(t, h, id, 2)
-	h.tell(Event{Message: &wire.Message{Result: &wire.Result{Outcome: statemachine.Outcome{ID: id, Index: 7}}}})
+	h.post(Event{Message: &wire.Message{Result: &wire.Result{Outcome: statemachine.Outcome{ID: id, Index: 7}}}})
 	for range 2 {
 		if !<-got {
 			t.Error("one of two that waited got no outcome")
@@ -89,22 +89,22 @@
 	doc := &configuration.Declaration{Name: "d"}
 	for _, c := range []struct {
 		name string
-		now  ConfigNow
+		now  CurrentConfig
 		base uint64
 		want patchStep
 	}{
-		{"on top of what is in force", ConfigNow{Revision: 4, Declaration: doc}, 4, mergeHere},
-		{"its base is still to come", ConfigNow{Revision: 3, Declaration: doc}, 4, baseAhead},
-		{"nothing is in force yet", ConfigNow{}, 4, baseAhead},
-		{"a later change is in force", ConfigNow{Revision: 9, Declaration: doc}, 4, leaveToChain},
-		{"there is nothing to patch", ConfigNow{}, 0, nothingToPatch},
+		{"on top of what is in force", CurrentConfig{Revision: 4, Declaration: doc}, 4, mergeHere},
+		{"its base is still to come", CurrentConfig{Revision: 3, Declaration: doc}, 4, baseAhead},
+		{"nothing is in force yet", CurrentConfig{}, 4, baseAhead},
+		{"a later change is in force", CurrentConfig{Revision: 9, Declaration: doc}, 4, deferToChain},
+		{"there is nothing to patch", CurrentConfig{}, 0, nothingToPatch},
 	} {
 		if got := nextPatchStep(c.now, c.base); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
 	h := openControlNode(t, 1)
-	h.act.Spawn(h.saver)
+	h.act.Spawn(h.persistLoop)
 	for base, id := range []string{"op-mine", "op-later"} {
 		out, ok := h.Submit(t.Context(), statemachine.Change{ID: id, Config: &statemachine.ConfigChange{Base: uint64(base), Doc: doc}}, time.Minute)
 		if !ok || out.Outcome.Fault != nil {
--- a/internal/controlplane/controlnode/save_test.go
+++ b/internal/controlplane/controlnode/save_test.go
@@ -26,7 +26,7 @@
 	const saves = uint64(3 * 1024)
 	h.act.Tell(func() {
 		for i := uint64(1); i <= saves; i++ {
-			h.saves.put(chain.Persist{Seq: 1 << 40, Records: []chain.Record{{Entry: &chain.Entry{Index: i, View: 1, Change: statemachine.Change{ID: "c"}}}}})
+			h.saveQueue.put(chain.Persist{Seq: 1 << 40, Records: []chain.Record{{Entry: &chain.Entry{Index: i, View: 1, Change: statemachine.Change{ID: "c"}}}}})
 		}
 	})
 	soon, done := context.WithTimeout(t.Context(), 10*time.Second)
@@ -34,9 +34,9 @@
 	if !h.act.Do(soon, func() {}) {
 		t.Fatal("with no disk at work the actor stands still")
 	}
-	h.act.Spawn(h.saver)
+	h.act.Spawn(h.persistLoop)
 	for left, ran := 1, true; left > 0; {
-		if left, ran = actor.Ask(t.Context(), h.act, h.saves.waiting); !ran {
+		if left, ran = actor.Ask(t.Context(), h.act, h.saveQueue.len); !ran {
 			t.Fatal("the actor ended")
 		}
 	}
--- a/internal/controlplane/controlnode/saver.go
+++ b/internal/controlplane/controlnode/saver.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// retryEvery is how often a save that the disk refused is tried again.
-	retryEvery = 250 * time.Millisecond
-	// logEvery is how many tries lie between two words about it in the log ring.
-	logEvery = 40
+	// diskRetryInterval is how often a save that the disk refused is tried again.
+	diskRetryInterval = 250 * time.Millisecond
+	// diskLogInterval is how many tries lie between two words about it in the log ring.
+	diskLogInterval = 40
 )
 
 // disk is where the chain's records and copies are kept; after an error the same may be tried again.
@@ -29,27 +29,27 @@
 // saveQueue holds what the chain wants on the disk, in order. Whoever adds one never waits for the disk; the
 // chain bounds how many there are.
 type saveQueue struct {
-	mu   sync.Mutex
-	list []chain.Persist
-	more chan struct{}
+	mu      sync.Mutex
+	pending []chain.Persist
+	added   chan struct{}
 }
 
-func newSaveQueue() *saveQueue { return &saveQueue{more: make(chan struct{}, 1)} }
+func newSaveQueue() *saveQueue { return &saveQueue{added: make(chan struct{}, 1)} }
 
 func (q *saveQueue) put(s chain.Persist) {
 	q.mu.Lock()
-	q.list = append(q.list, s)
+	q.pending = append(q.pending, s)
 	q.mu.Unlock()
 	select {
-	case q.more <- struct{}{}:
+	case q.added <- struct{}{}:
 	default:
 	}
 }
 
-func (q *saveQueue) waiting() int {
+func (q *saveQueue) len() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return len(q.list)
+	return len(q.pending)
 }
 
 // take waits for the next one; false once over is closed.
@@ -61,9 +61,9 @@
 		default:
 		}
 		q.mu.Lock()
-		if len(q.list) > 0 {
-			s := q.list[0]
-			q.list = q.list[1:]
+		if len(q.pending) > 0 {
+			s := q.pending[0]
+			q.pending = q.pending[1:]
 			q.mu.Unlock()
 			return s, true
 		}
@@ -71,14 +71,14 @@
 		select {
 		case <-over:
 			return chain.Persist{}, false
-		case <-q.more:
+		case <-q.added:
 		}
 	}
 }
 
-// retryUntilTaken tries the same until the disk takes it. Until then the control node stands still where it needs the
+// retryUntilWritten tries the same until the disk takes it. Until then the control node stands still where it needs the
 // disk, and goes on elsewhere. False means that the control node is ending.
-func (h *Host) retryUntilTaken(seq uint64, try func() error) bool {
+func (h *Host) retryUntilWritten(seq uint64, try func() error) bool {
 	since := time.Now()
 	for tries := 0; ; tries++ {
 		err := try()
@@ -90,44 +90,44 @@
 			_ = h.log.Log("event", "the disk takes bytes again", "after", time.Since(since).Round(time.Millisecond))
 			return true
 		case errors.As(err, &bad) && bad.Code == fault.DamagedData:
-			h.fail(bad)
+			h.stop(bad)
 			return false
-		case tries%logEvery == 0:
-			_ = h.log.Log("event", "the disk takes no bytes; the same is tried again", "every", retryEvery, "err", err)
+		case tries%diskLogInterval == 0:
+			_ = h.log.Log("event", "the disk takes no bytes; the same is tried again", "every", diskRetryInterval, "err", err)
 		}
 		if seq != 0 && tries == 0 {
-			h.tell(Event{Refused: seq})
+			h.post(Event{Refused: seq})
 		}
 		select {
 		case <-h.act.Ctx.Done():
 			return false
-		case <-h.pace():
+		case <-h.retryTimer():
 		}
 	}
 }
 
 // write brings a save's records to the log and tells where they are.
 func (h *Host) write(s chain.Persist) (from uint64, done bool) {
-	done = h.retryUntilTaken(s.Seq, func() (err error) {
+	done = h.retryUntilWritten(s.Seq, func() (err error) {
 		from, err = h.disk.Write(s.Records, s.Compact)
 		return err
 	})
 	return from, done
 }
 
-// saver brings what the chain wants on the disk there, in order. It begins with what was found there and may not
+// persistLoop brings what the chain wants on the disk there, in order. It begins with what was found there and may not
 // have been synced.
-func (h *Host) saver() {
+func (h *Host) persistLoop() {
 	opening := chain.Persist{Seq: chain.OpeningPersistSeq}
 	if _, done := h.write(opening); !done {
 		return
 	}
-	h.tell(Event{Saved: opening.Seq, LogBytes: h.disk.LogBytes()})
+	h.post(Event{Saved: opening.Seq, LogBytes: h.disk.LogBytes()})
 	done := make(chan struct{})
 	close(done)
 	var before <-chan struct{} = done
 	for {
-		s, more := h.saves.take(h.act.Ctx.Done())
+		s, more := h.saveQueue.take(h.act.Ctx.Done())
 		if !more {
 			return
 		}
@@ -136,45 +136,45 @@
 			return
 		}
 		if s.Snapshot != nil {
-			before = h.keepAfter(before, s, from)
+			before = h.persistCopyAfter(before, s, from)
 			continue
 		}
-		h.tell(Event{Saved: s.Seq, LogBytes: h.disk.LogBytes()})
+		h.post(Event{Saved: s.Seq, LogBytes: h.disk.LogBytes()})
 	}
 }
 
-// keepAfter keeps a copy beside the log, once the copy before it is kept; it gives what is closed at its end.
-func (h *Host) keepAfter(before <-chan struct{}, s chain.Persist, from uint64) <-chan struct{} {
+// persistCopyAfter keeps a copy beside the log, once the copy before it is kept; it gives what is closed at its end.
+func (h *Host) persistCopyAfter(before <-chan struct{}, s chain.Persist, from uint64) <-chan struct{} {
 	kept := make(chan struct{})
 	h.act.Spawn(func() {
 		defer close(kept)
 		<-before
-		h.keep(s, from)
+		h.persistCopy(s, from)
 	})
 	return kept
 }
 
-// fail ends the control node for the first error that no retry mends.
-func (h *Host) fail(err error) {
+// stop ends the control node for the first error that no retry mends.
+func (h *Host) stop(err error) {
 	select {
-	case h.failed <- err:
+	case h.fatal <- err:
 	default:
 	}
 }
 
-// keep writes a copy while the log goes on, and only then lets go of what it stands for. Copies are kept one
+// persistCopy writes a copy while the log goes on, and only then lets go of what it stands for. Copies are kept one
 // after another in the log's order: an older one must not take a newer one's place. Nobody waits for a copy
 // that only stands for the log; without a peer's copy, though, a control node is none.
-func (h *Host) keep(s chain.Persist, from uint64) {
+func (h *Host) persistCopy(s chain.Persist, from uint64) {
 	waited := s.Seq
 	if s.Compact {
 		waited = 0
 	}
-	if !h.retryUntilTaken(waited, func() error { return h.disk.SaveSnapshot(*s.Snapshot, from) }) {
+	if !h.retryUntilWritten(waited, func() error { return h.disk.SaveSnapshot(*s.Snapshot, from) }) {
 		return
 	}
-	if s.Compact && !h.retryUntilTaken(0, func() error { return h.disk.Compact(from) }) {
+	if s.Compact && !h.retryUntilWritten(0, func() error { return h.disk.Compact(from) }) {
 		return
 	}
-	h.tell(Event{Saved: s.Seq, LogBytes: h.disk.LogBytes()})
+	h.post(Event{Saved: s.Seq, LogBytes: h.disk.LogBytes()})
 }
--- a/internal/controlplane/controlnode/saver_test.go
+++ b/internal/controlplane/controlnode/saver_test.go
@@ -76,9 +76,9 @@
 	}
 	d, at := &moody{log: make(chan error), copies: make(chan error)}, make(chan time.Time)
 	close(at)
-	h.disk, h.pace = d, func() <-chan time.Time { return at }
+	h.disk, h.retryTimer = d, func() <-chan time.Time { return at }
 	h.act.Spawn(func() { h.act.Loop(time.Hour, func() {}) })
-	h.act.Spawn(h.saver)
+	h.act.Spawn(h.persistLoop)
 	t.Cleanup(h.act.End)
 	return h, d
 }
@@ -105,9 +105,9 @@
 // comes after it waits behind it, and all of it is there once, in order.
 func TestAControlNodeOutlivesADiskThatRefuses(t *testing.T) {
 	h, d := onMoody(t)
-	h.saves.put(chain.Persist{Seq: 1, Records: []chain.Record{record(1)}})
-	h.saves.put(chain.Persist{Seq: 2, Records: []chain.Record{record(2)}, Snapshot: &chain.Snapshot{Index: 9, State: statemachine.NewState()}, Compact: true})
-	h.saves.put(chain.Persist{Seq: 3, Records: []chain.Record{record(3)}})
+	h.saveQueue.put(chain.Persist{Seq: 1, Records: []chain.Record{record(1)}})
+	h.saveQueue.put(chain.Persist{Seq: 2, Records: []chain.Record{record(2)}, Snapshot: &chain.Snapshot{Index: 9, State: statemachine.NewState()}, Compact: true})
+	h.saveQueue.put(chain.Persist{Seq: 3, Records: []chain.Record{record(3)}})
 	for _, word := range []error{syscall.ENOSPC, syscall.ENOSPC, syscall.EIO, nil, syscall.ENOSPC, nil, nil} {
 		d.log <- word
 	}
@@ -127,7 +127,7 @@
 		}
 	}
 	select {
-	case err := <-h.failed:
+	case err := <-h.fatal:
 		t.Fatalf("the control node would end: %v", err)
 	default:
 	}
@@ -136,9 +136,9 @@
 // Only a disk that has lost what it had synced ends the control node.
 func TestADiskThatLostWhatItHadSyncedEndsTheControlNode(t *testing.T) {
 	h, d := onMoody(t)
-	h.saves.put(chain.Persist{Seq: 1, Records: []chain.Record{record(1)}})
+	h.saveQueue.put(chain.Persist{Seq: 1, Records: []chain.Record{record(1)}})
 	d.log <- fault.New(fault.DamagedData, "chain", "a segment held 10 synced bytes and holds 5")
-	if err := <-h.failed; err == nil {
+	if err := <-h.fatal; err == nil {
 		t.Fatal("it goes on")
 	}
 }
@@ -148,10 +148,10 @@
 	h, d := onMoody(t)
 	h.act.Tell(func() {
 		for i := uint64(1); i <= 50_000; i++ {
-			h.saves.put(chain.Persist{Seq: i, Records: []chain.Record{record(i)}})
+			h.saveQueue.put(chain.Persist{Seq: i, Records: []chain.Record{record(i)}})
 		}
 	})
-	wait(t, h, "the actor answers", func() bool { return h.saves.waiting() >= 49_999 })
+	wait(t, h, "the actor answers", func() bool { return h.saveQueue.len() >= 49_999 })
 	d.log <- nil
 	wait(t, h, "one is saved", func() bool {
 		d.mu.Lock()
--- a/internal/controlplane/controlnode/unsure_test.go
+++ b/internal/controlplane/controlnode/unsure_test.go
@@ -50,8 +50,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.act.Spawn(func() { h.act.Loop(tickEvery, func() { h.step(Event{}) }) })
-	h.act.Spawn(h.saver)
+	h.act.Spawn(func() { h.act.Loop(tickInterval, func() { h.step(Event{}) }) })
+	h.act.Spawn(h.persistLoop)
 	t.Cleanup(func() {
 		h.act.Stop()
 		h.act.End()
--- a/internal/controlplane/controlnode/web.go
+++ b/internal/controlplane/controlnode/web.go
@@ -18,19 +18,19 @@
 	mux := http.NewServeMux()
 	rpc.Serve(mux, rpc.BatchPath, func(_ context.Context, p *wire.Batch) (*wire.Ack, error) {
 		for i := range p.Messages {
-			h.tell(Event{Message: &p.Messages[i]})
+			h.post(Event{Message: &p.Messages[i]})
 		}
 		return &wire.Ack{}, nil
 	})
 	rpc.Serve(mux, rpc.WherePath, func(ctx context.Context, ask *wire.MembershipRequest) (*wire.MembershipResponse, error) {
-		where, ran := actor.Ask(ctx, h.act, h.where)
+		where, ran := actor.Ask(ctx, h.act, h.location)
 		if !ran {
 			return nil, fault.New(fault.NotServing, "", "stopping")
 		}
 		return &where, nil
 	})
 	rpc.Serve(mux, rpc.SubmitPath, func(ctx context.Context, c *statemachine.Change) (*wire.Result, error) {
-		result, ok := h.Submit(ctx, *c, keyWait)
+		result, ok := h.Submit(ctx, *c, submitTimeout)
 		if !ok {
 			return nil, fault.New(fault.InDoubt, "", "no result in time")
 		}
@@ -39,9 +39,9 @@
 	rpc.Serve(mux, rpc.AckPath, func(ctx context.Context, r *wire.Report) (*wire.Lease, error) {
 		reply := make(chan wire.Lease, 1)
 		if !h.act.Do(ctx, func() {
-			h.replySeq++
-			h.replies[h.replySeq] = reply
-			h.step(Event{Report: &Reported{Report: *r, Reply: h.replySeq}})
+			h.lastWaiter++
+			h.leases[h.lastWaiter] = reply
+			h.step(Event{Report: &Reported{Report: *r, Reply: h.lastWaiter}})
 		}) {
 			return nil, fault.New(fault.NotServing, "", "stopping")
 		}
@@ -54,39 +54,39 @@
 		return nil, fault.New(fault.NotServing, "", "stopping")
 	})
 	rpc.Serve(mux, rpc.BeatPath, func(_ context.Context, b *failuredetector.Heartbeat) (*wire.Ack, error) {
-		h.tell(Event{Beat: b})
+		h.post(Event{Beat: b})
 		return &wire.Ack{}, nil
 	})
 	rpc.ServeStream(mux, rpc.FollowPath, h.follow)
 	rpc.ServeStream(mux, rpc.FramesPath, h.serveFrames, rpc.Encoded)
 	rpc.Serve(mux, rpc.ReadPath, h.serveRead)
 	rpc.Serve(mux, rpc.TellPath, func(_ context.Context, r *wire.Report) (*wire.Ack, error) {
-		h.tell(Event{GatewayReport: r})
+		h.post(Event{GatewayReport: r})
 		return &wire.Ack{}, nil
 	})
 	mux.HandleFunc("GET /v1/config", h.getConfig)
 	mux.HandleFunc("PUT /v1/config", h.putConfig)
 	mux.HandleFunc("PATCH /v1/config", h.patchConfig)
-	mux.HandleFunc("POST /v1/zones/{zone}/{act}", h.zone)
-	mux.HandleFunc("POST /v1/members/{name}/{act}", h.member)
-	mux.HandleFunc("GET /v1/status", h.status)
-	mux.HandleFunc("GET /v1/state", h.state)
+	mux.HandleFunc("POST /v1/zones/{zone}/{act}", h.postZone)
+	mux.HandleFunc("POST /v1/members/{name}/{act}", h.postMember)
+	mux.HandleFunc("GET /v1/status", h.getStatus)
+	mux.HandleFunc("GET /v1/state", h.getState)
 	mux.HandleFunc("GET /v1/log", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(h.ring.Bytes()) })
 	return mux
 }
 
 func (h *Host) follow(ctx context.Context, f *wire.SubscribeRequest, send func(*wire.GatewayUpdate) error) error {
-	mine := &followed{latest: make(chan wire.GatewayUpdate, 1)}
+	mine := &newsStream{latest: make(chan wire.GatewayUpdate, 1)}
 	defer h.act.Tell(func() {
-		if h.follows[f.Gateway] == mine {
-			delete(h.follows, f.Gateway)
+		if h.newsStreams[f.Gateway] == mine {
+			delete(h.newsStreams, f.Gateway)
 		}
 	})
 	view, ran := actor.Ask(ctx, h.act, func() uint64 {
 		if !h.core.Node.TailReady(h.core.Node.NowUs()) {
 			return 0
 		}
-		h.follows[f.Gateway] = mine
+		h.newsStreams[f.Gateway] = mine
 		h.step(Event{Follow: f})
 		return h.core.Node.View().Number
 	})
@@ -107,7 +107,7 @@
 			}
 		case <-still.C:
 			gone, ran := actor.Ask(ctx, h.act, func() bool {
-				return h.follows[f.Gateway] != mine || !h.core.Node.IsTail() || h.core.Node.View().Number < view
+				return h.newsStreams[f.Gateway] != mine || !h.core.Node.IsTail() || h.core.Node.View().Number < view
 			})
 			if gone || !ran {
 				return fault.New(fault.NotServing, "", "no longer the tail")
@@ -141,7 +141,7 @@
 	writeJSON(w, status, map[string]any{"error": f})
 }
 
-func (h *Host) status(w http.ResponseWriter, r *http.Request) {
+func (h *Host) getStatus(w http.ResponseWriter, r *http.Request) {
 	raw, ran := actor.Ask(r.Context(), h.act, func() []byte {
 		raw, _ := json.Marshal(h.core.Status(h.core.Node.NowUs()))
 		return raw
@@ -154,7 +154,7 @@
 	_, _ = w.Write(append(raw, '\n'))
 }
 
-func (h *Host) state(w http.ResponseWriter, r *http.Request) {
+func (h *Host) getState(w http.ResponseWriter, r *http.Request) {
 	frozen, ran := actor.Ask(r.Context(), h.act, func() *statemachine.State { return h.core.Node.State().Snapshot() })
 	if !ran {
 		writeFault(w, fault.New(fault.NotServing, "", "stopping"))
--- a/internal/operator/comparison/comparison.go
+++ b/internal/operator/comparison/comparison.go
@@ -25,7 +25,7 @@
 
 // Fleet is what comparing needs of the operators' interface.
 type Fleet interface {
-	Config(ctx context.Context) (controlnode.ConfigNow, error)
+	Config(ctx context.Context) (controlnode.CurrentConfig, error)
 	Apply(ctx context.Context, base uint64, change string, doc *configuration.Declaration) (controlnode.Applied, error)
 	Look(ctx context.Context) (Look, error)
 	Pause(ctx context.Context, span time.Duration) error
--- a/internal/operator/comparison/comparison_test.go
+++ b/internal/operator/comparison/comparison_test.go
@@ -39,11 +39,11 @@
 		replicas: map[string]string{"r1": "i"}, slowUs: map[string]int64{}, at: map[int64]func(*stage){}, seen: map[string]uint64{}}
 }
 
-func (s *stage) Config(context.Context) (controlnode.ConfigNow, error) {
+func (s *stage) Config(context.Context) (controlnode.CurrentConfig, error) {
 	if s.deaf {
-		return controlnode.ConfigNow{}, fault.New(fault.NotServing, "", "deaf")
+		return controlnode.CurrentConfig{}, fault.New(fault.NotServing, "", "deaf")
 	}
-	return controlnode.ConfigNow{Revision: s.revision, Declaration: s.doc}, nil
+	return controlnode.CurrentConfig{Revision: s.revision, Declaration: s.doc}, nil
 }
 
 func (s *stage) Apply(_ context.Context, base uint64, change string, doc *configuration.Declaration) (controlnode.Applied, error) {
--- a/tests/fleet/compare_test.go
+++ b/tests/fleet/compare_test.go
@@ -29,13 +29,13 @@
 	return write("other", examples.Steady), write("chaser", examples.Chaser), write("broken", "def propose(fleet:\n")
 }
 
-func (f *Fleet) now(t *testing.T, ctx context.Context) controlnode.ConfigNow {
+func (f *Fleet) now(t *testing.T, ctx context.Context) controlnode.CurrentConfig {
 	t.Helper()
 	r, err := f.AskAny(ctx, http.MethodGet, "/v1/config", "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := controlnode.ConfigNow{}
+	now := controlnode.CurrentConfig{}
 	if err := json.Unmarshal(r.Body, &now); err != nil {
 		t.Fatal(err)
 	}
--- a/tests/fleet/turns.go
+++ b/tests/fleet/turns.go
@@ -80,7 +80,7 @@
 	}
 	for ctx.Err() == nil {
 		r, err := f.AskAny(ctx, http.MethodGet, "/v1/config", "")
-		now := controlnode.ConfigNow{}
+		now := controlnode.CurrentConfig{}
 		if err != nil || json.Unmarshal(r.Body, &now) != nil {
 			return errors.Errorf("%v %s", err, r.Body)
 		}
--- a/tests/history/walk_test.go
+++ b/tests/history/walk_test.go
@@ -238,7 +238,7 @@
 		answer(Refused)
 		return
 	}
-	if out, seen := o.core.Seen(id); seen {
+	if out, seen := o.core.Outcome(id); seen {
 		answer(o.answerOf(out))
 		return
 	}
--- a/tests/simulator/routed_control_nodes.go
+++ b/tests/simulator/routed_control_nodes.go
@@ -241,7 +241,7 @@
 }
 
 // answered passes on the answer to a replica's word; a plant acknowledges whatever was said.
-func (o *routedControlNode) answered(r controlnode.WordReply) {
+func (o *routedControlNode) answered(r controlnode.ReplicaAcknowledged) {
 	answer := o.words[r.Reply]
 	delete(o.words, r.Reply)
 	if answer != nil {
@@ -288,7 +288,7 @@
 		answer(http.StatusPreconditionFailed)
 		return
 	}
-	if out, seen := o.core.Seen(id); seen {
+	if out, seen := o.core.Outcome(id); seen {
 		answer(statusOf(out, true))
 		return
 	}
