--- a/internal/controlplane/chain/agree.go
+++ b/internal/controlplane/chain/agree.go
@@ -174,7 +174,7 @@
 		n.caughtUp = false
 	}
 	n.persist(records, 0, nil)
-	n.effects = append(n.effects, Effect{Viewed: &held})
+	n.effects = append(n.effects, ViewInstalled{View: v})
 	n.appendFirstEntry()
 	if n.IsTail() {
 		if wasTail {
--- a/internal/controlplane/chain/copy.go
+++ b/internal/controlplane/chain/copy.go
@@ -75,7 +75,7 @@
 	n.syncedIndex, n.stagedIndex = 0, c.Index
 	n.persistSeq++
 	n.pendingWrites[n.persistSeq] = &pendingWrite{startedUs: n.nowUs, entryIndex: c.Index, snapshotIndex: c.Index, hasSnapshot: true}
-	n.effects = append(n.effects, Effect{Persist: &Persist{Seq: n.persistSeq, Snapshot: &c}})
+	n.effects = append(n.effects, Persist{Seq: n.persistSeq, Snapshot: &c})
 }
 
 // tooManyEntries: there are enough entries, and enough of them committed, to let go of most.
@@ -146,5 +146,5 @@
 	n.base = Snapshot{Index: prior, View: priorView}
 	n.persistSeq++
 	n.pendingWrites[n.persistSeq] = &pendingWrite{startedUs: n.nowUs, hasSnapshot: true, compaction: true}
-	n.effects = append(n.effects, Effect{Persist: &Persist{Seq: n.persistSeq, Records: records, Snapshot: &c, Compact: true}})
+	n.effects = append(n.effects, Persist{Seq: n.persistSeq, Records: records, Snapshot: &c, Compact: true})
 }
--- a/internal/controlplane/chain/echo_test.go
+++ b/internal/controlplane/chain/echo_test.go
@@ -50,7 +50,7 @@
 				t.Fatalf("seed %d: cut off, place %d is current; %d messages are held", seed, place, len(held))
 			}
 			for _, l := range held {
-				y.step(struck, Event{Got: &l.msg})
+				y.step(struck, MessageReceived{Msg: &l.msg})
 				if struck.node.UpToDate(y.nowUs) {
 					t.Fatalf("seed %d: an echo of %d ms ago makes place %d current", seed, (y.nowUs-l.atUs)/clock.Ms, place)
 				}
@@ -75,7 +75,7 @@
 		for place := range 2 {
 			n, next := all[place].node, all[place+1]
 			n.confirmedHeadTimeUs, n.confirmedUs = 0, 0
-			y.step(all[place], Event{Got: &Msg{From: next.me, Incarnation: next.opts.Incarnation, Ack: &Ack{View: n.view.Number, SyncedIndex: n.LastIndex(), ConfirmedHeadTimeUs: y.nowUs + us}}})
+			y.step(all[place], MessageReceived{Msg: &Msg{From: next.me, Incarnation: next.opts.Incarnation, Ack: &Ack{View: n.view.Number, SyncedIndex: n.LastIndex(), ConfirmedHeadTimeUs: y.nowUs + us}}})
 			if n.confirmedHeadTimeUs != 0 || n.UpToDate(y.nowUs) || n.HeadConfirmed(y.nowUs) {
 				t.Errorf("an echo of %d from now is taken at place %d", us, place)
 			}
@@ -83,7 +83,7 @@
 		tail := all[2].node
 		tail.leaseGrants, tail.leaseUntilUs = map[string]int64{}, 0
 		for _, s := range all {
-			y.step(all[2], Event{Got: &Msg{From: s.me, Incarnation: s.opts.Incarnation, Lease: &Lease{View: tail.view.Number, SentUs: y.nowUs + us, Granted: true}}})
+			y.step(all[2], MessageReceived{Msg: &Msg{From: s.me, Incarnation: s.opts.Incarnation, Lease: &Lease{View: tail.view.Number, SentUs: y.nowUs + us, Granted: true}}})
 		}
 		if tail.TailReady(y.nowUs) {
 			t.Errorf("a lease asked for %d from now is taken", us)
--- a/internal/controlplane/chain/explore_members_test.go
+++ b/internal/controlplane/chain/explore_members_test.go
@@ -174,7 +174,7 @@
 func (m *machines) terminate(i int, forGood bool) {
 	m.leaving, m.goes = i, forGood
 	m.note("%s is told to end, for good %v", m.members[i].me.ID, forGood)
-	m.step(i, Event{Leave: true})
+	m.step(i, ShutdownRequested{})
 	m.mayEnd()
 }
 
--- a/internal/controlplane/chain/explore_test.go
+++ b/internal/controlplane/chain/explore_test.go
@@ -265,34 +265,33 @@
 	if p.node == nil {
 		return
 	}
-	ev.NowUs = b.nowUs
-	for _, e := range p.node.Step(ev) {
-		switch {
-		case e.Send != nil:
-			j := b.at(e.Send.Addr)
+	for _, e := range p.node.Step(b.nowUs, ev) {
+		switch e := e.(type) {
+		case Send:
+			j := b.at(e.Addr)
 			if j < 0 || b.members[j].node == nil {
 				continue
 			}
-			m := e.Send.Msg
+			m := e.Msg
 			if b.cuts[[2]int{i, j}] || (m.Hello != nil && b.hushed) {
 				continue
 			}
 			if m.Hello != nil {
-				b.step(j, Event{Got: &m})
+				b.step(j, MessageReceived{Msg: &m})
 				continue
 			}
 			b.put(i, j, m)
-		case e.Persist != nil:
-			p.saves = append(p.saves, *e.Persist)
-		case e.Applied != nil:
-			b.applied(p, *e.Applied)
-		case e.Viewed != nil:
-			if before, seen := b.views[e.Viewed.Number]; seen {
-				if diff := cmp.Diff(before, *e.Viewed); diff != "" {
-					b.broken = fmt.Sprintf("view %d was decided twice: %s", e.Viewed.Number, diff)
+		case Persist:
+			p.saves = append(p.saves, e)
+		case Applied:
+			b.applied(p, e)
+		case ViewInstalled:
+			if before, seen := b.views[e.View.Number]; seen {
+				if diff := cmp.Diff(before, e.View); diff != "" {
+					b.broken = fmt.Sprintf("view %d was decided twice: %s", e.View.Number, diff)
 				}
 			}
-			b.views[e.Viewed.Number] = *e.Viewed
+			b.views[e.View.Number] = e.View
 		}
 	}
 }
@@ -358,7 +357,7 @@
 	b.nowUs += b.tickLength()
 	b.ticks++
 	for i := range b.members {
-		b.step(i, Event{})
+		b.step(i, Tick{})
 	}
 }
 
@@ -370,7 +369,7 @@
 	b.fills++
 	p := b.members[i]
 	p.full = true
-	b.step(i, Event{Refused: p.saves[0].Seq})
+	b.step(i, PersistRefused{Seq: p.saves[0].Seq})
 }
 
 func (b *box) synced(i int) {
@@ -384,13 +383,13 @@
 		p.disk = append(slices.Clip(p.disk), Record{Snapshot: s.Snapshot})
 	}
 	p.disk = append(slices.Clip(p.disk), s.Records...)
-	b.step(i, Event{Saved: s.Seq})
+	b.step(i, Persisted{Seq: s.Seq})
 }
 
 func (b *box) deliver(way [2]int) {
 	m := b.pipes[way][0]
 	b.pipes[way] = slices.Clone(b.pipes[way][1:])
-	b.step(way[1], Event{Got: &m})
+	b.step(way[1], MessageReceived{Msg: &m})
 }
 
 // settle carries out all that is under way, in one fixed order.
@@ -420,7 +419,7 @@
 	for i, p := range b.members {
 		if p.node != nil && p.node.IsHead() {
 			doc := &configuration.Declaration{Name: fmt.Sprint("w", b.writes)}
-			b.step(i, Event{Submit: &statemachine.Change{ID: doc.Name, Config: &statemachine.ConfigChange{Doc: doc}}})
+			b.step(i, ChangeSubmitted{Change: &statemachine.Change{ID: doc.Name, Config: &statemachine.ConfigChange{Doc: doc}}})
 			return
 		}
 	}
--- a/internal/controlplane/chain/foreign_test.go
+++ b/internal/controlplane/chain/foreign_test.go
@@ -42,11 +42,11 @@
 		}
 		for name, m := range strange(s.node) {
 			before := told(s.node)
-			effects := s.node.Step(Event{NowUs: y.nowUs, Got: &m})
+			effects := s.node.Step(y.nowUs, MessageReceived{Msg: &m})
 			var bad *fault.Fault
 			for _, e := range effects {
-				if e.Rejected != nil {
-					bad = e.Rejected
+				if rejected, ok := e.(MessageRejected); ok {
+					bad = rejected.Fault
 				} else {
 					t.Errorf("%s, %s: %+v", s.me.ID, name, e)
 				}
@@ -70,7 +70,7 @@
 	before := n.View().Number
 	hello := strange(n)["a hello with a newer view"]
 	hello.Hello.View.System = ""
-	if n.Step(Event{NowUs: y.nowUs, Got: &hello}); n.View().Number == before {
+	if n.Step(y.nowUs, MessageReceived{Msg: &hello}); n.View().Number == before {
 		t.Fatal("a hello without a chain's name is not read either: the check proves nothing")
 	}
 }
--- a/internal/controlplane/chain/join_test.go
+++ b/internal/controlplane/chain/join_test.go
@@ -20,7 +20,7 @@
 		}
 		hear := func(id string, h Hello) {
 			h.Member, h.Incarnation, h.View = seat(id).Member, seat(id).Incarnation, view
-			n.Step(Event{NowUs: clock.Sec, Got: &Msg{From: h.Member, Incarnation: h.Incarnation, Hello: &h}})
+			n.Step(clock.Sec, MessageReceived{Msg: &Msg{From: h.Member, Incarnation: h.Incarnation, Hello: &h}})
 		}
 		hear("b", Hello{Phase: PhaseServing, CaughtUp: whole, AlivePeers: []string{"a", "c"}})
 		hear("c", Hello{Phase: PhaseStandby, SnapshotIndex: 7, AlivePeers: []string{"a", "b"}})
--- a/internal/controlplane/chain/kept_test.go
+++ b/internal/controlplane/chain/kept_test.go
@@ -24,7 +24,7 @@
 		y.pass(3 * clock.Sec)
 		y.cuts[[2]string{head.me.Addr, middle.me.Addr}] = true
 		const id = "lone"
-		y.step(head, Event{Submit: &statemachine.Change{ID: id, Config: &statemachine.ConfigChange{
+		y.step(head, ChangeSubmitted{Change: &statemachine.Change{ID: id, Config: &statemachine.ConfigChange{
 			Base: head.node.state.Revision, Doc: &configuration.Declaration{Name: id},
 		}}})
 		index := head.node.LastIndex()
--- a/internal/controlplane/chain/leave_test.go
+++ b/internal/controlplane/chain/leave_test.go
@@ -26,7 +26,7 @@
 						}
 					}
 					y.takeAway(others[:y.tolerated()], emptied)
-					y.step(holder, Event{Leave: true})
+					y.step(holder, ShutdownRequested{})
 					waitedUs := int64(0)
 					for ; !holder.node.ShutdownComplete(); waitedUs += yardStepUs {
 						if y.pass(yardStepUs); waitedUs > graceUs {
@@ -58,7 +58,7 @@
 	for i := range 3 {
 		b := newBox()
 		p := b.members[i]
-		b.step(i, Event{Leave: true})
+		b.step(i, ShutdownRequested{})
 		for n := 0; n < 12 && !p.node.ShutdownComplete(); n++ {
 			b.tick()
 			b.settle()
@@ -90,7 +90,7 @@
 		}
 		y.settles(30*clock.Sec, "founding")
 		for _, s := range y.spots {
-			y.step(s, Event{Leave: true})
+			y.step(s, ShutdownRequested{})
 		}
 		y.pass(clock.Sec / 4)
 		for _, s := range y.spots {
@@ -118,7 +118,7 @@
 					holder = s
 				}
 			}
-			y.step(holder, Event{Leave: true})
+			y.step(holder, ShutdownRequested{})
 			y.pass(clock.Sec)
 			before := y.most
 			y.pass(clock.Sec)
--- a/internal/controlplane/chain/malformed_test.go
+++ b/internal/controlplane/chain/malformed_test.go
@@ -64,9 +64,9 @@
 		for name, m := range malformedMessages(y, s.node) {
 			before := told(s.node)
 			var bad *fault.Fault
-			for _, e := range s.node.Step(Event{NowUs: y.nowUs, Got: &m}) {
-				if e.Rejected != nil {
-					bad = e.Rejected
+			for _, e := range s.node.Step(y.nowUs, MessageReceived{Msg: &m}) {
+				if rejected, ok := e.(MessageRejected); ok {
+					bad = rejected.Fault
 				}
 			}
 			if bad == nil || bad.Code != fault.BadField || told(s.node) != before {
@@ -91,7 +91,7 @@
 	before := n.View().Number
 	for _, id := range []string{"x", "y", "z"} {
 		from := Member{ID: id, Name: id, Addr: id}
-		y.step(head, Event{Got: &Msg{From: from, Incarnation: id, Promise: &Promise{Number: want.Number, Ballot: n.proposal.ballot, OK: true}}})
+		y.step(head, MessageReceived{Msg: &Msg{From: from, Incarnation: id, Promise: &Promise{Number: want.Number, Ballot: n.proposal.ballot, OK: true}}})
 	}
 	if !n.proposal.preparing {
 		t.Fatal("promises of strangers count")
@@ -99,7 +99,7 @@
 	n.proposal.preparing, n.proposal.chosen = false, want
 	for _, id := range []string{"x", "y", "z"} {
 		from := Member{ID: id, Name: id, Addr: id}
-		y.step(head, Event{Got: &Msg{From: from, Incarnation: id, Accepted: &Accepted{Number: want.Number, Ballot: Ballot{Round: n.maxRound, Proposer: head.me.ID}, OK: true}}})
+		y.step(head, MessageReceived{Msg: &Msg{From: from, Incarnation: id, Accepted: &Accepted{Number: want.Number, Ballot: Ballot{Round: n.maxRound, Proposer: head.me.ID}, OK: true}}})
 	}
 	if n.View().Number != before {
 		t.Fatal("acceptances of strangers count")
--- a/internal/controlplane/chain/node.go
+++ b/internal/controlplane/chain/node.go
@@ -167,31 +167,31 @@
 }
 
 // Step takes one event and returns what is to be done about it, in order.
-func (n *Node) Step(ev Event) []Effect {
+func (n *Node) Step(nowUs int64, ev Event) []Effect {
 	n.effects = nil
-	gapUs := ev.NowUs - n.nowUs
-	n.nowUs = ev.NowUs
+	gapUs := nowUs - n.nowUs
+	n.nowUs = nowUs
 	n.awakeUs += min(gapUs, n.opts.SuspectTimeoutUs/2)
 	if gapUs > n.opts.SuspectTimeoutUs {
 		n.forgetLeases()
 	}
-	switch {
-	case ev.Got != nil:
-		n.handleMessage(*ev.Got)
-	case ev.Saved != 0:
-		n.handlePersisted(ev.Saved, ev.LogBytes)
-	case ev.Refused != 0:
-		n.handlePersistRefused(ev.Refused)
-	case ev.Submit != nil:
-		n.handleSubmit(*ev.Submit)
-	case ev.Learn != nil:
-		for _, addr := range ev.Learn {
+	switch ev := ev.(type) {
+	case Tick:
+		n.tick()
+	case MessageReceived:
+		n.handleMessage(*ev.Msg)
+	case Persisted:
+		n.handlePersisted(ev.Seq, ev.LogBytes)
+	case PersistRefused:
+		n.handlePersistRefused(ev.Seq)
+	case ChangeSubmitted:
+		n.handleSubmit(*ev.Change)
+	case AddrsLearned:
+		for _, addr := range ev.Addrs {
 			n.knownAddrs[addr] = true
 		}
-	case ev.Leave:
+	case ShutdownRequested:
 		n.becomeShuttingDown()
-	default:
-		n.tick()
 	}
 	n.persistEntries()
 	n.initialized = n.Initialized()
@@ -213,7 +213,7 @@
 		n.handleMessage(m)
 		return
 	}
-	n.effects = append(n.effects, Effect{Send: &Send{Addr: n.addressOf(to), Msg: m}})
+	n.effects = append(n.effects, Send{Addr: n.addressOf(to), Msg: m})
 }
 
 // addressOf is where a member was heard from last in this incarnation, or else the address that is known of it: a view
@@ -227,7 +227,7 @@
 
 func (n *Node) handleMessage(m Msg) {
 	if bad := n.checkMessage(m); bad != nil {
-		n.effects = append(n.effects, Effect{Rejected: bad})
+		n.effects = append(n.effects, MessageRejected{Fault: bad})
 		return
 	}
 	switch {
--- a/internal/controlplane/chain/refusal_test.go
+++ b/internal/controlplane/chain/refusal_test.go
@@ -98,7 +98,7 @@
 	b := newBox()
 	p := b.members[1]
 	for n := range 10 * maxPendingWrites {
-		b.step(1, Event{Got: &Msg{From: b.members[0].me, Incarnation: b.members[0].node.opts.Incarnation,
+		b.step(1, MessageReceived{Msg: &Msg{From: b.members[0].me, Incarnation: b.members[0].node.opts.Incarnation,
 			Prepare: &Prepare{Number: p.node.view.Number + 1, Ballot: Ballot{Round: uint64(n + 10), Proposer: b.members[0].me.ID}}}})
 	}
 	if len(p.saves) == 0 || len(p.saves) > maxPendingWrites {
@@ -113,7 +113,7 @@
 	before := head.node.LastIndex()
 	for n := range 6 {
 		order := statemachine.Change{ID: fmt.Sprint("order-", n/3), Config: &statemachine.ConfigChange{Doc: &configuration.Declaration{Name: "d"}}}
-		b.step(0, Event{Submit: &order})
+		b.step(0, ChangeSubmitted{Change: &order})
 	}
 	if head.node.LastIndex() != before+2 {
 		t.Fatalf("%d entries of two orders", head.node.LastIndex()-before)
@@ -139,7 +139,7 @@
 		t.Fatalf("it begins at %d on %+v", n.firstIndex(), n.base)
 	}
 	seq := n.persistSeq
-	n.Step(Event{NowUs: b.nowUs, Saved: seq, LogBytes: n.opts.MaxLogBytes})
+	n.Step(b.nowUs, Persisted{Seq: seq, LogBytes: n.opts.MaxLogBytes})
 	if n.persistingSnapshot() || n.logTooLarge() {
 		t.Fatal("a log that is no smaller when begun anew is begun anew again and again")
 	}
--- a/internal/controlplane/chain/release_test.go
+++ b/internal/controlplane/chain/release_test.go
@@ -13,7 +13,7 @@
 		y.pass(yardStepUs)
 	}
 	s.slow = true
-	y.step(s, Event{Refused: s.saves[0].save.Seq})
+	y.step(s, PersistRefused{Seq: s.saves[0].save.Seq})
 }
 
 // A tail whose disk refuses gives its lease up: the others put it out and acknowledge again without waiting for the end
@@ -100,7 +100,7 @@
 	return n, func(from string, m Msg) []Effect {
 		nowUs += clock.Ms
 		m.From, m.Incarnation = seat(from).Member, seat(from).Incarnation
-		return n.Step(Event{NowUs: nowUs, Got: &m})
+		return n.Step(nowUs, MessageReceived{Msg: &m})
 	}
 }
 
--- a/internal/controlplane/chain/repair_test.go
+++ b/internal/controlplane/chain/repair_test.go
@@ -76,7 +76,7 @@
 
 // terminate tells a process to end, and waits until it has or its grace is over.
 func (y *yard) terminate(s *spot) {
-	y.step(s, Event{Leave: true})
+	y.step(s, ShutdownRequested{})
 	for endUs := y.nowUs + graceUs; y.nowUs < endUs && !s.node.ShutdownComplete(); {
 		y.pass(yardStepUs)
 	}
--- a/internal/controlplane/chain/replicate.go
+++ b/internal/controlplane/chain/replicate.go
@@ -31,18 +31,18 @@
 func (n *Node) handleSubmit(c statemachine.Change) {
 	switch {
 	case n.IsHead() && n.diskStalled():
-		n.effects = append(n.effects, Effect{Refused: &Refused{ID: c.ID, Reason: "its own disk: a sync has not come back"}})
+		n.effects = append(n.effects, ChangeRejected{ID: c.ID, Reason: "its own disk: a sync has not come back"})
 	case n.IsHead() && n.lastIndex()-n.commitIndex >= uint64(n.opts.MaxUncommittedEntries):
-		n.effects = append(n.effects, Effect{Refused: &Refused{ID: c.ID, Reason: "too many writes wait to be committed"}})
+		n.effects = append(n.effects, ChangeRejected{ID: c.ID, Reason: "too many writes wait to be committed"})
 	case n.IsHead() && c.Config != nil && n.isUncommitted(c.ID):
 	case n.IsHead() && n.AcceptsWrites() && (c.Epoch == 0 || c.Claim != nil || c.Epoch >= n.state.Epoch):
 		n.entries = append(n.entries, Entry{Index: n.lastIndex() + 1, View: n.view.Number, Change: c})
 	case n.IsHead():
-		n.effects = append(n.effects, Effect{Refused: &Refused{ID: c.ID, Reason: "not taking this write"}})
+		n.effects = append(n.effects, ChangeRejected{ID: c.ID, Reason: "not taking this write"})
 	case n.view.Number > 0 && n.view.Head().ID != n.opts.Self.ID:
 		n.send(n.view.Head().Member, Msg{Submit: &c})
 	default:
-		n.effects = append(n.effects, Effect{Refused: &Refused{ID: c.ID, Reason: "no chain yet"}})
+		n.effects = append(n.effects, ChangeRejected{ID: c.ID, Reason: "no chain yet"})
 	}
 }
 
@@ -237,7 +237,7 @@
 		}
 		out := n.state.Apply(e.Index, e.Change)
 		n.commitIndex = e.Index
-		n.effects = append(n.effects, Effect{Applied: &Applied{Entry: e, Outcome: out}})
+		n.effects = append(n.effects, Applied{Entry: e, Outcome: out})
 	}
 	n.compact()
 }
--- a/internal/controlplane/chain/save.go
+++ b/internal/controlplane/chain/save.go
@@ -19,7 +19,7 @@
 func (n *Node) persist(records []Record, upto uint64, then *reply) {
 	n.persistSeq++
 	n.pendingWrites[n.persistSeq] = &pendingWrite{startedUs: n.nowUs, entryIndex: upto, reply: then}
-	n.effects = append(n.effects, Effect{Persist: &Persist{Seq: n.persistSeq, Records: records}})
+	n.effects = append(n.effects, Persist{Seq: n.persistSeq, Records: records})
 }
 
 func (n *Node) handlePersisted(seq uint64, logBytes int64) {
--- a/internal/controlplane/chain/self_test.go
+++ b/internal/controlplane/chain/self_test.go
@@ -94,7 +94,7 @@
 		y.t.Fatal(err)
 	}
 	s.node, s.saves = node, nil
-	y.step(s, Event{Learn: y.seeds})
+	y.step(s, AddrsLearned{Addrs: y.seeds})
 }
 
 func (y *yard) stop(s *spot) {
@@ -140,23 +140,22 @@
 	if s.node == nil {
 		return
 	}
-	ev.NowUs = y.nowUs
-	for _, e := range s.node.Step(ev) {
-		switch {
-		case e.Send != nil:
-			if to := y.at(e.Send.Addr); to != nil && to.node != nil && to != s && !y.cut(s.me.Addr, to.me.Addr) {
-				y.post(s.me.Addr, to.me.Addr, e.Send.Msg)
+	for _, e := range s.node.Step(y.nowUs, ev) {
+		switch e := e.(type) {
+		case Send:
+			if to := y.at(e.Addr); to != nil && to.node != nil && to != s && !y.cut(s.me.Addr, to.me.Addr) {
+				y.post(s.me.Addr, to.me.Addr, e.Msg)
 			}
-		case e.Persist != nil:
+		case Persist:
 			us := y.nowUs + y.r.Int63n(8*clock.Ms)
 			if n := len(s.saves); n > 0 {
 				us = max(us, s.saves[n-1].atUs)
 			}
-			s.saves = append(s.saves, synced{us, *e.Persist})
-		case e.Applied != nil:
-			y.applied(s, *e.Applied)
-		case e.Viewed != nil:
-			y.viewed(*e.Viewed)
+			s.saves = append(s.saves, synced{us, e})
+		case Applied:
+			y.applied(s, e)
+		case ViewInstalled:
+			y.viewed(e.View)
 		}
 	}
 }
@@ -242,7 +241,7 @@
 		})
 		for _, l := range due {
 			if to := y.at(l.to); to != nil && !y.cut(l.from, l.to) {
-				y.step(to, Event{Got: &l.msg})
+				y.step(to, MessageReceived{Msg: &l.msg})
 			}
 		}
 		for _, s := range y.spots {
@@ -259,10 +258,10 @@
 					s.disk = append(slices.Clip(s.disk), Record{Snapshot: done.Snapshot})
 				}
 				s.disk = append(slices.Clip(s.disk), done.Records...)
-				y.step(s, Event{Saved: done.Seq})
+				y.step(s, Persisted{Seq: done.Seq})
 			}
 			if (y.nowUs+s.phaseUs)%(25*clock.Ms) == 0 {
-				y.step(s, Event{})
+				y.step(s, Tick{})
 			}
 		}
 		if y.nowUs%(50*clock.Ms) == 0 && !y.idle {
@@ -277,7 +276,7 @@
 	for _, s := range y.spots {
 		if s.node != nil && s.node.IsHead() && !s.frozen {
 			doc := &configuration.Declaration{Name: fmt.Sprint("w", y.writes)}
-			y.step(s, Event{Submit: &statemachine.Change{ID: fmt.Sprint(doc.Name, s.me.ID), Config: &statemachine.ConfigChange{Doc: doc}}})
+			y.step(s, ChangeSubmitted{Change: &statemachine.Change{ID: fmt.Sprint(doc.Name, s.me.ID), Config: &statemachine.ConfigChange{Doc: doc}}})
 		}
 	}
 }
--- a/internal/controlplane/chain/standstill_test.go
+++ b/internal/controlplane/chain/standstill_test.go
@@ -12,7 +12,7 @@
 	s.frozen = true
 	y.pass(spanUs)
 	s.frozen = false
-	y.step(s, Event{})
+	y.step(s, Tick{})
 }
 
 // A member that stood still has heard nobody, which says nothing of the others, however short or long it was.
--- a/internal/controlplane/chain/types.go
+++ b/internal/controlplane/chain/types.go
@@ -1,7 +1,6 @@
 package chain
 
 import (
-	"petreltide/internal/api/fault"
 	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/process/clock"
 )
@@ -270,59 +269,6 @@
 	Submit          *statemachine.Change `json:"submit,omitempty"`
 }
 
-// Event is one input of a Node; with nothing but NowUs set it is a tick.
-type Event struct {
-	NowUs int64
-	Got   *Msg
-	Saved uint64
-	// LogBytes is what the log takes on the disk after a save.
-	LogBytes int64
-	// Refused is a save that the disk does not take now. It is tried again until it is saved.
-	Refused uint64
-	Submit  *statemachine.Change
-	Learn   []string
-	// Leave says that this process is to end: it hands over its seat and its vote first.
-	Leave bool
-}
-
-// Effect is one thing that a Node wants done; exactly one of its fields is set.
-type Effect struct {
-	Send    *Send
-	Persist *Persist
-	Applied *Applied
-	Viewed  *View
-	Refused *Refused
-	// Rejected is why a message of another system or of a later version was not read.
-	Rejected *fault.Fault
-}
-
-// Send is a message to be sent to an address. It may be lost.
-type Send struct {
-	Addr string
-	Msg  Msg
-}
-
-// Persist is synced as a whole before it is reported. A copy is kept beside the log while the log goes
-// on; once kept, a fresh one takes the place of all records before this save.
-type Persist struct {
-	Seq      uint64
-	Records  []Record
-	Snapshot *Snapshot
-	Compact  bool
-}
-
-// Applied is an entry that has been committed, and what came of it.
-type Applied struct {
-	Entry   Entry
-	Outcome statemachine.Outcome
-}
-
-// Refused is a change that is not taken, with the reason in words.
-type Refused struct {
-	ID     string
-	Reason string
-}
-
 // OpeningPersistSeq is the number of the save with which what the disk gave back is synced; those of a node come after it.
 const OpeningPersistSeq uint64 = 1
 
--- a/internal/controlplane/chain/unsynced_test.go
+++ b/internal/controlplane/chain/unsynced_test.go
@@ -24,7 +24,7 @@
 	}
 	next := View{Number: 2, Voters: voters, Replicas: seats}
 	head := Hello{Member: seats[0].Member, Incarnation: "a/2", Phase: PhaseServing, View: next, LastIndex: 1, LastView: 1, CaughtUp: true}
-	n.Step(Event{NowUs: clock.Sec + clock.Ms, Got: &Msg{From: head.Member, Incarnation: head.Incarnation, Hello: &head}})
+	n.Step(clock.Sec+clock.Ms, MessageReceived{Msg: &Msg{From: head.Member, Incarnation: head.Incarnation, Hello: &head}})
 	if !n.serving() || n.position() != 1 {
 		t.Fatalf("%s at place %d", n.phase, n.position())
 	}
@@ -32,27 +32,28 @@
 }
 
 // acked is the highest index that the member tells its predecessor it has synced.
-func acked(n *Node, ev Event) (most uint64) {
-	for _, e := range n.Step(ev) {
-		if e.Send != nil && e.Send.Msg.Ack != nil {
-			most = max(most, e.Send.Msg.Ack.SyncedIndex)
+func acked(n *Node, nowUs int64, ev Event) (highest uint64) {
+	for _, e := range n.Step(nowUs, ev) {
+		if send, ok := e.(Send); ok && send.Msg.Ack != nil {
+			highest = max(highest, send.Msg.Ack.SyncedIndex)
 		}
 	}
-	return most
+	return highest
 }
 
 // What the disk gave back without having synced it is not counted before the disk has: the member says that its disk
 // stands still, reports nothing as synced and takes part in no vote.
 func TestALogThatWasNotSyncedDoesNotCount(t *testing.T) {
-	beat := Event{NowUs: clock.Sec + 30*clock.Ms, Got: &Msg{From: Member{ID: "a", Addr: "a"}, Incarnation: "a/2", Forward: &Forward{View: 2, LastIndex: 1, HeadTimeUs: 1}}}
-	if n := restartedMember(t, false); acked(n, beat) != 1 || n.diskStalled() {
+	heartbeatUs := clock.Sec + 30*clock.Ms
+	heartbeat := MessageReceived{Msg: &Msg{From: Member{ID: "a", Addr: "a"}, Incarnation: "a/2", Forward: &Forward{View: 2, LastIndex: 1, HeadTimeUs: 1}}}
+	if n := restartedMember(t, false); acked(n, heartbeatUs, heartbeat) != 1 || n.diskStalled() {
 		t.Fatal("a synced log does not count")
 	}
 	n := restartedMember(t, true)
-	if last := acked(n, beat); last != 0 || !n.diskStalled() || !n.refusesToVote() {
+	if last := acked(n, heartbeatUs, heartbeat); last != 0 || !n.diskStalled() || !n.refusesToVote() {
 		t.Fatalf("acknowledges %d, stalled %v, mute %v", last, n.diskStalled(), n.refusesToVote())
 	}
-	if last := acked(n, Event{NowUs: clock.Sec + 40*clock.Ms, Saved: OpeningPersistSeq}); last != 1 || n.diskStalled() {
+	if last := acked(n, clock.Sec+40*clock.Ms, Persisted{Seq: OpeningPersistSeq}); last != 1 || n.diskStalled() {
 		t.Fatalf("synced it acknowledges %d, stalled %v", last, n.diskStalled())
 	}
 }
--- a/internal/controlplane/chain/yield_test.go
+++ b/internal/controlplane/chain/yield_test.go
@@ -45,7 +45,7 @@
 		nowUs := 4 * clock.Sec
 		got := func(from string, m Msg) []Effect {
 			m.From, m.Incarnation = seat(from).Member, seat(from).Incarnation
-			return n.Step(Event{NowUs: nowUs, Got: &m})
+			return n.Step(nowUs, MessageReceived{Msg: &m})
 		}
 		if c.next.Number > 0 {
 			got("b", Msg{Accept: &Accept{Number: 6, Ballot: Ballot{Round: 1, Proposer: "b"}, View: c.next}})
@@ -55,15 +55,17 @@
 		}
 		given := false
 		for _, e := range got("c", Msg{Lease: &Lease{View: 5, SentUs: 1}}) {
-			given = given || (e.Send != nil && e.Send.Msg.Lease != nil && e.Send.Msg.Lease.Granted)
+			send, ok := e.(Send)
+			given = given || (ok && send.Msg.Lease != nil && send.Msg.Lease.Granted)
 		}
 		if given != c.lease {
 			t.Errorf("%s: a lease is given: %v", name, given)
 		}
 		asked := false
 		for endUs := nowUs + 3*n.opts.SuspectTimeoutUs; nowUs < endUs && !c.lease; nowUs += 25 * clock.Ms {
-			for _, e := range n.Step(Event{NowUs: nowUs}) {
-				asked = asked || (e.Send != nil && e.Send.Msg.Prepare != nil)
+			for _, e := range n.Step(nowUs, Tick{}) {
+				send, ok := e.(Send)
+				asked = asked || (ok && send.Msg.Prepare != nil)
 			}
 		}
 		if asked == c.lease {
--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -123,15 +123,15 @@
 	case ev.Message != nil:
 		c.messageReceived(ev.NowUs, *ev.Message)
 	case ev.Saved != 0:
-		c.chain(chain.Event{NowUs: ev.NowUs, Saved: ev.Saved, LogBytes: ev.LogBytes})
+		c.chain(ev.NowUs, chain.Persisted{Seq: ev.Saved, LogBytes: ev.LogBytes})
 	case ev.Refused != 0:
-		c.chain(chain.Event{NowUs: ev.NowUs, Refused: ev.Refused})
+		c.chain(ev.NowUs, chain.PersistRefused{Seq: ev.Refused})
 	case ev.Submit != nil:
-		c.chain(chain.Event{NowUs: ev.NowUs, Submit: ev.Submit})
+		c.chain(ev.NowUs, chain.ChangeSubmitted{Change: ev.Submit})
 	case ev.Learn != nil:
-		c.chain(chain.Event{NowUs: ev.NowUs, Learn: ev.Learn})
+		c.chain(ev.NowUs, chain.AddrsLearned{Addrs: ev.Learn})
 	case ev.Leave:
-		c.chain(chain.Event{NowUs: ev.NowUs, Leave: true})
+		c.chain(ev.NowUs, chain.ShutdownRequested{})
 	case ev.Follow != nil:
 		c.Snapshots.SetActive(ev.NowUs, c.Node.TailReady(ev.NowUs))
 		c.Snapshots.Follow(ev.NowUs, *ev.Follow)
@@ -152,7 +152,7 @@
 	case ev.GatewayReport != nil:
 		c.routedGatewayReported(ev.NowUs, *ev.GatewayReport)
 	default:
-		c.chain(chain.Event{NowUs: ev.NowUs})
+		c.chain(ev.NowUs, chain.Tick{})
 		c.controller(ev.NowUs, controller.Tick{})
 		c.reportSuspects(ev.NowUs)
 		c.completeMemberChange(ev.NowUs)
@@ -174,7 +174,7 @@
 func (c *Core) messageReceived(nowUs int64, message wire.Message) {
 	switch {
 	case message.Chain != nil:
-		c.chain(chain.Event{NowUs: nowUs, Got: message.Chain})
+		c.chain(nowUs, chain.MessageReceived{Msg: message.Chain})
 	case message.Result != nil:
 		c.effects = append(c.effects, Effect{Result: message.Result})
 	case message.Report != nil:
@@ -197,7 +197,7 @@
 	}
 	c.memberDoneUs = nowUs
 	id := c.Node.State().MembershipID
-	c.chain(chain.Event{NowUs: nowUs, Submit: &statemachine.Change{ID: "done-" + id, Membership: &statemachine.MembershipChange{Action: statemachine.MembershipDone, Name: id}}})
+	c.chain(nowUs, chain.ChangeSubmitted{Change: &statemachine.Change{ID: "done-" + id, Membership: &statemachine.MembershipChange{Action: statemachine.MembershipDone, Name: id}}})
 }
 
 func (c *Core) reportSuspects(nowUs int64) {
@@ -234,24 +234,24 @@
 	c.effects = append(c.effects, Effect{Message: &Message{Addr: addr, Message: message}})
 }
 
-func (c *Core) chain(ev chain.Event) {
-	for _, e := range c.Node.Step(ev) {
-		switch {
-		case e.Send != nil:
-			msg := e.Send.Msg
-			c.send(e.Send.Addr, wire.Message{Chain: &msg})
-		case e.Persist != nil:
-			c.effects = append(c.effects, Effect{Save: e.Persist})
-		case e.Applied != nil:
-			c.applied(ev.NowUs, *e.Applied)
-		case e.Viewed != nil:
-			c.Snapshots.SetActive(ev.NowUs, c.Node.TailReady(ev.NowUs))
-			c.effects = append(c.effects, Effect{Note: "view", Trouble: viewText(*e.Viewed)})
-		case e.Rejected != nil:
-			c.rejected(ev.NowUs, e.Rejected)
-		case e.Refused != nil:
+func (c *Core) chain(nowUs int64, ev chain.Event) {
+	for _, e := range c.Node.Step(nowUs, ev) {
+		switch e := e.(type) {
+		case chain.Send:
+			msg := e.Msg
+			c.send(e.Addr, wire.Message{Chain: &msg})
+		case chain.Persist:
+			c.effects = append(c.effects, Effect{Save: &e})
+		case chain.Applied:
+			c.applied(nowUs, e)
+		case chain.ViewInstalled:
+			c.Snapshots.SetActive(nowUs, c.Node.TailReady(nowUs))
+			c.effects = append(c.effects, Effect{Note: "view", Trouble: viewText(e.View)})
+		case chain.MessageRejected:
+			c.rejected(nowUs, e.Fault)
+		case chain.ChangeRejected:
 			c.effects = append(c.effects, Effect{Result: &wire.Result{Outcome: statemachine.Outcome{
-				ID: e.Refused.ID, Fault: fault.New(fault.NotServing, "", "%s", e.Refused.Reason),
+				ID: e.ID, Fault: fault.New(fault.NotServing, "", "%s", e.Reason),
 			}}})
 		}
 	}
@@ -323,7 +323,7 @@
 	for _, effect := range c.Controller.Step(seen, event) {
 		switch effect := effect.(type) {
 		case controller.WriteChange:
-			c.chain(chain.Event{NowUs: nowUs, Submit: effect.Change})
+			c.chain(nowUs, chain.ChangeSubmitted{Change: effect.Change})
 		case controller.PublishVerdicts:
 			c.outliersJudged(effect.Table)
 		default:
--- a/internal/controlplane/storage/bounds_test.go
+++ b/internal/controlplane/storage/bounds_test.go
@@ -55,41 +55,42 @@
 		b.most = max(b.most, sum)
 	}
 	for i := range b.nodes {
-		b.step(t, i, chain.Event{Learn: addrs})
+		b.step(t, i, chain.AddrsLearned{Addrs: addrs})
 	}
 	b.pass(t, 60)
 	return b
 }
 
 func (b *trio) step(t *testing.T, i int, ev chain.Event) {
-	ev.NowUs = b.nowUs
-	for _, e := range b.nodes[i].Step(ev) {
-		switch {
-		case e.Send != nil:
-			b.inbox = append(b.inbox, message{e.Send.Addr, e.Send.Msg})
-		case e.Persist != nil:
+	for _, e := range b.nodes[i].Step(b.nowUs, ev) {
+		switch e := e.(type) {
+		case chain.Send:
+			b.inbox = append(b.inbox, message{e.Addr, e.Msg})
+		case chain.Persist:
 			var bytes int64
 			if i == 1 {
-				from, err := b.store.Write(e.Persist.Records, e.Persist.Compact)
+				from, err := b.store.Write(e.Records, e.Compact)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if e.Persist.Snapshot != nil {
+				if e.Snapshot != nil {
 					b.copies++
-					if err := b.store.SaveSnapshot(*e.Persist.Snapshot, from); err != nil {
+					if err := b.store.SaveSnapshot(*e.Snapshot, from); err != nil {
 						t.Fatal(err)
 					}
 				}
-				if e.Persist.Compact {
+				if e.Compact {
 					if err := b.store.Compact(from); err != nil {
 						t.Fatal(err)
 					}
 				}
 				bytes = b.store.LogBytes()
 			}
-			b.step(t, i, chain.Event{Saved: e.Persist.Seq, LogBytes: bytes})
-		case e.Applied != nil && i == 2:
-			b.acked++
+			b.step(t, i, chain.Persisted{Seq: e.Seq, LogBytes: bytes})
+		case chain.Applied:
+			if i == 2 {
+				b.acked++
+			}
 		}
 	}
 }
@@ -98,14 +99,14 @@
 	for range ticks {
 		b.nowUs += 25 * clock.Ms
 		for i := range b.nodes {
-			b.step(t, i, chain.Event{})
+			b.step(t, i, chain.Tick{})
 		}
 		for len(b.inbox) > 0 {
 			l := b.inbox[0]
 			b.inbox = b.inbox[1:]
 			for i, n := range b.nodes {
 				if n.Self().Addr == l.to {
-					b.step(t, i, chain.Event{Got: &l.msg})
+					b.step(t, i, chain.MessageReceived{Msg: &l.msg})
 				}
 			}
 		}
@@ -123,7 +124,7 @@
 	r := rand.New(rand.NewSource(1))
 	for i := range count {
 		doc := &configuration.Declaration{Name: "large", Policy: configuration.Policy{Name: "steady", Source: noise(r, bytes)}}
-		b.step(t, 0, chain.Event{Submit: &statemachine.Change{ID: fmt.Sprint("c", i), Config: &statemachine.ConfigChange{Base: uint64(i), Doc: doc}}})
+		b.step(t, 0, chain.ChangeSubmitted{Change: &statemachine.Change{ID: fmt.Sprint("c", i), Config: &statemachine.ConfigChange{Base: uint64(i), Doc: doc}}})
 		b.pass(t, 1)
 	}
 	b.pass(t, 10)
@@ -140,11 +141,11 @@
 			Split: []configuration.WeightedService{{Service: "s", Weight: 1}}, Source: json.RawMessage(`"` + noise(r, bytes) + `"`)}}
 	}
 	doc := &configuration.Declaration{Name: "edited", Version: 1, Routes: routes(), Services: []configuration.Service{{Name: "s"}}}
-	b.step(t, 0, chain.Event{Submit: &statemachine.Change{ID: "v1", Config: &statemachine.ConfigChange{Version: 1, Doc: doc}}})
+	b.step(t, 0, chain.ChangeSubmitted{Change: &statemachine.Change{ID: "v1", Config: &statemachine.ConfigChange{Version: 1, Doc: doc}}})
 	b.pass(t, 4)
 	for i := uint64(1); i <= uint64(count); i++ {
 		edit := &configuration.Edit{Version: i + 1, Routes: routes()}
-		b.step(t, 0, chain.Event{Submit: &statemachine.Change{ID: fmt.Sprint("e", i), Config: &statemachine.ConfigChange{Base: i, Version: i + 1, Edit: edit}}})
+		b.step(t, 0, chain.ChangeSubmitted{Change: &statemachine.Change{ID: fmt.Sprint("e", i), Config: &statemachine.ConfigChange{Base: i, Version: i + 1, Edit: edit}}})
 		b.pass(t, 1)
 	}
 	b.pass(t, 10)
@@ -193,7 +194,7 @@
 			t.Fatal(err)
 		}
 		b.nodes[2] = node
-		b.step(t, 2, chain.Event{Learn: []string{"m0", "m1"}})
+		b.step(t, 2, chain.AddrsLearned{Addrs: []string{"m0", "m1"}})
 		b.pass(t, 60)
 	}
 	if views := b.nodes[1].View().Number; views < 200 {
--- a/internal/controlplane/storage/cluster_test.go
+++ b/internal/controlplane/storage/cluster_test.go
@@ -171,12 +171,12 @@
 	for _, other := range c.members {
 		addrs = append(addrs, other.me.Addr)
 	}
-	m.handle(handleUs, chain.Event{Learn: addrs})
+	m.handle(handleUs, chain.AddrsLearned{Addrs: addrs})
 	m.insist(chain.OpeningPersistSeq, c.nowUs+syncUs, func() error {
 		if _, err := m.store.Write(nil, false); err != nil {
 			return err
 		}
-		m.step(chain.Event{Saved: chain.OpeningPersistSeq, LogBytes: m.store.LogBytes()})
+		m.step(chain.Persisted{Seq: chain.OpeningPersistSeq, LogBytes: m.store.LogBytes()})
 		return nil
 	})
 	m.tick()
@@ -201,7 +201,7 @@
 }
 
 func (m *member) tick() {
-	m.handle(handleUs, chain.Event{})
+	m.handle(handleUs, chain.Tick{})
 	m.later(m.cluster.nowUs+tickUs, m.tick)
 }
 
@@ -213,17 +213,18 @@
 
 func (m *member) step(ev chain.Event) {
 	c := m.cluster
-	ev.NowUs = c.nowUs
-	for _, e := range m.node.Step(ev) {
-		switch {
-		case e.Send != nil:
-			m.send(e.Send.Addr, e.Send.Msg)
-		case e.Persist != nil:
-			if m.saves = append(m.saves, *e.Persist); len(m.saves) == 1 {
+	for _, e := range m.node.Step(c.nowUs, ev) {
+		switch e := e.(type) {
+		case chain.Send:
+			m.send(e.Addr, e.Msg)
+		case chain.Persist:
+			if m.saves = append(m.saves, e); len(m.saves) == 1 {
 				m.save()
 			}
-		case e.Applied != nil && e.Applied.Entry.Change.Config != nil:
-			m.coreUs = max(m.coreUs, c.nowUs) + applyUs + int64(c.routes)*applyPerRouteUs
+		case chain.Applied:
+			if e.Entry.Change.Config != nil {
+				m.coreUs = max(m.coreUs, c.nowUs) + applyUs + int64(c.routes)*applyPerRouteUs
+			}
 		}
 	}
 	c.judge(m)
@@ -259,7 +260,7 @@
 			if err := json.Unmarshal(raw, &held); err != nil {
 				c.t.Fatal(err)
 			}
-			to.handle(handleUs+codeUs, chain.Event{Got: &held})
+			to.handle(handleUs+codeUs, chain.MessageReceived{Msg: &held})
 		})
 	}
 }
@@ -280,7 +281,7 @@
 		if s.Snapshot != nil {
 			m.insist(s.Seq, c.nowUs+3*syncUs, func() error { return m.keep(s, from) })
 		} else {
-			m.step(chain.Event{Saved: s.Seq, LogBytes: m.store.LogBytes()})
+			m.step(chain.Persisted{Seq: s.Seq, LogBytes: m.store.LogBytes()})
 		}
 		c.weigh(m)
 		if m.saves = m.saves[1:]; len(m.saves) > 0 {
@@ -299,7 +300,7 @@
 		case errors.As(err, &bad):
 			m.cluster.t.Fatal(err)
 		case err != nil:
-			m.step(chain.Event{Refused: seq})
+			m.step(chain.PersistRefused{Seq: seq})
 			m.insist(seq, m.cluster.nowUs+retrySaveUs, try)
 		}
 	})
@@ -317,7 +318,7 @@
 		left.err = m.store.Compact(from)
 	}
 	if left.err == nil {
-		m.step(chain.Event{Saved: s.Seq, LogBytes: m.store.LogBytes()})
+		m.step(chain.Persisted{Seq: s.Seq, LogBytes: m.store.LogBytes()})
 	}
 	return left.err
 }
@@ -404,7 +405,7 @@
 	}
 	if h := c.head(); h != nil {
 		held := *change
-		h.handle(handleUs, chain.Event{Submit: &held})
+		h.handle(handleUs, chain.ChangeSubmitted{Change: &held})
 	}
 	c.at(c.nowUs+resubmitUs, func() { c.submit(change) })
 }
