--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -13,10 +13,10 @@
 
 // What became of an attempt.
 const (
-	// None means that nobody has told.
-	None Class = iota
-	// Good is a whole answer.
-	Good
+	// Unclassified means that nobody has told.
+	Unclassified Class = iota
+	// Success is a whole answer.
+	Success
 	// ConnectRefused and ConnectTimeout mean that no connection came about.
 	ConnectRefused
 	ConnectTimeout
@@ -24,8 +24,8 @@
 	ResetFresh
 	// ResetReused means that a kept connection did; it may have been dead before, so that it says nothing of the replica.
 	ResetReused
-	Silence
-	ErrorAnswer
+	ResponseTimeout
+	ErrorResponse
 	BrokenStream
 	// Shed means that the replica turned the attempt away unrun.
 	Shed
@@ -35,99 +35,99 @@
 	classes
 )
 
-var names = [classes]string{"", "good", "connect_refused", "connect_timeout", "reset_fresh", "reset_reused", "silence", "error_answer", "broken_stream", "shed", "slow", "inconclusive"}
+var classNames = [classes]string{"", "good", "connect_refused", "connect_timeout", "reset_fresh", "reset_reused", "silence", "error_answer", "broken_stream", "shed", "slow", "inconclusive"}
 
 func (c Class) String() string {
 	if c < 0 || c >= classes {
 		return ""
 	}
-	return names[c]
+	return classNames[c]
 }
 
-// Bad classes are evidence against a replica.
-func (c Class) Bad() bool { return c > Good && c < Inconclusive && c != ResetReused }
+// IsFailure classes are evidence against a replica.
+func (c Class) IsFailure() bool { return c > Success && c < Inconclusive && c != ResetReused }
 
-// ClassOf is None for a name that is no class.
-func ClassOf(name string) Class {
-	for c, n := range names {
+// ParseClass is None for a name that is no class.
+func ParseClass(name string) Class {
+	for c, n := range classNames {
 		if n == name {
 			return Class(c)
 		}
 	}
-	return None
+	return Unclassified
 }
 
-// soft classes may come of load as well: none of them alone makes a replica dead.
-func (c Class) soft() bool { return c == Silence || c == Slow || c == Shed }
+// mayBeLoad classes may come of load as well: none of them alone makes a replica dead.
+func (c Class) mayBeLoad() bool { return c == ResponseTimeout || c == Slow || c == Shed }
 
 const (
-	badClasses = float64(classes) - 4
-	// sickShare is the share of failing attempts that an ill replica is taken to have beyond its service's own.
+	failureClasses = float64(classes) - 4
+	// outlierFailureRate is the share of failing attempts that an ill replica is taken to have beyond its service's own.
 	// It is found soon from twice that on, and at about half of it never.
-	sickShare  = 0.2
-	shareLeast = 0.002
-	softLeast  = 0.005
-	// weightMost bounds what one outcome weighs.
-	weightMost = 6.0
+	outlierFailureRate = 0.2
+	minFailureRate     = 0.002
+	minLoadFailureRate = 0.005
+	// maxWeight bounds what one outcome weighs.
+	maxWeight = 6.0
 )
 
-// weight is the logarithm of the likelihood ratio of one outcome: of a replica that fails sickShare of its
+// weight is the logarithm of the likelihood ratio of one outcome: of a replica that fails outlierFailureRate of its
 // attempts in some way on top of its service's own failures, against one that fails as its service does. A way
 // to fail that the whole service shows weighs little.
 func weight(c Class, share float64) float64 {
-	if c == Good {
-		return math.Log(1 - sickShare)
+	if c == Success {
+		return math.Log(1 - outlierFailureRate)
 	}
-	if !c.Bad() {
+	if !c.IsFailure() {
 		return 0
 	}
-	least := shareLeast
-	if c.soft() {
-		least = softLeast
+	least := minFailureRate
+	if c.mayBeLoad() {
+		least = minLoadFailureRate
 	}
-	return min(math.Log(1-sickShare+sickShare/badClasses/max(share, least)), weightMost)
+	return min(math.Log(1-outlierFailureRate+outlierFailureRate/failureClasses/max(share, least)), maxWeight)
 }
 
 // threshold is the evidence at which a replica is ill. A cumulative sum of log likelihood ratios that never
 // falls below 0 passes h by chance once in exp(h) outcomes at most, so that h follows from how many outcomes
 // a replica has in the time in which it may be suspected once for nothing.
-func threshold(outcomes float64) float64 { return max(math.Log(max(outcomes, 1)), thresholdLeast) }
+func threshold(outcomes float64) float64 { return max(math.Log(max(outcomes, 1)), minThreshold) }
 
-// thresholdLeast lets no single outcome condemn for all.
-const thresholdLeast = 4.0
+// minThreshold lets no single outcome condemn for all.
+const minThreshold = 4.0
 
 // Counts are outcomes at one replica since they were last told.
 type Counts struct {
-	Replica string         `json:"replica"`
-	Good    int            `json:"good,omitempty"`
-	Bad     map[string]int `json:"bad,omitempty"`
+	Replica   string         `json:"replica"`
+	Successes int            `json:"good,omitempty"`
+	Failures  map[string]int `json:"bad,omitempty"`
 }
 
-// Row is one verdict: Zone is that of the gateways it holds for, "" for all. Share is the part of calls, in
+// Verdict is one verdict: Zone is that of the gateways it holds for, "" for all. Share is the part of calls, in
 // 100, that may go to the replica; where no other replica takes a call, it may go there all the same, but to a
 // Dead one: nearly all that went there failed.
-type Row struct {
-	Replica string `json:"replica"`
-	Zone    string `json:"zone,omitempty"`
-	Share   int    `json:"share"`
-	Dead    bool   `json:"dead,omitempty"`
+type Verdict struct {
+	Replica        string `json:"replica"`
+	Zone           string `json:"zone,omitempty"`
+	AllowedPercent int    `json:"share"`
+	Dead           bool   `json:"dead,omitempty"`
 }
 
 // Table is every verdict that stands; who is not in it is well. Later ones have a greater Epoch, or the
 // same and a greater Number.
 type Table struct {
-	Epoch  uint64 `json:"epoch"`
-	Number uint64 `json:"number"`
-	Rows   []Row  `json:"rows"`
+	Epoch  uint64    `json:"epoch"`
+	Number uint64    `json:"number"`
+	Rows   []Verdict `json:"rows"`
 }
 
-// After says whether this table is newer than another.
-func (t Table) After(o Table) bool {
+// NewerThan says whether this table is newer than another.
+func (t Table) NewerThan(o Table) bool {
 	return t.Epoch > o.Epoch || (t.Epoch == o.Epoch && t.Number > o.Number)
 }
 
-func (r Row) String() string {
-	text := fmt.Sprintf("%s gets %d in 100 of its calls", r.Replica, r.Share)
+func (r Verdict) String() string {
+	text := fmt.Sprintf("%s gets %d in 100 of its calls", r.Replica, r.AllowedPercent)
 	if r.Zone != "" {
 		text += " from zone " + r.Zone
 	}
@@ -145,17 +145,17 @@
 	return strings.Join(rows, "; ")
 }
 
-// In are the verdicts that hold for gateways of a zone, by replica.
-func (t Table) In(zone string) map[string]Row {
+// ForZone are the verdicts that hold for gateways of a zone, by replica.
+func (t Table) ForZone(zone string) map[string]Verdict {
 	if len(t.Rows) == 0 {
 		return nil
 	}
-	rows := map[string]Row{}
+	rows := map[string]Verdict{}
 	for _, r := range t.Rows {
 		if r.Zone != "" && r.Zone != zone {
 			continue
 		}
-		if had, ok := rows[r.Replica]; !ok || r.Share < had.Share {
+		if had, ok := rows[r.Replica]; !ok || r.AllowedPercent < had.AllowedPercent {
 			rows[r.Replica] = r
 		}
 	}
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -30,9 +30,9 @@
 
 type seat struct {
 	id, zone string
-	local    *Local
+	local    *LocalDetector
 	toldUs   int64
-	rows     map[string]Row
+	rows     map[string]Verdict
 }
 
 // world is gateways that send attempts at an even rate to the replicas of one service, and one controller.
@@ -46,7 +46,7 @@
 
 	nowUs   int64
 	seats   []*seat
-	fleet   *Fleet
+	fleet   *Detector
 	tables  []Table
 	news    []int64
 	sent    map[int]int
@@ -58,12 +58,12 @@
 }
 
 func newWorld(seed int64, gateways, replicas int, perS float64, opts Options) *world {
-	w := &world{r: rand.New(rand.NewSource(seed)), opts: opts, perS: perS, common: map[Class]float64{}, fleet: NewFleet(opts), outUs: map[string]int64{}}
+	w := &world{r: rand.New(rand.NewSource(seed)), opts: opts, perS: perS, common: map[Class]float64{}, fleet: NewDetector(opts), outUs: map[string]int64{}}
 	for i := range replicas {
 		w.replicas = append(w.replicas, fmt.Sprintf("r%03d", i))
 	}
 	for i := range gateways {
-		w.seats = append(w.seats, &seat{id: fmt.Sprintf("d%02d", i), zone: string(rune('a' + i%3)), local: NewLocal(opts), toldUs: int64(i) * 10 * clock.Ms})
+		w.seats = append(w.seats, &seat{id: fmt.Sprintf("d%02d", i), zone: string(rune('a' + i%3)), local: NewLocalDetector(opts), toldUs: int64(i) * 10 * clock.Ms})
 	}
 	return w
 }
@@ -86,24 +86,24 @@
 		for _, s := range w.seats {
 			for len(w.news) > 0 && w.nowUs >= w.news[0] {
 				for _, to := range w.seats {
-					to.rows = w.tables[0].In(to.zone)
+					to.rows = w.tables[0].ForZone(to.zone)
 				}
 				w.news, w.tables = w.news[1:], w.tables[1:]
 			}
-			if spanUs := w.nowUs - s.toldUs; spanUs >= reportUs || (s.local.News() && spanUs >= hurriedUs) {
+			if spanUs := w.nowUs - s.toldUs; spanUs >= reportUs || (s.local.HasUnreportedFailures() && spanUs >= hurriedUs) {
 				s.toldUs = w.nowUs
-				attempts, counts := s.local.Tell(w.nowUs, func(id string) bool { row, on := s.rows[id]; return on && row.Share > 0 })
+				attempts, counts := s.local.TakeReport(w.nowUs, func(id string) bool { row, on := s.rows[id]; return on && row.AllowedPercent > 0 })
 				w.told++
 				if len(counts) > 0 {
 					w.tellers++
 				}
-				w.fleet.Hear(w.nowUs, Report{Gateway: s.id, Zone: s.zone, Attempts: attempts, Counts: counts}, w.lives)
+				w.fleet.AddReport(w.nowUs, Report{Gateway: s.id, Zone: s.zone, Attempts: attempts, Counts: counts}, w.lives)
 			}
 		}
-		if w.fleet.Judge(w.nowUs, 1, map[string]int{"s": len(w.replicas)}, func(string) bool { return true }) {
+		if w.fleet.Evaluate(w.nowUs, 1, map[string]int{"s": len(w.replicas)}, func(string) bool { return true }) {
 			w.tables, w.news = append(w.tables, w.fleet.Table()), append(w.news, w.nowUs+newsUs)
 		}
-		if w.nowUs%judgeUs == 0 {
+		if w.nowUs%evaluationIntervalUs == 0 {
 			w.look()
 		}
 	}
@@ -112,11 +112,11 @@
 // look notes who is kept off, and for how long the gateways of how many zones.
 func (w *world) look() {
 	for _, zone := range []string{"a", "b", "c"} {
-		out := w.fleet.Table().In(zone)
+		out := w.fleet.Table().ForZone(zone)
 		w.outMost = max(w.outMost, len(out))
 		for id, row := range out {
-			if row.Share == 0 {
-				w.outUs[id] += judgeUs / 3
+			if row.AllowedPercent == 0 {
+				w.outUs[id] += evaluationIntervalUs / 3
 			}
 		}
 	}
@@ -126,12 +126,12 @@
 	at := w.r.Intn(len(w.replicas))
 	for range 20 {
 		row, on := s.rows[w.replicas[at]]
-		if !s.local.Off(w.nowUs, w.replicas[at]) && (!on || w.r.Intn(100) < row.Share) {
+		if !s.local.Ejected(w.nowUs, w.replicas[at]) && (!on || w.r.Intn(100) < row.AllowedPercent) {
 			break
 		}
 		at = w.r.Intn(len(w.replicas))
 	}
-	class, draw := Good, w.r.Float64()
+	class, draw := Success, w.r.Float64()
 	for c := ConnectRefused; c < Inconclusive; c++ {
 		if draw < w.common[c] {
 			class = c
@@ -148,10 +148,10 @@
 		}
 	}
 	w.sent[at]++
-	if class != Good {
+	if class != Success {
 		w.failed[at]++
 	}
-	s.local.Note(w.nowUs, "s", w.replicas[at], class, len(w.replicas))
+	s.local.Record(w.nowUs, "s", w.replicas[at], class, len(w.replicas))
 }
 
 func (w *world) failures() (n int) {
@@ -188,7 +188,7 @@
 	share := float64(w.failures()) / float64(sum(w.sent))
 	alone := part * float64(ill) / float64(replicas)
 	w.run(42 * clock.Sec)
-	most := max(1, int(mostShareUsual*float64(replicas)))
+	most := max(1, int(defaultMaxEjectedFraction*float64(replicas)))
 	switch {
 	case share > alone/3:
 		return fmt.Sprintf("%.1f%% of all attempts failed, %.1f%% would without any verdict", 100*share, 100*alone), share
@@ -210,7 +210,7 @@
 		for _, c := range []struct {
 			class Class
 			part  float64
-		}{{ErrorAnswer, 0.4}, {Silence, 1}, {Slow, 1}} {
+		}{{ErrorResponse, 0.4}, {ResponseTimeout, 1}, {Slow, 1}} {
 			for seed := range 2 - int64(size.gateways)/50 {
 				wrong, share := checkIll(seed, size.gateways, size.replicas, size.perS, c.class, c.part, Options{})
 				if wrong != "" {
@@ -232,7 +232,7 @@
 		for _, load := range []bool{true, false} {
 			w := newWorld(7, size.gateways, size.replicas, size.perS, Options{})
 			for i := range size.replicas / 8 {
-				w.ills = append(w.ills, illness{replica: i, class: Silence, part: 0.5, fromUs: 5 * clock.Sec, toUs: 30 * clock.Sec, load: load})
+				w.ills = append(w.ills, illness{replica: i, class: ResponseTimeout, part: 0.5, fromUs: 5 * clock.Sec, toUs: 30 * clock.Sec, load: load})
 			}
 			w.run(30 * clock.Sec)
 			outUs := int64(0)
@@ -257,13 +257,13 @@
 		opts Options
 		part float64
 	}{
-		{"it judges nobody", Options{Off: true}, 0.4},
-		{"a replica that is out stays out", Options{OutUs: 3600 * clock.Sec, OutMostUs: 3600 * clock.Sec}, 0.4},
-		{"it suspects on anything", Options{FalseUs: 1, MostShare: 1}, 0.01},
+		{"it judges nobody", Options{Disabled: true}, 0.4},
+		{"a replica that is out stays out", Options{BaseEjectionUs: 3600 * clock.Sec, MaxEjectionUs: 3600 * clock.Sec}, 0.4},
+		{"it suspects on anything", Options{FalseEjectionIntervalUs: 1, MaxEjectedFraction: 1}, 0.01},
 	} {
 		caught := 0
 		for seed := range int64(3) {
-			if wrong, _ := checkIll(seed, 8, 12, 150, ErrorAnswer, c.part, c.opts); wrong != "" {
+			if wrong, _ := checkIll(seed, 8, 12, 150, ErrorResponse, c.part, c.opts); wrong != "" {
 				caught++
 			}
 		}
@@ -277,7 +277,7 @@
 	for _, size := range sizes {
 		w := newWorld(5, size.gateways, size.replicas, size.perS, Options{})
 		for i := range w.replicas {
-			w.ills = append(w.ills, illness{replica: i, class: Silence, part: 1, gateway: "d01", toUs: 60 * clock.Sec})
+			w.ills = append(w.ills, illness{replica: i, class: ResponseTimeout, part: 1, gateway: "d01", toUs: 60 * clock.Sec})
 		}
 		w.run(60 * clock.Sec)
 		if w.outMost > 0 {
@@ -289,7 +289,7 @@
 func TestWhatFailsForOneZoneIsKeptFromThatZone(t *testing.T) {
 	for _, size := range sizes[2:] {
 		w := newWorld(6, size.gateways, size.replicas, size.perS, Options{})
-		w.ills = append(w.ills, illness{replica: 0, class: ErrorAnswer, part: 0.5, zone: "b", toUs: 60 * clock.Sec})
+		w.ills = append(w.ills, illness{replica: 0, class: ErrorResponse, part: 0.5, zone: "b", toUs: 60 * clock.Sec})
 		w.run(20 * clock.Sec)
 		seen := map[string]bool{}
 		for range 100 {
@@ -310,10 +310,10 @@
 		for _, part := range []float64{0.3, 1} {
 			w := newWorld(7, size.gateways, size.replicas, size.perS, Options{})
 			for i := range w.replicas[:size.replicas*4/5] {
-				w.ills = append(w.ills, illness{replica: i, class: Silence, part: part, fromUs: 10 * clock.Sec, toUs: 40 * clock.Sec})
+				w.ills = append(w.ills, illness{replica: i, class: ResponseTimeout, part: part, fromUs: 10 * clock.Sec, toUs: 40 * clock.Sec})
 			}
 			w.run(60 * clock.Sec)
-			if most := max(1, int(mostShareUsual*float64(size.replicas))); w.outMost > most {
+			if most := max(1, int(defaultMaxEjectedFraction*float64(size.replicas))); w.outMost > most {
 				t.Errorf("%d of %d were kept off at once", w.outMost, size.replicas)
 			}
 			if rows := w.fleet.Table().Rows; len(rows) > 0 {
@@ -330,7 +330,7 @@
 		for _, c := range []struct {
 			class Class
 			part  float64
-		}{{ErrorAnswer, 0.002}, {ErrorAnswer, 0.02}, {Shed, 0.2}, {Silence, 0.05}} {
+		}{{ErrorResponse, 0.002}, {ErrorResponse, 0.02}, {Shed, 0.2}, {ResponseTimeout, 0.05}} {
 			outUs := int64(0)
 			ms := 0
 			const spanUs = 60 * clock.Sec
@@ -351,17 +351,17 @@
 }
 
 func TestASuccessorGoesOnFromTheVerdicts(t *testing.T) {
-	f := NewFleet(Options{})
-	had := Table{Epoch: 4, Number: 9, Rows: []Row{{"r1", "", 0, true}, {"r2", "b", 12, false}}}
+	f := NewDetector(Options{})
+	had := Table{Epoch: 4, Number: 9, Rows: []Verdict{{"r1", "", 0, true}, {"r2", "b", 12, false}}}
 	lives := func(string) string { return "s" }
 	f.Inherit(clock.Sec, 5, had, lives)
-	f.Judge(clock.Sec, 5, map[string]int{"s": 9}, func(string) bool { return true })
+	f.Evaluate(clock.Sec, 5, map[string]int{"s": 9}, func(string) bool { return true })
 	now := f.Table()
-	if !now.After(had) || !slices.Equal(now.Rows, []Row{{"r1", "", 0, false}, {"r2", "b", 0, false}}) {
+	if !now.NewerThan(had) || !slices.Equal(now.Rows, []Verdict{{"r1", "", 0, false}, {"r2", "b", 0, false}}) {
 		t.Errorf("it goes on with %+v", now)
 	}
-	f.Judge(clock.Sec+outUsual+judgeUs, 5, map[string]int{"s": 9}, func(string) bool { return true })
-	if rows := f.Table().Rows; len(rows) != 2 || rows[0].Share != trials[0] {
+	f.Evaluate(clock.Sec+defaultBaseEjectionUs+evaluationIntervalUs, 5, map[string]int{"s": 9}, func(string) bool { return true })
+	if rows := f.Table().Rows; len(rows) != 2 || rows[0].AllowedPercent != probationPercents[0] {
 		t.Errorf("after their time out: %v", rows)
 	}
 }
@@ -373,8 +373,8 @@
 		least     float64
 		mostBelow float64
 	}{
-		{Good, 0, -0.23, -0.22}, {None, 0, 0, 0.001}, {ResetReused, 0, 0, 0.001}, {Inconclusive, 0, 0, 0.001},
-		{ErrorAnswer, 0, 2.4, 2.7}, {ErrorAnswer, 0.5, -0.3, 0}, {Silence, 0.025, 0, 0.7}, {Silence, 0, 1.7, 1.8},
+		{Success, 0, -0.23, -0.22}, {Unclassified, 0, 0, 0.001}, {ResetReused, 0, 0, 0.001}, {Inconclusive, 0, 0, 0.001},
+		{ErrorResponse, 0, 2.4, 2.7}, {ErrorResponse, 0.5, -0.3, 0}, {ResponseTimeout, 0.025, 0, 0.7}, {ResponseTimeout, 0, 1.7, 1.8},
 	} {
 		if got := weight(c.class, c.share); got < c.least || got >= c.mostBelow {
 			t.Errorf("%s where the service shows it in %.1f%%: %.3f, want %.2f to %.2f", c.class, 100*c.share, got, c.least, c.mostBelow)
--- a/internal/statistics/weigh.go
+++ b/internal/statistics/weigh.go
@@ -2,23 +2,23 @@
 
 import "math"
 
-// Diff is the mean of paired differences b-a with the interval that holds it nineteen times in twenty.
-type Diff struct {
+// PairedDifference is the mean of paired differences b-a with the interval that holds it nineteen times in twenty.
+type PairedDifference struct {
 	Mean, Low, High float64
 	Pairs           int
 }
 
-// Seen says that the interval leaves zero out.
-func (d Diff) Seen() bool { return d.Pairs > 1 && (d.Low > 0 || d.High < 0) }
+// Significant says that the interval leaves zero out.
+func (d PairedDifference) Significant() bool { return d.Pairs > 1 && (d.Low > 0 || d.High < 0) }
 
 // Student's t for 97.5% by degrees of freedom; beyond the list the normal value is near enough.
-var quantile = []float64{0, 12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
+var studentT = []float64{0, 12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
 	2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042}
 
 // Paired compares two series, pair by pair; what is longer in one of them is left out.
-func Paired(a, b []float64) Diff {
+func Paired(a, b []float64) PairedDifference {
 	n := min(len(a), len(b))
-	d := Diff{Pairs: n}
+	d := PairedDifference{Pairs: n}
 	if n == 0 {
 		return d
 	}
@@ -35,8 +35,8 @@
 		sum += off * off
 	}
 	t := 1.96
-	if n-1 < len(quantile) {
-		t = quantile[n-1]
+	if n-1 < len(studentT) {
+		t = studentT[n-1]
 	}
 	half := t * math.Sqrt(sum/float64(n-1)/float64(n))
 	d.Low, d.High = d.Mean-half, d.Mean+half
--- a/internal/statistics/weigh_test.go
+++ b/internal/statistics/weigh_test.go
@@ -21,7 +21,7 @@
 		if d := Paired(a, b); d.Low <= 2 && d.High >= 2 {
 			held++
 		}
-		if !Paired(a, c).Seen() {
+		if !Paired(a, c).Significant() {
 			nothing++
 		}
 	}
@@ -30,7 +30,7 @@
 			t.Fatalf("share %.3f, want about 0.95", share)
 		}
 	}
-	if Paired([]float64{1, 2, 3}, []float64{1, 2, 3}).Seen() || Paired([]float64{1}, []float64{9}).Seen() {
+	if Paired([]float64{1, 2, 3}, []float64{1, 2, 3}).Significant() || Paired([]float64{1}, []float64{9}).Significant() {
 		t.Fatal("a difference is seen where there is none, or only one pair")
 	}
 }
--- a/tests/simulator/compare.go
+++ b/tests/simulator/compare.go
@@ -146,7 +146,7 @@
 		for _, f := range figures {
 			d := statistics.Paired(f.Values[first], f.Values[p.Name])
 			said := "no difference seen"
-			if d.Seen() {
+			if d.Significant() {
 				said = fmt.Sprintf("%+.1f (%+.1f to %+.1f) %s", d.Mean, d.Low, d.High, f.Unit)
 			}
 			fmt.Fprintf(w, "%-16s %-16s %10.1f %10.1f   %s\n", f.Kind, f.What, statistics.Mean(f.Values[first]), statistics.Mean(f.Values[p.Name]), said)
--- a/tests/simulator/compare_test.go
+++ b/tests/simulator/compare_test.go
@@ -26,7 +26,7 @@
 func seen(figures []Figure, a, b string) []string {
 	found := []string{}
 	for _, f := range figures {
-		if statistics.Paired(f.Values[a], f.Values[b]).Seen() {
+		if statistics.Paired(f.Values[a], f.Values[b]).Significant() {
 			found = append(found, f.Kind+" "+f.What)
 		}
 	}
@@ -61,7 +61,7 @@
 		if f.What != "first piece p95" || f.Kind != "fixes" {
 			continue
 		}
-		if d := statistics.Paired(f.Values["steady"], f.Values["drowsy"]); !d.Seen() || d.Mean <= 0 {
+		if d := statistics.Paired(f.Values["steady"], f.Values["drowsy"]); !d.Significant() || d.Mean <= 0 {
 			t.Fatalf("a policy that loads only under a queue is not found: %+v", d)
 		}
 	}
--- a/tests/simulator/gateways.go
+++ b/tests/simulator/gateways.go
@@ -114,14 +114,14 @@
 				d.beat(n.Addr, true)
 			}
 		case e.Snapshot != nil:
-			if s.plan.Plant == "deaf" && d.snap != nil && d.snap.Doc != nil && d.snap.Grants["gpu-0|m7"].To+d.snap.Grants["gpu-1|m7"].To+d.snap.Grants["gpu-2|m7"].To+d.snap.Grants["gpu-3|m7"].To+d.snap.Grants["gpu-4|m7"].To > 0 {
+			if s.plan.Plant == "deaf" && d.snap != nil && d.snap.Declaration != nil && d.snap.Grants["gpu-0|m7"].To+d.snap.Grants["gpu-1|m7"].To+d.snap.Grants["gpu-2|m7"].To+d.snap.Grants["gpu-3|m7"].To+d.snap.Grants["gpu-4|m7"].To > 0 {
 				fresh := *d.snap
 				fresh.Number, fresh.View, fresh.Grants = e.Snapshot.Number, e.Snapshot.View, e.Snapshot.Grants
 				e.Snapshot = &fresh
 			}
-			if s.plan.Plant == "old-doc" && d.snap != nil && d.snap.Doc != nil {
+			if s.plan.Plant == "old-doc" && d.snap != nil && d.snap.Declaration != nil {
 				fresh := *e.Snapshot
-				fresh.Doc, e.Snapshot = d.snap.Doc, &fresh
+				fresh.Declaration, e.Snapshot = d.snap.Declaration, &fresh
 			}
 			d.snap = e.Snapshot
 			s.ops.sawDoc(d.name, e.Snapshot)
@@ -198,7 +198,7 @@
 			}
 		case e.Over != nil:
 			if c := d.calls[e.Over.Call.ID]; c != nil {
-				d.cut(c, e.Over.Ending)
+				d.cut(c, e.Over.Outcome)
 			}
 		case e.Cancel != "":
 			if c := d.calls[e.Cancel]; c != nil && c.stop != nil && (c.hung || s.plan.Plant != "still") {
@@ -214,12 +214,12 @@
 }
 
 // cut is a call whose last attempt did not end well.
-func (d *gatewayNode) cut(c *callState, e scheduling.Ending) {
+func (d *gatewayNode) cut(c *callState, e scheduling.Outcome) {
 	c.told.Code, c.told.Run, c.told.Broken = string(fault.OutcomeUnknown), fault.RunUnknown, len(c.told.Pieces) > 0
 	switch {
 	case d.sim.plan.Plant == "lie":
 		c.told.Run = fault.RunNone
-	case e == scheduling.Final:
+	case e == scheduling.OutcomeTimedOut:
 		c.told.Code = string(fault.Expired)
 	case len(c.told.Pieces) > 0:
 		c.told.Code, c.told.Run = string(fault.StreamBroken), fault.RunPartial
@@ -294,29 +294,29 @@
 	})
 }
 
-func (d *gatewayNode) maySend(st scheduling.Start) bool {
+func (d *gatewayNode) maySend(st scheduling.AttemptStart) bool {
 	return st.MaySend(d.snap, d.clock(), d.leaseUs) || d.sim.plan.Plant == "deaf"
 }
 
 // attempt is the executor: it obeys one decision against the simulated network and replica.
-func (d *gatewayNode) attempt(st scheduling.Start) {
+func (d *gatewayNode) attempt(st scheduling.AttemptStart) {
 	s := d.sim
 	c := d.calls[st.Call.ID]
-	ended := func(e scheduling.Ending) {
-		d.step(scheduling.Event{Ended: &scheduling.Ended{Call: st.Call.ID, Attempt: st.Attempt, Ending: e}})
+	ended := func(e scheduling.Outcome) {
+		d.step(scheduling.Event{Ended: &scheduling.AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: e}})
 	}
 	if c == nil || !d.maySend(st) {
-		d.later(10, func() { ended(scheduling.Unsent) })
+		d.later(10, func() { ended(scheduling.OutcomeUnsent) })
 		return
 	}
 	c.attempt = st.Attempt
 	p := s.servers[st.Replica]
 	if p == nil || !p.up || p.addr != st.Addr || s.isCut(d.name, p.name) || s.isCut(p.name, d.name) {
-		d.later(400*ms, func() { ended(scheduling.Unsent) })
+		d.later(400*ms, func() { ended(scheduling.OutcomeUnsent) })
 		return
 	}
 	over := false
-	finish := func(e scheduling.Ending, why string) {
+	finish := func(e scheduling.Outcome, why string) {
 		if over {
 			return
 		}
@@ -339,13 +339,13 @@
 		boot := d.boot
 		s.at(s.nowUs+2*ms, func() {
 			close()
-			d.now(boot, func() { d.attemptEnded(c, st, scheduling.Moved, "moved", ended) })
+			d.now(boot, func() { d.attemptEnded(c, st, scheduling.OutcomeMigrated, "moved", ended) })
 		})
 	}
 	d.later(max(1, st.DeadlineUs-d.clock()), func() {
 		if !over {
 			close()
-			finish(scheduling.Final, "expired while it ran")
+			finish(scheduling.OutcomeTimedOut, "expired while it ran")
 		}
 	})
 	attempt := wire.Attempt{ID: st.Attempt, Ticket: st.Ticket, Incarnation: st.Incarnation, Call: st.Call.ID, Model: c.ask.Model, Adapter: c.ask.Adapter,
@@ -354,14 +354,14 @@
 	asked := false
 	d.later(sec, func() {
 		if !asked {
-			finish(scheduling.Unsent, "the replica did not ask for the leg")
+			finish(scheduling.OutcomeUnsent, "the replica did not ask for the leg")
 		}
 	})
 	wait := func() int64 { return 200 + s.r.Int63n(1500) }
 	start := func(reachedUs int64) {
 		started, refusal, firstUs := p.core.StartAttempt(reachedUs, attempt)
 		if refusal != nil {
-			d.now(boot, func() { finish(scheduling.Refused, refusal.Code) })
+			d.now(boot, func() { finish(scheduling.OutcomeRejected, refusal.Code) })
 			return
 		}
 		run = started
@@ -377,12 +377,12 @@
 		}
 		asked = true
 		if !d.maySend(st) {
-			finish(scheduling.Unsent, "the news changed before it was sent")
+			finish(scheduling.OutcomeUnsent, "the news changed before it was sent")
 			return
 		}
 		s.at(s.nowUs+wait(), func() {
 			if !p.up {
-				d.now(boot, func() { finish(scheduling.Unknown, "the pipe broke") })
+				d.now(boot, func() { finish(scheduling.OutcomeUnknown, "the pipe broke") })
 				return
 			}
 			reachedUs := s.nowUs
@@ -391,14 +391,14 @@
 	}
 	s.at(s.nowUs+wait(), func() {
 		if !p.up {
-			d.now(boot, func() { finish(scheduling.Unsent, "the connection broke before the attempt was asked for") })
+			d.now(boot, func() { finish(scheduling.OutcomeUnsent, "the connection broke before the attempt was asked for") })
 			return
 		}
 		p.now(p.boot, func() { s.at(s.nowUs+wait(), func() { d.now(boot, body) }) })
 	})
 }
 
-func (d *gatewayNode) pieces(p *serverNode, c *callState, run *modelserver.Run, attempt wire.Attempt, firstUs int64, boot int, over func() bool, finish func(scheduling.Ending, string)) {
+func (d *gatewayNode) pieces(p *serverNode, c *callState, run *modelserver.Run, attempt wire.Attempt, firstUs int64, boot int, over func() bool, finish func(scheduling.Outcome, string)) {
 	s := d.sim
 	n := attempt.NextChunk
 	serverBoot := p.boot
@@ -407,12 +407,12 @@
 			if over() {
 				return
 			}
-			ending, why := scheduling.Judge(attempt.ID, c.told.Had+len(c.told.Pieces), piece)
+			ending, why := scheduling.CheckPiece(attempt.ID, c.told.Had+len(c.told.Pieces), piece)
 			switch {
 			case s.plan.Plant == "blind" && piece.Number != c.told.Had+len(c.told.Pieces)+1 && !piece.End:
 				ending = ""
 			case s.plan.Plant == "hasty" && len(c.told.Pieces) == 3:
-				ending = scheduling.Done
+				ending = scheduling.OutcomeDone
 			case s.plan.Plant == "mixed" && len(c.told.Pieces) == 2:
 				piece.Text = "0000000000000000~" + run.Nonce
 			}
@@ -423,7 +423,7 @@
 			if c.told.FirstUs == 0 {
 				c.told.FirstUs = s.nowUs
 			}
-			c.call.FirstUs.CompareAndSwap(0, d.clock())
+			c.call.FirstByteUs.CompareAndSwap(0, d.clock())
 			c.told.Pieces = append(c.told.Pieces, piece.Text)
 			c.told.IDs = append(c.told.IDs, c.told.Had+len(c.told.Pieces))
 			c.call.Progress.Store(int64(c.told.Had + len(c.told.Pieces)))
@@ -435,7 +435,7 @@
 			return
 		}
 		if !p.up || p.boot != serverBoot {
-			s.at(s.nowUs+ms, func() { d.now(boot, func() { finish(scheduling.Broken, "the replica's stream ended early") }) })
+			s.at(s.nowUs+ms, func() { d.now(boot, func() { finish(scheduling.OutcomeBroken, "the replica's stream ended early") }) })
 			return
 		}
 		if p.thawUs > s.nowUs {
@@ -465,16 +465,16 @@
 	s.at(s.nowUs+firstUs, next)
 }
 
-func (d *gatewayNode) attemptEnded(c *callState, st scheduling.Start, e scheduling.Ending, why string, ended func(scheduling.Ending)) {
-	if d.sim.plan.Plant == "again" && (e == scheduling.Unknown || e == scheduling.Broken) && len(c.told.Pieces) == 0 {
-		e = scheduling.Unsent
+func (d *gatewayNode) attemptEnded(c *callState, st scheduling.AttemptStart, e scheduling.Outcome, why string, ended func(scheduling.Outcome)) {
+	if d.sim.plan.Plant == "again" && (e == scheduling.OutcomeUnknown || e == scheduling.OutcomeBroken) && len(c.told.Pieces) == 0 {
+		e = scheduling.OutcomeUnsent
 	}
 	if c.hung {
 		d.over(c)
 		ended(e)
 		return
 	}
-	if e == scheduling.Done {
+	if e == scheduling.OutcomeDone {
 		c.told.Ended, c.told.EndCount = true, c.told.Had+len(c.told.Pieces)
 		d.over(c)
 	}
@@ -494,18 +494,18 @@
 		}
 		s.finish(c)
 	}
-	if d.snap == nil || d.snap.Doc == nil {
+	if d.snap == nil || d.snap.Declaration == nil {
 		refuse(&fault.Fault{Code: fault.NoLease, RetryMs: 500})
 		return
 	}
-	kind, bad := d.snap.Lookup(scheduling.Asked{Kind: ask.Kind, Model: ask.Model, Adapter: ask.Adapter, Had: t.Had > 0}, d.clock(), d.leaseUs)
+	kind, bad := d.snap.Lookup(scheduling.Lookup{Kind: ask.Kind, Model: ask.Model, Adapter: ask.Adapter, Resuming: t.Had > 0}, d.clock(), d.leaseUs)
 	if bad != nil {
 		refuse(bad)
 		return
 	}
 	s.calls++
 	c.call = &scheduling.Call{
-		ID: fmt.Sprintf("%s-%d", d.name, s.calls), Kind: kind.Name, Model: ask.Model, Adapter: ask.Adapter, Prefix: ask.Prefix, TakenUs: d.clock(), Had: t.Had,
+		ID: fmt.Sprintf("%s-%d", d.name, s.calls), Kind: kind.Name, Model: ask.Model, Adapter: ask.Adapter, Prefix: ask.Prefix, ArrivedUs: d.clock(), Delivered: t.Had,
 	}
 	c.call.Progress.Store(int64(t.Had))
 	enter := func() {
--- a/tests/simulator/operators.go
+++ b/tests/simulator/operators.go
@@ -196,8 +196,8 @@
 }
 
 func (p *operators) sawDoc(gateway string, snap *scheduling.Snapshot) {
-	if snap.Doc != nil && p.refused[snap.Doc.Name] {
-		p.sim.watch.Break(rules.ConfigLost, "%s works by refused %s", gateway, snap.Doc.Name)
+	if snap.Declaration != nil && p.refused[snap.Declaration.Name] {
+		p.sim.watch.Break(rules.ConfigLost, "%s works by refused %s", gateway, snap.Declaration.Name)
 	}
 }
 
--- a/tests/simulator/routed_attempts.go
+++ b/tests/simulator/routed_attempts.go
@@ -10,7 +10,7 @@
 // attempt is one request on one connection to a replica.
 type attempt struct {
 	x     *exchange
-	st    scheduling.Start
+	st    scheduling.AttemptStart
 	conn  uint64
 	to    *replicaNode
 	up    *pipe
@@ -29,7 +29,7 @@
 		return
 	}
 	if !st.MaySend(t.snap, t.clock(), 0) || !l.to.up {
-		l.finish(scheduling.Unsent)
+		l.finish(scheduling.OutcomeUnsent)
 		return
 	}
 	ask := l.x.ask
@@ -90,24 +90,24 @@
 func (l *attempt) lost(late bool) {
 	switch {
 	case late && !l.x.gone:
-		l.finish(scheduling.Decide(l.st.Kind, scheduling.SilentUntilDeadline).Ending)
+		l.finish(scheduling.Decide(l.st.Kind, scheduling.NoResponseBeforeDeadline).Outcome)
 	case l.head:
-		l.finish(scheduling.Decide(l.st.Kind, l.broke()).Ending)
+		l.finish(scheduling.Decide(l.st.Kind, l.broke()).Outcome)
 	default:
 		if l.x.gateway.day.plan.Plant == "again" {
-			l.finish(scheduling.Unsent)
+			l.finish(scheduling.OutcomeUnsent)
 			return
 		}
-		l.finish(scheduling.Decide(l.st.Kind, scheduling.ClosedUnanswered).Ending)
+		l.finish(scheduling.Decide(l.st.Kind, scheduling.ClosedBeforeResponse).Outcome)
 	}
 }
 
 // broke is a stream that cannot be read on, by what of it has reached the client.
 func (l *attempt) broke() scheduling.Observation {
 	if l.x.opened {
-		return scheduling.StreamCut
+		return scheduling.StreamInterrupted
 	}
-	return scheduling.CutShort
+	return scheduling.TruncatedResponse
 }
 
 // cancel ends an attempt whose client is gone.
@@ -117,7 +117,7 @@
 		l.x.gateway.now(boot, func() {
 			if !l.ended {
 				if l.up == nil {
-					l.finish(scheduling.Unsent)
+					l.finish(scheduling.OutcomeUnsent)
 					return
 				}
 				l.lost(false)
@@ -150,12 +150,12 @@
 }
 
 // finish tells the decider how an attempt ended.
-func (l *attempt) finish(e scheduling.Ending) {
+func (l *attempt) finish(e scheduling.Outcome) {
 	if l.ended {
 		return
 	}
 	x, t := l.x, l.x.gateway
-	if e == scheduling.Done || e == scheduling.Failed || e == scheduling.Refused || e == scheduling.Missing {
+	if e == scheduling.OutcomeDone || e == scheduling.OutcomeFailed || e == scheduling.OutcomeRejected || e == scheduling.OutcomeModelMissing {
 		l.ended = true
 		t.kept[l.st.Incarnation] = t.day.nowUs + idleUs
 	} else {
@@ -163,10 +163,10 @@
 		l.ended = true
 	}
 	x.attempt = nil
-	if x.gone || e == scheduling.Done || e == scheduling.Failed {
+	if x.gone || e == scheduling.OutcomeDone || e == scheduling.OutcomeFailed {
 		x.done()
 	}
-	t.step(scheduling.Event{Ended: &scheduling.Ended{Call: l.st.Call.ID, Attempt: l.st.Attempt, Ending: e}})
+	t.step(scheduling.Event{Ended: &scheduling.AttemptEnded{Call: l.st.Call.ID, Attempt: l.st.Attempt, Outcome: e}})
 }
 
 // got is what a replica sends, as the platform's side of a gateway reads it.
@@ -182,7 +182,7 @@
 	case e.Head && x.try.Stream && e.Status/100 == 2:
 		l.head, l.seal = true, e.Seal
 		if e.End {
-			l.finish(scheduling.Done)
+			l.finish(scheduling.OutcomeDone)
 		}
 	case e.Head:
 		l.whole(e)
@@ -191,10 +191,10 @@
 			l.open()
 		}
 		x.back.send(func() { x.seat.complete(x.try) })
-		l.finish(scheduling.Done)
+		l.finish(scheduling.OutcomeDone)
 	default:
 		if int64(e.N) <= x.call.Progress.Load() && x.call.Progress.Load() > 0 {
-			l.finish(scheduling.Decide(l.st.Kind, l.broke()).Ending)
+			l.finish(scheduling.Decide(l.st.Kind, l.broke()).Outcome)
 			return
 		}
 		if d.plan.Plant == "skips" && e.N == 3 {
@@ -214,11 +214,11 @@
 func (l *attempt) turned(e replica.Effect) {
 	switch {
 	case e.Status == http.StatusMisdirectedRequest && l.to.name != l.st.Incarnation:
-		l.finish(scheduling.Elsewhere)
+		l.finish(scheduling.OutcomeWrongIncarnation)
 	case e.Status == http.StatusMisdirectedRequest:
-		l.finish(scheduling.Missing)
+		l.finish(scheduling.OutcomeModelMissing)
 	default:
-		l.finish(scheduling.Refused)
+		l.finish(scheduling.OutcomeRejected)
 	}
 }
 
@@ -227,9 +227,9 @@
 	x := l.x
 	l.first()
 	decided := scheduling.Decide(l.st.Kind, l.classify(e.Status))
-	if decided.Answer != scheduling.PassOn {
+	if decided.Response != scheduling.ForwardResponse {
 		x.retried = x.retried || e.Status/100 != 2
-		l.finish(decided.Ending)
+		l.finish(decided.Outcome)
 		return
 	}
 	x.opened = true
@@ -238,25 +238,25 @@
 		seal = ""
 	}
 	x.back.send(func() { x.seat.answered(x.try, e.Status, seal, e.Body, 0) })
-	l.finish(decided.Ending)
+	l.finish(decided.Outcome)
 }
 
 // classify is what a whole answer is to this request, as the platform's side of a gateway has it.
 func (l *attempt) classify(status int) scheduling.Observation {
 	switch {
 	case l.x.opened:
-		return scheduling.AnswerInStream
+		return scheduling.NonStreamResponse
 	case status/100 == 2:
-		return scheduling.WholeAnswer
+		return scheduling.CompleteResponse
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == http.StatusRequestTimeout:
-		return scheduling.UnprovenRefusal
+		return scheduling.UnconfirmedRejection
 	case l.x.retried || l.st.Route.MaxAttempts <= 1:
-		return scheduling.FailureRepeated
+		return scheduling.ErrorResponseRepeated
 	}
-	return scheduling.FailureAnswer
+	return scheduling.ErrorResponse
 }
 
-func (l *attempt) first() { l.x.call.FirstUs.CompareAndSwap(0, l.x.gateway.clock()) }
+func (l *attempt) first() { l.x.call.FirstByteUs.CompareAndSwap(0, l.x.gateway.clock()) }
 
 // open begins an answer with the head of the replica that sent the first event.
 func (l *attempt) open() {
--- a/tests/simulator/routed_exchange.go
+++ b/tests/simulator/routed_exchange.go
@@ -67,10 +67,10 @@
 }
 
 // ended is a call whose last attempt did not end well.
-func (x *exchange) ended(e scheduling.Ending) {
+func (x *exchange) ended(e scheduling.Outcome) {
 	f := &fault.Fault{Code: fault.OutcomeUnknown, Run: fault.RunUnknown}
 	switch {
-	case e == scheduling.Final:
+	case e == scheduling.OutcomeTimedOut:
 		f.Code = fault.Expired
 	case x.opened:
 		f.Code, f.Run = fault.StreamBroken, fault.RunPartial
@@ -79,26 +79,26 @@
 }
 
 // begin is the executor of one attempt.
-func (x *exchange) begin(st scheduling.Start) {
+func (x *exchange) begin(st scheduling.AttemptStart) {
 	t := x.gateway
 	d := t.day
 	d.conns++
 	l := &attempt{x: x, st: st, conn: d.conns}
 	x.attempt = l
 	if st.DeadlineUs-t.clock() < ms {
-		t.later(1, func() { l.finish(scheduling.Unsent) })
+		t.later(1, func() { l.finish(scheduling.OutcomeUnsent) })
 		return
 	}
 	l.to = d.replicaAt(st.Addr)
 	reused := t.kept[st.Incarnation] > d.nowUs && l.to != nil && l.to.name == st.Incarnation
 	switch {
 	case l.to == nil:
-		t.later(ms, func() { l.finish(scheduling.Unsent) })
+		t.later(ms, func() { l.finish(scheduling.OutcomeUnsent) })
 	case reused:
 		l.kept = true
 		t.later(1, l.write)
 	case d.isCut(t.name, l.to.name) || d.isCut(l.to.name, t.name) || l.to.thawUs > d.nowUs:
-		t.later(dialUs, func() { l.finish(scheduling.Unsent) })
+		t.later(dialUs, func() { l.finish(scheduling.OutcomeUnsent) })
 	default:
 		t.later(300+d.r.Int63n(1500), l.write)
 	}
--- a/tests/simulator/routed_faults_core.go
+++ b/tests/simulator/routed_faults_core.go
@@ -209,8 +209,8 @@
 			return
 		}
 		start := rules.Start{Machine: t.name, StartUs: startUs, AtUs: d.nowUs}
-		if t.snap != nil && t.snap.Doc != nil {
-			start.Number = t.snap.Doc.Version
+		if t.snap != nil && t.snap.Declaration != nil {
+			start.Number = t.snap.Declaration.Version
 		}
 		d.seen.Starts = append(d.seen.Starts, start)
 	})
--- a/tests/simulator/routed_frames.go
+++ b/tests/simulator/routed_frames.go
@@ -74,15 +74,15 @@
 				forget(&held, held.IDs[0])
 			}
 		case "old-doc":
-			if t.snap.Doc != nil && t.day.nowUs > bootUs+t.day.plan.CalmUs {
-				held.Doc, held.Revision = t.snap.Doc, t.snap.Revision
+			if t.snap.Declaration != nil && t.day.nowUs > bootUs+t.day.plan.CalmUs {
+				held.Declaration, held.Revision = t.snap.Declaration, t.snap.Revision
 			}
 		case "back":
-			if t.older == nil && t.snap.Doc != nil && t.snap.Doc != held.Doc {
+			if t.older == nil && t.snap.Declaration != nil && t.snap.Declaration != held.Declaration {
 				t.older = t.snap
 			}
 			if t.older != nil && t.day.nowUs/sec%4 >= 2 {
-				held.Doc = t.older.Doc
+				held.Declaration = t.older.Declaration
 			}
 		}
 	}
--- a/tests/simulator/routed_gateways.go
+++ b/tests/simulator/routed_gateways.go
@@ -54,11 +54,11 @@
 	t.incarnation = d.newIncarnation()
 	t.skewUs = d.r.Int63n(1000) * sec
 	b := d.seen.Bounds
-	budget := scheduling.BudgetOptions{Ratio: b.BudgetRatio, Slack: b.BudgetSlack, WindowUs: b.BudgetUs}
+	budget := scheduling.RetryBudgetOptions{Ratio: b.BudgetRatio, Slack: b.BudgetSlack, WindowUs: b.BudgetUs}
 	if d.plan.Plant == "no-budget" {
 		budget.WindowUs = 0
 	}
-	t.decider = scheduling.New(scheduling.Options{Gateway: t.name, Incarnation: t.incarnation, Zone: t.zone, QueueMax: 200, Budget: budget})
+	t.decider = scheduling.New(scheduling.Options{Gateway: t.name, Incarnation: t.incarnation, Zone: t.zone, QueueMax: 200, RetryBudget: budget})
 	t.mirror = controlclient.NewInformer(controlclient.Options{Gateway: t.name, Incarnation: t.incarnation, Addr: t.addr, Zone: t.zone, Seeds: d.seeds})
 	t.snap, t.older, t.open, t.streams, t.kept = nil, nil, map[string]*exchange{}, map[uint64]*frameStream{}, map[string]int64{}
 	d.over(t.name, "down")
@@ -109,7 +109,7 @@
 			st := *e.Start
 			t.later(1, func() { t.step(scheduling.Event{Gone: st.Call.ID}) })
 			t.later(2, func() {
-				t.step(scheduling.Event{Ended: &scheduling.Ended{Call: st.Call.ID, Attempt: st.Attempt, Ending: scheduling.Unsent}})
+				t.step(scheduling.Event{Ended: &scheduling.AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: scheduling.OutcomeUnsent}})
 			})
 		case e.Give != nil:
 			if x := t.open[e.Give.Call.ID]; x != nil {
@@ -117,7 +117,7 @@
 			}
 		case e.Over != nil:
 			if x := t.open[e.Over.Call.ID]; x != nil {
-				x.ended(e.Over.Ending)
+				x.ended(e.Over.Outcome)
 			}
 		case e.Unplaced:
 			urgent = true
@@ -137,11 +137,11 @@
 	d := t.day
 	try.ReadUs, try.Incarnation = d.nowUs, t.boot
 	x := &exchange{gateway: t, try: try, ask: ask, seat: s, back: d.pipe(&t.machine, &d.clients.machine), last: ask.Last}
-	if t.snap == nil || t.snap.Doc == nil {
+	if t.snap == nil || t.snap.Declaration == nil {
 		x.answer(&fault.Fault{Code: fault.NoLease, RetryMs: 500})
 		return x
 	}
-	route := t.snap.Doc.Match(try.Host, try.Path)
+	route := t.snap.Declaration.Match(try.Host, try.Path)
 	if route == nil || (d.plan.Plant == "denier" && d.r.Intn(10) == 0) {
 		x.answer(&fault.Fault{Code: fault.NotFound})
 		return x
@@ -151,13 +151,13 @@
 		return x
 	}
 	t.calls++
-	x.call = &scheduling.Call{ID: fmt.Sprintf("%s-%s-%d", t.name, t.incarnation, t.calls), Kind: route.Name, Model: ask.Model, Adapter: ask.Adapter, MostMs: deadlineMs, TakenUs: t.clock(),
-		Routed: &scheduling.Routed{Route: route, PromptIn: ask.In, MostOut: int64(replica.Total(ask.Body) * 3)}}
+	x.call = &scheduling.Call{ID: fmt.Sprintf("%s-%s-%d", t.name, t.incarnation, t.calls), Kind: route.Name, Model: ask.Model, Adapter: ask.Adapter, TimeoutMs: deadlineMs, ArrivedUs: t.clock(),
+		Routed: &scheduling.RoutedCall{Route: route, PromptTokens: ask.In, MaxOutputTokens: int64(replica.Total(ask.Body) * 3)}}
 	for _, p := range ask.Parts {
-		x.call.Routed.Parts = append(x.call.Routed.Parts, scheduling.Part{ID: hashPart(p.ID), Tokens: p.Tokens})
+		x.call.Routed.Segments = append(x.call.Routed.Segments, scheduling.PromptSegment{ID: hashPart(p.ID), Tokens: p.Tokens})
 	}
 	if ask.Last > 0 && route.Resumable {
-		x.call.Had = ask.Last
+		x.call.Delivered = ask.Last
 		x.call.Progress.Store(int64(ask.Last))
 	}
 	t.open[x.call.ID] = x
--- a/tests/simulator/sim.go
+++ b/tests/simulator/sim.go
@@ -435,7 +435,7 @@
 func (s *Sim) judgeSlots() {
 	for _, d := range s.gateways {
 		busy := 0
-		for _, n := range d.decider.Note().InFlight {
+		for _, n := range d.decider.Status().InFlight {
 			busy += n
 		}
 		if busy > 0 && len(d.calls) == 0 {
@@ -476,7 +476,7 @@
 			n.TailReady(o.clock()), n.CommitIndex(), n.LastIndex(), n.WaitReason(), o.core.Controller.IsLeader(n.State()))
 	}
 	for _, d := range s.gateways {
-		text += fmt.Sprintf("[%s lease %dms waiting %d] ", d.name, (d.leaseUs-d.clock())/1000, d.decider.Note().Waiting)
+		text += fmt.Sprintf("[%s lease %dms waiting %d] ", d.name, (d.leaseUs-d.clock())/1000, d.decider.Status().Waiting)
 	}
 	return text
 }
