--- a/internal/dataplane/controlclient/informer_test.go
+++ b/internal/dataplane/controlclient/informer_test.go
@@ -216,7 +216,7 @@
 	c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Commands: []statemachine.ReplicaCommand{t}}})
 }
 
-var asGatewaysSee = cmp.Options{cmpopts.IgnoreFields(scheduling.Snapshot{}, "Number", "AtUs"), cmpopts.IgnoreFields(configuration.Declaration{}, "Index"), cmpopts.EquateEmpty()}
+var asGatewaysSee = cmp.Options{cmpopts.IgnoreFields(scheduling.Snapshot{}, "Number", "ReceivedUs"), cmpopts.IgnoreFields(configuration.Declaration{}, "Index"), cmpopts.EquateEmpty()}
 
 // Differences fold to what a whole frame says, whichever streams are lost, however far a control node lags
 // and whenever one restarts; what a gateway goes by never goes back.
