--- a/cmd/petreltide/compare.go
+++ b/cmd/petreltide/compare.go
@@ -53,7 +53,7 @@
 			if err := c.read(); err != nil {
 				return err
 			}
-			return c.hold(cmd)
+			return c.compare(cmd)
 		},
 	}
 	c.controlNodes.flag(cmd)
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// hold compares, and reports what there is even where it had to stop.
-func (c *liveComparison) hold(cmd *cobra.Command) error {
+// compare compares, and reports what there is even where it had to stop.
+func (c *liveComparison) compare(cmd *cobra.Command) error {
 	result, err := comparison.Hold(cmd.Context(), liveFleet{c.controlNodes}, c.opts, cmd.OutOrStdout())
 	if len(result.Windows) > 0 {
 		comparison.Report(cmd.OutOrStdout(), result)
@@ -161,8 +161,8 @@
 	return applied, errors.Trace(json.Unmarshal(a.body, &applied))
 }
 
-func (l liveFleet) Pause(ctx context.Context, span time.Duration) error {
-	timer := time.NewTimer(span)
+func (l liveFleet) Pause(ctx context.Context, wait time.Duration) error {
+	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/cmd/petreltide/daemons.go
+++ b/cmd/petreltide/daemons.go
@@ -15,7 +15,7 @@
 
 func controlNodeCommand() *cobra.Command {
 	set := settings.ControlNode{HandoverTimeoutMs: 3000}
-	place := place{&set.Name, &set.Listen, &set.Advertise, &set.Zone, &set.Seeds}
+	place := location{&set.Name, &set.Listen, &set.Advertise, &set.Zone, &set.Seeds}
 	var file string
 	cmd := &cobra.Command{
 		Use:   "control-node",
@@ -41,9 +41,9 @@
 			if f := place.read(cmd, file, &set); f != nil {
 				return f
 			}
-			lay(cmd, "data", &set.DataDir, laid.DataDir)
-			lay(cmd, "platform", &set.Platform, laid.Platform)
-			lay(cmd, "founding", &set.FoundingSize, laid.FoundingSize)
+			override(cmd, "data", &set.DataDir, laid.DataDir)
+			override(cmd, "platform", &set.Platform, laid.Platform)
+			override(cmd, "founding", &set.FoundingSize, laid.FoundingSize)
 			return runControlNode(cmd, set)
 		},
 	}
@@ -71,7 +71,7 @@
 
 func gatewayCommand() *cobra.Command {
 	set := settings.Gateway{MaxQueue: 512, MaxBodyKB: 1024, DrainMs: 30_000}
-	place := place{&set.Name, &set.Listen, &set.Advertise, &set.Zone, &set.Seeds}
+	place := location{&set.Name, &set.Listen, &set.Advertise, &set.Zone, &set.Seeds}
 	var file string
 	cmd := &cobra.Command{
 		Use:   "gateway",
@@ -89,9 +89,9 @@
 			if f := place.read(cmd, file, &set); f != nil {
 				return f
 			}
-			lay(cmd, "backlog-max", &set.MaxQueue, laid.MaxQueue)
-			lay(cmd, "body-max-kb", &set.MaxBodyKB, laid.MaxBodyKB)
-			lay(cmd, "drain-ms", &set.DrainMs, laid.DrainMs)
+			override(cmd, "backlog-max", &set.MaxQueue, laid.MaxQueue)
+			override(cmd, "body-max-kb", &set.MaxBodyKB, laid.MaxBodyKB)
+			override(cmd, "drain-ms", &set.DrainMs, laid.DrainMs)
 			if f := set.Check(); f != nil {
 				return f
 			}
@@ -108,13 +108,13 @@
 	return cmd
 }
 
-// place is what every process is told of where it is.
-type place struct {
+// location is what every process is told of where it is.
+type location struct {
 	name, listen, advertise, zone *string
 	seeds                         *[]string
 }
 
-func (p place) flags(cmd *cobra.Command, unique string) {
+func (p location) flags(cmd *cobra.Command, unique string) {
 	flags := cmd.Flags()
 	flags.StringVar(p.name, "name", "", unique)
 	flags.StringVar(p.listen, "listen", "", "IP:port to listen on")
@@ -124,27 +124,27 @@
 }
 
 // read reads a settings file, and lays on it what the flags said of the place.
-func (p place) read(cmd *cobra.Command, file string, into any) *fault.Fault {
+func (p location) read(cmd *cobra.Command, file string, into any) *fault.Fault {
 	name, listen, advertise, zone, seeds := *p.name, *p.listen, *p.advertise, *p.zone, slices.Clone(*p.seeds)
 	if f := settings.Read(file, into); f != nil {
 		return f
 	}
-	lay(cmd, "name", p.name, name)
-	lay(cmd, "listen", p.listen, listen)
-	lay(cmd, "advertise", p.advertise, advertise)
-	lay(cmd, "zone", p.zone, zone)
-	lay(cmd, "seeds", p.seeds, seeds)
+	override(cmd, "name", p.name, name)
+	override(cmd, "listen", p.listen, listen)
+	override(cmd, "advertise", p.advertise, advertise)
+	override(cmd, "zone", p.zone, zone)
+	override(cmd, "seeds", p.seeds, seeds)
 	return nil
 }
 
-// lay lets a flag that was given win over the file.
-func lay[T any](cmd *cobra.Command, flag string, into *T, given T) {
+// override lets a flag that was given win over the file.
+func override[T any](cmd *cobra.Command, flag string, into *T, value T) {
 	if cmd.Flags().Changed(flag) {
-		*into = given
+		*into = value
 	}
 }
 
-func run(cmd *cobra.Command, ring *logring.Ring, serve func(contextOf) error) error {
+func run(cmd *cobra.Command, ring *logring.Ring, serve func(serveContext) error) error {
 	defer func() {
 		if r := recover(); r != nil {
 			ring.Dump("panic")
--- a/cmd/petreltide/member.go
+++ b/cmd/petreltide/member.go
@@ -80,27 +80,27 @@
 func printMembers(cmd *cobra.Command, st controlnode.Status) {
 	out := cmd.OutOrStdout()
 	fmt.Fprintf(out, "view %d, seen by %s\n", st.View.Number, st.ControlNode.ID)
-	heard := map[string]string{st.ControlNode.ID: fmt.Sprintf("%s, log up to %d", st.Phase, st.Last)}
+	states := map[string]string{st.ControlNode.ID: fmt.Sprintf("%s, log up to %d", st.Phase, st.Last)}
 	for _, p := range st.Peers {
-		heard[p.Member.ID] = fmt.Sprintf("%s, log up to %d, heard %d ms ago", p.Phase, p.Last, p.LastHelloAgoMs)
+		states[p.Member.ID] = fmt.Sprintf("%s, log up to %d, heard %d ms ago", p.Phase, p.Last, p.LastHelloAgoMs)
 	}
 	for _, v := range st.View.Voters {
-		seat := "no seat"
+		position := "no seat"
 		for i, s := range st.View.Replicas {
 			if s.ID == v.ID {
-				seat = fmt.Sprintf("seat %d of %d", i+1, len(st.View.Replicas))
+				position = fmt.Sprintf("seat %d of %d", i+1, len(st.View.Replicas))
 			}
 		}
-		state := heard[v.ID]
+		state := states[v.ID]
 		if state == "" {
 			state = "not heard"
 		}
-		fmt.Fprintf(out, "vote   %-10s %-22s %s, zone %s, %s: %s\n", v.Name, v.ID, v.Addr, v.Zone, seat, state)
-		delete(heard, v.ID)
+		fmt.Fprintf(out, "vote   %-10s %-22s %s, zone %s, %s: %s\n", v.Name, v.ID, v.Addr, v.Zone, position, state)
+		delete(states, v.ID)
 	}
 	for _, p := range st.Peers {
-		if _, left := heard[p.Member.ID]; left {
-			fmt.Fprintf(out, "other  %-10s %-22s %s: %s\n", p.Member.Name, p.Member.ID, p.Member.Addr, heard[p.Member.ID])
+		if _, left := states[p.Member.ID]; left {
+			fmt.Fprintf(out, "other  %-10s %-22s %s: %s\n", p.Member.Name, p.Member.ID, p.Member.Addr, states[p.Member.ID])
 		}
 	}
 	if st.Member != nil {
--- a/cmd/petreltide/operators.go
+++ b/cmd/petreltide/operators.go
@@ -20,53 +20,53 @@
 	"petreltide/internal/controlplane/placement"
 )
 
-type contextOf = context.Context
+type serveContext = context.Context
 
 type controlNodes struct {
 	addrs []string
 }
 
-func (o *controlNodes) flag(cmd *cobra.Command) {
-	cmd.Flags().StringSliceVar(&o.addrs, "control-node", []string{"127.0.0.1:7100"}, "IP:port of control nodes to try in turn")
+func (c *controlNodes) flag(cmd *cobra.Command) {
+	cmd.Flags().StringSliceVar(&c.addrs, "control-node", []string{"127.0.0.1:7100"}, "IP:port of control nodes to try in turn")
 	deprecateFlag(cmd, "office", "control-node")
 }
 
-type answer struct {
+type response struct {
 	status int
 	body   []byte
 }
 
 // ask tries each control node in turn; only a control node that could not be reached is passed over.
-func (o *controlNodes) ask(ctx context.Context, method, path string, body []byte) (answer, error) {
+func (c *controlNodes) ask(ctx context.Context, method, path string, body []byte) (response, error) {
 	var last error
-	for _, addr := range o.addrs {
+	for _, addr := range c.addrs {
 		a, err := askOne(ctx, method, "http://"+addr+path, body)
 		if err == nil {
 			return a, nil
 		}
 		last = err
 	}
-	return answer{}, fault.New(fault.NotServing, "control-node", "no control node answered: %v", last)
+	return response{}, fault.New(fault.NotServing, "control-node", "no control node answered: %v", last)
 }
 
-func askOne(ctx context.Context, method, url string, body []byte) (answer, error) {
+func askOne(ctx context.Context, method, url string, body []byte) (response, error) {
 	ctx, done := context.WithTimeout(ctx, 15*time.Second)
 	defer done()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return answer{}, errors.Trace(err)
+		return response{}, errors.Trace(err)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answer{}, errors.Trace(err)
+		return response{}, errors.Trace(err)
 	}
 	defer res.Body.Close()
 	raw, err := io.ReadAll(res.Body)
-	return answer{res.StatusCode, raw}, errors.Trace(err)
+	return response{res.StatusCode, raw}, errors.Trace(err)
 }
 
-func (a answer) fault() error {
+func (a response) fault() error {
 	if a.status < 300 {
 		return nil
 	}
@@ -132,7 +132,7 @@
 	return cmd
 }
 
-func show(cmd *cobra.Command, a answer, err error) error {
+func show(cmd *cobra.Command, a response, err error) error {
 	if err == nil {
 		err = a.fault()
 	}
@@ -150,7 +150,7 @@
 }
 
 // read asks for a page and decodes it.
-func read(ctx context.Context, o *controlNodes, path string, into any) (answer, error) {
+func read(ctx context.Context, o *controlNodes, path string, into any) (response, error) {
 	a, err := o.ask(ctx, http.MethodGet, path, nil)
 	if err == nil {
 		err = a.fault()
--- a/cmd/petreltide/print.go
+++ b/cmd/petreltide/print.go
@@ -12,8 +12,8 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// mostShown is how many steps are named of a policy that parted from the live one.
-const mostShown = 3
+// maxStepsShown is how many steps are named of a policy that parted from the live one.
+const maxStepsShown = 3
 
 // printStatus shows a control node's status for a person, a line a fact.
 func printStatus(w io.Writer, st controlnode.Status) {
@@ -38,12 +38,12 @@
 
 // printControlNode shows the control node itself, what is committed, and its view of the others and of gateways.
 func printControlNode(w io.Writer, st controlnode.Status) {
-	seats := []string{}
+	order := []string{}
 	for _, s := range st.View.Replicas {
-		seats = append(seats, s.ID)
+		order = append(order, s.ID)
 	}
 	fmt.Fprintf(w, "node      %s (%s), zone %s\n", st.ControlNode.ID, st.Phase, st.ControlNode.Zone)
-	fmt.Fprintf(w, "view      %d: %s\n", st.View.Number, strings.Join(seats, " > "))
+	fmt.Fprintf(w, "view      %d: %s\n", st.View.Number, strings.Join(order, " > "))
 	if st.WaitingFor != "" {
 		fmt.Fprintf(w, "waits for %s\n", st.WaitingFor)
 	}
@@ -67,11 +67,11 @@
 func printReplicas(w io.Writer, replicas []statemachine.Replica) {
 	for i := range replicas {
 		r := &replicas[i]
-		var heldMb int64
+		var loadedMB int64
 		for _, mb := range r.Resident {
-			heldMb += mb
+			loadedMB += mb
 		}
-		fmt.Fprintf(w, "replica   %s zone %s %s: %d held, %d of %d MB\n", r.ID, r.Zone, listedState(r), len(r.Resident), heldMb, r.CapacityMB)
+		fmt.Fprintf(w, "replica   %s zone %s %s: %d held, %d of %d MB\n", r.ID, r.Zone, listedState(r), len(r.Resident), loadedMB, r.CapacityMB)
 	}
 }
 
@@ -98,14 +98,14 @@
 		fmt.Fprintf(w, "shadow    %s: %d runs, %d faulted", s.Name, s.Runs, s.Faulted)
 		if s.Difference != nil {
 			fmt.Fprintf(w, "; parted from %s in %d of %d%s%s", st.Policy.Name, s.Difference.Runs-s.Difference.Same, s.Difference.Runs,
-				most("; it alone would", s.Difference.Only), most("; it would not", s.Difference.Left))
+				topSteps("; it alone would", s.Difference.Only), topSteps("; it would not", s.Difference.Left))
 		}
 		fmt.Fprintln(w)
 	}
 }
 
-// most names the three steps that came up most often.
-func most(intro string, steps map[string]uint64) string {
+// topSteps names the three steps that came up most often.
+func topSteps(intro string, steps map[string]uint64) string {
 	names := slices.SortedFunc(maps.Keys(steps), func(a, b string) int {
 		if steps[a] != steps[b] {
 			return int(int64(steps[b]) - int64(steps[a]))
@@ -113,7 +113,7 @@
 		return strings.Compare(a, b)
 	})
 	text := ""
-	for i, name := range names[:min(mostShown, len(names))] {
+	for i, name := range names[:min(maxStepsShown, len(names))] {
 		before := ","
 		if i == 0 {
 			before = intro
--- a/cmd/petreltide/query.go
+++ b/cmd/petreltide/query.go
@@ -101,14 +101,14 @@
 	if err != nil {
 		return nil, fault.New(fault.BadField, "query", "%v", err)
 	}
-	wanted := map[string]string{"status": "/v1/status"}
+	paths := map[string]string{"status": "/v1/status"}
 	syntax.Walk(expr, func(n syntax.Node) bool {
 		if id, ok := n.(*syntax.Ident); ok && (id.Name == "state" || id.Name == "config") {
-			wanted[id.Name] = "/v1/" + id.Name
+			paths[id.Name] = "/v1/" + id.Name
 		}
 		return true
 	})
-	return wanted, nil
+	return paths, nil
 }
 
 func query(cmd *cobra.Command, o *controlNodes, text string) error {
@@ -116,11 +116,11 @@
 	thread := &starlark.Thread{Name: "query"}
 	thread.SetMaxExecutionSteps(50_000_000)
 	dialect := &syntax.FileOptions{Set: true}
-	wanted, err := pages(dialect, text)
+	paths, err := pages(dialect, text)
 	if err != nil {
 		return err
 	}
-	for name, path := range wanted {
+	for name, path := range paths {
 		a, err := o.ask(cmd.Context(), http.MethodGet, path, nil)
 		if err == nil {
 			err = a.fault()
--- a/cmd/petreltide/replay.go
+++ b/cmd/petreltide/replay.go
@@ -15,7 +15,7 @@
 
 func replayCommand() *cobra.Command {
 	var gateway string
-	var pace float64
+	var speed float64
 	cmd := &cobra.Command{
 		Use:   "replay FILE.har --gateway IP:port",
 		Short: "Send the calls recorded in a HAR file to a gateway and sum what became of them",
@@ -23,7 +23,7 @@
 recorded or a factor of it, and sum the outcomes by kind. Idempotency keys are not sent again.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if pace <= 0 || gateway == "" {
+			if speed <= 0 || gateway == "" {
 				return fault.New(fault.BadField, "", "name a --gateway, and a --pace above 0")
 			}
 			raw, err := os.ReadFile(args[0])
@@ -36,7 +36,7 @@
 			}
 			out := cmd.OutOrStdout()
 			fmt.Fprintf(out, "%-16s %7s %7s %10s %10s  others\n", "kind", "calls", "ended", "first p50", "p95")
-			for _, row := range replay.Play(cmd.Context(), rpc.Client(1000, ""), gateway, calls, pace) {
+			for _, row := range replay.Play(cmd.Context(), rpc.Client(1000, ""), gateway, calls, speed) {
 				codes := []string{}
 				for code, n := range row.Codes {
 					codes = append(codes, fmt.Sprintf("%s %d", code, n))
@@ -49,6 +49,6 @@
 	}
 	cmd.Flags().StringVar(&gateway, "gateway", "", "IP:port of the gateway")
 	deprecateFlag(cmd, "desk", "gateway")
-	cmd.Flags().Float64Var(&pace, "pace", 1, "2 is twice as fast as recorded")
+	cmd.Flags().Float64Var(&speed, "pace", 1, "2 is twice as fast as recorded")
 	return cmd
 }
--- a/cmd/petreltide/status.go
+++ b/cmd/petreltide/status.go
@@ -74,28 +74,28 @@
 	}
 	fmt.Fprintf(w, "gateways  %d live: %s\n", len(f.Gateways), strings.Join(f.Gateways, ", "))
 	for _, r := range f.Replicas {
-		fmt.Fprintln(w, replicaLine(r))
+		fmt.Fprintln(w, replicaText(r))
 	}
 }
 
-func replicaLine(r controlnode.ReplicaStatus) string {
-	line := fmt.Sprintf("replica   %s %s zone %s %s", r.ID, r.Service, r.Zone, r.State)
+func replicaText(r controlnode.ReplicaStatus) string {
+	text := fmt.Sprintf("replica   %s %s zone %s %s", r.ID, r.Service, r.Zone, r.State)
 	if r.LeftMs != nil {
-		line += fmt.Sprintf(", %d ms left", *r.LeftMs)
+		text += fmt.Sprintf(", %d ms left", *r.LeftMs)
 	}
 	if r.Stage != "" {
-		line += ", " + r.Stage
+		text += ", " + r.Stage
 	}
 	if r.AgoMs >= 0 {
-		line += fmt.Sprintf(", last heartbeat %d ms ago", r.AgoMs)
+		text += fmt.Sprintf(", last heartbeat %d ms ago", r.AgoMs)
 	}
 	if r.CapacityMb > 0 {
-		line += fmt.Sprintf(": %d held, %d of %d MB", len(r.Units), r.ReservedMb, r.CapacityMb)
+		text += fmt.Sprintf(": %d held, %d of %d MB", len(r.Units), r.ReservedMb, r.CapacityMb)
 	}
 	if r.Order != nil {
-		line += fmt.Sprintf("; command %d: %s %s", r.Order.Number, r.Order.Action, r.Order.Unit)
+		text += fmt.Sprintf("; command %d: %s %s", r.Order.Number, r.Order.Action, r.Order.Unit)
 	}
-	return line
+	return text
 }
 
 // gatewayStatus asks one gateway, at the address of its own port.
@@ -111,7 +111,7 @@
 	return err
 }
 
-func gatewayOf(a answer) (gateway.Status, error) {
+func gatewayOf(a response) (gateway.Status, error) {
 	st := gateway.Status{}
 	if err := a.fault(); err != nil {
 		return st, err
--- a/internal/dataplane/gateway/calls.go
+++ b/internal/dataplane/gateway/calls.go
@@ -45,9 +45,9 @@
 		f.RetryMs = undeclaredRetryMs
 		return nil, nil, false, f
 	}
-	last := r.Header.Get("Last-Event-Id")
+	lastEventID := r.Header.Get("Last-Event-Id")
 	nonResumable := request.Resumable != nil && !*request.Resumable
-	kind, bad := s.Lookup(scheduling.Lookup{Kind: request.Kind, Model: request.Model, Adapter: request.Adapter, NonRepeatable: nonResumable, Resuming: last != ""}, clock.NowUs(), h.leaseUs.Load())
+	kind, bad := s.Lookup(scheduling.Lookup{Kind: request.Kind, Model: request.Model, Adapter: request.Adapter, NonRepeatable: nonResumable, Resuming: lastEventID != ""}, clock.NowUs(), h.leaseUs.Load())
 	if bad == nil {
 		bad = request.check(r.Header.Get("Idempotency-Key"))
 	}
@@ -58,7 +58,7 @@
 		ID: h.settings.Name + "-" + controlnode.RandomID(8), Kind: kind.Name, Model: request.Model, Adapter: request.Adapter,
 		Prefix: request.Prefix, NonRepeatable: nonResumable, TimeoutMs: request.DeadlineMs, ArrivedUs: clock.NowUs(),
 	}
-	if f := resumeAt(last, request, c); f != nil {
+	if f := applyLastEventID(lastEventID, request, c); f != nil {
 		return nil, nil, false, f
 	}
 	return request, c, kind.Resumable && !nonResumable, nil
@@ -97,18 +97,18 @@
 	return nil
 }
 
-// resumeAt lets a caller go on at any gateway: it names the last piece and sends all it holds.
-func resumeAt(last string, request *CallRequest, c *scheduling.Call) *fault.Fault {
-	if last == "" {
+// applyLastEventID lets a caller go on at any gateway: it names the last piece and sends all it holds.
+func applyLastEventID(lastEventID string, request *CallRequest, c *scheduling.Call) *fault.Fault {
+	if lastEventID == "" {
 		if len(request.Received) > 0 {
 			return fault.New(fault.BadLastEventID, "Last-Event-Id", "pieces are sent without it")
 		}
 		return nil
 	}
-	n, err := strconv.Atoi(last)
+	n, err := strconv.Atoi(lastEventID)
 	switch {
-	case err != nil || n < 0 || strconv.Itoa(n) != last:
-		return fault.New(fault.BadLastEventID, "Last-Event-Id", "%q is not a piece number", last)
+	case err != nil || n < 0 || strconv.Itoa(n) != lastEventID:
+		return fault.New(fault.BadLastEventID, "Last-Event-Id", "%q is not a piece number", lastEventID)
 	case n != len(request.Received):
 		return fault.New(fault.BadLastEventID, "had", "%d pieces are sent, the last one named is %d", len(request.Received), n)
 	}
--- a/internal/dataplane/gateway/host.go
+++ b/internal/dataplane/gateway/host.go
@@ -43,10 +43,10 @@
 	nodeClient    *http.Client
 	attemptClient *http.Client
 
-	snapshot     atomic.Pointer[scheduling.Snapshot]
-	leaseUs      atomic.Int64
-	activeCalls  atomic.Int64
-	callSequence atomic.Int64
+	snapshot    atomic.Pointer[scheduling.Snapshot]
+	leaseUs     atomic.Int64
+	activeCalls atomic.Int64
+	callNumber  atomic.Int64
 
 	act          *actor.Actor
 	lastTickUs   int64
--- a/internal/dataplane/gateway/informer.go
+++ b/internal/dataplane/gateway/informer.go
@@ -62,7 +62,7 @@
 	h.activeCalls.Add(1)
 	defer h.activeCalls.Add(-1)
 	if c.ID == "" {
-		c.ID = h.incarnation + "-" + strconv.FormatInt(h.callSequence.Add(1), 36)
+		c.ID = h.incarnation + "-" + strconv.FormatInt(h.callNumber.Add(1), 36)
 	}
 	if c.ArrivedUs == 0 {
 		c.ArrivedUs = clock.NowUs()
