--- a/internal/controlplane/statemachine/commands.go
+++ b/internal/controlplane/statemachine/commands.go
@@ -7,39 +7,47 @@
 	"petreltide/internal/api/fault"
 )
 
-// Action is what an order asks of a replica.
+// Action is what a command asks of a replica.
 type Action string
 
-// The steps of an order.
+// The actions of a command.
 const (
 	Load   Action = "load"
 	Unload Action = "unload"
 )
 
-// ReplicaCommand is an order that stands: at most one for each replica, numbered without gaps, fenced by its epoch.
+// ReplicaCommand tells one incarnation of a replica to load or unload one unit. A replica has at most one pending
+// command; commands are numbered without gaps together with grants, and fenced by the epoch they were issued under.
 type ReplicaCommand struct {
-	Number      uint64 `json:"number"`
-	Epoch       uint64 `json:"epoch"`
+	// Number and Epoch are given by the state as the command is issued.
+	Number uint64 `json:"number"`
+	Epoch  uint64 `json:"epoch"`
+	// Revision is the one that the command was proposed under; it is refused under any other.
 	Revision    uint64 `json:"revision"`
 	Replica     string `json:"replica"`
 	Incarnation string `json:"inc"`
 	Action      Action `json:"step"`
-	Unit        string `json:"unit"`
-	SizeMB      int64  `json:"sizeMb"`
-	Reason      string `json:"why,omitempty"`
+	// Unit is a model, or an adapter as "model/adapter".
+	Unit string `json:"unit"`
+	// SizeMB is the unit's size: the declared one of a load, the recorded one of an unload. The state fills it in.
+	SizeMB int64 `json:"sizeMb"`
+	// Reason is the placement policy's, for people; empty where it gave none.
+	Reason string `json:"why,omitempty"`
 }
 
-// CommandResult ends a ticket. With Orders, Holds is all that the replica holds once it has taken that many orders;
-// without, nothing is known but that the ticket was done or was not.
+// CommandResult resolves a pending command. With CommandsTaken, Resident is all that the replica holds once it has taken
+// that many commands; without, nothing is known but whether the command succeeded.
 type CommandResult struct {
-	Number        uint64         `json:"number"`
-	Succeeded     bool           `json:"done"`
+	// Number is the command's.
+	Number    uint64 `json:"number"`
+	Succeeded bool   `json:"done"`
+	// Reason is why it did not succeed, for people.
 	Reason        string         `json:"why,omitempty"`
 	CommandsTaken *uint64        `json:"orders,omitempty"`
 	Resident      []ResidentUnit `json:"holds,omitempty"`
 }
 
-// PendingLoads is how many loads stand.
+// PendingLoads returns how many loads are pending.
 func (s *State) PendingLoads() int {
 	loads := 0
 	for _, command := range s.Pending {
@@ -50,6 +58,8 @@
 	return loads
 }
 
+// resolveCommand ends a pending command and reports whether gateways must learn of it. The result of a command that is
+// not pending, or of a former incarnation, changes no replica.
 func (s *State) resolveCommand(result CommandResult) bool {
 	for id, command := range s.Pending {
 		if command.Number != result.Number {
@@ -77,7 +87,7 @@
 	return false
 }
 
-// applyCommand changes what a replica holds as a ticket says.
+// applyCommand records what a command that succeeded did; a model that is unloaded takes its adapters with it.
 func (s *State) applyCommand(replica *Replica, command ReplicaCommand) {
 	if command.Action == Load {
 		replica.Resident[command.Unit] = command.SizeMB
@@ -94,6 +104,7 @@
 	}
 }
 
+// issueCommand numbers a command and makes it pending, or says why it can't be.
 func (s *State) issueCommand(epoch uint64, command ReplicaCommand) *fault.Fault {
 	r := s.Replicas[command.Replica]
 	if r == nil || r.Incarnation != command.Incarnation {
@@ -105,47 +116,57 @@
 	if _, busy := s.Pending[command.Replica]; busy {
 		return fault.New(fault.ReplicaBusy, command.Replica, "an order is pending")
 	}
-	_, resident := r.Resident[command.Unit]
+	sizeMB, resident := r.Resident[command.Unit]
 	switch command.Action {
 	case Load:
 		if resident {
 			return fault.New(fault.UnitAlreadyLoaded, command.Replica, "%s is already held", command.Unit)
 		}
-		if s.Doc == nil {
-			return fault.New(fault.PolicyInvalidResult, command.Unit, "no declaration yet")
-		}
-		sizeMB, known := s.unitSize(r, command.Unit)
-		if !known {
-			return fault.New(fault.PolicyInvalidResult, command.Unit, "no such model or adapter")
-		}
-		command.SizeMB = sizeMB
-		if f := s.checkAdapter(r, command.Unit); f != nil {
-			return f
-		}
-		if reservedMB := s.ReservedMB(command.Replica); reservedMB+sizeMB > r.CapacityMB {
-			return fault.New(fault.InsufficientCapacity, command.Replica, "%s takes %d MB, %d of %d MB are taken", command.Unit, sizeMB, reservedMB, r.CapacityMB)
-		}
-		if !s.Doc.Routed() && s.PendingLoads() >= s.Doc.Store.Loads {
-			return fault.New(fault.StoreRateLimited, command.Replica, "%d loads are running", s.PendingLoads())
+		var refusal *fault.Fault
+		if sizeMB, refusal = s.checkLoad(r, command.Unit); refusal != nil {
+			return refusal
 		}
 	case Unload:
 		if !resident {
 			return fault.New(fault.UnitNotLoaded, command.Replica, "%s is not held", command.Unit)
 		}
-		command.SizeMB = r.Resident[command.Unit]
 	default:
 		return fault.New(fault.PolicyInvalidResult, command.Replica, "no such step %q", command.Action)
 	}
-	command.Number, command.Epoch = s.NextNumber, epoch
+	command.Number, command.Epoch, command.SizeMB = s.NextNumber, epoch, sizeMB
 	s.NextNumber++
 	s.Pending[command.Replica] = command
 	s.CommandsIndex = s.Index
 	if command.Action == Unload {
+		// Gateways stop sending requests for a unit before it goes.
 		s.UpdateIndex = s.Index
 	}
 	return nil
 }
 
+// checkLoad returns the size of a unit that a replica may load: it is declared, fits beside all that is reserved, and
+// the weight store has a load to spare.
+func (s *State) checkLoad(r *Replica, unit string) (int64, *fault.Fault) {
+	if s.Doc == nil {
+		return 0, fault.New(fault.PolicyInvalidResult, unit, "no declaration yet")
+	}
+	sizeMB, known := s.unitSize(r, unit)
+	if !known {
+		return 0, fault.New(fault.PolicyInvalidResult, unit, "no such model or adapter")
+	}
+	if f := s.checkAdapter(r, unit); f != nil {
+		return 0, f
+	}
+	if reservedMB := s.ReservedMB(r.ID); reservedMB+sizeMB > r.CapacityMB {
+		return 0, fault.New(fault.InsufficientCapacity, r.ID, "%s takes %d MB, %d of %d MB are taken", unit, sizeMB, reservedMB, r.CapacityMB)
+	}
+	if !s.Doc.Routed() && s.PendingLoads() >= s.Doc.Store.Loads {
+		return 0, fault.New(fault.StoreRateLimited, r.ID, "%d loads are running", s.PendingLoads())
+	}
+	return sizeMB, nil
+}
+
+// unitSize returns the declared size of a unit in MB; false where the declaration does not know it.
 func (s *State) unitSize(r *Replica, unit string) (int64, bool) {
 	if r.Service != "" {
 		sizeMB, _, known := s.Doc.EngineUnitSize(r.Service, unit)
@@ -155,7 +176,7 @@
 	return sizeMB, known
 }
 
-// checkAdapter: an adapter of a service's model needs the model there, and one of the replica's places.
+// checkAdapter refuses an adapter whose model is not resident, or for which the replica has no place left. Models pass.
 func (s *State) checkAdapter(r *Replica, unit string) *fault.Fault {
 	model, adapter := configuration.SplitUnit(unit)
 	if r.Service == "" || adapter == "" {
--- a/internal/controlplane/statemachine/configuration.go
+++ b/internal/controlplane/statemachine/configuration.go
@@ -1,42 +1,61 @@
 package statemachine
 
 import (
-	"encoding/json"
-	"slices"
-
 	"petreltide/internal/api/configuration"
 	"petreltide/internal/api/fault"
 )
 
-// ConfigChange is a whole declaration, or an edit of the one in force. With a version of the operators'
-// own, Base is the version it builds on, and the same order sent again is known by the change's id.
+// ConfigChange is a complete declaration, or an edit of the one in force. A change that is sent again is known by the ID
+// of its Change.
 type ConfigChange struct {
-	Base    uint64                     `json:"base"`
-	Version uint64                     `json:"version,omitempty"`
-	Doc     *configuration.Declaration `json:"doc,omitempty"`
-	Edit    *configuration.Edit        `json:"edit,omitempty"`
+	// Base is what the change builds on: the version in force where Version is set, else the revision.
+	Base uint64 `json:"base"`
+	// Version is the operators' own number of what the change leads to; 0 where they don't number declarations.
+	Version uint64 `json:"version,omitempty"`
+	// Doc is the complete declaration; nil beside an edit.
+	Doc *configuration.Declaration `json:"doc,omitempty"`
+	// Edit changes the declaration in force. It needs a Version, and wins over Doc.
+	Edit *configuration.Edit `json:"edit,omitempty"`
+}
+
+// Version returns the operators' own number of the declaration in force; 0 where it has none.
+func (s *State) Version() uint64 {
+	if s.Doc == nil {
+		return 0
+	}
+	return s.Doc.Version
 }
 
+// applyConfig puts a declaration in force, or answers as before where the change was sent before.
 func (s *State) applyConfig(out Outcome, c Change) Outcome {
 	if first, seen := s.rememberedOutcome(c.ID); seen {
 		return first
 	}
 	if c.Config.Version > 0 {
-		return s.applyVersion(out, c)
+		return s.applyVersion(out, c.Config)
 	}
-	if s.Version() > 0 {
+	return s.applyUnnumbered(out, c.Config)
+}
+
+// applyUnnumbered takes a complete declaration without a version. Each outcome is remembered but one in doubt, which is
+// judged anew when the change is sent again.
+func (s *State) applyUnnumbered(out Outcome, change *ConfigChange) Outcome {
+	switch {
+	case s.Version() > 0:
 		out.Fault = fault.New(fault.InvalidConfig, "version", "version %d is in force: send a numbered one", s.Version())
-	} else if c.Config.Base != s.Revision {
-		if out = s.refuseStaleBase(out, c.Config.Base, s.Revision, c.Config.Base+1); out.Fault.Code == fault.InDoubt {
+	case change.Base != s.Revision:
+		out = s.refuseStaleBase(out, change.Base, s.Revision, change.Base+1)
+		if out.Fault.Code == fault.InDoubt {
 			return out
 		}
-	} else if c.Config.Doc == nil {
+	case change.Doc == nil:
 		out.Fault = fault.New(fault.InvalidConfig, "", "no declaration")
-	} else if f := s.checkModelSizes(c.Config.Doc); f != nil {
-		out.Fault = f
-	} else {
+	default:
+		out.Fault = s.checkModelSizes(change.Doc)
+	}
+	if out.Fault == nil {
 		s.Revision++
-		s.Doc = c.Config.Doc
+		s.Doc = change.Doc
 		s.UpdateIndex = s.Index
 		s.dropPassedRefusals(s.Revision)
 	}
@@ -45,43 +64,16 @@
 	return out
 }
 
-// Version is the operators' own number of the declaration in force.
-func (s *State) Version() uint64 {
-	if s.Doc == nil {
-		return 0
-	}
-	return s.Doc.Version
-}
-
-// applyVersion takes an operator's numbered version. What was taken is remembered, and so is a refusal that would not
-// be given again (see refuseStaleBase). Any other refusal is judged anew, and found again: versions only rise, and what is
-// invalid on top of one version stays invalid on top of it. Only what is in force without a number may change and leave
-// the version as it is: a refusal on top of that is remembered too.
-func (s *State) applyVersion(out Outcome, c Change) Outcome {
+// applyVersion takes an operator's numbered version. What was applied is remembered, and so is a refusal that would not
+// be given again (see refuseStaleBase). Any other refusal is judged anew, and found again: versions only rise, and what
+// is invalid on top of one version stays invalid on top of it. Only what is in force without a number may change and
+// leave the version as it is: a refusal on top of that is remembered too.
+func (s *State) applyVersion(out Outcome, change *ConfigChange) Outcome {
 	out.Revision = s.Version()
-	doc := c.Config.Doc
-	if c.Config.Base != s.Version() {
-		return s.refuseStaleBase(out, c.Config.Base, s.Version(), c.Config.Version)
-	}
-	var invalid *fault.Fault
-	switch {
-	case c.Config.Version <= s.Version():
-		invalid = fault.New(fault.InvalidConfig, "version", "%d is not above %d", c.Config.Version, s.Version())
-	case c.Config.Edit != nil && s.Doc == nil:
-		invalid = fault.New(fault.InvalidConfig, "", "nothing is in force that could be edited")
-	case c.Config.Edit != nil:
-		doc, invalid = s.Doc.Apply(c.Config.Edit)
-	case doc == nil:
-		invalid = fault.New(fault.InvalidConfig, "", "neither a declaration nor an edit")
-	}
-	switch {
-	case invalid != nil:
-	case c.Config.Edit != nil && s.Version() > 0:
-		// What is in force without a number has not been checked so.
-		invalid = doc.CheckEdited(c.Config.Edit)
-	default:
-		invalid = doc.CheckRoutes()
+	if change.Base != s.Version() {
+		return s.refuseStaleBase(out, change.Base, s.Version(), change.Version)
 	}
+	declaration, invalid := s.declarationAfter(change)
 	if invalid != nil {
 		out.Fault = invalid
 		if s.Version() == 0 {
@@ -89,13 +81,13 @@
 		}
 		return out
 	}
-	if c.Config.Edit != nil {
-		s.retainEdit(AppliedEdit{From: s.Revision, Edit: c.Config.Edit})
+	if change.Edit != nil {
+		s.retainEdit(AppliedEdit{From: s.Revision, Edit: change.Edit})
 	} else {
 		s.Edits = nil
 	}
 	s.Revision++
-	s.Doc = doc.Indexed()
+	s.Doc = declaration.Indexed()
 	s.UpdateIndex = s.Index
 	out.Revision = s.Version()
 	s.dropPassedRefusals(s.Version())
@@ -103,46 +95,32 @@
 	return out
 }
 
-const (
-	maxEdits            = 32
-	maxEditBytes        = 1 << 20
-	maxRememberedFaults = 16
-)
-
-// AppliedEdit is the edit that led from one revision to the next, and what it takes in a copy.
-type AppliedEdit struct {
-	From  uint64              `json:"from"`
-	Edit  *configuration.Edit `json:"edit"`
-	Bytes int                 `json:"bytes"`
-}
-
-// retainEdit keeps the newest edits, as many as there is room for.
-func (s *State) retainEdit(e AppliedEdit) {
-	raw, err := json.Marshal(e.Edit)
-	if err != nil {
-		panic(err)
-	}
-	e.Bytes = len(raw)
-	all := append(slices.Clone(s.Edits), e)
-	from, bytes := len(all), 0
-	for from > 0 && len(all)-from < maxEdits && bytes+all[from-1].Bytes <= maxEditBytes {
-		from--
-		bytes += all[from].Bytes
+// declarationAfter returns what a numbered change on top of what is in force leads to, checked.
+func (s *State) declarationAfter(change *ConfigChange) (*configuration.Declaration, *fault.Fault) {
+	if change.Version <= s.Version() {
+		return nil, fault.New(fault.InvalidConfig, "version", "%d is not above %d", change.Version, s.Version())
 	}
-	s.Edits = slices.Clone(all[from:])
-}
-
-// EditsSince are the edits that lead from a revision to the one in force; false where they are not kept.
-func (s *State) EditsSince(revision uint64) ([]*configuration.Edit, bool) {
-	edits := []*configuration.Edit{}
-	for _, e := range s.Edits {
-		if e.From >= revision {
-			edits = append(edits, e.Edit)
+	if change.Edit == nil {
+		if change.Doc == nil {
+			return nil, fault.New(fault.InvalidConfig, "", "neither a declaration nor an edit")
 		}
+		return change.Doc, change.Doc.CheckRoutes()
+	}
+	if s.Doc == nil {
+		return nil, fault.New(fault.InvalidConfig, "", "nothing is in force that could be edited")
+	}
+	edited, invalid := s.Doc.Apply(change.Edit)
+	if invalid != nil {
+		return nil, invalid
+	}
+	if s.Version() == 0 {
+		// What is in force without a number was never checked as routes are: the edit alone is not enough.
+		return edited, edited.CheckRoutes()
 	}
-	return edits, revision <= s.Revision && uint64(len(edits)) == s.Revision-revision
+	return edited, edited.CheckEdited(change.Edit)
 }
 
+// checkModelSizes refuses a declaration with a model that fits no known replica. Without known replicas all pass.
 func (s *State) checkModelSizes(declaration *configuration.Declaration) *fault.Fault {
 	var largestMB int64
 	for _, r := range s.Replicas {
--- a/internal/controlplane/statemachine/grants.go
+++ b/internal/controlplane/statemachine/grants.go
@@ -2,49 +2,52 @@
 
 import "petreltide/internal/api/fault"
 
-// Grant lets a gateway number its calls to a replica from From up to, not including, To.
+// maxGrantCount bounds the attempt numbers of one grant, so that a nonsensical request can't use up a replica's.
+const maxGrantCount = 1 << 20
+
+// Grant lets a gateway number its attempts at a replica from From up to, not including, To.
 type Grant struct {
-	Number             uint64 `json:"ticket"`
-	Epoch              uint64 `json:"epoch"`
+	// Number is the grant's own, from the same sequence as commands: a later grant has a higher one.
+	Number uint64 `json:"ticket"`
+	// Epoch is the leader's that issued it.
+	Epoch uint64 `json:"epoch"`
+	// Gateway and GatewayIncarnation are the process that may use it.
 	Gateway            string `json:"desk"`
 	GatewayIncarnation string `json:"deskInc"`
-	Replica            string `json:"replica"`
-	Incarnation        string `json:"inc"`
-	Model              string `json:"model"`
-	From               uint64 `json:"from"`
-	To                 uint64 `json:"to"`
+	// Replica and Incarnation are where its numbers count.
+	Replica     string `json:"replica"`
+	Incarnation string `json:"inc"`
+	// Model is the model that the attempts call.
+	Model string `json:"model"`
+	From  uint64 `json:"from"`
+	To    uint64 `json:"to"`
 }
 
-// Key names the one grant that a gateway has for a model at a replica.
-func (g Grant) Key() string { return g.Gateway + "|" + g.Replica + "|" + g.Model }
+// GrantKey identifies the one grant that a gateway has for a model at a replica, as snapshots name it:
+// "gateway|replica|model". It is compared and never cut open, as a name may hold the separator.
+type GrantKey string
+
+// Key returns the key of the grant in State.Grants.
+func (g Grant) Key() GrantKey { return GrantKey(g.Gateway + "|" + g.Replica + "|" + g.Model) }
 
-// GrantRequest asks for the next Count numbers.
+// GrantRequest asks for the next Count attempt numbers of a replica.
 type GrantRequest struct {
 	Gateway            string `json:"desk"`
 	GatewayIncarnation string `json:"deskInc"`
 	Replica            string `json:"replica"`
 	Incarnation        string `json:"inc"`
 	Model              string `json:"model"`
-	Count              uint64 `json:"count"`
-}
-
-func (s *State) removeGateway(id string) {
-	for key, g := range s.Grants {
-		if g.Gateway == id {
-			delete(s.Grants, key)
-		}
-	}
-	for _, r := range s.Replicas {
-		delete(r.Quotas, id)
-	}
+	// Count is from 1 to maxGrantCount.
+	Count uint64 `json:"count"`
 }
 
+// issueGrant replaces the gateway's grant for a model at a replica by the replica's next numbers.
 func (s *State) issueGrant(epoch uint64, request GrantRequest) *fault.Fault {
 	replica := s.Replicas[request.Replica]
 	if replica == nil || replica.Incarnation != request.Incarnation {
 		return fault.New(fault.ReplicaUnknown, request.Replica, "no such replica or another incarnation")
 	}
-	if request.Count == 0 || request.Count > 1<<20 {
+	if request.Count == 0 || request.Count > maxGrantCount {
 		return fault.New(fault.CommandRejected, request.Replica, "count %d", request.Count)
 	}
 	grant := Grant{
@@ -56,3 +59,24 @@
 	s.Grants[grant.Key()] = grant
 	return nil
 }
+
+// removeGrants drops all grants at a replica.
+func (s *State) removeGrants(replica string) {
+	for key, g := range s.Grants {
+		if g.Replica == replica {
+			delete(s.Grants, key)
+		}
+	}
+}
+
+// removeGateway drops the grants and quotas of a gateway that is gone for good.
+func (s *State) removeGateway(id string) {
+	for key, g := range s.Grants {
+		if g.Gateway == id {
+			delete(s.Grants, key)
+		}
+	}
+	for _, r := range s.Replicas {
+		delete(r.Quotas, id)
+	}
+}
--- a/internal/controlplane/statemachine/idempotency_keys.go
+++ b/internal/controlplane/statemachine/idempotency_keys.go
@@ -2,48 +2,56 @@
 
 import "petreltide/internal/api/fault"
 
+// MaxKeys bounds the idempotency keys that are remembered. A full table refuses new keys; it never evicts one early.
+const MaxKeys = 200_000
+
 // KeyRecord is who first used a caller's idempotency key, and how that call ended.
 type KeyRecord struct {
+	// Gateway and GatewayIncarnation are the process that claimed the key.
 	Gateway            string `json:"desk"`
 	GatewayIncarnation string `json:"deskInc"`
-	Call               string `json:"call"`
-	Ended              string `json:"ended,omitempty"`
-	Index              uint64 `json:"index"`
+	// Call is the gateway's ID of the call that claimed it.
+	Call string `json:"call"`
+	// Ended is how far the call had run when it ended, as the gateway put it; empty while it may still run.
+	Ended string `json:"ended,omitempty"`
+	// Index is the log index of the claim. Keys are forgotten from the lowest on.
+	Index uint64 `json:"index"`
 }
 
-// KeyChange takes an idempotency key for a call, ends it, or frees it.
+// KeyChange claims an idempotency key for a call, ends the call that has it, or releases it. Ending and releasing
+// count only for the call that claimed the key and has not ended.
 type KeyChange struct {
 	Key                string `json:"key"`
 	Gateway            string `json:"desk"`
 	GatewayIncarnation string `json:"deskInc"`
 	Call               string `json:"call"`
-	End                string `json:"end,omitempty"`
-	Release            bool   `json:"free,omitempty"`
+	// End is how far the call had run; empty in a claim. It has no effect beside Release.
+	End string `json:"end,omitempty"`
+	// Release frees the key, as the call did not run at all.
+	Release bool `json:"free,omitempty"`
 }
 
-func (s *State) applyKey(out *Outcome, c Change) {
-	change := c.Key
-	record, seen := s.Keys[change.Key]
-	mine := seen && record.GatewayIncarnation == change.GatewayIncarnation && record.Call == change.Call
+// applyKey claims, ends or releases a key. A claim's outcome holds the record of whoever has the key, and is Repeated
+// where that is another call.
+func (s *State) applyKey(out *Outcome, change *KeyChange) {
+	record, claimed := s.Keys[change.Key]
+	own := claimed && record.GatewayIncarnation == change.GatewayIncarnation && record.Call == change.Call
 	switch {
 	case change.Release:
-		if mine && record.Ended == "" {
+		if own && record.Ended == "" {
 			delete(s.Keys, change.Key)
 		}
 	case change.End != "":
-		if mine && record.Ended == "" {
+		if own && record.Ended == "" {
 			record.Ended = change.End
 			s.Keys[change.Key] = record
 		}
-	case seen:
-		first := record
-		out.Key = &first
-		out.Repeated = !mine
+	case claimed:
+		out.Key = &record
+		out.Repeated = !own
+	case len(s.Keys) >= MaxKeys:
+		out.Fault = fault.New(fault.KeysFull, "key", "%d keys are kept", len(s.Keys))
 	default:
-		if len(s.Keys) >= MaxKeys {
-			out.Fault = fault.New(fault.KeysFull, "key", "%d keys are kept", len(s.Keys))
-			return
-		}
 		record = KeyRecord{Gateway: change.Gateway, GatewayIncarnation: change.GatewayIncarnation, Call: change.Call, Index: s.Index}
 		s.Keys[change.Key] = record
 		s.KeyOrder = append(s.KeyOrder, change.Key)
@@ -51,6 +59,7 @@
 	}
 }
 
+// forgetKeys drops the keys that were claimed before a log index.
 func (s *State) forgetKeys(before uint64) {
 	for len(s.KeyOrder) > 0 {
 		record, known := s.Keys[s.KeyOrder[0]]
--- a/internal/controlplane/statemachine/leader_update.go
+++ b/internal/controlplane/statemachine/leader_update.go
@@ -2,25 +2,40 @@
 
 import "petreltide/internal/api/fault"
 
-// Claim takes the leadership of the controller under the next epoch.
+// Claim takes the leadership of the controller under the epoch that follows the state's. Of several claims of one epoch
+// the first in the log wins.
 type Claim struct {
+	// Leader is the control node that claims.
 	Leader string `json:"holder"`
 }
 
-// LeaderUpdate is one write of the controller that leads: what it knows of replicas, and the orders it issues and settles.
+// LeaderUpdate is one write of the leading controller: what it knows of replicas, the commands it issues and the
+// results it learnt. Its parts are applied in the order of the code, not of the fields; a part that is refused leaves
+// the others in effect.
 type LeaderUpdate struct {
-	Replicas         []ReplicaUpdate           `json:"fleet,omitempty"`
-	RemovedReplicas  []string                  `json:"gone,omitempty"`
-	Commands         []ReplicaCommand          `json:"tickets,omitempty"`
-	Results          []CommandResult           `json:"settled,omitempty"`
-	Grants           []GrantRequest            `json:"grants,omitempty"`
-	Quotas           map[string]map[string]int `json:"shares,omitempty"`
-	RemovedGateways  []string                  `json:"goneDesks,omitempty"`
-	ForgetKeysBefore uint64                    `json:"forgetKeysBefore,omitempty"`
-	CheckedInView    uint64                    `json:"checkedInView,omitempty"`
+	// Replicas are those that are new or have changed.
+	Replicas []ReplicaUpdate `json:"fleet,omitempty"`
+	// RemovedReplicas are the IDs of those that have ended.
+	RemovedReplicas []string `json:"gone,omitempty"`
+	// Commands are to be issued; Number and Epoch are given by the state.
+	Commands []ReplicaCommand `json:"tickets,omitempty"`
+	// Results resolve pending commands.
+	Results []CommandResult `json:"settled,omitempty"`
+	// Grants are the attempt numbers that gateways need.
+	Grants []GrantRequest `json:"grants,omitempty"`
+	// Quotas are the concurrent requests of each gateway, by replica and gateway. They replace those of the replica, unless
+	// their sum exceeds its slots.
+	Quotas map[string]map[string]int `json:"shares,omitempty"`
+	// RemovedGateways lose their grants and quotas.
+	RemovedGateways []string `json:"goneDesks,omitempty"`
+	// ForgetKeysBefore is the log index before which idempotency keys are forgotten; 0 forgets none.
+	ForgetKeysBefore uint64 `json:"forgetKeysBefore,omitempty"`
+	// CheckedInView is the view in which the controller has read the platform's list of replicas; 0 says nothing of it.
+	// The state does not keep it: the chain's tail reads it as the entry is applied.
+	CheckedInView uint64 `json:"checkedInView,omitempty"`
 }
 
-// IsEmpty says whether an update would change nothing.
+// IsEmpty reports whether there is nothing to write.
 func (u *LeaderUpdate) IsEmpty() bool {
 	return len(u.Replicas)+len(u.RemovedReplicas)+len(u.Commands)+len(u.Results)+len(u.Grants)+len(u.Quotas)+len(u.RemovedGateways) == 0 && u.ForgetKeysBefore+u.CheckedInView == 0
 }
@@ -39,51 +54,53 @@
 		out.Fault = fault.New(fault.StaleEpoch, "epoch", "written under %d, current is %d", c.Epoch, s.Epoch)
 		return
 	}
-	rejected := &fault.List{}
-	changed := false
-	for _, replica := range c.LeaderUpdate.Replicas {
+	u := c.LeaderUpdate
+	changed := len(u.Replicas)+len(u.RemovedReplicas) > 0
+	for _, replica := range u.Replicas {
 		s.upsertReplica(replica)
-		changed = true
 	}
-	for _, id := range c.LeaderUpdate.RemovedReplicas {
+	for _, id := range u.RemovedReplicas {
 		s.removeReplica(id)
-		changed = true
 	}
-	for _, result := range c.LeaderUpdate.Results {
+	// Results come before commands: a replica takes its next command in the update that resolves its last.
+	for _, result := range u.Results {
 		changed = s.resolveCommand(result) || changed
 	}
-	for _, command := range c.LeaderUpdate.Commands {
+	rejected := &fault.List{}
+	for _, command := range u.Commands {
 		if f := s.issueCommand(c.Epoch, command); f != nil {
 			rejected.Add(f)
 		}
 	}
-	s.forgetKeys(c.LeaderUpdate.ForgetKeysBefore)
-	for _, gateway := range c.LeaderUpdate.RemovedGateways {
+	s.forgetKeys(u.ForgetKeysBefore)
+	for _, gateway := range u.RemovedGateways {
 		s.removeGateway(gateway)
 	}
-	for _, request := range c.LeaderUpdate.Grants {
+	for _, request := range u.Grants {
 		if f := s.issueGrant(c.Epoch, request); f != nil {
 			rejected.Add(f)
 			continue
 		}
 		changed = true
 	}
-	for id, quotas := range c.LeaderUpdate.Quotas {
-		if r := s.Replicas[id]; r != nil && totalQuota(quotas) <= r.Slots {
-			r.Quotas = quotas
-			changed = true
-		}
-	}
+	changed = s.setQuotas(u.Quotas) || changed
 	if changed {
 		s.UpdateIndex = s.Index
 	}
 	out.Faults = rejected.Faults
 }
 
-func totalQuota(quotas map[string]int) int {
-	sum := 0
-	for _, n := range quotas {
-		sum += n
+// setQuotas sets the quotas of known replicas where they fit their slots, and reports whether any did.
+func (s *State) setQuotas(byReplica map[string]map[string]int) (changed bool) {
+	for id, quotas := range byReplica {
+		total := 0
+		for _, quota := range quotas {
+			total += quota
+		}
+		if r := s.Replicas[id]; r != nil && total <= r.Slots {
+			r.Quotas = quotas
+			changed = true
+		}
 	}
-	return sum
+	return changed
 }
--- a/internal/controlplane/statemachine/membership.go
+++ b/internal/controlplane/statemachine/membership.go
@@ -2,10 +2,10 @@
 
 import "petreltide/internal/api/fault"
 
-// MembershipAction is what is to happen to a member.
+// MembershipAction is what a MembershipChange does to a control node.
 type MembershipAction string
 
-// The acts of a MembershipChange.
+// The actions of a MembershipChange. MembershipDone is the system's own: the view has carried the change out.
 const (
 	AddMember        MembershipAction = "add"
 	ReplaceMember    MembershipAction = "replace"
@@ -14,15 +14,17 @@
 	MembershipDone   MembershipAction = "done"
 )
 
-// MembershipChange is an operator's order about one control node; ID is the identity that has to go. One at a
-// time stands in the ledger until the view has carried it out.
+// MembershipChange is an operator's change of one control node. One at a time is in the state, until the chain's view
+// has carried it out.
 type MembershipChange struct {
 	Action MembershipAction `json:"act"`
-	Name   string           `json:"name"`
-	ID     string           `json:"id,omitempty"`
+	// Name is the control node; in MembershipDone it is the ID of the change that is done.
+	Name string `json:"name"`
+	// ID is the identity that has to go; empty where none has.
+	ID string `json:"id,omitempty"`
 }
 
-// applyMembership keeps one order about members at a time, and remembers each like a configuration.
+// applyMembership takes one change of members at a time, and remembers each outcome as a configuration's.
 func (s *State) applyMembership(out Outcome, c Change) Outcome {
 	change := *c.Membership
 	if change.Action == MembershipDone {
--- a/internal/controlplane/statemachine/outcomes.go
+++ b/internal/controlplane/statemachine/outcomes.go
@@ -6,17 +6,26 @@
 	"petreltide/internal/api/fault"
 )
 
-// MaxEarlyRefusals bounds the refusals that are remembered because the version they build on may still come.
-const MaxEarlyRefusals = 64
+const (
+	// MaxOutcomes bounds the remembered outcomes of configuration and membership changes. Operators resend within
+	// minutes; a day has hundreds of changes.
+	MaxOutcomes = 2_048
+	// MaxEarlyRefusals bounds the refusals that are remembered because the version they build on may still come.
+	MaxEarlyRefusals = 64
+	// maxRememberedFaults bounds the single faults that a remembered refusal names.
+	maxRememberedFaults = 16
+)
 
-// EarlyRefusal is an order that was refused because the version it builds on was not in force yet. A copy of it may
+// EarlyRefusal is a change that was refused because the version it builds on was not in force yet. A copy of it may
 // still be under way, and must stay refused once that version is in force.
 type EarlyRefusal struct {
-	Base    uint64  `json:"base"`
+	// Base is the version that the change builds on.
+	Base uint64 `json:"base"`
+	// Outcome is what the change was answered.
 	Outcome Outcome `json:"outcome"`
 }
 
-// rememberedOutcome is what an order with this id got before; false where it is not remembered.
+// rememberedOutcome returns the outcome that a change with this ID had before; false where none is remembered.
 func (s *State) rememberedOutcome(id string) (Outcome, bool) {
 	if out, seen := s.Outcomes[id]; seen {
 		out.Repeated = true
@@ -32,13 +41,39 @@
 	return Outcome{}, false
 }
 
-// refuseStaleBase is the answer to an order that does not build on what is in force. number is what the order's version
-// would be, had it been taken.
+// remember keeps an outcome for the same change sent again, with the first of its faults.
+func (s *State) remember(out Outcome) {
+	if f := out.Fault; f != nil && len(f.Faults) > maxRememberedFaults {
+		short := *f
+		short.Faults = slices.Clone(f.Faults[:maxRememberedFaults])
+		out.Fault = &short
+	}
+	s.Outcomes[out.ID] = out
+	s.OutcomeIDs = append(s.OutcomeIDs, out.ID)
+	s.evictOldestOutcome()
+}
+
+// evictOldestOutcome drops the oldest remembered outcome beyond the bound, and keeps the number of a change that was
+// applied in ForgottenVersion.
+func (s *State) evictOldestOutcome() {
+	if len(s.OutcomeIDs) <= MaxOutcomes {
+		return
+	}
+	oldest := s.Outcomes[s.OutcomeIDs[0]]
+	if oldest.Fault == nil && !oldest.IsMembership {
+		s.ForgottenVersion = max(s.ForgottenVersion, oldest.Revision)
+	}
+	delete(s.Outcomes, s.OutcomeIDs[0])
+	s.OutcomeIDs = s.OutcomeIDs[1:]
+}
+
+// refuseStaleBase returns the outcome of a change that does not build on what is in force. number is what the change's
+// version would be, had it been applied.
 //
-// The refusal must hold for good, though copies of the order may have come before or may come later. An order that
-// builds on an older version can't be taken any more, as versions only rise. Whether it was taken once is known as
-// long as the memory of taken orders reaches back to its number, and is left in doubt otherwise. An order that
-// builds on a version that is still to come is remembered as refused.
+// The refusal must hold for good, though copies of the change may have come before or may come later. A change that
+// builds on an older version can't be applied any more, as versions only rise. Whether it was applied once is known as
+// long as the remembered outcomes reach back to its number, and is left in doubt otherwise. A change that builds on a
+// version that is still to come is remembered as refused.
 func (s *State) refuseStaleBase(out Outcome, base, current, number uint64) Outcome {
 	out.Fault = fault.New(fault.StaleBase, "base", "based on %d, current is %d", base, current)
 	out.Fault.Revision = current
@@ -55,23 +90,10 @@
 	return out
 }
 
-// dropPassedRefusals forgets the refusals whose base has been passed: they can't be taken any more.
+// dropPassedRefusals forgets the early refusals whose base has been passed: their changes can't be applied any more.
 func (s *State) dropPassedRefusals(current uint64) {
 	if len(s.EarlyRefusals) == 0 {
 		return
 	}
 	s.EarlyRefusals = slices.DeleteFunc(slices.Clone(s.EarlyRefusals), func(r EarlyRefusal) bool { return r.Base < current })
 }
-
-// evictOldestOutcome drops the oldest remembered outcome beyond the bound, and keeps the number of a change that was taken.
-func (s *State) evictOldestOutcome() {
-	if len(s.OutcomeIDs) <= MaxOutcomes {
-		return
-	}
-	oldest := s.Outcomes[s.OutcomeIDs[0]]
-	if oldest.Fault == nil && !oldest.IsMembership {
-		s.ForgottenVersion = max(s.ForgottenVersion, oldest.Revision)
-	}
-	delete(s.Outcomes, s.OutcomeIDs[0])
-	s.OutcomeIDs = s.OutcomeIDs[1:]
-}
