--- a/internal/controlplane/chain/effect.go
+++ b/internal/controlplane/chain/effect.go
@@ -53,3 +53,6 @@
 func (ViewInstalled) isEffect()   {}
 func (ChangeRejected) isEffect()  {}
 func (MessageRejected) isEffect() {}
+
+// OpeningPersistSeq is the number of the save with which what the disk gave back is synced; those of a node come after it.
+const OpeningPersistSeq uint64 = 1
--- a/internal/controlplane/chain/node.go
+++ b/internal/controlplane/chain/node.go
@@ -5,35 +5,6 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// peer is what is known of another control node: its last hello, when it came, since when it is heard, and when it last heard
-// this one.
-type peer struct {
-	hello       Hello
-	lastHelloUs int64
-	// lastHelloAwakeUs is the node's awakeUs when it was heard last.
-	lastHelloAwakeUs int64
-	firstHelloUs     int64
-	// stalledSinceUs is since when its disk stalls, by its hellos.
-	stalledSinceUs int64
-	lastMutualUs   int64
-	// lastMutualAwakeUs is the node's awakeUs when it last heard this one.
-	lastMutualAwakeUs int64
-}
-
-// proposal is an attempt of this member to have the next view decided.
-type proposal struct {
-	viewNumber uint64
-	ballot     Ballot
-	desired    View
-	chosen     View
-	promises   map[string]*AcceptedProposal
-	acceptedBy map[string]bool
-	preparing  bool
-	startedUs  int64
-	// dropIfUnneeded: it is for what was wrong with members, and is dropped where that is over before anybody accepts it.
-	dropIfUnneeded bool
-}
-
 // Node is one control node's part of the chain and of the agreement on its view.
 type Node struct {
 	opts Options
--- a/internal/controlplane/chain/view.go
+++ b/internal/controlplane/chain/view.go
@@ -1,130 +1,81 @@
 package chain
 
-func (n *Node) tick() {
-	if n.diskLagging() {
-		n.diskLaggedUs = n.nowUs
-	}
-	if n.nowUs-n.helloSentUs >= n.opts.HelloIntervalUs {
-		n.helloSentUs = n.nowUs
-		n.broadcastHello()
-		if n.IsTail() {
-			n.requestLease()
-		}
-	}
-	if n.serving() && n.nowUs-n.heartbeatSentUs >= n.heartbeatIntervalUs() {
-		n.heartbeatSentUs = n.nowUs
-		n.forward(true)
-		n.sendAck()
-	}
-	n.maybeRecoverVotes()
-	n.retryPendingAccept()
-	n.maybePropose()
-	n.offerSnapshot()
+// Member is a control node by the identity that its disk holds; a new disk is another member.
+type Member struct {
+	ID   string `json:"id"`
+	Name string `json:"name"`
+	Addr string `json:"addr"`
+	Zone string `json:"zone"`
 }
 
-func (n *Node) isHealthy(s Replica) bool {
-	if s.ID == n.opts.Self.ID {
-		return s.Incarnation == n.opts.Incarnation && !n.diskStalled()
-	}
-	p := n.peers[s.ID]
-	if p == nil {
-		return n.nowUs-n.viewInstalledUs < n.opts.SuspectTimeoutUs
-	}
-	if n.awakeUs-p.lastHelloAwakeUs >= n.opts.SuspectTimeoutUs || p.hello.Incarnation != s.Incarnation || n.countsAsStalled(p) {
-		return false
-	}
-	return n.awakeUs-p.lastMutualAwakeUs < 2*n.opts.SuspectTimeoutUs
+// Replica is a place in the order of a view, held by one process of a member: one that restarts has lost it.
+type Replica struct {
+	Member
+	Incarnation string `json:"inc"`
 }
 
-// isCaughtUp: only a member that has everything may come first.
-func (n *Node) isCaughtUp(s Replica) bool {
-	if s.ID == n.opts.Self.ID {
-		return n.caughtUp
-	}
-	p := n.peers[s.ID]
-	if p == nil || p.hello.View.Number != n.view.Number {
-		return s.ID == n.view.Head().ID && s.Incarnation == n.view.Head().Incarnation
-	}
-	return p.hello.CaughtUp
+// View says, under a number, who votes on the next view and which processes hold the log, head first.
+type View struct {
+	Number   uint64    `json:"number"`
+	Voters   []Member  `json:"voters"`
+	Replicas []Replica `json:"order"`
+	// ExtraVoters counts the voters that control nodes took in by themselves beside those that were there: as many
+	// votes of silent ones may be dropped.
+	ExtraVoters int `json:"extra,omitempty"`
+	// System names the chain: whoever founded another one is foreign. It is empty in chains founded before it was kept.
+	System string `json:"system,omitempty"`
 }
 
-func (n *Node) maybePropose() {
-	if n.proposal != nil && n.nowUs-n.proposal.startedUs > 4*n.opts.SuspectTimeoutUs {
-		n.proposal = nil
+// Head is the seat that takes writes; a zero one where the view has no seats.
+func (v View) Head() Replica {
+	if len(v.Replicas) == 0 {
+		return Replica{}
 	}
-	switch {
-	case n.phase == PhaseBootstrap:
-		n.maybeProposeFirstView()
-	case n.serving():
-		n.maybeProposeNextView()
-	case n.phase == PhaseRestarted && n.votesRecovered:
-		n.maybeProposeAfterRestart()
-	}
-	n.finishAcceptedProposal()
+	return v.Replicas[0]
 }
 
-// maybeProposeNextView removes the seats of members that are not healthy, seats a joiner that holds a copy, and gives
-// the vote of a lost control node to the empty one that came under its name.
-func (n *Node) maybeProposeNextView() {
-	if n.diskStalled() || !n.caughtUp {
-		return
-	}
-	want, changed := n.desiredView()
-	if !changed {
-		n.viewStableUs = n.nowUs
-		return
+// Tail is the seat that acknowledges and answers; a zero one where the view has no seats.
+func (v View) Tail() Replica {
+	if len(v.Replicas) == 0 {
+		return Replica{}
 	}
-	var rank int64
-	for _, s := range n.view.Replicas {
-		if s.ID == n.opts.Self.ID {
-			break
-		}
-		if n.isHealthy(s) {
-			rank++
+	return v.Replicas[len(v.Replicas)-1]
+}
+
+// Position is where in the order a process has its seat, -1 if it has none.
+func (v View) Position(id, incarnation string) int {
+	for i, s := range v.Replicas {
+		if s.ID == id && s.Incarnation == incarnation {
+			return i
 		}
 	}
-	if n.nowUs-n.viewStableUs < rank*250_000 {
-		return
-	}
-	n.propose(want)
-	if n.proposal != nil {
-		n.proposal.dropIfUnneeded = true
-	}
+	return -1
 }
 
-// desiredView is the view that should follow as things stand, and whether it differs from the one of now.
-func (n *Node) desiredView() (want View, changed bool) {
-	want = View{Number: n.view.Number + 1, Voters: n.view.Voters, ExtraVoters: n.view.ExtraVoters, System: n.view.System}
-	for _, s := range n.view.Replicas {
-		if n.isHealthy(s) && (len(want.Replicas) > 0 || n.isCaughtUp(s)) {
-			want.Replicas = append(want.Replicas, s)
+// HasReplica says that some process of this member has a seat.
+func (v View) HasReplica(id string) bool {
+	for _, s := range v.Replicas {
+		if s.ID == id {
+			return true
 		}
 	}
-	want.Replicas = n.withoutShuttingDown(want.Replicas)
-	changed = len(want.Replicas) != len(n.view.Replicas)
-	if id := n.departedExtraVoter(want.Replicas); id != "" {
-		want.Voters, want.ExtraVoters = withoutVoter(n.view.Voters, id), want.ExtraVoters-1
-		changed = true
-	} else if !changed {
-		if seat, ok := n.nextJoiner(); ok {
-			want.Replicas = append(withoutReplica(n.view.Replicas, n.replacedVoter(seat.Member)), seat)
-			changed = true
-		} else if n.canRemoveMember() {
-			want.Replicas = withoutReplica(n.view.Replicas, n.state.Membership.ID)
-			for _, v := range n.view.Voters {
-				if v.ID == n.state.Membership.ID {
-					want.Voters = withoutVoter(n.view.Voters, v.ID)
-				}
-			}
-			changed = true
-		}
-		if voters, extra, ok := n.nextVoters(want.Replicas); ok {
-			want.Voters, want.ExtraVoters = voters, want.ExtraVoters+extra
-			changed = true
-		} else if id := n.unreachableExtraVoter(); !changed && id != "" {
-			want.Voters, want.ExtraVoters = withoutVoter(n.view.Voters, id), want.ExtraVoters-1
-			changed = true
+	return false
+}
+
+// IsVoter says that this member is a voter of the view.
+func (v View) IsVoter(id string) bool {
+	for _, m := range v.Voters {
+		if m.ID == id {
+			return true
 		}
 	}
-	return want, changed && len(want.Replicas) > 0 && (!n.shuttingDown || want.HasReplica(n.opts.Self.ID))
+	return false
+}
+
+// QuorumSize of view 0, the founding, is everybody.
+func (v View) QuorumSize() int {
+	if v.Number == 0 {
+		return len(v.Voters)
+	}
+	return len(v.Voters)/2 + 1
 }
--- /dev/null
+++ b/internal/controlplane/chain/view_change.go
@@ -0,0 +1,130 @@
+package chain
+
+func (n *Node) tick() {
+	if n.diskLagging() {
+		n.diskLaggedUs = n.nowUs
+	}
+	if n.nowUs-n.helloSentUs >= n.opts.HelloIntervalUs {
+		n.helloSentUs = n.nowUs
+		n.broadcastHello()
+		if n.IsTail() {
+			n.requestLease()
+		}
+	}
+	if n.serving() && n.nowUs-n.heartbeatSentUs >= n.heartbeatIntervalUs() {
+		n.heartbeatSentUs = n.nowUs
+		n.forward(true)
+		n.sendAck()
+	}
+	n.maybeRecoverVotes()
+	n.retryPendingAccept()
+	n.maybePropose()
+	n.offerSnapshot()
+}
+
+func (n *Node) isHealthy(s Replica) bool {
+	if s.ID == n.opts.Self.ID {
+		return s.Incarnation == n.opts.Incarnation && !n.diskStalled()
+	}
+	p := n.peers[s.ID]
+	if p == nil {
+		return n.nowUs-n.viewInstalledUs < n.opts.SuspectTimeoutUs
+	}
+	if n.awakeUs-p.lastHelloAwakeUs >= n.opts.SuspectTimeoutUs || p.hello.Incarnation != s.Incarnation || n.countsAsStalled(p) {
+		return false
+	}
+	return n.awakeUs-p.lastMutualAwakeUs < 2*n.opts.SuspectTimeoutUs
+}
+
+// isCaughtUp: only a member that has everything may come first.
+func (n *Node) isCaughtUp(s Replica) bool {
+	if s.ID == n.opts.Self.ID {
+		return n.caughtUp
+	}
+	p := n.peers[s.ID]
+	if p == nil || p.hello.View.Number != n.view.Number {
+		return s.ID == n.view.Head().ID && s.Incarnation == n.view.Head().Incarnation
+	}
+	return p.hello.CaughtUp
+}
+
+func (n *Node) maybePropose() {
+	if n.proposal != nil && n.nowUs-n.proposal.startedUs > 4*n.opts.SuspectTimeoutUs {
+		n.proposal = nil
+	}
+	switch {
+	case n.phase == PhaseBootstrap:
+		n.maybeProposeFirstView()
+	case n.serving():
+		n.maybeProposeNextView()
+	case n.phase == PhaseRestarted && n.votesRecovered:
+		n.maybeProposeAfterRestart()
+	}
+	n.finishAcceptedProposal()
+}
+
+// maybeProposeNextView removes the seats of members that are not healthy, seats a joiner that holds a copy, and gives
+// the vote of a lost control node to the empty one that came under its name.
+func (n *Node) maybeProposeNextView() {
+	if n.diskStalled() || !n.caughtUp {
+		return
+	}
+	want, changed := n.desiredView()
+	if !changed {
+		n.viewStableUs = n.nowUs
+		return
+	}
+	var rank int64
+	for _, s := range n.view.Replicas {
+		if s.ID == n.opts.Self.ID {
+			break
+		}
+		if n.isHealthy(s) {
+			rank++
+		}
+	}
+	if n.nowUs-n.viewStableUs < rank*250_000 {
+		return
+	}
+	n.propose(want)
+	if n.proposal != nil {
+		n.proposal.dropIfUnneeded = true
+	}
+}
+
+// desiredView is the view that should follow as things stand, and whether it differs from the one of now.
+func (n *Node) desiredView() (want View, changed bool) {
+	want = View{Number: n.view.Number + 1, Voters: n.view.Voters, ExtraVoters: n.view.ExtraVoters, System: n.view.System}
+	for _, s := range n.view.Replicas {
+		if n.isHealthy(s) && (len(want.Replicas) > 0 || n.isCaughtUp(s)) {
+			want.Replicas = append(want.Replicas, s)
+		}
+	}
+	want.Replicas = n.withoutShuttingDown(want.Replicas)
+	changed = len(want.Replicas) != len(n.view.Replicas)
+	if id := n.departedExtraVoter(want.Replicas); id != "" {
+		want.Voters, want.ExtraVoters = withoutVoter(n.view.Voters, id), want.ExtraVoters-1
+		changed = true
+	} else if !changed {
+		if seat, ok := n.nextJoiner(); ok {
+			want.Replicas = append(withoutReplica(n.view.Replicas, n.replacedVoter(seat.Member)), seat)
+			changed = true
+		} else if n.canRemoveMember() {
+			want.Replicas = withoutReplica(n.view.Replicas, n.state.Membership.ID)
+			for _, v := range n.view.Voters {
+				if v.ID == n.state.Membership.ID {
+					want.Voters = withoutVoter(n.view.Voters, v.ID)
+				}
+			}
+			changed = true
+		}
+		if voters, extra, ok := n.nextVoters(want.Replicas); ok {
+			want.Voters, want.ExtraVoters = voters, want.ExtraVoters+extra
+			changed = true
+		} else if id := n.unreachableExtraVoter(); !changed && id != "" {
+			want.Voters, want.ExtraVoters = withoutVoter(n.view.Voters, id), want.ExtraVoters-1
+			changed = true
+		}
+	}
+	return want, changed && len(want.Replicas) > 0 && (!n.shuttingDown || want.HasReplica(n.opts.Self.ID))
+}
