--- a/internal/dataplane/gateway/attempts.go
+++ b/internal/dataplane/gateway/attempts.go
@@ -31,7 +31,7 @@
 func (e *nativeExchange) Attempt(ctx context.Context, st scheduling.AttemptStart) (scheduling.Outcome, string) {
 	ending, why := e.host.runAttempt(ctx, e.request, e.call, st, e.stream)
 	if e.stream.failed {
-		e.host.post(scheduling.Event{Gone: e.call.ID})
+		e.host.post(scheduling.CallCanceled{Call: e.call.ID})
 	}
 	if ending == scheduling.OutcomeDone {
 		e.stream.event(0, "end", endEvent{Chunks: len(e.stream.chunks)})
--- a/internal/dataplane/gateway/host.go
+++ b/internal/dataplane/gateway/host.go
@@ -156,7 +156,7 @@
 		h.act.End()
 		return errors.Trace(err)
 	}
-	h.post(scheduling.Event{Drain: true})
+	h.post(scheduling.DrainStarted{})
 	h.drainListeners()
 	deadline := time.NewTimer(time.Duration(h.settings.DrainMs) * time.Millisecond)
 	defer deadline.Stop()
@@ -193,7 +193,7 @@
 	linger := time.NewTimer(time.Duration(h.settings.LingerMs) * time.Millisecond)
 	defer linger.Stop()
 	<-linger.C
-	h.post(scheduling.Event{Close: true})
+	h.post(scheduling.DrainEnded{})
 	closing, done := context.WithTimeout(context.Background(), time.Duration(max(h.settings.DrainMs-h.settings.LingerMs, 100))*time.Millisecond)
 	defer done()
 	for _, d := range h.listeners {
@@ -208,7 +208,7 @@
 		_ = h.log.Log("event", "woke after a gap", "gapMs", (nowUs-h.lastTickUs)/1000)
 	}
 	h.lastTickUs = nowUs
-	h.step(scheduling.Event{})
+	h.step(scheduling.Tick{})
 	if h.informer != nil {
 		h.stepInformer(controlclient.InformerEvent{})
 		return
@@ -221,25 +221,24 @@
 func (h *Host) do(act func()) bool { return h.act.Do(h.act.Ctx, act) }
 
 func (h *Host) step(ev scheduling.Event) {
-	ev.NowUs = clock.NowUs()
 	urgent := false
 	defer func() {
 		if urgent && h.informer != nil {
 			h.stepInformer(controlclient.InformerEvent{Urgent: true})
 		}
 	}()
-	for _, e := range h.decider.Step(ev) {
-		switch {
-		case e.Start != nil:
-			h.deliver(e.Start.Call.ID, e)
-		case e.Give != nil:
-			h.deliver(e.Give.Call.ID, e)
-		case e.Over != nil:
-			h.deliver(e.Over.Call.ID, e)
-		case e.Unplaced:
+	for _, e := range h.decider.Step(clock.NowUs(), ev) {
+		switch e := e.(type) {
+		case *scheduling.AttemptStart:
+			h.deliver(e.Call.ID, e)
+		case *scheduling.CallFailed:
+			h.deliver(e.Call.ID, e)
+		case *scheduling.CallFinished:
+			h.deliver(e.Call.ID, e)
+		case scheduling.CallUnplaced:
 			urgent = true
-		case e.Cancel != "":
-			if c := h.callers[e.Cancel]; c != nil {
+		case scheduling.CancelAttempt:
+			if c := h.callers[e.Call.ID]; c != nil {
 				c.stop()
 			}
 		}
@@ -248,14 +247,15 @@
 
 func (h *Host) deliver(id string, e scheduling.Effect) {
 	c := h.callers[id]
+	start, starts := e.(*scheduling.AttemptStart)
 	if c == nil {
-		if e.Start != nil {
-			h.step(scheduling.Event{Gone: id})
-			h.step(scheduling.Event{Ended: &scheduling.AttemptEnded{Call: id, Attempt: e.Start.Attempt, Outcome: scheduling.OutcomeUnsent}})
+		if starts {
+			h.step(scheduling.CallCanceled{Call: id})
+			h.step(scheduling.AttemptEnded{Call: id, Attempt: start.Attempt, Outcome: scheduling.OutcomeUnsent})
 		}
 		return
 	}
-	if e.Start == nil {
+	if !starts {
 		delete(h.callers, id)
 	}
 	c.next <- e
--- a/internal/dataplane/gateway/informer.go
+++ b/internal/dataplane/gateway/informer.go
@@ -93,7 +93,7 @@
 		case e.Snapshot != nil:
 			first := e.Snapshot.Declaration != nil && (h.snapshot.Load() == nil || h.snapshot.Load().Declaration == nil)
 			h.snapshot.Store(e.Snapshot)
-			h.step(scheduling.Event{Snapshot: e.Snapshot})
+			h.step(scheduling.SnapshotReceived{Snapshot: e.Snapshot})
 			if first {
 				close(h.declared)
 				_ = h.log.Log("event", "declared", "revision", e.Snapshot.Revision, "replicas", len(e.Snapshot.Replicas))
--- a/internal/dataplane/gateway/run.go
+++ b/internal/dataplane/gateway/run.go
@@ -17,7 +17,7 @@
 	mine := &caller{next: make(chan scheduling.Effect, 4)}
 	if !h.do(func() {
 		h.callers[c.ID] = mine
-		h.step(scheduling.Event{Arrived: c})
+		h.step(scheduling.CallArrived{Call: c})
 	}) {
 		exchange.Fail(&fault.Fault{Code: fault.Draining, Run: fault.RunNone, RetryMs: drainRetryMs})
 		return fault.RunNone
@@ -26,16 +26,18 @@
 	executed, why := fault.RunNone, ""
 	for {
 		e, here := h.next(ctx, c, mine)
-		switch {
-		case !here:
+		if !here {
 			return executed
-		case e.Give != nil:
-			return h.rejectCall(c, e.Give.Fault, exchange)
-		case e.Over != nil:
-			return failUnresolved(e.Over.Outcome, why, exchange)
 		}
 		var ending scheduling.Outcome
-		ending, why = h.attempt(ctx, *e.Start, mine, exchange)
+		switch e := e.(type) {
+		case *scheduling.CallFailed:
+			return h.rejectCall(c, e.Fault, exchange)
+		case *scheduling.CallFinished:
+			return failUnresolved(e.Outcome, why, exchange)
+		case *scheduling.AttemptStart:
+			ending, why = h.attempt(ctx, *e, mine, exchange)
+		}
 		switch {
 		case ending == scheduling.OutcomeDone:
 			return fault.RunYes
@@ -58,15 +60,15 @@
 		return e, true
 	case <-ctx.Done():
 	}
-	h.do(func() { h.step(scheduling.Event{Gone: c.ID}) })
+	h.do(func() { h.step(scheduling.CallCanceled{Call: c.ID}) })
 	select {
 	case e = <-mine.next:
-		if e.Start != nil {
-			h.post(scheduling.Event{Ended: &scheduling.AttemptEnded{Call: c.ID, Attempt: e.Start.Attempt, Outcome: scheduling.OutcomeUnsent}})
+		if start, ok := e.(*scheduling.AttemptStart); ok {
+			h.post(scheduling.AttemptEnded{Call: c.ID, Attempt: start.Attempt, Outcome: scheduling.OutcomeUnsent})
 		}
 	default:
 	}
-	return scheduling.Effect{}, false
+	return nil, false
 }
 
 // rejectCall gives the caller the fault by which the decider gave its call up.
@@ -96,9 +98,9 @@
 func (h *Host) attempt(ctx context.Context, st scheduling.AttemptStart, mine *caller, exchange Exchange) (scheduling.Outcome, string) {
 	ending, why := h.sendAttempt(ctx, st, mine, exchange)
 	if ctx.Err() != nil {
-		h.post(scheduling.Event{Gone: st.Call.ID})
+		h.post(scheduling.CallCanceled{Call: st.Call.ID})
 	}
-	h.post(scheduling.Event{Ended: &scheduling.AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: ending}})
+	h.post(scheduling.AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: ending})
 	return ending, why
 }
 
--- a/internal/dataplane/gateway/subscriber.go
+++ b/internal/dataplane/gateway/subscriber.go
@@ -48,10 +48,10 @@
 			}
 		case e.Snapshot != nil:
 			h.snapshot.Store(e.Snapshot)
-			h.step(scheduling.Event{Snapshot: e.Snapshot})
+			h.step(scheduling.SnapshotReceived{Snapshot: e.Snapshot})
 		case e.LeaseUs != 0:
 			h.leaseUs.Store(e.LeaseUs)
-			h.step(scheduling.Event{LeaseUs: e.LeaseUs})
+			h.step(scheduling.LeaseExtended{UntilUs: e.LeaseUs})
 		}
 	}
 	if ev.Membership != nil {
--- a/internal/dataplane/scheduling/admission_test.go
+++ b/internal/dataplane/scheduling/admission_test.go
@@ -119,10 +119,10 @@
 			continue
 		}
 		refused++
-		if e.Give == nil || e.Give.Fault.Run != fault.RunNone || e.Give.Fault.Code != fault.Overloaded {
+		if failed(e) == nil || failed(e).Fault.Run != fault.RunNone || failed(e).Fault.Code != fault.Overloaded {
 			t.Fatalf("%s: %+v", id, e)
 		}
-		if ms := e.Give.Fault.RetryMs; ms < minRetryAfterMs/2 || ms > 5000/retryAfterDivisor {
+		if ms := failed(e).Fault.RetryMs; ms < minRetryAfterMs/2 || ms > 5000/retryAfterDivisor {
 			t.Errorf("%s is to come back after %d ms", id, ms)
 		}
 	}
--- a/internal/dataplane/scheduling/bench_test.go
+++ b/internal/dataplane/scheduling/bench_test.go
@@ -17,7 +17,7 @@
 		ids = append(ids, fmt.Sprintf("r%02d", i))
 	}
 	d := New(Options{Gateway: "g", QueueMax: 1000, RetryBudget: RetryBudgetOptions{Ratio: 0.1, Slack: 10, WindowUs: 10 * clock.Sec}})
-	d.Step(Event{NowUs: clock.Sec, Snapshot: stands(doc, 3, at("engine", ids...)...)})
+	d.Step(clock.Sec, SnapshotReceived{Snapshot: stands(doc, 3, at("engine", ids...)...)})
 	benchmarkCalls(b, d, func(id string) *Call {
 		return &Call{ID: id, Kind: "model", Model: "m", Routed: &RoutedCall{PromptTokens: 100, Segments: []PromptSegment{{ID: 1, Tokens: 60}, {ID: 2, Tokens: 40}}}}
 	})
@@ -25,7 +25,7 @@
 
 func BenchmarkDeclaredCall(b *testing.B) {
 	d := leased(4, 1000)
-	d.Step(Event{NowUs: 1, LeaseUs: 1 << 60})
+	d.Step(1, LeaseExtended{UntilUs: 1 << 60})
 	for _, r := range d.attemptGrants {
 		r.to = 1 << 60
 	}
@@ -39,14 +39,14 @@
 	for i := range b.N {
 		nowUs += 10 * clock.Ms
 		c := newCall(fmt.Sprintf("c%d", i%1000))
-		effects := d.Step(Event{NowUs: nowUs, Arrived: c})
-		if len(effects) != 1 || effects[0].Start == nil {
+		effects := d.Step(nowUs, CallArrived{Call: c})
+		if len(effects) != 1 || started(effects[0]) == nil {
 			b.Fatalf("call %d: %+v", i, effects)
 		}
 		nowUs += 10 * clock.Ms
 		c.FirstByteUs.Store(nowUs)
-		effects = d.Step(Event{NowUs: nowUs, Ended: &AttemptEnded{Call: c.ID, Attempt: effects[0].Start.Attempt, Outcome: OutcomeDone}})
-		if len(effects) != 1 || effects[0].Over == nil {
+		effects = d.Step(nowUs, AttemptEnded{Call: c.ID, Attempt: started(effects[0]).Attempt, Outcome: OutcomeDone})
+		if len(effects) != 1 || finished(effects[0]) == nil {
 			b.Fatalf("call %d: %+v", i, effects)
 		}
 	}
--- a/internal/dataplane/scheduling/deadline_test.go
+++ b/internal/dataplane/scheduling/deadline_test.go
@@ -20,7 +20,7 @@
 			if clientMs > 0 {
 				wantUs = min(wantUs, k.nowUs+clientMs*clock.Ms)
 			}
-			k.step(Event{Arrived: &Call{ID: "c", Kind: "r", TimeoutMs: clientMs, Routed: &RoutedCall{PromptTokens: 100}}})
+			k.step(CallArrived{Call: &Call{ID: "c", Kind: "r", TimeoutMs: clientMs, Routed: &RoutedCall{PromptTokens: 100}}})
 			for range 2 {
 				k.nowUs += pauseUs
 				k.end("c", OutcomeRejected)
@@ -44,12 +44,12 @@
 	row := at("s", "r1")
 	row[0].Unreachable = true
 	k := newHarness(Options{}, stands(declaration(declared{"r", configuration.Streaming, 3, one("s"), true}), 1, row...))
-	k.step(Event{Arrived: &Call{ID: "c", Kind: "r", TimeoutMs: 90_000, Routed: &RoutedCall{PromptTokens: 100}}})
+	k.step(CallArrived{Call: &Call{ID: "c", Kind: "r", TimeoutMs: 90_000, Routed: &RoutedCall{PromptTokens: 100}}})
 	if k.after(timeoutMs*clock.Ms - 1); k.final["c"] != nil {
 		t.Fatalf("answered before its time: %+v", k.final["c"])
 	}
 	k.after(1)
-	if f := k.final["c"]; f == nil || f.Give == nil || f.Give.Fault.Code != fault.Expired || f.Give.Fault.Run != fault.RunNone {
+	if f := k.final["c"]; f == nil || failed(f) == nil || failed(f).Fault.Code != fault.Expired || failed(f).Fault.Run != fault.RunNone {
 		t.Errorf("at its time: %+v", f)
 	}
 }
--- a/internal/dataplane/scheduling/decider.go
+++ b/internal/dataplane/scheduling/decider.go
@@ -80,26 +80,29 @@
 	return d
 }
 
-// Step takes one event and returns what is to be done, in order.
-func (d *Decider) Step(ev Event) []Effect {
+// Step takes one event at nowUs, in microseconds of this process's clock, and returns what is to be done, in order.
+func (d *Decider) Step(nowUs int64, ev Event) []Effect {
 	d.effects = nil
-	d.nowUs = ev.NowUs
+	d.nowUs = nowUs
 	d.advanceArrivals()
-	switch {
-	case ev.Arrived != nil:
-		d.callArrived(ev.Arrived)
-	case ev.Ended != nil:
-		d.attemptEnded(*ev.Ended)
-	case ev.Gone != "":
-		d.cancelCall(ev.Gone)
-	case ev.Snapshot != nil:
+	var arrived *Call
+	switch ev := ev.(type) {
+	case CallArrived:
+		arrived = ev.Call
+		d.callArrived(ev.Call)
+	case AttemptEnded:
+		d.attemptEnded(ev)
+	case CallCanceled:
+		d.cancelCall(ev.Call)
+	case SnapshotReceived:
 		d.applySnapshot(ev.Snapshot)
-	case ev.LeaseUs != 0:
-		d.leaseUntilUs = max(d.leaseUntilUs, ev.LeaseUs)
-	case ev.Drain:
+	case LeaseExtended:
+		d.leaseUntilUs = max(d.leaseUntilUs, ev.UntilUs)
+	case DrainStarted:
 		d.draining = true
-	case ev.Close:
+	case DrainEnded:
 		d.draining, d.closed = true, true
+	case Tick:
 	}
 	d.expireQueued()
 	d.dispatchQueued()
@@ -110,11 +113,11 @@
 			d.failCall(c, fault.Draining, "this desk is going down", drainingRetryMs)
 		}
 	}
-	if c := ev.Arrived; c != nil && c.Routed != nil && c.attempt == "" && d.calls[c.ID] != nil {
+	if c := arrived; c != nil && c.Routed != nil && c.attempt == "" && d.calls[c.ID] != nil {
 		if d.draining {
 			d.failCall(c, fault.Draining, "this desk is going down", drainingRetryMs)
 		} else {
-			d.emit(Effect{Unplaced: true})
+			d.emit(CallUnplaced{})
 		}
 	}
 	return d.effects
--- a/internal/dataplane/scheduling/decider_test.go
+++ b/internal/dataplane/scheduling/decider_test.go
@@ -29,8 +29,8 @@
 
 func leased(share, queue int) *Decider {
 	d := New(Options{Gateway: "d", Incarnation: "i", QueueMax: queue})
-	d.Step(Event{NowUs: 1, Snapshot: snapshot(1, share, nil)})
-	d.Step(Event{NowUs: 1, LeaseUs: 100 * clock.Sec})
+	d.Step(1, SnapshotReceived{Snapshot: snapshot(1, share, nil)})
+	d.Step(1, LeaseExtended{UntilUs: 100 * clock.Sec})
 	return d
 }
 
@@ -41,8 +41,8 @@
 func starts(effects []Effect) []*AttemptStart {
 	out := []*AttemptStart{}
 	for _, e := range effects {
-		if e.Start != nil {
-			out = append(out, e.Start)
+		if started(e) != nil {
+			out = append(out, started(e))
 		}
 	}
 	return out
@@ -50,14 +50,14 @@
 
 func TestNothingIsSentWithoutALease(t *testing.T) {
 	d := New(Options{Gateway: "d", QueueMax: 10})
-	d.Step(Event{NowUs: 1, Snapshot: snapshot(1, 2, nil)})
-	if got := starts(d.Step(Event{NowUs: 2, Arrived: call(1, "fixes")})); len(got) != 0 {
+	d.Step(1, SnapshotReceived{Snapshot: snapshot(1, 2, nil)})
+	if got := starts(d.Step(2, CallArrived{Call: call(1, "fixes")})); len(got) != 0 {
 		t.Fatal("sent before any lease")
 	}
-	if got := starts(d.Step(Event{NowUs: 3, LeaseUs: 10})); len(got) != 1 {
+	if got := starts(d.Step(3, LeaseExtended{UntilUs: 10})); len(got) != 1 {
 		t.Fatal("not sent with a lease")
 	}
-	if got := starts(d.Step(Event{NowUs: 11, Arrived: call(2, "fixes")})); len(got) != 0 {
+	if got := starts(d.Step(11, CallArrived{Call: call(2, "fixes")})); len(got) != 0 {
 		t.Fatal("sent after the lease ran out")
 	}
 }
@@ -67,9 +67,9 @@
 	now := int64(10)
 	running := []*AttemptStart{}
 	for i := 0; i < 200; i++ {
-		running = append(running, starts(d.Step(Event{NowUs: now, Arrived: call(i, "fixes")}))...)
+		running = append(running, starts(d.Step(now, CallArrived{Call: call(i, "fixes")}))...)
 		if i < 50 {
-			running = append(running, starts(d.Step(Event{NowUs: now, Arrived: call(i, "pages")}))...)
+			running = append(running, starts(d.Step(now, CallArrived{Call: call(i, "pages")}))...)
 		}
 	}
 	served := map[string]int{}
@@ -77,7 +77,7 @@
 		now++
 		st := running[0]
 		served[st.Call.Kind]++
-		running = append(running[1:], starts(d.Step(Event{NowUs: now, Ended: &AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: OutcomeDone}}))...)
+		running = append(running[1:], starts(d.Step(now, AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: OutcomeDone}))...)
 	}
 	if served["pages"] < 4 || served["fixes"] < 3*served["pages"] {
 		t.Fatalf("served %v: want fixes first, pages not starved", served)
@@ -87,18 +87,18 @@
 func TestAFullQueueAnswersAtOnceWithARetryTime(t *testing.T) {
 	d := leased(0, 4)
 	for i := 0; i < 4; i++ {
-		d.Step(Event{NowUs: 5, Arrived: call(i, "fixes")})
+		d.Step(5, CallArrived{Call: call(i, "fixes")})
 	}
-	effects := d.Step(Event{NowUs: 6, Arrived: call(9, "fixes")})
-	if len(effects) != 1 || effects[0].Give == nil || effects[0].Give.Fault.Code != fault.Overloaded || effects[0].Give.Fault.RetryMs <= 0 || effects[0].Give.Fault.Run != fault.RunNone {
+	effects := d.Step(6, CallArrived{Call: call(9, "fixes")})
+	if len(effects) != 1 || failed(effects[0]) == nil || failed(effects[0]).Fault.Code != fault.Overloaded || failed(effects[0]).Fault.RetryMs <= 0 || failed(effects[0]).Fault.Run != fault.RunNone {
 		t.Fatalf("%+v", effects)
 	}
-	effects = d.Step(Event{NowUs: 7, Arrived: call(1, "letters")})
-	if len(effects) != 1 || effects[0].Give == nil || effects[0].Give.Call.Kind != "fixes" {
+	effects = d.Step(7, CallArrived{Call: call(1, "letters")})
+	if len(effects) != 1 || failed(effects[0]) == nil || failed(effects[0]).Call.Kind != "fixes" {
 		t.Fatalf("a kind below its share was refused instead of one above: %+v", effects)
 	}
-	effects = d.Step(Event{NowUs: 60 * clock.Sec})
-	if len(effects) != 4 || effects[0].Give.Fault.Code != fault.Expired {
+	effects = d.Step(60*clock.Sec, Tick{})
+	if len(effects) != 4 || failed(effects[0]).Fault.Code != fault.Expired {
 		t.Fatalf("expired calls are not given up: %+v", effects)
 	}
 }
@@ -108,21 +108,21 @@
 	now := int64(10)
 	var running []*AttemptStart
 	for i := 0; i < 40; i++ {
-		running = append(running, starts(d.Step(Event{NowUs: now, Arrived: call(i, "fixes")}))...)
+		running = append(running, starts(d.Step(now, CallArrived{Call: call(i, "fixes")}))...)
 	}
 	for i := 0; i < 20; i++ {
 		now += 400 * clock.Ms
 		st := running[0]
-		running = append(running[1:], starts(d.Step(Event{NowUs: now, Ended: &AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: OutcomeDone}}))...)
+		running = append(running[1:], starts(d.Step(now, AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: OutcomeDone}))...)
 	}
 	soon := call(99, "fixes")
 	soon.TimeoutMs = 1000
-	effects := d.Step(Event{NowUs: now, Arrived: soon})
-	if len(effects) != 1 || effects[0].Give == nil || effects[0].Give.Fault.Code != fault.Overloaded || effects[0].Give.Fault.RetryMs <= 0 {
+	effects := d.Step(now, CallArrived{Call: soon})
+	if len(effects) != 1 || failed(effects[0]) == nil || failed(effects[0]).Fault.Code != fault.Overloaded || failed(effects[0]).Fault.RetryMs <= 0 {
 		t.Fatalf("%+v", effects)
 	}
 	later := call(100, "fixes")
-	if effects := d.Step(Event{NowUs: now, Arrived: later}); len(effects) != 0 {
+	if effects := d.Step(now, CallArrived{Call: later}); len(effects) != 0 {
 		t.Fatalf("one with time was not kept waiting: %+v", effects)
 	}
 }
@@ -137,8 +137,8 @@
 		{"pages", OutcomeUnknown, true}, {"pages", OutcomeBroken, true}, {"pages", OutcomeMigrated, true}, {"pages", OutcomeTimedOut, false},
 	} {
 		d := leased(2, 10)
-		st := starts(d.Step(Event{NowUs: 2, Arrived: call(1, c.kind)}))[0]
-		more := starts(d.Step(Event{NowUs: 3, Ended: &AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: c.ending}}))
+		st := starts(d.Step(2, CallArrived{Call: call(1, c.kind)}))[0]
+		more := starts(d.Step(3, AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: c.ending}))
 		if len(more) > 0 != c.again {
 			t.Errorf("%s after %s: %d more attempts", c.kind, c.ending, len(more))
 		}
@@ -157,7 +157,7 @@
 		"new":       func(n *wire.GatewayUpdate) { n.Replicas[0].Incarnation = "j" },
 	} {
 		d := leased(4, 10)
-		st := starts(d.Step(Event{NowUs: 2, Arrived: call(1, "letters")}))[0]
+		st := starts(d.Step(2, CallArrived{Call: call(1, "letters")}))[0]
 		if st.Replica != "r1" {
 			t.Fatal("the test wants r1 first")
 		}
@@ -165,9 +165,9 @@
 		if st.MaySend(newer, 3, 10) || !st.MaySend(d.snapshot, 3, 10) {
 			t.Errorf("%s: the body would still leave", name)
 		}
-		d.Step(Event{NowUs: 3, Snapshot: newer})
+		d.Step(3, SnapshotReceived{Snapshot: newer})
 		for i := 2; i < 6; i++ {
-			for _, st := range starts(d.Step(Event{NowUs: 4, Arrived: call(i, "letters")})) {
+			for _, st := range starts(d.Step(4, CallArrived{Call: call(i, "letters")})) {
 				if st.Replica == "r1" && name != "new" {
 					t.Errorf("%s: an attempt went there", name)
 				}
@@ -181,11 +181,11 @@
 	calls := map[string]*Call{}
 	for i := 0; i < 6; i++ {
 		c := call(i, "pages")
-		for _, st := range starts(d.Step(Event{NowUs: 2, Arrived: c})) {
+		for _, st := range starts(d.Step(2, CallArrived{Call: c})) {
 			if st.Replica == "r1" {
 				calls[c.ID] = c
 			} else {
-				d.Step(Event{NowUs: 2, Ended: &AttemptEnded{Call: c.ID, Attempt: st.Attempt, Outcome: OutcomeDone}})
+				d.Step(2, AttemptEnded{Call: c.ID, Attempt: st.Attempt, Outcome: OutcomeDone})
 			}
 		}
 	}
@@ -200,9 +200,9 @@
 		most = id
 	}
 	cancelled := []string{}
-	for _, e := range d.Step(Event{NowUs: 3, Snapshot: snapshot(2, 3, func(n *wire.GatewayUpdate) { n.Replicas[0].Draining = true; n.Replicas[1].MaxInFlight = 1 })}) {
-		if e.Cancel != "" {
-			cancelled = append(cancelled, e.Cancel)
+	for _, e := range d.Step(3, SnapshotReceived{Snapshot: snapshot(2, 3, func(n *wire.GatewayUpdate) { n.Replicas[0].Draining = true; n.Replicas[1].MaxInFlight = 1 })}) {
+		if canceled(e) != "" {
+			cancelled = append(cancelled, canceled(e))
 		}
 	}
 	if len(cancelled) != 1 || cancelled[0] != most {
@@ -212,8 +212,8 @@
 
 func TestOldNewsIsNotTaken(t *testing.T) {
 	d := leased(2, 10)
-	d.Step(Event{NowUs: 2, Snapshot: snapshot(5, 2, nil)})
-	d.Step(Event{NowUs: 3, Snapshot: snapshot(4, 0, nil)})
+	d.Step(2, SnapshotReceived{Snapshot: snapshot(5, 2, nil)})
+	d.Step(3, SnapshotReceived{Snapshot: snapshot(4, 0, nil)})
 	if d.Status().Number != 5 {
 		t.Fatal("older news was taken")
 	}
@@ -223,12 +223,12 @@
 	d := leased(50, 100)
 	seen := map[string]bool{}
 	for i := 0; i < 60; i++ {
-		for _, st := range starts(d.Step(Event{NowUs: 2, Arrived: call(i, "fixes")})) {
+		for _, st := range starts(d.Step(2, CallArrived{Call: call(i, "fixes")})) {
 			if seen[st.Attempt] {
 				t.Fatalf("%s twice", st.Attempt)
 			}
 			seen[st.Attempt] = true
-			d.Step(Event{NowUs: 2, Snapshot: snapshot(uint64(i+2), 50, nil)})
+			d.Step(2, SnapshotReceived{Snapshot: snapshot(uint64(i+2), 50, nil)})
 		}
 	}
 }
@@ -238,7 +238,7 @@
 	with := func(i int, prefix ...string) string {
 		c := call(i, "fixes")
 		c.Prefix = prefix
-		return starts(d.Step(Event{NowUs: 2, Arrived: c}))[0].Replica
+		return starts(d.Step(2, CallArrived{Call: c}))[0].Replica
 	}
 	first := with(1, "house", "school 1")
 	other := with(2, "house 2", "school 2")
@@ -273,13 +273,13 @@
 			})
 		}
 		d := New(Options{Gateway: "d", QueueMax: 10})
-		d.Step(Event{NowUs: 1, Snapshot: with(1, nil)})
+		d.Step(1, SnapshotReceived{Snapshot: with(1, nil)})
 		waits := call(1, "fixes")
 		waits.Adapter = "a"
-		d.Step(Event{NowUs: 1, Arrived: waits})
+		d.Step(1, CallArrived{Call: waits})
 		var got fault.Code
-		for _, e := range d.Step(Event{NowUs: 200 * clock.Ms, Snapshot: with(2, c.edit)}) {
-			got = e.Give.Fault.Code
+		for _, e := range d.Step(200*clock.Ms, SnapshotReceived{Snapshot: with(2, c.edit)}) {
+			got = failed(e).Fault.Code
 		}
 		if got != c.code {
 			t.Errorf("%s: given %q, want %q", name, got, c.code)
@@ -287,8 +287,8 @@
 		late := call(2, "fixes")
 		late.Adapter, late.ArrivedUs = "a", 1
 		got = ""
-		for _, e := range d.Step(Event{NowUs: 200 * clock.Ms, Arrived: late}) {
-			got = e.Give.Fault.Code
+		for _, e := range d.Step(200*clock.Ms, CallArrived{Call: late}) {
+			got = failed(e).Fault.Code
 		}
 		if got != c.code {
 			t.Errorf("%s: a call read under the older news and come after the newer is given %q, want %q", name, got, c.code)
@@ -299,14 +299,14 @@
 func TestUrgencyOfWaitingCallsChangesWithTheirKind(t *testing.T) {
 	swap := func(n *wire.GatewayUpdate) { n.Declaration.Kinds[1].Urgency, n.Declaration.Kinds[2].Urgency = 9, 1 }
 	d := New(Options{Gateway: "d", Incarnation: "i", QueueMax: 100})
-	d.Step(Event{NowUs: 1, Snapshot: snapshot(1, 0, nil)})
-	d.Step(Event{NowUs: 1, LeaseUs: 100 * clock.Sec})
+	d.Step(1, SnapshotReceived{Snapshot: snapshot(1, 0, nil)})
+	d.Step(1, LeaseExtended{UntilUs: 100 * clock.Sec})
 	for i := 0; i < 20; i++ {
-		d.Step(Event{NowUs: 2, Arrived: call(i, "fixes")})
-		d.Step(Event{NowUs: 2, Arrived: call(i, "letters")})
+		d.Step(2, CallArrived{Call: call(i, "fixes")})
+		d.Step(2, CallArrived{Call: call(i, "letters")})
 	}
 	served := map[string]int{}
-	for _, st := range starts(d.Step(Event{NowUs: 3, Snapshot: snapshot(2, 10, swap)})) {
+	for _, st := range starts(d.Step(3, SnapshotReceived{Snapshot: snapshot(2, 10, swap)})) {
 		served[st.Call.Kind]++
 	}
 	if served["letters"] < 4*served["fixes"] {
@@ -320,28 +320,28 @@
 	for name, order := range map[string][]bool{"while it runs": {true, false}, "while it waits again": {false, true}} {
 		d := leased(2, 10)
 		c := call(1, "pages")
-		st := starts(d.Step(Event{NowUs: 2, Arrived: c}))[0]
+		st := starts(d.Step(2, CallArrived{Call: c}))[0]
 		var effects []Effect
 		for i, change := range order {
 			if change {
 				share := 2
-				effects = append(effects, d.Step(Event{NowUs: int64(3 + i), Snapshot: snapshot(9, share, never)})...)
+				effects = append(effects, d.Step(int64(3+i), SnapshotReceived{Snapshot: snapshot(9, share, never)})...)
 				continue
 			}
 			if !order[0] {
-				d.Step(Event{NowUs: 3, Snapshot: snapshot(2, 0, nil)})
+				d.Step(3, SnapshotReceived{Snapshot: snapshot(2, 0, nil)})
 			}
-			effects = append(effects, d.Step(Event{NowUs: int64(3 + i), Ended: &AttemptEnded{Call: c.ID, Attempt: st.Attempt, Outcome: OutcomeUnknown}})...)
+			effects = append(effects, d.Step(int64(3+i), AttemptEnded{Call: c.ID, Attempt: st.Attempt, Outcome: OutcomeUnknown})...)
 		}
 		if n := len(starts(effects)); n != 0 {
 			t.Errorf("%s: %d more attempts", name, n)
 		}
 		for _, e := range effects {
-			if e.Give != nil && e.Give.Fault.Run == fault.RunNone {
+			if failed(e) != nil && failed(e).Fault.Run == fault.RunNone {
 				t.Errorf("%s: told not run", name)
 			}
 		}
-		if len(effects) != 1 || effects[0].Over == nil && effects[0].Give == nil {
+		if len(effects) != 1 || finished(effects[0]) == nil && failed(effects[0]) == nil {
 			t.Errorf("%s: no final answer: %+v", name, effects)
 		}
 	}
@@ -361,23 +361,23 @@
 	if got := code(d, 1); got != fault.NoLease {
 		t.Errorf("without a declaration: %q", got)
 	}
-	d.Step(Event{NowUs: 1, Snapshot: snapshot(1, 0, nil)})
+	d.Step(1, SnapshotReceived{Snapshot: snapshot(1, 0, nil)})
 	if got := code(d, 1); got != fault.NoLease {
 		t.Errorf("without a lease: %q", got)
 	}
-	d.Step(Event{NowUs: 1, LeaseUs: 100})
+	d.Step(1, LeaseExtended{UntilUs: 100})
 	if got := code(d, 99); got != "" {
 		t.Errorf("with all: %q", got)
 	}
 	if got := code(d, 100); got != fault.NoLease {
 		t.Errorf("with a lapsed lease: %q", got)
 	}
-	d.Step(Event{NowUs: 2, Arrived: call(1, "fixes")})
-	d.Step(Event{NowUs: 2, Arrived: call(2, "fixes")})
+	d.Step(2, CallArrived{Call: call(1, "fixes")})
+	d.Step(2, CallArrived{Call: call(2, "fixes")})
 	if got := code(d, 3); got != fault.Overloaded {
 		t.Errorf("with a full queue: %q", got)
 	}
-	d.Step(Event{NowUs: 3, Drain: true})
+	d.Step(3, DrainStarted{})
 	if got := code(d, 3); got != fault.Draining {
 		t.Errorf("while draining: %q", got)
 	}
@@ -388,13 +388,13 @@
 func TestThoseRefusedTogetherComeBackApart(t *testing.T) {
 	d := leased(0, 200)
 	for i := 0; i < 200; i++ {
-		d.Step(Event{NowUs: 5, Arrived: call(i, "fixes")})
+		d.Step(5, CallArrived{Call: call(i, "fixes")})
 	}
 	seen := map[int64]int{}
 	var leastMs, mostMs int64 = 1 << 40, 0
-	for _, e := range d.Step(Event{NowUs: 60 * clock.Sec}) {
-		seen[e.Give.Fault.RetryMs]++
-		leastMs, mostMs = min(leastMs, e.Give.Fault.RetryMs), max(mostMs, e.Give.Fault.RetryMs)
+	for _, e := range d.Step(60*clock.Sec, Tick{}) {
+		seen[failed(e).Fault.RetryMs]++
+		leastMs, mostMs = min(leastMs, failed(e).Fault.RetryMs), max(mostMs, failed(e).Fault.RetryMs)
 	}
 	if len(seen) < 100 || leastMs <= 0 || mostMs < 2*leastMs {
 		t.Fatalf("200 calls come back at %d times from %d to %d ms", len(seen), leastMs, mostMs)
--- a/internal/dataplane/scheduling/decisions_test.go
+++ b/internal/dataplane/scheduling/decisions_test.go
@@ -97,9 +97,9 @@
 		k := newHarness(Options{}, stands(declaration(docs[0]), 1, rows...))
 		k.call("c", "r", "")
 		for _, doc := range docs[1:] {
-			k.step(Event{Snapshot: stands(declaration(doc), 1, rows...)})
+			k.step(SnapshotReceived{Snapshot: stands(declaration(doc), 1, rows...)})
 		}
-		if k.end("c", OutcomeUnknown); len(k.attempts["c"]) != 1 || k.final["c"] == nil || k.final["c"].Over == nil {
+		if k.end("c", OutcomeUnknown); len(k.attempts["c"]) != 1 || k.final["c"] == nil || finished(k.final["c"]) == nil {
 			t.Errorf("%s: %d attempts, %+v", what, len(k.attempts["c"]), k.final["c"])
 		}
 	}
@@ -110,11 +110,11 @@
 	rows := at("s", "r1", "r2")
 	k := newHarness(Options{}, stands(declaration(declared{"r", configuration.Streaming, 3, one("s"), true}), 1, rows...))
 	k.call("c", "r", "").Progress.Store(2)
-	k.step(Event{Snapshot: stands(declaration(declared{"r", configuration.Idempotent, 3, one("s"), false}), 1, rows...)})
+	k.step(SnapshotReceived{Snapshot: stands(declaration(declared{"r", configuration.Idempotent, 3, one("s"), false}), 1, rows...)})
 	if k.end("c", OutcomeBroken); len(k.attempts["c"]) != 1 {
 		t.Errorf("%d attempts", len(k.attempts["c"]))
 	}
-	if f := k.final["c"]; f == nil || f.Over == nil && f.Give.Fault.Run == fault.RunNone {
+	if f := k.final["c"]; f == nil || finished(f) == nil && failed(f).Fault.Run == fault.RunNone {
 		t.Errorf("%+v", f)
 	}
 }
@@ -128,11 +128,11 @@
 	}
 	k.call("c", "r", "")
 	moved := declaration(declared{"r", configuration.Idempotent, 3, one("other"), false}, declared{"o", configuration.Idempotent, 3, one("other"), false})
-	k.step(Event{Snapshot: stands(moved, 1, rows...)})
+	k.step(SnapshotReceived{Snapshot: stands(moved, 1, rows...)})
 	if k.end("c", OutcomeUnknown); len(k.attempts["c"]) != 1 {
 		t.Errorf("it was sent to %s, whose budget is spent", k.attempts["c"][1].Replica)
 	}
-	if f := k.final["c"]; f == nil || f.Give != nil && f.Give.Fault.Run == fault.RunNone {
+	if f := k.final["c"]; f == nil || failed(f) != nil && failed(f).Fault.Run == fault.RunNone {
 		t.Errorf("%+v", f)
 	}
 }
--- a/internal/dataplane/scheduling/drain_test.go
+++ b/internal/dataplane/scheduling/drain_test.go
@@ -35,21 +35,21 @@
 // the grace (mix day, seed 620110391056).
 func TestAGatewayGoingDownAnswersEveryCallThatWaits(t *testing.T) {
 	d := New(Options{Gateway: "d1", QueueMax: 8})
-	d.Step(Event{NowUs: 1, Snapshot: routedSnapshot()})
-	if got := d.Step(Event{NowUs: 2, Arrived: letter("c1", "rare")}); len(got) != 1 || !got[0].Unplaced {
+	d.Step(1, SnapshotReceived{Snapshot: routedSnapshot()})
+	if got := d.Step(2, CallArrived{Call: letter("c1", "rare")}); len(got) != 1 || !unplaced(got[0]) {
 		t.Fatalf("a call for what nobody holds: %+v", got)
 	}
-	d.Step(Event{NowUs: 3, Drain: true})
-	if got := d.Step(Event{NowUs: 4, Arrived: letter("c2", "m")}); len(got) != 1 || got[0].Start == nil {
+	d.Step(3, DrainStarted{})
+	if got := d.Step(4, CallArrived{Call: letter("c2", "m")}); len(got) != 1 || started(got[0]) == nil {
 		t.Fatalf("a call that can run was not taken while draining: %+v", got)
 	}
 	refused := func(got []Effect, id string) {
 		t.Helper()
-		if len(got) != 1 || got[0].Give == nil || got[0].Give.Call.ID != id || got[0].Give.Fault.Code != fault.Draining ||
-			got[0].Give.Fault.Run != fault.RunNone || got[0].Give.Fault.RetryMs == 0 {
+		if len(got) != 1 || failed(got[0]) == nil || failed(got[0]).Call.ID != id || failed(got[0]).Fault.Code != fault.Draining ||
+			failed(got[0]).Fault.Run != fault.RunNone || failed(got[0]).Fault.RetryMs == 0 {
 			t.Fatalf("want %s refused with a time to come back, got %+v", id, got)
 		}
 	}
-	refused(d.Step(Event{NowUs: 5, Arrived: letter("c3", "rare")}), "c3")
-	refused(d.Step(Event{NowUs: 6, Close: true}), "c1")
+	refused(d.Step(5, CallArrived{Call: letter("c3", "rare")}), "c3")
+	refused(d.Step(6, DrainEnded{}), "c1")
 }
--- a/internal/dataplane/scheduling/events.go
+++ b/internal/dataplane/scheduling/events.go
@@ -5,37 +5,64 @@
 	"petreltide/internal/api/fault"
 )
 
-// Event is one thing that has happened; all its fields but NowUs and one are left out.
-type Event struct {
-	NowUs    int64
-	Arrived  *Call
-	Ended    *AttemptEnded
-	Gone     string
-	Snapshot *Snapshot
-	LeaseUs  int64
-	Drain    bool
-	// Close ends a drain: what still waits is refused, as nobody will be here to answer it.
-	Close bool
-}
+// Event is one thing that has happened to the gateway. The types of this file that have the method isEvent are all there are.
+type Event interface{ isEvent() }
+
+// CallArrived hands a new call to the decider, which owns its unexported fields from then on.
+type CallArrived struct{ Call *Call }
 
-// AttemptEnded says how an attempt ended.
+// AttemptEnded says how an attempt ended. Call and Attempt are the IDs that AttemptStart gave.
 type AttemptEnded struct {
 	Call    string
 	Attempt string
 	Outcome Outcome
 }
 
-// Effect is one thing to be done; one of its fields is set.
-type Effect struct {
-	Start  *AttemptStart
-	Give   *CallFailed
-	Over   *CallFinished
-	Cancel string
-	// Unplaced: a call has begun to wait for what no replica holds.
-	Unplaced bool
-}
+// CallCanceled says that the client of a call, named by its ID, has left.
+type CallCanceled struct{ Call string }
+
+// SnapshotReceived brings a configuration; one that is older than the decider's own is ignored.
+type SnapshotReceived struct{ Snapshot *Snapshot }
+
+// LeaseExtended says until when, in microseconds of this process's clock, a gateway of the declared platform may start
+// attempts. A lease is never shortened.
+type LeaseExtended struct{ UntilUs int64 }
+
+// DrainStarted begins a graceful shutdown: calls that come from then on are refused, queued ones go on.
+type DrainStarted struct{}
+
+// DrainEnded ends it: what is still queued is refused, as nobody will be here to answer it.
+type DrainEnded struct{}
+
+// Tick says that time has passed.
+type Tick struct{}
+
+func (CallArrived) isEvent()      {}
+func (AttemptEnded) isEvent()     {}
+func (CallCanceled) isEvent()     {}
+func (SnapshotReceived) isEvent() {}
+func (LeaseExtended) isEvent()    {}
+func (DrainStarted) isEvent()     {}
+func (DrainEnded) isEvent()       {}
+func (Tick) isEvent()             {}
+
+// Effect is one thing to be done by whoever drives the decider: *AttemptStart, *CallFailed, *CallFinished, CancelAttempt
+// or CallUnplaced. All of them are as wide as a pointer or empty, so that none is allocated beyond what it points to.
+type Effect interface{ isEffect() }
+
+// CancelAttempt ends the attempt that a call has under way; its AttemptEnded is still to come.
+type CancelAttempt struct{ Call *Call }
+
+// CallUnplaced says that a call has begun to wait for what no replica has loaded, so that a report should not wait.
+type CallUnplaced struct{}
+
+func (*AttemptStart) isEffect() {}
+func (*CallFailed) isEffect()   {}
+func (*CallFinished) isEffect() {}
+func (CancelAttempt) isEffect() {}
+func (CallUnplaced) isEffect()  {}
 
-// CallFinished says that an attempt was the last one; only a call that may be resumed gets another.
+// CallFinished says that an attempt was the last one of its call, and how it ended.
 type CallFinished struct {
 	Call    *Call
 	Outcome Outcome
--- a/internal/dataplane/scheduling/finish.go
+++ b/internal/dataplane/scheduling/finish.go
@@ -25,7 +25,7 @@
 	d.kind(c.Kind).faults[code]++
 	d.countFinished(c, "", code)
 	d.logDecision(c, "given up", "", string(code)+": "+why)
-	d.emit(Effect{Give: &CallFailed{Call: c, Fault: f}})
+	d.emit(&CallFailed{Call: c, Fault: f})
 }
 
 // spreadRetryMs spreads the times at which callers that were refused together come back: half to one and a half
@@ -51,7 +51,7 @@
 		d.countFinished(c, "", "")
 		return
 	}
-	d.emit(Effect{Cancel: c.ID})
+	d.emit(CancelAttempt{Call: c})
 }
 
 func (d *Decider) attemptEnded(e AttemptEnded) {
@@ -110,5 +110,5 @@
 	}
 	d.countFinished(c, e, "")
 	d.logDecision(c, "ended", on, string(e))
-	d.emit(Effect{Over: &CallFinished{Call: c, Outcome: e}})
+	d.emit(&CallFinished{Call: c, Outcome: e})
 }
--- a/internal/dataplane/scheduling/gauge_test.go
+++ b/internal/dataplane/scheduling/gauge_test.go
@@ -13,17 +13,17 @@
 		return s
 	}
 	d := New(Options{Gateway: "d", Incarnation: "i", QueueMax: 100})
-	d.Step(Event{NowUs: 1, Snapshot: at(1, 1, 2)})
-	d.Step(Event{NowUs: 1, LeaseUs: 100 * clock.Sec})
+	d.Step(1, SnapshotReceived{Snapshot: at(1, 1, 2)})
+	d.Step(1, LeaseExtended{UntilUs: 100 * clock.Sec})
 	first, second, third := call(1, "fixes"), call(2, "fixes"), call(3, "fixes")
-	st := starts(d.Step(Event{NowUs: 10, Arrived: first}))[0]
+	st := starts(d.Step(10, CallArrived{Call: first}))[0]
 	first.FirstByteUs.Store(1010)
-	d.Step(Event{NowUs: 2000, Ended: &AttemptEnded{Call: first.ID, Attempt: st.Attempt, Outcome: OutcomeDone}})
-	st = starts(d.Step(Event{NowUs: 3000, Arrived: second}))[0]
-	d.Step(Event{NowUs: 4000, Snapshot: at(2, 2, 2)})
+	d.Step(2000, AttemptEnded{Call: first.ID, Attempt: st.Attempt, Outcome: OutcomeDone})
+	st = starts(d.Step(3000, CallArrived{Call: second}))[0]
+	d.Step(4000, SnapshotReceived{Snapshot: at(2, 2, 2)})
 	second.FirstByteUs.Store(5000)
-	d.Step(Event{NowUs: 6000, Ended: &AttemptEnded{Call: second.ID, Attempt: st.Attempt, Outcome: OutcomeDone}})
-	d.Step(Event{NowUs: 6000, Arrived: third})
+	d.Step(6000, AttemptEnded{Call: second.ID, Attempt: st.Attempt, Outcome: OutcomeDone})
+	d.Step(6000, CallArrived{Call: third})
 	got := map[uint64]*KindCounters{}
 	for _, g := range d.Counters() {
 		got[g.Revision] = g.Kinds["fixes"]
@@ -35,8 +35,8 @@
 		t.Errorf("revision 2: %+v", two)
 	}
 	for n := uint64(3); n < 30; n++ {
-		d.Step(Event{NowUs: int64(n) * 10_000, Snapshot: at(n, n, 50)})
-		d.Step(Event{NowUs: int64(n) * 10_000, Arrived: call(int(n), "fixes")})
+		d.Step(int64(n)*10_000, SnapshotReceived{Snapshot: at(n, n, 50)})
+		d.Step(int64(n)*10_000, CallArrived{Call: call(int(n), "fixes")})
 	}
 	if n := len(d.Counters()); n != maxRevisions {
 		t.Errorf("%d gauges are kept", n)
--- a/internal/dataplane/scheduling/golden_test.go
+++ b/internal/dataplane/scheduling/golden_test.go
@@ -33,11 +33,11 @@
 	starts, gives, overs, cancels, unplaced int
 }
 
-func (j *journal) step(ev Event) {
-	for _, e := range j.d.Step(ev) {
+func (j *journal) step(nowUs int64, ev Event) {
+	for _, e := range j.d.Step(nowUs, ev) {
 		switch {
-		case e.Start != nil:
-			s := e.Start
+		case started(e) != nil:
+			s := started(e)
 			j.starts++
 			j.open = append(j.open, s)
 			route := ""
@@ -45,16 +45,16 @@
 				route = s.Route.Name
 			}
 			fmt.Fprintln(j.sum, "start", s.Call.ID, s.Attempt, s.Ticket, s.Replica, s.Addr, s.Incarnation, s.Revision, s.DeadlineUs, route, s.Service, s.Kind, s.EstimatedFirstByteMs, s.Running)
-		case e.Give != nil:
+		case failed(e) != nil:
 			j.gives++
-			fmt.Fprintf(j.sum, "give %s %+v\n", e.Give.Call.ID, *e.Give.Fault)
-		case e.Over != nil:
+			fmt.Fprintf(j.sum, "give %s %+v\n", failed(e).Call.ID, *failed(e).Fault)
+		case finished(e) != nil:
 			j.overs++
-			fmt.Fprintln(j.sum, "over", e.Over.Call.ID, e.Over.Outcome)
-		case e.Cancel != "":
+			fmt.Fprintln(j.sum, "over", finished(e).Call.ID, finished(e).Outcome)
+		case canceled(e) != "":
 			j.cancels++
-			fmt.Fprintln(j.sum, "cancel", e.Cancel)
-		case e.Unplaced:
+			fmt.Fprintln(j.sum, "cancel", canceled(e))
+		case unplaced(e):
 			j.unplaced++
 			fmt.Fprintln(j.sum, "unplaced")
 		}
@@ -167,13 +167,13 @@
 		nowUs += r.Int63n(40 * clock.Ms)
 		switch k := r.Intn(20); {
 		case n == 0 || k == 0:
-			j.step(Event{NowUs: nowUs, Snapshot: draw()})
+			j.step(nowUs, SnapshotReceived{Snapshot: draw()})
 		case k == 1:
-			j.step(Event{NowUs: nowUs, LeaseUs: nowUs + r.Int63n(4*clock.Sec)})
+			j.step(nowUs, LeaseExtended{UntilUs: nowUs + r.Int63n(4*clock.Sec)})
 		case k == 2:
-			j.step(Event{NowUs: nowUs})
+			j.step(nowUs, Tick{})
 		case k == 3 && calls > 0:
-			j.step(Event{NowUs: nowUs, Gone: fmt.Sprint("c", 1+r.Intn(calls))})
+			j.step(nowUs, CallCanceled{Call: fmt.Sprint("c", 1+r.Intn(calls))})
 		case k < 11:
 			calls++
 			c := &Call{ID: fmt.Sprint("c", calls), Kind: []string{"a", "b", "c", "unknown"}[min(r.Intn(13)/4, 3)], Model: []string{"m", "m", "n"}[r.Intn(3)], Prefix: []string{"p", fmt.Sprint(r.Intn(3))}, TimeoutMs: int64(r.Intn(3)) * 900}
@@ -187,9 +187,9 @@
 					c.Model, c.Adapter = "", ""
 				}
 			}
-			j.step(Event{NowUs: nowUs, Arrived: c})
+			j.step(nowUs, CallArrived{Call: c})
 		case n == 640:
-			j.step(Event{NowUs: nowUs, Drain: true})
+			j.step(nowUs, DrainStarted{})
 		default:
 			s := j.take(r)
 			if s == nil {
@@ -202,13 +202,13 @@
 			if r.Intn(5) == 0 {
 				s.Call.OutlierClass.Store(int32(r.Intn(int(outlier.Inconclusive) + 1)))
 			}
-			j.step(Event{NowUs: nowUs, Ended: &AttemptEnded{Call: s.Call.ID, Attempt: s.Attempt, Outcome: endings[r.Intn(len(endings))]}})
+			j.step(nowUs, AttemptEnded{Call: s.Call.ID, Attempt: s.Attempt, Outcome: endings[r.Intn(len(endings))]})
 		}
 		if n%50 == 0 {
 			j.state(nowUs)
 		}
 	}
-	j.step(Event{NowUs: nowUs, Close: true})
+	j.step(nowUs, DrainEnded{})
 	j.state(nowUs)
 	total.starts += j.starts
 	total.gives += j.gives
--- a/internal/dataplane/scheduling/prospect_test.go
+++ b/internal/dataplane/scheduling/prospect_test.go
@@ -22,7 +22,7 @@
 // patient asks as a caller who has maxMs left; a route's first few callers cannot be told from ones that came back.
 func (k *harness) patient(id, model string, mostMs int64) *Call {
 	c := &Call{ID: id, Kind: "page", Model: model, TimeoutMs: mostMs, Routed: &RoutedCall{PromptTokens: 100}}
-	k.step(Event{Arrived: c})
+	k.step(CallArrived{Call: c})
 	return c
 }
 
@@ -46,10 +46,10 @@
 	k := prospecting(stands(doc, 1, loading("n")...))
 	k.patient("first", "n", 5000)
 	e := k.final["first"]
-	if e == nil || e.Give == nil || e.Give.Fault.Run != fault.RunNone || e.Give.Fault.Code != fault.Overloaded {
+	if e == nil || failed(e) == nil || failed(e).Fault.Run != fault.RunNone || failed(e).Fault.Code != fault.Overloaded {
 		t.Fatalf("a call whose model comes after its aim is not sent back at once: %+v", e)
 	}
-	retryMs := e.Give.Fault.RetryMs
+	retryMs := failed(e).Fault.RetryMs
 	if retryMs < 1500 || retryMs > 5000/3 {
 		t.Errorf("it is to come back after %d ms, while the load takes more than 2000 ms and it waits 1666 ms at most", retryMs)
 	}
@@ -63,11 +63,11 @@
 	k.patient("again", "n", 3200)
 	k.after(900 * clock.Ms)
 	if k.final["again"] != nil {
-		t.Fatalf("a call that came back is sent back once more: %+v", k.final["again"].Give)
+		t.Fatalf("a call that came back is sent back once more: %+v", failed(k.final["again"]))
 	}
 	held := at("engine", "r1")
 	held[0].Loaded = []string{"m", "n"}
-	k.step(Event{Snapshot: stands(doc, 1, held...)})
+	k.step(SnapshotReceived{Snapshot: stands(doc, 1, held...)})
 	if len(k.attempts["again"]) != 1 {
 		t.Error("a call that came back was not sent once its model was there")
 	}
@@ -79,11 +79,11 @@
 	k.patient("c", "n", 10_000)
 	k.after(600 * clock.Ms)
 	if k.final["c"] != nil {
-		t.Fatalf("it is refused though its model comes in time: %+v", k.final["c"].Give)
+		t.Fatalf("it is refused though its model comes in time: %+v", failed(k.final["c"]))
 	}
 	held := at("engine", "r1")
 	held[0].Loaded = []string{"m", "n"}
-	k.step(Event{Snapshot: stands(doc, 1, held...)})
+	k.step(SnapshotReceived{Snapshot: stands(doc, 1, held...)})
 	if len(k.attempts["c"]) != 1 {
 		t.Error("it was not sent once its model was there")
 	}
@@ -94,10 +94,10 @@
 	k.patient("c", "n", 5000)
 	k.after(100 * clock.Ms)
 	if k.final["c"] != nil {
-		t.Fatalf("it is refused before anybody could order its model: %+v", k.final["c"].Give)
+		t.Fatalf("it is refused before anybody could order its model: %+v", failed(k.final["c"]))
 	}
 	k.after(100 * clock.Ms)
-	if k.final["c"] == nil || k.final["c"].Give == nil {
+	if k.final["c"] == nil || failed(k.final["c"]) == nil {
 		t.Error("it is held beyond a quarter of its aim with no order in sight")
 	}
 }
@@ -109,8 +109,8 @@
 	}
 	k.after(300 * clock.Ms)
 	for id, e := range k.final {
-		if e.Give != nil {
-			t.Errorf("%s: %+v", id, e.Give.Fault)
+		if failed(e) != nil {
+			t.Errorf("%s: %+v", id, failed(e).Fault)
 		}
 	}
 }
--- a/internal/dataplane/scheduling/replica_state.go
+++ b/internal/dataplane/scheduling/replica_state.go
@@ -75,8 +75,8 @@
 	c.FirstByteUs.Store(0)
 	d.admission.attemptStarted(c, d.nowUs)
 	d.logDecision(c, "leg", r.ID, "")
-	d.emit(Effect{Start: &AttemptStart{EstimatedFirstByteMs: predictedMs, Running: running, Call: c, Attempt: c.attempt, Replica: r.ID, Addr: r.Addr, Incarnation: r.Incarnation, Revision: d.snapshot.Revision, DeadlineUs: c.deadlineUs,
-		Route: c.Routed.Route, Service: c.Routed.Service, Kind: c.requestKind()}})
+	d.emit(&AttemptStart{EstimatedFirstByteMs: predictedMs, Running: running, Call: c, Attempt: c.attempt, Replica: r.ID, Addr: r.Addr, Incarnation: r.Incarnation, Revision: d.snapshot.Revision, DeadlineUs: c.deadlineUs,
+		Route: c.Routed.Route, Service: c.Routed.Service, Kind: c.requestKind()})
 }
 
 func itoa(n uint64) string {
--- a/internal/dataplane/scheduling/routed_test.go
+++ b/internal/dataplane/scheduling/routed_test.go
@@ -66,7 +66,7 @@
 	d          *Decider
 	nowUs      int64
 	attempts   map[string][]*AttemptStart
-	final      map[string]*Effect
+	final      map[string]Effect
 	finalCount int
 }
 
@@ -74,24 +74,22 @@
 	if opts.QueueMax == 0 {
 		opts.QueueMax = 1000
 	}
-	k := &harness{d: New(opts), nowUs: clock.Sec, attempts: map[string][]*AttemptStart{}, final: map[string]*Effect{}}
-	k.step(Event{Snapshot: s})
+	k := &harness{d: New(opts), nowUs: clock.Sec, attempts: map[string][]*AttemptStart{}, final: map[string]Effect{}}
+	k.step(SnapshotReceived{Snapshot: s})
 	return k
 }
 
 func (k *harness) step(ev Event) []Effect {
-	ev.NowUs = k.nowUs
-	effects := k.d.Step(ev)
+	effects := k.d.Step(k.nowUs, ev)
 	for _, e := range effects {
-		held := e
 		switch {
-		case e.Start != nil:
-			k.attempts[e.Start.Call.ID] = append(k.attempts[e.Start.Call.ID], e.Start)
-		case e.Give != nil:
-			k.final[e.Give.Call.ID] = &held
+		case started(e) != nil:
+			k.attempts[started(e).Call.ID] = append(k.attempts[started(e).Call.ID], started(e))
+		case failed(e) != nil:
+			k.final[failed(e).Call.ID] = e
 			k.finalCount++
-		case e.Over != nil:
-			k.final[e.Over.Call.ID] = &held
+		case finished(e) != nil:
+			k.final[finished(e).Call.ID] = e
 			k.finalCount++
 		}
 	}
@@ -100,19 +98,19 @@
 
 func (k *harness) call(id, route, model string) *Call {
 	c := &Call{ID: id, Kind: route, Model: model, Routed: &RoutedCall{PromptTokens: 100}}
-	k.step(Event{Arrived: c})
+	k.step(CallArrived{Call: c})
 	return c
 }
 
 // end ends the newest attempt of a call.
 func (k *harness) end(id string, e Outcome) []Effect {
 	attempts := k.attempts[id]
-	return k.step(Event{Ended: &AttemptEnded{Call: id, Attempt: attempts[len(attempts)-1].Attempt, Outcome: e}})
+	return k.step(AttemptEnded{Call: id, Attempt: attempts[len(attempts)-1].Attempt, Outcome: e})
 }
 
 func (k *harness) after(us int64) {
 	k.nowUs += us
-	k.step(Event{})
+	k.step(Tick{})
 }
 
 func TestACallThatItsOnlyReplicaDidNotRunIsSentThereAgain(t *testing.T) {
@@ -132,7 +130,7 @@
 			t.Fatalf("%s: it waits for a replica that does not come, sent %d times", c.ending, n)
 		}
 		k.end("c", OutcomeDone)
-		if f := k.final["c"]; f == nil || f.Over == nil || f.Over.Outcome != OutcomeDone {
+		if f := k.final["c"]; f == nil || finished(f) == nil || finished(f).Outcome != OutcomeDone {
 			t.Errorf("%s: %+v", c.ending, f)
 		}
 	}
@@ -173,10 +171,10 @@
 		switch {
 		case f == nil:
 			t.Errorf("%s %v: no answer at once", c.repeat, c.endings)
-		case c.given && (f.Give == nil || f.Give.Fault.Run != c.run || f.Give.Fault.RetryMs <= 0):
-			t.Errorf("%s %v: %+v", c.repeat, c.endings, f.Give)
-		case !c.given && f.Over == nil:
-			t.Errorf("%s %v: %+v", c.repeat, c.endings, f.Give.Fault)
+		case c.given && (failed(f) == nil || failed(f).Fault.Run != c.run || failed(f).Fault.RetryMs <= 0):
+			t.Errorf("%s %v: %+v", c.repeat, c.endings, failed(f))
+		case !c.given && finished(f) == nil:
+			t.Errorf("%s %v: %+v", c.repeat, c.endings, failed(f).Fault)
 		}
 	}
 }
@@ -191,10 +189,10 @@
 		full[0].Unreachable, full[1].Unreachable = true, true
 		k := newHarness(Options{}, stands(declaration(base), 1, full...))
 		k.call("c", "r", "")
-		k.step(Event{Snapshot: stands(next, 1, rows...)})
+		k.step(SnapshotReceived{Snapshot: stands(next, 1, rows...)})
 		return k
 	}
-	if k := waiting(declaration()); k.final["c"] == nil || k.final["c"].Give == nil || k.final["c"].Give.Fault.Code != fault.UnknownKind || k.final["c"].Give.Fault.Run != fault.RunNone {
+	if k := waiting(declaration()); k.final["c"] == nil || failed(k.final["c"]) == nil || failed(k.final["c"]).Fault.Code != fault.UnknownKind || failed(k.final["c"]).Fault.Run != fault.RunNone {
 		t.Errorf("dropped while it waits: %+v", k.final["c"])
 	}
 	if k := waiting(declaration(moved)); len(k.attempts["c"]) != 1 || k.attempts["c"][0].Replica != "o1" {
@@ -207,25 +205,25 @@
 	running := func(next *configuration.Declaration, e Outcome) *harness {
 		k := newHarness(Options{}, stands(declaration(base), 1, rows...))
 		k.call("c", "r", "")
-		k.step(Event{Snapshot: stands(next, 1, rows...)})
+		k.step(SnapshotReceived{Snapshot: stands(next, 1, rows...)})
 		k.end("c", e)
 		return k
 	}
-	if k := running(declaration(), OutcomeDone); k.final["c"].Over == nil || k.final["c"].Over.Outcome != OutcomeDone {
+	if k := running(declaration(), OutcomeDone); finished(k.final["c"]) == nil || finished(k.final["c"]).Outcome != OutcomeDone {
 		t.Errorf("dropped while it runs: %+v", k.final["c"])
 	}
-	if k := running(declaration(), OutcomeRejected); k.final["c"] == nil || k.final["c"].Give == nil || k.final["c"].Give.Fault.Run != fault.RunNone || len(k.attempts["c"]) != 1 {
+	if k := running(declaration(), OutcomeRejected); k.final["c"] == nil || failed(k.final["c"]) == nil || failed(k.final["c"]).Fault.Run != fault.RunNone || len(k.attempts["c"]) != 1 {
 		t.Errorf("dropped while it runs, then refused: %+v", k.final["c"])
 	}
 	if k := running(declaration(moved), OutcomeRejected); len(k.attempts["c"]) != 2 || k.attempts["c"][1].Replica != "o1" {
 		t.Errorf("moved while it runs, then refused: %v", k.attempts["c"])
 	}
-	if k := running(declaration(moved), OutcomeUnknown); len(k.attempts["c"]) != 1 || k.final["c"].Over == nil {
+	if k := running(declaration(moved), OutcomeUnknown); len(k.attempts["c"]) != 1 || finished(k.final["c"]) == nil {
 		t.Errorf("moved while it runs, then in doubt: %v", k.attempts["c"])
 	}
 	k := newHarness(Options{}, stands(declaration(declared{"r", configuration.Idempotent, 3, one("s"), false}), 1, rows...))
 	k.call("c", "r", "")
-	k.step(Event{Snapshot: stands(declaration(base), 1, rows...)})
+	k.step(SnapshotReceived{Snapshot: stands(declaration(base), 1, rows...)})
 	if k.end("c", OutcomeUnknown); len(k.attempts["c"]) != 1 {
 		t.Errorf("no longer repeatable, then in doubt: %v", k.attempts["c"])
 	}
@@ -301,9 +299,9 @@
 		look := func(effects []Effect) {
 			for _, e := range effects {
 				switch {
-				case e.Start != nil:
-					id, route, row := e.Start.Call.ID, k.d.snapshot.Declaration.Route(e.Start.Call.Kind), k.d.snapshot.Replicas[e.Start.Replica]
-					if route == nil || row == nil || row.Draining || row.Unreachable || !route.SendsTo(row.Service) || e.Start.Incarnation != row.Incarnation {
+				case started(e) != nil:
+					id, route, row := started(e).Call.ID, k.d.snapshot.Declaration.Route(started(e).Call.Kind), k.d.snapshot.Replicas[started(e).Replica]
+					if route == nil || row == nil || row.Draining || row.Unreachable || !route.SendsTo(row.Service) || started(e).Incarnation != row.Incarnation {
 						t.Fatalf("seed %d: %s goes to %+v by %+v", seed, id, row, route)
 					}
 					if ran[id] {
@@ -315,9 +313,9 @@
 						t.Fatalf("seed %d: %s has two attempts at once", seed, id)
 					}
 					open[id] = true
-				case e.Give != nil:
-					if given++; e.Give.Fault.Run == fault.RunNone && ran[e.Give.Call.ID] {
-						t.Fatalf("seed %d: %s may have run and is told that it has not: %+v", seed, e.Give.Call.ID, e.Give.Fault)
+				case failed(e) != nil:
+					if given++; failed(e).Fault.Run == fault.RunNone && ran[failed(e).Call.ID] {
+						t.Fatalf("seed %d: %s may have run and is told that it has not: %+v", seed, failed(e).Call.ID, failed(e).Fault)
 					}
 				}
 			}
@@ -329,16 +327,16 @@
 			case 0, 1:
 				calls++
 				c := &Call{ID: fmt.Sprint("c", calls), Kind: names[r.Intn(3)], Routed: &RoutedCall{}}
-				look(k.step(Event{Arrived: c}))
+				look(k.step(CallArrived{Call: c}))
 			case 2:
-				look(k.step(Event{Snapshot: draw()}))
+				look(k.step(SnapshotReceived{Snapshot: draw()}))
 			default:
 				for id := range open {
 					if open[id] {
 						attempts := k.attempts[id]
 						e := endings[r.Intn(len(endings))]
 						ran[id], open[id] = ran[id] || !notRun(e), false
-						look(k.step(Event{Ended: &AttemptEnded{Call: id, Attempt: attempts[len(attempts)-1].Attempt, Outcome: e}}))
+						look(k.step(AttemptEnded{Call: id, Attempt: attempts[len(attempts)-1].Attempt, Outcome: e}))
 						break
 					}
 				}
@@ -349,11 +347,11 @@
 				if open[id] {
 					attempts := k.attempts[id]
 					open[id], ran[id] = false, true
-					look(k.step(Event{Ended: &AttemptEnded{Call: id, Attempt: attempts[len(attempts)-1].Attempt, Outcome: OutcomeTimedOut}}))
+					look(k.step(AttemptEnded{Call: id, Attempt: attempts[len(attempts)-1].Attempt, Outcome: OutcomeTimedOut}))
 				}
 			}
 			k.nowUs += 21 * clock.Sec
-			look(k.step(Event{}))
+			look(k.step(Tick{}))
 		}
 		if len(k.final) != calls || k.finalCount != calls || len(k.d.calls) != 0 || k.d.queued != 0 {
 			t.Fatalf("seed %d: %d calls, %d of them answered with %d answers, %d left over", seed, calls, len(k.final), k.finalCount, len(k.d.calls))
@@ -406,22 +404,22 @@
 				k.nowUs = clock.Sec + ms*clock.Ms
 				note := func(effects []Effect) {
 					for _, e := range effects {
-						if e.Start != nil {
-							open[i] = append(open[i], e.Start.Call.ID)
-							if len(k.attempts[e.Start.Call.ID]) > 1 {
+						if started(e) != nil {
+							open[i] = append(open[i], started(e).Call.ID)
+							if len(k.attempts[started(e).Call.ID]) > 1 {
 								extra = append(extra, k.nowUs)
 							}
 						}
 					}
 				}
 				if turns {
-					note(k.step(Event{Snapshot: stands(doc, gateways, rows...)}))
+					note(k.step(SnapshotReceived{Snapshot: stands(doc, gateways, rows...)}))
 				}
-				note(k.step(Event{}))
+				note(k.step(Tick{}))
 				if r.Intn(50*gateways) < rate {
 					calls = append(calls, k.nowUs)
 					id := fmt.Sprint("c", ms)
-					note(k.step(Event{Arrived: &Call{ID: id, Kind: "many", Routed: &RoutedCall{}}}))
+					note(k.step(CallArrived{Call: &Call{ID: id, Kind: "many", Routed: &RoutedCall{}}}))
 				}
 				ended := open[i]
 				open[i] = nil
@@ -431,7 +429,7 @@
 					if r.Intn(100) < bad {
 						e = []Outcome{OutcomeRejected, OutcomeBroken, OutcomeUnknown}[r.Intn(3)]
 					}
-					note(k.step(Event{Ended: &AttemptEnded{Call: id, Attempt: attempts[len(attempts)-1].Attempt, Outcome: e}}))
+					note(k.step(AttemptEnded{Call: id, Attempt: attempts[len(attempts)-1].Attempt, Outcome: e}))
 				}
 			}
 		}
--- a/internal/dataplane/scheduling/terms.go
+++ b/internal/dataplane/scheduling/terms.go
@@ -151,7 +151,7 @@
 			reserved[c.Model]++
 			c.migrating = true
 			d.logDecision(c, "moves", c.replica, fmt.Sprintf("leaving, %d pieces so far", c.Progress.Load()))
-			d.emit(Effect{Cancel: c.ID})
+			d.emit(CancelAttempt{Call: c})
 		}
 	}
 }
--- a/tests/simulator/gateways.go
+++ b/tests/simulator/gateways.go
@@ -58,7 +58,7 @@
 
 func (d *gatewayNode) tick() {
 	d.later(20*ms, func() {
-		d.step(scheduling.Event{})
+		d.step(scheduling.Tick{})
 		d.subscribe(controlclient.Event{})
 		d.tick()
 	})
@@ -90,7 +90,6 @@
 
 func (d *gatewayNode) subscribe(ev controlclient.Event) {
 	s := d.sim
-	ev.NowUs = d.clock()
 	for _, e := range d.subscriber.Step(ev) {
 		switch {
 		case e.RequestMembership != nil:
@@ -125,10 +124,10 @@
 			}
 			d.snap = e.Snapshot
 			s.ops.sawDoc(d.name, e.Snapshot)
-			d.step(scheduling.Event{Snapshot: e.Snapshot})
+			d.step(scheduling.SnapshotReceived{Snapshot: e.Snapshot})
 		case e.LeaseUs != 0:
 			d.leaseUs = e.LeaseUs
-			d.step(scheduling.Event{LeaseUs: e.LeaseUs})
+			d.step(scheduling.LeaseExtended{UntilUs: e.LeaseUs})
 		}
 	}
 }
@@ -187,21 +186,20 @@
 
 func (d *gatewayNode) step(ev scheduling.Event) {
 	s := d.sim
-	ev.NowUs = d.clock()
-	for _, e := range d.decider.Step(ev) {
-		switch {
-		case e.Start != nil:
-			d.attempt(*e.Start)
-		case e.Give != nil:
-			if c := d.calls[e.Give.Call.ID]; c != nil {
-				d.give(c, e.Give.Fault)
+	for _, e := range d.decider.Step(d.clock(), ev) {
+		switch e := e.(type) {
+		case *scheduling.AttemptStart:
+			d.attempt(*e)
+		case *scheduling.CallFailed:
+			if c := d.calls[e.Call.ID]; c != nil {
+				d.give(c, e.Fault)
 			}
-		case e.Over != nil:
-			if c := d.calls[e.Over.Call.ID]; c != nil {
-				d.cut(c, e.Over.Outcome)
+		case *scheduling.CallFinished:
+			if c := d.calls[e.Call.ID]; c != nil {
+				d.cut(c, e.Outcome)
 			}
-		case e.Cancel != "":
-			if c := d.calls[e.Cancel]; c != nil && c.stop != nil && (c.hung || s.plan.Plant != "still") {
+		case scheduling.CancelAttempt:
+			if c := d.calls[e.Call.ID]; c != nil && c.stop != nil && (c.hung || s.plan.Plant != "still") {
 				c.stop()
 			}
 		}
@@ -251,7 +249,7 @@
 	c.done = nil
 	d.sim.finish(c)
 	running := c.attempt != "" && c.stop != nil
-	d.step(scheduling.Event{Gone: c.call.ID})
+	d.step(scheduling.CallCanceled{Call: c.call.ID})
 	if !running {
 		d.over(c)
 	}
@@ -303,7 +301,7 @@
 	s := d.sim
 	c := d.calls[st.Call.ID]
 	ended := func(e scheduling.Outcome) {
-		d.step(scheduling.Event{Ended: &scheduling.AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: e}})
+		d.step(scheduling.AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: e})
 	}
 	if c == nil || !d.maySend(st) {
 		d.later(10, func() { ended(scheduling.OutcomeUnsent) })
@@ -513,7 +511,7 @@
 		if s.r.Intn(40) == 0 {
 			d.later(s.r.Int63n(600*ms), func() { d.hangUp(c) })
 		}
-		d.step(scheduling.Event{Arrived: c.call})
+		d.step(scheduling.CallArrived{Call: c.call})
 	}
 	if t.Key == "" || kind.Resumable {
 		enter()
--- a/tests/simulator/routed_attempts.go
+++ b/tests/simulator/routed_attempts.go
@@ -166,7 +166,7 @@
 	if x.gone || e == scheduling.OutcomeDone || e == scheduling.OutcomeFailed {
 		x.done()
 	}
-	t.step(scheduling.Event{Ended: &scheduling.AttemptEnded{Call: l.st.Call.ID, Attempt: l.st.Attempt, Outcome: e}})
+	t.step(scheduling.AttemptEnded{Call: l.st.Call.ID, Attempt: l.st.Attempt, Outcome: e})
 }
 
 // got is what a replica sends, as the platform's side of a gateway reads it.
--- a/tests/simulator/routed_frames.go
+++ b/tests/simulator/routed_frames.go
@@ -87,7 +87,7 @@
 		}
 	}
 	t.snap = &held
-	t.step(scheduling.Event{Snapshot: &held})
+	t.step(scheduling.SnapshotReceived{Snapshot: &held})
 }
 
 // forget leaves a replica out of what a gateway knows.
--- a/tests/simulator/routed_gateways.go
+++ b/tests/simulator/routed_gateways.go
@@ -67,7 +67,7 @@
 
 func (t *routedGateway) tick() {
 	t.later(50*ms, func() {
-		t.step(scheduling.Event{})
+		t.step(scheduling.Tick{})
 		t.reflect(controlclient.InformerEvent{})
 		t.tick()
 	})
@@ -97,32 +97,31 @@
 }
 
 func (t *routedGateway) step(ev scheduling.Event) {
-	ev.NowUs = t.clock()
 	urgent := false
-	for _, e := range t.decider.Step(ev) {
-		switch {
-		case e.Start != nil:
-			if x := t.open[e.Start.Call.ID]; x != nil {
-				x.begin(*e.Start)
+	for _, e := range t.decider.Step(t.clock(), ev) {
+		switch e := e.(type) {
+		case *scheduling.AttemptStart:
+			if x := t.open[e.Call.ID]; x != nil {
+				x.begin(*e)
 				continue
 			}
-			st := *e.Start
-			t.later(1, func() { t.step(scheduling.Event{Gone: st.Call.ID}) })
+			st := *e
+			t.later(1, func() { t.step(scheduling.CallCanceled{Call: st.Call.ID}) })
 			t.later(2, func() {
-				t.step(scheduling.Event{Ended: &scheduling.AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: scheduling.OutcomeUnsent}})
+				t.step(scheduling.AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: scheduling.OutcomeUnsent})
 			})
-		case e.Give != nil:
-			if x := t.open[e.Give.Call.ID]; x != nil {
-				x.fail(e.Give.Fault)
+		case *scheduling.CallFailed:
+			if x := t.open[e.Call.ID]; x != nil {
+				x.fail(e.Fault)
 			}
-		case e.Over != nil:
-			if x := t.open[e.Over.Call.ID]; x != nil {
-				x.ended(e.Over.Outcome)
+		case *scheduling.CallFinished:
+			if x := t.open[e.Call.ID]; x != nil {
+				x.ended(e.Outcome)
 			}
-		case e.Unplaced:
+		case scheduling.CallUnplaced:
 			urgent = true
-		case e.Cancel != "":
-			if x := t.open[e.Cancel]; x != nil && x.attempt != nil {
+		case scheduling.CancelAttempt:
+			if x := t.open[e.Call.ID]; x != nil && x.attempt != nil {
 				x.attempt.cancel()
 			}
 		}
@@ -161,7 +160,7 @@
 		x.call.Progress.Store(int64(ask.Last))
 	}
 	t.open[x.call.ID] = x
-	t.step(scheduling.Event{Arrived: x.call})
+	t.step(scheduling.CallArrived{Call: x.call})
 	if len(d.taking) > 0 {
 		strike := d.taking[0]
 		d.taking = d.taking[1:]
@@ -193,7 +192,7 @@
 		return
 	}
 	x.gone = true
-	t.step(scheduling.Event{Gone: x.call.ID})
+	t.step(scheduling.CallCanceled{Call: x.call.ID})
 	if x.attempt == nil {
 		x.done()
 	}
@@ -212,11 +211,11 @@
 		again()
 		return
 	}
-	t.step(scheduling.Event{Drain: true})
+	t.step(scheduling.DrainStarted{})
 	boot, endUs := t.boot, d.nowUs+drainMostUs
 	t.later(lingerUs, func() {
 		t.shut = true
-		t.step(scheduling.Event{Close: true})
+		t.step(scheduling.DrainEnded{})
 	})
 	var look func()
 	look = func() {
