--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -9,7 +9,6 @@
 	"petreltide/internal/controlplane/controller"
 	"petreltide/internal/controlplane/distribution"
 	"petreltide/internal/controlplane/failuredetector"
-	"petreltide/internal/controlplane/registry"
 	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/outlier"
 	"petreltide/internal/process/clock"
@@ -17,63 +16,6 @@
 
 const memberDoneRetryUs = 500 * clock.Ms
 
-// Event is one thing that happens to a control node; at most one field beside NowUs and Reply is set. With none it
-// is a tick.
-type Event struct {
-	NowUs      int64
-	Message    *wire.Message
-	Saved      uint64
-	LogBytes   int64
-	Refused    uint64
-	Submit     *statemachine.Change
-	Learn      []string
-	Leave      bool
-	Follow     *wire.SubscribeRequest
-	Report     *Reported
-	Controller controller.Event
-	Beat       *failuredetector.Heartbeat
-	Heard      *registry.ReplicaStatus
-	Left       string
-	// Reply names the answer that is owed for Heard or Left; 0 where nobody waits.
-	Reply         uint64
-	Subscribe     *wire.SubscribeRequest
-	Unfollow      *Unfollow
-	GatewayReport *wire.Report
-}
-
-// Reported is a gateway's report and the number under which its lease is awaited.
-type Reported struct {
-	Report wire.Report
-	Reply  uint64
-}
-
-// Effect is one thing that the host has to do; one field is set, but for Note and Trouble, which go together.
-type Effect struct {
-	Message    *Message
-	Save       *chain.Persist
-	Push       *distribution.UpdatePush
-	Frame      *distribution.FramePush
-	Result     *wire.Result
-	Lease      *Leased
-	Word       *ReplicaAcknowledged
-	Controller controller.Effect
-	Applied    *chain.Applied
-	Trouble    string
-	Note       string
-}
-
-// Message is a message to another control node, at its address.
-type Message struct {
-	Addr    string
-	Message wire.Message
-}
-
-// Leased answers a Reported with the same number.
-type Leased struct {
-	Reply uint64
-	Lease wire.Lease
-}
-
 // Core is a control node's whole reducer: the chain, the tail's feed and the head's controller.
 type Core struct {
 	Node               *chain.Node
@@ -116,59 +58,78 @@
 }
 
 // Step takes one event and returns what has to be done because of it, in order.
-func (c *Core) Step(ev Event) []Effect {
+func (c *Core) Step(nowUs int64, event Event) []Effect {
 	c.effects = nil
-	c.detectPause(ev.NowUs)
-	switch {
-	case ev.Message != nil:
-		c.messageReceived(ev.NowUs, *ev.Message)
-	case ev.Saved != 0:
-		c.chain(ev.NowUs, chain.Persisted{Seq: ev.Saved, LogBytes: ev.LogBytes})
-	case ev.Refused != 0:
-		c.chain(ev.NowUs, chain.PersistRefused{Seq: ev.Refused})
-	case ev.Submit != nil:
-		c.chain(ev.NowUs, chain.ChangeSubmitted{Change: ev.Submit})
-	case ev.Learn != nil:
-		c.chain(ev.NowUs, chain.AddrsLearned{Addrs: ev.Learn})
-	case ev.Leave:
-		c.chain(ev.NowUs, chain.ShutdownRequested{})
-	case ev.Follow != nil:
-		c.Snapshots.SetActive(ev.NowUs, c.Node.TailReady(ev.NowUs))
-		c.Snapshots.Follow(ev.NowUs, *ev.Follow)
-	case ev.Report != nil:
-		c.gatewayReported(ev.NowUs, *ev.Report)
-	case ev.Controller != nil:
-		c.controller(ev.NowUs, ev.Controller)
-	case ev.Beat != nil:
-		c.FailureDetector.Receive(ev.NowUs, *ev.Beat)
-	case ev.Heard != nil:
-		c.replicaReported(ev.NowUs, *ev.Heard, ev.Reply)
-	case ev.Left != "":
-		c.replicaRemoved(ev.NowUs, ev.Left, ev.Reply)
-	case ev.Subscribe != nil:
-		c.soft.Hub.Follow(ev.NowUs, *ev.Subscribe)
-	case ev.Unfollow != nil:
-		c.soft.Hub.Unfollow(ev.Unfollow.Gateway, ev.Unfollow.Incarnation)
-	case ev.GatewayReport != nil:
-		c.routedGatewayReported(ev.NowUs, *ev.GatewayReport)
+	c.detectPause(nowUs)
+	switch event := event.(type) {
+	case Tick:
+		c.tick(nowUs)
+	case PeerMessage:
+		c.messageReceived(nowUs, *event.Message)
+	case Persisted:
+		c.chain(nowUs, chain.Persisted{Seq: event.Seq, LogBytes: event.LogBytes})
+	case PersistFailed:
+		c.chain(nowUs, chain.PersistRefused{Seq: event.Seq})
+	case SubmitChange:
+		c.chain(nowUs, chain.ChangeSubmitted{Change: event.Change})
+	case LearnPeers:
+		c.chain(nowUs, chain.AddrsLearned{Addrs: event.Addrs})
+	case LeaveChain:
+		c.chain(nowUs, chain.ShutdownRequested{})
+	case ControllerInput:
+		c.controller(nowUs, event.Event)
+	case PeerHeartbeat:
+		c.FailureDetector.Receive(nowUs, *event.Heartbeat)
 	default:
-		c.chain(ev.NowUs, chain.Tick{})
-		c.controller(ev.NowUs, controller.Tick{})
-		c.reportSuspects(ev.NowUs)
-		c.completeMemberChange(ev.NowUs)
-		c.resolveDepartures(ev.NowUs)
+		c.stepFleet(nowUs, event)
 	}
-	c.Snapshots.SetActive(ev.NowUs, c.Node.TailReady(ev.NowUs))
+	c.publish(nowUs)
+	return c.effects
+}
+
+// stepFleet takes the events that come from gateways and replicas.
+func (c *Core) stepFleet(nowUs int64, event Event) {
+	switch event := event.(type) {
+	case FollowUpdates:
+		c.Snapshots.SetActive(nowUs, c.Node.TailReady(nowUs))
+		c.Snapshots.Follow(nowUs, *event.Request)
+	case GatewayReport:
+		c.gatewayReported(nowUs, event)
+	case ReplicaHeartbeat:
+		c.replicaReported(nowUs, *event.Status, event.Reply)
+	case ReplicaDeregistration:
+		c.replicaRemoved(nowUs, event.ID, event.Reply)
+	case SubscribeFrames:
+		c.soft.Hub.Follow(nowUs, *event.Request)
+	case UnsubscribeFrames:
+		c.soft.Hub.Unfollow(event.Gateway, event.Incarnation)
+	case RoutedGatewayReport:
+		c.routedGatewayReported(nowUs, *event.Report)
+	}
+}
+
+// tick does what is due by time.
+func (c *Core) tick(nowUs int64) {
+	c.chain(nowUs, chain.Tick{})
+	c.controller(nowUs, controller.Tick{})
+	c.reportSuspects(nowUs)
+	c.completeMemberChange(nowUs)
+	c.resolveDepartures(nowUs)
+}
+
+// publish sends out what the step changed: snapshots and frames to gateways, results to those that wait for them,
+// gossip to the other control nodes.
+func (c *Core) publish(nowUs int64) {
+	c.Snapshots.SetActive(nowUs, c.Node.TailReady(nowUs))
 	for _, p := range c.Snapshots.Updates(c.Node.State(), c.Node.View()) {
 		push := p
-		c.effects = append(c.effects, Effect{Push: &push})
+		c.effects = append(c.effects, PushUpdate{Push: &push})
 	}
-	for _, a := range c.Snapshots.ReleasedResults(ev.NowUs) {
+	for _, a := range c.Snapshots.ReleasedResults(nowUs) {
 		c.respond(a.Origin, a.Result)
 	}
-	c.gossip(ev.NowUs)
-	c.pushFrames(ev.NowUs)
-	return c.effects
+	c.gossip(nowUs)
+	c.pushFrames(nowUs)
 }
 
 func (c *Core) messageReceived(nowUs int64, message wire.Message) {
@@ -176,7 +137,7 @@
 	case message.Chain != nil:
 		c.chain(nowUs, chain.MessageReceived{Msg: message.Chain})
 	case message.Result != nil:
-		c.effects = append(c.effects, Effect{Result: message.Result})
+		c.effects = append(c.effects, DeliverResult{Result: message.Result})
 	case message.Report != nil:
 		c.controller(nowUs, controller.GatewayReport{Report: message.Report})
 	case message.Suspicion != nil:
@@ -213,12 +174,12 @@
 	}
 }
 
-func (c *Core) gatewayReported(nowUs int64, r Reported) {
+func (c *Core) gatewayReported(nowUs int64, r GatewayReport) {
 	c.Snapshots.SetActive(nowUs, c.Node.TailReady(nowUs))
 	view := c.Node.View().Number
 	lease := c.Snapshots.Report(nowUs, view, c.Node.State().UpdateIndex, c.checked == view, r.Report)
 	lease.Ring = c.Snapshots.Ring(nowUs, c.Node.View())
-	c.effects = append(c.effects, Effect{Lease: &Leased{Reply: r.Reply, Lease: lease}})
+	c.effects = append(c.effects, ReplyLease{Reply: r.Reply, Lease: lease})
 	if !c.Node.TailReady(nowUs) {
 		return
 	}
@@ -231,7 +192,7 @@
 }
 
 func (c *Core) send(addr string, message wire.Message) {
-	c.effects = append(c.effects, Effect{Message: &Message{Addr: addr, Message: message}})
+	c.effects = append(c.effects, SendMessage{Addr: addr, Message: message})
 }
 
 func (c *Core) chain(nowUs int64, ev chain.Event) {
@@ -241,16 +202,16 @@
 			msg := e.Msg
 			c.send(e.Addr, wire.Message{Chain: &msg})
 		case chain.Persist:
-			c.effects = append(c.effects, Effect{Save: &e})
+			c.effects = append(c.effects, PersistSave{Save: &e})
 		case chain.Applied:
 			c.applied(nowUs, e)
 		case chain.ViewInstalled:
 			c.Snapshots.SetActive(nowUs, c.Node.TailReady(nowUs))
-			c.effects = append(c.effects, Effect{Note: "view", Trouble: viewText(e.View)})
+			c.effects = append(c.effects, LogMessage{Message: "view", Detail: viewText(e.View)})
 		case chain.MessageRejected:
 			c.rejected(nowUs, e.Fault)
 		case chain.ChangeRejected:
-			c.effects = append(c.effects, Effect{Result: &wire.Result{Outcome: statemachine.Outcome{
+			c.effects = append(c.effects, DeliverResult{Result: &wire.Result{Outcome: statemachine.Outcome{
 				ID: e.ID, Fault: fault.New(fault.NotServing, "", "%s", e.Reason),
 			}}})
 		}
@@ -265,7 +226,7 @@
 		return
 	}
 	c.rejectedUs = nowUs
-	c.effects = append(c.effects, Effect{Note: "message not read", Trouble: why.Error()})
+	c.effects = append(c.effects, LogMessage{Message: "message not read", Detail: why.Error()})
 }
 
 func (c *Core) applied(nowUs int64, a chain.Applied) {
@@ -273,7 +234,7 @@
 	if change.LeaderUpdate != nil && change.LeaderUpdate.CheckedInView > 0 {
 		c.checked = change.LeaderUpdate.CheckedInView
 	}
-	c.effects = append(c.effects, Effect{Applied: &a})
+	c.effects = append(c.effects, ChangeApplied{Applied: &a})
 	if change.LeaderUpdate != nil && len(change.LeaderUpdate.Commands)+len(change.LeaderUpdate.Results) > 0 {
 		sawUs := nowUs
 		if a.Entry.Index <= c.startIndex {
@@ -305,7 +266,7 @@
 
 func (c *Core) respond(origin string, r wire.Result) {
 	if origin == c.Node.Self().Addr {
-		c.effects = append(c.effects, Effect{Result: &r})
+		c.effects = append(c.effects, DeliverResult{Result: &r})
 		return
 	}
 	c.send(origin, wire.Message{Result: &r})
@@ -327,7 +288,7 @@
 		case controller.PublishVerdicts:
 			c.outliersJudged(effect.Table)
 		default:
-			c.effects = append(c.effects, Effect{Controller: effect})
+			c.effects = append(c.effects, RunController{Effect: effect})
 		}
 	}
 }
--- a/internal/controlplane/controlnode/departures.go
+++ b/internal/controlplane/controlnode/departures.go
@@ -17,13 +17,6 @@
 	departureRetryUs   = 150 * clock.Ms
 )
 
-// ReplicaAcknowledged answers what a replica said of itself. OK acknowledges it; without, the replica goes on to another
-// control node, though what it said is known here.
-type ReplicaAcknowledged struct {
-	Reply uint64
-	OK    bool
-}
-
 // departure is a replica's word that it leaves, or has left, until a quorum of control nodes knows of it. A replica
 // whose leaving was acknowledged soon ends, so a control node that is cut off must not acknowledge it alone.
 type departure struct {
@@ -53,7 +46,7 @@
 
 func (c *Core) acknowledge(reply uint64, ok bool) {
 	if reply != 0 {
-		c.effects = append(c.effects, Effect{Word: &ReplicaAcknowledged{Reply: reply, OK: ok}})
+		c.effects = append(c.effects, AcknowledgeReplica{Reply: reply, OK: ok})
 	}
 }
 
@@ -159,22 +152,23 @@
 // ReplicaReported takes what a replica says of itself; true acknowledges it. It is known here all the same where this
 // control node is out of contact and cannot acknowledge it.
 func (h *Host) ReplicaReported(ctx context.Context, row registry.ReplicaStatus) bool {
-	return h.awaitAcknowledgement(ctx, Event{Heard: &row})
+	return h.awaitAcknowledgement(ctx, func(reply uint64) Event { return ReplicaHeartbeat{Status: &row, Reply: reply} })
 }
 
 // ReplicaRemoved takes the word that a replica's incarnation has ended; true acknowledges it.
 func (h *Host) ReplicaRemoved(ctx context.Context, id string) bool {
-	return h.awaitAcknowledgement(ctx, Event{Left: id})
+	return h.awaitAcknowledgement(ctx, func(reply uint64) Event { return ReplicaDeregistration{ID: id, Reply: reply} })
 }
 
-func (h *Host) awaitAcknowledgement(ctx context.Context, ev Event) bool {
+// awaitAcknowledgement gives the reducer the event made for a new reply number and waits for its answer.
+func (h *Host) awaitAcknowledgement(ctx context.Context, event func(reply uint64) Event) bool {
 	reply := make(chan bool, 1)
 	var number uint64
 	if !h.act.Do(ctx, func() {
 		h.lastWaiter++
-		number, ev.Reply = h.lastWaiter, h.lastWaiter
+		number = h.lastWaiter
 		h.acknowledgements[number] = reply
-		h.step(ev)
+		h.step(event(number))
 	}) {
 		return false
 	}
--- a/internal/controlplane/controlnode/departures_test.go
+++ b/internal/controlplane/controlnode/departures_test.go
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		tr.cores[i] = NewCoreWith(node, CoreOptions{UnreachableUs: 3 * clock.Sec})
-		tr.step(i, Event{Learn: addrs})
+		tr.step(i, LearnPeers{Addrs: addrs})
 	}
 	tr.pass(3 * clock.Sec)
 	for i, c := range tr.cores {
@@ -47,22 +47,21 @@
 	return tr
 }
 
-func (tr *trio) step(i int, ev Event) {
-	ev.NowUs = tr.nowUs
-	for _, e := range tr.cores[i].Step(ev) {
-		switch {
-		case e.Save != nil:
-			tr.step(i, Event{Saved: e.Save.Seq})
-		case e.Word != nil:
-			tr.words[e.Word.Reply] = e.Word.OK
-		case e.Message != nil:
+func (tr *trio) step(i int, event Event) {
+	for _, effect := range tr.cores[i].Step(tr.nowUs, event) {
+		switch e := effect.(type) {
+		case PersistSave:
+			tr.step(i, Persisted{Seq: e.Save.Seq})
+		case AcknowledgeReplica:
+			tr.words[e.Reply] = e.OK
+		case SendMessage:
 			if tr.tap != nil {
-				tr.tap(e.Message.Message)
+				tr.tap(e.Message)
 			}
 			var to int
-			if _, err := fmt.Sscanf(e.Message.Addr, "a%d", &to); err == nil && !tr.cuts[[2]int{i, to}] {
-				message := e.Message.Message
-				tr.step(to, Event{Message: &message})
+			if _, err := fmt.Sscanf(e.Addr, "a%d", &to); err == nil && !tr.cuts[[2]int{i, to}] {
+				message := e.Message
+				tr.step(to, PeerMessage{Message: &message})
 			}
 		}
 	}
@@ -72,7 +71,7 @@
 	for endUs := tr.nowUs + us; tr.nowUs < endUs; {
 		tr.nowUs += 25 * clock.Ms
 		for i := range tr.cores {
-			tr.step(i, Event{})
+			tr.step(i, Tick{})
 		}
 	}
 }
@@ -89,15 +88,27 @@
 // say brings a control node a replica's word, and returns whether it was answered within a second, and how.
 func (tr *trio) say(i int, ev Event) (ok, answered bool) {
 	tr.asked++
-	ev.Reply = tr.asked
-	tr.step(i, ev)
+	tr.step(i, awaited(ev, tr.asked))
 	tr.pass(clock.Sec)
-	ok, answered = tr.words[ev.Reply]
+	ok, answered = tr.words[tr.asked]
 	return ok, answered
 }
 
+// awaited is a replica's event whose acknowledgement is awaited under a number.
+func awaited(event Event, reply uint64) Event {
+	switch e := event.(type) {
+	case ReplicaHeartbeat:
+		e.Reply = reply
+		return e
+	case ReplicaDeregistration:
+		e.Reply = reply
+		return e
+	}
+	panic("not an event of a replica")
+}
+
 func beatOf(id string, seq uint64, draining bool) Event {
-	return Event{Heard: &registry.ReplicaStatus{ID: id, Service: "s", Addr: id, Slots: 4, Seq: seq, Draining: draining}}
+	return ReplicaHeartbeat{Status: &registry.ReplicaStatus{ID: id, Service: "s", Addr: id, Slots: 4, Seq: seq, Draining: draining}}
 }
 
 // A control node that is cut off acknowledges no replica: not that it is there, not that it leaves, not that it has left.
@@ -109,13 +120,13 @@
 		for struck := range 3 {
 			t.Run(fmt.Sprintf("%s/%d", c.name, struck), func(t *testing.T) {
 				tr := newTrio(t)
-				for name, ev := range map[string]Event{"ready": beatOf("r", 1, false), "draining": beatOf("d", 1, true), "gone": {Left: "g"}} {
+				for name, ev := range map[string]Event{"ready": beatOf("r", 1, false), "draining": beatOf("d", 1, true), "gone": ReplicaDeregistration{ID: "g"}} {
 					if ok, answered := tr.say(struck, ev); !ok || !answered {
 						t.Fatalf("in contact, %s: acknowledged %v, answered %v", name, ok, answered)
 					}
 				}
 				tr.cutOff(struck, c.says, c.hears)
-				for name, ev := range map[string]Event{"draining": beatOf("r", 2, true), "gone": {Left: "d"}} {
+				for name, ev := range map[string]Event{"draining": beatOf("r", 2, true), "gone": ReplicaDeregistration{ID: "d"}} {
 					if ok, answered := tr.say(struck, ev); ok || !answered {
 						t.Errorf("just cut off, %s: acknowledged %v, answered %v", name, ok, answered)
 					}
@@ -140,20 +151,20 @@
 
 // What is acknowledged is known to a quorum at that moment, whatever happens to the control node that was told.
 func TestALeavingIsAcknowledgedOnceAQuorumKnows(t *testing.T) {
-	for _, ev := range []Event{beatOf("r", 2, true), {Left: "r"}} {
+	for _, ev := range []Event{beatOf("r", 2, true), ReplicaDeregistration{ID: "r"}} {
 		tr := newTrio(t)
 		if ok, _ := tr.say(0, beatOf("r", 1, false)); !ok {
 			t.Fatal("not acknowledged")
 		}
 		tr.asked++
-		ev.Reply = tr.asked
-		tr.step(0, ev)
-		if !tr.words[ev.Reply] {
+		tr.step(0, awaited(ev, tr.asked))
+		if !tr.words[tr.asked] {
 			t.Fatal("not acknowledged while every message arrives at once")
 		}
+		_, deregisters := ev.(ReplicaDeregistration)
 		know := 0
 		for _, c := range tr.cores {
-			if e := c.soft.Registry.Entry("r"); e != nil && (e.Draining || e.Removed) && e.Removed == (ev.Left != "") {
+			if e := c.soft.Registry.Entry("r"); e != nil && (e.Draining || e.Removed) && e.Removed == deregisters {
 				know++
 			}
 		}
--- /dev/null
+++ b/internal/controlplane/controlnode/event.go
@@ -0,0 +1,94 @@
+package controlnode
+
+import (
+	"petreltide/internal/api/wire"
+	"petreltide/internal/controlplane/controller"
+	"petreltide/internal/controlplane/failuredetector"
+	"petreltide/internal/controlplane/registry"
+	"petreltide/internal/controlplane/statemachine"
+)
+
+// Event is one thing that happens to a control node. The types of this file are all there are.
+type Event interface{ isEvent() }
+
+// Tick is the passing of time; everything that is due by time is done on it.
+type Tick struct{}
+
+// PeerMessage is a message from another control node.
+type PeerMessage struct{ Message *wire.Message }
+
+// Persisted says that the save with this number, and all before it, are on the disk. LogBytes is the size of the log
+// there.
+type Persisted struct {
+	Seq      uint64
+	LogBytes int64
+}
+
+// PersistFailed says that the disk refused the save with this number; the host tries it again by itself.
+type PersistFailed struct{ Seq uint64 }
+
+// SubmitChange asks for a change of the replicated state.
+type SubmitChange struct{ Change *statemachine.Change }
+
+// LearnPeers names addresses of other control nodes.
+type LearnPeers struct{ Addrs []string }
+
+// LeaveChain begins the graceful shutdown: the others take over this control node's place.
+type LeaveChain struct{}
+
+// ControllerInput is an event of the controller: the answer to one of its effects.
+type ControllerInput struct{ Event controller.Event }
+
+// PeerHeartbeat is a heartbeat of a process that the failure detector watches.
+type PeerHeartbeat struct{ Heartbeat *failuredetector.Heartbeat }
+
+// FollowUpdates subscribes a gateway of the declared world to updates of the configuration.
+type FollowUpdates struct{ Request *wire.SubscribeRequest }
+
+// GatewayReport is a gateway's report in the declared world, and the number under which its lease is awaited.
+type GatewayReport struct {
+	Report wire.Report
+	Reply  uint64
+}
+
+// ReplicaHeartbeat is what a replica says of itself. Reply is the number of the caller that waits for the
+// acknowledgement; 0 where nobody waits.
+type ReplicaHeartbeat struct {
+	Status *registry.ReplicaStatus
+	Reply  uint64
+}
+
+// ReplicaDeregistration says that a replica's incarnation has ended. Reply is as in ReplicaHeartbeat.
+type ReplicaDeregistration struct {
+	ID    string
+	Reply uint64
+}
+
+// SubscribeFrames subscribes a gateway of the routed world to its stream of frames.
+type SubscribeFrames struct{ Request *wire.SubscribeRequest }
+
+// UnsubscribeFrames ends a gateway's stream of frames.
+type UnsubscribeFrames struct {
+	Gateway     string
+	Incarnation string
+}
+
+// RoutedGatewayReport is a gateway's report in the routed world; nobody waits for an answer.
+type RoutedGatewayReport struct{ Report *wire.Report }
+
+func (Tick) isEvent()                  {}
+func (PeerMessage) isEvent()           {}
+func (Persisted) isEvent()             {}
+func (PersistFailed) isEvent()         {}
+func (SubmitChange) isEvent()          {}
+func (LearnPeers) isEvent()            {}
+func (LeaveChain) isEvent()            {}
+func (ControllerInput) isEvent()       {}
+func (PeerHeartbeat) isEvent()         {}
+func (FollowUpdates) isEvent()         {}
+func (GatewayReport) isEvent()         {}
+func (ReplicaHeartbeat) isEvent()      {}
+func (ReplicaDeregistration) isEvent() {}
+func (SubscribeFrames) isEvent()       {}
+func (UnsubscribeFrames) isEvent()     {}
+func (RoutedGatewayReport) isEvent()   {}
--- a/internal/controlplane/controlnode/frames.go
+++ b/internal/controlplane/controlnode/frames.go
@@ -39,7 +39,7 @@
 	defer h.act.Tell(func() {
 		if h.frameStreams[f.Gateway] == mine {
 			delete(h.frameStreams, f.Gateway)
-			h.step(Event{Unfollow: &Unfollow{Gateway: f.Gateway, Incarnation: f.Incarnation}})
+			h.step(UnsubscribeFrames{Gateway: f.Gateway, Incarnation: f.Incarnation})
 		}
 	})
 	if !h.act.Do(ctx, func() {
@@ -47,7 +47,7 @@
 			close(prior.closed)
 		}
 		h.frameStreams[f.Gateway] = mine
-		h.step(Event{Subscribe: f})
+		h.step(SubscribeFrames{Request: f})
 	}) {
 		return fault.New(fault.NotServing, "", "stopping")
 	}
--- a/internal/controlplane/controlnode/host.go
+++ b/internal/controlplane/controlnode/host.go
@@ -212,7 +212,7 @@
 	server := &http.Server{Handler: h.handler(), ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = server.Serve(listener) }()
 	_ = h.log.Log("event", "started", "id", h.core.Node.Self().ID, "phase", string(h.core.Node.Phase()), "disabled", h.settings.Disable.String())
-	h.act.Spawn(func() { h.act.Loop(tickInterval, func() { h.step(Event{}) }) })
+	h.act.Spawn(func() { h.act.Loop(tickInterval, func() { h.step(Tick{}) }) })
 	h.act.Spawn(h.persistLoop)
 	h.act.Spawn(h.discoverPeers)
 	for _, d := range h.listeners {
@@ -256,36 +256,38 @@
 	return nil
 }
 
-func (h *Host) post(ev Event) { h.act.Tell(func() { h.step(ev) }) }
-
-func (h *Host) step(ev Event) {
-	ev.NowUs = clock.NowUs()
-	for _, e := range h.core.Step(ev) {
-		switch {
-		case e.Message != nil:
-			h.send(e.Message.Addr, e.Message.Message)
-		case e.Save != nil:
-			h.saveQueue.put(*e.Save)
-		case e.Push != nil:
-			h.pushNews(e.Push.Gateway, e.Push.Update)
-		case e.Frame != nil:
-			h.pushFrame(e.Frame.Gateway, e.Frame.Frame)
-		case e.Result != nil:
-			h.deliverResult(*e.Result)
-		case e.Lease != nil:
-			if reply := h.leases[e.Lease.Reply]; reply != nil {
-				reply <- e.Lease.Lease
-				delete(h.leases, e.Lease.Reply)
+func (h *Host) post(event Event) { h.act.Tell(func() { h.step(event) }) }
+
+// step gives the reducer one event and carries out its effects; it runs on the actor.
+func (h *Host) step(event Event) {
+	for _, effect := range h.core.Step(clock.NowUs(), event) {
+		switch effect := effect.(type) {
+		case SendMessage:
+			h.send(effect.Addr, effect.Message)
+		case PersistSave:
+			h.saveQueue.put(*effect.Save)
+		case PushUpdate:
+			h.pushNews(effect.Push.Gateway, effect.Push.Update)
+		case PushFrame:
+			h.pushFrame(effect.Push.Gateway, effect.Push.Frame)
+		case DeliverResult:
+			h.deliverResult(*effect.Result)
+		case ReplyLease:
+			if reply := h.leases[effect.Reply]; reply != nil {
+				reply <- effect.Lease
+				delete(h.leases, effect.Reply)
 			}
-		case e.Word != nil:
-			if reply := h.acknowledgements[e.Word.Reply]; reply != nil {
-				reply <- e.Word.OK
-				delete(h.acknowledgements, e.Word.Reply)
+		case AcknowledgeReplica:
+			if reply := h.acknowledgements[effect.Reply]; reply != nil {
+				reply <- effect.OK
+				delete(h.acknowledgements, effect.Reply)
 			}
-		case e.Controller != nil:
-			h.controller(e.Controller)
-		case e.Note != "":
-			_ = h.log.Log("event", e.Note, "what", e.Trouble, "number", h.core.Node.View().Number)
+		case RunController:
+			h.controller(effect.Effect)
+		case ChangeApplied:
+			// Only the simulator follows what is applied.
+		case LogMessage:
+			_ = h.log.Log("event", effect.Message, "what", effect.Detail, "number", h.core.Node.View().Number)
 		}
 	}
 }
@@ -389,7 +391,7 @@
 					learned = append(learned, m.Addr)
 				}
 			}
-			h.post(Event{Learn: learned})
+			h.post(LearnPeers{Addrs: learned})
 		}
 		span := time.Second
 		if settled, ran := actor.Ask(h.act.Ctx, h.act, h.core.committed); ran && settled {
@@ -441,7 +443,7 @@
 			for _, s := range effect.Shadows {
 				done.Shadows = append(done.Shadows, placement.Run(s, effect.Fleet))
 			}
-			h.post(Event{Controller: done})
+			h.post(ControllerInput{Event: done})
 		})
 	}
 }
@@ -454,7 +456,7 @@
 	if listed.List, err = h.replicas.List(ctx); err != nil {
 		listed = controller.PlatformListing{Err: err.Error()}
 	}
-	h.post(Event{Controller: listed})
+	h.post(ControllerInput{Event: listed})
 }
 
 func (h *Host) askReplica(a controller.ReportRequest) {
@@ -465,7 +467,7 @@
 	if told.State, err = h.replicas.State(ctx, a.Replica, a.Addr); err != nil {
 		told.State, told.Err = nil, err.Error()
 	}
-	h.post(Event{Controller: told})
+	h.post(ControllerInput{Event: told})
 }
 
 func (h *Host) order(order controller.SendOrder) {
@@ -476,7 +478,7 @@
 	if err != nil {
 		state = wire.OrderState{Number: order.Order.Command.Number, State: wire.OrderInDoubt, Reason: err.Error()}
 	}
-	h.post(Event{Controller: controller.OrderResult{Replica: order.Order.Command.Replica, Incarnation: order.Order.Command.Incarnation, Expected: order.Order.ExpectedOrders, State: state}})
+	h.post(ControllerInput{Event: controller.OrderResult{Replica: order.Order.Command.Replica, Incarnation: order.Order.Command.Incarnation, Expected: order.Order.ExpectedOrders, State: state}})
 }
 
 // Submit carries a change to the head and waits for the tail's result.
@@ -491,7 +493,7 @@
 	defer deadline.Stop()
 	again := time.NewTicker(resubmitInterval)
 	defer again.Stop()
-	h.post(Event{Submit: &c})
+	h.post(SubmitChange{Change: &c})
 	for {
 		select {
 		case r := <-waiter:
@@ -500,7 +502,7 @@
 			}
 			return r, true
 		case <-again.C:
-			h.post(Event{Submit: &c})
+			h.post(SubmitChange{Change: &c})
 		case <-deadline.C:
 			return wire.Result{}, false
 		case <-ctx.Done():
--- a/internal/controlplane/controlnode/incarnation_test.go
+++ b/internal/controlplane/controlnode/incarnation_test.go
@@ -32,25 +32,26 @@
 		p.t.Fatal(err)
 	}
 	p.cores[i] = NewCoreWith(node, CoreOptions{Controller: controller.Options{LeaseUs: pairLeaseMs * clock.Ms}})
-	p.step(i, Event{Learn: []string{"a0", "a1"}})
+	p.step(i, LearnPeers{Addrs: []string{"a0", "a1"}})
 }
 
-func (p *pair) step(i int, ev Event) {
+func (p *pair) step(i int, event Event) {
 	if p.cores[i] == nil {
 		return
 	}
-	ev.NowUs = p.nowUs
-	for _, e := range p.cores[i].Step(ev) {
-		switch {
-		case e.Save != nil:
+	for _, effect := range p.cores[i].Step(p.nowUs, event) {
+		switch e := effect.(type) {
+		case PersistSave:
 			if e.Save.Snapshot != nil {
 				p.disks[i] = append(p.disks[i], chain.Record{Snapshot: e.Save.Snapshot})
 			}
 			p.disks[i] = append(p.disks[i], e.Save.Records...)
-			p.step(i, Event{Saved: e.Save.Seq})
-		case e.Message != nil && e.Message.Addr == fmt.Sprint("a", 1-i):
-			message := e.Message.Message
-			p.step(1-i, Event{Message: &message})
+			p.step(i, Persisted{Seq: e.Save.Seq})
+		case SendMessage:
+			if e.Addr == fmt.Sprint("a", 1-i) {
+				message := e.Message
+				p.step(1-i, PeerMessage{Message: &message})
+			}
 		}
 	}
 }
@@ -59,7 +60,7 @@
 	for endUs := p.nowUs + us; p.nowUs < endUs; {
 		p.nowUs += 25 * clock.Ms
 		for i := range p.cores {
-			p.step(i, Event{})
+			p.step(i, Tick{})
 		}
 	}
 }
@@ -77,7 +78,7 @@
 func (p *pair) write(c statemachine.Change) {
 	for i := range p.cores {
 		if p.cores[i].Node.IsHead() {
-			p.step(i, Event{Submit: &c})
+			p.step(i, SubmitChange{Change: &c})
 			return
 		}
 	}
--- a/internal/controlplane/controlnode/leave.go
+++ b/internal/controlplane/controlnode/leave.go
@@ -16,7 +16,7 @@
 	if h.settings.HandoverTimeoutMs <= 0 {
 		return
 	}
-	h.post(Event{Leave: true})
+	h.post(LeaveChain{})
 	fromUs := clock.NowUs()
 	deadline := time.NewTimer(time.Duration(h.settings.HandoverTimeoutMs) * time.Millisecond)
 	defer deadline.Stop()
--- a/internal/controlplane/controlnode/malformed_test.go
+++ b/internal/controlplane/controlnode/malformed_test.go
@@ -64,8 +64,8 @@
 		raws[kindOf(message)] = append(raws[kindOf(message)], raw)
 	}
 	for n := range 3 {
-		tr.step(0, Event{Submit: numbered(n)})
-		tr.step(1, Event{Heard: beatOf(fmt.Sprint("r", n), 1, n == 2).Heard})
+		tr.step(0, SubmitChange{Change: numbered(n)})
+		tr.step(1, beatOf(fmt.Sprint("r", n), 1, n == 2))
 		tr.pass(400 * clock.Ms)
 	}
 	tr.cutOff(2, true, true)
@@ -133,10 +133,10 @@
 		for _, c := range strangeChanges() {
 			tr := newTrio(t)
 			if before {
-				tr.step(0, Event{Submit: &statemachine.Change{ID: "claimed", Epoch: 1, Claim: &statemachine.Claim{Leader: "oa0"}}})
-				tr.step(0, Event{Submit: &statemachine.Change{ID: "fleet", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: "q", Incarnation: "q", CapacityMB: 10, Slots: 1}}}}})
+				tr.step(0, SubmitChange{Change: &statemachine.Change{ID: "claimed", Epoch: 1, Claim: &statemachine.Claim{Leader: "oa0"}}})
+				tr.step(0, SubmitChange{Change: &statemachine.Change{ID: "fleet", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: "q", Incarnation: "q", CapacityMB: 10, Slots: 1}}}}})
 			}
-			if broken := survives(tr, 0, Event{Submit: &c}); broken != "" {
+			if broken := survives(tr, 0, SubmitChange{Change: &c}); broken != "" {
 				t.Errorf("%q, with a replica %v: %.900s", c.ID, before, broken)
 			}
 		}
@@ -173,7 +173,7 @@
 		if n%25 == 0 {
 			tr = newTrio(t)
 		}
-		if broken := survives(tr, r.Intn(3), Event{Message: &message}); broken != "" {
+		if broken := survives(tr, r.Intn(3), PeerMessage{Message: &message}); broken != "" {
 			if !found[broken[:40]] {
 				t.Errorf("message %d, %s: %.1500s", n, raw, broken)
 			}
@@ -191,9 +191,9 @@
 func TestMalformedReportsEndNoControlNode(t *testing.T) {
 	tr := newTrio(t)
 	for _, ev := range []Event{
-		{Report: &Reported{}}, {GatewayReport: &wire.Report{}}, {Follow: &wire.SubscribeRequest{}}, {Subscribe: &wire.SubscribeRequest{}}, {Subscribe: &wire.SubscribeRequest{Revision: 1 << 63}},
-		{Beat: &failuredetector.Heartbeat{}}, {Message: &wire.Message{}}, {Message: &wire.Message{Chain: &chain.Msg{}}}, {Unfollow: &Unfollow{}}, {Left: "none"},
-		{GatewayReport: &wire.Report{Gateway: "d", Arrivals: map[string]float64{"": -1e300}, InFlight: map[string]int{"": -1 << 62}, Attempts: map[string]int{"": -1}}},
+		GatewayReport{}, RoutedGatewayReport{Report: &wire.Report{}}, FollowUpdates{Request: &wire.SubscribeRequest{}}, SubscribeFrames{Request: &wire.SubscribeRequest{}}, SubscribeFrames{Request: &wire.SubscribeRequest{Revision: 1 << 63}},
+		PeerHeartbeat{Heartbeat: &failuredetector.Heartbeat{}}, PeerMessage{Message: &wire.Message{}}, PeerMessage{Message: &wire.Message{Chain: &chain.Msg{}}}, UnsubscribeFrames{}, ReplicaDeregistration{ID: "none"},
+		RoutedGatewayReport{Report: &wire.Report{Gateway: "d", Arrivals: map[string]float64{"": -1e300}, InFlight: map[string]int{"": -1 << 62}, Attempts: map[string]int{"": -1}}},
 	} {
 		if broken := survives(tr, 0, ev); broken != "" {
 			t.Errorf("%+v: %.900s", ev, broken)
--- a/internal/controlplane/controlnode/orders_test.go
+++ b/internal/controlplane/controlnode/orders_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.act.Spawn(func() { h.act.Loop(tickInterval, func() { h.step(Event{}) }) })
+	h.act.Spawn(func() { h.act.Loop(tickInterval, func() { h.step(Tick{}) }) })
 	t.Cleanup(func() {
 		h.act.End()
 		if err := h.disk.Close(); err != nil {
@@ -74,7 +74,7 @@
 	waiting(t, h, id, 1)
 	go submit(t.Context())
 	waiting(t, h, id, 2)
-	h.post(Event{Message: &wire.Message{Result: &wire.Result{Outcome: statemachine.Outcome{ID: id, Index: 7}}}})
+	h.post(PeerMessage{Message: &wire.Message{Result: &wire.Result{Outcome: statemachine.Outcome{ID: id, Index: 7}}}})
 	for range 2 {
 		if !<-got {
 			t.Error("one of two that waited got no outcome")
--- a/internal/controlplane/controlnode/replicas.go
+++ b/internal/controlplane/controlnode/replicas.go
@@ -21,12 +21,6 @@
 	resumeWindowUs             = 300 * clock.Ms
 )
 
-// Unfollow ends a gateway's stream of frames.
-type Unfollow struct {
-	Gateway     string
-	Incarnation string
-}
-
 // gossipProgress is how far another control node has been told of replicas.
 type gossipProgress struct {
 	incarnation string
@@ -143,7 +137,7 @@
 		return
 	}
 	c.soft.Outliers = t
-	c.effects = append(c.effects, Effect{Note: "outliers", Trouble: t.String()})
+	c.effects = append(c.effects, LogMessage{Message: "outliers", Detail: t.String()})
 	for _, p := range c.Node.Peers() {
 		if p.Alive {
 			table := t
@@ -163,7 +157,7 @@
 		NowUs: nowUs, Self: c.Node.Self().ID, State: c.Node.State(), View: c.Node.View(), ControlNodes: c.members, Committed: c.committed(), Behind: !c.Node.UpToDate(nowUs), Registry: c.soft.Registry, Outliers: c.soft.Outliers,
 	}) {
 		push := p
-		c.effects = append(c.effects, Effect{Frame: &push})
+		c.effects = append(c.effects, PushFrame{Push: &push})
 	}
 }
 
--- a/internal/controlplane/controlnode/save_test.go
+++ b/internal/controlplane/controlnode/save_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.act.Spawn(func() { h.act.Loop(time.Millisecond, func() { h.step(Event{}) }) })
+	h.act.Spawn(func() { h.act.Loop(time.Millisecond, func() { h.step(Tick{}) }) })
 	const saves = uint64(3 * 1024)
 	h.act.Tell(func() {
 		for i := uint64(1); i <= saves; i++ {
--- a/internal/controlplane/controlnode/saver.go
+++ b/internal/controlplane/controlnode/saver.go
@@ -96,7 +96,7 @@
 			_ = h.log.Log("event", "the disk takes no bytes; the same is tried again", "every", diskRetryInterval, "err", err)
 		}
 		if seq != 0 && tries == 0 {
-			h.post(Event{Refused: seq})
+			h.post(PersistFailed{Seq: seq})
 		}
 		select {
 		case <-h.act.Ctx.Done():
@@ -122,7 +122,7 @@
 	if _, done := h.write(opening); !done {
 		return
 	}
-	h.post(Event{Saved: opening.Seq, LogBytes: h.disk.LogBytes()})
+	h.post(Persisted{Seq: opening.Seq, LogBytes: h.disk.LogBytes()})
 	done := make(chan struct{})
 	close(done)
 	var before <-chan struct{} = done
@@ -139,7 +139,7 @@
 			before = h.persistCopyAfter(before, s, from)
 			continue
 		}
-		h.post(Event{Saved: s.Seq, LogBytes: h.disk.LogBytes()})
+		h.post(Persisted{Seq: s.Seq, LogBytes: h.disk.LogBytes()})
 	}
 }
 
@@ -176,5 +176,5 @@
 	if s.Compact && !h.retryUntilWritten(0, func() error { return h.disk.Compact(from) }) {
 		return
 	}
-	h.post(Event{Saved: s.Seq, LogBytes: h.disk.LogBytes()})
+	h.post(Persisted{Seq: s.Seq, LogBytes: h.disk.LogBytes()})
 }
--- a/internal/controlplane/controlnode/unsure_test.go
+++ b/internal/controlplane/controlnode/unsure_test.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.act.Spawn(func() { h.act.Loop(tickInterval, func() { h.step(Event{}) }) })
+	h.act.Spawn(func() { h.act.Loop(tickInterval, func() { h.step(Tick{}) }) })
 	h.act.Spawn(h.persistLoop)
 	t.Cleanup(func() {
 		h.act.Stop()
--- a/internal/controlplane/controlnode/web.go
+++ b/internal/controlplane/controlnode/web.go
@@ -18,7 +18,7 @@
 	mux := http.NewServeMux()
 	rpc.Serve(mux, rpc.BatchPath, func(_ context.Context, p *wire.Batch) (*wire.Ack, error) {
 		for i := range p.Messages {
-			h.post(Event{Message: &p.Messages[i]})
+			h.post(PeerMessage{Message: &p.Messages[i]})
 		}
 		return &wire.Ack{}, nil
 	})
@@ -41,7 +41,7 @@
 		if !h.act.Do(ctx, func() {
 			h.lastWaiter++
 			h.leases[h.lastWaiter] = reply
-			h.step(Event{Report: &Reported{Report: *r, Reply: h.lastWaiter}})
+			h.step(GatewayReport{Report: *r, Reply: h.lastWaiter})
 		}) {
 			return nil, fault.New(fault.NotServing, "", "stopping")
 		}
@@ -54,14 +54,14 @@
 		return nil, fault.New(fault.NotServing, "", "stopping")
 	})
 	rpc.Serve(mux, rpc.BeatPath, func(_ context.Context, b *failuredetector.Heartbeat) (*wire.Ack, error) {
-		h.post(Event{Beat: b})
+		h.post(PeerHeartbeat{Heartbeat: b})
 		return &wire.Ack{}, nil
 	})
 	rpc.ServeStream(mux, rpc.FollowPath, h.follow)
 	rpc.ServeStream(mux, rpc.FramesPath, h.serveFrames, rpc.Encoded)
 	rpc.Serve(mux, rpc.ReadPath, h.serveRead)
 	rpc.Serve(mux, rpc.TellPath, func(_ context.Context, r *wire.Report) (*wire.Ack, error) {
-		h.post(Event{GatewayReport: r})
+		h.post(RoutedGatewayReport{Report: r})
 		return &wire.Ack{}, nil
 	})
 	mux.HandleFunc("GET /v1/config", h.getConfig)
@@ -87,7 +87,7 @@
 			return 0
 		}
 		h.newsStreams[f.Gateway] = mine
-		h.step(Event{Follow: f})
+		h.step(FollowUpdates{Request: f})
 		return h.core.Node.View().Number
 	})
 	if !ran || view == 0 {
--- a/tests/history/walk_test.go
+++ b/tests/history/walk_test.go
@@ -124,7 +124,7 @@
 		panic(err)
 	}
 	o.core = controlnode.NewCoreWith(node, controlnode.CoreOptions{Controller: controller.Options{LeaseUs: 3 * clock.Sec}})
-	o.step(controlnode.Event{Learn: []string{"a0", "a1", "a2"}})
+	o.step(controlnode.LearnPeers{Addrs: []string{"a0", "a1", "a2"}})
 	o.tick()
 }
 
@@ -158,24 +158,23 @@
 
 func (o *walkControlNode) tick() {
 	o.later(tickUs, func() {
-		o.step(controlnode.Event{})
+		o.step(controlnode.Tick{})
 		o.tick()
 	})
 }
 
 func (o *walkControlNode) step(ev controlnode.Event) {
-	ev.NowUs = o.walk.nowUs
-	for _, e := range o.core.Step(ev) {
-		switch {
-		case e.Message != nil:
-			o.send(e.Message.Addr, e.Message.Message)
-		case e.Save != nil:
+	for _, effect := range o.core.Step(o.walk.nowUs, ev) {
+		switch e := effect.(type) {
+		case controlnode.SendMessage:
+			o.send(e.Addr, e.Message)
+		case controlnode.PersistSave:
 			o.sync(*e.Save)
-		case e.Result != nil:
+		case controlnode.DeliverResult:
 			o.answer(e.Result.Outcome)
-		case e.Controller != nil:
-			if _, polls := e.Controller.(controller.PollPlatform); polls {
-				o.later(clock.Ms, func() { o.step(controlnode.Event{Controller: controller.PlatformListing{}}) })
+		case controlnode.RunController:
+			if _, polls := e.Effect.(controller.PollPlatform); polls {
+				o.later(clock.Ms, func() { o.step(controlnode.ControllerInput{Event: controller.PlatformListing{}}) })
 			}
 		}
 	}
@@ -203,7 +202,7 @@
 			o.records = append(o.records, chain.Record{Snapshot: s.Snapshot})
 		}
 		o.records = append(o.records, s.Records...)
-		o.step(controlnode.Event{Saved: s.Seq})
+		o.step(controlnode.Persisted{Seq: s.Seq})
 	})
 }
 
@@ -224,7 +223,7 @@
 				delayUs += w.r.Int63n(4 * clock.Sec)
 			}
 			w.after(delayUs+w.r.Int63n(w.slowUs+1), func() {
-				to.later(0, func() { to.step(controlnode.Event{Message: &l}) })
+				to.later(0, func() { to.step(controlnode.PeerMessage{Message: &l}) })
 			})
 		}
 	}
@@ -261,7 +260,7 @@
 			return
 		}
 		change := sent.change
-		o.step(controlnode.Event{Submit: &statemachine.Change{ID: id, Origin: o.addr, Config: &change}})
+		o.step(controlnode.SubmitChange{Change: &statemachine.Change{ID: id, Origin: o.addr, Config: &change}})
 		o.later(resubmitUs, again)
 	}
 	again()
--- a/tests/simulator/control_nodes.go
+++ b/tests/simulator/control_nodes.go
@@ -51,7 +51,7 @@
 
 func (o *controlNode) tick() {
 	o.later(25*ms, func() {
-		o.step(controlnode.Event{})
+		o.step(controlnode.Tick{})
 		o.tick()
 	})
 }
@@ -71,7 +71,7 @@
 						learned = append(learned, m.Addr)
 					}
 				}
-				o.step(controlnode.Event{Learn: learned})
+				o.step(controlnode.LearnPeers{Addrs: learned})
 			})
 		})
 	}
@@ -111,40 +111,39 @@
 
 func (o *controlNode) step(ev controlnode.Event) {
 	s := o.sim
-	ev.NowUs = o.clock()
-	for _, e := range o.core.Step(ev) {
-		switch {
-		case e.Message != nil:
-			to := s.controlNodeAt(e.Message.Addr)
+	for _, effect := range o.core.Step(o.clock(), ev) {
+		switch e := effect.(type) {
+		case controlnode.SendMessage:
+			to := s.controlNodeAt(e.Addr)
 			if to == nil {
 				continue
 			}
-			message := clone(e.Message.Message)
+			message := clone(e.Message)
 			s.show("message", message)
-			s.send(&o.machine, &to.machine, func() { to.step(controlnode.Event{Message: &message}) })
-		case e.Save != nil:
+			s.send(&o.machine, &to.machine, func() { to.step(controlnode.PeerMessage{Message: &message}) })
+		case controlnode.PersistSave:
 			o.saver.put(*e.Save)
-		case e.Push != nil:
+		case controlnode.PushUpdate:
 			if d := o.follows[e.Push.Gateway]; d != nil {
 				news := clone(e.Push.Update)
 				s.show("news", news)
 				s.send(&o.machine, &d.machine, func() { d.news(news) })
 			}
-		case e.Result != nil:
+		case controlnode.DeliverResult:
 			if w := o.waiters[e.Result.Outcome.ID]; w != nil {
 				w(*e.Result)
 			}
-		case e.Lease != nil:
-			if reply := o.replies[e.Lease.Reply]; reply != nil {
-				delete(o.replies, e.Lease.Reply)
-				reply(e.Lease.Lease)
+		case controlnode.ReplyLease:
+			if reply := o.replies[e.Reply]; reply != nil {
+				delete(o.replies, e.Reply)
+				reply(e.Lease)
 			}
-		case e.Controller != nil:
-			o.controller(e.Controller)
-		case e.Applied != nil:
+		case controlnode.RunController:
+			o.controller(e.Effect)
+		case controlnode.ChangeApplied:
 			s.applied(o, *e.Applied)
-		case e.Note != "":
-			s.note("%s: %s %d %s", o.name, e.Note, o.core.Node.View().Number, e.Trouble)
+		case controlnode.LogMessage:
+			s.note("%s: %s %d %s", o.name, e.Message, o.core.Node.View().Number, e.Detail)
 		}
 	}
 }
@@ -215,13 +214,13 @@
 			return
 		}
 		held := clone(c)
-		o.step(controlnode.Event{Submit: &held})
+		o.step(controlnode.SubmitChange{Change: &held})
 		o.later(400*ms, again)
 	}
 	again()
 }
 
-func (o *controlNode) tell(ev controller.Event) { o.step(controlnode.Event{Controller: ev}) }
+func (o *controlNode) tell(ev controller.Event) { o.step(controlnode.ControllerInput{Event: ev}) }
 
 func (o *controlNode) controller(effect controller.Effect) {
 	s := o.sim
--- a/tests/simulator/disk.go
+++ b/tests/simulator/disk.go
@@ -139,7 +139,7 @@
 		w.disk.keeping = nil
 		w.pending, w.writing = w.pending[1:], false
 		w.write()
-		w.on.now(boot, func() { w.step(controlnode.Event{Saved: save.Seq}) })
+		w.on.now(boot, func() { w.step(controlnode.Persisted{Seq: save.Seq}) })
 	}
 	s.at(doneUs, try)
 }
@@ -169,7 +169,7 @@
 		w.end()
 		return
 	}
-	w.on.now(w.on.boot, func() { w.step(controlnode.Event{Refused: seq}) })
+	w.on.now(w.on.boot, func() { w.step(controlnode.PersistFailed{Seq: seq}) })
 	if s.plan.Plant != "one-try" {
 		s.at(s.nowUs+retryUs, again)
 	}
--- a/tests/simulator/gateways.go
+++ b/tests/simulator/gateways.go
@@ -136,7 +136,7 @@
 	s := d.sim
 	b := failuredetector.Heartbeat{ID: d.name, Final: last}
 	if o := s.controlNodeAt(addr); o != nil {
-		s.send(&d.machine, &o.machine, func() { o.step(controlnode.Event{Beat: &b}) })
+		s.send(&d.machine, &o.machine, func() { o.step(controlnode.PeerHeartbeat{Heartbeat: &b}) })
 	}
 	for _, to := range s.gateways {
 		if to.addr == addr {
@@ -159,7 +159,7 @@
 		}
 		o.follows[d.name] = d
 		ask := f.Request
-		o.step(controlnode.Event{Follow: &ask})
+		o.step(controlnode.FollowUpdates{Request: &ask})
 	})
 }
 
@@ -180,7 +180,7 @@
 				s.spring("lease", o)
 			}
 		}
-		o.step(controlnode.Event{Report: &controlnode.Reported{Report: report, Reply: o.replySeq}})
+		o.step(controlnode.GatewayReport{Report: report, Reply: o.replySeq})
 	})
 }
 
--- a/tests/simulator/routed_control_nodes.go
+++ b/tests/simulator/routed_control_nodes.go
@@ -123,7 +123,7 @@
 
 func (o *routedControlNode) tick() {
 	o.later(25*ms, func() {
-		o.step(controlnode.Event{})
+		o.step(controlnode.Tick{})
 		o.tick()
 	})
 }
@@ -141,7 +141,7 @@
 					learned = append(learned, m)
 				}
 			}
-			o.day.carry(&to.machine, &o.machine, 500*ms, func() { o.step(controlnode.Event{Learn: learned}) }, func() {})
+			o.day.carry(&to.machine, &o.machine, 500*ms, func() { o.step(controlnode.LearnPeers{Addrs: learned}) }, func() {})
 		}, func() {})
 	}
 	o.later(sec, o.seek)
@@ -164,35 +164,35 @@
 
 func (o *routedControlNode) step(ev controlnode.Event) {
 	d := o.day
-	ev.NowUs = o.clock()
+	nowUs := o.clock()
 	if d.plan.Plant == "forgets-orders" {
 		clear(o.core.Node.State().Outcomes)
 		o.core.Node.State().OutcomeIDs = nil
 	}
-	for _, e := range o.core.Step(ev) {
-		switch {
-		case e.Message != nil:
-			to := d.controlNodeAt(e.Message.Addr)
+	for _, effect := range o.core.Step(nowUs, ev) {
+		switch e := effect.(type) {
+		case controlnode.SendMessage:
+			to := d.controlNodeAt(e.Addr)
 			if to == nil || to == o {
 				continue
 			}
-			message := clone(e.Message.Message)
+			message := clone(e.Message)
 			d.show("message", message)
-			d.send(&o.machine, &to.machine, func() { to.step(controlnode.Event{Message: &message}) })
-		case e.Save != nil:
+			d.send(&o.machine, &to.machine, func() { to.step(controlnode.PeerMessage{Message: &message}) })
+		case controlnode.PersistSave:
 			o.saver.put(*e.Save)
-		case e.Frame != nil:
-			o.frame(e.Frame.Gateway, e.Frame.Frame)
-		case e.Result != nil:
+		case controlnode.PushFrame:
+			o.frame(e.Push.Gateway, e.Push.Frame)
+		case controlnode.DeliverResult:
 			if w := o.waiters[e.Result.Outcome.ID]; w != nil {
 				w(clone(*e.Result))
 			}
-		case e.Word != nil:
-			o.answered(*e.Word)
-		case e.Controller != nil:
-			o.controller(e.Controller)
-		case e.Note != "":
-			d.note("%s: %s %d %s", o.name, e.Note, o.core.Node.View().Number, e.Trouble)
+		case controlnode.AcknowledgeReplica:
+			o.answered(e)
+		case controlnode.RunController:
+			o.controller(e.Effect)
+		case controlnode.LogMessage:
+			d.note("%s: %s %d %s", o.name, e.Message, o.core.Node.View().Number, e.Detail)
 		}
 	}
 }
@@ -218,30 +218,29 @@
 	}
 	s.incarnation = ask.Incarnation
 	o.streams[s.gateway.name] = s
-	o.step(controlnode.Event{Subscribe: &ask})
+	o.step(controlnode.SubscribeFrames{Request: &ask})
 }
 
 func (o *routedControlNode) unfollow(s *frameStream) {
 	if o.streams[s.gateway.name] == s {
 		delete(o.streams, s.gateway.name)
-		o.step(controlnode.Event{Unfollow: &controlnode.Unfollow{Gateway: s.gateway.name, Incarnation: s.incarnation}})
+		o.step(controlnode.UnsubscribeFrames{Gateway: s.gateway.name, Incarnation: s.incarnation})
 	}
 }
 
 // heard takes what a replica says of itself, and answers whether it is acknowledged.
 func (o *routedControlNode) heard(row registry.ReplicaStatus, answer func(ok bool)) {
-	o.word(controlnode.Event{Heard: &row}, answer)
+	o.word(func(reply uint64) controlnode.Event { return controlnode.ReplicaHeartbeat{Status: &row, Reply: reply} }, answer)
 }
 
-func (o *routedControlNode) word(ev controlnode.Event, answer func(ok bool)) {
+func (o *routedControlNode) word(event func(reply uint64) controlnode.Event, answer func(ok bool)) {
 	o.wordSeq++
-	ev.Reply = o.wordSeq
-	o.words[ev.Reply] = answer
-	o.step(ev)
+	o.words[o.wordSeq] = answer
+	o.step(event(o.wordSeq))
 }
 
 // answered passes on the answer to a replica's word; a plant acknowledges whatever was said.
-func (o *routedControlNode) answered(r controlnode.ReplicaAcknowledged) {
+func (o *routedControlNode) answered(r controlnode.AcknowledgeReplica) {
 	answer := o.words[r.Reply]
 	delete(o.words, r.Reply)
 	if answer != nil {
@@ -274,7 +273,7 @@
 			finish(statemachine.Outcome{}, false)
 		default:
 			held := clone(c)
-			o.step(controlnode.Event{Submit: &held})
+			o.step(controlnode.SubmitChange{Change: &held})
 			o.later(400*ms, again)
 		}
 	}
@@ -352,7 +351,7 @@
 	}, fail)
 }
 
-func (o *routedControlNode) tell(ev controller.Event) { o.step(controlnode.Event{Controller: ev}) }
+func (o *routedControlNode) tell(ev controller.Event) { o.step(controlnode.ControllerInput{Event: ev}) }
 
 const replicaWaitUs = 900 * ms
 
--- a/tests/simulator/routed_frames.go
+++ b/tests/simulator/routed_frames.go
@@ -45,7 +45,7 @@
 			report.Addr, report.Zone = t.addr, t.zone
 			d.show("report", report)
 			if o := d.controlNodeAt(e.Report); o != nil {
-				d.carry(&t.machine, &o.machine, 600*ms, func() { o.step(controlnode.Event{GatewayReport: &report}) }, func() {})
+				d.carry(&t.machine, &o.machine, 600*ms, func() { o.step(controlnode.RoutedGatewayReport{Report: &report}) }, func() {})
 			}
 		case e.Snapshot != nil:
 			t.swap(e.Snapshot)
--- a/tests/simulator/routed_repairs.go
+++ b/tests/simulator/routed_repairs.go
@@ -120,7 +120,7 @@
 // terminate tells a control node to end, as SIGTERM does, and removes it once it has or its grace is over.
 func (d *routedDay) terminate(o *routedControlNode, done func()) {
 	endUs := d.nowUs + d.seen.Bounds.GraceUs
-	o.now(o.boot, func() { o.step(controlnode.Event{Leave: true}) })
+	o.now(o.boot, func() { o.step(controlnode.LeaveChain{}) })
 	var look func()
 	look = func() {
 		if o.up && !o.core.Node.ShutdownComplete() && d.nowUs < endUs && d.plan.Plant != "abrupt-office" {
--- a/tests/simulator/routed_replicas.go
+++ b/tests/simulator/routed_replicas.go
@@ -216,7 +216,7 @@
 		return
 	}
 	d.carry(&p.machine, &o.machine, sec, func() {
-		o.word(controlnode.Event{Left: p.name}, func(ok bool) {
+		o.word(p.deregistration, func(ok bool) {
 			d.carry(&o.machine, &p.machine, sec, func() {
 				switch {
 				case over:
@@ -232,11 +232,16 @@
 	}, again)
 }
 
+// deregistration is the event of this incarnation's end, whose acknowledgement is awaited under a number.
+func (p *replicaNode) deregistration(reply uint64) controlnode.Event {
+	return controlnode.ReplicaDeregistration{ID: p.name, Reply: reply}
+}
+
 func (p *replicaNode) deregister() {
 	d := p.day
 	addrs := d.listedNow()
 	if o := d.controlNodeAt(addrs[(d.r.Intn(len(addrs)))]); o != nil {
-		d.carry(&p.machine, &o.machine, sec, func() { o.word(controlnode.Event{Left: p.name}, func(bool) {}) }, func() {})
+		d.carry(&p.machine, &o.machine, sec, func() { o.word(p.deregistration, func(bool) {}) }, func() {})
 	}
 	p.later(5*ms, func() { p.end(false) })
 }
