--- /dev/null
+++ b/internal/controlplane/registry/change_log.go
@@ -0,0 +1,46 @@
+package registry
+
+import "sort"
+
+// maxChangeLog bounds the change log; its older half is dropped beyond.
+const maxChangeLog = 8192
+
+// changeRecord is one change in the log, which spares readers of small changes a look through all entries.
+type changeRecord struct {
+	revision uint64
+	id       string
+}
+
+// recordChange gives an entry that changed the next revision.
+func (r *Registry) recordChange(e *Entry) {
+	e.checksum = e.ReplicaStatus.checksum()
+	r.Revision++
+	e.Revision = r.Revision
+	r.changes = append(r.changes, changeRecord{r.Revision, e.ID})
+	if len(r.changes) > maxChangeLog {
+		r.changes = append([]changeRecord(nil), r.changes[maxChangeLog/2:]...)
+	}
+}
+
+// ChangedSince returns the IDs of the entries that changed after a revision, each once, in no order. Forgotten ones are
+// not among them.
+func (r *Registry) ChangedSince(revision uint64) []string {
+	if len(r.changes) == 0 || r.changes[0].revision > revision+1 {
+		ids := []string{}
+		for id, e := range r.entries {
+			if e.Revision > revision {
+				ids = append(ids, id)
+			}
+		}
+		return ids
+	}
+	at := sort.Search(len(r.changes), func(i int) bool { return r.changes[i].revision > revision })
+	seen, ids := map[string]bool{}, []string{}
+	for _, change := range r.changes[at:] {
+		if !seen[change.id] && r.entries[change.id] != nil {
+			seen[change.id] = true
+			ids = append(ids, change.id)
+		}
+	}
+	return ids
+}
--- a/internal/controlplane/registry/gossip.go
+++ b/internal/controlplane/registry/gossip.go
@@ -1,23 +1,26 @@
 package registry
 
-import (
-	"petreltide/internal/process/clock"
-)
+import "petreltide/internal/process/clock"
 
-// GossipEntry is what one control node tells another of a replica: the whole row where it may be news, else only
-// that it was heard, and a checksum of what it said.
+// GossipEntry is what one control node tells another of a replica: the status where it may be new to the other, else
+// only that a heartbeat came, with a checksum of the status.
 type GossipEntry struct {
-	ID       string `json:"id"`
-	Seq      uint64 `json:"seq"`
+	ID string `json:"id"`
+	// Seq is of the newest heartbeat.
+	Seq uint64 `json:"seq"`
+	// Checksum is of the status that the sender has.
 	Checksum uint32 `json:"mark"`
-	AgeMs    int64  `json:"agoMs"`
-	// ConfirmedAgeMs ago is since when what it says surely holds: a word may have lain unread.
-	ConfirmedAgeMs int64          `json:"saidMs"`
-	Status         *ReplicaStatus `json:"row,omitempty"`
+	// AgeMs is how long ago the newest heartbeat came, in ms.
+	AgeMs int64 `json:"agoMs"`
+	// ConfirmedAgeMs is how long ago the status surely still held, in ms: a heartbeat may have lain unread.
+	ConfirmedAgeMs int64 `json:"saidMs"`
+	// Status is nil where it has not changed.
+	Status *ReplicaStatus `json:"row,omitempty"`
 }
 
-// Merge takes another control node's notes. Where one tells of a row that this control node does not have as new,
-// it asks for all rows. Ends come first, as another incarnation may have its address by now.
+// Merge takes another control node's gossip, and reports whether it changed anything that others must learn of. Where an
+// entry without a status names one that this control node does not have, a resync is due. Removals come first, as
+// another incarnation may have the address by now.
 func (r *Registry) Merge(nowUs int64, entries []GossipEntry) (changed bool) {
 	for _, gossip := range entries {
 		if gossip.Status != nil && gossip.Status.Removed {
@@ -25,41 +28,46 @@
 		}
 	}
 	for _, gossip := range entries {
-		heartbeatUs, confirmedUs := nowUs-gossip.AgeMs*1000, nowUs-r.ReadDelayUs-gossip.ConfirmedAgeMs*1000
-		if gossip.Status != nil {
-			if gossip.Status.Removed {
-				continue
-			}
+		switch heartbeatUs, confirmedUs := nowUs-gossip.AgeMs*clock.Ms, nowUs-r.ReadDelayUs-gossip.ConfirmedAgeMs*clock.Ms; {
+		case gossip.Status == nil:
+			changed = r.confirm(nowUs, heartbeatUs, confirmedUs, gossip) || changed
+		case !gossip.Status.Removed:
 			changed = r.receive(nowUs, heartbeatUs, confirmedUs, *gossip.Status) || changed
-			continue
-		}
-		e := r.entries[gossip.ID]
-		if e == nil || (!e.Removed && gossip.Seq > e.lastSeq && gossip.Checksum != e.checksum) {
-			r.needsResync = true
-			continue
-		}
-		if !e.Removed && gossip.Seq > e.lastSeq {
-			e.lastSeq = gossip.Seq
-			e.LastHeartbeatUs, e.ConfirmedUs = max(e.LastHeartbeatUs, heartbeatUs), max(e.ConfirmedUs, confirmedUs)
-			if e.Unreachable && nowUs-heartbeatUs < r.UnreachableAfterUs {
-				e.Unreachable, changed = false, true
-				r.recordChange(e)
-			}
 		}
 	}
 	return changed
 }
 
-// TakeResyncRequest is true once after a note told of something this control node has missed.
+// confirm takes gossip without a status: the one that is known still holds, or it has been missed and a resync is due.
+func (r *Registry) confirm(nowUs, heartbeatUs, confirmedUs int64, gossip GossipEntry) (changed bool) {
+	e := r.entries[gossip.ID]
+	if e == nil || (!e.Removed && gossip.Seq > e.lastSeq && gossip.Checksum != e.checksum) {
+		r.needsResync = true
+		return false
+	}
+	if e.Removed || gossip.Seq <= e.lastSeq {
+		return false
+	}
+	e.lastSeq = gossip.Seq
+	e.LastHeartbeatUs, e.ConfirmedUs = max(e.LastHeartbeatUs, heartbeatUs), max(e.ConfirmedUs, confirmedUs)
+	if !e.Unreachable || nowUs-heartbeatUs >= r.UnreachableAfterUs {
+		return false
+	}
+	e.Unreachable = false
+	r.recordChange(e)
+	return true
+}
+
+// TakeResyncRequest returns true once after gossip named something that this control node has missed.
 func (r *Registry) TakeResyncRequest() bool {
 	needed := r.needsResync
 	r.needsResync = false
 	return needed
 }
 
-// GossipSince are for other control nodes that have had everything up to a revision of this roster, or who ask for all
-// with 0: rows that changed, and a sign of life of those that this control node itself heard since it last told.
-// What has ended is told for some seconds: no later word would show that it was missed.
+// GossipSince returns the gossip for control nodes that have had everything up to a revision of this registry; 0 for all.
+// It holds the statuses that changed and, with includeAlive, a sign of life of replicas whose heartbeat came to this
+// control node since MarkGossiped, and the removals of the last seconds once more.
 func (r *Registry) GossipSince(nowUs int64, since uint64, includeAlive bool) []GossipEntry {
 	gossip := []GossipEntry{}
 	for _, id := range r.IDs() {
@@ -68,31 +76,32 @@
 		if !updated && (!includeAlive || e.Removed || e.Unreachable || e.lastDirectUs <= e.gossipedUs) {
 			continue
 		}
-		n := e.gossip(nowUs)
+		entry := e.gossip(nowUs)
 		if updated {
-			n.Status = e.gossipStatus()
+			entry.Status = e.gossipStatus()
 		}
-		gossip = append(gossip, n)
+		gossip = append(gossip, entry)
 	}
 	return gossip
 }
 
-// GossipOf is the whole row of one replica, if it is known.
+// GossipOf returns the status of one replica for other control nodes; nil where it is not known.
 func (r *Registry) GossipOf(nowUs int64, id string) []GossipEntry {
 	e := r.entries[id]
 	if e == nil {
 		return nil
 	}
-	n := e.gossip(nowUs)
-	n.Status = e.gossipStatus()
-	return []GossipEntry{n}
+	entry := e.gossip(nowUs)
+	entry.Status = e.gossipStatus()
+	return []GossipEntry{entry}
 }
 
+// gossip is a sign of life without the status.
 func (e *Entry) gossip(nowUs int64) GossipEntry {
-	return GossipEntry{ID: e.ID, Seq: e.lastSeq, Checksum: e.checksum, AgeMs: (nowUs - e.LastHeartbeatUs) / 1000, ConfirmedAgeMs: (nowUs - e.ConfirmedUs) / 1000}
+	return GossipEntry{ID: e.ID, Seq: e.lastSeq, Checksum: e.checksum, AgeMs: (nowUs - e.LastHeartbeatUs) / clock.Ms, ConfirmedAgeMs: (nowUs - e.ConfirmedUs) / clock.Ms}
 }
 
-// gossipStatus is the row as other control nodes are told it.
+// gossipStatus is the status for other control nodes, with the remaining time counted from the last heartbeat.
 func (e *Entry) gossipStatus() *ReplicaStatus {
 	status := e.ReplicaStatus
 	status.Seq = e.lastSeq
@@ -102,7 +111,7 @@
 	return &status
 }
 
-// MarkGossiped ends one telling of signs of life to all other control nodes.
+// MarkGossiped ends a round of gossip to all other control nodes.
 func (r *Registry) MarkGossiped(nowUs int64) {
 	for _, e := range r.entries {
 		e.gossipedUs = nowUs
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -3,78 +3,46 @@
 import (
 	"maps"
 	"slices"
-	"sort"
 
 	"petreltide/internal/process/clock"
 )
 
 const (
-	maxEntries      = 20_000
-	forgetUs        = 60 * clock.Sec
+	// maxEntries bounds the incarnations that are known, removed ones among them; more are not taken.
+	maxEntries = 20_000
+	// forgetUs is how long nothing must have come of an incarnation, removed or not, before it is forgotten.
+	forgetUs = 60 * clock.Sec
+	// removedGossipUs is how long a removal is repeated in gossip: no later message would show that it was lost.
 	removedGossipUs = 10 * clock.Sec
 )
 
-// Registry is one control node's soft state of all replicas: heard from them directly or from other control nodes.
-// It is never written to disk; who is heard last, by Seq, is right.
+// Registry is one control node's soft state of all replicas, from their own heartbeats and other control nodes' gossip.
+// Of two statuses of an incarnation the one with the higher Seq counts.
 type Registry struct {
-	Revision           uint64
+	// Revision rises with every change that others must learn of.
+	Revision uint64
+	// UnreachableAfterUs is how long no heartbeat of a replica may come before it is unreachable.
 	UnreachableAfterUs int64
-	// ReadDelayUs is how long what is read now may have lain unread: a control node that wakes from a freeze finds
-	// words in its sockets that were true before it.
+	// ReadDelayUs is how long what is read now may have lain unread: a control node that wakes from a pause finds
+	// heartbeats in its sockets that were true before it. 0 where it was not paused.
 	ReadDelayUs int64
-	entries     map[string]*Entry
+
+	entries map[string]*Entry
+	changes []changeRecord
+	// sortedIDs are the keys of entries; nil after one came or went.
+	sortedIDs []string
+	// lastSweepUs is when Sweep ran last; 0 before the first.
 	lastSweepUs int64
+	// needsResync says that gossip named something that this control node has missed.
 	needsResync bool
-	changes     []changeRecord
-	sortedIDs   []string
-}
-
-// changeRecord is one entry of the list of what changed, kept so that nobody need look through all rows.
-type changeRecord struct {
-	revision uint64
-	id       string
-}
-
-const maxChangeLog = 8192
-
-// New is an empty roster, which calls a replica unreachable after unreachableUs without a heartbeat.
-func New(unreachableUs int64) *Registry {
-	return &Registry{UnreachableAfterUs: unreachableUs, entries: map[string]*Entry{}}
 }
 
-func (r *Registry) recordChange(e *Entry) {
-	e.checksum = e.ReplicaStatus.checksum()
-	r.Revision++
-	e.Revision = r.Revision
-	r.changes = append(r.changes, changeRecord{r.Revision, e.ID})
-	if len(r.changes) > maxChangeLog {
-		r.changes = append([]changeRecord(nil), r.changes[maxChangeLog/2:]...)
-	}
+// New returns an empty registry that calls a replica unreachable after unreachableAfterUs without a heartbeat.
+func New(unreachableAfterUs int64) *Registry {
+	return &Registry{UnreachableAfterUs: unreachableAfterUs, entries: map[string]*Entry{}}
 }
 
-// ChangedSince are the rows that changed after a revision, each once, in no order.
-func (r *Registry) ChangedSince(rev uint64) []string {
-	if len(r.changes) == 0 || r.changes[0].revision > rev+1 {
-		ids := []string{}
-		for id, e := range r.entries {
-			if e.Revision > rev {
-				ids = append(ids, id)
-			}
-		}
-		return ids
-	}
-	at := sort.Search(len(r.changes), func(i int) bool { return r.changes[i].revision > rev })
-	seen, ids := map[string]bool{}, []string{}
-	for _, t := range r.changes[at:] {
-		if !seen[t.id] && r.entries[t.id] != nil {
-			seen[t.id] = true
-			ids = append(ids, t.id)
-		}
-	}
-	return ids
-}
-
-// HandleHeartbeat takes what a replica said; changed is true where others must learn of it.
+// HandleHeartbeat takes a replica's own heartbeat. changed reports whether others must learn of it.
 func (r *Registry) HandleHeartbeat(nowUs int64, status ReplicaStatus) (changed bool) {
 	changed = r.receive(nowUs, nowUs, nowUs-r.ReadDelayUs, status)
 	if e := r.entries[status.ID]; e != nil {
@@ -83,33 +51,14 @@
 	return changed
 }
 
+// receive takes a status that was sent at heartbeatUs and surely held until confirmedUs, both by this control node's
+// clock, and reports whether it changed anything that others must learn of.
 func (r *Registry) receive(nowUs, heartbeatUs, confirmedUs int64, status ReplicaStatus) bool {
 	e := r.entries[status.ID]
 	if e == nil {
-		if len(r.entries) >= maxEntries || status.ID == "" {
-			return false
-		}
-		switch r.resolveConflict(&status, heartbeatUs) {
-		case undecided:
-			return false
-		case earlier:
-			status.Removed, heartbeatUs = true, nowUs
-		}
-		for _, other := range r.entries {
-			if other.Addr == status.Addr && !other.Removed && !status.Removed {
-				r.Remove(nowUs, other.ID)
-			}
-		}
-		e = &Entry{ReplicaStatus: status, LastHeartbeatUs: heartbeatUs, ConfirmedUs: confirmedUs, lastSeq: status.Seq}
-		e.setEnd(heartbeatUs, status.RemainingMs)
-		r.entries[status.ID], r.sortedIDs = e, nil
-		r.recordChange(e)
-		return true
-	}
-	if e.Removed {
-		return false
+		return r.register(nowUs, heartbeatUs, confirmedUs, status)
 	}
-	if status.Seq <= e.lastSeq && !status.Removed {
+	if e.Removed || (status.Seq <= e.lastSeq && !status.Removed) {
 		return false
 	}
 	e.lastSeq = max(e.lastSeq, status.Seq)
@@ -118,22 +67,38 @@
 	if e.Unreachable && nowUs-heartbeatUs < r.UnreachableAfterUs {
 		e.Unreachable, changed = false, true
 	}
-	remainingMs, draining, stage := e.RemainingMs, e.Draining, e.Stage
-	e.ReplicaStatus = status
-	e.setEnd(heartbeatUs, status.RemainingMs)
-	if status.Stage == "" {
-		e.Stage = stage
-	}
-	if draining && status.Draining && remainingMs > 0 && status.RemainingMs == 0 {
-		e.RemainingMs = remainingMs
-	}
+	e.setStatus(heartbeatUs, status)
 	if changed {
 		r.recordChange(e)
 	}
 	return changed
 }
 
-// Remove notes that an incarnation of a replica has ended; no later word of it counts.
+// register takes the first status of an incarnation. The one that it follows at its address is removed; where the known
+// one is the later, the new one is entered as removed.
+func (r *Registry) register(nowUs, heartbeatUs, confirmedUs int64, status ReplicaStatus) bool {
+	if len(r.entries) >= maxEntries || status.ID == "" {
+		return false
+	}
+	switch r.resolveConflict(&status, heartbeatUs) {
+	case undecided:
+		return false
+	case earlier:
+		status.Removed, heartbeatUs = true, nowUs
+	}
+	for _, other := range r.entries {
+		if other.Addr == status.Addr && !other.Removed && !status.Removed {
+			r.Remove(nowUs, other.ID)
+		}
+	}
+	e := &Entry{ReplicaStatus: status, LastHeartbeatUs: heartbeatUs, ConfirmedUs: confirmedUs, lastSeq: status.Seq}
+	e.setEnd(heartbeatUs, status.RemainingMs)
+	r.entries[status.ID], r.sortedIDs = e, nil
+	r.recordChange(e)
+	return true
+}
+
+// Remove records that an incarnation has ended; nothing that comes of it later counts. It reports whether that is new.
 func (r *Registry) Remove(nowUs int64, id string) bool {
 	e := r.entries[id]
 	if e == nil {
@@ -153,7 +118,8 @@
 	return true
 }
 
-// Sweep marks those not heard for too long as unreachable and forgets those long gone.
+// Sweep marks replicas whose heartbeats are overdue as unreachable and forgets those of which nothing came for long. A
+// control node that was itself paused since the last sweep moves all heartbeats on by the pause.
 func (r *Registry) Sweep(nowUs int64) {
 	if nowUs-r.lastSweepUs > r.UnreachableAfterUs/2 && r.lastSweepUs > 0 {
 		for _, e := range r.entries {
@@ -176,7 +142,7 @@
 	}
 }
 
-// IDs are all incarnations in order; the list must not be changed.
+// IDs returns all incarnations in order. The caller must not change the list.
 func (r *Registry) IDs() []string {
 	if r.sortedIDs == nil {
 		r.sortedIDs = slices.Sorted(maps.Keys(r.entries))
@@ -184,8 +150,8 @@
 	return r.sortedIDs
 }
 
-// Entry is the entry of one incarnation; nil where it is not known.
+// Entry returns the entry of one incarnation; nil where it is not known. The caller must not change it.
 func (r *Registry) Entry(id string) *Entry { return r.entries[id] }
 
-// Len is how many incarnations are known, those that have ended among them.
+// Len returns how many incarnations are known, removed ones among them.
 func (r *Registry) Len() int { return len(r.entries) }
