--- /dev/null
+++ b/internal/controlplane/failuredetector/ring.go
@@ -0,0 +1,60 @@
+package failuredetector
+
+import (
+	"hash/fnv"
+	"slices"
+	"sort"
+)
+
+// WatchersPerNode is how many nodes watch each one. All of them must suspect it before it counts as suspected.
+const WatchersPerNode = 2
+
+// Node is one process on the ring.
+type Node struct {
+	// ID tells processes apart that followed each other at one address.
+	ID   string `json:"id"`
+	Addr string `json:"addr"`
+}
+
+// ringPosition hashes an ID to its position. FNV-1a alone leaves similar IDs close together; the finalizer of
+// MurmurHash3 spreads them.
+func ringPosition(id string) uint64 {
+	h := fnv.New64a()
+	_, _ = h.Write([]byte(id))
+	x := h.Sum64()
+	x ^= x >> 33
+	x *= 0xff51afd7ed558ccd
+	x ^= x >> 33
+	return x
+}
+
+// WatchersOf returns the nodes that watch id: the first WatchersPerNode that follow its position on the ring, fewer
+// where there are no more.
+func WatchersOf(ring []Node, id string) []Node {
+	others := []Node{}
+	for _, n := range ring {
+		if n.ID != id {
+			others = append(others, n)
+		}
+	}
+	own := ringPosition(id)
+	sort.Slice(others, func(i, j int) bool {
+		a, b := ringPosition(others[i].ID)-own, ringPosition(others[j].ID)-own
+		if a != b {
+			return a < b
+		}
+		return others[i].ID < others[j].ID
+	})
+	return others[:min(WatchersPerNode, len(others))]
+}
+
+// Departed returns the nodes of before that are not among now.
+func Departed(before, now []Node) []Node {
+	departed := []Node{}
+	for _, b := range before {
+		if !slices.Contains(now, b) {
+			departed = append(departed, b)
+		}
+	}
+	return departed
+}
