--- a/internal/api/wire/frame.go
+++ b/internal/api/wire/frame.go
@@ -7,7 +7,7 @@
 	"sync"
 
 	"petreltide/internal/api/configuration"
-	"petreltide/internal/controlplane/chain"
+	"petreltide/internal/api/membership"
 	"petreltide/internal/controlplane/registry"
 	"petreltide/internal/outlier"
 )
@@ -20,8 +20,8 @@
 	CaughtUp    bool   `json:"settled,omitempty"`
 	// PossiblyStale says that the control node may be cut off: newer declarations may be in force than it knows.
 	PossiblyStale bool                       `json:"behind,omitempty"`
-	View          *chain.View                `json:"view,omitempty"`
-	ControlNodes  []chain.Member             `json:"offices,omitempty"`
+	View          *membership.View           `json:"view,omitempty"`
+	ControlNodes  []membership.Member        `json:"offices,omitempty"`
 	Revision      uint64                     `json:"revision,omitempty"`
 	EditsFrom     uint64                     `json:"from,omitempty"`
 	Declaration   *configuration.Declaration `json:"doc,omitempty"`
--- a/internal/api/wire/wire.go
+++ b/internal/api/wire/wire.go
@@ -2,6 +2,7 @@
 
 import (
 	"petreltide/internal/api/configuration"
+	"petreltide/internal/api/membership"
 	"petreltide/internal/controlplane/chain"
 	"petreltide/internal/controlplane/failuredetector"
 	"petreltide/internal/controlplane/registry"
@@ -89,23 +90,23 @@
 
 // Lease answers a report. SentUs is the report's own, so that the gateway counts LeaseUs from when it sent it.
 type Lease struct {
-	OK      bool                   `json:"ok"`
-	View    uint64                 `json:"view"`
-	SentUs  int64                  `json:"sentUs"`
-	LeaseUs int64                  `json:"leaseUs"`
-	Number  uint64                 `json:"number"`
-	Ring    []failuredetector.Node `json:"ring,omitempty"`
+	OK      bool                  `json:"ok"`
+	View    uint64                `json:"view"`
+	SentUs  int64                 `json:"sentUs"`
+	LeaseUs int64                 `json:"leaseUs"`
+	Number  uint64                `json:"number"`
+	Ring    []membership.RingNode `json:"ring,omitempty"`
 }
 
 // MembershipRequest asks a control node for the members that it knows.
 type MembershipRequest struct {
-	From chain.Member `json:"from"`
+	From membership.Member `json:"from"`
 }
 
 // MembershipResponse answers MembershipRequest with the chain's view and all control nodes known.
 type MembershipResponse struct {
-	View         chain.View     `json:"view"`
-	ControlNodes []chain.Member `json:"offices"`
+	View         membership.View     `json:"view"`
+	ControlNodes []membership.Member `json:"offices"`
 }
 
 // Result is what became of a change, told to the control node that took it. Everywhere says that all gateways have it.
--- a/internal/controlplane/chain/foreign_message_test.go
+++ b/internal/controlplane/chain/foreign_message_test.go
@@ -12,7 +12,7 @@
 func strange(n *Node) map[string]Msg {
 	other := n.View()
 	other.Number, other.System = other.Number+1, "elsewhere-1"
-	other.Replicas = []Replica{{Member{ID: "elsewhere-1", Name: "elsewhere", Addr: "x"}, "x/1"}}
+	other.Replicas = []Replica{{Member: Member{ID: "elsewhere-1", Name: "elsewhere", Addr: "x"}, Incarnation: "x/1"}}
 	other.Voters = []Member{other.Replicas[0].Member}
 	from := other.Voters[0]
 	late := n.View().Replicas[0]
--- a/internal/controlplane/chain/restart.go
+++ b/internal/controlplane/chain/restart.go
@@ -29,13 +29,13 @@
 			heardVoters++
 		}
 		if n.view.HasReplica(id) && p.hello.Phase == PhaseRestarted && p.hello.CaughtUp && p.hello.View.Number == n.view.Number {
-			found = append(found, candidate{Replica{p.hello.Member, p.hello.Incarnation}, p.hello.LastIndex, p.hello.LastView, p.hello.Stalled})
+			found = append(found, candidate{Replica{Member: p.hello.Member, Incarnation: p.hello.Incarnation}, p.hello.LastIndex, p.hello.LastView, p.hello.Stalled})
 		}
 	}
 	if !n.view.HasReplica(n.opts.Self.ID) || n.diskStalled() || !n.caughtUp {
 		return
 	}
-	found = append(found, candidate{Replica{n.opts.Self, n.opts.Incarnation}, n.lastIndex(), n.lastView(), n.diskStalled()})
+	found = append(found, candidate{Replica{Member: n.opts.Self, Incarnation: n.opts.Incarnation}, n.lastIndex(), n.lastView(), n.diskStalled()})
 	gathered := len(found) == len(n.view.Replicas)
 	if heardVoters < n.view.QuorumSize() || (!gathered && n.nowUs-n.startedUs < n.opts.GatherTimeoutUs) {
 		return
--- a/internal/controlplane/chain/validate.go
+++ b/internal/controlplane/chain/validate.go
@@ -1,10 +1,9 @@
 package chain
 
-import "petreltide/internal/api/fault"
-
-// maxNumber bounds the numbers of views and the rounds of ballots in messages: whatever is taken up can be followed by
-// a higher one. A chain that changes its view a thousand times a second takes longer than a hundred million years.
-const maxNumber = 1 << 62
+import (
+	"petreltide/internal/api/fault"
+	"petreltide/internal/api/membership"
+)
 
 // validate says what is wrong with a message that no control node sends: what it would have its reader take up could not be
 // followed by anything else, or could not be read again.
@@ -13,12 +12,12 @@
 		return fault.New(fault.BadField, field, "a malformed message from %s at %s", m.From.ID, m.From.Addr)
 	}
 	for _, v := range m.carriedViews() {
-		if !v.isValid() {
+		if !v.IsValid() {
 			return bad("view")
 		}
 	}
 	for _, b := range m.carriedBallots() {
-		if b.Round >= maxNumber {
+		if b.Round >= membership.MaxNumber {
 			return bad("ballot")
 		}
 	}
@@ -33,27 +32,6 @@
 	return nil
 }
 
-// isValid: every member has an identity and is named once. A view may be named by its number alone.
-func (v View) isValid() bool {
-	if v.Number >= maxNumber || v.ExtraVoters < 0 {
-		return false
-	}
-	votes, seats := map[string]bool{}, map[string]bool{}
-	for _, m := range v.Voters {
-		if m.ID == "" || votes[m.ID] {
-			return false
-		}
-		votes[m.ID] = true
-	}
-	for _, s := range v.Replicas {
-		if s.ID == "" || seats[s.ID] {
-			return false
-		}
-		seats[s.ID] = true
-	}
-	return true
-}
-
 // carriedBallots are all that a message would have its reader take up.
 func (m Msg) carriedBallots() (all []Ballot) {
 	switch {
--- a/internal/controlplane/failuredetector/monitor.go
+++ b/internal/controlplane/failuredetector/monitor.go
@@ -3,6 +3,7 @@
 import (
 	"sort"
 
+	"petreltide/internal/api/membership"
 	"petreltide/internal/process/clock"
 )
 
@@ -15,12 +16,8 @@
 	ForgetAfterUs = 20 * clock.Sec
 )
 
-// Heartbeat is what a node sends to its watchers every HeartbeatIntervalUs.
-type Heartbeat struct {
-	ID string `json:"id"`
-	// Final says that no more will come, since the node shuts down in order.
-	Final bool `json:"last,omitempty"`
-}
+// Heartbeat is what a node sends to its watchers every HeartbeatIntervalUs. Gateways send it, so that it stands in the API.
+type Heartbeat = membership.Heartbeat
 
 // Monitor is one watcher: it records the heartbeats that come to this node.
 type Monitor struct {
--- a/internal/controlplane/failuredetector/ring.go
+++ b/internal/controlplane/failuredetector/ring.go
@@ -4,17 +4,15 @@
 	"hash/fnv"
 	"slices"
 	"sort"
+
+	"petreltide/internal/api/membership"
 )
 
 // WatchersPerNode is how many nodes watch each one. All of them must suspect it before it counts as suspected.
 const WatchersPerNode = 2
 
-// Node is one process on the ring.
-type Node struct {
-	// ID tells processes apart that followed each other at one address.
-	ID   string `json:"id"`
-	Addr string `json:"addr"`
-}
+// Node is one member of the ring. Gateways are sent the ring, so that it stands in the API.
+type Node = membership.RingNode
 
 // ringPosition hashes an ID to its position. FNV-1a alone leaves similar IDs close together; the finalizer of
 // MurmurHash3 spreads them.
--- a/internal/dataplane/controlclient/informer.go
+++ b/internal/dataplane/controlclient/informer.go
@@ -5,8 +5,8 @@
 	"slices"
 
 	"petreltide/internal/api/configuration"
+	"petreltide/internal/api/membership"
 	"petreltide/internal/api/wire"
-	"petreltide/internal/controlplane/chain"
 	"petreltide/internal/dataplane/scheduling"
 	"petreltide/internal/outlier"
 	"petreltide/internal/process/clock"
@@ -85,8 +85,8 @@
 	unreachableUntilUs map[string]int64
 	// staleAtUs is when a control node last was behind for too long.
 	staleAtUs      map[string]int64
-	controlNodes   map[string]chain.Member
-	view           chain.View
+	controlNodes   map[string]membership.Member
+	view           membership.View
 	declaration    *configuration.Declaration
 	revision       uint64
 	snapshotNumber uint64
@@ -111,7 +111,7 @@
 
 // NewInformer is a mirror that knows nothing but its seeds.
 func NewInformer(opts Options) *Informer {
-	return &Informer{opts: opts, sources: map[uint64]*source{}, backoffUntilUs: map[string]int64{}, failedAtUs: map[string]int64{}, unreachableUntilUs: map[string]int64{}, staleAtUs: map[string]int64{}, replicas: map[string]wire.ReplicaRow{}, changed: map[string]bool{}, controlNodes: map[string]chain.Member{}}
+	return &Informer{opts: opts, sources: map[uint64]*source{}, backoffUntilUs: map[string]int64{}, failedAtUs: map[string]int64{}, unreachableUntilUs: map[string]int64{}, staleAtUs: map[string]int64{}, replicas: map[string]wire.ReplicaRow{}, changed: map[string]bool{}, controlNodes: map[string]membership.Member{}}
 }
 
 func (i *Informer) emit(e InformerEffect) { i.effects = append(i.effects, e) }
@@ -131,7 +131,7 @@
 }
 
 // View is the newest view of the chain that a control node told.
-func (i *Informer) View() chain.View { return i.view }
+func (i *Informer) View() membership.View { return i.view }
 
 // Live counts the control nodes that push to this gateway now.
 func (i *Informer) Live() int {
@@ -218,7 +218,7 @@
 		i.controlNodes[o.ID] = o
 	}
 	if len(i.controlNodes) > 64 {
-		i.controlNodes = map[string]chain.Member{}
+		i.controlNodes = map[string]membership.Member{}
 	}
 	for _, r := range f.Replicas {
 		s.replicas[r.ID] = r
--- a/internal/dataplane/controlclient/informer_test.go
+++ b/internal/dataplane/controlclient/informer_test.go
@@ -11,8 +11,8 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 
 	"petreltide/internal/api/configuration"
+	"petreltide/internal/api/membership"
 	"petreltide/internal/api/wire"
-	"petreltide/internal/controlplane/chain"
 	"petreltide/internal/controlplane/distribution"
 	"petreltide/internal/controlplane/registry"
 	"petreltide/internal/controlplane/statemachine"
@@ -40,8 +40,8 @@
 }
 
 func (c *core) seen(nowUs int64) distribution.FrameInput {
-	return distribution.FrameInput{NowUs: nowUs, State: c.state, View: chain.View{Number: c.view}, Committed: c.settled, Behind: c.behind, Registry: c.roster, Outliers: c.outliers,
-		ControlNodes: []chain.Member{{ID: "one", Addr: "one"}, {ID: "two", Addr: "two"}}}
+	return distribution.FrameInput{NowUs: nowUs, State: c.state, View: membership.View{Number: c.view}, Committed: c.settled, Behind: c.behind, Registry: c.roster, Outliers: c.outliers,
+		ControlNodes: []membership.Member{{ID: "one", Addr: "one"}, {ID: "two", Addr: "two"}}}
 }
 
 func (c *core) apply(log []statemachine.Change, upto int) {
--- a/internal/dataplane/controlclient/subscriber.go
+++ b/internal/dataplane/controlclient/subscriber.go
@@ -1,8 +1,8 @@
 package controlclient
 
 import (
+	"petreltide/internal/api/membership"
 	"petreltide/internal/api/wire"
-	"petreltide/internal/controlplane/chain"
 	"petreltide/internal/controlplane/failuredetector"
 	"petreltide/internal/dataplane/scheduling"
 	"petreltide/internal/process/clock"
@@ -23,7 +23,7 @@
 	Membership *wire.MembershipResponse
 	Update     *wire.GatewayUpdate
 	Lease      *wire.Lease
-	Heartbeat  *failuredetector.Heartbeat
+	Heartbeat  *membership.Heartbeat
 	Closed     uint64
 }
 
@@ -31,17 +31,17 @@
 type Effect struct {
 	RequestMembership []string
 	Follow            *Follow
-	Report            *chain.Replica
+	Report            *membership.ChainReplica
 	Snapshot          *scheduling.Snapshot
 	LeaseUs           int64
-	Heartbeats        []failuredetector.Node
-	Farewells         []failuredetector.Node
+	Heartbeats        []membership.RingNode
+	Farewells         []membership.RingNode
 }
 
 // Follow asks for the changes that the tail pushes. Number tells streams apart.
 type Follow struct {
 	Number  uint64
-	Tail    chain.Replica
+	Tail    membership.ChainReplica
 	Request wire.SubscribeRequest
 }
 
@@ -64,12 +64,12 @@
 	membershipAtUs int64
 	ackedAtUs      int64
 	stream         uint64
-	followed       chain.Replica
+	followed       membership.ChainReplica
 	streamOpen     bool
 	followedAtUs   int64
 	leasedAtUs     int64
-	ring           []failuredetector.Node
-	watchers       []failuredetector.Node
+	ring           []membership.RingNode
+	watchers       []membership.RingNode
 	monitor        *failuredetector.Monitor
 	heartbeatAtUs  int64
 	effects        []Effect
@@ -87,7 +87,7 @@
 func (s *Subscriber) Membership() wire.MembershipResponse { return s.membership }
 
 // Tail is the seat that it follows.
-func (s *Subscriber) Tail() chain.Replica { return s.membership.View.Tail() }
+func (s *Subscriber) Tail() membership.ChainReplica { return s.membership.View.Tail() }
 
 // ControlNodes are all addresses that may be a control node's, those that were met first.
 func (s *Subscriber) ControlNodes() []string {
--- a/internal/dataplane/controlclient/subscriber_test.go
+++ b/internal/dataplane/controlclient/subscriber_test.go
@@ -4,17 +4,17 @@
 	"testing"
 
 	"petreltide/internal/api/configuration"
+	"petreltide/internal/api/membership"
 	"petreltide/internal/api/wire"
-	"petreltide/internal/controlplane/chain"
 	"petreltide/internal/process/clock"
 )
 
 func met(t *testing.T) (*Subscriber, int64) {
 	t.Helper()
 	l := New(Options{Gateway: "d", Incarnation: "i", Addr: "d:1", Seeds: []string{"s1:1", "s2:1"}})
-	seat := chain.Replica{Member: chain.Member{ID: "o1", Addr: "o1:1"}, Incarnation: "x"}
+	seat := membership.ChainReplica{Member: membership.Member{ID: "o1", Addr: "o1:1"}, Incarnation: "x"}
 	follows := 0
-	for _, e := range l.Step(Event{NowUs: clock.Sec, Membership: &wire.MembershipResponse{View: chain.View{Number: 1, Replicas: []chain.Replica{seat}}, ControlNodes: []chain.Member{seat.Member}}}) {
+	for _, e := range l.Step(Event{NowUs: clock.Sec, Membership: &wire.MembershipResponse{View: membership.View{Number: 1, Replicas: []membership.ChainReplica{seat}}, ControlNodes: []membership.Member{seat.Member}}}) {
 		if e.Follow != nil {
 			follows++
 		}
--- a/internal/dataplane/gateway/handler.go
+++ b/internal/dataplane/gateway/handler.go
@@ -7,8 +7,8 @@
 	"strconv"
 
 	"petreltide/internal/api/fault"
+	"petreltide/internal/api/membership"
 	"petreltide/internal/api/wire"
-	"petreltide/internal/controlplane/failuredetector"
 	"petreltide/internal/dataplane/controlclient"
 	"petreltide/internal/dataplane/scheduling"
 	"petreltide/internal/process/actor"
@@ -46,7 +46,7 @@
 		}
 		return &wire.MembershipResponse{}, nil
 	})
-	rpc.Serve(mux, rpc.BeatPath, func(_ context.Context, b *failuredetector.Heartbeat) (*wire.Ack, error) {
+	rpc.Serve(mux, rpc.BeatPath, func(_ context.Context, b *membership.Heartbeat) (*wire.Ack, error) {
 		h.postSubscriber(controlclient.Event{Heartbeat: b})
 		return &wire.Ack{}, nil
 	})
--- a/internal/dataplane/gateway/subscriber.go
+++ b/internal/dataplane/gateway/subscriber.go
@@ -7,8 +7,8 @@
 	"github.com/juju/errors"
 
 	"petreltide/internal/api/fault"
+	"petreltide/internal/api/membership"
 	"petreltide/internal/api/wire"
-	"petreltide/internal/controlplane/chain"
 	"petreltide/internal/controlplane/failuredetector"
 	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/dataplane/controlclient"
@@ -41,10 +41,10 @@
 			h.act.Spawn(func() { h.reportToTail(tail, report) })
 		case e.Heartbeats != nil:
 			for _, n := range e.Heartbeats {
-				h.act.Spawn(func() { h.sendHeartbeat(n.Addr, failuredetector.Heartbeat{ID: h.settings.Name}) })
+				h.act.Spawn(func() { h.sendHeartbeat(n.Addr, membership.Heartbeat{ID: h.settings.Name}) })
 			}
 			for _, n := range e.Farewells {
-				h.act.Spawn(func() { h.sendHeartbeat(n.Addr, failuredetector.Heartbeat{ID: h.settings.Name, Final: true}) })
+				h.act.Spawn(func() { h.sendHeartbeat(n.Addr, membership.Heartbeat{ID: h.settings.Name, Final: true}) })
 			}
 		case e.Snapshot != nil:
 			h.snapshot.Store(e.Snapshot)
@@ -62,10 +62,10 @@
 
 func (h *Host) postSubscriber(ev controlclient.Event) { h.act.Tell(func() { h.stepSubscriber(ev) }) }
 
-func (h *Host) sendHeartbeat(addr string, b failuredetector.Heartbeat) {
+func (h *Host) sendHeartbeat(addr string, b membership.Heartbeat) {
 	ctx, done := context.WithTimeout(h.act.Ctx, time.Duration(failuredetector.HeartbeatIntervalUs)*time.Microsecond)
 	defer done()
-	_, _ = rpc.NewCaller[failuredetector.Heartbeat, wire.Ack](h.nodeClient, addr, rpc.BeatPath).Call(ctx, &b)
+	_, _ = rpc.NewCaller[membership.Heartbeat, wire.Ack](h.nodeClient, addr, rpc.BeatPath).Call(ctx, &b)
 }
 
 func (h *Host) requestMembership(addr string) {
@@ -92,7 +92,7 @@
 }
 
 // reportToTail tells the tail what this gateway has taken and what it holds, and brings back the lease.
-func (h *Host) reportToTail(tail chain.Replica, report wire.Report) {
+func (h *Host) reportToTail(tail membership.ChainReplica, report wire.Report) {
 	ctx, done := context.WithTimeout(h.act.Ctx, 600*time.Millisecond)
 	defer done()
 	lease, err := rpc.NewCaller[wire.Report, wire.Lease](h.nodeClient, tail.Addr, rpc.AckPath).Call(ctx, &report)
@@ -101,11 +101,11 @@
 	}
 }
 
-func (h *Host) tail() chain.Replica {
+func (h *Host) tail() membership.ChainReplica {
 	if w := h.membership.Load(); w != nil {
 		return w.View.Tail()
 	}
-	return chain.Replica{}
+	return membership.ChainReplica{}
 }
 
 // Submit carries a change through any control node that answers.
