--- a/cmd/petreltide/daemons.go
+++ b/cmd/petreltide/daemons.go
@@ -15,7 +15,7 @@
 
 func controlNodeCommand() *cobra.Command {
 	set := settings.ControlNode{HandoverTimeoutMs: 3000}
-	place := location{&set.Name, &set.Listen, &set.Advertise, &set.Zone, &set.Seeds}
+	machine := location{&set.Name, &set.Listen, &set.Advertise, &set.Zone, &set.Seeds}
 	var file string
 	cmd := &cobra.Command{
 		Use:   "control-node",
@@ -38,7 +38,7 @@
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			laid := set
-			if f := place.read(cmd, file, &set); f != nil {
+			if f := machine.read(cmd, file, &set); f != nil {
 				return f
 			}
 			override(cmd, "data", &set.DataDir, laid.DataDir)
@@ -49,7 +49,7 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&file, "settings", "", "settings file (YAML or JSON)")
-	place.flags(cmd, "this control node's name, unique in the fleet; a replacement takes the lost one's name")
+	machine.flags(cmd, "this control node's name, unique in the fleet; a replacement takes the lost one's name")
 	flags.StringVar(&set.DataDir, "data", "", "data folder")
 	flags.StringVar(&set.Platform, "platform", "", "IP:port of the platform's replica list")
 	flags.IntVar(&set.FoundingSize, "founding", 0, "how many empty control nodes begin a new chain together; 0: only join one")
@@ -71,7 +71,7 @@
 
 func gatewayCommand() *cobra.Command {
 	set := settings.Gateway{MaxQueue: 512, MaxBodyKB: 1024, DrainMs: 30_000}
-	place := location{&set.Name, &set.Listen, &set.Advertise, &set.Zone, &set.Seeds}
+	machine := location{&set.Name, &set.Listen, &set.Advertise, &set.Zone, &set.Seeds}
 	var file string
 	cmd := &cobra.Command{
 		Use:   "gateway",
@@ -86,7 +86,7 @@
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			laid := set
-			if f := place.read(cmd, file, &set); f != nil {
+			if f := machine.read(cmd, file, &set); f != nil {
 				return f
 			}
 			override(cmd, "backlog-max", &set.MaxQueue, laid.MaxQueue)
@@ -101,7 +101,7 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&file, "settings", "", "settings file (YAML or JSON)")
-	place.flags(cmd, "this gateway's name, unique in the fleet")
+	machine.flags(cmd, "this gateway's name, unique in the fleet")
 	flags.IntVar(&set.MaxQueue, "backlog-max", set.MaxQueue, "most calls that may wait here")
 	flags.IntVar(&set.MaxBodyKB, "body-max-kb", set.MaxBodyKB, "largest call body taken, in KiB")
 	flags.Int64Var(&set.DrainMs, "drain-ms", set.DrainMs, "time for open calls to end after SIGTERM")
--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -34,8 +34,8 @@
 	maxBadListings        = 8
 	keyMarkIntervalUs     = 3600 * clock.Sec
 	maxKeyMarks           = 24
-	minAttempts           = 24
-	maxAttempts           = 4096
+	minGrantedAttempts    = 24
+	maxGrantedAttempts    = 4096
 	attemptSeconds        = 5
 )
 
--- a/internal/controlplane/controller/share.go
+++ b/internal/controlplane/controller/share.go
@@ -32,7 +32,7 @@
 // grant of these lives, or less than half of one left.
 func (c *Controller) grantRequest(s *statemachine.State, r *statemachine.Replica, model, gateway string) (ask statemachine.GrantRequest, needed bool) {
 	report := c.gateways[gateway].report
-	want := min(max(uint64(report.Arrivals[model]*2*attemptSeconds), minAttempts), maxAttempts)
+	want := min(max(uint64(report.Arrivals[model]*2*attemptSeconds), minGrantedAttempts), maxGrantedAttempts)
 	ask = statemachine.GrantRequest{Gateway: gateway, GatewayIncarnation: report.Incarnation, Replica: r.ID, Incarnation: r.Incarnation, Model: model, Count: want}
 	g := statemachine.Grant{Gateway: gateway, Replica: r.ID, Model: model}
 	have, ok := s.Grants[g.Key()]
--- a/internal/controlplane/controlnode/config.go
+++ b/internal/controlplane/controlnode/config.go
@@ -15,8 +15,8 @@
 	"petreltide/internal/process/actor"
 )
 
-// maxBodyBytes bounds what an operator may send, in bytes.
-const maxBodyBytes = 4 << 20
+// maxRequestBytes bounds what an operator may send, in bytes.
+const maxRequestBytes = 4 << 20
 
 // CurrentConfig is the declaration in force, with the revision that a change has to name as its base.
 type CurrentConfig struct {
@@ -78,7 +78,7 @@
 }
 
 func (h *Host) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *fault.Fault) {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	if err != nil {
 		return nil, fault.New(fault.TooLarge, "", "%v", err)
 	}
--- a/internal/dataplane/controlclient/informer.go
+++ b/internal/dataplane/controlclient/informer.go
@@ -189,8 +189,8 @@
 	}
 }
 
-// markLive notes that a stream has brought a frame.
-func (i *Informer) markLive(s *source) {
+// setLive notes that a stream has brought a frame.
+func (i *Informer) setLive(s *source) {
 	s.live = true
 	delete(i.failedAtUs, s.addr)
 }
@@ -206,7 +206,7 @@
 		return
 	}
 	s.receivedAtUs, s.controlNode = nowUs, f.ControlNode
-	i.markLive(s)
+	i.setLive(s)
 	i.recordStaleness(nowUs, s, f.PossiblyStale)
 	if f.Complete {
 		s.complete, s.replicas = true, map[string]wire.ReplicaRow{}
--- a/internal/dataplane/controlclient/lost_test.go
+++ b/internal/dataplane/controlclient/lost_test.go
@@ -60,7 +60,7 @@
 	m := NewInformer(Options{Gateway: "g", Incarnation: "i", Seeds: []string{"a"}})
 	m.failedAtUs["a"] = clock.Sec
 	m.sources[1] = &source{stream: 1, addr: "a", live: true}
-	m.markLive(m.sources[1])
+	m.setLive(m.sources[1])
 	m.streamClosed(2*clock.Sec, 1)
 	if _, failed := m.failedAtUs["a"]; failed {
 		t.Error("a stream that had brought frames counts as one that never came up")
--- a/internal/dataplane/scheduling/decider.go
+++ b/internal/dataplane/scheduling/decider.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	maxAttempts        = 8
+	maxCallAttempts    = 8
 	maxCachedPrefixes  = 4096
 	refusedBackoffUs   = 400 * clock.Ms
 	arrivalSlots       = 6
--- a/internal/dataplane/scheduling/finish.go
+++ b/internal/dataplane/scheduling/finish.go
@@ -92,7 +92,7 @@
 	if !d.applyDeclarationOrFail(c) {
 		return
 	}
-	if c.attempts >= maxAttempts {
+	if c.attempts >= maxCallAttempts {
 		d.failCall(c, fault.Overloaded, "its legs were refused or lost too often", d.RetryMs())
 		return
 	}
--- a/internal/dataplane/scheduling/routed_test.go
+++ b/internal/dataplane/scheduling/routed_test.go
@@ -358,7 +358,7 @@
 		}
 		answered += calls
 		for id, attempts := range k.attempts {
-			if len(attempts) > maxAttempts {
+			if len(attempts) > maxCallAttempts {
 				t.Fatalf("seed %d: %s had %d attempts", seed, id, len(attempts))
 			}
 		}
