--- a/internal/controlplane/distribution/frame_publisher.go
+++ b/internal/controlplane/distribution/frame_publisher.go
@@ -15,88 +15,80 @@
 )
 
 const (
-	frameIdleUs        = 400 * clock.Ms
+	// frameIdleUs is how long a stream may carry nothing before an empty frame shows that it is alive.
+	frameIdleUs = 400 * clock.Ms
+	// gatherPerGatewayUs is how long changes are gathered for each primary stream, up to maxGatherUs: many gateways get
+	// fewer, larger frames.
 	gatherPerGatewayUs = 5 * clock.Ms
 	maxGatherUs        = 100 * clock.Ms
-	standbyGatherUs    = 400 * clock.Ms
-	maxSubscribers     = 4096
-	gatewayForgetUs    = 3 * clock.Sec
+	// standbyGatherUs is how long changes are gathered for standby streams.
+	standbyGatherUs = 400 * clock.Ms
+	// maxSubscribers bounds the streams of one control node.
+	maxSubscribers = 4096
+	// gatewayForgetUs is how long after the last sign of life a gateway counts as alive.
+	gatewayForgetUs = 3 * clock.Sec
 )
 
-// FrameInput is what a control node knows when it writes frames.
+// FrameInput is what a control node knows when it writes frames. Nothing of it is changed.
 type FrameInput struct {
-	NowUs        int64
-	Self         string
-	State        *statemachine.State
-	View         chain.View
+	NowUs int64
+	// Self is this control node.
+	Self  string
+	State *statemachine.State
+	View  chain.View
+	// ControlNodes are all that are known, in the view or not.
 	ControlNodes []chain.Member
-	Committed    bool
-	// Behind: newer state than this may have been committed, as this control node has no word of the chain.
+	// Committed says that State is known to be committed. Before, no declaration and no command is sent.
+	Committed bool
+	// Behind says that newer state may have been committed, as nothing comes from the chain.
 	Behind   bool
 	Registry *registry.Registry
-	// Outliers are the newest verdicts that this control node knows.
+	// Outliers are the newest ejections that this control node knows.
 	Outliers outlier.Table
 }
 
-// FramePush is a frame for one gateway; gateways that know the same share one.
+// FramePush is a frame for one gateway. Gateways that know the same share one frame, which must not be changed.
 type FramePush struct {
 	Gateway string
 	Frame   *wire.Frame
 }
 
+// frameSubscriber is the stream of one gateway.
 type frameSubscriber struct {
 	incarnation string
-	standby     bool
-	complete    bool
-	revision    uint64
+	// standby streams run beside a primary one from another control node.
+	standby bool
+	// complete says that the stream has had its full frame, and gets deltas.
+	complete bool
+	// revision is the declaration that the gateway has.
+	revision uint64
 }
 
-// FramePublisher is any control node's: it pushes differences to the gateways that follow this control node. All main streams that
-// have had a whole frame are brought on together, by one frame that is written once, and so are all spare
-// ones, which need it less often.
+// FramePublisher pushes delta frames to the gateways that follow this control node. All primary streams that have had a
+// full frame advance together, by one frame that is encoded once, and so do all standby streams, less often.
 type FramePublisher struct {
 	subscribers map[string]*frameSubscriber
-	gateways    map[string]int64
-	primary     streamState
-	standby     streamState
+	// gateways is when each known gateway last gave a sign of life, whichever control node it follows.
+	gateways map[string]int64
+	primary  streamState
+	standby  streamState
 
+	// liveGateways is their number as of liveCountedUs.
 	liveGateways  int
 	liveCountedUs int64
 
+	// bare is bareSource without what gateways don't need, built once for each declaration.
 	bare       *configuration.Declaration
 	bareSource *configuration.Declaration
 }
 
-// streamState is how far the streams of one kind have been brought on.
-type streamState struct {
-	outliers         outlier.Table
-	committed        bool
-	behind           bool
-	revision         uint64
-	registryRevision uint64
-	replicasIndex    uint64
-	// staleIndex is the change of the ledger's replicas up to which rows went out of those that nobody has heard.
-	staleIndex    uint64
-	commandsIndex uint64
-	commands      map[string]wire.PendingOrder
-	view          uint64
-	controlNodes  []chain.Member
-	liveGateways  int
-	rows          map[string]wire.ReplicaRow
-	stale         map[string]bool
-	sentUs        int64
-}
-
-func newStreamState() streamState {
-	return streamState{rows: map[string]wire.ReplicaRow{}, stale: map[string]bool{}}
-}
-
-// NewFramePublisher is a hub that nobody follows.
+// NewFramePublisher returns a publisher without subscribers.
 func NewFramePublisher() *FramePublisher {
 	return &FramePublisher{subscribers: map[string]*frameSubscriber{}, gateways: map[string]int64{}, primary: newStreamState(), standby: newStreamState()}
 }
 
-// Follow begins a stream; a declaration that the gateway already has is not sent again.
+// Follow begins a stream, in place of the gateway's last; false where there are too many. A declaration that the gateway
+// already has is not sent again.
 func (p *FramePublisher) Follow(nowUs int64, f wire.SubscribeRequest) bool {
 	if len(p.subscribers) >= maxSubscribers && p.subscribers[f.Gateway] == nil {
 		return false
@@ -106,17 +98,17 @@
 	return true
 }
 
-// Unfollow ends the stream of a gateway's process; a newer process's stays.
+// Unfollow ends the stream of a gateway's process. That of a newer process stays.
 func (p *FramePublisher) Unfollow(gateway, incarnation string) {
 	if s := p.subscribers[gateway]; s != nil && s.incarnation == incarnation {
 		delete(p.subscribers, gateway)
 	}
 }
 
-// RecordGateway notes a living gateway.
+// RecordGateway records a sign of life of a gateway.
 func (p *FramePublisher) RecordGateway(nowUs int64, gateway string) { p.gateways[gateway] = nowUs }
 
-// PrimarySubscribers are the gateways whose main stream comes from this control node, as other control nodes are told.
+// PrimarySubscribers returns the gateways whose primary stream comes from here, in order, for gossip to other control nodes.
 func (p *FramePublisher) PrimarySubscribers() []string {
 	gateways := []string{}
 	for id, s := range p.subscribers {
@@ -128,7 +120,7 @@
 	return gateways
 }
 
-// Gateways are all that live, as far as this control node knows.
+// Gateways returns all live gateways that this control node knows, in order.
 func (p *FramePublisher) Gateways(nowUs int64) []string {
 	ids := []string{}
 	for id := range p.subscribers {
@@ -145,11 +137,11 @@
 	return ids
 }
 
-// Subscribers are the gateways with a stream from here, in order.
+// Subscribers returns the gateways with a stream from here, in order.
 func (p *FramePublisher) Subscribers() []string { return slices.Sorted(maps.Keys(p.subscribers)) }
 
-// Frames are what has changed since the last; where nothing has, a sign of life now and then. Changes
-// are gathered for a moment that grows with the gateways, but for a declaration, which goes at once.
+// Frames returns the frames that are due: what has changed since the last, or an empty one after frameIdleUs. Changes are
+// gathered for a moment that grows with the number of gateways, but a declaration goes at once.
 func (p *FramePublisher) Frames(in FrameInput) []FramePush {
 	if len(p.subscribers) == 0 {
 		return nil
@@ -170,16 +162,16 @@
 	return p.advance(pushes, in, &p.standby, standbys, standbyGatherUs)
 }
 
-// advance takes streams of one kind on to what is known now. Before a stream joins them by a whole frame, the
-// others are brought on to the same point.
-func (p *FramePublisher) advance(pushes []FramePush, in FrameInput, stream *streamState, ids []string, gapUs int64) []FramePush {
+// advance brings the streams of one kind to what is known now, where that is due. Before a stream joins by a full frame,
+// the others are brought to the same point: what came and went between would stay otherwise.
+func (p *FramePublisher) advance(pushes []FramePush, in FrameInput, stream *streamState, ids []string, gatherUs int64) []FramePush {
 	if len(ids) == 0 {
 		return pushes
 	}
 	joins := slices.ContainsFunc(ids, func(id string) bool { return !p.subscribers[id].complete })
 	urgent := in.Committed && in.State.Revision != stream.revision
 	sinceUs := in.NowUs - stream.sentUs
-	if joins || urgent || sinceUs >= gapUs {
+	if joins || urgent || sinceUs >= gatherUs {
 		if f, changed := p.delta(in, stream); changed || sinceUs >= frameIdleUs {
 			stream.sentUs = in.NowUs
 			for _, id := range ids {
@@ -199,7 +191,7 @@
 	return pushes
 }
 
-// delta is from what was last sent to what is known now.
+// delta returns the frame from what was last sent to what is known now; false where it says nothing new.
 func (p *FramePublisher) delta(in FrameInput, stream *streamState) (*wire.Frame, bool) {
 	frame := &wire.Frame{ControlNode: in.Self, CaughtUp: in.Committed, PossiblyStale: in.Behind, GatewayCount: p.liveGateways}
 	changed := stream.committed != in.Committed || stream.behind != in.Behind || stream.liveGateways != p.liveGateways
@@ -227,103 +219,7 @@
 	return frame, changed || len(frame.Replicas) > 0 || frame.Orders != nil
 }
 
-// changedReplicas are the rows that another word of the replica or of the ledger has touched, where that is news.
-func (s *streamState) changedReplicas(in FrameInput) []wire.ReplicaRow {
-	rows := []wire.ReplicaRow(nil)
-	ids := []string{}
-	if s.registryRevision != in.Registry.Revision {
-		ids = append(ids, in.Registry.ChangedSince(s.registryRevision)...)
-	}
-	if s.replicasIndex != in.State.ReplicasIndex {
-		for id, r := range in.State.Replicas {
-			if r.ModifiedIndex > s.replicasIndex && in.Registry.Entry(id) != nil {
-				ids = append(ids, id)
-			}
-		}
-	}
-	s.registryRevision, s.replicasIndex = in.Registry.Revision, in.State.ReplicasIndex
-	slices.Sort(ids)
-	for _, id := range slices.Compact(ids) {
-		row := replicaRow(in, id)
-		delete(s.stale, id)
-		if last, sent := s.rows[id]; sent && equivalentRows(&last, &row) {
-			continue
-		}
-		s.rows[id] = row
-		rows = append(rows, row)
-	}
-	if len(s.rows) > 2*in.Registry.Len()+rowsSlack {
-		maps.DeleteFunc(s.rows, func(id string, _ wire.ReplicaRow) bool { return in.Registry.Entry(id) == nil })
-	}
-	rows = append(rows, s.newStaleReplicas(in)...)
-	for _, id := range slices.Sorted(maps.Keys(s.stale)) {
-		switch {
-		case in.Registry.Entry(id) != nil:
-			delete(s.stale, id)
-		case in.State.Replicas[id] == nil:
-			delete(s.stale, id)
-			rows = append(rows, wire.ReplicaRow{Stale: true, ReplicaStatus: registry.ReplicaStatus{ID: id, Removed: true}})
-		}
-	}
-	return rows
-}
-
-const rowsSlack = 64
-
-// newStaleReplicas are the rows that the ledger has changed of replicas that nobody has told of since this control node came back.
-// A stream may have begun before this control node knew what is committed, with a whole frame that lacked them. Whoever was
-// told of once and is forgotten has ended.
-func (s *streamState) newStaleReplicas(in FrameInput) []wire.ReplicaRow {
-	if !in.Committed || s.staleIndex == in.State.ReplicasIndex {
-		return nil
-	}
-	rows := []wire.ReplicaRow(nil)
-	for _, row := range staleRows(in) {
-		if _, sent := s.rows[row.ID]; row.Index > s.staleIndex && !sent {
-			s.stale[row.ID] = true
-			rows = append(rows, row)
-		}
-	}
-	s.staleIndex = in.State.ReplicasIndex
-	return rows
-}
-
-// equivalentRows: a gateway would learn nothing from it but that the replica has spoken again.
-func equivalentRows(a, b *wire.ReplicaRow) bool {
-	return a.Index == b.Index && a.Service == b.Service && a.Addr == b.Addr && a.Zone == b.Zone && a.Slots == b.Slots && a.Draining == b.Draining &&
-		a.RemainingMs == b.RemainingMs && a.Removed == b.Removed && a.Unreachable == b.Unreachable && a.Stale == b.Stale && slices.Equal(a.Units, b.Units)
-}
-
-// changedCommands are the orders that came to stand, or stand no longer.
-func (s *streamState) changedCommands(state *statemachine.State) *wire.PendingOrders {
-	pending := make(map[string]wire.PendingOrder, len(state.Pending))
-	orders := &wire.PendingOrders{Number: state.CommandsIndex, Rows: []wire.PendingOrder{}}
-	for _, id := range slices.Sorted(maps.Keys(state.Pending)) {
-		pending[id] = pendingCommand(id, state.Pending[id])
-		if s.commands[id] != pending[id] {
-			orders.Rows = append(orders.Rows, pending[id])
-		}
-	}
-	for _, id := range slices.Sorted(maps.Keys(s.commands)) {
-		if _, isPending := pending[id]; !isPending {
-			orders.Rows = append(orders.Rows, wire.PendingOrder{Replica: id})
-		}
-	}
-	s.commandsIndex, s.commands = state.CommandsIndex, pending
-	return orders
-}
-
-func replicaRow(in FrameInput, id string) wire.ReplicaRow {
-	e, committed := in.Registry.Entry(id), in.State.Replicas[id]
-	row := wire.ReplicaRow{ReplicaStatus: e.ReplicaStatus, Unreachable: e.Unreachable}
-	row.Release, row.WarmUpMs = "", 0
-	if committed != nil && committed.Service != "" {
-		row.Units, row.Index = sortedUnits(committed.Resident), committed.ModifiedIndex
-	}
-	return row
-}
-
-// fullFrame is all that this control node knows, as of the difference that the others have just had.
+// fullFrame returns all that this control node knows, as of the delta that the others have just had.
 func (p *FramePublisher) fullFrame(in FrameInput, stream *streamState, subscriber *frameSubscriber) *wire.Frame {
 	view := in.View
 	frame := &wire.Frame{ControlNode: in.Self, Complete: true, CaughtUp: in.Committed, PossiblyStale: in.Behind, View: &view, ControlNodes: slices.Clone(in.ControlNodes), GatewayCount: len(p.Gateways(in.NowUs))}
@@ -348,6 +244,7 @@
 	return frame
 }
 
+// addConfiguration adds the edits since a revision that the gateway has, or the declaration where they are not retained.
 func (p *FramePublisher) addConfiguration(frame *wire.Frame, state *statemachine.State, since uint64) {
 	frame.Revision = state.Revision
 	if edits, ok := state.EditsSince(since); ok && since > 0 && len(edits) > 0 {
@@ -362,32 +259,3 @@
 	}
 	frame.Declaration = p.bare
 }
-
-func allCommands(state *statemachine.State) wire.PendingOrders {
-	orders := wire.PendingOrders{Number: state.CommandsIndex, Rows: []wire.PendingOrder{}}
-	for _, id := range slices.Sorted(maps.Keys(state.Pending)) {
-		orders.Rows = append(orders.Rows, pendingCommand(id, state.Pending[id]))
-	}
-	return orders
-}
-
-func pendingCommand(id string, command statemachine.ReplicaCommand) wire.PendingOrder {
-	return wire.PendingOrder{Replica: id, Unit: command.Unit, Unload: command.Action == statemachine.Unload}
-}
-
-// staleRows are the replicas that the ledger knows and nobody has told of since this control node came back.
-func staleRows(in FrameInput) []wire.ReplicaRow {
-	rows := []wire.ReplicaRow{}
-	for _, id := range in.State.ReplicaIDs() {
-		r := in.State.Replicas[id]
-		if in.Registry.Entry(id) != nil || r.Service == "" {
-			continue
-		}
-		rows = append(rows, wire.ReplicaRow{Stale: true, Index: r.ModifiedIndex, ReplicaStatus: registry.ReplicaStatus{
-			ID: id, Service: r.Service, Addr: r.Addr, Zone: r.Zone, Slots: r.Slots, Draining: r.Draining, RemainingMs: r.RemainingMs, Units: sortedUnits(r.Resident),
-		}})
-	}
-	return rows
-}
-
-func sortedUnits(resident map[string]int64) []string { return slices.Sorted(maps.Keys(resident)) }
--- a/internal/controlplane/distribution/update_publisher.go
+++ b/internal/controlplane/distribution/update_publisher.go
@@ -3,7 +3,6 @@
 import (
 	"maps"
 	"slices"
-	"sort"
 
 	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/chain"
@@ -13,66 +12,67 @@
 )
 
 const (
-	// GatewayLeaseUs is how long a gateway may send by news after it asked for the lease.
-	GatewayLeaseUs    = 1200 * clock.Ms
-	maxBehindUs       = 600 * clock.Ms
-	checkGraceUs      = 1000 * clock.Ms
-	forgetUs          = 30 * clock.Sec
-	maxPendingResults = 256
+	// GatewayLeaseUs is how long a gateway may act on an update after it asked for the lease.
+	GatewayLeaseUs = 1200 * clock.Ms
+	// maxBehindUs is how long a gateway may lack the newest update before it gets no lease: half a lease.
+	maxBehindUs = 600 * clock.Ms
+	// checkGraceUs is how long a new tail waits for the controller to read the platform's list before it gives leases
+	// without: the platform may be down.
+	checkGraceUs = 1000 * clock.Ms
+	// forgetUs is when a gateway that reports nothing is forgotten, once its lease has ended.
+	forgetUs = 30 * clock.Sec
+	// ringMemberUs is how long after its last report a gateway stays on the failure detector's ring.
+	ringMemberUs = forgetUs / 10
 )
 
+// subscriber is a gateway's process as the tail knows it.
 type subscriber struct {
-	incarnation   string
-	zone          string
-	addr          string
-	following     bool
-	acked         uint64
-	revision      uint64
-	pushed        uint64
+	incarnation string
+	zone        string
+	addr        string
+	// following says that it has asked for the stream, and not only for leases.
+	following bool
+	// acked is the number of the newest update it acknowledged, and pushed of the newest sent; 0 for none.
+	acked  uint64
+	pushed uint64
+	// revision is the declaration that it has; it is not sent again.
+	revision uint64
+	// behindSinceUs is since when it lacks the newest update; 0 where it has it.
 	behindSinceUs int64
-	leaseEndUs    int64
-	lastReportUs  int64
+	// leaseEndUs is when the last lease that it may have ends.
+	leaseEndUs   int64
+	lastReportUs int64
 }
 
-type pendingResult struct {
-	origin string
-	result wire.Result
-	number uint64
-}
-
-// UpdatePublisher is the tail's: it pushes numbered news to gateways, gives their leases, and holds an
-// operator's answer until every gateway has acknowledged or its lease has run out.
+// UpdatePublisher pushes numbered updates to gateways, gives their leases, and keeps operators' results until every
+// gateway has acknowledged or its lease has ended. It is active at the chain's tail alone.
 type UpdatePublisher struct {
-	active        bool
+	active bool
+	// activeSinceUs is when it became active last.
 	activeSinceUs int64
 	gateways      map[string]*subscriber
 	pending       []pendingResult
 }
 
-// UpdatePush is news for one gateway.
+// UpdatePush is an update for one gateway.
 type UpdatePush struct {
 	Gateway string
 	Update  wire.GatewayUpdate
 }
 
-// ReleasedResult is an operator's answer that may go out now; Origin is who waits for it.
-type ReleasedResult struct {
-	Origin string
-	Result wire.Result
-}
-
-// NewUpdatePublisher is a room that is closed, until Gate opens it.
+// NewUpdatePublisher returns a publisher that is inactive until SetActive.
 func NewUpdatePublisher() *UpdatePublisher {
 	return &UpdatePublisher{gateways: map[string]*subscriber{}}
 }
 
-// SetActive opens the room on the chain's tail and closes it elsewhere; a closed one forgets its gateways and answers.
-func (p *UpdatePublisher) SetActive(nowUs int64, open bool) {
-	if open == p.active {
+// SetActive starts the publisher at the chain's tail and stops it elsewhere. A stopped one forgets its gateways and
+// pending results: their callers time out, and the next tail waits for the leases.
+func (p *UpdatePublisher) SetActive(nowUs int64, active bool) {
+	if active == p.active {
 		return
 	}
-	p.active = open
-	if open {
+	p.active = active
+	if active {
 		p.activeSinceUs = nowUs
 		return
 	}
@@ -80,18 +80,19 @@
 	p.gateways = map[string]*subscriber{}
 }
 
-// Follow begins a gateway's stream. False means that this control node is not the tail.
+// Follow begins a gateway's stream; false where this control node is not the tail. A process that it does not know may
+// hold a lease of the former tail, which runs for another GatewayLeaseUs at most.
 func (p *UpdatePublisher) Follow(nowUs int64, follow wire.SubscribeRequest) bool {
 	if !p.active {
 		return false
 	}
 	gateway := p.gateways[follow.Gateway]
 	if gateway == nil || gateway.incarnation != follow.Incarnation {
-		lapseUs := nowUs + GatewayLeaseUs
+		leaseEndUs := nowUs + GatewayLeaseUs
 		if gateway != nil {
-			lapseUs = max(lapseUs, gateway.leaseEndUs)
+			leaseEndUs = max(leaseEndUs, gateway.leaseEndUs)
 		}
-		gateway = &subscriber{incarnation: follow.Incarnation, leaseEndUs: lapseUs}
+		gateway = &subscriber{incarnation: follow.Incarnation, leaseEndUs: leaseEndUs}
 		p.gateways[follow.Gateway] = gateway
 	}
 	gateway.following, gateway.revision, gateway.pushed, gateway.acked = true, follow.Revision, 0, 0
@@ -99,8 +100,9 @@
 	return true
 }
 
-// Report gives a lease. checked says that the controller has looked at the platform's list in this
-// view; a new tail waits a little for it, so that no gateway sends by notices that went unseen meanwhile.
+// Report takes a gateway's report, acknowledges what it has, and returns a lease, or none where the gateway is not
+// up to date. checked says that the controller has read the platform's list in this view; a new tail waits checkGraceUs
+// for it, so that no gateway acts on a list whose notices went unread meanwhile.
 func (p *UpdatePublisher) Report(nowUs int64, view uint64, newest uint64, checked bool, report wire.Report) wire.Lease {
 	refusal := wire.Lease{View: view}
 	if !p.active {
@@ -119,29 +121,29 @@
 		gateway.behindSinceUs = nowUs
 	}
 	behind := gateway.behindSinceUs > 0 && (nowUs >= gateway.leaseEndUs || nowUs-gateway.behindSinceUs > maxBehindUs)
-	unseen := !checked && nowUs-p.activeSinceUs < checkGraceUs
-	if !gateway.following || gateway.acked == 0 || behind || unseen {
+	listUnread := !checked && nowUs-p.activeSinceUs < checkGraceUs
+	if !gateway.following || gateway.acked == 0 || behind || listUnread {
 		return refusal
 	}
 	gateway.leaseEndUs = nowUs + GatewayLeaseUs
 	return wire.Lease{OK: true, View: view, SentUs: report.SentUs, LeaseUs: GatewayLeaseUs, Number: newest}
 }
 
-// Ring is every node that is watched or watches: the control nodes seated and the gateways that report.
+// Ring returns every node that watches and is watched: the view's control nodes and the gateways that report.
 func (p *UpdatePublisher) Ring(nowUs int64, view chain.View) []failuredetector.Node {
 	ring := []failuredetector.Node{}
 	for _, s := range view.Replicas {
 		ring = append(ring, failuredetector.Node{ID: s.ID, Addr: s.Addr})
 	}
 	for _, id := range p.gatewayIDs() {
-		if gateway := p.gateways[id]; nowUs-gateway.lastReportUs < forgetUs/10 {
+		if gateway := p.gateways[id]; nowUs-gateway.lastReportUs < ringMemberUs {
 			ring = append(ring, failuredetector.Node{ID: id, Addr: gateway.addr})
 		}
 	}
 	return ring
 }
 
-// Updates are the news that gateways do not have yet, each once.
+// Updates returns the updates that have not been pushed yet, each once.
 func (p *UpdatePublisher) Updates(s *statemachine.State, view chain.View) []UpdatePush {
 	if !p.active {
 		return nil
@@ -159,91 +161,19 @@
 	return pushes
 }
 
-// BuildUpdate is the whole news for one gateway; a declaration of at most this revision is left out, as the gateway has it.
-func BuildUpdate(s *statemachine.State, view uint64, gateway, incarnation string, revision uint64) wire.GatewayUpdate {
-	update := wire.GatewayUpdate{Number: max(s.UpdateIndex, 1), View: view, Epoch: s.Epoch, Revision: s.Revision}
-	if s.Revision > revision {
-		update.Declaration = s.Doc
-	}
-	for _, id := range s.ReplicaIDs() {
-		r := s.Replicas[id]
-		row := wire.ReplicaUpdate{
-			ID: r.ID, Incarnation: r.Incarnation, Addr: r.Addr, Zone: r.Zone, Draining: r.Draining, RemainingMs: r.RemainingMs, Unreachable: r.Unreachable, MaxInFlight: r.Quotas[gateway],
-		}
-		for unit := range r.Resident {
-			row.Loaded = append(row.Loaded, unit)
-		}
-		sort.Strings(row.Loaded)
-		if command, ok := s.Pending[id]; ok && command.Action == statemachine.Unload {
-			row.Unloading = command.Unit
-		}
-		update.Replicas = append(update.Replicas, row)
-		for unit := range r.Resident {
-			g, ok := s.Grants[statemachine.Grant{Gateway: gateway, Replica: id, Model: unit}.Key()]
-			if ok && g.GatewayIncarnation == incarnation && g.Incarnation == r.Incarnation {
-				update.Grants = append(update.Grants, g)
-			}
-		}
-	}
-	sort.Slice(update.Grants, func(i, j int) bool { return update.Grants[i].Number < update.Grants[j].Number })
-	return update
-}
-
-// AwaitAcknowledgements keeps an operator's answer until every gateway has the news of a number. Beyond a bound it is dropped, and whoever
-// waits hears nothing.
-func (p *UpdatePublisher) AwaitAcknowledgements(origin string, out statemachine.Outcome, number uint64) {
-	if !p.active || len(p.pending) >= maxPendingResults {
-		return
-	}
-	p.pending = append(p.pending, pendingResult{origin: origin, result: wire.Result{Outcome: out, OnAllGateways: true}, number: number})
-}
-
-// ReleasedResults are those that every gateway has, or whose gateways' leases have run out. They are not kept.
-func (p *UpdatePublisher) ReleasedResults(nowUs int64) []ReleasedResult {
-	if !p.active {
-		return nil
-	}
-	released := []ReleasedResult{}
-	waiting := p.pending[:0]
-	for _, w := range p.pending {
-		if p.acknowledgedByAll(nowUs, w.number) {
-			released = append(released, ReleasedResult{Origin: w.origin, Result: w.result})
-		} else {
-			waiting = append(waiting, w)
-		}
-	}
-	p.pending = waiting
-	for id, gateway := range p.gateways {
-		if nowUs-gateway.lastReportUs > forgetUs && nowUs > gateway.leaseEndUs {
-			delete(p.gateways, id)
-		}
-	}
-	return released
-}
-
-func (p *UpdatePublisher) acknowledgedByAll(nowUs int64, number uint64) bool {
-	if nowUs-p.activeSinceUs < GatewayLeaseUs {
-		return false
-	}
-	for _, gateway := range p.gateways {
-		if gateway.acked < number && nowUs < gateway.leaseEndUs {
-			return false
-		}
-	}
-	return true
-}
-
-// GatewayStatus is one gateway as the status shows it.
+// GatewayStatus is one gateway as the status page shows it.
 type GatewayStatus struct {
 	Gateway   string `json:"desk"`
 	Zone      string `json:"zone"`
 	Addr      string `json:"addr"`
 	Following bool   `json:"following"`
-	Acked     uint64 `json:"acked"`
-	LeaseMs   int64  `json:"leaseMs"`
+	// Acked is the number of the newest update that it acknowledged.
+	Acked uint64 `json:"acked"`
+	// LeaseMs is how long its lease still runs, in ms; 0 where it has none.
+	LeaseMs int64 `json:"leaseMs"`
 }
 
-// Gateways are all gateways that reported lately, in order.
+// Gateways returns all gateways that are not forgotten, in order.
 func (p *UpdatePublisher) Gateways(nowUs int64) []GatewayStatus {
 	statuses := []GatewayStatus{}
 	for _, id := range p.gatewayIDs() {
