--- a/internal/api/wire/wire.go
+++ b/internal/api/wire/wire.go
@@ -3,9 +3,6 @@
 import (
 	"petreltide/internal/api/configuration"
 	"petreltide/internal/api/membership"
-	"petreltide/internal/controlplane/chain"
-	"petreltide/internal/controlplane/failuredetector"
-	"petreltide/internal/controlplane/registry"
 	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/outlier"
 )
@@ -115,47 +112,6 @@
 	OnAllGateways bool                 `json:"everywhere"`
 }
 
-// Batch is a number of one-way messages sent together from one control node to another.
-type Batch struct {
-	Messages []Message `json:"letters"`
-}
-
-// Message is one message between control nodes; exactly one field is set.
-type Message struct {
-	Chain             *chain.Msg                       `json:"chain,omitempty"`
-	Result            *Result                          `json:"result,omitempty"`
-	Report            *Report                          `json:"report,omitempty"`
-	Suspicion         *failuredetector.SuspicionReport `json:"silence,omitempty"`
-	Gossip            *Gossip                          `json:"heard,omitempty"`
-	DrainConfirmation *DrainConfirmation               `json:"confirmed,omitempty"`
-	Outliers          *outlier.Table                   `json:"outlier,omitempty"`
-}
-
-// Gossip is what a control node has heard of replicas and gateways, told to the other control nodes. Wants asks for
-// all rows again.
-type Gossip struct {
-	By           string                 `json:"by"`
-	Incarnation  string                 `json:"inc"`
-	Observations []registry.GossipEntry `json:"notes,omitempty"`
-	RequestAll   bool                   `json:"wants,omitempty"`
-	Gateways     []string               `json:"desks,omitempty"`
-	// ConfirmDraining names replicas that leave: whoever knows of it says so.
-	ConfirmDraining []string `json:"confirm,omitempty"`
-}
-
-// DrainConfirmation answers Confirm. Incarnation is the incarnation of the control node that asked.
-type DrainConfirmation struct {
-	By          string          `json:"by"`
-	Incarnation string          `json:"inc"`
-	Draining    []KnownDraining `json:"leaving"`
-}
-
-// KnownDraining is a replica that a control node knows to be leaving, or to be gone.
-type KnownDraining struct {
-	ID      string `json:"id"`
-	Removed bool   `json:"gone,omitempty"`
-}
-
 // Ack says no more than that a message has arrived.
 type Ack struct{}
 
--- a/internal/controlplane/controlnode/bulk.go
+++ b/internal/controlplane/controlnode/bulk.go
@@ -7,6 +7,7 @@
 
 	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/chain"
+	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/process/rpc"
 )
 
@@ -31,7 +32,7 @@
 
 // sendState sends a whole state beside the other messages, one at a time to each peer. One that is on its way to an
 // incarnation that has ended hangs for as long as nothing answers: the next incarnation does not wait for it.
-func (h *Host) sendState(addr string, message wire.Message) {
+func (h *Host) sendState(addr string, message peering.Message) {
 	reader := recipientOf(message.Chain)
 	if running := h.transfers[addr]; running != nil {
 		if running.recipient == reader {
@@ -44,7 +45,7 @@
 	h.transfers[addr] = send
 	h.act.Spawn(func() {
 		defer cancel()
-		_, _ = rpc.NewCaller[wire.Batch, wire.Ack](h.peerClient, addr, rpc.BatchPath).Call(ctx, &wire.Batch{Messages: []wire.Message{message}})
+		_, _ = rpc.NewCaller[peering.Batch, wire.Ack](h.peerClient, addr, rpc.BatchPath).Call(ctx, &peering.Batch{Messages: []peering.Message{message}})
 		h.act.Tell(func() {
 			if h.transfers[addr] == send {
 				delete(h.transfers, addr)
--- a/internal/controlplane/controlnode/bulk_test.go
+++ b/internal/controlplane/controlnode/bulk_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/chain"
+	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/controlplane/statemachine"
 )
 
@@ -22,7 +22,7 @@
 	read := make(chan string, 8)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		raw, err := io.ReadAll(r.Body)
-		batch := wire.Batch{}
+		batch := peering.Batch{}
 		if err != nil || json.Unmarshal(raw, &batch) != nil {
 			return
 		}
@@ -34,7 +34,7 @@
 	send := func(incarnation string) {
 		copied := chain.Snapshot{Index: 1, State: statemachine.NewState()}
 		msg := chain.Msg{ToID: "b-1", InstallSnapshot: &chain.InstallSnapshot{View: 1, Incarnation: incarnation, Snapshot: copied}}
-		h.act.Tell(func() { h.send(addr, wire.Message{Chain: &msg}) })
+		h.act.Tell(func() { h.send(addr, peering.Message{Chain: &msg}) })
 	}
 	ctx, done := context.WithTimeout(t.Context(), 10*time.Second)
 	defer done()
--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -9,6 +9,7 @@
 	"petreltide/internal/controlplane/controller"
 	"petreltide/internal/controlplane/distribution"
 	"petreltide/internal/controlplane/failuredetector"
+	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/outlier"
 	"petreltide/internal/process/clock"
@@ -132,7 +133,7 @@
 	c.pushFrames(nowUs)
 }
 
-func (c *Core) messageReceived(nowUs int64, message wire.Message) {
+func (c *Core) messageReceived(nowUs int64, message peering.Message) {
 	switch {
 	case message.Chain != nil:
 		c.chain(nowUs, chain.MessageReceived{Msg: message.Chain})
@@ -170,7 +171,7 @@
 	if c.Node.IsHead() {
 		c.controller(nowUs, controller.WatcherReport{Report: *s})
 	} else if head := c.Node.View().Head(); head.Addr != "" {
-		c.send(head.Addr, wire.Message{Suspicion: s})
+		c.send(head.Addr, peering.Message{Suspicion: s})
 	}
 }
 
@@ -188,10 +189,10 @@
 		return
 	}
 	report := r.Report
-	c.send(c.Node.View().Head().Addr, wire.Message{Report: &report})
+	c.send(c.Node.View().Head().Addr, peering.Message{Report: &report})
 }
 
-func (c *Core) send(addr string, message wire.Message) {
+func (c *Core) send(addr string, message peering.Message) {
 	c.effects = append(c.effects, SendMessage{Addr: addr, Message: message})
 }
 
@@ -200,7 +201,7 @@
 		switch e := e.(type) {
 		case chain.Send:
 			msg := e.Msg
-			c.send(e.Addr, wire.Message{Chain: &msg})
+			c.send(e.Addr, peering.Message{Chain: &msg})
 		case chain.Persist:
 			c.effects = append(c.effects, PersistSave{Save: &e})
 		case chain.Applied:
@@ -269,7 +270,7 @@
 		c.effects = append(c.effects, DeliverResult{Result: &r})
 		return
 	}
-	c.send(origin, wire.Message{Result: &r})
+	c.send(origin, peering.Message{Result: &r})
 }
 
 func (c *Core) controller(nowUs int64, event controller.Event) {
--- a/internal/controlplane/controlnode/departures.go
+++ b/internal/controlplane/controlnode/departures.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"petreltide/internal/api/wire"
+	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/controlplane/registry"
 	"petreltide/internal/process/clock"
 )
@@ -78,7 +78,7 @@
 }
 
 // addDepartureRequests adds to a message the leavings that a peer has not confirmed.
-func (c *Core) addDepartureRequests(nowUs int64, peer string, message *wire.Gossip) {
+func (c *Core) addDepartureRequests(nowUs int64, peer string, message *peering.Gossip) {
 	for _, id := range slices.Sorted(maps.Keys(c.soft.departures)) {
 		d := c.soft.departures[id]
 		if d.knownBy[peer] || nowUs-d.requestedUs < departureRetryUs {
@@ -100,11 +100,11 @@
 }
 
 // confirmDepartures tells another control node which of the leavings that it asks about are known here.
-func (c *Core) confirmDepartures(h wire.Gossip) {
-	known := wire.DrainConfirmation{By: c.Node.Self().ID, Incarnation: h.Incarnation}
+func (c *Core) confirmDepartures(h peering.Gossip) {
+	known := peering.DrainConfirmation{By: c.Node.Self().ID, Incarnation: h.Incarnation}
 	for _, id := range h.ConfirmDraining {
 		if e := c.soft.Registry.Entry(id); e != nil && (e.Removed || e.Draining) {
-			known.Draining = append(known.Draining, wire.KnownDraining{ID: id, Removed: e.Removed})
+			known.Draining = append(known.Draining, peering.KnownDraining{ID: id, Removed: e.Removed})
 		}
 	}
 	if len(known.Draining) == 0 {
@@ -112,13 +112,13 @@
 	}
 	for _, p := range c.Node.Peers() {
 		if p.Member.ID == h.By {
-			c.send(p.Member.Addr, wire.Message{DrainConfirmation: &known})
+			c.send(p.Member.Addr, peering.Message{DrainConfirmation: &known})
 		}
 	}
 }
 
 // departuresConfirmed takes another control node's word that it knows of leavings.
-func (c *Core) departuresConfirmed(nowUs int64, known wire.DrainConfirmation) {
+func (c *Core) departuresConfirmed(nowUs int64, known peering.DrainConfirmation) {
 	if known.Incarnation != c.Node.Incarnation() {
 		return
 	}
--- a/internal/controlplane/controlnode/departures_test.go
+++ b/internal/controlplane/controlnode/departures_test.go
@@ -5,8 +5,8 @@
 	"testing"
 
 	"petreltide/internal/api/fault"
-	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/chain"
+	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/controlplane/registry"
 	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/process/clock"
@@ -21,7 +21,7 @@
 	words map[uint64]bool
 	asked uint64
 	// tap sees every message that is sent.
-	tap func(wire.Message)
+	tap func(peering.Message)
 }
 
 func newTrio(t *testing.T) *trio {
--- a/internal/controlplane/controlnode/effect.go
+++ b/internal/controlplane/controlnode/effect.go
@@ -5,6 +5,7 @@
 	"petreltide/internal/controlplane/chain"
 	"petreltide/internal/controlplane/controller"
 	"petreltide/internal/controlplane/distribution"
+	"petreltide/internal/controlplane/peering"
 )
 
 // Effect is one thing that the host has to do, in the order in which effects are returned. The types of this file are
@@ -14,7 +15,7 @@
 // SendMessage sends a message to the control node at an address.
 type SendMessage struct {
 	Addr    string
-	Message wire.Message
+	Message peering.Message
 }
 
 // PersistSave puts what the chain wants saved on the disk, after what was asked before.
--- a/internal/controlplane/controlnode/event.go
+++ b/internal/controlplane/controlnode/event.go
@@ -4,6 +4,7 @@
 	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/controller"
 	"petreltide/internal/controlplane/failuredetector"
+	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/controlplane/registry"
 	"petreltide/internal/controlplane/statemachine"
 )
@@ -15,7 +16,7 @@
 type Tick struct{}
 
 // PeerMessage is a message from another control node.
-type PeerMessage struct{ Message *wire.Message }
+type PeerMessage struct{ Message *peering.Message }
 
 // Persisted says that the save with this number, and all before it, are on the disk. LogBytes is the size of the log
 // there.
--- a/internal/controlplane/controlnode/forms_test.go
+++ b/internal/controlplane/controlnode/forms_test.go
@@ -12,6 +12,7 @@
 	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/chain"
 	"petreltide/internal/controlplane/failuredetector"
+	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/controlplane/statemachine"
 )
 
@@ -23,7 +24,7 @@
 	"log-record":        chain.Record{},
 	"snapshot":          chain.Snapshot{},
 	"ledger-state":      statemachine.State{},
-	"post":              wire.Batch{},
+	"post":              peering.Batch{},
 	"where-ask":         wire.MembershipRequest{},
 	"where":             wire.MembershipResponse{},
 	"result":            wire.Result{},
--- a/internal/controlplane/controlnode/host.go
+++ b/internal/controlplane/controlnode/host.go
@@ -18,6 +18,7 @@
 	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/chain"
 	"petreltide/internal/controlplane/controller"
+	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/controlplane/placement"
 	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/controlplane/storage"
@@ -73,7 +74,7 @@
 	act        *actor.Actor
 	saveQueue  *saveQueue
 	retryTimer func() <-chan time.Time
-	outboxes   map[string]chan wire.Message
+	outboxes   map[string]chan peering.Message
 	transfers  map[string]*stateTransfer
 	// waiters are the callers that wait for the outcome of a change, by its id.
 	waiters          map[string][]chan wire.Result
@@ -187,7 +188,7 @@
 		settings: set, core: core, disk: opened.Store, ring: ring, log: logger,
 		replicaClient: rpc.Client(500, set.Listen), peerClient: rpc.NodeClient(peerDialTimeoutMs, set.Listen),
 		act: actor.New(mailboxCapacity), saveQueue: newSaveQueue(), retryTimer: func() <-chan time.Time { return time.After(diskRetryInterval) },
-		outboxes: map[string]chan wire.Message{}, transfers: map[string]*stateTransfer{}, waiters: map[string][]chan wire.Result{}, leases: map[uint64]chan wire.Lease{}, acknowledgements: map[uint64]chan bool{},
+		outboxes: map[string]chan peering.Message{}, transfers: map[string]*stateTransfer{}, waiters: map[string][]chan wire.Result{}, leases: map[uint64]chan wire.Lease{}, acknowledgements: map[uint64]chan bool{},
 		newsStreams: map[string]*newsStream{}, rebuilding: opened.Created && founding == 0 && len(set.Founders) == 0, fatal: make(chan error, 1),
 		frameStreams: map[string]*frameStream{},
 	}
@@ -292,7 +293,7 @@
 	}
 }
 
-func (h *Host) send(addr string, message wire.Message) {
+func (h *Host) send(addr string, message peering.Message) {
 	if addr == "" || addr == h.settings.Advertise {
 		return
 	}
@@ -302,7 +303,7 @@
 	}
 	box := h.outboxes[addr]
 	if box == nil {
-		box = make(chan wire.Message, outboxCapacity)
+		box = make(chan peering.Message, outboxCapacity)
 		h.outboxes[addr] = box
 		h.act.Spawn(func() { h.deliverBatches(addr, box) })
 	}
@@ -312,10 +313,10 @@
 	}
 }
 
-func (h *Host) deliverBatches(addr string, box chan wire.Message) {
-	caller := rpc.NewCaller[wire.Batch, wire.Ack](h.peerClient, addr, rpc.BatchPath)
+func (h *Host) deliverBatches(addr string, box chan peering.Message) {
+	caller := rpc.NewCaller[peering.Batch, wire.Ack](h.peerClient, addr, rpc.BatchPath)
 	for {
-		batch := wire.Batch{}
+		batch := peering.Batch{}
 		select {
 		case <-h.act.Ctx.Done():
 			return
--- a/internal/controlplane/controlnode/malformed_test.go
+++ b/internal/controlplane/controlnode/malformed_test.go
@@ -13,6 +13,7 @@
 	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/chain"
 	"petreltide/internal/controlplane/failuredetector"
+	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/process/clock"
 )
@@ -56,7 +57,7 @@
 func messages(t *testing.T) map[string][][]byte {
 	tr := newTrio(t)
 	raws := map[string][][]byte{}
-	tr.tap = func(message wire.Message) {
+	tr.tap = func(message peering.Message) {
 		raw, err := json.Marshal(message)
 		if err != nil {
 			t.Fatal(err)
@@ -75,7 +76,7 @@
 	return raws
 }
 
-func kindOf(message wire.Message) string {
+func kindOf(message peering.Message) string {
 	m := message.Chain
 	switch {
 	case m == nil:
@@ -165,7 +166,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var message wire.Message
+		var message peering.Message
 		if json.Unmarshal(raw, &message) != nil {
 			continue
 		}
@@ -192,7 +193,7 @@
 	tr := newTrio(t)
 	for _, ev := range []Event{
 		GatewayReport{}, RoutedGatewayReport{Report: &wire.Report{}}, FollowUpdates{Request: &wire.SubscribeRequest{}}, SubscribeFrames{Request: &wire.SubscribeRequest{}}, SubscribeFrames{Request: &wire.SubscribeRequest{Revision: 1 << 63}},
-		PeerHeartbeat{Heartbeat: &failuredetector.Heartbeat{}}, PeerMessage{Message: &wire.Message{}}, PeerMessage{Message: &wire.Message{Chain: &chain.Msg{}}}, UnsubscribeFrames{}, ReplicaDeregistration{ID: "none"},
+		PeerHeartbeat{Heartbeat: &failuredetector.Heartbeat{}}, PeerMessage{Message: &peering.Message{}}, PeerMessage{Message: &peering.Message{Chain: &chain.Msg{}}}, UnsubscribeFrames{}, ReplicaDeregistration{ID: "none"},
 		RoutedGatewayReport{Report: &wire.Report{Gateway: "d", Arrivals: map[string]float64{"": -1e300}, InFlight: map[string]int{"": -1 << 62}, Attempts: map[string]int{"": -1}}},
 	} {
 		if broken := survives(tr, 0, ev); broken != "" {
--- a/internal/controlplane/controlnode/orders_test.go
+++ b/internal/controlplane/controlnode/orders_test.go
@@ -12,6 +12,7 @@
 	"petreltide/internal/api/configuration"
 	"petreltide/internal/api/settings"
 	"petreltide/internal/api/wire"
+	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/process/actor"
 	"petreltide/internal/process/logring"
@@ -74,7 +75,7 @@
 	waiting(t, h, id, 1)
 	go submit(t.Context())
 	waiting(t, h, id, 2)
-	h.post(PeerMessage{Message: &wire.Message{Result: &wire.Result{Outcome: statemachine.Outcome{ID: id, Index: 7}}}})
+	h.post(PeerMessage{Message: &peering.Message{Result: &wire.Result{Outcome: statemachine.Outcome{ID: id, Index: 7}}}})
 	for range 2 {
 		if !<-got {
 			t.Error("one of two that waited got no outcome")
--- a/internal/controlplane/controlnode/replicas.go
+++ b/internal/controlplane/controlnode/replicas.go
@@ -7,6 +7,7 @@
 	"petreltide/internal/controlplane/chain"
 	"petreltide/internal/controlplane/controller"
 	"petreltide/internal/controlplane/distribution"
+	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/controlplane/registry"
 	"petreltide/internal/outlier"
 	"petreltide/internal/process/clock"
@@ -75,7 +76,7 @@
 }
 
 // gossipReceived takes what another control node has heard.
-func (c *Core) gossipReceived(nowUs int64, h wire.Gossip) {
+func (c *Core) gossipReceived(nowUs int64, h peering.Gossip) {
 	c.soft.Registry.Merge(nowUs, h.Observations)
 	c.confirmDepartures(h)
 	if c.soft.Registry.TakeResyncRequest() {
@@ -97,7 +98,7 @@
 	if !due && !asks && !c.soft.urgent && !c.soft.resync {
 		return
 	}
-	heard := wire.Gossip{By: c.Node.Self().ID, Incarnation: c.Node.Incarnation(), RequestAll: c.soft.resync}
+	heard := peering.Gossip{By: c.Node.Self().ID, Incarnation: c.Node.Incarnation(), RequestAll: c.soft.resync}
 	if due {
 		c.soft.gossipedUs = nowUs
 		c.soft.Registry.Sweep(nowUs)
@@ -119,7 +120,7 @@
 			c.addDepartureRequests(nowUs, p.Member.ID, &mine)
 		}
 		if len(mine.Observations) > 0 || due || c.soft.resync {
-			c.send(p.Member.Addr, wire.Message{Gossip: &mine})
+			c.send(p.Member.Addr, peering.Message{Gossip: &mine})
 		}
 	}
 	if due {
@@ -141,7 +142,7 @@
 	for _, p := range c.Node.Peers() {
 		if p.Alive {
 			table := t
-			c.send(p.Member.Addr, wire.Message{Outliers: &table})
+			c.send(p.Member.Addr, peering.Message{Outliers: &table})
 		}
 	}
 }
@@ -193,6 +194,6 @@
 	if c.Node.IsHead() {
 		c.controller(nowUs, controller.GatewayReport{Report: &r})
 	} else if head := c.Node.View().Head(); head.Addr != "" && head.ID != c.Node.Self().ID {
-		c.send(head.Addr, wire.Message{Report: &r})
+		c.send(head.Addr, peering.Message{Report: &r})
 	}
 }
--- a/internal/controlplane/controlnode/web.go
+++ b/internal/controlplane/controlnode/web.go
@@ -9,6 +9,7 @@
 	"petreltide/internal/api/fault"
 	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/failuredetector"
+	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/process/actor"
 	"petreltide/internal/process/rpc"
@@ -16,7 +17,7 @@
 
 func (h *Host) handler() http.Handler {
 	mux := http.NewServeMux()
-	rpc.Serve(mux, rpc.BatchPath, func(_ context.Context, p *wire.Batch) (*wire.Ack, error) {
+	rpc.Serve(mux, rpc.BatchPath, func(_ context.Context, p *peering.Batch) (*wire.Ack, error) {
 		for i := range p.Messages {
 			h.post(PeerMessage{Message: &p.Messages[i]})
 		}
--- a/tests/golden/forms_test.go
+++ b/tests/golden/forms_test.go
@@ -10,6 +10,7 @@
 	"petreltide/internal/controlplane/controlnode"
 	"petreltide/internal/controlplane/distribution"
 	"petreltide/internal/controlplane/failuredetector"
+	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/controlplane/placement"
 	"petreltide/internal/controlplane/registry"
 	"petreltide/internal/controlplane/scaler"
@@ -123,17 +124,17 @@
 	{"statemachine/ticket", statemachine.ReplicaCommand{}},
 	{"wire/attempt", wire.Attempt{}},
 	{"wire/attempt-refusal", wire.AttemptRefusal{}},
-	{"wire/batch", wire.Batch{}},
-	{"wire/confirmed", wire.DrainConfirmation{}},
+	{"wire/batch", peering.Batch{}},
+	{"wire/confirmed", peering.DrainConfirmation{}},
 	{"wire/follow", wire.SubscribeRequest{}},
 	{"wire/frame", wire.Frame{}},
-	{"wire/heard", wire.Gossip{}},
-	{"wire/known-leaving", wire.KnownDraining{}},
+	{"wire/heard", peering.Gossip{}},
+	{"wire/known-leaving", peering.KnownDraining{}},
 	{"wire/lease", wire.Lease{}},
 	{"wire/left", wire.UnusedGrant{}},
 	{"wire/list", wire.ReplicaList{}},
 	{"wire/listed", wire.ListedReplica{}},
-	{"wire/message", wire.Message{}},
+	{"wire/message", peering.Message{}},
 	{"wire/news", wire.GatewayUpdate{}},
 	{"wire/order", wire.Order{}},
 	{"wire/order-ahead", wire.PendingOrder{}},
--- a/tests/history/walk_test.go
+++ b/tests/history/walk_test.go
@@ -7,10 +7,10 @@
 
 	"petreltide/internal/api/configuration"
 	"petreltide/internal/api/fault"
-	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/chain"
 	"petreltide/internal/controlplane/controller"
 	"petreltide/internal/controlplane/controlnode"
+	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/process/clock"
 )
@@ -206,7 +206,7 @@
 	})
 }
 
-func (o *walkControlNode) send(addr string, l wire.Message) {
+func (o *walkControlNode) send(addr string, l peering.Message) {
 	w := o.walk
 	for _, to := range w.controlNodes {
 		if to.addr != addr || to == o || w.cuts[[2]int{o.number, to.number}] || w.r.Intn(50) == 0 {
