--- a/internal/dataplane/gateway/calls.go
+++ b/internal/dataplane/gateway/calls.go
@@ -6,9 +6,9 @@
 	"strconv"
 
 	"petreltide/internal/api/fault"
-	"petreltide/internal/controlplane/controlnode"
 	"petreltide/internal/dataplane/scheduling"
 	"petreltide/internal/process/clock"
+	"petreltide/internal/process/randomid"
 )
 
 // CallRequest is what a caller sends.
@@ -55,7 +55,7 @@
 		return nil, nil, false, bad
 	}
 	c = &scheduling.Call{
-		ID: h.settings.Name + "-" + controlnode.RandomID(8), Kind: kind.Name, Model: request.Model, Adapter: request.Adapter,
+		ID: h.settings.Name + "-" + randomid.New(8), Kind: kind.Name, Model: request.Model, Adapter: request.Adapter,
 		Prefix: request.Prefix, NonRepeatable: nonResumable, TimeoutMs: request.DeadlineMs, ArrivedUs: clock.NowUs(),
 	}
 	if f := applyLastEventID(lastEventID, request, c); f != nil {
--- a/internal/dataplane/gateway/host.go
+++ b/internal/dataplane/gateway/host.go
@@ -13,12 +13,12 @@
 	"petreltide/internal/api/fault"
 	"petreltide/internal/api/settings"
 	"petreltide/internal/api/wire"
-	"petreltide/internal/controlplane/controlnode"
 	"petreltide/internal/dataplane/controlclient"
 	"petreltide/internal/dataplane/scheduling"
 	"petreltide/internal/process/actor"
 	"petreltide/internal/process/clock"
 	"petreltide/internal/process/logring"
+	"petreltide/internal/process/randomid"
 	"petreltide/internal/process/rpc"
 )
 
@@ -97,7 +97,7 @@
 
 // Open prepares a gateway; Run serves.
 func Open(set settings.Gateway, ring *logring.Ring) *Host {
-	incarnation := controlnode.RandomID(6)
+	incarnation := randomid.New(6)
 	attempts := rpc.Client(400, set.Listen)
 	attempts.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	attempts.Transport.(*http.Transport).DisableKeepAlives = true
--- a/tests/capacity/hollow.go
+++ b/tests/capacity/hollow.go
@@ -18,9 +18,9 @@
 
 	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/chain"
-	"petreltide/internal/controlplane/controlnode"
 	"petreltide/internal/dataplane/controlclient"
 	"petreltide/internal/process/clock"
+	"petreltide/internal/process/randomid"
 	"petreltide/internal/process/rpc"
 	"petreltide/tests/capacity/platform"
 )
@@ -118,7 +118,7 @@
 )
 
 func (d *hollowGateway) run(ctx context.Context, seeds []string) {
-	d.incarnation = controlnode.RandomID(6)
+	d.incarnation = randomid.New(6)
 	d.mu.Lock()
 	d.cancels = map[uint64]context.CancelFunc{}
 	d.mirror = controlclient.NewInformer(controlclient.Options{Gateway: d.name, Incarnation: d.incarnation, Addr: platform.Gateway(d.ip), Zone: d.zone, Seeds: seeds})
