--- a/internal/controlplane/controller/basis.go
+++ b/internal/controlplane/controller/basis.go
@@ -86,7 +86,7 @@
 
 // withResult adds to a settled order what the replica holds after it, where that is known.
 func (c *Controller) withResult(s *statemachine.State, t statemachine.ReplicaCommand, settled statemachine.CommandResult) statemachine.CommandResult {
-	o, r := c.routed.orders[t.Number], s.Replicas[t.Replica]
+	o, r := c.routed.orders.byNumber[t.Number], s.Replicas[t.Replica]
 	if o == nil || o.result == nil || r == nil {
 		return settled
 	}
--- a/internal/controlplane/controller/controller_test.go
+++ b/internal/controlplane/controller/controller_test.go
@@ -221,16 +221,16 @@
 	r := newRig(t, "one", freshState())
 	r.mute = true
 	r.pass(2 * clock.Sec)
-	full := r.f.bucket.TokensMb
+	full := r.f.declared.budget.bucket.TokensMb
 	if full != float64(r.s.Doc.Store.BurstMB) {
 		t.Fatalf("%v of %d", full, r.s.Doc.Store.BurstMB)
 	}
 	r.nowUs += 20 * clock.Ms
 	r.propose("r1")
-	spent := full - r.f.bucket.TokensMb
+	spent := full - r.f.declared.budget.bucket.TokensMb
 	r.nowUs += clock.Ms
 	r.feed(Tick{})
-	if most := full - spent + 2; r.f.bucket.TokensMb > most {
-		t.Fatalf("%v tokens a millisecond after spending %v of %v", r.f.bucket.TokensMb, spent, full)
+	if most := full - spent + 2; r.f.declared.budget.bucket.TokensMb > most {
+		t.Fatalf("%v tokens a millisecond after spending %v of %v", r.f.declared.budget.bucket.TokensMb, spent, full)
 	}
 }
--- /dev/null
+++ b/internal/controlplane/controller/declared.go
@@ -0,0 +1,95 @@
+package controller
+
+import (
+	"petreltide/internal/api/fault"
+	"petreltide/internal/api/wire"
+	"petreltide/internal/controlplane/placement"
+	"petreltide/internal/controlplane/statemachine"
+)
+
+// declaredState is the memory for replicas that the platform lists.
+type declaredState struct {
+	listing  platformListing
+	orders   declaredOrders
+	budget   loadBudget
+	shares   slotShares
+	keyMarks keyExpiry
+}
+
+// declaredMode drives replicas that the platform lists; see the package's documentation.
+type declaredMode struct{ c *Controller }
+
+func (m declaredMode) tick(snapshot Snapshot) {
+	c := m.c
+	c.declared.budget.refill(snapshot.NowUs, snapshot.State, &c.replicas)
+	if c.declared.listing.pollDue(snapshot.NowUs, snapshot.ViewNumber) {
+		c.emit(PollPlatform{})
+	}
+	for _, request := range c.replicas.requestsDue(snapshot.NowUs, snapshot.State, c.declared.listing.list) {
+		c.emit(request)
+	}
+	c.sendOrders(snapshot)
+	c.startPolicy(snapshot)
+	c.writeDue(snapshot)
+}
+
+func (m declaredMode) onGatewayReport(Snapshot, *wire.Report) {}
+
+func (m declaredMode) onReplicaReport(snapshot Snapshot, report ReplicaReport) {
+	if !m.c.replicas.onReport(snapshot.NowUs, report) {
+		m.c.count(fault.ReplicaFailed)
+	}
+	if m.c.replicas.hasOutcome(snapshot.State, report.Replica) {
+		m.c.act(snapshot)
+	}
+}
+
+// onOrderResult counts only a replica's word that it has the order; where that is in doubt its next report tells.
+func (m declaredMode) onOrderResult(_ Snapshot, result OrderResult) {
+	switch result.State.State {
+	case wire.OrderInDoubt, wire.OrderBusy:
+	case wire.OrderFailed:
+		m.c.count(fault.CommandRejected)
+	default:
+		m.c.replicas.onOrderResult(result)
+	}
+}
+
+func (m declaredMode) plan(snapshot Snapshot) {
+	m.c.declared.budget.refill(snapshot.NowUs, snapshot.State, &m.c.replicas)
+	m.c.startPolicy(snapshot)
+}
+
+func (m declaredMode) collect(snapshot Snapshot, update *statemachine.LeaderUpdate) {
+	c, s := m.c, snapshot.State
+	c.recordListing(snapshot, update)
+	c.settleTickets(snapshot.NowUs, s, update)
+	update.RemovedGateways = append(update.RemovedGateways, c.gateways.removeSilent(snapshot.NowUs)...)
+	if s.Doc != nil {
+		c.grantAttempts(snapshot, update)
+		c.divideSlots(snapshot, update)
+		if c.policies.takeProposals(s.Revision) {
+			m.issueCommands(s, update)
+		}
+	}
+	update.ForgetKeysBefore = c.declared.keyMarks.expireBefore(snapshot.NowUs, s.Index)
+	if c.declared.listing.checkView() {
+		update.CheckedInView = c.declared.listing.view
+	}
+}
+
+// issueCommands adds the commands that the policy proposed and the checker accepted, and spends the store's rate on them.
+func (m declaredMode) issueCommands(s *statemachine.State, update *statemachine.LeaderUpdate) {
+	c := m.c
+	commands, verdicts := placement.Check(s, c.declared.budget.bucket.TokensMb, c.policies.proposals)
+	c.onVerdicts(verdicts)
+	for _, v := range verdicts {
+		if v.Fault != nil && v.Fault.Code == fault.StoreRateLimited && s.PendingLoads()+len(commands) < s.Doc.Store.Loads {
+			c.policies.inputChanged = true
+		}
+	}
+	c.declared.budget.spend(commands)
+	update.Commands = commands
+}
+
+func (m declaredMode) afterWrite(snapshot Snapshot) { m.c.sendOrders(snapshot) }
--- a/internal/controlplane/controller/gateways.go
+++ b/internal/controlplane/controller/gateways.go
@@ -2,7 +2,17 @@
 
 import (
 	"petreltide/internal/api/wire"
-	"petreltide/internal/controlplane/statemachine"
+	"petreltide/internal/controlplane/failuredetector"
+	"petreltide/internal/process/clock"
+)
+
+const (
+	// gatewayLiveUs is how long a gateway's report counts.
+	gatewayLiveUs = 2500 * clock.Ms
+	// reportOverdueUs is how late a report is when suspicions of its gateway are believed.
+	reportOverdueUs = 600 * clock.Ms
+	// gatewayRemovedAfterUs is how long after its last report a gateway is forgotten.
+	gatewayRemovedAfterUs = 15 * clock.Sec
 )
 
 // gatewayState is a gateway's newest report, and when it came.
@@ -11,56 +21,40 @@
 	reportedUs int64
 }
 
-// GatewayStatus is what is shown of a gateway: when it last reported, and what is called for and waits there.
-type GatewayStatus struct {
-	Silent   bool               `json:"silent,omitempty"`
-	Gateway  string             `json:"desk"`
-	Zone     string             `json:"zone"`
-	Addr     string             `json:"addr"`
-	AgoMs    int64              `json:"agoMs"`
-	Arrivals map[string]float64 `json:"arrivals,omitempty"`
-	Waiting  map[string]int     `json:"waiting,omitempty"`
+// gatewayMembership is which gateways there are, by their reports and by the failure detector's suspicions.
+type gatewayMembership struct {
+	byID       map[string]*gatewayState
+	suspicions *failuredetector.SuspicionQuorum
 }
 
-// Gateways shows every gateway that has reported.
-func (c *Controller) Gateways(nowUs int64) []GatewayStatus {
-	notes := []GatewayStatus{}
-	for _, id := range sortedKeys(c.gateways) {
-		d := c.gateways[id]
-		notes = append(notes, GatewayStatus{c.isSilent(nowUs, id), id, d.report.Zone, d.report.Addr, (nowUs - d.reportedUs) / 1000, d.report.Arrivals, d.report.Queued})
-	}
-	return notes
-}
-
-// removeSilentGateways takes gateways that are long silent out of the ledger.
-func (c *Controller) removeSilentGateways(snapshot Snapshot, update *statemachine.LeaderUpdate) {
-	for _, id := range sortedKeys(c.gateways) {
-		if snapshot.NowUs-c.gateways[id].reportedUs > gatewayRemovedAfterUs {
-			update.RemovedGateways = append(update.RemovedGateways, id)
-			delete(c.gateways, id)
-		}
-	}
+// onReport takes a gateway's report, and whom it suspects.
+func (g *gatewayMembership) onReport(nowUs int64, report *wire.Report) {
+	g.byID[report.Gateway] = &gatewayState{report: *report, reportedUs: nowUs}
+	g.suspicions.Report(nowUs, failuredetector.SuspicionReport{Reporter: report.Gateway, Suspects: report.Suspects})
 }
 
-// forgetSilentGateways drops the reports of gateways that are long silent.
-func (c *Controller) forgetSilentGateways(nowUs int64) {
-	for id, d := range c.gateways {
-		if nowUs-d.reportedUs > gatewayRemovedAfterUs {
-			delete(c.gateways, id)
+// removeSilent forgets the gateways that have not reported for long, and names them in order.
+func (g *gatewayMembership) removeSilent(nowUs int64) []string {
+	removed := []string{}
+	for _, id := range sortedKeys(g.byID) {
+		if nowUs-g.byID[id].reportedUs > gatewayRemovedAfterUs {
+			removed = append(removed, id)
+			delete(g.byID, id)
 		}
 	}
+	return removed
 }
 
-// isSilent: both watchers that the ring names miss its beats, and its own reports have stopped too.
-func (c *Controller) isSilent(nowUs int64, id string) bool {
-	return nowUs-c.gateways[id].reportedUs > reportOverdueUs && c.jury.Suspected(nowUs, id)
+// isSilent says whether both watchers that the ring names miss a gateway's heartbeats, and its reports have stopped too.
+func (g *gatewayMembership) isSilent(nowUs int64, id string) bool {
+	return nowUs-g.byID[id].reportedUs > reportOverdueUs && g.suspicions.Suspected(nowUs, id)
 }
 
-// liveGateways names the gateways that take calls, in order.
-func (c *Controller) liveGateways(nowUs int64) []string {
+// live names the gateways that take calls, in order.
+func (g *gatewayMembership) live(nowUs int64) []string {
 	ids := []string{}
-	for _, id := range sortedKeys(c.gateways) {
-		if d := c.gateways[id]; nowUs-d.reportedUs < gatewayLiveUs && !d.report.Draining && !c.isSilent(nowUs, id) {
+	for _, id := range sortedKeys(g.byID) {
+		if d := g.byID[id]; nowUs-d.reportedUs < gatewayLiveUs && !d.report.Draining && !g.isSilent(nowUs, id) {
 			ids = append(ids, id)
 		}
 	}
@@ -69,10 +63,10 @@
 
 // recentReports gives the newest reports of all gateways that were heard lately. They come in the order of the
 // gateways' names, so that sums of fractions come out alike each time.
-func (c *Controller) recentReports(nowUs int64) []*wire.Report {
+func (g *gatewayMembership) recentReports(nowUs int64) []*wire.Report {
 	reports := []*wire.Report{}
-	for _, id := range sortedKeys(c.gateways) {
-		if d := c.gateways[id]; nowUs-d.reportedUs <= gatewayLiveUs {
+	for _, id := range sortedKeys(g.byID) {
+		if d := g.byID[id]; nowUs-d.reportedUs <= gatewayLiveUs {
 			reports = append(reports, &d.report)
 		}
 	}
@@ -80,9 +74,9 @@
 }
 
 // demand sums calls a second and calls that wait, by unit.
-func (c *Controller) demand(nowUs int64) (rates map[string]float64, waiting map[string]int) {
+func (g *gatewayMembership) demand(nowUs int64) (rates map[string]float64, waiting map[string]int) {
 	rates, waiting = map[string]float64{}, map[string]int{}
-	for _, report := range c.recentReports(nowUs) {
+	for _, report := range g.recentReports(nowUs) {
 		addTo(rates, report.Arrivals)
 		addTo(waiting, report.Queued)
 	}
--- /dev/null
+++ b/internal/controlplane/controller/grants.go
@@ -0,0 +1,50 @@
+package controller
+
+import (
+	"petreltide/internal/controlplane/statemachine"
+)
+
+const (
+	// minGrantedAttempts and maxGrantedAttempts bound the attempt numbers of one grant.
+	minGrantedAttempts = 24
+	maxGrantedAttempts = 4096
+	// attemptSeconds is the time that half a grant should last.
+	attemptSeconds = 5
+)
+
+// grantAttempts hands out attempt numbers for every model at every replica, before those of a gateway run out.
+func (c *Controller) grantAttempts(snapshot Snapshot, update *statemachine.LeaderUpdate) {
+	s := snapshot.State
+	gateways := c.gateways.live(snapshot.NowUs)
+	for _, id := range s.ReplicaIDs() {
+		r := s.Replicas[id]
+		if r.Draining || r.Unreachable || r.Incarnation == "" {
+			continue
+		}
+		for _, unit := range sortedKeys(r.Resident) {
+			if s.Doc.Model(unit) == nil {
+				continue
+			}
+			for _, gateway := range gateways {
+				if ask, needed := c.grantRequest(s, r, unit, gateway); needed {
+					update.Grants = append(update.Grants, ask)
+				}
+			}
+		}
+	}
+}
+
+// grantRequest gives what a gateway should be granted for a model at a replica; it is needed where the gateway has no
+// grant of these lives, or less than half of one left.
+func (c *Controller) grantRequest(s *statemachine.State, r *statemachine.Replica, model, gateway string) (ask statemachine.GrantRequest, needed bool) {
+	report := c.gateways.byID[gateway].report
+	want := min(max(uint64(report.Arrivals[model]*2*attemptSeconds), minGrantedAttempts), maxGrantedAttempts)
+	ask = statemachine.GrantRequest{Gateway: gateway, GatewayIncarnation: report.Incarnation, Replica: r.ID, Incarnation: r.Incarnation, Model: model, Count: want}
+	g := statemachine.Grant{Gateway: gateway, Replica: r.ID, Model: model}
+	have, ok := s.Grants[g.Key()]
+	if !ok || have.GatewayIncarnation != report.Incarnation || have.Incarnation != r.Incarnation {
+		return ask, true
+	}
+	left, told := report.UnusedGrants[r.ID+"|"+model]
+	return ask, told && left.Ticket == have.Number && left.Remaining*2 <= want
+}
--- a/internal/controlplane/controller/late_test.go
+++ b/internal/controlplane/controller/late_test.go
@@ -9,7 +9,7 @@
 	"petreltide/internal/process/clock"
 )
 
-func routedState(t *testing.T) *statemachine.State {
+func stateWithPendingLoad(t *testing.T) *statemachine.State {
 	t.Helper()
 	s := statemachine.NewState()
 	engine := &configuration.Engine{Slots: 4, CacheTokens: 1000, CapacityMB: 100, LoadsPerSecond: 1, Models: []configuration.EngineModel{{Name: "m", SizeMB: 60, LoadMs: 100}, {Name: "n", SizeMB: 60, LoadMs: 100}}}
@@ -31,9 +31,9 @@
 // Seeds 44 and 70 of the routed days: what a replica said before its last load ended lay unread in a frozen
 // control node, and was taken for its newest word; the controller then ordered a load beyond the replica's room.
 func TestWordsOlderThanTheLastOrderDoNotOverruleIt(t *testing.T) {
-	s := routedState(t)
+	s := stateWithPendingLoad(t)
 	f := New("me", Options{})
-	f.routed.bornUs = clock.Sec
+	f.routed.predecessor.startedUs = clock.Sec
 	doneUs := 60 * clock.Sec
 	done := statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: s.Pending["r1"].Number, Succeeded: true}}}
 	s.Apply(5, statemachine.Change{ID: "e", Epoch: 1, LeaderUpdate: &done})
@@ -63,7 +63,7 @@
 // A holder that took a ticket over and sent it again issued no ticket of its own. A control node that had the ticket as
 // pending, was cut off meanwhile and begins from a copy in which it is settled saw neither; it waits the lease out.
 func TestASettlementThatWasNotSeenIsSomebodysOrder(t *testing.T) {
-	s := routedState(t)
+	s := stateWithPendingLoad(t)
 	f := New("me", Options{LeaseUs: 3 * clock.Sec})
 	f.Step(Snapshot{NowUs: clock.Sec, State: s, Registry: registry.New(clock.Sec)}, Tick{})
 
@@ -80,10 +80,10 @@
 	if !f.IsLeader(s) {
 		t.Fatal("it does not lead")
 	}
-	if f.canOrder(nowUs+2*clock.Sec, "r1") {
+	if f.routed.predecessor.canOrder(nowUs+2*clock.Sec, "r1") {
 		t.Error("it orders the replica within the lease of a holder whose order it did not see")
 	}
-	if !f.canOrder(nowUs+4*clock.Sec, "r1") {
+	if !f.routed.predecessor.canOrder(nowUs+4*clock.Sec, "r1") {
 		t.Error("it waits longer than the lease")
 	}
 }
--- a/internal/controlplane/controller/note_test.go
+++ b/internal/controlplane/controller/note_test.go
@@ -20,7 +20,7 @@
 			t.Fatalf("%+v of holder %s, epoch %d, pending %v", n, f.s.Leader, f.s.Epoch, f.s.Pending)
 		}
 		store := n.Store[0]
-		if left := f.fs[f.head].storeLoadsLeft(f.nowUs, f.s, f.s.Doc.Service("s")); store.Left != left || store.Left+store.Running > store.AtOnce || store.WindowMs != 5000 {
+		if left := f.fs[f.head].routed.store.loadsLeft(f.nowUs, f.s, f.s.Doc.Service("s")); store.Left != left || store.Left+store.Running > store.AtOnce || store.WindowMs != 5000 {
 			t.Fatalf("%+v, it gives %d", store, left)
 		}
 		for _, o := range n.Orders {
--- a/internal/controlplane/controller/orders_model_test.go
+++ b/internal/controlplane/controller/orders_model_test.go
@@ -523,7 +523,7 @@
 	p := placement.Proposal{Step: step, Replica: replica, Unit: unit}
 	m.note("propose %s %s at %s", p.Step, p.Unit, p.Replica)
 	c := m.controlNodes[m.head].controller
-	c.proposed, c.proposedAt = append(slices.Clone(c.proposed), p), m.state.Revision
+	c.policies.proposals, c.policies.revision = append(slices.Clone(c.policies.proposals), p), m.state.Revision
 }
 
 // takeOver makes the other control node the head; the old one goes on for as long as its lease.
@@ -580,7 +580,7 @@
 	m.loseAnswers, m.double, m.slow, m.longUnload = false, false, false, false
 	for _, o := range m.controlNodes {
 		o.holdBeat = false
-		o.controller.proposed = nil
+		o.controller.policies.proposals = nil
 	}
 	m.heal()
 	m.pass(2 * clock.Sec)
--- a/internal/controlplane/controller/outliers.go
+++ b/internal/controlplane/controller/outliers.go
@@ -5,20 +5,29 @@
 	"petreltide/internal/outlier"
 )
 
-func (c *Controller) onCallOutcomes(snapshot Snapshot, r *wire.Report) {
-	if snapshot.isRouted() && (len(r.Attempts) > 0 || len(r.Outcomes) > 0) {
-		c.outliers.AddReport(snapshot.NowUs, outlier.Report{Gateway: r.Gateway, Zone: r.Zone, Attempts: r.Attempts, Counts: r.Outcomes}, snapshot.serviceOf)
+// outlierVerdicts are this controller's verdicts on replicas whose attempts fail more often than those of others.
+type outlierVerdicts struct {
+	detector *outlier.Detector
+	// epoch is the one in which the verdicts of the leader before were taken over; 0 before.
+	epoch uint64
+}
+
+// onReport takes a gateway's counts of attempts and their outcomes.
+func (v *outlierVerdicts) onReport(snapshot Snapshot, r *wire.Report) {
+	if len(r.Attempts) > 0 || len(r.Outcomes) > 0 {
+		v.detector.AddReport(snapshot.NowUs, outlier.Report{Gateway: r.Gateway, Zone: r.Zone, Attempts: r.Attempts, Counts: r.Outcomes}, snapshot.serviceOf)
 	}
 }
 
-// judgeOutliers works out the verdicts; a new leader goes on from those of the one before.
-func (c *Controller) judgeOutliers(snapshot Snapshot) {
-	if c.judges != c.claimed {
-		c.judges = c.claimed
-		c.outliers.Inherit(snapshot.NowUs, c.claimed, snapshot.Outliers, snapshot.serviceOf)
+// judge works out the verdicts where that is due, and says whether they have changed. A new leader goes on from those of
+// the one before.
+func (v *outlierVerdicts) judge(snapshot Snapshot, epoch uint64) (changed bool) {
+	if v.epoch != epoch {
+		v.epoch = epoch
+		v.detector.Inherit(snapshot.NowUs, epoch, snapshot.Outliers, snapshot.serviceOf)
 	}
-	if !c.outliers.Due(snapshot.NowUs) {
-		return
+	if !v.detector.Due(snapshot.NowUs) {
+		return false
 	}
 	replicas := map[string]int{}
 	for _, id := range snapshot.Registry.IDs() {
@@ -26,7 +35,12 @@
 			replicas[e.Service]++
 		}
 	}
-	if c.outliers.Evaluate(snapshot.NowUs, c.claimed, replicas, func(id string) bool { return snapshot.serviceOf(id) != "" }) {
-		c.emit(PublishVerdicts{Table: c.outliers.Table()})
+	return v.detector.Evaluate(snapshot.NowUs, epoch, replicas, func(id string) bool { return snapshot.serviceOf(id) != "" })
+}
+
+// judgeOutliers publishes the verdicts where they have changed.
+func (c *Controller) judgeOutliers(snapshot Snapshot) {
+	if c.outliers.judge(snapshot, c.leadership.epoch) {
+		c.emit(PublishVerdicts{Table: c.outliers.detector.Table()})
 	}
 }
--- a/internal/controlplane/controller/outliers_test.go
+++ b/internal/controlplane/controller/outliers_test.go
@@ -16,7 +16,7 @@
 func TestWhatGatewaysTellOfAReplicaBecomesAVerdict(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		f := New("me", Options{Outlier: outlier.Options{Disabled: off}})
-		f.claimed = 1
+		f.leadership.epoch = 1
 		s := statemachine.NewState()
 		s.Epoch, s.Leader, s.Doc = 1, "me", fleetDoc()
 		snapshot := Snapshot{NowUs: clock.Sec, State: s, Registry: registry.New(3 * clock.Sec)}
--- a/internal/controlplane/controller/resident.go
+++ b/internal/controlplane/controller/resident.go
@@ -1,8 +1,6 @@
 package controller
 
 import (
-	"strings"
-
 	"petreltide/internal/api/configuration"
 	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/placement"
@@ -10,38 +8,42 @@
 	"petreltide/internal/process/clock"
 )
 
-// maxTrackedArrivals bounds how many units at replicas the controller remembers the arrival of.
-const maxTrackedArrivals = 20000
+const (
+	// residentIntervalUs is how often the resident policy runs, minResidentIntervalUs where what it reads has changed.
+	residentIntervalUs    = 500 * clock.Ms
+	minResidentIntervalUs = 30 * clock.Ms
+	// defaultSpares is how many replicas of a service keep capacity for one more model.
+	defaultSpares = 1
+	// tokensPerMs is how many prompt tokens a replica reads in a millisecond, decodeMsPerCall the time in milliseconds that
+	// the rest of a call takes of it; both are rough, and only weigh demand against capacity.
+	tokensPerMs     = 20.0
+	decodeMsPerCall = 25.0
+)
 
 // runResident asks the policy for each service with an engine, at once where calls wait for a model that
 // nobody has.
 func (c *Controller) runResident(snapshot Snapshot) {
 	s := snapshot.State
-	spanUs := residentIntervalUs
-	if c.moved {
-		spanUs = minResidentIntervalUs
-	}
-	if c.proposed != nil || snapshot.NowUs-c.policyUs < spanUs || !c.canPlan(snapshot.NowUs) {
+	if !c.policies.isDue(snapshot.NowUs, residentIntervalUs, minResidentIntervalUs) || !c.routed.predecessor.canPlan(snapshot.NowUs) {
 		return
 	}
 	services := c.residentInputs(snapshot)
 	if len(services) == 0 {
 		return
 	}
-	c.policyUs, c.moved = snapshot.NowUs, false
-	c.run++
+	c.policies.begin(snapshot.NowUs)
 	answer := placement.RunResult{Policy: placement.ResidentName}
-	clear(c.routed.unplaced)
+	clear(c.routed.residency.unplaced)
 	for _, in := range services {
 		proposals, unplaced := placement.Resident(in)
 		answer.Proposals = append(answer.Proposals, proposals...)
 		for _, unit := range unplaced {
-			c.routed.unplaced[unit] = true
+			c.routed.residency.unplaced[unit] = true
 		}
 	}
-	c.Policy = withRun(c.Policy, answer)
+	c.policies.live = withRun(c.policies.live, answer)
 	if len(answer.Proposals) > 0 {
-		c.proposed, c.proposedAt = answer.Proposals, s.Revision
+		c.policies.proposals, c.policies.revision = answer.Proposals, s.Revision
 	}
 }
 
@@ -49,7 +51,7 @@
 // none, and of which the policy does not know already that it has no place now.
 func (c *Controller) hasUnplacedCalls(snapshot Snapshot, r *wire.Report) bool {
 	for unit, n := range r.Queued {
-		if n > 0 && !c.routed.unplaced[unit] && !c.isPlaced(snapshot.State, unit) {
+		if n > 0 && !c.routed.residency.unplaced[unit] && !c.isPlaced(snapshot.State, unit) {
 			return true
 		}
 	}
@@ -64,27 +66,17 @@
 		}
 	}
 	for id, r := range s.Replicas {
-		if _, holds := r.Resident[unit]; holds && !r.Draining && !r.Unreachable && !c.outliers.Ejected(id) && s.Pending[id].Unit != unit {
+		if _, holds := r.Resident[unit]; holds && !r.Draining && !r.Unreachable && !c.outliers.detector.Ejected(id) && s.Pending[id].Unit != unit {
 			return true
 		}
 	}
 	return false
 }
 
-// callCounts are counts of calls at replicas, by replica and unit.
-type callCounts map[string]map[string]int
-
-// callLoad is what gateways report of calls now: those that wait and those that have no first piece yet by unit,
-// and those that run and that have no first piece yet by replica and unit.
-type callLoad struct {
-	waiting, unstarted     map[string]int
-	runningAt, unstartedAt callCounts
-}
-
 // residentInputs gives what the placement policy reads of each service with an engine.
 func (c *Controller) residentInputs(snapshot Snapshot) []placement.Service {
 	all := []placement.Service{}
-	calls := loadOf(c.recentReports(snapshot.NowUs))
+	calls := loadOf(c.gateways.recentReports(snapshot.NowUs))
 	services := snapshot.State.Doc.Services
 	for i := range services {
 		if services[i].Engine != nil {
@@ -94,42 +86,12 @@
 	return all
 }
 
-// loadOf sums the counts of calls in the reports of gateways.
-func loadOf(reports []*wire.Report) callLoad {
-	load := callLoad{waiting: map[string]int{}, unstarted: map[string]int{}, runningAt: callCounts{}, unstartedAt: callCounts{}}
-	for _, report := range reports {
-		addTo(load.waiting, report.Queued)
-		for key, n := range report.ModelInFlight {
-			load.runningAt.add(parseReplicaUnit(key), n)
-		}
-		for key, n := range report.PendingPrefill {
-			at := parseReplicaUnit(key)
-			load.unstartedAt.add(at, n)
-			load.unstarted[at.unit] += n
-		}
-	}
-	return load
-}
-
-// parseReplicaUnit reads a key of a gateway's report.
-func parseReplicaUnit(key string) replicaUnit {
-	replica, unit, _ := strings.Cut(key, "|")
-	return replicaUnit{replica, unit}
-}
-
-func (c callCounts) add(at replicaUnit, n int) {
-	if c[at.replica] == nil {
-		c[at.replica] = map[string]int{}
-	}
-	c[at.replica][at.unit] += n
-}
-
 // residentInput gives what the placement policy reads of one service.
 func (c *Controller) residentInput(snapshot Snapshot, svc *configuration.Service, calls callLoad) placement.Service {
 	s := snapshot.State
 	in := placement.Service{
 		Name: svc.Name, Engine: svc.Engine, Models: map[string]placement.Demand{}, Adapters: map[string]placement.Demand{},
-		StoreLoadsLeft: c.storeLoadsLeft(snapshot.NowUs, s, svc), MinSpares: defaultSpares, Disable: c.opts.Disable,
+		StoreLoadsLeft: c.routed.store.loadsLeft(snapshot.NowUs, s, svc), MinSpares: defaultSpares, Disable: c.opts.Disable,
 	}
 	for _, id := range s.ReplicaIDs() {
 		if r := s.Replicas[id]; r.Service == svc.Name {
@@ -151,9 +113,9 @@
 
 // calledUnits names the units that were called for lately or are waited for.
 func (c *Controller) calledUnits(calls callLoad) []string {
-	units := sortedKeys(c.routed.needs)
+	units := sortedKeys(c.routed.demand.estimates)
 	for unit := range calls.waiting {
-		if c.routed.needs[unit] == nil {
+		if c.routed.demand.estimates[unit] == nil {
 			units = append(units, unit)
 		}
 	}
@@ -162,7 +124,7 @@
 
 // unitDemand is what calls ask of a unit, as the placement policy reads it.
 func (c *Controller) unitDemand(nowUs int64, unit string, calls callLoad) placement.Demand {
-	n := c.routed.needs[unit]
+	n := c.routed.demand.estimates[unit]
 	if n == nil {
 		n = &demandEstimate{}
 	}
@@ -175,18 +137,16 @@
 // candidate is one replica as the placement policy reads it.
 func (c *Controller) candidate(snapshot Snapshot, r *statemachine.Replica, runs, unread map[string]int) placement.Candidate {
 	h := placement.Candidate{
-		ID: r.ID, Usable: !r.Draining && !r.Unreachable && !c.outliers.Ejected(r.ID), FreeMb: r.CapacityMB - snapshot.State.ReservedMB(r.ID), SizeMbOf: r.Resident, WarmUnits: r.EverLoaded,
+		ID: r.ID, Usable: !r.Draining && !r.Unreachable && !c.outliers.detector.Ejected(r.ID), FreeMb: r.CapacityMB - snapshot.State.ReservedMB(r.ID), SizeMbOf: r.Resident, WarmUnits: r.EverLoaded,
 		Running: runs, Unstarted: unread, ResidentMs: map[string]int64{},
 	}
 	for unit := range r.Resident {
-		if atUs, ok := c.routed.cameUs[replicaUnit{r.ID, unit}]; ok {
+		if atUs, ok := c.routed.residency.arrivedUs[replicaUnit{r.ID, unit}]; ok {
 			h.ResidentMs[unit] = (snapshot.NowUs - atUs) / clock.Ms
 		}
 	}
-	if in, ok := c.routed.intents[r.ID]; ok && snapshot.NowUs-in.atUs < reservationUs {
-		h.ReservedFor = in.unit
-	}
-	h.Busy = !c.canOrder(snapshot.NowUs, r.ID)
+	h.ReservedFor = c.routed.residency.reservedFor(snapshot.NowUs, r.ID)
+	h.Busy = !c.routed.predecessor.canOrder(snapshot.NowUs, r.ID)
 	if t, pending := snapshot.State.Pending[r.ID]; pending {
 		h.Busy = true
 		if t.Action == statemachine.Load {
@@ -197,11 +157,3 @@
 	}
 	return h
 }
-
-// recordArrival remembers when a unit came to a replica.
-func (c *Controller) recordArrival(nowUs int64, t statemachine.ReplicaCommand) {
-	c.routed.cameUs[replicaUnit{t.Replica, t.Unit}] = nowUs
-	if len(c.routed.cameUs) > maxTrackedArrivals {
-		c.routed.cameUs = map[replicaUnit]int64{}
-	}
-}
--- a/internal/controlplane/controller/routed.go
+++ b/internal/controlplane/controller/routed.go
@@ -1,139 +1,134 @@
 package controller
 
 import (
+	"petreltide/internal/api/wire"
+	"petreltide/internal/controlplane/placement"
 	"petreltide/internal/controlplane/statemachine"
-	"petreltide/internal/process/clock"
 )
 
-// OrderFlightUs bounds how long an order may be on its way to a replica: its sender gives it up then, and resets the
-// connection. A successor waits so long beside the lease, as an order may arrive after the last that was heard of it.
-const OrderFlightUs = 900 * clock.Ms
-
-const (
-	residentIntervalUs    = 500 * clock.Ms
-	minResidentIntervalUs = 30 * clock.Ms
-	leaderFreshUs         = 1100 * clock.Ms
-	leaseSlackUs          = OrderFlightUs + 100*clock.Ms
-	busyCheckUs           = 300 * clock.Ms
-	recheckUs             = 90 * clock.Ms
-	requestTimeoutUs      = 1200 * clock.Ms
-	orderTimeoutUs        = 700 * clock.Ms
-	orderVanishedUs       = 1200 * clock.Ms
-	maxOutdatedUs         = 10 * clock.Sec
-	recountAfterUs        = 300 * clock.Ms
-	adapterLoadUs         = 25 * clock.Ms
-	minQuietUs            = 40 * clock.Ms
-	maxQuietUs            = 700 * clock.Ms
-	loadSlackUs           = 15 * clock.Ms
-	warmLoadUs            = 620 * clock.Ms
-	unloadUs              = 215 * clock.Ms
-	defaultSpares         = 1
-	reservationUs         = 2 * clock.Sec
-	unseenRemovedAfterUs  = 15 * clock.Sec
-	reportDelayUs         = 2 * clock.Sec
-	registryIntervalUs    = 250 * clock.Ms
-	trustFactor           = 3
-	minRecentRate         = 3.0
-	recentDiscount        = 0.85
-	defaultTokensPerCall  = 1500.0
-	forecastDiscount      = 0.8
-	minForecastRate       = 0.5
-	forecastSpanUs        = 5 * clock.Sec
-	tokensPerMs           = 20.0
-	decodeMsPerCall       = 25.0
-)
-
-// routedMemory is the controller's memory for replicas that make themselves known.
-type routedMemory struct {
-	leaderSinceUs int64
-	foreignUs     int64
-	bornUs        int64
-	loadsUs       []int64
-	known         uint64
-	missedUs      int64
-	orders        map[uint64]*standingOrder
-	needs         map[string]*demandEstimate
-	cameUs        map[replicaUnit]int64
-	trustedUs     map[replicaUnit]int64
-	changedUs     map[string]int64
-	unseenUs      map[string]int64
-	demandUs      int64
-	begunUs       map[routeModel]int64
-	intents       map[string]reservation
-	unplaced      map[string]bool
-	noted         comparedVersion
+// routedState is the memory for replicas that make themselves known.
+type routedState struct {
+	predecessor predecessorWait
+	store       storeWindow
+	orders      orderTracker
+	demand      demandTracker
+	residency   residency
+	registry    registrySync
 }
 
-// replicaUnit is a model or an adapter at one replica.
-type replicaUnit struct {
-	replica, unit string
+func newRoutedState(opts Options) routedState {
+	return routedState{
+		predecessor: predecessorWait{leaseUs: opts.LeaseUs},
+		store:       storeWindow{lengthUs: opts.StoreWindowUs, overshoot: opts.StoreOvershoot},
+		orders:      orderTracker{byNumber: map[uint64]*standingOrder{}},
+		demand:      demandTracker{estimates: map[string]*demandEstimate{}},
+		residency: residency{
+			arrivedUs: map[replicaUnit]int64{}, trustedUntilUs: map[replicaUnit]int64{},
+			reservations: map[string]reservation{}, unplaced: map[string]bool{},
+		},
+		registry: registrySync{changedUs: map[string]int64{}, unseenUs: map[string]int64{}},
+	}
 }
 
-// reservation is the model that room is being made for at a replica.
-type reservation struct {
-	unit string
-	atUs int64
+// routedMode drives replicas that make themselves known by heartbeats; see the package's documentation.
+type routedMode struct{ c *Controller }
+
+func (m routedMode) tick(snapshot Snapshot) {
+	c := m.c
+	c.routed.predecessor.beginLeadership(snapshot.NowUs, c.leadership.epoch, snapshot.State)
+	c.routed.demand.update(snapshot.NowUs, &c.gateways, c.opts.Disable)
+	c.judgeOutliers(snapshot)
+	m.plan(snapshot)
+	c.writeDue(snapshot)
 }
 
-func newRouted() routedMemory {
-	return routedMemory{
-		orders: map[uint64]*standingOrder{}, needs: map[string]*demandEstimate{}, intents: map[string]reservation{}, unplaced: map[string]bool{},
-		cameUs: map[replicaUnit]int64{}, trustedUs: map[replicaUnit]int64{}, changedUs: map[string]int64{}, unseenUs: map[string]int64{},
+// onGatewayReport takes the outcomes of calls, and acts at once where calls wait for a unit that has no place.
+func (m routedMode) onGatewayReport(snapshot Snapshot, report *wire.Report) {
+	m.c.outliers.onReport(snapshot, report)
+	if m.c.hasUnplacedCalls(snapshot, report) {
+		m.c.policies.inputChanged = true
+		m.c.act(snapshot)
 	}
 }
 
-// OnApplied notes the tickets and settled orders of whoever leads, as they are applied: a successor
-// waits out their lease, and counts their loads.
-func (c *Controller) OnApplied(nowUs int64, epoch uint64, d statemachine.LeaderUpdate, s *statemachine.State) {
-	if s.Doc == nil || !s.Doc.Routed() {
-		return
-	}
-	if foreign := epoch != c.claimed || !c.IsLeader(s); !c.turns.onApplied(nowUs, foreign, d, s) {
-		c.routed.foreignUs = nowUs
-	}
-	c.routed.detectUnseenTickets(nowUs, s, len(d.Commands))
-	for _, t := range d.Commands {
-		c.routed.recordLoad(nowUs, s, t)
+// onReplicaReport takes a replica's report while an order stands there.
+func (m routedMode) onReplicaReport(snapshot Snapshot, report ReplicaReport) {
+	command, pending := snapshot.State.Pending[report.Replica]
+	o := m.c.routed.orders.byNumber[command.Number]
+	if pending && o != nil {
+		o.requested = false
+		if report.State == nil {
+			o.checkUs = snapshot.NowUs + recheckUs
+		} else {
+			m.c.judgeOrder(snapshot, command, o, report.State)
+		}
 	}
-	for _, done := range d.Results {
-		delete(c.routed.orders, done.Number)
+	m.c.act(snapshot)
+}
+
+// onOrderResult takes a replica's answer to an order; what it means in the end is seen by what the replica holds.
+func (m routedMode) onOrderResult(snapshot Snapshot, result OrderResult) {
+	command, pending := snapshot.State.Pending[result.Replica]
+	o := m.c.routed.orders.byNumber[result.State.Number]
+	if pending && command.Number == result.State.Number && o != nil && o.isAnsweredBy(result) {
+		m.takeAnswer(snapshot, command, o, result.State)
 	}
-	if len(d.Results) > 0 {
-		for id, r := range s.Replicas {
-			if r.ModifiedIndex == s.Index {
-				c.routed.changedUs[id] = nowUs
-			}
-		}
+	m.c.act(snapshot)
+}
+
+func (m routedMode) takeAnswer(snapshot Snapshot, command statemachine.ReplicaCommand, o *standingOrder, answer wire.OrderState) {
+	o.answeredUs, o.answer = snapshot.NowUs, answer.State
+	switch answer.State {
+	case wire.OrderRunning:
+		o.checkUs = snapshot.NowUs + checkDelayUs(snapshot.State, command)
+	case wire.OrderDone:
+		m.c.recordOutcome(command, wire.OrderDone, "")
+	case wire.OrderFailed:
+		m.c.recordOutcome(command, wire.OrderFailed, answer.Reason)
+	default:
+		o.checkUs = snapshot.NowUs + busyCheckUs
 	}
 }
 
-// routedTick is a tick of whoever leads over replicas that make themselves known.
-func (c *Controller) routedTick(snapshot Snapshot) {
-	if c.routed.leaderSinceUs == 0 {
-		c.beginLeadership(snapshot)
+func (m routedMode) plan(snapshot Snapshot) {
+	m.c.pursueOrders(snapshot)
+	m.c.runResident(snapshot)
+}
+
+func (m routedMode) collect(snapshot Snapshot, update *statemachine.LeaderUpdate) {
+	c, s := m.c, snapshot.State
+	c.recordRegistry(snapshot, update)
+	c.settleTickets(snapshot.NowUs, s, update)
+	c.gateways.removeSilent(snapshot.NowUs)
+	if !c.routed.predecessor.canPlan(snapshot.NowUs) {
+		c.policies.proposals = nil
+	}
+	if c.policies.takeProposals(s.Revision) {
+		commands, verdicts := placement.CheckRouted(s, c.routed.store.totalLoadsLeft(snapshot.NowUs, s), c.policies.proposals)
+		c.onVerdicts(verdicts)
+		update.Commands = commands
+		c.routed.residency.reserve(snapshot.NowUs, verdicts)
 	}
-	c.updateDemand(snapshot.NowUs)
-	c.judgeOutliers(snapshot)
-	c.pursueOrders(snapshot)
-	c.runResident(snapshot)
-	c.writeDue(snapshot)
 }
 
-// beginLeadership notes what an earlier holder may still have on its way.
-func (c *Controller) beginLeadership(snapshot Snapshot) {
-	r := &c.routed
-	r.leaderSinceUs = snapshot.NowUs
-	if snapshot.State.NextNumber > 1 {
-		r.foreignUs = max(r.foreignUs, r.bornUs)
+func (m routedMode) afterWrite(Snapshot) {}
+
+// OnApplied takes the commands and results of whoever leads as they are applied, on each control node: a successor waits
+// out their lease, and counts their loads. epoch is that of the change, nowUs the time in microseconds.
+func (c *Controller) OnApplied(nowUs int64, epoch uint64, update statemachine.LeaderUpdate, s *statemachine.State) {
+	if s.Doc == nil || !s.Doc.Routed() {
+		return
 	}
-	c.turns.recordUnseen(snapshot.NowUs, snapshot.State)
-	if c.turns.nextTicket != snapshot.State.NextNumber {
-		c.turns.reset(snapshot.State)
-		r.foreignUs = snapshot.NowUs
+	foreign := epoch != c.leadership.epoch || !c.IsLeader(s)
+	c.routed.predecessor.onApplied(nowUs, foreign, update, s)
+	c.routed.store.detectUnseenTickets(nowUs, s, len(update.Commands))
+	for _, command := range update.Commands {
+		c.routed.store.recordLoad(nowUs, s, command)
 	}
-	for id, t := range snapshot.State.Pending {
-		if t.Epoch != c.claimed {
-			c.turns.lastOrderUs[id] = max(c.turns.lastOrderUs[id], snapshot.NowUs+leaderFreshUs)
-		}
+	for _, result := range update.Results {
+		delete(c.routed.orders.byNumber, result.Number)
+	}
+	if len(update.Results) > 0 {
+		c.routed.registry.onApplied(nowUs, s)
 	}
 }
--- a/internal/controlplane/controller/routed_test.go
+++ b/internal/controlplane/controller/routed_test.go
@@ -475,22 +475,22 @@
 	}
 	most := svc.Engine.MaxConcurrentLoads()
 	load(clock.Sec, "r0")
-	if left := from.storeLoadsLeft(clock.Sec, s, svc); left != most-1 {
+	if left := from.routed.store.loadsLeft(clock.Sec, s, svc); left != most-1 {
 		t.Errorf("%d loads are left to who saw the only ticket, want %d", left, most-1)
 	}
-	if left := late.storeLoadsLeft(clock.Sec, s, svc); left != 0 {
+	if left := late.routed.store.loadsLeft(clock.Sec, s, svc); left != 0 {
 		t.Errorf("%d loads are left to who did not see the ticket", left)
 	}
-	if left := late.storeLoadsLeft(7*clock.Sec, s, svc); left != most-1 {
+	if left := late.routed.store.loadsLeft(7*clock.Sec, s, svc); left != most-1 {
 		t.Errorf("%d loads are left a window later, want %d", left, most-1)
 	}
 	load(8*clock.Sec, "r1")
 	late.OnApplied(8*clock.Sec, s.Epoch, statemachine.LeaderUpdate{Commands: make([]statemachine.ReplicaCommand, 1)}, s)
-	if late.routed.missedUs >= 8*clock.Sec {
+	if late.routed.store.unseenUs >= 8*clock.Sec {
 		t.Error("a ticket that was seen counts as missed")
 	}
 	load(9*clock.Sec, "r2")
-	if late.storeLoadsLeft(9*clock.Sec, s, svc); late.routed.missedUs != 9*clock.Sec {
+	if late.routed.store.loadsLeft(9*clock.Sec, s, svc); late.routed.store.unseenUs != 9*clock.Sec {
 		t.Error("a ticket that was not seen is not missed")
 	}
 }
--- a/internal/controlplane/controller/parted.go
+++ b/internal/controlplane/controller/shadow_difference.go
@@ -4,6 +4,7 @@
 	"petreltide/internal/controlplane/placement"
 )
 
+// maxDifferences bounds the proposals that are counted by name; all others are counted as "others".
 const maxDifferences = 64
 
 // ShadowDifference says how often a shadow's proposals were not the live policy's, and where.
--- a/internal/controlplane/controller/share.go
+++ b/internal/controlplane/controller/shares.go
@@ -4,44 +4,11 @@
 	"sort"
 
 	"petreltide/internal/controlplane/statemachine"
+	"petreltide/internal/process/clock"
 )
 
-// grantAttempts hands out attempt numbers for every model at every replica, before those of a gateway run out.
-func (c *Controller) grantAttempts(snapshot Snapshot, update *statemachine.LeaderUpdate) {
-	s := snapshot.State
-	gateways := c.liveGateways(snapshot.NowUs)
-	for _, id := range s.ReplicaIDs() {
-		r := s.Replicas[id]
-		if r.Draining || r.Unreachable || r.Incarnation == "" {
-			continue
-		}
-		for _, unit := range sortedKeys(r.Resident) {
-			if s.Doc.Model(unit) == nil {
-				continue
-			}
-			for _, gateway := range gateways {
-				if ask, needed := c.grantRequest(s, r, unit, gateway); needed {
-					update.Grants = append(update.Grants, ask)
-				}
-			}
-		}
-	}
-}
-
-// grantRequest gives what a gateway should be granted for a model at a replica; it is needed where the gateway has no
-// grant of these lives, or less than half of one left.
-func (c *Controller) grantRequest(s *statemachine.State, r *statemachine.Replica, model, gateway string) (ask statemachine.GrantRequest, needed bool) {
-	report := c.gateways[gateway].report
-	want := min(max(uint64(report.Arrivals[model]*2*attemptSeconds), minGrantedAttempts), maxGrantedAttempts)
-	ask = statemachine.GrantRequest{Gateway: gateway, GatewayIncarnation: report.Incarnation, Replica: r.ID, Incarnation: r.Incarnation, Model: model, Count: want}
-	g := statemachine.Grant{Gateway: gateway, Replica: r.ID, Model: model}
-	have, ok := s.Grants[g.Key()]
-	if !ok || have.GatewayIncarnation != report.Incarnation || have.Incarnation != r.Incarnation {
-		return ask, true
-	}
-	left, told := report.UnusedGrants[r.ID+"|"+model]
-	return ask, told && left.Ticket == have.Number && left.Remaining*2 <= want
-}
+// shareIntervalUs is how often the replicas' slots are divided among the gateways.
+const shareIntervalUs = 400 * clock.Ms
 
 // What a gateway's calls weigh when a replica's slots are divided: one that runs there counts whole.
 const (
@@ -50,14 +17,19 @@
 	arrivalWeight = 0.1
 )
 
+// slotShares is when slots were last divided.
+type slotShares struct {
+	dividedUs int64
+}
+
 // divideSlots divides a replica's slots by what each gateway has there and what waits for its models.
 func (c *Controller) divideSlots(snapshot Snapshot, update *statemachine.LeaderUpdate) {
-	if snapshot.NowUs-c.shareUs < shareIntervalUs {
+	if snapshot.NowUs-c.declared.shares.dividedUs < shareIntervalUs {
 		return
 	}
-	c.shareUs = snapshot.NowUs
+	c.declared.shares.dividedUs = snapshot.NowUs
 	s := snapshot.State
-	gateways := c.liveGateways(snapshot.NowUs)
+	gateways := c.gateways.live(snapshot.NowUs)
 	if len(gateways) == 0 {
 		return
 	}
@@ -81,7 +53,7 @@
 func (c *Controller) gatewayWeights(r *statemachine.Replica, gateways []string) []float64 {
 	weights := make([]float64, len(gateways))
 	for i, gateway := range gateways {
-		report := c.gateways[gateway].report
+		report := c.gateways.byID[gateway].report
 		weights[i] = idleWeight + float64(report.InFlight[r.ID])
 		for _, unit := range sortedKeys(r.Resident) {
 			weights[i] += float64(report.Queued[unit]) * waitingWeight
@@ -94,9 +66,9 @@
 // divide gives each gateway one slot where there are enough, and divides the others by weight; what rounding
 // leaves over goes to the heaviest first.
 func divide(slots int, gateways []string, weights []float64) map[string]int {
-	var whole float64
+	var total float64
 	for _, weight := range weights {
-		whole += weight
+		total += weight
 	}
 	shares := map[string]int{}
 	spare := slots
@@ -106,16 +78,16 @@
 		}
 		spare -= len(gateways)
 	}
-	given := 0
+	divided := 0
 	for i, gateway := range gateways {
-		n := int(float64(spare) * weights[i] / whole)
+		n := int(float64(spare) * weights[i] / total)
 		shares[gateway] += n
-		given += n
+		divided += n
 	}
 	order := heaviestFirst(weights)
-	for i := 0; given < spare; i = (i + 1) % len(order) {
+	for i := 0; divided < spare; i = (i + 1) % len(order) {
 		shares[gateways[order[i]]]++
-		given++
+		divided++
 	}
 	return shares
 }
@@ -130,7 +102,7 @@
 	return order
 }
 
-// shouldRewriteShares: new shares differ enough from those in force to be written down, or give a slot to a gateway that
+// shouldRewriteShares says whether new shares differ enough from those in force to be written down, or give a slot to a gateway that
 // has used up what it had.
 func (c *Controller) shouldRewriteShares(r *statemachine.Replica, shares map[string]int) bool {
 	if len(r.Quotas) != len(shares) {
@@ -142,7 +114,7 @@
 		if !ok {
 			return true
 		}
-		row := c.gateways[gateway]
+		row := c.gateways.byID[gateway]
 		if n > had && row != nil && row.report.InFlight[r.ID] >= had {
 			return true
 		}
@@ -150,19 +122,3 @@
 	}
 	return moved*3 > r.Slots*2
 }
-
-// expireIdempotencyKeys notes a place of the log every hour; idempotency keys from before the oldest such place are forgotten.
-func (c *Controller) expireIdempotencyKeys(snapshot Snapshot, update *statemachine.LeaderUpdate) {
-	if c.markUs == 0 {
-		c.markUs = snapshot.NowUs
-	}
-	if snapshot.NowUs-c.markUs < keyMarkIntervalUs {
-		return
-	}
-	c.markUs = snapshot.NowUs
-	c.marks = append(c.marks, snapshot.State.Index)
-	if len(c.marks) > maxKeyMarks {
-		update.ForgetKeysBefore = c.marks[0]
-		c.marks = c.marks[1:]
-	}
-}
--- a/internal/controlplane/controller/note.go
+++ b/internal/controlplane/controller/status.go
@@ -1,12 +1,66 @@
 package controller
 
 import (
+	"petreltide/internal/api/fault"
+	"petreltide/internal/controlplane/placement"
 	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/process/clock"
 )
 
+// GatewayStatus is what is shown of a gateway: when it last reported, and what is called for and waits there.
+type GatewayStatus struct {
+	Silent   bool               `json:"silent,omitempty"`
+	Gateway  string             `json:"desk"`
+	Zone     string             `json:"zone"`
+	Addr     string             `json:"addr"`
+	AgoMs    int64              `json:"agoMs"`
+	Arrivals map[string]float64 `json:"arrivals,omitempty"`
+	Waiting  map[string]int     `json:"waiting,omitempty"`
+}
+
+// Gateways shows every gateway that has reported.
+func (c *Controller) Gateways(nowUs int64) []GatewayStatus {
+	statuses := []GatewayStatus{}
+	for _, id := range sortedKeys(c.gateways.byID) {
+		d := c.gateways.byID[id]
+		statuses = append(statuses, GatewayStatus{c.gateways.isSilent(nowUs, id), id, d.report.Zone, d.report.Addr, (nowUs - d.reportedUs) / 1000, d.report.Arrivals, d.report.Queued})
+	}
+	return statuses
+}
+
+// PolicyStatus is what is shown of a placement policy: how often it ran, failed, and differed from the live one.
+type PolicyStatus struct {
+	Name       string              `json:"name"`
+	Runs       uint64              `json:"runs"`
+	Steps      uint64              `json:"steps"`
+	Fault      *fault.Fault        `json:"fault,omitempty"`
+	Faulted    uint64              `json:"faulted"`
+	Verdicts   []placement.Verdict `json:"verdicts,omitempty"`
+	Difference *ShadowDifference   `json:"parted,omitempty"`
+}
+
+// withRun adds a run to what is shown of a policy.
+func withRun(note PolicyStatus, a placement.RunResult) PolicyStatus {
+	if note.Name != a.Policy {
+		note = PolicyStatus{Name: a.Policy}
+	}
+	note.Runs++
+	note.Steps = a.Steps
+	note.Fault = a.Fault
+	if a.Fault != nil {
+		note.Faulted++
+	}
+	return note
+}
+
+// PolicyStatus is what is shown of the live placement policy.
+func (c *Controller) PolicyStatus() PolicyStatus { return c.policies.live }
+
+// ShadowStatuses are what is shown of the shadow policies, in the declaration's order.
+func (c *Controller) ShadowStatuses() []PolicyStatus { return c.policies.shadows }
+
 // OrderStatus is an order that stands at a replica. SentAgoMs is below 0 while it has not been sent by this
-// holder; Said is what the replica answered: running, done, busy, in_doubt, or nothing yet.
+// holder; Answer is what the replica answered: running, done, busy, in_doubt, or nothing yet.
 type OrderStatus struct {
 	statemachine.ReplicaCommand
 	SentAgoMs int64  `json:"sentAgoMs"`
@@ -48,10 +102,10 @@
 		return nil
 	}
 	n := &LeaderStatus{Holder: s.Leader, Fence: s.Epoch, Orders: c.orderStatuses(nowUs, s), Store: c.storeStatuses(nowUs, s), Demand: map[string]DemandStatus{}}
-	if lastUs := c.longestWaitUs(nowUs, s); lastUs > 0 {
+	if lastUs := c.routed.predecessor.longestWaitUs(nowUs, s); lastUs > 0 {
 		n.OrdersInMs = (lastUs + clock.Ms - 1) / clock.Ms
 	}
-	for unit, need := range c.routed.needs {
+	for unit, need := range c.routed.demand.estimates {
 		n.Demand[unit] = DemandStatus{Rate: need.rate, Tokens: need.tokens, AgoMs: (nowUs - need.lastUs) / clock.Ms}
 	}
 	return n
@@ -59,31 +113,31 @@
 
 // orderStatuses shows the standing orders, and when each was sent.
 func (c *Controller) orderStatuses(nowUs int64, s *statemachine.State) []OrderStatus {
-	notes := []OrderStatus{}
+	statuses := []OrderStatus{}
 	for _, id := range sortedKeys(s.Pending) {
 		row := OrderStatus{ReplicaCommand: s.Pending[id], SentAgoMs: -1}
-		if o := c.routed.orders[row.Number]; o != nil && o.sentUs > 0 {
+		if o := c.routed.orders.byNumber[row.Number]; o != nil && o.sentUs > 0 {
 			row.SentAgoMs, row.Answer = (nowUs-o.sentUs)/clock.Ms, o.answer
 		}
-		notes = append(notes, row)
+		statuses = append(statuses, row)
 	}
-	return notes
+	return statuses
 }
 
 // storeStatuses shows how many loads each service's store bears, and how many run and began lately.
 func (c *Controller) storeStatuses(nowUs int64, s *statemachine.State) []StoreStatus {
-	notes := []StoreStatus{}
-	windowUs := c.storeWindowUs()
-	began := c.routed.loadsWithin(nowUs, windowUs)
+	statuses := []StoreStatus{}
+	windowUs := c.routed.store.spanUs()
+	began := c.routed.store.loadsWithin(nowUs, windowUs)
 	for i := range s.Doc.Services {
 		svc := &s.Doc.Services[i]
 		if svc.Engine == nil {
 			continue
 		}
-		notes = append(notes, StoreStatus{
-			Service: svc.Name, Left: c.storeLoadsLeft(nowUs, s, svc), AtOnce: svc.Engine.MaxConcurrentLoads(), WindowMs: windowUs / clock.Ms,
+		statuses = append(statuses, StoreStatus{
+			Service: svc.Name, Left: c.routed.store.loadsLeft(nowUs, s, svc), AtOnce: svc.Engine.MaxConcurrentLoads(), WindowMs: windowUs / clock.Ms,
 			Running: pendingStoreLoads(s, svc), Began: began,
 		})
 	}
-	return notes
+	return statuses
 }
--- /dev/null
+++ b/internal/controlplane/controller/store_window.go
@@ -0,0 +1,119 @@
+package controller
+
+import (
+	"strings"
+
+	"petreltide/internal/api/configuration"
+	"petreltide/internal/controlplane/statemachine"
+	"petreltide/internal/process/clock"
+)
+
+const (
+	// defaultWindowUs is the length of the store's window where Options name none.
+	defaultWindowUs = 5 * clock.Sec
+	// windowSlackUs is how much longer loads count here than in the store's own window.
+	windowSlackUs = 400 * clock.Ms
+	// storeBurst is how many loads the window allows beyond the rate, storeCut how many of them are not used.
+	storeBurst = 3
+	storeCut   = 1
+	// maxTrackedLoads bounds how many loads are remembered.
+	maxTrackedLoads = 4096
+)
+
+// storeWindow is a sliding window over the loads that read from the weight store, whichever leader ordered them.
+type storeWindow struct {
+	// lengthUs is its length, in microseconds; 0 is defaultWindowUs.
+	lengthUs int64
+	// overshoot is how far loads may go beyond the store's rate; below 1 counts as 1.
+	overshoot float64
+	// loadsUs are the times at which loads began, oldest first.
+	loadsUs []int64
+	// nextTicket is the number up to which every command was counted; 0 before the first.
+	nextTicket uint64
+	// unseenUs is when it last showed that commands were issued unseen; 0 for never.
+	unseenUs int64
+}
+
+// detectUnseenTickets notes that tickets were issued which this controller did not see one by one: as many loads may lie
+// behind them as the store's window bears. Numbers rise by one, so that a gap shows.
+func (w *storeWindow) detectUnseenTickets(nowUs int64, s *statemachine.State, news int) {
+	if w.nextTicket == 0 {
+		w.nextTicket = 1
+	}
+	if s.NextNumber > w.nextTicket+uint64(news) {
+		w.unseenUs = nowUs
+	}
+	w.nextTicket = s.NextNumber
+}
+
+// recordLoad counts a ticket against the store's window, if its load reads from the store.
+func (w *storeWindow) recordLoad(nowUs int64, s *statemachine.State, t statemachine.ReplicaCommand) {
+	if !readsFromStore(s.Replicas[t.Replica], t) {
+		return
+	}
+	w.loadsUs = append(w.loadsUs, nowUs)
+	if len(w.loadsUs) > maxTrackedLoads {
+		w.loadsUs = append([]int64(nil), w.loadsUs[maxTrackedLoads/2:]...)
+	}
+}
+
+// loadsWithin counts the loads from the store that began within a span up to now.
+func (w *storeWindow) loadsWithin(nowUs, spanUs int64) int {
+	n := 0
+	for _, atUs := range w.loadsUs {
+		if nowUs-atUs < spanUs {
+			n++
+		}
+	}
+	return n
+}
+
+// readsFromStore says whether a command loads a model that its replica never had, so that the weights come from the store. Adapters,
+// and models that the replica had before, come from elsewhere.
+func readsFromStore(have *statemachine.Replica, t statemachine.ReplicaCommand) bool {
+	return t.Action == statemachine.Load && !strings.Contains(t.Unit, "/") && (have == nil || !have.EverLoaded[t.Unit])
+}
+
+// pendingStoreLoads counts a service's pending loads from the store.
+func pendingStoreLoads(s *statemachine.State, service *configuration.Service) int {
+	n := 0
+	for _, t := range s.Pending {
+		if have := s.Replicas[t.Replica]; have != nil && have.Service == service.Name && readsFromStore(have, t) {
+			n++
+		}
+	}
+	return n
+}
+
+// spanUs is the length of the window.
+func (w *storeWindow) spanUs() int64 {
+	if w.lengthUs == 0 {
+		return defaultWindowUs
+	}
+	return w.lengthUs
+}
+
+// loadsLeft is how many loads from the store may begin now: what the sliding window still allows, and no
+// more at once than the store bears at full speed.
+func (w *storeWindow) loadsLeft(nowUs int64, s *statemachine.State, service *configuration.Service) int {
+	e := service.Engine
+	windowUs := w.spanUs()
+	overshoot := max(w.overshoot, 1)
+	most := int(e.LoadsPerSecond*float64(windowUs)/float64(clock.Sec)*overshoot+storeBurst) - storeCut
+	spent := w.loadsWithin(nowUs, windowUs+windowSlackUs)
+	if w.detectUnseenTickets(nowUs, s, 0); w.unseenUs > 0 && nowUs-w.unseenUs < windowUs+windowSlackUs {
+		spent += most
+	}
+	return max(0, min(most-spent, e.MaxConcurrentLoads()-pendingStoreLoads(s, service)))
+}
+
+// totalLoadsLeft sums what the store still gives over all services; each is checked by its own account as well.
+func (w *storeWindow) totalLoadsLeft(nowUs int64, s *statemachine.State) int {
+	left := 0
+	for i := range s.Doc.Services {
+		if s.Doc.Services[i].Engine != nil {
+			left += w.loadsLeft(nowUs, s, &s.Doc.Services[i])
+		}
+	}
+	return left
+}
--- a/internal/controlplane/controller/turns_test.go
+++ b/internal/controlplane/controller/turns_test.go
@@ -100,7 +100,7 @@
 			wait = map[string]int64{"r0": fleetLeaseUs + leaseSlackUs, "r1": fleetLeaseUs + leaseSlackUs}
 		}
 		for id, us := range wait {
-			if got := max(f.waitUs(9600*clock.Ms, id), 0); got != us {
+			if got := max(f.routed.predecessor.waitUs(9600*clock.Ms, id), 0); got != us {
 				t.Errorf("%s: %s may be ordered in %d ms, want %d", name, id, got/1000, us/1000)
 			}
 		}
@@ -111,12 +111,12 @@
 // Whoever leads next leaves a whole lease between that arrival and its own first order.
 func TestAnOrderThatWasOnItsWayIsNoTurnWithinTheLease(t *testing.T) {
 	f := New("two", Options{LeaseUs: fleetLeaseUs})
-	f.turns.lastOrderUs = map[string]int64{"r0": 9 * clock.Sec}
+	f.routed.predecessor.orders.lastOrderUs = map[string]int64{"r0": 9 * clock.Sec}
 	arrivedUs := 9*clock.Sec + OrderFlightUs
-	if f.canOrder(arrivedUs+fleetLeaseUs, "r0") {
+	if f.routed.predecessor.canOrder(arrivedUs+fleetLeaseUs, "r0") {
 		t.Error("ordered within a lease of an order that took its whole time")
 	}
-	if !f.canOrder(arrivedUs+fleetLeaseUs+200*clock.Ms, "r0") {
+	if !f.routed.predecessor.canOrder(arrivedUs+fleetLeaseUs+200*clock.Ms, "r0") {
 		t.Error("it waits longer than there is a reason for")
 	}
 }
--- /dev/null
+++ b/internal/controlplane/controller/writes.go
@@ -0,0 +1,105 @@
+package controller
+
+import (
+	"fmt"
+
+	"petreltide/internal/api/fault"
+	"petreltide/internal/api/wire"
+	"petreltide/internal/controlplane/statemachine"
+	"petreltide/internal/process/clock"
+)
+
+// writeTimeoutUs is how long a change to the replicated state is waited for; one that takes longer is taken for lost, and
+// the next is written without it. An epoch keeps one that comes late from doing harm.
+const writeTimeoutUs = 2 * clock.Sec
+
+// changeWriter allows one change of the leader at a time, so that each is made of what the one before left.
+type changeWriter struct {
+	// pendingID is the change under way; "" without one.
+	pendingID string
+	// submittedUs is when it was submitted.
+	submittedUs int64
+	// count is how many changes were submitted; it makes their IDs unique within an epoch.
+	count uint64
+}
+
+// isBusy says whether a change is under way that is not lost yet.
+func (w *changeWriter) isBusy(nowUs int64) bool {
+	return w.pendingID != "" && nowUs-w.submittedUs < writeTimeoutUs
+}
+
+// begin names the next change.
+func (w *changeWriter) begin(nowUs int64, leader leadership) (id string) {
+	w.count++
+	w.pendingID = fmt.Sprintf("duty-%s-%d-%d", leader.id, leader.epoch, w.count)
+	w.submittedUs = nowUs
+	return w.pendingID
+}
+
+// complete says whether an outcome is that of the change under way, which is then done.
+func (w *changeWriter) complete(id string) bool {
+	if id != w.pendingID {
+		return false
+	}
+	w.pendingID = ""
+	return true
+}
+
+// writeDue puts into one change all that the replicated state should learn now, unless an earlier change is under way.
+func (c *Controller) writeDue(snapshot Snapshot) {
+	if !snapshot.CanWrite || c.writes.isBusy(snapshot.NowUs) {
+		return
+	}
+	c.declared.budget.submittedMb = 0
+	update := &statemachine.LeaderUpdate{}
+	c.mode(snapshot).collect(snapshot, update)
+	if update.IsEmpty() {
+		return
+	}
+	if len(update.Results)+len(update.Replicas)+len(update.RemovedReplicas) > 0 {
+		c.policies.inputChanged = true
+	}
+	id := c.writes.begin(snapshot.NowUs, c.leadership)
+	c.emit(WriteChange{Change: &statemachine.Change{ID: id, Epoch: c.leadership.epoch, LeaderUpdate: update}})
+}
+
+// onWriteResult takes the outcome of the change under way, and goes on at once.
+func (c *Controller) onWriteResult(snapshot Snapshot, outcome statemachine.Outcome) {
+	if !c.writes.complete(outcome.ID) {
+		return
+	}
+	c.declared.budget.submittedMb = 0
+	for _, rejected := range outcome.Faults {
+		c.count(rejected.Code)
+	}
+	if c.IsLeader(snapshot.State) && snapshot.IsFresh {
+		c.mode(snapshot).afterWrite(snapshot)
+		c.act(snapshot)
+	}
+}
+
+// settleTickets records the outcome of each pending command that its replica's last order shows.
+func (c *Controller) settleTickets(nowUs int64, s *statemachine.State, update *statemachine.LeaderUpdate) {
+	for _, id := range sortedKeys(s.Pending) {
+		t := s.Pending[id]
+		row := c.replicas.reportedAs(t)
+		if row == nil || row.report.LastOrder == nil {
+			continue
+		}
+		last := row.report.LastOrder
+		switch {
+		case last.Number == t.Number && last.State == wire.OrderDone:
+			update.Results = append(update.Results, c.withResult(s, t, statemachine.CommandResult{Number: t.Number, Succeeded: true}))
+		case last.Number == t.Number && last.State == wire.OrderFailed:
+			c.count(fault.ReplicaFailed)
+			update.Results = append(update.Results, c.withResult(s, t, statemachine.CommandResult{Number: t.Number, Reason: last.Reason}))
+		case last.Number > t.Number:
+			update.Results = append(update.Results, statemachine.CommandResult{Number: t.Number, Reason: "voided by a newer order"})
+		default:
+			continue
+		}
+		delete(c.declared.orders.sentUs, t.Number)
+		row.settledUs = nowUs
+		c.routed.residency.recordArrival(nowUs, t)
+	}
+}
