--- a/internal/dataplane/controlclient/informer.go
+++ b/internal/dataplane/controlclient/informer.go
@@ -21,7 +21,6 @@
 	undeclaredBackoffUs        = 100 * clock.Ms
 	reportIntervalUs           = 250 * clock.Ms
 	reportIntervalPerGatewayUs = 3 * clock.Ms
-	mirrorIdleUs               = 1000 * clock.Ms
 	streamCount                = 2
 	failureReportIntervalUs    = 250 * clock.Ms
 	outlierTimeoutUs           = 30 * clock.Sec
--- a/internal/dataplane/gateway/attempts.go
+++ b/internal/dataplane/gateway/attempts.go
@@ -184,7 +184,7 @@
 		ending, why := scheduling.CheckPiece(st.Attempt, len(s.chunks), p)
 		if ending != "" {
 			if ending == scheduling.OutcomeBroken {
-				_ = h.log.Log("event", "stream broken", "leg", st.Attempt, "why", why)
+				_ = h.warn.Log("msg", "stream broken", "attempt", st.Attempt, "reason", why)
 			}
 			return ending, why
 		}
--- a/internal/dataplane/gateway/host.go
+++ b/internal/dataplane/gateway/host.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 	"github.com/juju/errors"
 
 	"petreltide/internal/api/fault"
@@ -35,11 +36,13 @@
 // Host runs one gateway: its listeners, its connection to the control nodes and its decider, which only its actor
 // touches.
 type Host struct {
-	settings      settings.Gateway
-	incarnation   string
-	decider       *scheduling.Decider
-	ring          *logring.Ring
-	log           log.Logger
+	settings    settings.Gateway
+	incarnation string
+	decider     *scheduling.Decider
+	ring        *logring.Ring
+	// info and warn are loggers of a level, made once: none is made on the path of a request.
+	info          log.Logger
+	warn          log.Logger
 	nodeClient    *http.Client
 	attemptClient *http.Client
 
@@ -98,12 +101,13 @@
 // Open prepares a gateway; Run serves.
 func Open(set settings.Gateway, ring *logring.Ring) *Host {
 	incarnation := randomid.New(6)
+	logger := ring.Logger("gateway", set.Name)
 	attempts := rpc.Client(400, set.Listen)
 	attempts.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	attempts.Transport.(*http.Transport).DisableKeepAlives = true
 	attempts.Transport.(*http.Transport).ExpectContinueTimeout = continueTimeout
 	h := &Host{
-		settings: set, incarnation: incarnation, ring: ring, log: ring.Logger("desk", set.Name), nodeClient: rpc.NodeClient(400, set.Listen), attemptClient: attempts,
+		settings: set, incarnation: incarnation, ring: ring, info: level.Info(logger), warn: level.Warn(logger), nodeClient: rpc.NodeClient(400, set.Listen), attemptClient: attempts,
 		decider: scheduling.New(scheduling.Options{
 			Gateway: set.Name, Incarnation: incarnation, Zone: set.Zone, QueueMax: set.MaxQueue,
 			RetryBudget: scheduling.RetryBudgetOptions{Ratio: set.RetryBudget.Ratio, Slack: set.RetryBudget.Slack, WindowUs: set.RetryBudget.WindowMs * clock.Ms},
@@ -140,7 +144,7 @@
 		every = informerTickInterval
 	}
 	h.act.Spawn(func() { h.act.Loop(every, h.tick) })
-	_ = h.log.Log("event", "started", "inc", h.incarnation, "disabled", h.settings.Disable.String())
+	_ = h.info.Log("msg", "started", "incarnation", h.incarnation, "disabled", h.settings.Disable.String())
 	failed := make(chan error, len(h.listeners))
 	for _, d := range h.listeners {
 		go func() {
@@ -205,7 +209,7 @@
 func (h *Host) tick() {
 	nowUs := clock.NowUs()
 	if h.lastTickUs > 0 && nowUs-h.lastTickUs > maxTickGapUs {
-		_ = h.log.Log("event", "woke after a gap", "gapMs", (nowUs-h.lastTickUs)/1000)
+		_ = h.warn.Log("msg", "woke after a gap", "gapMs", (nowUs-h.lastTickUs)/1000)
 	}
 	h.lastTickUs = nowUs
 	h.step(scheduling.Tick{})
--- a/internal/dataplane/gateway/informer.go
+++ b/internal/dataplane/gateway/informer.go
@@ -96,7 +96,7 @@
 			h.step(scheduling.SnapshotReceived{Snapshot: e.Snapshot})
 			if first {
 				close(h.declared)
-				_ = h.log.Log("event", "declared", "revision", e.Snapshot.Revision, "replicas", len(e.Snapshot.Replicas))
+				_ = h.info.Log("msg", "declaration received", "revision", e.Snapshot.Revision, "replicas", len(e.Snapshot.Replicas))
 			}
 		}
 	}
--- a/internal/dataplane/gateway/keys.go
+++ b/internal/dataplane/gateway/keys.go
@@ -42,7 +42,7 @@
 	h.act.Spawn(func() {
 		defer h.activeCalls.Add(-1)
 		if _, err := h.Submit(h.act.Ctx, change); err != nil {
-			_ = h.log.Log("event", "key end not recorded", "call", c.ID, "end", end, "err", err)
+			_ = h.warn.Log("msg", "end of key not recorded", "request", c.ID, "end", end, "err", err)
 		}
 	})
 }
--- a/internal/dataplane/gateway/run.go
+++ b/internal/dataplane/gateway/run.go
@@ -74,8 +74,8 @@
 // rejectCall gives the caller the fault by which the decider gave its call up.
 func (h *Host) rejectCall(c *scheduling.Call, f *fault.Fault, exchange Exchange) string {
 	if c.Routed != nil {
-		_ = h.log.Log("event", "given up", "path", c.Kind, "model", c.Model, "adapter", c.Adapter,
-			"waitedMs", (clock.NowUs()-c.ArrivedUs)/clock.Ms, "mostMs", c.TimeoutMs, "retryMs", f.RetryMs, "why", f.Detail)
+		_ = h.info.Log("msg", "request rejected", "route", c.Kind, "model", c.Model, "adapter", c.Adapter,
+			"waitedMs", (clock.NowUs()-c.ArrivedUs)/clock.Ms, "maxMs", c.TimeoutMs, "retryMs", f.RetryMs, "reason", f.Detail)
 	}
 	exchange.Fail(f)
 	return f.Run
@@ -127,7 +127,7 @@
 	if firstUs := c.FirstByteUs.Load(); firstUs >= fromUs {
 		firstMs = (firstUs - fromUs) / clock.Ms
 	}
-	_ = h.log.Log("event", "leg", "path", c.Kind, "model", c.Model, "adapter", c.Adapter, "replica", st.Replica, "tokens", c.Routed.PromptTokens,
-		"waitedMs", (fromUs-c.ArrivedUs)/clock.Ms, "guessMs", int64(st.EstimatedFirstByteMs), "firstMs", firstMs, "allMs", (clock.NowUs()-fromUs)/clock.Ms,
-		"running", st.Running, "aimMs", st.Route.LatencyTargetMs, "mostMs", c.TimeoutMs, "ending", ending, "why", why)
+	_ = h.info.Log("msg", "attempt ended", "route", c.Kind, "model", c.Model, "adapter", c.Adapter, "replica", st.Replica, "tokens", c.Routed.PromptTokens,
+		"waitedMs", (fromUs-c.ArrivedUs)/clock.Ms, "estimateMs", int64(st.EstimatedFirstByteMs), "firstMs", firstMs, "totalMs", (clock.NowUs()-fromUs)/clock.Ms,
+		"running", st.Running, "targetMs", st.Route.LatencyTargetMs, "maxMs", c.TimeoutMs, "ending", ending, "reason", why)
 }
