--- a/internal/api/wire/frame.go
+++ b/internal/api/wire/frame.go
@@ -8,7 +8,6 @@
 
 	"petreltide/internal/api/configuration"
 	"petreltide/internal/api/membership"
-	"petreltide/internal/controlplane/registry"
 	"petreltide/internal/outlier"
 )
 
@@ -39,7 +38,7 @@
 
 // ReplicaRow is a replica's own word and what the control node makes of its silence.
 type ReplicaRow struct {
-	registry.ReplicaStatus
+	ReplicaStatus
 	Unreachable bool `json:"dark,omitempty"`
 	// Index is the ledger entry that last said what it holds; Units follow the greatest.
 	Index uint64 `json:"index,omitempty"`
--- a/internal/api/wire/wire.go
+++ b/internal/api/wire/wire.go
@@ -3,7 +3,6 @@
 import (
 	"petreltide/internal/api/configuration"
 	"petreltide/internal/api/membership"
-	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/outlier"
 )
 
@@ -15,7 +14,7 @@
 	Revision    uint64                     `json:"revision"`
 	Declaration *configuration.Declaration `json:"doc,omitempty"`
 	Replicas    []ReplicaUpdate            `json:"replicas"`
-	Grants      []statemachine.Grant       `json:"grants"`
+	Grants      []Grant                    `json:"grants"`
 }
 
 // ReplicaUpdate is one replica as a gateway needs it. Share is how many requests this gateway may have there at once;
@@ -108,8 +107,8 @@
 
 // Result is what became of a change, told to the control node that took it. Everywhere says that all gateways have it.
 type Result struct {
-	Outcome       statemachine.Outcome `json:"outcome"`
-	OnAllGateways bool                 `json:"everywhere"`
+	Outcome       Outcome `json:"outcome"`
+	OnAllGateways bool    `json:"everywhere"`
 }
 
 // Ack says no more than that a message has arrived.
@@ -119,11 +118,11 @@
 
 // ReplicaState is what a replica answers when it is asked what it holds and does.
 type ReplicaState struct {
-	ID          string                      `json:"id"`
-	Incarnation string                      `json:"inc"`
-	Loaded      []statemachine.ResidentUnit `json:"holds"`
-	LastOrder   *OrderState                 `json:"last,omitempty"`
-	Active      int                         `json:"active"`
+	ID          string         `json:"id"`
+	Incarnation string         `json:"inc"`
+	Loaded      []ResidentUnit `json:"holds"`
+	LastOrder   *OrderState    `json:"last,omitempty"`
+	Active      int            `json:"active"`
 
 	// Of replicas that do not name their last order: whether one is under way, how many they took, and
 	// which units they hold.
@@ -134,8 +133,8 @@
 
 // Order is one order to a replica: a ticket of the ledger, under the epoch of the controller that sends it.
 type Order struct {
-	Command statemachine.ReplicaCommand `json:"ticket"`
-	Epoch   uint64                      `json:"epoch"`
+	Command ReplicaCommand `json:"ticket"`
+	Epoch   uint64         `json:"epoch"`
 	// Leader is who leads; Expected is how many orders the replica has taken, where it is known.
 	Leader         string  `json:"holder,omitempty"`
 	ExpectedOrders *uint64 `json:"expected,omitempty"`
--- a/internal/controlplane/registry/change_log.go
+++ b/internal/controlplane/registry/change_log.go
@@ -13,7 +13,7 @@
 
 // recordChange gives an entry that changed the next revision.
 func (r *Registry) recordChange(e *Entry) {
-	e.checksum = e.ReplicaStatus.checksum()
+	e.checksum = checksum(&e.ReplicaStatus)
 	r.Revision++
 	e.Revision = r.Revision
 	r.changes = append(r.changes, changeRecord{r.Revision, e.ID})
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -63,7 +63,7 @@
 	}
 	e.lastSeq = max(e.lastSeq, status.Seq)
 	e.LastHeartbeatUs, e.ConfirmedUs = max(e.LastHeartbeatUs, heartbeatUs), max(e.ConfirmedUs, confirmedUs)
-	changed := !e.equivalent(&status)
+	changed := !equivalent(&e.ReplicaStatus, &status)
 	if e.Unreachable && nowUs-heartbeatUs < r.UnreachableAfterUs {
 		e.Unreachable, changed = false, true
 	}
--- a/internal/controlplane/statemachine/replicas.go
+++ b/internal/controlplane/statemachine/replicas.go
@@ -70,12 +70,6 @@
 	CommandsTaken *uint64 `json:"orders,omitempty"`
 }
 
-// ResidentUnit is a model, or an adapter as "model/adapter", at a replica.
-type ResidentUnit struct {
-	Unit   string `json:"unit"`
-	SizeMB int64  `json:"sizeMb"`
-}
-
 // ReplicaIDs returns the IDs of all replicas in order.
 func (s *State) ReplicaIDs() []string {
 	return slices.Sorted(maps.Keys(s.Replicas))
--- a/internal/dataplane/controlclient/informer_test.go
+++ b/internal/dataplane/controlclient/informer_test.go
@@ -200,7 +200,7 @@
 }
 
 func (c *chronicle) update(id string) {
-	have, t := c.head.Replicas[id], statemachine.ReplicaCommand{}
+	have, t := c.head.Replicas[id], wire.ReplicaCommand{}
 	if pending, is := c.head.Pending[id]; is {
 		c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: pending.Number, Succeeded: c.r.Intn(5) > 0}}}})
 		return
@@ -209,11 +209,11 @@
 		c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: id, Incarnation: id, Addr: id, Zone: "a", CapacityMB: 100, Slots: 4, Service: "s", ResidentKnown: true}}}})
 		return
 	}
-	t = statemachine.ReplicaCommand{Replica: id, Incarnation: id, Revision: c.head.Revision, Action: statemachine.Load, Unit: []string{"m1", "m2", "m3", "m1/a1"}[c.r.Intn(4)]}
+	t = wire.ReplicaCommand{Replica: id, Incarnation: id, Revision: c.head.Revision, Action: wire.Load, Unit: []string{"m1", "m2", "m3", "m1/a1"}[c.r.Intn(4)]}
 	if _, held := have.Resident[t.Unit]; held {
-		t.Action = statemachine.Unload
+		t.Action = wire.Unload
 	}
-	c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Commands: []statemachine.ReplicaCommand{t}}})
+	c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Commands: []wire.ReplicaCommand{t}}})
 }
 
 var asGatewaysSee = cmp.Options{cmpopts.IgnoreFields(scheduling.Snapshot{}, "Number", "ReceivedUs"), cmpopts.IgnoreFields(configuration.Declaration{}, "Index"), cmpopts.EquateEmpty()}
@@ -260,7 +260,7 @@
 				}
 			case 3, 4:
 				seqs[id]++
-				cores[r.Intn(2)].roster.HandleHeartbeat(nowUs, registry.ReplicaStatus{ID: id, Service: "s", Addr: id, Zone: "a", Slots: 4, Seq: seqs[id], Draining: r.Intn(5) == 0, Units: []string{"m1", "m2"}[:r.Intn(3)]})
+				cores[r.Intn(2)].roster.HandleHeartbeat(nowUs, wire.ReplicaStatus{ID: id, Service: "s", Addr: id, Zone: "a", Slots: 4, Seq: seqs[id], Draining: r.Intn(5) == 0, Units: []string{"m1", "m2"}[:r.Intn(3)]})
 			case 5:
 				if n%5 == 0 {
 					cores[r.Intn(2)].roster.Remove(nowUs, id)
@@ -349,7 +349,7 @@
 		o.restart()
 		o.settled = true
 	}
-	two.roster.HandleHeartbeat(clock.Sec, registry.ReplicaStatus{ID: "heard", Service: "s", Addr: "heard", Zone: "a", Slots: 4, Seq: 1})
+	two.roster.HandleHeartbeat(clock.Sec, wire.ReplicaStatus{ID: "heard", Service: "s", Addr: "heard", Zone: "a", Slots: 4, Seq: 1})
 	s := newScreen(t, "desk", one, two)
 	pass := func(fromUs int64) []string {
 		for us := fromUs; us < fromUs+clock.Sec; us += 100 * clock.Ms {
@@ -404,7 +404,7 @@
 		}
 		step(InformerEvent{NowUs: clock.Sec})
 		step(InformerEvent{NowUs: clock.Sec, Stream: stream, Frame: &wire.Frame{Complete: true, Revision: 5, Declaration: doc}})
-		c.frame.Replicas = []wire.ReplicaRow{{ReplicaStatus: registry.ReplicaStatus{ID: "r", Seq: 1}}}
+		c.frame.Replicas = []wire.ReplicaRow{{ReplicaStatus: wire.ReplicaStatus{ID: "r", Seq: 1}}}
 		step(InformerEvent{NowUs: clock.Sec + 1, Stream: stream, Frame: c.frame})
 		if m.revision != c.revision || m.declaration.Route("a").TimeoutMs != c.ms || closed != c.dropped {
 			t.Errorf("%s: revision %d, %d ms, dropped %v", name, m.revision, m.declaration.Route("a").TimeoutMs, closed)
@@ -414,7 +414,7 @@
 
 func TestWhereTwoControlNodesDiffer(t *testing.T) {
 	row := func(seq uint64, edit func(*wire.ReplicaRow)) wire.ReplicaRow {
-		r := wire.ReplicaRow{ReplicaStatus: registry.ReplicaStatus{ID: "r", Service: "s", Addr: "r", Slots: 4, Seq: seq, Units: []string{fmt.Sprint("held at ", seq)}}}
+		r := wire.ReplicaRow{ReplicaStatus: wire.ReplicaStatus{ID: "r", Service: "s", Addr: "r", Slots: 4, Seq: seq, Units: []string{fmt.Sprint("held at ", seq)}}}
 		if edit != nil {
 			edit(&r)
 		}
--- a/internal/dataplane/controlclient/staleness_test.go
+++ b/internal/dataplane/controlclient/staleness_test.go
@@ -5,7 +5,7 @@
 	"math/rand"
 	"testing"
 
-	"petreltide/internal/controlplane/registry"
+	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/process/clock"
 )
@@ -25,7 +25,7 @@
 	d.log = &chronicle{r: d.r, head: statemachine.NewState()}
 	for i := range 5 {
 		c := newCore(fmt.Sprint("o", i))
-		c.roster.HandleHeartbeat(d.nowUs, registry.ReplicaStatus{ID: "r", Service: "s", Addr: "r", Seq: 1})
+		c.roster.HandleHeartbeat(d.nowUs, wire.ReplicaStatus{ID: "r", Service: "s", Addr: "r", Seq: 1})
 		d.all = append(d.all, c)
 	}
 	d.screen = newScreen(t, "d", d.all...)
--- a/internal/dataplane/controlclient/verdict_test.go
+++ b/internal/dataplane/controlclient/verdict_test.go
@@ -4,7 +4,7 @@
 	"math/rand"
 	"testing"
 
-	"petreltide/internal/controlplane/registry"
+	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/outlier"
 	"petreltide/internal/process/clock"
@@ -19,14 +19,14 @@
 	one, two := newCore("one"), newCore("two")
 	for _, o := range []*core{one, two} {
 		o.apply(c.log, len(c.log))
-		o.roster.HandleHeartbeat(clock.Sec, registry.ReplicaStatus{ID: "r1", Service: "s", Addr: "r1", Zone: "a", Slots: 4, Seq: 1})
+		o.roster.HandleHeartbeat(clock.Sec, wire.ReplicaStatus{ID: "r1", Service: "s", Addr: "r1", Zone: "a", Slots: 4, Seq: 1})
 	}
 	s := newScreen(t, "desk", one, two)
 	nowUs := clock.Sec
 	pass := func(us int64) map[string]outlier.Verdict {
 		for untilUs := nowUs + us; nowUs < untilUs; nowUs += 100 * clock.Ms {
 			for _, o := range []*core{one, two} {
-				o.roster.HandleHeartbeat(nowUs, registry.ReplicaStatus{ID: "r1", Service: "s", Addr: "r1", Zone: "a", Slots: 4, Seq: uint64(nowUs)})
+				o.roster.HandleHeartbeat(nowUs, wire.ReplicaStatus{ID: "r1", Service: "s", Addr: "r1", Zone: "a", Slots: 4, Seq: uint64(nowUs)})
 			}
 			s.carry(nowUs, r, 0)
 		}
--- a/internal/dataplane/gateway/keys.go
+++ b/internal/dataplane/gateway/keys.go
@@ -4,12 +4,13 @@
 	"context"
 
 	"petreltide/internal/api/fault"
+	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/dataplane/scheduling"
 )
 
 func (h *Host) claimKey(ctx context.Context, key string, c *scheduling.Call) *fault.Fault {
-	change := statemachine.Change{ID: "key-" + c.ID, Key: &statemachine.KeyChange{Key: key, Gateway: h.settings.Name, GatewayIncarnation: h.incarnation, Call: c.ID}}
+	change := statemachine.Change{ID: "key-" + c.ID, Key: &wire.KeyChange{Key: key, Gateway: h.settings.Name, GatewayIncarnation: h.incarnation, Call: c.ID}}
 	result, err := h.Submit(ctx, change)
 	if err != nil {
 		f := fault.New(fault.Overloaded, "Idempotency-Key", "the key could not be claimed in time")
@@ -37,7 +38,7 @@
 }
 
 func (h *Host) submitKey(key string, c *scheduling.Call, end string) {
-	change := statemachine.Change{ID: "key-" + end + "-" + c.ID, Key: &statemachine.KeyChange{Key: key, Gateway: h.settings.Name, GatewayIncarnation: h.incarnation, Call: c.ID, End: end, Release: end == ""}}
+	change := statemachine.Change{ID: "key-" + end + "-" + c.ID, Key: &wire.KeyChange{Key: key, Gateway: h.settings.Name, GatewayIncarnation: h.incarnation, Call: c.ID, End: end, Release: end == ""}}
 	h.activeCalls.Add(1)
 	h.act.Spawn(func() {
 		defer h.activeCalls.Add(-1)
--- a/internal/dataplane/scheduling/decider_test.go
+++ b/internal/dataplane/scheduling/decider_test.go
@@ -7,7 +7,6 @@
 	"petreltide/internal/api/configuration"
 	"petreltide/internal/api/fault"
 	"petreltide/internal/api/wire"
-	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/process/clock"
 )
 
@@ -19,7 +18,7 @@
 	}}
 	for _, id := range []string{"r1", "r2"} {
 		n.Replicas = append(n.Replicas, wire.ReplicaUpdate{ID: id, Incarnation: "i", Addr: id, Zone: map[string]string{"r1": "a", "r2": "b"}[id], Loaded: []string{"m"}, MaxInFlight: share})
-		n.Grants = append(n.Grants, statemachine.Grant{Number: 1, Replica: id, Incarnation: "i", Model: "m", From: 1, To: 1000})
+		n.Grants = append(n.Grants, wire.Grant{Number: 1, Replica: id, Incarnation: "i", Model: "m", From: 1, To: 1000})
 	}
 	if edit != nil {
 		edit(&n)
--- a/internal/dataplane/scheduling/golden_test.go
+++ b/internal/dataplane/scheduling/golden_test.go
@@ -15,7 +15,6 @@
 
 	"petreltide/internal/api/configuration"
 	"petreltide/internal/api/wire"
-	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/outlier"
 	"petreltide/internal/process/clock"
 )
@@ -143,7 +142,7 @@
 			n.Replicas = append(n.Replicas, wire.ReplicaUpdate{ID: id, Incarnation: "i", Addr: id, Zone: []string{"a", "b"}[i%2], Loaded: [][]string{{"m"}, {"m", "n", "x"}}[r.Intn(2)], MaxInFlight: 1 + r.Intn(3), Draining: r.Intn(6) == 0, Unreachable: r.Intn(9) == 0})
 			for _, model := range []string{"m", "n"} {
 				ticket := 1 + number/4
-				n.Grants = append(n.Grants, statemachine.Grant{Number: ticket, Replica: id, Incarnation: "i", Model: model, From: ticket * 100, To: ticket*100 + 30})
+				n.Grants = append(n.Grants, wire.Grant{Number: ticket, Replica: id, Incarnation: "i", Model: model, From: ticket * 100, To: ticket*100 + 30})
 			}
 		}
 		last = NewSnapshot(last, n, int64(number))
--- a/internal/dataplane/scheduling/snapshot.go
+++ b/internal/dataplane/scheduling/snapshot.go
@@ -6,7 +6,6 @@
 	"petreltide/internal/api/configuration"
 	"petreltide/internal/api/fault"
 	"petreltide/internal/api/wire"
-	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/outlier"
 )
 
@@ -18,7 +17,7 @@
 	Declaration *configuration.Declaration
 	Replicas    map[string]*wire.ReplicaUpdate
 	IDs         []string
-	Grants      map[string]statemachine.Grant
+	Grants      map[string]wire.Grant
 	ReceivedUs  int64
 
 	// Of a routed declaration: replicas by service in order of their ids, and how many gateways live.
@@ -31,7 +30,7 @@
 // NewSnapshot makes a snapshot of news, which leave out a declaration that has not changed since the prior one.
 func NewSnapshot(prior *Snapshot, n wire.GatewayUpdate, nowUs int64) *Snapshot {
 	s := &Snapshot{Number: n.Number, View: n.View, Revision: n.Revision, Declaration: n.Declaration,
-		Replicas: map[string]*wire.ReplicaUpdate{}, Grants: map[string]statemachine.Grant{}, ReceivedUs: nowUs}
+		Replicas: map[string]*wire.ReplicaUpdate{}, Grants: map[string]wire.Grant{}, ReceivedUs: nowUs}
 	if s.Declaration == nil && prior != nil {
 		s.Declaration = prior.Declaration
 	}
