--- a/tests/callers/callers.go
+++ b/tests/callers/callers.go
@@ -15,10 +15,10 @@
 	"petreltide/tests/rules"
 )
 
-// Ask sends one attempt to one gateway and notes all the caller sees.
-func Ask(ctx context.Context, client *http.Client, addr string, ask gateway.CallRequest, key string, t rules.Told) rules.Told {
+// Send sends one attempt to one gateway and notes all the caller sees.
+func Send(ctx context.Context, client *http.Client, addr string, ask gateway.CallRequest, key string, t rules.ClientAttempt) rules.ClientAttempt {
 	t.Gateway, t.StartUs, t.Key = addr, clock.NowUs(), key
-	t.Kind, t.Model, t.Adapter, t.Prompt, t.MostOut, t.Had = ask.Kind, ask.Model, ask.Adapter, ask.Prompt, ask.MaxOutput, len(ask.Received)
+	t.Kind, t.Model, t.Adapter, t.Prompt, t.MaxOutput, t.ReceivedChunks = ask.Kind, ask.Model, ask.Adapter, ask.Prompt, ask.MaxOutput, len(ask.Received)
 	raw, err := json.Marshal(ask)
 	if err != nil {
 		panic(err)
@@ -56,7 +56,7 @@
 	return t
 }
 
-func readFault(res *http.Response, t *rules.Told) {
+func readFault(res *http.Response, t *rules.ClientAttempt) {
 	wrapped := struct {
 		Error *fault.Fault `json:"error"`
 	}{}
@@ -67,7 +67,7 @@
 	t.Code, t.Run, t.RetryMs = string(wrapped.Error.Code), wrapped.Error.Run, wrapped.Error.RetryMs
 }
 
-func readEvents(res *http.Response, t *rules.Told) {
+func readEvents(res *http.Response, t *rules.ClientAttempt) {
 	lines := bufio.NewScanner(res.Body)
 	lines.Buffer(nil, 1<<20)
 	id, name, data := 0, "", ""
@@ -86,12 +86,12 @@
 			id, name, data = 0, "", ""
 		}
 	}
-	if !t.Ended && !t.Broken {
+	if !t.Complete && !t.Broken {
 		t.Broken, t.Code, t.Run = true, "cut", fault.RunUnknown
 	}
 }
 
-func takeEvent(t *rules.Told, id int, name, data string) {
+func takeEvent(t *rules.ClientAttempt, id int, name, data string) {
 	var v struct {
 		Text   string       `json:"text"`
 		Pieces int          `json:"pieces"`
@@ -105,10 +105,10 @@
 		if t.FirstUs == 0 {
 			t.FirstUs = clock.NowUs()
 		}
-		t.Pieces = append(t.Pieces, v.Text)
+		t.Chunks = append(t.Chunks, v.Text)
 		t.IDs = append(t.IDs, id)
 	case "end":
-		t.Ended, t.EndCount = true, v.Pieces
+		t.Complete, t.EndCount = true, v.Pieces
 	case "broken":
 		t.Broken = true
 		if v.Error != nil {
--- a/tests/fleet/day.go
+++ b/tests/fleet/day.go
@@ -278,7 +278,7 @@
 	if err != nil || r.Status >= 300 {
 		return errors.Errorf("emptying: %v %s", err, r.Body)
 	}
-	span := rules.Span{ID: zone, FromUs: NowUs()}
+	span := rules.Interval{ID: zone, FromUs: NowUs()}
 	pause(ctx, 7*time.Second)
 	span.ToUs = NowUs()
 	f.mu.Lock()
@@ -405,13 +405,13 @@
 		Declaration *configuration.Declaration `json:"declaration"`
 	}
 	if err != nil || json.Unmarshal(r.Body, &now) != nil || now.Declaration == nil || now.Declaration.Name != doc.Name {
-		return []rules.Breach{{Rule: rules.ConfigLost, Detail: fmt.Sprintf("config is %s (%v)", r.Body[:min(len(r.Body), 200)], err)}}
+		return []rules.Breach{{Rule: rules.ConfigMissing, Detail: fmt.Sprintf("config is %s (%v)", r.Body[:min(len(r.Body), 200)], err)}}
 	}
 	return nil
 }
 
 // print shows the calls of each kind, and what replicas were ordered.
-func (f *Fleet) print(out io.Writer, seen rules.Seen) {
+func (f *Fleet) print(out io.Writer, seen rules.Observations) {
 	fmt.Fprintf(out, "%-14s %7s %7s %9s %9s %9s %9s  others\n", "kind", "calls", "ended", "first p50", "p95", "p99", "whole p50")
 	for _, row := range Rows(seen.Told) {
 		codes := []string{}
--- a/tests/fleet/demand.go
+++ b/tests/fleet/demand.go
@@ -105,7 +105,7 @@
 		}
 		tag, _, _ := strings.Cut(ask.Prompt, " ")
 		ctx, done := context.WithTimeout(context.Background(), 60*time.Second)
-		t := callers.Ask(ctx, client, addr, ask, "", rules.Told{Tag: tag, Resumable: kind.Resumable})
+		t := callers.Send(ctx, client, addr, ask, "", rules.ClientAttempt{Tag: tag, Resumable: kind.Resumable})
 		done()
 		f.Note(t)
 		if t.Run != "none" || t.RetryMs == 0 || try == 2 {
@@ -128,8 +128,8 @@
 }
 
 // Rows sums calls by kind, in order of the kinds' names.
-func Rows(told []rules.Told) []KindRow {
-	byKind := map[string][]rules.Told{}
+func Rows(told []rules.ClientAttempt) []KindRow {
+	byKind := map[string][]rules.ClientAttempt{}
 	for _, t := range told {
 		byKind[t.Kind] = append(byKind[t.Kind], t)
 	}
@@ -138,7 +138,7 @@
 		row := KindRow{Kind: kind, Calls: len(list), Codes: map[string]int{}}
 		first, whole := []float64{}, []float64{}
 		for _, t := range list {
-			if t.Ended {
+			if t.Complete {
 				row.Ended++
 				first = append(first, float64(t.FirstUs-t.StartUs)/1000)
 				whole = append(whole, float64(t.EndUs-t.StartUs)/1000)
@@ -165,12 +165,12 @@
 }
 
 // EndedShare is the part of the attempts begun in a span that ended well.
-func EndedShare(told []rules.Told, fromUs, toUs int64) (float64, int) {
+func EndedShare(told []rules.ClientAttempt, fromUs, toUs int64) (float64, int) {
 	all, ended := 0, 0
 	for _, t := range told {
 		if t.StartUs >= fromUs && t.StartUs < toUs && t.Code != HungUp {
 			all++
-			if t.Ended {
+			if t.Complete {
 				ended++
 			}
 		}
--- a/tests/fleet/faults.go
+++ b/tests/fleet/faults.go
@@ -48,14 +48,14 @@
 		cuts := ways(f)
 		before := 0
 		for _, w := range cuts {
-			before += f.net.Held(w[0], w[1])
+			before += f.net.HeldBackCount(w[0], w[1])
 			f.net.Cut(w[0], w[1])
 		}
 		pause(ctx, faultSpan)
 		held := -before
 		for _, w := range cuts {
-			held += f.net.Held(w[0], w[1])
-			f.net.Mend(w[0], w[1])
+			held += f.net.HeldBackCount(w[0], w[1])
+			f.net.Restore(w[0], w[1])
 		}
 		if held == 0 {
 			return LeftOut{"nothing was held back"}
@@ -312,9 +312,9 @@
 		f.mu.Unlock()
 		short, done := context.WithTimeout(ctx, time.Duration(spanMs)*time.Millisecond)
 		tag, _, _ := strings.Cut(ask.Prompt, " ")
-		t := callers.Ask(short, client, f.Proc(f.choose("gateway")).Addr, ask, "", rules.Told{Tag: tag, Resumable: f.Doc.Kind(ask.Kind).Resumable})
+		t := callers.Send(short, client, f.Proc(f.choose("gateway")).Addr, ask, "", rules.ClientAttempt{Tag: tag, Resumable: f.Doc.Kind(ask.Kind).Resumable})
 		done()
-		if !t.Ended {
+		if !t.Complete {
 			t.Code = HungUp
 		}
 		f.Note(t)
--- a/tests/fleet/fleet.go
+++ b/tests/fleet/fleet.go
@@ -77,9 +77,9 @@
 	server   *http.Server
 	mu       sync.Mutex
 	procs    map[string]*Proc
-	Told     []rules.Told
-	Notices  []rules.Span
-	Emptied  []rules.Span
+	Told     []rules.ClientAttempt
+	Notices  []rules.Interval
+	Emptied  []rules.Interval
 	Changes  []rules.Change
 	journals []string
 	lives    int
@@ -307,7 +307,7 @@
 	p := f.Proc(name)
 	f.Platform.Set(wire.ListedReplica{ID: name, Addr: p.Reach, Zone: p.Zone, CapacityMB: f.Plan.RoomMb, Slots: f.Plan.Slots, State: wire.ListedDraining, RemainingMs: leftMs})
 	f.mu.Lock()
-	f.Notices = append(f.Notices, rules.Span{ID: name, FromUs: clock.NowUs() + 1_000_000, ToUs: rules.Open})
+	f.Notices = append(f.Notices, rules.Interval{ID: name, FromUs: clock.NowUs() + 1_000_000, ToUs: rules.Open})
 	f.mu.Unlock()
 }
 
@@ -400,10 +400,10 @@
 }
 
 // Seen gathers what everybody saw, for the rules.
-func (f *Fleet) Seen() (rules.Seen, error) {
+func (f *Fleet) Seen() (rules.Observations, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	seen := rules.Seen{Told: append([]rules.Told(nil), f.Told...), Notices: f.Notices, Emptied: f.Emptied, Changes: f.Changes}
+	seen := rules.Observations{Told: append([]rules.ClientAttempt(nil), f.Told...), Notices: f.Notices, Emptied: f.Emptied, Changes: f.Changes}
 	seen.StoreBroke, _ = f.Platform.StoreBroken()
 	for _, path := range f.journals {
 		raw, err := os.ReadFile(path)
@@ -447,7 +447,7 @@
 }
 
 // Note keeps what one caller saw.
-func (f *Fleet) Note(t rules.Told) {
+func (f *Fleet) Note(t rules.ClientAttempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.Told = append(f.Told, t)
--- a/tests/fleet/fleet_test.go
+++ b/tests/fleet/fleet_test.go
@@ -155,9 +155,9 @@
 func drains(t *testing.T, f *Fleet, ctx context.Context) {
 	name := f.Names("gateway")[0]
 	addr := f.Proc(name).Addr
-	got := make(chan rules.Told, 1)
+	got := make(chan rules.ClientAttempt, 1)
 	go func() {
-		got <- callers.Ask(ctx, rpc.Client(500, ""), addr, gateway.CallRequest{Kind: "letters", Model: "m0", Prompt: "drain me", MaxOutput: 60}, "", rules.Told{Tag: "drain"})
+		got <- callers.Send(ctx, rpc.Client(500, ""), addr, gateway.CallRequest{Kind: "letters", Model: "m0", Prompt: "drain me", MaxOutput: 60}, "", rules.ClientAttempt{Tag: "drain"})
 	}()
 	if err := f.Until(ctx, "the call streams", func() bool {
 		var st struct {
@@ -181,7 +181,7 @@
 		t.Error(err)
 	}
 	told := <-got
-	if !told.Ended {
+	if !told.Complete {
 		t.Fatalf("a drained call ended with %+v", told)
 	}
 	p := f.Proc(name)
@@ -355,7 +355,7 @@
 	}
 	ended := 0
 	for _, told := range seen.Told {
-		if told.Ended {
+		if told.Complete {
 			ended++
 		}
 	}
--- a/tests/fleet/measure.go
+++ b/tests/fleet/measure.go
@@ -89,8 +89,8 @@
 			return err
 		}
 		straight = append(straight, float64(NowUs()-began)/1000)
-		t := callers.Ask(ctx, kept, addr, gateway.CallRequest{Kind: doc.Kinds[0].Name, Model: model, Prompt: prompt, MaxOutput: 1}, "", rules.Told{Tag: prompt})
-		if !t.Ended {
+		t := callers.Send(ctx, kept, addr, gateway.CallRequest{Kind: doc.Kinds[0].Name, Model: model, Prompt: prompt, MaxOutput: 1}, "", rules.ClientAttempt{Tag: prompt})
+		if !t.Complete {
 			return errors.Errorf("a call ended with %s", t.Code)
 		}
 		through = append(through, float64(t.EndUs-t.StartUs)/1000)
@@ -118,11 +118,11 @@
 			for n := 0; ctx.Err() == nil; n++ {
 				m := doc.Models[(w+n)%8]
 				prompt := fmt.Sprintf("rate-%d-%d", w, n)
-				t := callers.Ask(ctx, client, addr, gateway.CallRequest{Kind: doc.Kinds[0].Name, Model: m.Name, Prompt: prompt, MaxOutput: 1}, "", rules.Told{Tag: prompt})
+				t := callers.Send(ctx, client, addr, gateway.CallRequest{Kind: doc.Kinds[0].Name, Model: m.Name, Prompt: prompt, MaxOutput: 1}, "", rules.ClientAttempt{Tag: prompt})
 				if t.EndUs < fromUs.Load() {
 					continue
 				}
-				if t.Ended {
+				if t.Complete {
 					ended.Add(1)
 				} else if ctx.Err() == nil {
 					other.Add(1)
@@ -366,8 +366,8 @@
 	beganUs := NowUs()
 	client := rpc.Client(200, "")
 	for {
-		t := callers.Ask(ctx, client, f.Proc(name).Addr, gateway.CallRequest{Kind: doc.Kinds[0].Name, Model: doc.Models[0].Name, Prompt: fmt.Sprintf("again-%d", NowUs()), MaxOutput: 1}, "", rules.Told{})
-		if t.Ended {
+		t := callers.Send(ctx, client, f.Proc(name).Addr, gateway.CallRequest{Kind: doc.Kinds[0].Name, Model: doc.Models[0].Name, Prompt: fmt.Sprintf("again-%d", NowUs()), MaxOutput: 1}, "", rules.ClientAttempt{})
+		if t.Complete {
 			break
 		}
 		if ctx.Err() != nil {
@@ -385,7 +385,7 @@
 	defer f.mu.Unlock()
 	ends := []float64{float64(fromUs)}
 	for _, t := range f.Told {
-		if t.Ended && t.EndUs >= fromUs {
+		if t.Complete && t.EndUs >= fromUs {
 			ends = append(ends, float64(t.EndUs))
 		}
 	}
--- a/tests/fleet/turns.go
+++ b/tests/fleet/turns.go
@@ -23,16 +23,16 @@
 	back rules.Change
 }
 
-func refused(code fault.Code, concerns func(rules.Told) bool) rules.Change {
-	return rules.Change{Concerns: concerns, Told: func(t rules.Told) bool { return t.Code == string(code) && concerns(t) }}
+func refused(code fault.Code, concerns func(rules.ClientAttempt) bool) rules.Change {
+	return rules.Change{Concerns: concerns, Told: func(t rules.ClientAttempt) bool { return t.Code == string(code) && concerns(t) }}
 }
 
 // turns are the changes whose old way can be seen from outside by the clock of whoever judges.
 func turns(doc *configuration.Declaration) []turn {
 	model, adapter := doc.Models[len(doc.Models)/3].Name, doc.Adapters[0].Name
 	list := []turn{
-		{id: model, gone: rules.TakenOut(rules.Span{ID: model}),
-			back: refused(fault.UnknownModel, func(t rules.Told) bool { return t.Model == model }),
+		{id: model, gone: rules.RemovedUnit(rules.Interval{ID: model}),
+			back: refused(fault.UnknownModel, func(t rules.ClientAttempt) bool { return t.Model == model }),
 			away: func(d *configuration.Declaration) {
 				models, adapters := []configuration.Model{}, []configuration.Adapter{}
 				for _, m := range d.Models {
@@ -47,15 +47,15 @@
 				}
 				d.Models, d.Adapters = models, adapters
 			}},
-		{id: adapter, gone: rules.TakenOut(rules.Span{ID: adapter}),
-			back: refused(fault.UnknownAdapter, func(t rules.Told) bool { return t.Adapter == adapter }),
+		{id: adapter, gone: rules.RemovedUnit(rules.Interval{ID: adapter}),
+			back: refused(fault.UnknownAdapter, func(t rules.ClientAttempt) bool { return t.Adapter == adapter }),
 			away: func(d *configuration.Declaration) { d.Adapters = d.Adapters[1:] }},
 	}
 	for _, k := range doc.Kinds {
 		if k.Resumable {
-			ofKind := func(t rules.Told) bool { return t.Kind == k.Name }
+			ofKind := func(t rules.ClientAttempt) bool { return t.Kind == k.Name }
 			list = append(list, turn{id: "resumable " + k.Name,
-				gone: rules.Change{Concerns: ofKind, Runs: func(r modelserver.Run, ask rules.Told, nth int) bool {
+				gone: rules.Change{Concerns: ofKind, Runs: func(r modelserver.Run, ask rules.ClientAttempt, nth int) bool {
 					return ask.Kind == k.Name && (nth > 1 || r.First > 1)
 				}},
 				back: refused(fault.BadLastEventID, ofKind),
@@ -99,7 +99,7 @@
 
 // stand is told of a change that was acknowledged now; over ends what stands of a name.
 func (f *Fleet) stand(c rules.Change, id string) {
-	c.Span = rules.Span{ID: id, FromUs: NowUs(), ToUs: rules.Open}
+	c.Interval = rules.Interval{ID: id, FromUs: NowUs(), ToUs: rules.Open}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.Changes = append(f.Changes, c)
--- a/tests/history/explore_test.go
+++ b/tests/history/explore_test.go
@@ -45,11 +45,11 @@
 		plant    string
 		breaches []Breach
 	}{
-		{"forgetful", []Breach{TakenThenRefused}},
-		{"forgets-refusals", []Breach{TakenThenRefused, RefusedInForce}},
-		{"own-state", []Breach{TakenThenRefused, RefusedInForce, NotLinearizable}},
-		{"two-winners", []Breach{TwoWinners, TakenThenRefused, NotLinearizable}},
-		{"denies-winners", []Breach{TakenThenRefused, RefusedInForce}},
+		{"forgetful", []Breach{AcceptedThenRefused}},
+		{"forgets-refusals", []Breach{AcceptedThenRefused, RefusedInForce}},
+		{"own-state", []Breach{AcceptedThenRefused, RefusedInForce, NotLinearizable}},
+		{"two-winners", []Breach{TwoWinners, AcceptedThenRefused, NotLinearizable}},
+		{"denies-winners", []Breach{AcceptedThenRefused, RefusedInForce}},
 		{"reads-old", []Breach{NotLinearizable}},
 	} {
 		t.Run(c.plant, func(t *testing.T) {
--- a/tests/history/judge.go
+++ b/tests/history/judge.go
@@ -13,14 +13,14 @@
 type Breach string
 
 const (
-	// TakenThenRefused means: an order was acknowledged, and refused by another answer.
-	TakenThenRefused Breach = "an acknowledged order was refused"
+	// AcceptedThenRefused means: an order was acknowledged, and refused by another answer.
+	AcceptedThenRefused Breach = "an acknowledged order was refused"
 	// RefusedInForce means: an order that was refused was read back.
 	RefusedInForce Breach = "a refused order was in force"
 	// TwoWinners means: two orders on top of one version were acknowledged.
 	TwoWinners Breach = "two orders on top of one version were acknowledged"
-	// SpoiledTaken means: an order that can't be valid was acknowledged or read back.
-	SpoiledTaken Breach = "an invalid order was taken"
+	// InvalidAccepted means: an order that can't be valid was acknowledged or read back.
+	InvalidAccepted Breach = "an invalid order was taken"
 	// UnknownContent means: what was read back is no order's that was ever sent.
 	UnknownContent Breach = "what was read back was never sent"
 	// NotLinearizable means: each answer alone is possible, but no single order of effects gives all of them.
@@ -37,8 +37,8 @@
 
 func (b Broken) String() string { return string(b.Breach) + ": " + b.Detail }
 
-// searchMost bounds the search for an order of effects.
-const searchMost = 20 * time.Second
+// maxSearchTime bounds the search for an order of effects.
+const maxSearchTime = 20 * time.Second
 
 // Judge lists what a history breaks. The plain rules come first, as they say more than a search that finds nothing.
 func Judge(calls []Call) []Broken {
@@ -46,7 +46,7 @@
 		return broken
 	}
 	ops := operations(calls)
-	switch porcupine.CheckOperationsTimeout(register, ops, searchMost) {
+	switch porcupine.CheckOperationsTimeout(register, ops, maxSearchTime) {
 	case porcupine.Illegal:
 		return []Broken{{NotLinearizable, fmt.Sprintf("%d calls", len(ops))}}
 	case porcupine.Unknown:
@@ -78,7 +78,7 @@
 		}
 		acknowledged[c.Order.ID] = c
 		if c.Order.Spoiled {
-			note(SpoiledTaken, c)
+			note(InvalidAccepted, c)
 		}
 		if other := winners[c.Order.Base]; other != nil && other.Order.ID != c.Order.ID {
 			note(TwoWinners, other, c)
@@ -87,7 +87,7 @@
 	}
 	for id, c := range acknowledged {
 		if other := refused[id]; other != nil {
-			note(TakenThenRefused, c, other)
+			note(AcceptedThenRefused, c, other)
 		}
 	}
 	for i := range calls {
@@ -100,7 +100,7 @@
 		case order == nil:
 			note(UnknownContent, c)
 		case order.Spoiled:
-			note(SpoiledTaken, c)
+			note(InvalidAccepted, c)
 		case refused[order.ID] != nil:
 			note(RefusedInForce, refused[order.ID], c)
 		}
@@ -122,21 +122,21 @@
 
 // state is the register: the version in force, what a read gives back, and the orders taken so far in their order.
 type state struct {
-	version uint64
-	content string
-	taken   string
+	version  uint64
+	content  string
+	accepted string
 }
 
-func (s state) hasTaken(order *Order) bool {
-	return slices.Contains(splitTaken(s.taken), order.ID)
+func (s state) hasAccepted(order *Order) bool {
+	return slices.Contains(splitAccepted(s.accepted), order.ID)
 }
 
 func (s state) fits(order *Order) bool {
 	return !order.Spoiled && order.Base == s.version && order.Version > s.version
 }
 
-func (s state) take(order *Order) state {
-	return state{version: order.Version, content: order.Content, taken: s.taken + order.ID + takenMark}
+func (s state) accept(order *Order) state {
+	return state{version: order.Version, content: order.Content, accepted: s.accepted + order.ID + acceptedSeparator}
 }
 
 // operations are the calls as the model wants them. All calls of an order up to its first clear answer are one
--- a/tests/history/model.go
+++ b/tests/history/model.go
@@ -6,9 +6,9 @@
 	"github.com/anishathalye/porcupine"
 )
 
-const takenMark = "\x00"
+const acceptedSeparator = "\x00"
 
-func splitTaken(taken string) []string { return strings.Split(taken, takenMark) }
+func splitAccepted(taken string) []string { return strings.Split(taken, acceptedSeparator) }
 
 // register is the configuration as one place: an order is taken where it builds on the version in force, and a read
 // gives back what was taken last. An order without a clear answer may be taken when its turn comes, or not.
@@ -51,7 +51,7 @@
 	switch answer {
 	case Acknowledged:
 		if s.fits(order) {
-			return []state{s.take(order)}
+			return []state{s.accept(order)}
 		}
 		return nil
 	case Refused:
@@ -66,14 +66,14 @@
 		return nil
 	}
 	if s.fits(order) {
-		return []state{s, s.take(order)}
+		return []state{s, s.accept(order)}
 	}
 	return []state{s}
 }
 
 // stepAgain is an order that had a clear answer before: that answer stands.
 func stepAgain(s state, order *Order, answer Answer) []state {
-	if (answer == Acknowledged) != s.hasTaken(order) {
+	if (answer == Acknowledged) != s.hasAccepted(order) {
 		return nil
 	}
 	return []state{s}
--- a/tests/platform/fleet/day.go
+++ b/tests/platform/fleet/day.go
@@ -129,9 +129,9 @@
 		if left < 150*time.Millisecond {
 			return
 		}
-		t := &rules.Try{
-			ID: fmt.Sprintf("r%d-%d", n, nth), Class: k.name, Model: modelOf(headers["Model-Name"]), Nth: nth, Method: "POST", Host: "cards.example", Path: "/" + k.name + "/1f", Body: body, Stream: k.stream(), Had: had,
-			AimUs: k.aim.Microseconds(), LimitUs: left.Microseconds(),
+		t := &rules.Attempt{
+			ID: fmt.Sprintf("r%d-%d", n, nth), Class: k.name, Model: modelOf(headers["Model-Name"]), Nth: nth, Method: "POST", Host: "cards.example", Path: "/" + k.name + "/1f", Body: body, Stream: k.stream(), ReceivedChunks: had,
+			LatencyTargetUs: k.aim.Microseconds(), LimitUs: left.Microseconds(),
 		}
 		retry := f.try(t, pick(), headers, left, hang)
 		if t.HungUp || t.Served() {
@@ -161,14 +161,14 @@
 }
 
 func (f *Fleet) probe(r *rand.Rand, n int, p *machineProc) {
-	t := &rules.Try{ID: fmt.Sprintf("p%d", n), Class: "probe", Method: "POST", Host: opsHost, Path: f.ops.probed(r) + "1f", Body: fmt.Sprintf("p%d/1", n), Probe: true, AimUs: 1e6, LimitUs: 2e6}
+	t := &rules.Attempt{ID: fmt.Sprintf("p%d", n), Class: "probe", Method: "POST", Host: opsHost, Path: f.ops.probed(r) + "1f", Body: fmt.Sprintf("p%d/1", n), Probe: true, LatencyTargetUs: 1e6, LimitUs: 2e6}
 	f.try(t, p, nil, 2*time.Second, 0)
 }
 
 // try sends one request on a connection of its own and notes all that comes back on it.
-func (f *Fleet) try(t *rules.Try, p *machineProc, headers map[string]string, left, hang time.Duration) (retry time.Duration) {
+func (f *Fleet) try(t *rules.Attempt, p *machineProc, headers map[string]string, left, hang time.Duration) (retry time.Duration) {
 	t.Machine, t.Incarnation, t.SentUs = p.name, f.incarnationOf(p.name), clock.NowUs()
-	f.note(func(d *rules.Day) { d.Tries = append(d.Tries, t) })
+	f.note(func(d *rules.Day) { d.Attempts = append(d.Attempts, t) })
 	seen := *t
 	defer func() {
 		seen.EndUs = clock.NowUs()
@@ -191,8 +191,8 @@
 	req.Header.Set("Request-Id", t.ID)
 	req.Header.Set("Deadline-Ms", strconv.FormatInt(left.Milliseconds(), 10))
 	req.Header.Set("Connection", "close")
-	if t.Had > 0 {
-		req.Header.Set("Last-Event-Id", strconv.Itoa(t.Had))
+	if t.ReceivedChunks > 0 {
+		req.Header.Set("Last-Event-Id", strconv.Itoa(t.ReceivedChunks))
 	}
 	for k, v := range headers {
 		req.Header.Set(k, v)
@@ -213,7 +213,7 @@
 		return 0
 	}
 	defer res.Body.Close()
-	seen.Status, seen.AnswerID, seen.Seal = res.StatusCode, res.Header.Get("Request-Id"), res.Header.Get("Server-Seal")
+	seen.Status, seen.ResponseID, seen.Seal = res.StatusCode, res.Header.Get("Request-Id"), res.Header.Get("Server-Seal")
 	if s, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); err == nil {
 		retry = time.Duration(s * float64(time.Second))
 	}
@@ -222,7 +222,7 @@
 	} else {
 		var raw []byte
 		raw, err = io.ReadAll(res.Body)
-		seen.Answer, seen.FirstUs = string(raw), clock.NowUs()
+		seen.Response, seen.FirstUs = string(raw), clock.NowUs()
 	}
 	if err != nil {
 		ended()
@@ -232,7 +232,7 @@
 	return retry
 }
 
-func readEvents(body io.Reader, t *rules.Try) error {
+func readEvents(body io.Reader, t *rules.Attempt) error {
 	lines := bufio.NewReader(body)
 	n := 0
 	for {
@@ -326,7 +326,7 @@
 // ill makes a replica turn requests away and break answers off for a while.
 func (f *Fleet) ill() {
 	h := f.anyCard()
-	over := f.trouble(rules.Trouble{Machine: h.ID(), Kind: "ill"})
+	over := f.trouble(rules.FaultInterval{Machine: h.ID(), Kind: "ill"})
 	h.Ill(func(n int) bool { return n%5 < 2 }, func(n int) bool { return n%7 == 0 })
 	time.Sleep(2 * time.Second)
 	h.Ill(nil, nil)
@@ -396,7 +396,7 @@
 	}
 	if f.plan.Closing {
 		f.ops.change(ctx)
-		f.note(func(d *rules.Day) { d.Closing = &rules.Closing{AtUs: clock.NowUs(), Most: true} })
+		f.note(func(d *rules.Day) { d.Closing = &rules.Closing{AtUs: clock.NowUs(), MajorityDown: true} })
 		if err := f.killRole("control-node", "gateway"); err != nil {
 			return nil, nil, err
 		}
@@ -410,8 +410,8 @@
 	f.Stop()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.day.Read, f.day.EndUs = &rules.Read{Number: number, Sent: text, Came: came}, clock.NowUs()
-	for _, t := range f.day.Tries {
+	f.day.Read, f.day.EndUs = &rules.FinalRead{Number: number, Sent: text, Received: came}, clock.NowUs()
+	for _, t := range f.day.Attempts {
 		if !t.Probe && !t.HungUp {
 			f.owed++
 			if t.Served() {
@@ -422,7 +422,7 @@
 	f.day.Calls = f.calls.Calls()
 	breaches, stakes := rules.Judge(f.day)
 	fmt.Fprintf(out, "%d tries, %d of %d served, %d orders, %d versions; at stake %v; faults %v; this box was late by %v at most\n",
-		len(f.day.Tries), f.served, f.owed, len(f.day.Orders), len(f.day.Versions), stakes, f.Caused, f.Late.Round(time.Millisecond))
+		len(f.day.Attempts), f.served, f.owed, len(f.day.Orders), len(f.day.Versions), stakes, f.Caused, f.Late.Round(time.Millisecond))
 	return breaches, stakes, nil
 }
 
--- a/tests/platform/fleet/fleet.go
+++ b/tests/platform/fleet/fleet.go
@@ -217,7 +217,7 @@
 			"seedingLagS": 3, "reuseAfterS": 2, "contactWindowMs": b.ContactUs / 1000, "acknowledgeMs": b.AcknowledgeUs / 1000, "catchUpS": 4, "drainMs": b.DrainUs / 1000, "gracePeriodS": seconds(b.GraceUs),
 			"lossSlackMs": b.LossSlackUs / 1000, "configApplyMs": b.ConfigApplyUs / 1000, "downgradeSlackMs": b.DowngradeUs / 1000, "outerStretchMs": b.OuterUs / 1000, "retryBudgetRatio": b.BudgetRatio,
 			"budgetWindowS": seconds(b.BudgetUs), "retryBudgetSlack": b.BudgetSlack, "recoveryS": seconds(b.RecoveryUs), "passDurationMs": 120, "retryAfterS": 0, "fencingEnforced": false,
-			"leaseMs": b.LeaseUs / 1000, "thawSlackMs": b.ThawUs / 1000, "ceilingWindowS": seconds(b.CeilingUs), "ceilingOvershoot": b.CeilingOver,
+			"leaseMs": b.LeaseUs / 1000, "thawSlackMs": b.ThawUs / 1000, "ceilingWindowS": seconds(b.LoadWindowUs), "ceilingOvershoot": b.LoadOvershoot,
 		},
 	}
 }
@@ -264,16 +264,16 @@
 }
 
 // trouble notes what is done to a machine, and returns what ends it.
-func (f *Fleet) trouble(t rules.Trouble) (over func()) {
+func (f *Fleet) trouble(t rules.FaultInterval) (over func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t.FromUs, t.ToUs = clock.NowUs(), rules.Open
-	at := len(f.day.Troubles)
-	f.day.Troubles = append(f.day.Troubles, t)
+	at := len(f.day.Faults)
+	f.day.Faults = append(f.day.Faults, t)
 	return func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.day.Troubles[at].ToUs = clock.NowUs()
+		f.day.Faults[at].ToUs = clock.NowUs()
 	}
 }
 
@@ -281,7 +281,7 @@
 func (f *Fleet) kill(p *machineProc, down time.Duration) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	over := f.trouble(rules.Trouble{Machine: p.name, Kind: "down", Down: true})
+	over := f.trouble(rules.FaultInterval{Machine: p.name, Kind: "down", Down: true})
 	_ = p.cmd.Process.Kill()
 	<-p.gone
 	time.Sleep(down)
@@ -295,7 +295,7 @@
 func (f *Fleet) freeze(p *machineProc, span time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	over := f.trouble(rules.Trouble{Machine: p.name, Kind: "freeze", Down: true})
+	over := f.trouble(rules.FaultInterval{Machine: p.name, Kind: "freeze", Down: true})
 	_ = p.cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(span)
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
@@ -316,7 +316,7 @@
 		_ = p.cmd.Process.Kill()
 		<-p.gone
 	}
-	over := f.trouble(rules.Trouble{Machine: p.name, Kind: "down", Down: true, Planned: true})
+	over := f.trouble(rules.FaultInterval{Machine: p.name, Kind: "down", Down: true, Planned: true})
 	time.Sleep(300 * time.Millisecond)
 	defer over()
 	f.mu.Lock()
@@ -365,7 +365,7 @@
 
 func (f *Fleet) acknowledged(id, by string) {
 	f.note(func(d *rules.Day) {
-		for _, l := range d.Leaves {
+		for _, l := range d.Deregistrations {
 			if l.Replica == id && l.AckedUs == 0 {
 				l.AckedUs, l.Machine = clock.NowUs(), by
 			}
@@ -395,8 +395,8 @@
 
 // leave takes a replica away: in order, or at short notice; another takes its place.
 func (f *Fleet) leave(h *replica.Host, left time.Duration) error {
-	l := &rules.Leave{Replica: h.ID(), SaidUs: clock.NowUs()}
-	f.note(func(d *rules.Day) { d.Leaves = append(d.Leaves, l) })
+	l := &rules.Deregistration{Replica: h.ID(), AnnouncedUs: clock.NowUs()}
+	f.note(func(d *rules.Day) { d.Deregistrations = append(d.Deregistrations, l) })
 	if err := f.startReplica("cards", h.Zone(), nil); err != nil {
 		return err
 	}
@@ -407,9 +407,9 @@
 	}
 	time.Sleep(span)
 	f.note(func(d *rules.Day) {
-		l.GoneUs = clock.NowUs()
+		l.RemovedUs = clock.NowUs()
 		if left > 0 {
-			d.Troubles = append(d.Troubles, rules.Trouble{Machine: h.ID(), Kind: "crash", FromUs: clock.NowUs(), ToUs: rules.Open, Down: true})
+			d.Faults = append(d.Faults, rules.FaultInterval{Machine: h.ID(), Kind: "crash", FromUs: clock.NowUs(), ToUs: rules.Open, Down: true})
 		}
 	})
 	f.drop(h)
@@ -419,8 +419,8 @@
 
 // leaveFirst takes a replica away that deregisters before it has said that it leaves, and serves on meanwhile.
 func (f *Fleet) leaveFirst(h *replica.Host) error {
-	l := &rules.Leave{Replica: h.ID(), SaidUs: clock.NowUs()}
-	f.note(func(d *rules.Day) { d.Leaves = append(d.Leaves, l) })
+	l := &rules.Deregistration{Replica: h.ID(), AnnouncedUs: clock.NowUs()}
+	f.note(func(d *rules.Day) { d.Deregistrations = append(d.Deregistrations, l) })
 	if err := f.startReplica("cards", h.Zone(), nil); err != nil {
 		return err
 	}
@@ -431,7 +431,7 @@
 		}
 	})
 	time.Sleep(time.Duration(f.day.Bounds.DrainUs)*time.Microsecond + 600*time.Millisecond)
-	f.note(func(*rules.Day) { l.GoneUs = clock.NowUs() })
+	f.note(func(*rules.Day) { l.RemovedUs = clock.NowUs() })
 	f.drop(h)
 	h.Kill(false)
 	return nil
@@ -440,7 +440,7 @@
 // crash ends a replica without a word; another incarnation comes back empty.
 func (f *Fleet) crash(h *replica.Host) error {
 	f.note(func(d *rules.Day) {
-		d.Troubles = append(d.Troubles, rules.Trouble{Machine: h.ID(), Kind: "crash", FromUs: clock.NowUs(), ToUs: rules.Open, Down: true})
+		d.Faults = append(d.Faults, rules.FaultInterval{Machine: h.ID(), Kind: "crash", FromUs: clock.NowUs(), ToUs: rules.Open, Down: true})
 	})
 	f.drop(h)
 	h.Kill(false)
@@ -491,7 +491,7 @@
 				f.Late = max(f.Late, late)
 				nowUs := clock.NowUs()
 				for _, name := range f.order {
-					d.Troubles = append(d.Troubles, rules.Trouble{Machine: name, Kind: "the box was busy", FromUs: nowUs - late.Microseconds(), ToUs: nowUs, Slow: true})
+					d.Faults = append(d.Faults, rules.FaultInterval{Machine: name, Kind: "the box was busy", FromUs: nowUs - late.Microseconds(), ToUs: nowUs, Slow: true})
 				}
 			})
 		}
@@ -504,7 +504,7 @@
 	const catchUpUs = 4_000_000
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, t := range f.day.Troubles {
+	for _, t := range f.day.Faults {
 		if t.Machine != p.name && f.day.Core[0].FromUs <= t.FromUs && t.ToUs > clock.NowUs()-catchUpUs && f.procs[t.Machine] != nil && f.procs[t.Machine].role == "control-node" {
 			return false
 		}
@@ -520,7 +520,7 @@
 	if !f.spare(p) {
 		return fleet.LeftOut{Why: "another office is not back for long enough"}
 	}
-	over := f.trouble(rules.Trouble{Machine: p.name, Kind: "down", Down: true})
+	over := f.trouble(rules.FaultInterval{Machine: p.name, Kind: "down", Down: true})
 	_ = p.cmd.Process.Kill()
 	<-p.gone
 	if err := os.RemoveAll(p.folder); err != nil {
@@ -540,7 +540,7 @@
 		for _, p := range f.of(role) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			overs = append(overs, f.trouble(rules.Trouble{Machine: p.name, Kind: "down", Down: true}))
+			overs = append(overs, f.trouble(rules.FaultInterval{Machine: p.name, Kind: "down", Down: true}))
 			_ = p.cmd.Process.Kill()
 		}
 	}
--- a/tests/relay/relay.go
+++ b/tests/relay/relay.go
@@ -121,8 +121,8 @@
 // Cut stops all that goes from one to the other; Mend lets it go on.
 func (s *Switch) Cut(from, to string) { s.turn(from, to, 1) }
 
-// Mend lets what goes from one to the other go on, once it has been called as often as Cut.
-func (s *Switch) Mend(from, to string) { s.turn(from, to, -1) }
+// Restore lets what goes from one to the other go on, once it has been called as often as Cut.
+func (s *Switch) Restore(from, to string) { s.turn(from, to, -1) }
 
 func (s *Switch) turn(from, to string, by int) {
 	s.mu.Lock()
@@ -132,8 +132,8 @@
 	s.change.Broadcast()
 }
 
-// Held counts how often something was held back on a way: a cut that held nothing proves nothing.
-func (s *Switch) Held(from, to string) int {
+// HeldBackCount counts how often something was held back on a way: a cut that held nothing proves nothing.
+func (s *Switch) HeldBackCount(from, to string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.held[[2]string{from, to}]
--- a/tests/relay/relay_test.go
+++ b/tests/relay/relay_test.go
@@ -72,14 +72,14 @@
 		if got, err := bufio.NewReader(other).ReadString('\n'); err != nil || got != "free\n" {
 			t.Fatal(got, err)
 		}
-		for s.Held(way[0], way[1]) == 0 {
+		for s.HeldBackCount(way[0], way[1]) == 0 {
 		}
 		select {
 		case got := <-heard:
 			t.Fatalf("%v: %q came through", way, got)
 		default:
 		}
-		s.Mend(way[0], way[1])
+		s.Restore(way[0], way[1])
 		if got := <-heard; got != "held" {
 			t.Fatal(got)
 		}
--- a/tests/rules/routed.go
+++ b/tests/rules/routed.go
@@ -31,12 +31,12 @@
 	Recover   = "RECOVER"
 	One       = "ONE"
 	Limit     = "LIMIT"
-	Ceiling   = "CEILING"
+	LoadRate  = "CEILING"
 	ConfigNew = "CONFIG added"
 	Acks      = "ACKS"
 	Starved   = "STARVED"
 	Sizes     = "SIZES"
-	Gone      = "GONE"
+	Removal   = "GONE"
 	// Known is the simulator's own: who goes on speaking is known to every gateway.
 	Known = "KNOWN"
 	// Seeds is the simulator's own: who starts with seeds that are cut off from the rest finds the rest by them.
@@ -46,7 +46,7 @@
 // Routed are all rules that routed days are judged by.
 var Routed = []string{
 	Mixed, Unasked, Twice, Refused, Denied, Route, Drain, LostWork, ConfigOld, ConfigBck, ConfigTwo, ConfigNot, ConfigGon, ConfigNew,
-	Budget, Order, Recover, One, Limit, Ceiling, Acks, Starved, Sizes, ReadOld, RefusedAs, LeaveLost, ConfigHistory, Gone, Known, Seeds,
+	Budget, Order, Recover, One, Limit, LoadRate, Acks, Starved, Sizes, ReadOld, RefusedAs, LeaveLost, ConfigHistory, Removal, Known, Seeds,
 }
 
 // Bounds are the figures of the platform's settings file.
@@ -65,8 +65,8 @@
 	RecoveryUs    int64
 	LeaseUs       int64
 	ThawUs        int64
-	CeilingUs     int64
-	CeilingOver   float64
+	LoadWindowUs  int64
+	LoadOvershoot float64
 	LoadsPerS     float64
 }
 
@@ -76,7 +76,7 @@
 	return Bounds{
 		ContactUs: 3 * second, AcknowledgeUs: 4 * second, DrainUs: 2 * second, GraceUs: 8 * second, LossSlackUs: second / 5, ConfigApplyUs: 2 * second,
 		DowngradeUs: second / 4, OuterUs: 5 * second, BudgetUs: 10 * second, BudgetRatio: 0.2, BudgetSlack: 30, RecoveryUs: 12 * second,
-		LeaseUs: 3 * second, ThawUs: 3 * second / 10, CeilingUs: 5 * second, CeilingOver: 1.1, LoadsPerS: loadsPerS,
+		LeaseUs: 3 * second, ThawUs: 3 * second / 10, LoadWindowUs: 5 * second, LoadOvershoot: 1.1, LoadsPerS: loadsPerS,
 	}
 }
 
@@ -101,8 +101,8 @@
 	AckedUs   int64
 	RefusedUs int64
 	Status    int
-	// LostAckUs is when the first acknowledgement of it that was lost was given.
-	LostAckUs int64
+	// FirstLostAckUs is when the first acknowledgement of it that was lost was given.
+	FirstLostAckUs int64
 }
 
 func (v *Version) match(host, path string) *RouteSeen {
@@ -117,7 +117,7 @@
 }
 
 // permits says whether a version may send a request to a service; for no service, whether it has no route.
-func (v *Version) permits(t *Try, service string) bool {
+func (v *Version) permits(t *Attempt, service string) bool {
 	r := v.match(t.Host, t.Path)
 	if service == "" {
 		return r == nil
@@ -132,66 +132,66 @@
 	AtUs int64
 }
 
-// Try is one request of a client and what its connection saw.
-type Try struct {
-	ID          string
-	Class       string
-	Subject     string
-	Model       string
-	Adapter     string
-	Size        int64 // of a generation: its prompt and ten times its answer in tokens; 0 for others
-	Nth         int
-	Method      string
-	Host        string
-	Path        string
-	Body        string
-	Machine     string
-	Incarnation int
-	Stream      bool
-	Probe       bool
-	Had         int
-	AimUs       int64
-	LimitUs     int64
-	SentUs      int64
-	ReadUs      int64
-	FirstUs     int64
-	EndUs       int64
-	Status      int
-	AnswerID    string
-	Seal        string
-	Answer      string
-	Events      []EventSeen
-	Complete    bool
-	HungUp      bool // the client went away of its own accord: nothing is owed
-	GaveUp      bool // it had waited for as long as it would
-	Unordered   string
+// Attempt is one request of a client and what its connection saw.
+type Attempt struct {
+	ID              string
+	Class           string
+	Subject         string
+	Model           string
+	Adapter         string
+	Size            int64 // of a generation: its prompt and ten times its answer in tokens; 0 for others
+	Nth             int
+	Method          string
+	Host            string
+	Path            string
+	Body            string
+	Machine         string
+	Incarnation     int
+	Stream          bool
+	Probe           bool
+	ReceivedChunks  int
+	LatencyTargetUs int64
+	LimitUs         int64
+	SentUs          int64
+	ReadUs          int64
+	FirstUs         int64
+	EndUs           int64
+	Status          int
+	ResponseID      string
+	Seal            string
+	Response        string
+	Events          []EventSeen
+	Complete        bool
+	HungUp          bool // the client went away of its own accord: nothing is owed
+	GaveUp          bool // it had waited for as long as it would
+	Unordered       string
 }
 
 // Served says that the client got the whole of a success.
-func (t *Try) Served() bool { return t.Complete && t.Status/100 == 2 }
+func (t *Attempt) Served() bool { return t.Complete && t.Status/100 == 2 }
 
-// Leave is a replica's leaving as a machine acknowledged it; SaidUs is when it was first said.
-type Leave struct {
-	Replica string
-	Machine string
-	SaidUs  int64
-	AckedUs int64
-	GoneUs  int64
-	Crashed bool
+// Deregistration is a replica's leaving as a machine acknowledged it; AnnouncedUs is when it was first said.
+type Deregistration struct {
+	Replica     string
+	Machine     string
+	AnnouncedUs int64
+	AckedUs     int64
+	RemovedUs   int64
+	Crashed     bool
 }
 
-// Read is the configuration as it was read back at the end of a day.
-type Read struct {
-	Number uint64
-	Sent   string
-	Came   bool
+// FinalRead is the configuration as it was read back at the end of a day.
+type FinalRead struct {
+	Number   uint64
+	Sent     string
+	Received bool
 }
 
 // Closing is the fault that ends a day; Most says that it took most of the core.
 type Closing struct {
-	AtUs   int64
-	BackUs int64
-	Most   bool
+	AtUs         int64
+	BackUs       int64
+	MajorityDown bool
 }
 
 // Term is planned work on one machine: SIGTERM, or a change of its settings.
@@ -203,23 +203,23 @@
 
 // Day is all that clients, replicas and operators saw on one day, and what was done to machines.
 type Day struct {
-	Bounds   Bounds
-	Core     []Member
-	Troubles []Trouble
-	Cuts     []Cut
-	Terms    []Term
-	Closing  *Closing
-	Tries    []*Try
-	Arrivals []*replica.Arrival
-	Orders   []replica.OrderSeen
-	Loads    []replica.LoadSeen
-	Versions []*Version
-	Leaves   []*Leave
-	Reads    []ControlRead
-	Refusals []ControlRefusal
+	Bounds          Bounds
+	Core            []Member
+	Faults          []FaultInterval
+	Partitions      []Partition
+	Terms           []Term
+	Closing         *Closing
+	Attempts        []*Attempt
+	Arrivals        []*replica.Arrival
+	Orders          []replica.OrderSeen
+	Loads           []replica.LoadSeen
+	Versions        []*Version
+	Deregistrations []*Deregistration
+	Reads           []ControlRead
+	Refusals        []ControlRefusal
 	// Calls are all calls of operators about the configuration.
 	Calls []history.Call
-	Read  *Read
+	Read  *FinalRead
 	EndUs int64
 	// Known counts replicas that had spoken for a while as the day ended, by gateway; Unknown are those that the
 	// gateway did not know.
@@ -231,7 +231,7 @@
 type judge struct {
 	*Day
 	t        *touch
-	tries    map[string]*Try
+	tries    map[string]*Attempt
 	arrivals map[string][]*replica.Arrival
 	sorted   []*Version
 	breaches []Breach
@@ -248,9 +248,9 @@
 
 // Judge weighs a day by the rules; Stakes count the occasions on which each could have been broken.
 func Judge(d *Day) ([]Breach, map[string]int) {
-	j := &judge{Day: d, t: newTouch(d), tries: map[string]*Try{}, arrivals: map[string][]*replica.Arrival{}, stakes: map[string]int{}}
+	j := &judge{Day: d, t: newTouch(d), tries: map[string]*Attempt{}, arrivals: map[string][]*replica.Arrival{}, stakes: map[string]int{}}
 	sort.SliceStable(d.Arrivals, func(a, b int) bool { return d.Arrivals[a].AtUs < d.Arrivals[b].AtUs })
-	for _, t := range d.Tries {
+	for _, t := range d.Attempts {
 		j.tries[t.ID] = t
 	}
 	for _, a := range d.Arrivals {
@@ -259,7 +259,7 @@
 	j.sorted = slices.Clone(d.Versions)
 	slices.SortStableFunc(j.sorted, func(a, b *Version) int { return cmp.Compare(a.Number, b.Number) })
 	j.unasked()
-	for _, t := range d.Tries {
+	for _, t := range d.Attempts {
 		j.answer(t)
 		j.stream(t)
 		j.ran(t)
@@ -300,15 +300,15 @@
 }
 
 // answer: what a client got must be what a replica gave to this request.
-func (j *judge) answer(t *Try) {
+func (j *judge) answer(t *Attempt) {
 	if t.Status == 0 {
 		return
 	}
 	if t.Unordered != "" {
 		j.breach(Mixed, "%s: %s", t.ID, t.Unordered)
 	}
-	if t.AnswerID != "" && t.AnswerID != t.ID {
-		j.breach(Mixed, "%s got the answer to %s", t.ID, t.AnswerID)
+	if t.ResponseID != "" && t.ResponseID != t.ID {
+		j.breach(Mixed, "%s got the answer to %s", t.ID, t.ResponseID)
 		return
 	}
 	if t.Status/100 != 2 {
@@ -326,19 +326,19 @@
 		j.breach(Mixed, "%s got %d with seal %q, no replica's for it", t.ID, t.Status, t.Seal)
 	case from.Status/100 != 2 && from.Status != 0 && !t.Stream:
 		j.breach(Mixed, "%s got %d where %s had answered %d", t.ID, t.Status, from.Replica, from.Status)
-	case !t.Stream && t.Complete && t.Answer != replica.Text(t.Body, 1, from.Nonce):
-		j.breach(Mixed, "%s got %q, not the body of %s", t.ID, t.Answer, from.Replica)
+	case !t.Stream && t.Complete && t.Response != replica.Text(t.Body, 1, from.Nonce):
+		j.breach(Mixed, "%s got %q, not the body of %s", t.ID, t.Response, from.Replica)
 	case t.Complete && !slices.ContainsFunc(j.arrivals[t.ID], func(a *replica.Arrival) bool { return a.Whole }):
 		j.breach(Mixed, "%s looks complete, and no replica ended it", t.ID)
 	}
 }
 
-func (j *judge) stream(t *Try) {
+func (j *judge) stream(t *Attempt) {
 	if !t.Stream || t.Status/100 != 2 {
 		return
 	}
 	total := replica.Total(t.Body)
-	next, nonce := t.Had+1, ""
+	next, nonce := t.ReceivedChunks+1, ""
 	for _, e := range t.Events {
 		text, from, _ := strings.Cut(e.Text, "~")
 		want, _, _ := strings.Cut(replica.Text(t.Body, e.N, ""), "~")
@@ -359,7 +359,7 @@
 		nonce = from
 		next++
 	}
-	if t.Had > 0 || len(t.Events) > 0 && !t.Complete {
+	if t.ReceivedChunks > 0 || len(t.Events) > 0 && !t.Complete {
 		j.stake(Order)
 	}
 	if t.Complete && next != total+1 {
@@ -368,7 +368,7 @@
 }
 
 // resumedAt: the run went on where the client's stream stood, and the route lets streams be taken up.
-func (j *judge) resumedAt(t *Try, nonce string, n int) bool {
+func (j *judge) resumedAt(t *Attempt, nonce string, n int) bool {
 	for _, a := range j.arrivals[t.ID] {
 		if a.Nonce == nonce {
 			return a.Last == n-1 && j.may(t, func(r *RouteSeen) bool { return r.Resumable })
@@ -378,7 +378,7 @@
 }
 
 // may: some version that was ever sent says so of the request's route.
-func (j *judge) may(t *Try, says func(*RouteSeen) bool) bool {
+func (j *judge) may(t *Attempt, says func(*RouteSeen) bool) bool {
 	for _, v := range j.Versions {
 		if r := v.match(t.Host, t.Path); r != nil && says(r) {
 			return true
@@ -388,7 +388,7 @@
 }
 
 // ran counts the runs of what may run once, and holds refusals to their promise.
-func (j *judge) ran(t *Try) {
+func (j *judge) ran(t *Attempt) {
 	if j.may(t, func(r *RouteSeen) bool { return r.Repeatable }) {
 		return
 	}
@@ -420,7 +420,7 @@
 		return
 	}
 	sent, extra := map[string][]int64{}, map[string][]int64{}
-	for _, t := range j.Tries {
+	for _, t := range j.Attempts {
 		for service := range j.servicesOf(t) {
 			sent[service] = append(sent[service], t.SentUs)
 		}
@@ -458,7 +458,7 @@
 	return to - from
 }
 
-func (j *judge) servicesOf(t *Try) map[string]bool {
+func (j *judge) servicesOf(t *Attempt) map[string]bool {
 	all := map[string]bool{}
 	for _, v := range j.Versions {
 		if v.SentUs > t.SentUs+j.Bounds.ConfigApplyUs {
@@ -479,7 +479,7 @@
 		return
 	}
 	var before, servedBefore, after, servedAfter int
-	for _, t := range j.Tries {
+	for _, t := range j.Attempts {
 		switch {
 		case t.Probe || t.HungUp:
 		case t.EndUs < j.Closing.AtUs:
@@ -512,7 +512,7 @@
 		broken bool
 	}
 	kinds, of := map[string][]*request{}, map[string]*request{}
-	for _, t := range j.Tries {
+	for _, t := range j.Attempts {
 		if t.Size == 0 || t.Probe || t.HungUp {
 			continue
 		}
--- a/tests/rules/routed_answers.go
+++ b/tests/rules/routed_answers.go
@@ -66,5 +66,5 @@
 
 // leaves: a leaving that any machine acknowledged reaches the gateways in touch as one that a machine in touch did.
 func (j *judge) leaves() {
-	j.drained(LeaveLost, func(l *Leave) bool { return l.AckedUs > 0 })
+	j.drained(LeaveLost, func(l *Deregistration) bool { return l.AckedUs > 0 })
 }
--- a/tests/rules/routed_config.go
+++ b/tests/rules/routed_config.go
@@ -65,11 +65,11 @@
 
 // sentAgain: a version that was taken, but whose acknowledgement was lost, is not refused when it is sent again.
 func (j *judge) sentAgain(v *Version) {
-	if v.LostAckUs == 0 {
+	if v.FirstLostAckUs == 0 {
 		return
 	}
 	j.stake(ConfigTwo)
-	if v.RefusedUs > v.LostAckUs {
+	if v.RefusedUs > v.FirstLostAckUs {
 		j.breach(ConfigTwo, "version %d was taken, its acknowledgement lost, and it was refused with %d when it was sent again", v.Number, v.Status)
 	}
 }
@@ -115,7 +115,7 @@
 		return
 	}
 	j.stake(ConfigGon)
-	if !j.Read.Came {
+	if !j.Read.Received {
 		j.breach(ConfigGon, "the configuration did not come when it was read back")
 		return
 	}
@@ -148,8 +148,8 @@
 		if endUs == 0 {
 			endUs = j.EndUs
 		}
-		if v.LostAckUs > 0 {
-			endUs = min(endUs, v.LostAckUs)
+		if v.FirstLostAckUs > 0 {
+			endUs = min(endUs, v.FirstLostAckUs)
 		}
 		j.stake(Acks)
 		if atUs := firstGap(uncalm, v.SentUs, endUs, needUs); atUs >= 0 {
@@ -157,12 +157,12 @@
 		}
 	}
 	late, all := 0, 0
-	for _, l := range j.Leaves {
-		if l.Crashed || firstGap(uncalm, l.SaidUs, l.SaidUs+j.Bounds.AcknowledgeUs+1, j.Bounds.AcknowledgeUs) != l.SaidUs {
+	for _, l := range j.Deregistrations {
+		if l.Crashed || firstGap(uncalm, l.AnnouncedUs, l.AnnouncedUs+j.Bounds.AcknowledgeUs+1, j.Bounds.AcknowledgeUs) != l.AnnouncedUs {
 			continue
 		}
 		all++
-		if l.AckedUs == 0 || l.AckedUs > l.SaidUs+j.Bounds.AcknowledgeUs {
+		if l.AckedUs == 0 || l.AckedUs > l.AnnouncedUs+j.Bounds.AcknowledgeUs {
 			late++
 		}
 	}
@@ -187,7 +187,7 @@
 		return
 	}
 	var old, fresh struct{ asked, served int }
-	for _, t := range j.Tries {
+	for _, t := range j.Attempts {
 		if (t.HungUp && !t.Probe) || !j.t.within(t.Machine, t.SentUs, t.EndUs) {
 			continue
 		}
@@ -214,7 +214,7 @@
 }
 
 // stands is the route of a request where every version that may be in force for it has it.
-func (j *judge) stands(t *Try) *RouteSeen {
+func (j *judge) stands(t *Attempt) *RouteSeen {
 	var lo *Version
 	for _, v := range j.sorted {
 		if v.AckedUs > 0 && t.SentUs > v.AckedUs+j.Bounds.ConfigApplyUs {
--- a/tests/rules/routed_gone.go
+++ b/tests/rules/routed_gone.go
@@ -15,7 +15,7 @@
 // requests and streams of such clients.
 func (j *judge) gone() {
 	sentLate, stopped, worked := 0, 0, 0
-	for _, t := range j.Tries {
+	for _, t := range j.Attempts {
 		if !t.HungUp || t.Probe || !j.t.within(t.Machine, t.SentUs, t.EndUs+2*goneSlackUs) {
 			continue
 		}
@@ -32,13 +32,13 @@
 		}
 	}
 	if stopped+worked > 0 {
-		j.stake(Gone)
+		j.stake(Removal)
 	}
 	if sentLate > goneArrivals {
-		j.breach(Gone, "%d requests reached replicas over %.1f s after their clients had left", sentLate, sec(goneSlackUs))
+		j.breach(Removal, "%d requests reached replicas over %.1f s after their clients had left", sentLate, sec(goneSlackUs))
 	}
 	if stopped+worked >= goneWorkLeast && 4*worked > stopped+worked {
-		j.breach(Gone, "replicas worked on %d of %d requests %.1f s after their clients had left", worked, stopped+worked, sec(goneSlackUs))
+		j.breach(Removal, "replicas worked on %d of %d requests %.1f s after their clients had left", worked, stopped+worked, sec(goneSlackUs))
 	}
 }
 
--- a/tests/rules/routed_leaving.go
+++ b/tests/rules/routed_leaving.go
@@ -8,13 +8,13 @@
 
 // drain: what machines in touch send reaches no replica that has left for longer than it may.
 func (j *judge) drain() {
-	j.drained(Drain, func(l *Leave) bool { return l.AckedUs > 0 && j.t.itself(l.Machine, l.AckedUs) })
+	j.drained(Drain, func(l *Deregistration) bool { return l.AckedUs > 0 && j.t.itself(l.Machine, l.AckedUs) })
 }
 
 // drained holds every leaving that counts to drainMs, by the rule that is named.
-func (j *judge) drained(rule string, counts func(*Leave) bool) {
+func (j *judge) drained(rule string, counts func(*Deregistration) bool) {
 	since := map[string]int64{}
-	for _, l := range j.Leaves {
+	for _, l := range j.Deregistrations {
 		if !counts(l) {
 			continue
 		}
@@ -25,8 +25,8 @@
 		if at, known := since[l.Replica]; !known || fromUs < at {
 			since[l.Replica] = fromUs
 		}
-		for _, t := range j.Tries {
-			if t.SentUs > fromUs+j.Bounds.DrainUs && t.SentUs < l.GoneUs {
+		for _, t := range j.Attempts {
+			if t.SentUs > fromUs+j.Bounds.DrainUs && t.SentUs < l.RemovedUs {
 				j.stake(rule)
 			}
 		}
@@ -46,7 +46,7 @@
 
 // heldUp: the link between a machine and a replica was cut not long ago.
 func (j *judge) heldUp(machine, replica string, us int64) bool {
-	for _, c := range j.Cuts {
+	for _, c := range j.Partitions {
 		if ((c.From == machine && c.To == replica) || (c.From == replica && c.To == machine)) && c.FromUs <= us && c.ToUs+j.Bounds.ContactUs >= us {
 			return true
 		}
@@ -65,7 +65,7 @@
 func (j *judge) planned() {
 	cutsIn, cutsOut := map[string]int{}, map[string]int{}
 	changes := j.changing()
-	for _, t := range j.Tries {
+	for _, t := range j.Attempts {
 		term := j.termOf(t)
 		during := covered(changes, t.SentUs) || covered(changes, t.EndUs)
 		if (term != nil || during) && t.ReadUs > 0 && len(j.arrivals[t.ID]) > 0 {
@@ -87,18 +87,18 @@
 }
 
 // changing are the times in which configurations change.
-func (j *judge) changing() []span {
-	changes := []span{}
+func (j *judge) changing() []interval {
+	changes := []interval{}
 	for _, v := range j.Versions {
 		if j.mayStand(v) && v.AckedUs > 0 {
-			changes = append(changes, span{v.SentUs, v.AckedUs + j.Bounds.ConfigApplyUs + plannedSlackUs})
+			changes = append(changes, interval{v.SentUs, v.AckedUs + j.Bounds.ConfigApplyUs + plannedSlackUs})
 		}
 	}
 	return union(changes)
 }
 
 // termOf is the last planned work that a request fell into at its machine; nil for none.
-func (j *judge) termOf(t *Try) *Term {
+func (j *judge) termOf(t *Attempt) *Term {
 	var term *Term
 	for i := range j.Terms {
 		w := &j.Terms[i]
@@ -115,7 +115,7 @@
 }
 
 // cutsOfChanges: a machine does not cut requests much more often while configurations change than at other times.
-func (j *judge) cutsOfChanges(changes []span, cutsIn, cutsOut map[string]int) {
+func (j *judge) cutsOfChanges(changes []interval, cutsIn, cutsOut map[string]int) {
 	var inUs int64
 	for _, s := range changes {
 		inUs += s.toUs - s.fromUs
@@ -130,7 +130,7 @@
 }
 
 // lost: a request that was read ended without an answer, and nothing excuses it.
-func (j *judge) lost(t *Try, term *Term) bool {
+func (j *judge) lost(t *Attempt, term *Term) bool {
 	if t.HungUp || t.GaveUp || t.Complete || t.ReadUs == 0 || t.EndUs == 0 {
 		return false
 	}
@@ -149,17 +149,17 @@
 	return !j.unplanned(t, arrivals)
 }
 
-func (j *judge) unplanned(t *Try, arrivals []*replica.Arrival) bool {
+func (j *judge) unplanned(t *Attempt, arrivals []*replica.Arrival) bool {
 	fromUs := t.SentUs - j.Bounds.ContactUs
 	concerned := func(m string) bool {
 		return m == t.Machine || j.isCore(m, t.SentUs) || slices.ContainsFunc(arrivals, func(a *replica.Arrival) bool { return a.Replica == m })
 	}
-	for _, x := range j.Troubles {
+	for _, x := range j.Faults {
 		if !x.Planned && concerned(x.Machine) && x.FromUs <= t.EndUs && x.ToUs >= fromUs {
 			return true
 		}
 	}
-	for _, c := range j.Cuts {
+	for _, c := range j.Partitions {
 		if (concerned(c.From) || concerned(c.To)) && c.FromUs <= t.EndUs && c.ToUs >= fromUs {
 			return true
 		}
--- a/tests/rules/routed_orders.go
+++ b/tests/rules/routed_orders.go
@@ -41,12 +41,12 @@
 
 // held: an order that its sender's thaw or a link's healing let go of does not count.
 func (j *judge) held(o replica.OrderSeen) bool {
-	for _, t := range j.Troubles {
+	for _, t := range j.Faults {
 		if t.Machine == o.From && t.Kind == "freeze" && o.AtUs >= t.ToUs && o.AtUs <= t.ToUs+j.Bounds.ThawUs {
 			return true
 		}
 	}
-	for _, c := range j.Cuts {
+	for _, c := range j.Partitions {
 		if c.From == o.From && c.To == o.Replica && o.AtUs >= c.ToUs && o.AtUs <= c.ToUs+j.Bounds.ThawUs {
 			return true
 		}
@@ -74,14 +74,14 @@
 		}
 	}
 	slices.Sort(at)
-	most := j.Bounds.LoadsPerS*float64(j.Bounds.CeilingUs)/1e6*j.Bounds.CeilingOver + 3
+	most := j.Bounds.LoadsPerS*float64(j.Bounds.LoadWindowUs)/1e6*j.Bounds.LoadOvershoot + 3
 	for _, fromUs := range at {
-		n := countIn(at, fromUs, fromUs+j.Bounds.CeilingUs)
+		n := countIn(at, fromUs, fromUs+j.Bounds.LoadWindowUs)
 		if float64(n) > most/2 {
-			j.stake(Ceiling)
+			j.stake(LoadRate)
 		}
 		if float64(n) > most {
-			j.breach(Ceiling, "%d loads began within %.0f s from %.3f, the store allows %.1f", n, sec(j.Bounds.CeilingUs), sec(fromUs), most)
+			j.breach(LoadRate, "%d loads began within %.0f s from %.3f, the store allows %.1f", n, sec(j.Bounds.LoadWindowUs), sec(fromUs), most)
 			break
 		}
 	}
--- a/tests/rules/routed_routes.go
+++ b/tests/rules/routed_routes.go
@@ -7,7 +7,7 @@
 
 // handling is one thing done with a request: a service ran it, or a 404 denied that there is a route.
 type handling struct {
-	try     *Try
+	try     *Attempt
 	service string
 	atUs    int64
 	replica string
@@ -20,7 +20,7 @@
 			all = append(all, handling{t, a.Service, a.AtUs, a.Replica})
 		}
 	}
-	for _, t := range j.Tries {
+	for _, t := range j.Attempts {
 		if t.Status == 404 && len(j.arrivals[t.ID]) == 0 {
 			all = append(all, handling{t, "", t.EndUs, ""})
 		}
@@ -30,7 +30,7 @@
 }
 
 // oldest is the version below which a machine may not work any more, for a request sent at a moment.
-func (j *judge) oldest(t *Try, atUs int64) *Version {
+func (j *judge) oldest(t *Attempt, atUs int64) *Version {
 	var lo *Version
 	for _, v := range j.sorted {
 		if v.AckedUs == 0 {
@@ -74,11 +74,11 @@
 		denied += j.handled(h, floors)
 	}
 	denied += j.deniedOtherwise()
-	if len(j.Tries) > 0 {
+	if len(j.Attempts) > 0 {
 		j.stake(Denied)
 	}
-	if denied > deniedLeast+len(j.Tries)/deniedOf {
-		j.breach(Denied, "%d proper requests of %d were ended with a 3xx or 4xx", denied, len(j.Tries))
+	if denied > deniedLeast+len(j.Attempts)/deniedOf {
+		j.breach(Denied, "%d proper requests of %d were ended with a 3xx or 4xx", denied, len(j.Attempts))
 	}
 	for _, v := range j.Versions {
 		if !j.mayStand(v) {
@@ -188,7 +188,7 @@
 // that have a rule of their own.
 func (j *judge) deniedOtherwise() int {
 	denied := 0
-	for _, t := range j.Tries {
+	for _, t := range j.Attempts {
 		ended := t.Status/100 == 3 || (t.Status/100 == 4 && !slices.Contains([]int{404, 408, 421, 429}, t.Status))
 		if ended && len(j.arrivals[t.ID]) == 0 && j.t.within(t.Machine, t.SentUs, t.EndUs) && t.EndUs > t.SentUs {
 			denied++
--- a/tests/rules/routed_starved.go
+++ b/tests/rules/routed_starved.go
@@ -29,7 +29,7 @@
 // servedRows are such counts by name.
 type servedRows map[string]*servedRow
 
-func (rows servedRows) add(name string, t *Try) {
+func (rows servedRows) add(name string, t *Attempt) {
 	r := rows[name]
 	if r == nil {
 		r = &servedRow{firstUs: t.SentUs}
@@ -70,7 +70,7 @@
 // countServed counts the requests of a day but for probes and those whose client hung up.
 func (j *judge) countServed() *servedCounts {
 	c := &servedCounts{classes: servedRows{}, models: servedRows{}, adapters: servedRows{}, subjects: servedRows{}, classOf: map[string]string{}}
-	for _, t := range j.Tries {
+	for _, t := range j.Attempts {
 		if t.Probe || t.HungUp {
 			continue
 		}
--- a/tests/rules/routed_test.go
+++ b/tests/rules/routed_test.go
@@ -19,8 +19,8 @@
 	return out
 }
 
-func bothWays(a, b string, fromUs, toUs int64) []Cut {
-	return []Cut{{a, b, fromUs, toUs}, {b, a, fromUs, toUs}}
+func bothWays(a, b string, fromUs, toUs int64) []Partition {
+	return []Partition{{a, b, fromUs, toUs}, {b, a, fromUs, toUs}}
 }
 
 // Bounds bind only machines in touch; what counts as that is worded on the users' pages.
@@ -34,18 +34,18 @@
 		front   bool
 	}{
 		{"calm", Day{Core: three}, 20 * second, true, true},
-		{"a core machine was killed a moment ago", Day{Core: three, Troubles: []Trouble{{Machine: "a", FromUs: 18 * second, ToUs: Open, Down: true}}}, 20 * second, false, false},
-		{"one is dead for longer", Day{Core: three, Troubles: []Trouble{{Machine: "a", FromUs: 10 * second, ToUs: Open, Down: true}}}, 20 * second, true, true},
-		{"it was started a moment ago", Day{Core: three, Troubles: []Trouble{{Machine: "a", FromUs: 2 * second, ToUs: 18 * second, Down: true}}}, 20 * second, false, false},
-		{"most are dead", Day{Core: three, Troubles: []Trouble{{Machine: "a", FromUs: second, ToUs: Open, Down: true}, {Machine: "b", FromUs: second, ToUs: Open, Down: true}}}, 20 * second, false, false},
-		{"a slow disk stands", Day{Core: three, Troubles: []Trouble{{Machine: "a", FromUs: 2 * second, ToUs: 30 * second, Slow: true}}}, 20 * second, false, false},
-		{"one is cut off for longer, and the front from it", Day{Core: three, Cuts: append(append(bothWays("a", "b", 5*second, Open), bothWays("a", "c", 5*second, Open)...), bothWays("a", "front", 5*second, Open)...)}, 20 * second, true, true},
-		{"the front is cut from one of most", Day{Core: three, Cuts: bothWays("a", "front", 5*second, Open)}, 20 * second, true, false},
-		{"that cut has healed just now", Day{Core: three, Cuts: bothWays("a", "front", 5*second, 18*second)}, 20 * second, true, false},
-		{"the front was frozen", Day{Core: three, Troubles: []Trouble{{Machine: "front", FromUs: 10 * second, ToUs: 18 * second}}}, 20 * second, true, false},
-		{"another front was", Day{Core: three, Troubles: []Trouble{{Machine: "other", FromUs: 10 * second, ToUs: 18 * second}}}, 20 * second, true, true},
-		{"a closing fault took most: twice the time", Day{Core: three, Closing: &Closing{AtUs: 10 * second, BackUs: 15 * second, Most: true}}, 20 * second, false, false},
-		{"and it is over", Day{Core: three, Closing: &Closing{AtUs: 10 * second, BackUs: 15 * second, Most: true}}, 22 * second, true, true},
+		{"a core machine was killed a moment ago", Day{Core: three, Faults: []FaultInterval{{Machine: "a", FromUs: 18 * second, ToUs: Open, Down: true}}}, 20 * second, false, false},
+		{"one is dead for longer", Day{Core: three, Faults: []FaultInterval{{Machine: "a", FromUs: 10 * second, ToUs: Open, Down: true}}}, 20 * second, true, true},
+		{"it was started a moment ago", Day{Core: three, Faults: []FaultInterval{{Machine: "a", FromUs: 2 * second, ToUs: 18 * second, Down: true}}}, 20 * second, false, false},
+		{"most are dead", Day{Core: three, Faults: []FaultInterval{{Machine: "a", FromUs: second, ToUs: Open, Down: true}, {Machine: "b", FromUs: second, ToUs: Open, Down: true}}}, 20 * second, false, false},
+		{"a slow disk stands", Day{Core: three, Faults: []FaultInterval{{Machine: "a", FromUs: 2 * second, ToUs: 30 * second, Slow: true}}}, 20 * second, false, false},
+		{"one is cut off for longer, and the front from it", Day{Core: three, Partitions: append(append(bothWays("a", "b", 5*second, Open), bothWays("a", "c", 5*second, Open)...), bothWays("a", "front", 5*second, Open)...)}, 20 * second, true, true},
+		{"the front is cut from one of most", Day{Core: three, Partitions: bothWays("a", "front", 5*second, Open)}, 20 * second, true, false},
+		{"that cut has healed just now", Day{Core: three, Partitions: bothWays("a", "front", 5*second, 18*second)}, 20 * second, true, false},
+		{"the front was frozen", Day{Core: three, Faults: []FaultInterval{{Machine: "front", FromUs: 10 * second, ToUs: 18 * second}}}, 20 * second, true, false},
+		{"another front was", Day{Core: three, Faults: []FaultInterval{{Machine: "other", FromUs: 10 * second, ToUs: 18 * second}}}, 20 * second, true, true},
+		{"a closing fault took most: twice the time", Day{Core: three, Closing: &Closing{AtUs: 10 * second, BackUs: 15 * second, MajorityDown: true}}, 20 * second, false, false},
+		{"and it is over", Day{Core: three, Closing: &Closing{AtUs: 10 * second, BackUs: 15 * second, MajorityDown: true}}, 22 * second, true, true},
 	} {
 		c.day.Bounds = SmallBounds(0)
 		touch := newTouch(&c.day)
@@ -62,12 +62,12 @@
 	return []RouteSeen{{Name: "r", Host: "h", Prefix: "/r/", Services: services}, {Name: fmt.Sprint(n), Host: "h", Prefix: fmt.Sprintf("/v%d/", n), Services: []string{"s"}}}
 }
 
-func asked(id, path string, sentUs int64) *Try {
-	return &Try{ID: id, Method: "POST", Host: "h", Path: path, Machine: "front", Incarnation: 1, SentUs: sentUs, ReadUs: sentUs, EndUs: sentUs + second/10, LimitUs: 5 * second, Status: 200, Complete: true,
-		Seal: replica.Seal("i", id), AnswerID: id, Answer: replica.Text("", 1, id)}
+func asked(id, path string, sentUs int64) *Attempt {
+	return &Attempt{ID: id, Method: "POST", Host: "h", Path: path, Machine: "front", Incarnation: 1, SentUs: sentUs, ReadUs: sentUs, EndUs: sentUs + second/10, LimitUs: 5 * second, Status: 200, Complete: true,
+		Seal: replica.Seal("i", id), ResponseID: id, Response: replica.Text("", 1, id)}
 }
 
-func ran(t *Try, service string) *replica.Arrival {
+func ran(t *Attempt, service string) *replica.Arrival {
 	return &replica.Arrival{Request: t.ID, Replica: "i", Service: service, Method: t.Method, Host: t.Host, Path: t.Path, Nonce: t.ID, AtUs: t.SentUs + 1000, RanUs: t.SentUs + 1000, EndUs: t.EndUs, Status: 200, Whole: true}
 }
 
@@ -75,10 +75,10 @@
 func leaves(d *Day, count int, arrivesUs, endsUs int64) {
 	for i := range count {
 		t := asked(fmt.Sprint("left-", i), "/r/x", 14*second)
-		t.Stream, t.HungUp, t.Complete, t.Status, t.Seal, t.AnswerID, t.Answer = true, true, false, 0, "", "", ""
+		t.Stream, t.HungUp, t.Complete, t.Status, t.Seal, t.ResponseID, t.Response = true, true, false, 0, "", "", ""
 		a := ran(t, "z")
 		a.AtUs, a.RanUs, a.EndUs, a.Whole = t.EndUs+arrivesUs, t.EndUs+arrivesUs, t.EndUs+endsUs, false
-		d.Tries, d.Arrivals = append(d.Tries, t), append(d.Arrivals, a)
+		d.Attempts, d.Arrivals = append(d.Attempts, t), append(d.Arrivals, a)
 	}
 }
 
@@ -89,12 +89,12 @@
 	}
 	served := func(d *Day, id, path string, sentUs int64, service string) {
 		try := asked(id, path, sentUs)
-		d.Tries = append(d.Tries, try)
+		d.Attempts = append(d.Attempts, try)
 		d.Arrivals = append(d.Arrivals, ran(try, service))
 	}
 	streamed := func(d *Day, pieces ...int) {
 		served(d, "1", "/r/x", 14*second, "z")
-		t := d.Tries[0]
+		t := d.Attempts[0]
 		t.Stream, t.Body, d.Arrivals[0].Body = true, "b/3", "b/3"
 		for _, n := range pieces {
 			t.Events = append(t.Events, EventSeen{N: n, Text: replica.Text("b/3", n, "1")})
@@ -111,7 +111,7 @@
 	}{
 		{"the new service runs it", "", func(d *Day) { served(d, "1", "/r/x", 14*second, "z") }},
 		{"an old version is read as the newest, at a machine that is cut off", ReadOld, func(d *Day) {
-			d.Cuts = append(bothWays("a", "b", 10*second, 20*second), bothWays("a", "c", 10*second, 20*second)...)
+			d.Partitions = append(bothWays("a", "b", 10*second, 20*second), bothWays("a", "c", 10*second, 20*second)...)
 			d.Reads = []ControlRead{{Machine: "a", AskedUs: 12 * second, AtUs: 12*second + 1, Number: 1}}
 		}},
 		{"... asked before the newer one was acknowledged", "", func(d *Day) {
@@ -134,8 +134,8 @@
 			d.Refusals = []ControlRefusal{{Machine: "a", AtUs: 13 * second, Version: v, Status: 400}}
 		}},
 		{"a machine that is cut off acknowledges a leaving, and nobody else hears of it", LeaveLost, func(d *Day) {
-			d.Cuts = append(bothWays("a", "b", 5*second, 29*second), bothWays("a", "c", 5*second, 29*second)...)
-			d.Leaves = []*Leave{{Replica: "i", Machine: "a", SaidUs: 14 * second, AckedUs: 14 * second, GoneUs: 25 * second}}
+			d.Partitions = append(bothWays("a", "b", 5*second, 29*second), bothWays("a", "c", 5*second, 29*second)...)
+			d.Deregistrations = []*Deregistration{{Replica: "i", Machine: "a", AnnouncedUs: 14 * second, AckedUs: 14 * second, RemovedUs: 25 * second}}
 			served(d, "1", "/r/x", 17*second, "z")
 		}},
 		{"one of two under one number is read back", "", func(d *Day) {
@@ -144,12 +144,12 @@
 			}
 			loser := &Version{Number: 2, Base: 1, Valid: true, Routes: mark(2, "q"), SentUs: 10 * second, RefusedUs: 11 * second, Status: 412, Sent: "the loser"}
 			d.Versions = append([]*Version{loser}, d.Versions...)
-			d.Read = &Read{Came: true, Number: 2, Sent: "2"}
+			d.Read = &FinalRead{Received: true, Number: 2, Sent: "2"}
 		}},
 		{"the loser of two under one number is read back", ConfigNot, func(d *Day) {
 			loser := &Version{Number: 2, Base: 1, Valid: true, Routes: mark(2, "q"), SentUs: 10 * second, RefusedUs: 11 * second, Status: 412, Sent: "the loser"}
 			d.Versions = append(d.Versions, loser)
-			d.Read = &Read{Came: true, Number: 2, Sent: "the loser"}
+			d.Read = &FinalRead{Received: true, Number: 2, Sent: "the loser"}
 		}},
 		{"an order that was acknowledged is sent again and refused", ConfigHistory, func(d *Day) {
 			order := &history.Order{ID: "o", Version: 1, Content: "o"}
@@ -162,17 +162,17 @@
 		{"the old service runs it within the bound", "", func(d *Day) { served(d, "1", "/r/x", 12*second, "s") }},
 		{"the old service runs it after the bound", ConfigOld, func(d *Day) { served(d, "1", "/r/x", 14*second, "s") }},
 		{"... while the core is unsettled", "", func(d *Day) {
-			d.Troubles = []Trouble{{Machine: "a", FromUs: 12 * second, ToUs: 13 * second, Down: true}}
+			d.Faults = []FaultInterval{{Machine: "a", FromUs: 12 * second, ToUs: 13 * second, Down: true}}
 			served(d, "1", "/r/x", 14*second, "s")
 		}},
 		{"... and after the outer bound", ConfigOld, func(d *Day) {
-			d.Troubles = []Trouble{{Machine: "a", FromUs: 12 * second, ToUs: 17 * second, Down: true}}
+			d.Faults = []FaultInterval{{Machine: "a", FromUs: 12 * second, ToUs: 17 * second, Down: true}}
 			served(d, "1", "/r/x", 19*second, "s")
 		}},
 		{"a 404 though the route is there", ConfigOld, func(d *Day) {
 			try := asked("1", "/v2/x", 14*second)
 			try.Status = 404
-			d.Tries = append(d.Tries, try)
+			d.Attempts = append(d.Attempts, try)
 		}},
 		{"a machine goes back", ConfigBck, func(d *Day) {
 			served(d, "1", "/v2/x", 10*second+second/2, "s")
@@ -181,7 +181,7 @@
 		{"another life of it may", "", func(d *Day) {
 			served(d, "1", "/v2/x", 10*second+second/2, "s")
 			served(d, "2", "/r/x", 11*second, "s")
-			d.Tries[1].Incarnation = 2
+			d.Attempts[1].Incarnation = 2
 		}},
 		{"no version ever sent it there", Route, func(d *Day) { served(d, "1", "/r/x", 14*second, "q") }},
 		{"only a refused version sends it there", ConfigNot, func(d *Day) {
@@ -195,15 +195,15 @@
 		{"two on one base acknowledged", ConfigTwo, func(d *Day) {
 			d.Versions = append(d.Versions, &Version{Number: 3, Base: 1, Valid: true, Routes: mark(3, "q"), SentUs: 10 * second, AckedUs: 11 * second})
 		}},
-		{"an older one is read back", ConfigGon, func(d *Day) { d.Read = &Read{Number: 1, Came: true} }},
-		{"nothing is read back", ConfigGon, func(d *Day) { d.Read = &Read{} }},
+		{"an older one is read back", ConfigGon, func(d *Day) { d.Read = &FinalRead{Number: 1, Received: true} }},
+		{"nothing is read back", ConfigGon, func(d *Day) { d.Read = &FinalRead{} }},
 		{"a run after its leaving", Drain, func(d *Day) {
-			d.Leaves = []*Leave{{Replica: "i", Machine: "a", SaidUs: 12 * second, AckedUs: 12 * second}}
+			d.Deregistrations = []*Deregistration{{Replica: "i", Machine: "a", AnnouncedUs: 12 * second, AckedUs: 12 * second}}
 			served(d, "1", "/r/x", 15*second, "z")
 		}},
 		{"... acknowledged while the core was unsettled", "", func(d *Day) {
-			d.Troubles = []Trouble{{Machine: "b", FromUs: 11 * second, ToUs: Open, Down: true}}
-			d.Leaves = []*Leave{{Replica: "i", Machine: "a", SaidUs: 12 * second, AckedUs: 12 * second}}
+			d.Faults = []FaultInterval{{Machine: "b", FromUs: 11 * second, ToUs: Open, Down: true}}
+			d.Deregistrations = []*Deregistration{{Replica: "i", Machine: "a", AnnouncedUs: 12 * second, AckedUs: 12 * second}}
 			served(d, "1", "/r/x", 15*second, "z")
 		}},
 		{"two holders of a fence", One, func(d *Day) { d.Orders = []replica.OrderSeen{order(second, "a", 1), order(9*second, "b", 1)} }},
@@ -211,10 +211,10 @@
 		{"turns within the lease", One, func(d *Day) { d.Orders = []replica.OrderSeen{order(second, "a", 1), order(3*second, "b", 2)} }},
 		{"turns after it", "", func(d *Day) { d.Orders = []replica.OrderSeen{order(second, "a", 1), order(5*second, "b", 2)} }},
 		{"turns by a thawed sender", "", func(d *Day) {
-			d.Troubles = []Trouble{{Machine: "a", Kind: "freeze", FromUs: 2 * second, ToUs: 8 * second, Down: true}}
+			d.Faults = []FaultInterval{{Machine: "a", Kind: "freeze", FromUs: 2 * second, ToUs: 8 * second, Down: true}}
 			d.Orders = []replica.OrderSeen{order(7*second, "b", 2), order(8*second+second/10, "a", 1)}
 		}},
-		{"more loads than the store gives", Ceiling, func(d *Day) {
+		{"more loads than the store gives", LoadRate, func(d *Day) {
 			for i := range 10 {
 				d.Loads = append(d.Loads, replica.LoadSeen{Replica: "i", AtUs: 12*second + int64(i)*second/10, FromStore: true})
 			}
@@ -237,11 +237,11 @@
 		}},
 		{"an answer with no replica's seal", Mixed, func(d *Day) {
 			served(d, "1", "/r/x", 14*second, "z")
-			d.Tries[0].Seal = "x"
+			d.Attempts[0].Seal = "x"
 		}},
 		{"another request's answer", Mixed, func(d *Day) {
 			served(d, "1", "/r/x", 14*second, "z")
-			d.Tries[0].AnswerID = "2"
+			d.Attempts[0].ResponseID = "2"
 		}},
 		{"a success where the replica had failed", Mixed, func(d *Day) {
 			served(d, "1", "/r/x", 14*second, "z")
@@ -249,16 +249,16 @@
 		}},
 		{"a body that is cut and looks whole", Mixed, func(d *Day) {
 			served(d, "1", "/r/x", 14*second, "z")
-			d.Tries[0].Answer = d.Tries[0].Answer[:5]
+			d.Attempts[0].Response = d.Attempts[0].Response[:5]
 		}},
 		{"bytes on a connection where nothing waits", Mixed, func(d *Day) {
 			served(d, "1", "/r/x", 14*second, "z")
-			d.Tries[0].Unordered = "bytes that belong to no request"
+			d.Attempts[0].Unordered = "bytes that belong to no request"
 		}},
 		{"a request that nobody sent", Unasked, func(d *Day) {
 			served(d, "1", "/r/x", 14*second, "z")
 			d.Arrivals[0].Request = "7"
-			d.Tries[0].Status = 0
+			d.Attempts[0].Status = 0
 		}},
 		{"a request with another body", Unasked, func(d *Day) {
 			served(d, "1", "/r/x", 14*second, "z")
@@ -266,14 +266,14 @@
 		}},
 		{"two runs", Twice, func(d *Day) {
 			served(d, "1", "/r/x", 14*second, "z")
-			d.Arrivals = append(d.Arrivals, ran(d.Tries[0], "z"))
+			d.Arrivals = append(d.Arrivals, ran(d.Attempts[0], "z"))
 		}},
 		{"two runs of what may be repeated", "", func(d *Day) {
 			for _, v := range d.Versions {
 				v.Routes[0].Repeatable = true
 			}
 			served(d, "1", "/r/x", 14*second, "z")
-			d.Arrivals = append(d.Arrivals, ran(d.Tries[0], "z"))
+			d.Arrivals = append(d.Arrivals, ran(d.Attempts[0], "z"))
 		}},
 		{"a second arrival that was turned away", "", func(d *Day) {
 			served(d, "1", "/r/x", 14*second, "z")
@@ -283,42 +283,42 @@
 		}},
 		{"a refusal of what has run", Refused, func(d *Day) {
 			served(d, "1", "/r/x", 14*second, "z")
-			d.Tries[0].Status = 503
+			d.Attempts[0].Status = 503
 		}},
 		{"a refusal of what runs later", Refused, func(d *Day) {
 			served(d, "1", "/r/x", 14*second, "z")
-			d.Tries[0].Status, d.Arrivals[0].RanUs = 429, 16*second
+			d.Attempts[0].Status, d.Arrivals[0].RanUs = 429, 16*second
 		}},
 		{"a 502 for what has run", "", func(d *Day) {
 			served(d, "1", "/r/x", 14*second, "z")
-			d.Tries[0].Status = 502
+			d.Attempts[0].Status = 502
 		}},
 		{"proper requests ended with a 400", Denied, func(d *Day) {
 			for i := range 8 {
 				try := asked(fmt.Sprint(i), "/r/x", 14*second+int64(i))
 				try.Status = 400
-				d.Tries = append(d.Tries, try)
+				d.Attempts = append(d.Attempts, try)
 			}
 		}},
 		{"a request cut after SIGTERM", LostWork, func(d *Day) {
 			d.Terms = []Term{{Machine: "front", AtUs: 14*second + 50_000}}
 			served(d, "1", "/r/x", 14*second, "z")
-			d.Tries[0].Status, d.Tries[0].Complete = 0, false
+			d.Attempts[0].Status, d.Attempts[0].Complete = 0, false
 		}},
 		{"... by a replica that broke off", "", func(d *Day) {
 			d.Terms = []Term{{Machine: "front", AtUs: 14*second + 50_000}}
 			served(d, "1", "/r/x", 14*second, "z")
-			d.Tries[0].Status, d.Tries[0].Complete, d.Arrivals[0].BrokeOff = 0, false, true
+			d.Attempts[0].Status, d.Attempts[0].Complete, d.Arrivals[0].BrokeOff = 0, false, true
 		}},
 		{"a request cut after SIGHUP", LostWork, func(d *Day) {
 			d.Terms = []Term{{Machine: "front", AtUs: 14*second + 50_000, Hup: true}}
 			served(d, "1", "/r/x", 14*second, "z")
-			d.Tries[0].Status, d.Tries[0].Complete = 0, false
+			d.Attempts[0].Status, d.Attempts[0].Complete = 0, false
 		}},
 		{"requests cut while configurations change", LostWork, func(d *Day) {
 			for i := range 4 {
 				served(d, fmt.Sprint(i), "/v2/x", 12*second+int64(i), "s")
-				d.Tries[i].Status, d.Tries[i].Complete = 0, false
+				d.Attempts[i].Status, d.Attempts[i].Complete = 0, false
 			}
 		}},
 		{"a stream without a piece", Order, func(d *Day) { streamed(d, 1, 3) }},
@@ -330,7 +330,7 @@
 			a := *d.Arrivals[0]
 			a.Nonce, a.Last, a.RanUs = "other", 2, 0
 			d.Arrivals = append(d.Arrivals, &a)
-			d.Tries[0].Events[2].Text = replica.Text("b/3", 3, "other")
+			d.Attempts[0].Events[2].Text = replica.Text("b/3", 3, "other")
 		}},
 		{"... on a route that lets it be taken up", "", func(d *Day) {
 			for _, v := range d.Versions {
@@ -340,23 +340,23 @@
 			a := *d.Arrivals[0]
 			a.Nonce, a.Last = "other", 2
 			d.Arrivals = append(d.Arrivals, &a)
-			d.Tries[0].Events[2].Text = replica.Text("b/3", 3, "other")
+			d.Attempts[0].Events[2].Text = replica.Text("b/3", 3, "other")
 		}},
 		{"a piece of another request", Mixed, func(d *Day) {
 			streamed(d, 1, 2, 3)
-			d.Tries[0].Events[1].Text = replica.Text("c/3", 2, "1")
+			d.Attempts[0].Events[1].Text = replica.Text("c/3", 2, "1")
 		}},
 		{"little is served after the closing fault", Recover, func(d *Day) {
 			d.Closing = &Closing{AtUs: 16 * second, BackUs: 17 * second}
 			served(d, "1", "/r/x", 14*second, "z")
 			served(d, "2", "/r/x", 30*second, "z")
-			d.Tries[1].Status = 502
+			d.Attempts[1].Status = 502
 		}},
 		{"... within the time that it may take", "", func(d *Day) {
 			d.Closing = &Closing{AtUs: 16 * second, BackUs: 17 * second}
 			served(d, "1", "/r/x", 14*second, "z")
 			served(d, "2", "/r/x", 28*second, "z")
-			d.Tries[1].Status = 502
+			d.Attempts[1].Status = 502
 		}},
 		{"an order to hold more than there is room", Limit, func(d *Day) {
 			o := order(second, "a", 1)
@@ -367,49 +367,49 @@
 			for i := range 20 {
 				served(d, fmt.Sprint("old", i), "/r/x", 14*second+int64(i), "z")
 				served(d, fmt.Sprint("new", i), "/v2/x", 14*second+int64(i), "s")
-				d.Tries[len(d.Tries)-1].Status = 502
+				d.Attempts[len(d.Attempts)-1].Status = 502
 			}
 		}},
 		{"... on a machine out of touch", "", func(d *Day) {
-			d.Troubles = []Trouble{{Machine: "front", FromUs: 13 * second, ToUs: 13 * second}}
+			d.Faults = []FaultInterval{{Machine: "front", FromUs: 13 * second, ToUs: 13 * second}}
 			for i := range 20 {
 				served(d, fmt.Sprint("old", i), "/r/x", 14*second+int64(i), "z")
 				served(d, fmt.Sprint("new", i), "/v2/x", 14*second+int64(i), "s")
-				d.Tries[len(d.Tries)-1].Status = 502
+				d.Attempts[len(d.Attempts)-1].Status = 502
 			}
 		}},
 		{"replicas that leave unheard", Acks, func(d *Day) {
-			d.Leaves = []*Leave{{Replica: "i", Machine: "a", SaidUs: 12 * second, GoneUs: 20 * second}}
+			d.Deregistrations = []*Deregistration{{Replica: "i", Machine: "a", AnnouncedUs: 12 * second, RemovedUs: 20 * second}}
 		}},
 		{"... while links were in trouble", "", func(d *Day) {
-			d.Cuts = bothWays("a", "i", 11*second, 21*second)
-			d.Leaves = []*Leave{{Replica: "i", Machine: "a", SaidUs: 12 * second, GoneUs: 20 * second}}
+			d.Partitions = bothWays("a", "i", 11*second, 21*second)
+			d.Deregistrations = []*Deregistration{{Replica: "i", Machine: "a", AnnouncedUs: 12 * second, RemovedUs: 20 * second}}
 		}},
 		{"a class that is hardly served", Starved, func(d *Day) {
 			for i := range 80 {
 				served(d, fmt.Sprint(i), "/r/x", 14*second+int64(i), "z")
-				d.Tries[i].Class = []string{"much", "none"}[i%2]
+				d.Attempts[i].Class = []string{"much", "none"}[i%2]
 				if i%2 == 1 {
-					d.Tries[i].Status = 502
+					d.Attempts[i].Status = 502
 				}
 			}
 		}},
 		{"models, adapters or subjects that are never served", Starved, func(d *Day) {
 			for i := range 64 {
 				served(d, fmt.Sprint(i), "/r/x", 14*second+int64(i/8)*2*second, "z")
-				d.Tries[i].Class, d.Tries[i].Subject = "k", fmt.Sprint(i%8)
+				d.Attempts[i].Class, d.Attempts[i].Subject = "k", fmt.Sprint(i%8)
 				if i%8 < 4 {
-					d.Tries[i].Status = 502
+					d.Attempts[i].Status = 502
 				}
 			}
 		}},
 		{"the largest are hardly served", Sizes, func(d *Day) {
 			for i := range 60 {
 				served(d, fmt.Sprint(i), "/r/x", 14*second+int64(i), "z")
-				d.Tries[i].Class, d.Tries[i].Size, d.Tries[i].Body, d.Arrivals[i].Body = "k", int64(i+1), fmt.Sprint(i), fmt.Sprint(i)
-				d.Tries[i].Answer = replica.Text(d.Tries[i].Body, 1, d.Tries[i].ID)
+				d.Attempts[i].Class, d.Attempts[i].Size, d.Attempts[i].Body, d.Arrivals[i].Body = "k", int64(i+1), fmt.Sprint(i), fmt.Sprint(i)
+				d.Attempts[i].Response = replica.Text(d.Attempts[i].Body, 1, d.Attempts[i].ID)
 				if i >= 54 {
-					d.Tries[i].Status = 502
+					d.Attempts[i].Status = 502
 				}
 			}
 		}},
@@ -420,32 +420,32 @@
 				if i >= 60 {
 					n = i - 6
 				}
-				t := d.Tries[i]
+				t := d.Attempts[i]
 				t.Class, t.Size, t.Body, d.Arrivals[i].Body = "k", int64(n+1), fmt.Sprint(n), fmt.Sprint(n)
-				t.Answer = replica.Text(t.Body, 1, t.ID)
+				t.Response = replica.Text(t.Body, 1, t.ID)
 				if i >= 54 && i < 60 {
 					t.Status, d.Arrivals[i].RanUs = 503, 0
 				}
 			}
 		}},
 		{"... but a trouble broke them off", "", func(d *Day) {
-			d.Troubles = []Trouble{{Machine: "other", FromUs: 14 * second, ToUs: 15 * second, Down: true}}
+			d.Faults = []FaultInterval{{Machine: "other", FromUs: 14 * second, ToUs: 15 * second, Down: true}}
 			for i := range 60 {
 				served(d, fmt.Sprint(i), "/r/x", 14*second+int64(i), "z")
-				d.Tries[i].Class, d.Tries[i].Size, d.Tries[i].Body, d.Arrivals[i].Body = "k", int64(i+1), fmt.Sprint(i), fmt.Sprint(i)
-				d.Tries[i].Answer = replica.Text(d.Tries[i].Body, 1, d.Tries[i].ID)
+				d.Attempts[i].Class, d.Attempts[i].Size, d.Attempts[i].Body, d.Arrivals[i].Body = "k", int64(i+1), fmt.Sprint(i), fmt.Sprint(i)
+				d.Attempts[i].Response = replica.Text(d.Attempts[i].Body, 1, d.Attempts[i].ID)
 				if i >= 54 {
-					d.Tries[i].Status, d.Tries[i].Machine = 502, "other"
+					d.Attempts[i].Status, d.Attempts[i].Machine = 502, "other"
 				}
 			}
 		}},
-		{"requests reach a replica after their clients have left", Gone, func(d *Day) { leaves(d, 4, 600_000, 700_000) }},
+		{"requests reach a replica after their clients have left", Removal, func(d *Day) { leaves(d, 4, 600_000, 700_000) }},
 		{"... but few", "", func(d *Day) { leaves(d, 3, 600_000, 700_000) }},
 		{"... or soon after", "", func(d *Day) { leaves(d, 8, 300_000, 400_000) }},
-		{"replicas work on for clients that have left", Gone, func(d *Day) { leaves(d, 8, -1000, 700_000) }},
+		{"replicas work on for clients that have left", Removal, func(d *Day) { leaves(d, 8, -1000, 700_000) }},
 		{"... but end soon", "", func(d *Day) { leaves(d, 8, -1000, 300_000) }},
 		{"... at a machine that was in trouble", "", func(d *Day) {
-			d.Troubles = []Trouble{{Machine: "front", FromUs: 13 * second, ToUs: 15 * second}}
+			d.Faults = []FaultInterval{{Machine: "front", FromUs: 13 * second, ToUs: 15 * second}}
 			leaves(d, 8, -1000, 700_000)
 		}},
 		{"a desk whose seeds were cut off knows an old configuration", Seeds, func(d *Day) {
@@ -453,15 +453,15 @@
 			d.Starts = []Start{{Machine: "front", StartUs: 15 * second, AtUs: 19 * second, Number: 1}}
 		}},
 		{"... on a machine out of touch", "", func(d *Day) {
-			d.Troubles = []Trouble{{Machine: "front", FromUs: 18 * second, ToUs: 18 * second}}
+			d.Faults = []FaultInterval{{Machine: "front", FromUs: 18 * second, ToUs: 18 * second}}
 			d.Starts = []Start{{Machine: "front", StartUs: 15 * second, AtUs: 19 * second}}
 		}},
 		{"a replica that speaks is not known", Known, func(d *Day) { d.Known, d.Unknown = 2, []string{"i at front"} }},
 		{"an order was taken, its acknowledgement lost, and it was refused", ConfigTwo, func(d *Day) {
-			d.Versions[1].AckedUs, d.Versions[1].LostAckUs, d.Versions[1].RefusedUs, d.Versions[1].Status = 0, 11*second, 12*second, 412
+			d.Versions[1].AckedUs, d.Versions[1].FirstLostAckUs, d.Versions[1].RefusedUs, d.Versions[1].Status = 0, 11*second, 12*second, 412
 		}},
 		{"an acknowledgement that was lost is one", "", func(d *Day) {
-			d.Versions[1].AckedUs, d.Versions[1].LostAckUs = 20*second, 11*second
+			d.Versions[1].AckedUs, d.Versions[1].FirstLostAckUs = 20*second, 11*second
 		}},
 	} {
 		seen[c.want] = true
--- a/tests/rules/touch.go
+++ b/tests/rules/touch.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Trouble is what was done to one machine. Edge troubles have an effect where they begin and end; Slow
+// FaultInterval is what was done to one machine. Edge troubles have an effect where they begin and end; Slow
 // ones, such as slow disks and lossy links, all along. Down processes and Planned work are both edges.
-type Trouble struct {
+type FaultInterval struct {
 	Machine string
 	Kind    string
 	FromUs  int64
@@ -17,8 +17,8 @@
 	Planned bool
 }
 
-// Cut is a link from one machine to another that carries nothing.
-type Cut struct {
+// Partition is a link from one machine to another that carries nothing.
+type Partition struct {
 	From   string
 	To     string
 	FromUs int64
@@ -32,12 +32,12 @@
 	ToUs    int64
 }
 
-type span struct{ fromUs, toUs int64 }
+type interval struct{ fromUs, toUs int64 }
 
 // union joins spans that touch.
-func union(spans []span) []span {
-	slices.SortFunc(spans, func(a, b span) int { return cmp.Compare(a.fromUs, b.fromUs) })
-	out := []span{}
+func union(spans []interval) []interval {
+	slices.SortFunc(spans, func(a, b interval) int { return cmp.Compare(a.fromUs, b.fromUs) })
+	out := []interval{}
 	for _, s := range spans {
 		if n := len(out); n > 0 && s.fromUs <= out[n-1].toUs {
 			out[n-1].toUs = max(out[n-1].toUs, s.toUs)
@@ -48,8 +48,8 @@
 	return out
 }
 
-func covered(spans []span, us int64) bool {
-	i, found := slices.BinarySearchFunc(spans, us, func(s span, us int64) int { return cmp.Compare(s.fromUs, us) })
+func covered(spans []interval, us int64) bool {
+	i, found := slices.BinarySearchFunc(spans, us, func(s interval, us int64) int { return cmp.Compare(s.fromUs, us) })
 	if found {
 		return true
 	}
@@ -59,11 +59,11 @@
 // touch answers which machines were in touch when, by what was done to them.
 type touch struct {
 	d         *Day
-	unsettled []span
-	links     []span
-	minority  []span
-	own       map[string][]span
-	paths     map[string][]span
+	unsettled []interval
+	links     []interval
+	minority  []interval
+	own       map[string][]interval
+	paths     map[string][]interval
 }
 
 func (d *Day) coreAt(us int64) []string {
@@ -77,7 +77,7 @@
 }
 
 func (d *Day) runs(machine string, us int64) bool {
-	for _, t := range d.Troubles {
+	for _, t := range d.Faults {
 		if t.Machine == machine && t.Down && t.FromUs <= us && us < t.ToUs {
 			return false
 		}
@@ -86,7 +86,7 @@
 }
 
 func (d *Day) slowed(machine string, us int64) bool {
-	for _, t := range d.Troubles {
+	for _, t := range d.Faults {
 		if t.Machine == machine && t.Slow && t.FromUs <= us && us <= t.ToUs {
 			return true
 		}
@@ -95,7 +95,7 @@
 }
 
 func (d *Day) joined(a, b string, us int64) bool {
-	for _, c := range d.Cuts {
+	for _, c := range d.Partitions {
 		if ((c.From == a && c.To == b) || (c.From == b && c.To == a)) && c.FromUs <= us && us < c.ToUs {
 			return false
 		}
@@ -131,13 +131,13 @@
 
 // newTouch works out from a day's troubles, members and cuts which times are unsettled and for whom.
 func newTouch(d *Day) *touch {
-	t := &touch{d: d, own: map[string][]span{}, paths: map[string][]span{}}
+	t := &touch{d: d, own: map[string][]interval{}, paths: map[string][]interval{}}
 	edges := []int64{0}
 	edges = append(edges, t.addTroubles()...)
 	edges = append(edges, t.addMembers()...)
 	edges = append(edges, t.addCuts()...)
-	if c := d.Closing; c != nil && c.Most {
-		t.unsettled = append(t.unsettled, span{c.AtUs, c.BackUs + 2*d.Bounds.ContactUs})
+	if c := d.Closing; c != nil && c.MajorityDown {
+		t.unsettled = append(t.unsettled, interval{c.AtUs, c.BackUs + 2*d.Bounds.ContactUs})
 	}
 	slices.Sort(edges)
 	t.addMinorities(slices.Compact(edges))
@@ -153,22 +153,22 @@
 // unsettle adds a time of contact after each of some moments.
 func (t *touch) unsettle(moments ...int64) {
 	for _, us := range moments {
-		t.unsettled = append(t.unsettled, span{us, us + t.d.Bounds.ContactUs})
+		t.unsettled = append(t.unsettled, interval{us, us + t.d.Bounds.ContactUs})
 	}
 }
 
 // addTroubles adds what was done to machines, and gives when troubles of the core begin and end.
 func (t *touch) addTroubles() (edges []int64) {
 	d, contactUs := t.d, t.d.Bounds.ContactUs
-	for _, x := range d.Troubles {
-		t.own[x.Machine] = append(t.own[x.Machine], span{x.FromUs, x.ToUs + contactUs})
+	for _, x := range d.Faults {
+		t.own[x.Machine] = append(t.own[x.Machine], interval{x.FromUs, x.ToUs + contactUs})
 		if !d.isCore(x.Machine, x.FromUs) && !d.isCore(x.Machine, x.ToUs) {
 			continue
 		}
 		edges = append(edges, x.FromUs, x.ToUs)
 		if x.Slow {
-			t.unsettled = append(t.unsettled, span{x.FromUs, x.ToUs + contactUs})
-			t.links = append(t.links, span{x.FromUs, x.ToUs})
+			t.unsettled = append(t.unsettled, interval{x.FromUs, x.ToUs + contactUs})
+			t.links = append(t.links, interval{x.FromUs, x.ToUs})
 			continue
 		}
 		t.unsettle(x.FromUs, x.ToUs)
@@ -191,8 +191,8 @@
 // addCuts adds the cuts of links, and gives when they begin and end.
 func (t *touch) addCuts() (edges []int64) {
 	d := t.d
-	for _, c := range d.Cuts {
-		t.links = append(t.links, span{c.FromUs, c.ToUs})
+	for _, c := range d.Partitions {
+		t.links = append(t.links, interval{c.FromUs, c.ToUs})
 		edges = append(edges, c.FromUs, c.ToUs)
 		if d.isCore(c.From, c.FromUs) && d.isCore(c.To, c.FromUs) {
 			t.unsettle(c.FromUs, c.ToUs)
@@ -210,10 +210,10 @@
 			toUs = edges[i+1]
 		}
 		if len(t.d.reaching(us, true)) == 0 {
-			t.minority = append(t.minority, span{us, toUs})
+			t.minority = append(t.minority, interval{us, toUs})
 		}
 		if len(t.d.reaching(us, false)) == 0 {
-			t.paths[""] = append(t.paths[""], span{us, toUs})
+			t.paths[""] = append(t.paths[""], interval{us, toUs})
 		}
 	}
 }
@@ -221,11 +221,11 @@
 // addPaths adds the times in which a cut takes a machine outside the core its path to a machine of the core.
 func (t *touch) addPaths() {
 	d := t.d
-	for _, c := range d.Cuts {
+	for _, c := range d.Partitions {
 		for _, pair := range [][2]string{{c.From, c.To}, {c.To, c.From}} {
 			m, o := pair[0], pair[1]
 			if d.isCore(o, c.FromUs) && !d.isCore(m, c.FromUs) && t.counts(o, c) {
-				t.paths[m] = append(t.paths[m], span{c.FromUs, c.ToUs + d.Bounds.ContactUs})
+				t.paths[m] = append(t.paths[m], interval{c.FromUs, c.ToUs + d.Bounds.ContactUs})
 			}
 		}
 	}
@@ -235,7 +235,7 @@
 }
 
 // counts: a cut takes a machine's path only where the far end runs and reaches most of the core meanwhile.
-func (t *touch) counts(core string, c Cut) bool {
+func (t *touch) counts(core string, c Partition) bool {
 	for us := c.FromUs; us <= c.ToUs; us += max((c.ToUs-c.FromUs)/8, 1) {
 		if slices.Contains(t.d.reaching(us, true), core) {
 			return true
@@ -266,7 +266,7 @@
 	return t.itself(machine, fromUs) && !crosses(t.own[machine], fromUs, toUs) && !crosses(t.paths[machine], fromUs, toUs) && !crosses(t.paths[""], sinceUs, toUs)
 }
 
-func crosses(spans []span, fromUs, toUs int64) bool {
+func crosses(spans []interval, fromUs, toUs int64) bool {
 	for _, s := range spans {
 		if s.fromUs <= toUs && s.toUs >= fromUs {
 			return true
@@ -276,7 +276,7 @@
 }
 
 // firstGap is the first moment from which no span stands for a time, or -1.
-func firstGap(spans []span, fromUs, toUs, needUs int64) int64 {
+func firstGap(spans []interval, fromUs, toUs, needUs int64) int64 {
 	atUs := fromUs
 	for _, s := range spans {
 		if s.toUs < atUs {
--- a/tests/simulator/compare.go
+++ b/tests/simulator/compare.go
@@ -89,7 +89,7 @@
 				}
 				counts["calls"]++
 				switch {
-				case t.Ended:
+				case t.Complete:
 					counts["ended"]++
 					firsts = append(firsts, float64(t.FirstUs-t.StartUs)/1000)
 				case t.Code == "expired":
--- a/tests/simulator/control_nodes.go
+++ b/tests/simulator/control_nodes.go
@@ -172,10 +172,10 @@
 		panic(err)
 	}
 	if c := a.Entry.Change; c.Claim != nil && a.Outcome.Fault == nil && len(o.core.Node.State().Pending) > 0 {
-		s.watch.Stake(rules.TicketClash)
+		s.watch.Stake(rules.CommandConflict)
 	}
 	if before, seen := s.agreed[a.Entry.Index]; seen && before != string(raw) {
-		s.watch.Break(rules.ConfigLost, "%s applies another change at %d", o.name, a.Entry.Index)
+		s.watch.Break(rules.ConfigMissing, "%s applies another change at %d", o.name, a.Entry.Index)
 	}
 	s.agreed[a.Entry.Index] = string(raw)
 	if n := o.core.Node; n.IsTail() && n.AcceptsWrites() {
--- a/tests/simulator/digest_test.go
+++ b/tests/simulator/digest_test.go
@@ -113,7 +113,7 @@
 	out := RunRouted(p)
 	seen := out.Seen
 	d.end(len(out.Breaches), out.Tries, out.Served, out.Owed, out.Loads, out.Statuses, counts(out.Caused), counts(out.Stakes),
-		seen.Tries, seen.Arrivals, seen.Orders, seen.Loads, seen.Versions, seen.Leaves, seen.Calls, seen.EndUs)
+		seen.Attempts, seen.Arrivals, seen.Orders, seen.Loads, seen.Versions, seen.Deregistrations, seen.Calls, seen.EndUs)
 	return d.line("routed", seed, out.Events)
 }
 
--- a/tests/simulator/faults.go
+++ b/tests/simulator/faults.go
@@ -440,7 +440,7 @@
 	var learned func()
 	learned = func() {
 		if toldUs := s.plat.ToldUs()[p.name]; toldUs != 0 {
-			s.watch.Notice(rules.Span{ID: p.name, FromUs: toldUs, ToUs: rules.Open})
+			s.watch.Notice(rules.Interval{ID: p.name, FromUs: toldUs, ToUs: rules.Open})
 			return
 		}
 		if p.up {
--- a/tests/simulator/gateways.go
+++ b/tests/simulator/gateways.go
@@ -31,12 +31,12 @@
 type callState struct {
 	call    *scheduling.Call
 	ask     gateway.CallRequest
-	told    rules.Told
+	told    rules.ClientAttempt
 	attempt string
 	stop    func()
 	keyed   bool
 	hung    bool
-	done    func(rules.Told)
+	done    func(rules.ClientAttempt)
 }
 
 func newGateway(s *Sim, name, zone string) *gatewayNode {
@@ -213,13 +213,13 @@
 
 // cut is a call whose last attempt did not end well.
 func (d *gatewayNode) cut(c *callState, e scheduling.Outcome) {
-	c.told.Code, c.told.Run, c.told.Broken = string(fault.OutcomeUnknown), fault.RunUnknown, len(c.told.Pieces) > 0
+	c.told.Code, c.told.Run, c.told.Broken = string(fault.OutcomeUnknown), fault.RunUnknown, len(c.told.Chunks) > 0
 	switch {
 	case d.sim.plan.Plant == "lie":
 		c.told.Run = fault.RunNone
 	case e == scheduling.OutcomeTimedOut:
 		c.told.Code = string(fault.Expired)
-	case len(c.told.Pieces) > 0:
+	case len(c.told.Chunks) > 0:
 		c.told.Code, c.told.Run = string(fault.StreamBroken), fault.RunPartial
 	}
 	d.over(c)
@@ -229,7 +229,7 @@
 	delete(d.calls, c.call.ID)
 	if c.keyed {
 		end := c.told.Run
-		if c.told.Ended {
+		if c.told.Complete {
 			end = fault.RunYes
 		}
 		d.keyChange(c, end)
@@ -347,7 +347,7 @@
 		}
 	})
 	attempt := wire.Attempt{ID: st.Attempt, Ticket: st.Ticket, Incarnation: st.Incarnation, Call: st.Call.ID, Model: c.ask.Model, Adapter: c.ask.Adapter,
-		Prefix: c.ask.Prefix, Prompt: c.ask.Prompt, Received: append(append([]string(nil), c.ask.Received...), c.told.Pieces...), NextChunk: c.told.Had + len(c.told.Pieces) + 1, MaxOutput: c.ask.MaxOutput}
+		Prefix: c.ask.Prefix, Prompt: c.ask.Prompt, Received: append(append([]string(nil), c.ask.Received...), c.told.Chunks...), NextChunk: c.told.ReceivedChunks + len(c.told.Chunks) + 1, MaxOutput: c.ask.MaxOutput}
 	boot := d.boot
 	asked := false
 	d.later(sec, func() {
@@ -405,13 +405,13 @@
 			if over() {
 				return
 			}
-			ending, why := scheduling.CheckPiece(attempt.ID, c.told.Had+len(c.told.Pieces), piece)
+			ending, why := scheduling.CheckPiece(attempt.ID, c.told.ReceivedChunks+len(c.told.Chunks), piece)
 			switch {
-			case s.plan.Plant == "blind" && piece.Number != c.told.Had+len(c.told.Pieces)+1 && !piece.End:
+			case s.plan.Plant == "blind" && piece.Number != c.told.ReceivedChunks+len(c.told.Chunks)+1 && !piece.End:
 				ending = ""
-			case s.plan.Plant == "hasty" && len(c.told.Pieces) == 3:
+			case s.plan.Plant == "hasty" && len(c.told.Chunks) == 3:
 				ending = scheduling.OutcomeDone
-			case s.plan.Plant == "mixed" && len(c.told.Pieces) == 2:
+			case s.plan.Plant == "mixed" && len(c.told.Chunks) == 2:
 				piece.Text = "0000000000000000~" + run.Nonce
 			}
 			if ending != "" {
@@ -422,9 +422,9 @@
 				c.told.FirstUs = s.nowUs
 			}
 			c.call.FirstByteUs.CompareAndSwap(0, d.clock())
-			c.told.Pieces = append(c.told.Pieces, piece.Text)
-			c.told.IDs = append(c.told.IDs, c.told.Had+len(c.told.Pieces))
-			c.call.Progress.Store(int64(c.told.Had + len(c.told.Pieces)))
+			c.told.Chunks = append(c.told.Chunks, piece.Text)
+			c.told.IDs = append(c.told.IDs, c.told.ReceivedChunks+len(c.told.Chunks))
+			c.call.Progress.Store(int64(c.told.ReceivedChunks + len(c.told.Chunks)))
 		})
 	}
 	var next func()
@@ -464,7 +464,7 @@
 }
 
 func (d *gatewayNode) attemptEnded(c *callState, st scheduling.AttemptStart, e scheduling.Outcome, why string, ended func(scheduling.Outcome)) {
-	if d.sim.plan.Plant == "again" && (e == scheduling.OutcomeUnknown || e == scheduling.OutcomeBroken) && len(c.told.Pieces) == 0 {
+	if d.sim.plan.Plant == "again" && (e == scheduling.OutcomeUnknown || e == scheduling.OutcomeBroken) && len(c.told.Chunks) == 0 {
 		e = scheduling.OutcomeUnsent
 	}
 	if c.hung {
@@ -473,17 +473,17 @@
 		return
 	}
 	if e == scheduling.OutcomeDone {
-		c.told.Ended, c.told.EndCount = true, c.told.Had+len(c.told.Pieces)
+		c.told.Complete, c.told.EndCount = true, c.told.ReceivedChunks+len(c.told.Chunks)
 		d.over(c)
 	}
 	ended(e)
 }
 
 // take is a call reaching this gateway.
-func (d *gatewayNode) take(ask gateway.CallRequest, t rules.Told, done func(rules.Told)) {
+func (d *gatewayNode) take(ask gateway.CallRequest, t rules.ClientAttempt, done func(rules.ClientAttempt)) {
 	s := d.sim
-	t.TakenUs = s.nowUs
-	s.watch.Taken(t.Tag, s.nowUs)
+	t.AdmittedUs = s.nowUs
+	s.watch.Admitted(t.Tag, s.nowUs)
 	c := &callState{ask: ask, told: t, done: done}
 	refuse := func(f *fault.Fault) {
 		c.told.Code, c.told.Run, c.told.RetryMs = string(f.Code), f.Run, f.RetryMs
@@ -496,16 +496,16 @@
 		refuse(&fault.Fault{Code: fault.NoLease, RetryMs: 500})
 		return
 	}
-	kind, bad := d.snap.Lookup(scheduling.Lookup{Kind: ask.Kind, Model: ask.Model, Adapter: ask.Adapter, Resuming: t.Had > 0}, d.clock(), d.leaseUs)
+	kind, bad := d.snap.Lookup(scheduling.Lookup{Kind: ask.Kind, Model: ask.Model, Adapter: ask.Adapter, Resuming: t.ReceivedChunks > 0}, d.clock(), d.leaseUs)
 	if bad != nil {
 		refuse(bad)
 		return
 	}
 	s.calls++
 	c.call = &scheduling.Call{
-		ID: fmt.Sprintf("%s-%d", d.name, s.calls), Kind: kind.Name, Model: ask.Model, Adapter: ask.Adapter, Prefix: ask.Prefix, ArrivedUs: d.clock(), Delivered: t.Had,
+		ID: fmt.Sprintf("%s-%d", d.name, s.calls), Kind: kind.Name, Model: ask.Model, Adapter: ask.Adapter, Prefix: ask.Prefix, ArrivedUs: d.clock(), Delivered: t.ReceivedChunks,
 	}
-	c.call.Progress.Store(int64(t.Had))
+	c.call.Progress.Store(int64(t.ReceivedChunks))
 	enter := func() {
 		d.calls[c.call.ID] = c
 		if s.r.Intn(40) == 0 {
@@ -540,7 +540,7 @@
 func (s *Sim) finish(c *callState) {
 	c.told.EndUs = s.nowUs
 	s.told = append(s.told, c.told)
-	s.watch.Told(c.told)
+	s.watch.Observed(c.told)
 	if c.done != nil {
 		c.done(c.told)
 	}
@@ -593,10 +593,10 @@
 
 func (s *Sim) call(ask gateway.CallRequest, key string, at, try int) {
 	d := s.gateways[at%len(s.gateways)]
-	t := rules.Told{Tag: modelserver.TagOf(ask.Prompt), Key: key, Kind: ask.Kind, Model: ask.Model, Adapter: ask.Adapter, Prompt: ask.Prompt, Gateway: d.name,
-		StartUs: s.nowUs, Had: len(ask.Received), MostOut: ask.MaxOutput, Resumable: s.ops.mayResume(ask.Kind)}
-	s.watch.Asked(t)
-	done := func(t rules.Told) { s.askAgain(t, ask, key, at, try) }
+	t := rules.ClientAttempt{Tag: modelserver.TagOf(ask.Prompt), Key: key, Kind: ask.Kind, Model: ask.Model, Adapter: ask.Adapter, Prompt: ask.Prompt, Gateway: d.name,
+		StartUs: s.nowUs, ReceivedChunks: len(ask.Received), MaxOutput: ask.MaxOutput, Resumable: s.ops.mayResume(ask.Kind)}
+	s.watch.Requested(t)
+	done := func(t rules.ClientAttempt) { s.askAgain(t, ask, key, at, try) }
 	if !d.up {
 		t.Code, t.Run, t.EndUs = "down", fault.RunNone, s.nowUs
 		s.told = append(s.told, t)
@@ -616,13 +616,13 @@
 
 // askAgain is what a sensible caller does: it comes back when it was told to, asks what became of
 // a keyed call, and goes on with a stream that was cut where that is allowed.
-func (s *Sim) askAgain(t rules.Told, ask gateway.CallRequest, key string, at, try int) {
-	if t.Ended || try >= 4 || t.Code == "hung up" {
+func (s *Sim) askAgain(t rules.ClientAttempt, ask gateway.CallRequest, key string, at, try int) {
+	if t.Complete || try >= 4 || t.Code == "hung up" {
 		return
 	}
 	switch {
-	case t.Resumable && t.Broken && t.Had+len(t.Pieces) > 0:
-		ask.Received = append(append([]string(nil), ask.Received...), t.Pieces...)
+	case t.Resumable && t.Broken && t.ReceivedChunks+len(t.Chunks) > 0:
+		ask.Received = append(append([]string(nil), ask.Received...), t.Chunks...)
 	case t.Run == fault.RunNone && (t.RetryMs > 0 || t.Code == "down"), key != "" && !t.Resumable && t.Run != fault.RunNone:
 		ask.Prompt = fmt.Sprintf("%s.r%d go", modelserver.TagOf(ask.Prompt), try+1)
 	default:
--- a/tests/simulator/member_test.go
+++ b/tests/simulator/member_test.go
@@ -30,7 +30,7 @@
 		case !ok:
 			again()
 		case r.Outcome.Fault != nil:
-			s.watch.Break(rules.ConfigLost, "%s was refused: %v", id, r.Outcome.Fault)
+			s.watch.Break(rules.ConfigMissing, "%s was refused: %v", id, r.Outcome.Fault)
 		case !r.Outcome.Repeated:
 			again()
 		}
--- a/tests/simulator/moves_test.go
+++ b/tests/simulator/moves_test.go
@@ -41,7 +41,7 @@
 	}
 	for _, told := range s.told {
 		calls++
-		if told.Ended || told.Code == "hung up" {
+		if told.Complete || told.Code == "hung up" {
 			ended++
 		}
 	}
--- a/tests/simulator/operators.go
+++ b/tests/simulator/operators.go
@@ -99,7 +99,7 @@
 	})
 	o.submit(statemachine.Change{ID: id, Config: &statemachine.ConfigChange{Base: base, Doc: &held}}, 3*sec, func(r wire.Result, ok bool) {
 		if !ok {
-			p.sim.watch.Stake(rules.ConfigLost)
+			p.sim.watch.Stake(rules.ConfigMissing)
 			again()
 			return
 		}
@@ -120,11 +120,11 @@
 		answer = string(r.Outcome.Fault.Code)
 	}
 	if before := p.answers[id]; before != "" && before != answer {
-		s.watch.Break(rules.ConfigLost, "change %s was answered %q and %q", id, before, answer)
+		s.watch.Break(rules.ConfigMissing, "change %s was answered %q and %q", id, before, answer)
 	}
 	p.answers[id] = answer
 	if r.Outcome.Fault != nil {
-		s.watch.Stake(rules.ConfigLost)
+		s.watch.Stake(rules.ConfigMissing)
 		p.refused[doc.Name] = true
 		for _, m := range doc.Models {
 			if strings.HasPrefix(m.Name, ghost) {
@@ -135,7 +135,7 @@
 		return
 	}
 	if other := p.acked[r.Outcome.Revision]; other != "" && other != doc.Name {
-		s.watch.Break(rules.ConfigLost, "revision %d was acknowledged as %s and as %s", r.Outcome.Revision, other, doc.Name)
+		s.watch.Break(rules.ConfigMissing, "revision %d was acknowledged as %s and as %s", r.Outcome.Revision, other, doc.Name)
 	}
 	p.acked[r.Outcome.Revision] = doc.Name
 	if r.Outcome.Revision > p.revision {
@@ -153,7 +153,7 @@
 
 func (p *operators) judgeOrder(unit string) {
 	if p.ordered[unit] && p.refused[unit] {
-		p.sim.watch.Break(rules.ConfigLost, "%s of a refused configuration was ordered", unit)
+		p.sim.watch.Break(rules.ConfigMissing, "%s of a refused configuration was ordered", unit)
 	}
 }
 
@@ -188,7 +188,7 @@
 	}
 	p.send(p.revision, p.part(step), func(r wire.Result, ok bool) {
 		if ok && r.Outcome.Fault != nil {
-			p.sim.watch.Break(rules.ConfigLost, "step %d of growing: %v", step, r.Outcome.Fault)
+			p.sim.watch.Break(rules.ConfigMissing, "step %d of growing: %v", step, r.Outcome.Fault)
 			return
 		}
 		p.grow(step + 1)
@@ -197,7 +197,7 @@
 
 func (p *operators) sawDoc(gateway string, snap *scheduling.Snapshot) {
 	if snap.Declaration != nil && p.refused[snap.Declaration.Name] {
-		p.sim.watch.Break(rules.ConfigLost, "%s works by refused %s", gateway, snap.Declaration.Name)
+		p.sim.watch.Break(rules.ConfigMissing, "%s works by refused %s", gateway, snap.Declaration.Name)
 	}
 }
 
@@ -264,8 +264,8 @@
 	return kept
 }
 
-func told(code fault.Code, concerns func(rules.Told) bool) func(rules.Told) bool {
-	return func(t rules.Told) bool { return t.Code == string(code) && concerns(t) }
+func told(code fault.Code, concerns func(rules.ClientAttempt) bool) func(rules.ClientAttempt) bool {
+	return func(t rules.ClientAttempt) bool { return t.Code == string(code) && concerns(t) }
 }
 
 func (p *operators) all() []turn {
@@ -274,11 +274,13 @@
 	adapter, moved := full.Adapters[0], full.Adapters[1]
 	kinds := byUrgency(full)
 	resumed, rare, often := kinds[0], kinds[1], kinds[2]
-	ofModel := func(t rules.Told) bool { return t.Model == model.Name }
-	ofAdapter := func(t rules.Told) bool { return t.Adapter == adapter.Name }
-	ofKind := func(name string) func(rules.Told) bool { return func(t rules.Told) bool { return t.Kind == name } }
-	ofMoved := func(to string) func(rules.Told) bool {
-		return func(t rules.Told) bool { return t.Adapter == moved.Name && t.Model == to }
+	ofModel := func(t rules.ClientAttempt) bool { return t.Model == model.Name }
+	ofAdapter := func(t rules.ClientAttempt) bool { return t.Adapter == adapter.Name }
+	ofKind := func(name string) func(rules.ClientAttempt) bool {
+		return func(t rules.ClientAttempt) bool { return t.Kind == name }
+	}
+	ofMoved := func(to string) func(rules.ClientAttempt) bool {
+		return func(t rules.ClientAttempt) bool { return t.Adapter == moved.Name && t.Model == to }
 	}
 	elsewhere := p.elsewhere()
 	shortMs := often.DeadlineMs / 4
@@ -297,24 +299,24 @@
 					}
 				}
 			},
-			gone: rules.TakenOut(rules.Span{ID: model.Name}),
+			gone: rules.RemovedUnit(rules.Interval{ID: model.Name}),
 			back: rules.Change{Told: told(fault.UnknownModel, ofModel), Concerns: ofModel}},
 		{id: adapter.Name,
 			away: func(d *configuration.Declaration) {
 				d.Adapters = without(d.Adapters, func(a configuration.Adapter) bool { return a.Name == adapter.Name })
 			},
 			old:  func(d *configuration.Declaration) { d.Adapters = append(d.Adapters, adapter) },
-			gone: rules.TakenOut(rules.Span{ID: adapter.Name}),
+			gone: rules.RemovedUnit(rules.Interval{ID: adapter.Name}),
 			back: rules.Change{Told: told(fault.UnknownAdapter, ofAdapter), Concerns: ofAdapter}},
 		{id: "model of " + moved.Name,
 			away: func(d *configuration.Declaration) { moveTo(d, moved.Name, elsewhere) },
 			old:  func(d *configuration.Declaration) { moveTo(d, moved.Name, moved.Model) },
 			gone: rules.Change{Concerns: ofMoved(elsewhere), Told: told(fault.UnknownAdapter, ofMoved(elsewhere)),
-				Runs: func(r modelserver.Run, _ rules.Told, _ int) bool {
+				Runs: func(r modelserver.Run, _ rules.ClientAttempt, _ int) bool {
 					return r.Adapter == moved.Name && r.Model == moved.Model
 				}},
 			back: rules.Change{Concerns: ofMoved(moved.Model), Told: told(fault.UnknownAdapter, ofMoved(moved.Model)),
-				Runs: func(r modelserver.Run, _ rules.Told, _ int) bool {
+				Runs: func(r modelserver.Run, _ rules.ClientAttempt, _ int) bool {
 					return r.Adapter == moved.Name && r.Model == elsewhere
 				}}},
 		{id: "kind " + rare.Name,
@@ -323,29 +325,29 @@
 			},
 			old: func(d *configuration.Declaration) { d.Kinds = append(d.Kinds, rare) },
 			gone: rules.Change{Concerns: ofKind(rare.Name),
-				Runs: func(_ modelserver.Run, ask rules.Told, _ int) bool { return ask.Kind == rare.Name }},
+				Runs: func(_ modelserver.Run, ask rules.ClientAttempt, _ int) bool { return ask.Kind == rare.Name }},
 			back: rules.Change{Concerns: ofKind(rare.Name), Told: told(fault.UnknownKind, ofKind(rare.Name))}},
 		{id: "resumable " + resumed.Name,
 			away: func(d *configuration.Declaration) { resumeAs(d, resumed.Name, false) },
 			old:  func(d *configuration.Declaration) { resumeAs(d, resumed.Name, true) },
 			gone: rules.Change{Concerns: ofKind(resumed.Name),
-				Runs: func(r modelserver.Run, ask rules.Told, nth int) bool {
+				Runs: func(r modelserver.Run, ask rules.ClientAttempt, nth int) bool {
 					return ask.Kind == resumed.Name && (nth > 1 || r.First > 1)
 				}},
 			back: rules.Change{Concerns: ofKind(resumed.Name),
-				Told: func(t rules.Told) bool {
+				Told: func(t rules.ClientAttempt) bool {
 					return t.Kind == resumed.Name && (t.Code == string(fault.OutcomeUnknown) || t.Code == string(fault.BadLastEventID))
 				}}},
 		{id: "expiry " + often.Name,
 			away: func(d *configuration.Declaration) { expireAs(d, often.Name, shortMs) },
 			old:  func(d *configuration.Declaration) { expireAs(d, often.Name, often.DeadlineMs) },
 			gone: rules.Change{Concerns: ofKind(often.Name),
-				Runs: func(r modelserver.Run, ask rules.Told, _ int) bool {
-					return ask.Kind == often.Name && ask.Had == 0 && r.StartUs > ask.TakenUs+shortMs*ms+slackUs
+				Runs: func(r modelserver.Run, ask rules.ClientAttempt, _ int) bool {
+					return ask.Kind == often.Name && ask.ReceivedChunks == 0 && r.StartUs > ask.AdmittedUs+shortMs*ms+slackUs
 				}},
 			back: rules.Change{Concerns: ofKind(often.Name),
-				Told: func(t rules.Told) bool {
-					return t.Kind == often.Name && t.Code == string(fault.Expired) && t.EndUs-t.TakenUs < often.DeadlineMs*ms-slackUs
+				Told: func(t rules.ClientAttempt) bool {
+					return t.Kind == often.Name && t.Code == string(fault.Expired) && t.EndUs-t.AdmittedUs < often.DeadlineMs*ms-slackUs
 				}}},
 	}
 }
@@ -429,7 +431,7 @@
 		}
 		p.send(base, &d, func(r wire.Result, ok bool) {
 			if ok && r.Outcome.Fault == nil {
-				s.watch.Break(rules.ConfigLost, "a change that had to be refused was taken as revision %d", r.Outcome.Revision)
+				s.watch.Break(rules.ConfigMissing, "a change that had to be refused was taken as revision %d", r.Outcome.Revision)
 			}
 		})
 	}
@@ -457,7 +459,7 @@
 		}
 		p.once[t.id] = !away
 		if p.revision == r.Outcome.Revision && r.OnAllGateways {
-			change.Span = rules.Span{ID: t.id, FromUs: s.nowUs, ToUs: rules.Open}
+			change.Interval = rules.Interval{ID: t.id, FromUs: s.nowUs, ToUs: rules.Open}
 			s.watch.Old(change)
 		}
 	})
@@ -475,7 +477,7 @@
 	d.DrainedZones = []string{zone}
 	p.send(base, d, func(r wire.Result, ok bool) {
 		if ok && r.Outcome.Fault == nil && p.revision == r.Outcome.Revision && !s.healed {
-			s.watch.Emptied(rules.Span{ID: zone, FromUs: s.nowUs, ToUs: rules.Open})
+			s.watch.Emptied(rules.Interval{ID: zone, FromUs: s.nowUs, ToUs: rules.Open})
 		}
 	})
 }
@@ -492,10 +494,10 @@
 			won++
 		}
 		if won > 1 {
-			s.watch.Break(rules.ConfigLost, "two operators both won on base %d", base)
+			s.watch.Break(rules.ConfigMissing, "two operators both won on base %d", base)
 		}
 		if ok && r.Outcome.Fault != nil && r.Outcome.Fault.Code != fault.StaleBase {
-			s.watch.Break(rules.ConfigLost, "a race ended with %v", r.Outcome.Fault)
+			s.watch.Break(rules.ConfigMissing, "a race ended with %v", r.Outcome.Fault)
 		}
 	}
 	p.send(base, d, count)
@@ -532,7 +534,7 @@
 	s := p.sim
 	for rev, name := range p.acked {
 		if got := p.byRevision[rev]; got != name {
-			s.watch.Break(rules.ConfigLost, "revision %d was acknowledged as %s, it is %q", rev, name, got)
+			s.watch.Break(rules.ConfigMissing, "revision %d was acknowledged as %s, it is %q", rev, name, got)
 		}
 	}
 	for _, o := range s.controlNodes {
@@ -541,10 +543,10 @@
 		}
 		st := o.core.Node.State()
 		if st.Revision < p.revision {
-			s.watch.Break(rules.ConfigLost, "revision %d was acknowledged, the tail is at %d", p.revision, st.Revision)
+			s.watch.Break(rules.ConfigMissing, "revision %d was acknowledged, the tail is at %d", p.revision, st.Revision)
 		}
 		if st.Doc != nil && p.refused[st.Doc.Name] {
-			s.watch.Break(rules.ConfigLost, "refused %s stands", st.Doc.Name)
+			s.watch.Break(rules.ConfigMissing, "refused %s stands", st.Doc.Name)
 		}
 	}
 }
--- a/tests/simulator/overload_test.go
+++ b/tests/simulator/overload_test.go
@@ -24,7 +24,7 @@
 			out := Play(Plan{Seed: 3, ControlNodes: 3, Gateways: 3, Replicas: 5, SpanUs: 5 * sec, PerSec: 60 * times, Declared: true})
 			c := carried{times: times, byKind: map[string]float64{}}
 			for _, told := range out.Told {
-				if told.Ended {
+				if told.Complete {
 					c.ended += 0.2
 					c.byKind[told.Kind] += 0.2
 				}
--- a/tests/simulator/plant_test.go
+++ b/tests/simulator/plant_test.go
@@ -46,10 +46,10 @@
 		{"deaf", rules.IntoEmptied, nil},
 		{"deaf", rules.OldWay, nil},
 		{"old-doc", rules.OldWay, nil},
-		{"forger", rules.TicketClash, nil},
-		{"narrow", rules.OverRoom, nil},
+		{"forger", rules.CommandConflict, nil},
+		{"narrow", rules.OverCapacity, nil},
 		{"strict-store", rules.OverStore, nil},
-		{"amnesia", rules.ConfigLost, []Fault{{Kind: "kill-offices", AtUs: 5 * sec, ForUs: sec, N: 1}}},
+		{"amnesia", rules.ConfigMissing, []Fault{{Kind: "kill-offices", AtUs: 5 * sec, ForUs: sec, N: 1}}},
 		{"rash-disk", rules.UnsyncedCopy, []Fault{{Kind: "full-disk", AtUs: 5 * sec, ForUs: 4 * sec, A: 1}}},
 		{"sluggish", rules.PoorService, []Fault{{Kind: "kill-everything", AtUs: 20 * sec, ForUs: sec, N: 1}}},
 	} {
--- a/tests/simulator/recovery_test.go
+++ b/tests/simulator/recovery_test.go
@@ -39,7 +39,7 @@
 		}
 		at := (told.StartUs - backUs) / sec
 		all[at]++
-		if told.Ended {
+		if told.Complete {
 			well[at]++
 			if firstUs == 0 || told.EndUs-backUs < firstUs {
 				firstUs = told.EndUs - backUs
--- a/tests/simulator/routed.go
+++ b/tests/simulator/routed.go
@@ -188,17 +188,17 @@
 }
 
 // trouble notes what was done to a machine; one without an end is ended by over.
-func (d *routedDay) trouble(t rules.Trouble) {
+func (d *routedDay) trouble(t rules.FaultInterval) {
 	t.FromUs = d.nowUs
 	if t.ToUs == 0 {
 		t.ToUs = rules.Open
 	}
-	d.seen.Troubles = append(d.seen.Troubles, t)
+	d.seen.Faults = append(d.seen.Faults, t)
 }
 
 func (d *routedDay) over(machine, kind string) {
-	for i := range d.seen.Troubles {
-		if t := &d.seen.Troubles[i]; t.Machine == machine && t.Kind == kind && t.ToUs == rules.Open {
+	for i := range d.seen.Faults {
+		if t := &d.seen.Faults[i]; t.Machine == machine && t.Kind == kind && t.ToUs == rules.Open {
 			t.ToUs = d.nowUs
 		}
 	}
@@ -206,7 +206,7 @@
 
 func (d *routedDay) cut(from, to string, forUs int64) {
 	d.cutOne(from, to, forUs)
-	d.seen.Cuts = append(d.seen.Cuts, rules.Cut{From: from, To: to, FromUs: d.nowUs, ToUs: d.nowUs + forUs})
+	d.seen.Partitions = append(d.seen.Partitions, rules.Partition{From: from, To: to, FromUs: d.nowUs, ToUs: d.nowUs + forUs})
 }
 
 // carry brings act to another machine as a short call on a connection does: late where a link loses bytes,
@@ -342,7 +342,7 @@
 	d.seen.Calls = d.ops.calls.Calls()
 	breaches, stakes := rules.Judge(d.seen)
 	out := RoutedOutcome{Breaches: breaches, Stakes: stakes, Caused: d.caused, Events: d.events, Log: d.Log, Statuses: map[string]int{}, Seen: d.seen, Loads: len(d.seen.Loads)}
-	for _, t := range d.seen.Tries {
+	for _, t := range d.seen.Attempts {
 		if t.Probe {
 			continue
 		}
--- a/tests/simulator/routed_clients.go
+++ b/tests/simulator/routed_clients.go
@@ -218,9 +218,9 @@
 	zone := []string{"a", "b", "c"}[c.r.Intn(3)]
 	s.gateway, s.x, s.over = c.pick(zone), nil, false
 	c.n++
-	t := &rules.Try{
+	t := &rules.Attempt{
 		ID: fmt.Sprintf("r%d", c.n), Class: s.class.name, Model: s.model, Adapter: s.adapter, Subject: s.subject(), Size: s.size(), Nth: s.nth, Method: "POST", Host: "cards.example", Path: "/" + s.class.route + "/1f", Body: s.body, Machine: s.gateway.name,
-		Stream: s.class.stream, Had: s.had, AimUs: s.class.aimUs, LimitUs: s.class.limitUs, SentUs: d.nowUs,
+		Stream: s.class.stream, ReceivedChunks: s.had, LatencyTargetUs: s.class.aimUs, LimitUs: s.class.limitUs, SentUs: d.nowUs,
 	}
 	if d.plan.Plant == "" && c.r.Intn(40) == 0 {
 		c.later(c.r.Int63n(900*ms), func() { s.hangUp(t) })
@@ -233,9 +233,9 @@
 	s.patience(t)
 }
 
-func (s *seat) deliver(t *rules.Try, leftUs int64) {
+func (s *seat) deliver(t *rules.Attempt, leftUs int64) {
 	c, d := s.c, s.c.day
-	d.seen.Tries = append(d.seen.Tries, t)
+	d.seen.Attempts = append(d.seen.Attempts, t)
 	gateway := s.gateway
 	ask := replica.Ask{ID: t.ID, Method: t.Method, Host: t.Host, Path: t.Path, Body: t.Body, Model: s.model, Adapter: s.adapter, In: s.in, Parts: s.parts, Last: s.had, Stream: t.Stream}
 	t.LimitUs = leftUs
@@ -252,7 +252,7 @@
 }
 
 // patience: a client gives up what is silent for too long, and a repeatable try that nobody has read.
-func (s *seat) patience(t *rules.Try) {
+func (s *seat) patience(t *rules.Attempt) {
 	d := s.c.day
 	mostUs := max(2*sec, 4*s.class.aimUs, 8*400*ms)
 	endUs := t.SentUs + t.LimitUs
@@ -276,7 +276,7 @@
 	s.c.later(50*ms, look)
 }
 
-func (s *seat) hangUp(t *rules.Try) {
+func (s *seat) hangUp(t *rules.Attempt) {
 	if !s.over {
 		s.leave(t)
 		t.HungUp = true
@@ -284,7 +284,7 @@
 }
 
 // leave closes the client's connection.
-func (s *seat) leave(t *rules.Try) {
+func (s *seat) leave(t *rules.Attempt) {
 	s.over = true
 	t.EndUs = s.c.day.nowUs
 	if x, gateway := s.x, s.gateway; x != nil {
@@ -296,7 +296,7 @@
 	}
 }
 
-func (s *seat) end(t *rules.Try) bool {
+func (s *seat) end(t *rules.Attempt) bool {
 	if s.over {
 		return false
 	}
@@ -306,7 +306,7 @@
 }
 
 // broken is a connection that ended without a whole answer.
-func (s *seat) broken(t *rules.Try) {
+func (s *seat) broken(t *rules.Attempt) {
 	if !s.end(t) {
 		return
 	}
@@ -317,16 +317,16 @@
 	case t.ReadUs == 0, s.class.repeat:
 		s.again(t, 0)
 	case s.class.resumable:
-		s.had = t.Had + len(t.Events)
+		s.had = t.ReceivedChunks + len(t.Events)
 		s.again(t, 0)
 	}
 }
 
-func (s *seat) answered(t *rules.Try, status int, seal, body string, retryMs int64) {
+func (s *seat) answered(t *rules.Attempt, status int, seal, body string, retryMs int64) {
 	if !s.end(t) {
 		return
 	}
-	t.Status, t.Seal, t.Answer, t.AnswerID, t.Complete, t.FirstUs = status, seal, body, t.ID, true, s.c.day.nowUs
+	t.Status, t.Seal, t.Response, t.ResponseID, t.Complete, t.FirstUs = status, seal, body, t.ID, true, s.c.day.nowUs
 	if s.class == nil || status/100 == 2 || slices.Contains([]int{400, 401, 404, 413, 431}, status) {
 		return
 	}
@@ -337,13 +337,13 @@
 	s.again(t, retryMs)
 }
 
-func (s *seat) head(t *rules.Try, status int, seal string) {
+func (s *seat) head(t *rules.Attempt, status int, seal string) {
 	if !s.over {
-		t.Status, t.Seal, t.AnswerID = status, seal, t.ID
+		t.Status, t.Seal, t.ResponseID = status, seal, t.ID
 	}
 }
 
-func (s *seat) event(t *rules.Try, n int, text string) {
+func (s *seat) event(t *rules.Attempt, n int, text string) {
 	if s.over {
 		return
 	}
@@ -354,14 +354,14 @@
 	t.Events = append(t.Events, rules.EventSeen{N: n, Text: text, AtUs: s.c.day.nowUs})
 }
 
-func (s *seat) complete(t *rules.Try) {
+func (s *seat) complete(t *rules.Attempt) {
 	if s.end(t) {
 		t.Complete = true
 	}
 }
 
 // again is the client's one further try: at once, or when it was told.
-func (s *seat) again(t *rules.Try, retryMs int64) {
+func (s *seat) again(t *rules.Attempt, retryMs int64) {
 	d := s.c.day
 	leftUs := s.firstUs + s.class.limitUs - d.nowUs
 	triesMost := 1
@@ -393,9 +393,9 @@
 		return
 	}
 	c.n++
-	t := &rules.Try{
+	t := &rules.Attempt{
 		ID: fmt.Sprintf("r%d", c.n), Class: "probe", Method: "POST", Host: opsHost, Path: c.day.ops.probed(c.r) + "1f", Body: fmt.Sprintf("c%d/1", c.n), Machine: gateway.name,
-		Probe: true, AimUs: sec, LimitUs: 2 * sec, SentUs: c.day.nowUs,
+		Probe: true, LatencyTargetUs: sec, LimitUs: 2 * sec, SentUs: c.day.nowUs,
 	}
 	s := &seat{c: c, gateway: gateway, firstUs: c.day.nowUs}
 	s.deliver(t, 2*sec)
@@ -410,7 +410,7 @@
 func (c *clients) abuse(f Fault) { c.repeats, c.abuseUs = f, c.day.nowUs+f.ForUs+2*sec }
 
 // giveUp is a client that leaves within half of its aim.
-func (s *seat) giveUp(t *rules.Try) {
+func (s *seat) giveUp(t *rules.Attempt) {
 	if !s.over {
 		s.c.day.count(s.c.leaving)
 	}
--- a/tests/simulator/routed_closing.go
+++ b/tests/simulator/routed_closing.go
@@ -10,11 +10,11 @@
 	d.springs, d.taking, d.handed = nil, nil, true
 	d.ordering, d.keepers = nil, nil
 	d.ops.struck, d.ops.loseUs, d.clients.leavesUs, d.clients.abuseUs = nil, 0, 0, 0
-	for i := range d.seen.Cuts {
-		d.seen.Cuts[i].ToUs = min(d.seen.Cuts[i].ToUs, d.nowUs)
+	for i := range d.seen.Partitions {
+		d.seen.Partitions[i].ToUs = min(d.seen.Partitions[i].ToUs, d.nowUs)
 	}
-	for i := range d.seen.Troubles {
-		if t := &d.seen.Troubles[i]; t.ToUs != rules.Open && t.ToUs > d.nowUs {
+	for i := range d.seen.Faults {
+		if t := &d.seen.Faults[i]; t.ToUs != rules.Open && t.ToUs > d.nowUs {
 			t.ToUs = d.nowUs
 		}
 	}
@@ -48,7 +48,7 @@
 		}
 		struck = true
 		downUs := 500*ms + d.r.Int63n(sec)
-		d.seen.Closing = &rules.Closing{AtUs: d.nowUs, BackUs: d.nowUs + downUs, Most: true}
+		d.seen.Closing = &rules.Closing{AtUs: d.nowUs, BackUs: d.nowUs + downUs, MajorityDown: true}
 		d.note("closing fault %s after an acknowledgement by %s", kind, o.name)
 		d.count(Fault{Kind: "closing-" + kind})
 		wiped := []*routedControlNode{o}
--- a/tests/simulator/routed_control_nodes.go
+++ b/tests/simulator/routed_control_nodes.go
@@ -86,7 +86,7 @@
 	}
 	o.core = controlnode.NewCoreWith(node, controlnode.CoreOptions{
 		UnreachableUs: heartbeatUs * 5 / 2,
-		Controller:    controller.Options{LeaseUs: leaseUs, StoreWindowUs: b.CeilingUs, StoreOvershoot: b.CeilingOver},
+		Controller:    controller.Options{LeaseUs: leaseUs, StoreWindowUs: b.LoadWindowUs, StoreOvershoot: b.LoadOvershoot},
 	})
 	o.day.over(o.name, "down")
 	o.tick()
@@ -100,7 +100,7 @@
 	}
 	o.up = false
 	o.day.over(o.name, "freeze")
-	o.day.trouble(rules.Trouble{Machine: o.name, Kind: "down", Down: true})
+	o.day.trouble(rules.FaultInterval{Machine: o.name, Kind: "down", Down: true})
 	o.saver.torn(torn)
 	if o.day.plan.Plant == "amnesia" && o.day.nowUs > bootUs {
 		o.disk.records = o.disk.records[:len(o.disk.records)/3]
--- a/tests/simulator/routed_cutoff.go
+++ b/tests/simulator/routed_cutoff.go
@@ -184,7 +184,7 @@
 		}
 		if c.StepUs > 0 {
 			o.skewUs += c.StepUs
-			d.seen.Troubles = append(d.seen.Troubles, rules.Trouble{Machine: o.name, Kind: "clock", FromUs: d.nowUs, ToUs: d.nowUs})
+			d.seen.Faults = append(d.seen.Faults, rules.FaultInterval{Machine: o.name, Kind: "clock", FromUs: d.nowUs, ToUs: d.nowUs})
 		}
 	}
 	d.cutOffBy(c, struck)
--- a/tests/simulator/routed_exchange.go
+++ b/tests/simulator/routed_exchange.go
@@ -13,7 +13,7 @@
 type exchange struct {
 	gateway *routedGateway
 	call    *scheduling.Call
-	try     *rules.Try
+	try     *rules.Attempt
 	ask     replica.Ask
 	seat    *seat
 	back    *pipe
--- a/tests/simulator/routed_faults_control_nodes.go
+++ b/tests/simulator/routed_faults_control_nodes.go
@@ -71,14 +71,14 @@
 		d.freeze(&o.machine, f.ForUs)
 	case "stall-disk":
 		o.disk.stallUs = d.nowUs + f.ForUs
-		d.seen.Troubles = append(d.seen.Troubles, rules.Trouble{Machine: o.name, Kind: f.Kind, FromUs: d.nowUs, ToUs: d.nowUs + f.ForUs, Slow: true})
+		d.seen.Faults = append(d.seen.Faults, rules.FaultInterval{Machine: o.name, Kind: f.Kind, FromUs: d.nowUs, ToUs: d.nowUs + f.ForUs, Slow: true})
 	case "slow-disk":
 		o.disk.slowUs = int64(f.N) * 5 * ms
-		d.seen.Troubles = append(d.seen.Troubles, rules.Trouble{Machine: o.name, Kind: f.Kind, FromUs: d.nowUs, ToUs: d.nowUs + f.ForUs, Slow: true})
+		d.seen.Faults = append(d.seen.Faults, rules.FaultInterval{Machine: o.name, Kind: f.Kind, FromUs: d.nowUs, ToUs: d.nowUs + f.ForUs, Slow: true})
 		d.at(d.nowUs+f.ForUs, func() { o.disk.slowUs = 0 })
 	case "full-disk":
 		o.disk.fill(d.Sim, f.ForUs)
-		d.seen.Troubles = append(d.seen.Troubles, rules.Trouble{Machine: o.name, Kind: f.Kind, FromUs: d.nowUs, ToUs: d.nowUs + f.ForUs, Slow: true})
+		d.seen.Faults = append(d.seen.Faults, rules.FaultInterval{Machine: o.name, Kind: f.Kind, FromUs: d.nowUs, ToUs: d.nowUs + f.ForUs, Slow: true})
 	case "replace-office":
 		return d.replace(f, o)
 	case "replace-planned":
@@ -115,7 +115,7 @@
 
 func (d *routedDay) freeze(m *machine, forUs int64) {
 	m.thawUs = max(m.thawUs, d.nowUs+forUs)
-	d.seen.Troubles = append(d.seen.Troubles, rules.Trouble{Machine: m.name, Kind: "freeze", FromUs: d.nowUs, ToUs: m.thawUs, Down: true})
+	d.seen.Faults = append(d.seen.Faults, rules.FaultInterval{Machine: m.name, Kind: "freeze", FromUs: d.nowUs, ToUs: m.thawUs, Down: true})
 }
 
 func (d *routedDay) killControlNode(o *routedControlNode, torn int, forUs int64) {
@@ -138,7 +138,7 @@
 func (d *routedDay) empty(zone string) *routedControlNode {
 	d.ports++
 	fresh := d.addControlNode("core-"+d.newIncarnation(), "core-new:"+d.newIncarnation(), zone, false)
-	d.trouble(rules.Trouble{Machine: fresh.name, Kind: "start", ToUs: d.nowUs + 1})
+	d.trouble(rules.FaultInterval{Machine: fresh.name, Kind: "start", ToUs: d.nowUs + 1})
 	d.list()
 	return fresh
 }
--- a/tests/simulator/routed_faults_replicas.go
+++ b/tests/simulator/routed_faults_replicas.go
@@ -27,10 +27,10 @@
 func (d *routedDay) lossy(f Fault) {
 	d.loss = 0.02 + float64(f.N)/200
 	for _, o := range d.controlNodes {
-		d.seen.Troubles = append(d.seen.Troubles, rules.Trouble{Machine: o.name, Kind: "loss", FromUs: d.nowUs, ToUs: d.nowUs + f.ForUs, Slow: true})
+		d.seen.Faults = append(d.seen.Faults, rules.FaultInterval{Machine: o.name, Kind: "loss", FromUs: d.nowUs, ToUs: d.nowUs + f.ForUs, Slow: true})
 	}
 	for _, t := range d.gateways {
-		d.seen.Troubles = append(d.seen.Troubles, rules.Trouble{Machine: t.name, Kind: "loss", FromUs: d.nowUs, ToUs: d.nowUs + f.ForUs, Slow: true})
+		d.seen.Faults = append(d.seen.Faults, rules.FaultInterval{Machine: t.name, Kind: "loss", FromUs: d.nowUs, ToUs: d.nowUs + f.ForUs, Slow: true})
 	}
 	d.at(d.nowUs+f.ForUs, func() { d.loss = 0 })
 }
@@ -54,7 +54,7 @@
 		d.freeze(&t.machine, f.ForUs)
 	case "clock-step":
 		t.skewUs += int64(f.N) * 500 * ms
-		d.seen.Troubles = append(d.seen.Troubles, rules.Trouble{Machine: t.name, Kind: "clock", FromUs: d.nowUs, ToUs: d.nowUs})
+		d.seen.Faults = append(d.seen.Faults, rules.FaultInterval{Machine: t.name, Kind: "clock", FromUs: d.nowUs, ToUs: d.nowUs})
 	case "cut-desk":
 		for _, o := range d.controlNodes {
 			d.cut(o.name, t.name, f.ForUs)
--- a/tests/simulator/routed_gateways.go
+++ b/tests/simulator/routed_gateways.go
@@ -80,7 +80,7 @@
 	}
 	t.up = false
 	t.day.over(t.name, "freeze")
-	t.day.trouble(rules.Trouble{Machine: t.name, Kind: "down", Down: true, Planned: planned})
+	t.day.trouble(rules.FaultInterval{Machine: t.name, Kind: "down", Down: true, Planned: planned})
 	for _, id := range slices.Sorted(maps.Keys(t.open)) {
 		x := t.open[id]
 		x.over = true
@@ -132,7 +132,7 @@
 }
 
 // take is a request that this gateway has read whole.
-func (t *routedGateway) take(s *seat, try *rules.Try, ask replica.Ask, deadlineMs int64) *exchange {
+func (t *routedGateway) take(s *seat, try *rules.Attempt, ask replica.Ask, deadlineMs int64) *exchange {
 	d := t.day
 	try.ReadUs, try.Incarnation = d.nowUs, t.boot
 	x := &exchange{gateway: t, try: try, ask: ask, seat: s, back: d.pipe(&t.machine, &d.clients.machine), last: ask.Last}
--- a/tests/simulator/routed_operators.go
+++ b/tests/simulator/routed_operators.go
@@ -231,13 +231,13 @@
 
 // read is the end of the day: the newest configuration, asked for as long as the platform does.
 func (p *routedOperators) read() {
-	p.day.seen.Read = &rules.Read{}
+	p.day.seen.Read = &rules.FinalRead{}
 	endUs := p.day.nowUs + p.day.seen.Bounds.ContactUs
 	var next func()
 	next = func() {
 		p.ask(func(doc *configuration.Declaration, ok bool) {
 			if ok && doc != nil {
-				p.day.seen.Read = &rules.Read{Came: true, Number: doc.Version, Sent: canonical(doc.Version, doc.Routes, doc.Services)}
+				p.day.seen.Read = &rules.FinalRead{Received: true, Number: doc.Version, Sent: canonical(doc.Version, doc.Routes, doc.Services)}
 			}
 			if p.day.nowUs < endUs {
 				p.later(300*ms, next)
@@ -258,8 +258,8 @@
 		return false
 	}
 	p.day.count(p.lost)
-	if v.seen.LostAckUs == 0 {
-		v.seen.LostAckUs = p.day.nowUs
+	if v.seen.FirstLostAckUs == 0 {
+		v.seen.FirstLostAckUs = p.day.nowUs
 	}
 	return true
 }
--- a/tests/simulator/routed_replicas.go
+++ b/tests/simulator/routed_replicas.go
@@ -20,7 +20,7 @@
 	wakeUs   int64
 	bornUs   int64
 	conns    map[uint64]*attempt
-	leave    *rules.Leave
+	leave    *rules.Deregistration
 	leavesUs int64
 	// withdrawn replicas have said that they are gone, and serve on for a while; those that speak go on with
 	// their heartbeats all the same.
@@ -170,8 +170,8 @@
 		return
 	}
 	p.core.Draining = true
-	p.leave = &rules.Leave{Replica: p.name, SaidUs: p.day.nowUs}
-	p.day.seen.Leaves = append(p.day.seen.Leaves, p.leave)
+	p.leave = &rules.Deregistration{Replica: p.name, AnnouncedUs: p.day.nowUs}
+	p.day.seen.Deregistrations = append(p.day.seen.Deregistrations, p.leave)
 	p.say(0)
 	p.later(9*sec, p.deregister)
 }
@@ -190,8 +190,8 @@
 		return
 	}
 	p.core.Draining, p.withdrawn = true, true
-	p.leave = &rules.Leave{Replica: p.name, SaidUs: p.day.nowUs}
-	p.day.seen.Leaves = append(p.day.seen.Leaves, p.leave)
+	p.leave = &rules.Deregistration{Replica: p.name, AnnouncedUs: p.day.nowUs}
+	p.day.seen.Deregistrations = append(p.day.seen.Deregistrations, p.leave)
 	p.sayGone(0)
 	p.later(9*sec, func() { p.end(false) })
 }
@@ -256,10 +256,10 @@
 		p.leave.Crashed = true
 	}
 	if crashed || p.leavesUs > 0 {
-		d.seen.Troubles = append(d.seen.Troubles, rules.Trouble{Machine: p.name, Kind: "crash", FromUs: d.nowUs, ToUs: rules.Open, Down: true})
+		d.seen.Faults = append(d.seen.Faults, rules.FaultInterval{Machine: p.name, Kind: "crash", FromUs: d.nowUs, ToUs: rules.Open, Down: true})
 	}
 	if p.leave != nil {
-		p.leave.GoneUs = d.nowUs
+		p.leave.RemovedUs = d.nowUs
 	}
 	p.pass(p.core.Kill(d.nowUs))
 	p.up = false
--- a/tests/simulator/sim.go
+++ b/tests/simulator/sim.go
@@ -81,10 +81,10 @@
 	servers      map[string]*serverNode
 	plat         *platform.Platform
 	platMood     string
-	watch        *rules.Watch
+	watch        *rules.Monitor
 	agreed       map[uint64]string
 	ops          *operators
-	told         []rules.Told
+	told         []rules.ClientAttempt
 	caused       map[string]int
 	traps        []trap
 	healed       bool
@@ -196,7 +196,7 @@
 func New(plan Plan) *Sim {
 	s := &Sim{
 		plan: plan, r: rand.New(rand.NewSource(plan.Seed)), cuts: map[[2]string]int{}, loss: plan.Loss,
-		servers: map[string]*serverNode{}, watch: rules.NewWatch(), agreed: map[uint64]string{}, nowUs: sec, caused: map[string]int{}, trace: plan.Trace,
+		servers: map[string]*serverNode{}, watch: rules.NewMonitor(), agreed: map[uint64]string{}, nowUs: sec, caused: map[string]int{}, trace: plan.Trace,
 	}
 	if plan.Doc == nil {
 		s.plan.Doc = Doc()
@@ -249,7 +249,7 @@
 	Breaches []rules.Breach
 	Calls    int
 	Ended    int
-	Told     []rules.Told
+	Told     []rules.ClientAttempt
 	Loads    int
 	LoadMb   int64
 	Events   int
@@ -321,7 +321,7 @@
 		out.LoadMb += f.SizeMb
 	}
 	for _, t := range s.told {
-		if t.Ended {
+		if t.Complete {
 			out.Ended++
 		} else {
 			out.Codes[t.Code]++
@@ -383,7 +383,7 @@
 				rows[name] = row
 			}
 			row.calls++
-			if !t.Ended {
+			if !t.Complete {
 				row.codes[t.Code]++
 				continue
 			}
@@ -537,9 +537,9 @@
 			case l.Run != nil:
 				s.watch.Run(*l.Run)
 			case l.End != nil && l.End.Ended:
-				s.watch.Ended(l.End.Attempt)
+				s.watch.Completed(l.End.Attempt)
 			case l.End != nil:
-				s.watch.Cut(*l.End)
+				s.watch.Interrupted(*l.End)
 			case l.Order != nil:
 				s.watch.Order(*l.Order)
 				s.ops.sawOrder(*l.Order)
@@ -564,7 +564,7 @@
 	}
 	sizeMb, _, _ := s.plan.Doc.UnitSize(o.Unit)
 	if p.core.TakenMb()+sizeMb+leastMb > s.plan.Doc.Replica.CapacityMB {
-		s.watch.Stake(rules.OverRoom)
+		s.watch.Stake(rules.OverCapacity)
 	}
 }
 
@@ -611,7 +611,7 @@
 func (p *serverNode) kill() {
 	p.up = false
 	for _, r := range p.core.Attempts() {
-		p.sim.watch.Cut(r)
+		p.sim.watch.Interrupted(r)
 	}
 	p.sim.plat.Store.Done(p.addr)
 }
--- a/tests/testbed/input_test.go
+++ b/tests/testbed/input_test.go
@@ -206,11 +206,11 @@
 				ctx, done := context.WithTimeout(context.Background(), time.Duration(hangMs)*time.Millisecond)
 				defer done()
 				ask := gateway.CallRequest{Kind: "letters", Model: "m0", Prompt: tag + " go", DeadlineMs: 3000}
-				got := callers.Ask(ctx, http.DefaultClient, s.Gateways[i%len(s.Gateways)], ask, "", rules.Told{Tag: tag})
+				got := callers.Send(ctx, http.DefaultClient, s.Gateways[i%len(s.Gateways)], ask, "", rules.ClientAttempt{Tag: tag})
 				mu.Lock()
 				defer mu.Unlock()
 				told[tag] = got.Run
-				if got.Ended {
+				if got.Complete {
 					t.Errorf("%s: told success, no replica gave one", tag)
 				}
 				if i < 6 && got.Run == "" {
