--- /dev/null
+++ b/internal/controlplane/controlnode/acknowledgements.go
@@ -0,0 +1,39 @@
+package controlnode
+
+import (
+	"context"
+
+	"petreltide/internal/controlplane/registry"
+)
+
+// ReplicaReported takes what a replica says of itself; true acknowledges it. It is known here all the same where this
+// control node is out of contact and cannot acknowledge it.
+func (h *Host) ReplicaReported(ctx context.Context, row registry.ReplicaStatus) bool {
+	return h.awaitAcknowledgement(ctx, func(reply uint64) Event { return ReplicaHeartbeat{Status: &row, Reply: reply} })
+}
+
+// ReplicaRemoved takes the word that a replica's incarnation has ended; true acknowledges it.
+func (h *Host) ReplicaRemoved(ctx context.Context, id string) bool {
+	return h.awaitAcknowledgement(ctx, func(reply uint64) Event { return ReplicaDeregistration{ID: id, Reply: reply} })
+}
+
+// awaitAcknowledgement gives the reducer the event made for a new reply number and waits for its answer.
+func (h *Host) awaitAcknowledgement(ctx context.Context, event func(reply uint64) Event) bool {
+	reply := make(chan bool, 1)
+	var number uint64
+	if !h.act.Do(ctx, func() {
+		h.lastWaiter++
+		number = h.lastWaiter
+		h.acknowledgements[number] = reply
+		h.step(event(number))
+	}) {
+		return false
+	}
+	select {
+	case ok := <-reply:
+		return ok
+	case <-ctx.Done():
+	case <-h.act.Ctx.Done():
+	}
+	return false
+}
--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -1,8 +1,6 @@
 package controlnode
 
 import (
-	"sort"
-
 	"petreltide/internal/api/fault"
 	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/chain"
@@ -11,12 +9,9 @@
 	"petreltide/internal/controlplane/failuredetector"
 	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/controlplane/statemachine"
-	"petreltide/internal/outlier"
 	"petreltide/internal/process/clock"
 )
 
-const memberDoneRetryUs = 500 * clock.Ms
-
 // Core is a control node's whole reducer: the chain, the tail's feed and the head's controller.
 type Core struct {
 	Node               *chain.Node
@@ -152,46 +147,6 @@
 	}
 }
 
-// completeMemberChange is the head's: it takes an order about members out of the ledger once the view has it.
-func (c *Core) completeMemberChange(nowUs int64) {
-	if nowUs-c.memberDoneUs < memberDoneRetryUs || !c.Node.IsHead() || !c.Node.MemberChangeDone() {
-		return
-	}
-	c.memberDoneUs = nowUs
-	id := c.Node.State().MembershipID
-	c.chain(nowUs, chain.ChangeSubmitted{Change: &statemachine.Change{ID: "done-" + id, Membership: &statemachine.MembershipChange{Action: statemachine.MembershipDone, Name: id}}})
-}
-
-func (c *Core) reportSuspects(nowUs int64) {
-	if nowUs-c.suspectsReportedUs < failuredetector.HeartbeatIntervalUs {
-		return
-	}
-	c.suspectsReportedUs = nowUs
-	s := &failuredetector.SuspicionReport{Reporter: c.Node.Self().ID, Suspects: c.FailureDetector.Suspects(nowUs)}
-	if c.Node.IsHead() {
-		c.controller(nowUs, controller.WatcherReport{Report: *s})
-	} else if head := c.Node.View().Head(); head.Addr != "" {
-		c.send(head.Addr, peering.Message{Suspicion: s})
-	}
-}
-
-func (c *Core) gatewayReported(nowUs int64, r GatewayReport) {
-	c.Snapshots.SetActive(nowUs, c.Node.TailReady(nowUs))
-	view := c.Node.View().Number
-	lease := c.Snapshots.Report(nowUs, view, c.Node.State().UpdateIndex, c.checked == view, r.Report)
-	lease.Ring = c.Snapshots.Ring(nowUs, c.Node.View())
-	c.effects = append(c.effects, ReplyLease{Reply: r.Reply, Lease: lease})
-	if !c.Node.TailReady(nowUs) {
-		return
-	}
-	if c.Node.IsHead() {
-		c.controller(nowUs, controller.GatewayReport{Report: &r.Report})
-		return
-	}
-	report := r.Report
-	c.send(c.Node.View().Head().Addr, peering.Message{Report: &report})
-}
-
 func (c *Core) send(addr string, message peering.Message) {
 	c.effects = append(c.effects, SendMessage{Addr: addr, Message: message})
 }
@@ -293,83 +248,3 @@
 		}
 	}
 }
-
-func viewText(v chain.View) string {
-	text := ""
-	for i, s := range v.Replicas {
-		if i > 0 {
-			text += " > "
-		}
-		text += s.ID
-	}
-	return text
-}
-
-// Status is what a control node knows of itself, the chain and the fleet. It is this control node's own view, and may be old.
-type Status struct {
-	ControlNode      chain.Member                   `json:"office"`
-	Phase            chain.Phase                    `json:"phase"`
-	View             chain.View                     `json:"view"`
-	Open             bool                           `json:"open"`
-	WaitingFor       string                         `json:"waitsFor,omitempty"`
-	Commit           uint64                         `json:"commit"`
-	Last             uint64                         `json:"last"`
-	Epoch            uint64                         `json:"epoch"`
-	LeaseHolder      string                         `json:"holder"`
-	IsLeader         bool                           `json:"onDuty"`
-	Revision         uint64                         `json:"revision"`
-	EmptiedZones     []string                       `json:"emptied,omitempty"`
-	Peers            []chain.PeerStatus             `json:"partners"`
-	Gateways         []distribution.GatewayStatus   `json:"desks,omitempty"`
-	Demand           []controller.GatewayStatus     `json:"demand,omitempty"`
-	Replicas         []statemachine.Replica         `json:"replicas"`
-	Pending          []statemachine.ReplicaCommand  `json:"pending"`
-	Counts           any                            `json:"counts,omitempty"`
-	Policy           controller.PolicyStatus        `json:"policy"`
-	Shadows          []controller.PolicyStatus      `json:"shadows,omitempty"`
-	Faults           map[fault.Code]uint64          `json:"faults,omitempty"`
-	Refused          map[fault.Code]uint64          `json:"refused,omitempty"`
-	Keys             int                            `json:"keys"`
-	Member           *statemachine.MembershipChange `json:"member,omitempty"`
-	MemberWaitingFor string                         `json:"memberWaitsFor,omitempty"`
-	Grants           int                            `json:"grants"`
-	Loads            uint64                         `json:"loads"`
-	LoadedMb         int64                          `json:"loadedMb"`
-	Fleet            *Fleet                         `json:"fleet,omitempty"`
-	// Outliers are the replicas that gateways are kept from, wholly or in part.
-	Outliers []outlier.Verdict `json:"outliers,omitempty"`
-}
-
-// Status is this control node's own view of now.
-func (c *Core) Status(nowUs int64) Status {
-	s := c.Node.State()
-	st := Status{
-		ControlNode: c.Node.Self(), Phase: c.Node.Phase(), View: c.Node.View(), Open: c.Node.TailReady(nowUs), WaitingFor: c.Node.WaitReason(),
-		Commit: c.Node.CommitIndex(), Last: c.Node.LastIndex(), Epoch: s.Epoch, LeaseHolder: s.Leader, IsLeader: c.Controller.IsLeader(s),
-		Revision: s.Revision, Peers: c.Node.Peers(), Gateways: c.Snapshots.Gateways(nowUs), Demand: c.Controller.Gateways(nowUs),
-		Counts: c.Controller.Counts(), Policy: c.Controller.PolicyStatus(), Shadows: c.Controller.ShadowStatuses(),
-		Faults: copyOf(c.Controller.Faults), Refused: copyOf(s.RefusalCounts), Keys: len(s.Keys), Member: s.Membership, MemberWaitingFor: c.Node.MemberChangeWaitReason(), Grants: len(s.Grants), Loads: s.TotalLoads, LoadedMb: s.TotalLoadedMB,
-		Pending: []statemachine.ReplicaCommand{}, Replicas: []statemachine.Replica{}, Fleet: c.fleetStatus(nowUs), Outliers: c.soft.Outliers.Rows,
-	}
-	if s.Doc != nil {
-		st.EmptiedZones = s.Doc.DrainedZones
-	}
-	for _, id := range s.ReplicaIDs() {
-		r := *s.Replicas[id]
-		r.Resident, r.Quotas = copyOf(r.Resident), copyOf(r.Quotas)
-		st.Replicas = append(st.Replicas, r)
-	}
-	for _, t := range s.Pending {
-		st.Pending = append(st.Pending, t)
-	}
-	sort.Slice(st.Pending, func(i, j int) bool { return st.Pending[i].Number < st.Pending[j].Number })
-	return st
-}
-
-func copyOf[K comparable, V any](m map[K]V) map[K]V {
-	out := make(map[K]V, len(m))
-	for k, v := range m {
-		out[k] = v
-	}
-	return out
-}
--- a/internal/controlplane/controlnode/listed.go
+++ b/internal/controlplane/controlnode/declared_replicas.go
@@ -6,7 +6,6 @@
 	"encoding/json"
 	"io"
 	"net/http"
-	"slices"
 
 	"github.com/juju/errors"
 
@@ -17,17 +16,17 @@
 // declaredReplicas is this product's own interface to the platform's list and to replicas.
 type declaredReplicas struct{ h *Host }
 
-func (message *declaredReplicas) List(ctx context.Context) (*wire.ReplicaList, error) {
+func (d *declaredReplicas) List(ctx context.Context) (*wire.ReplicaList, error) {
 	list := &wire.ReplicaList{}
-	return list, message.get(ctx, "http://"+message.h.settings.Platform+"/v1/replicas", list)
+	return list, d.get(ctx, "http://"+d.h.settings.Platform+"/v1/replicas", list)
 }
 
-func (message *declaredReplicas) State(ctx context.Context, _, addr string) (*wire.ReplicaState, error) {
+func (d *declaredReplicas) State(ctx context.Context, _, addr string) (*wire.ReplicaState, error) {
 	state := &wire.ReplicaState{}
-	return state, message.get(ctx, "http://"+addr+"/v1/state", state)
+	return state, d.get(ctx, "http://"+addr+"/v1/state", state)
 }
 
-func (message *declaredReplicas) Order(ctx context.Context, addr string, order wire.Order) (wire.OrderState, error) {
+func (d *declaredReplicas) Order(ctx context.Context, addr string, order wire.Order) (wire.OrderState, error) {
 	raw, err := json.Marshal(order)
 	if err != nil {
 		panic(err)
@@ -38,7 +37,7 @@
 	}
 	req.ContentLength = int64(len(raw))
 	req.Header.Set("Content-Type", "application/json")
-	res, err := message.h.replicaClient.Do(req)
+	res, err := d.h.replicaClient.Do(req)
 	if err != nil {
 		return wire.OrderState{}, errors.Trace(err)
 	}
@@ -51,12 +50,12 @@
 	return state, nil
 }
 
-func (message *declaredReplicas) get(ctx context.Context, url string, into any) error {
+func (d *declaredReplicas) get(ctx context.Context, url string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	res, err := message.h.replicaClient.Do(req)
+	res, err := d.h.replicaClient.Do(req)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -70,23 +69,3 @@
 	}
 	return errors.Trace(json.Unmarshal(raw, into))
 }
-
-// deliverResult gives a result to every caller that waits for it.
-func (h *Host) deliverResult(r wire.Result) {
-	for _, waiter := range h.waiters[r.Outcome.ID] {
-		select {
-		case waiter <- r:
-		default:
-		}
-	}
-}
-
-// removeWaiter takes one caller off those that wait for a change.
-func (h *Host) removeWaiter(id string, waiter chan wire.Result) {
-	left := slices.DeleteFunc(h.waiters[id], func(w chan wire.Result) bool { return w == waiter })
-	if len(left) == 0 {
-		delete(h.waiters, id)
-		return
-	}
-	h.waiters[id] = left
-}
--- a/internal/controlplane/controlnode/web.go
+++ b/internal/controlplane/controlnode/handlers.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"net/http"
-	"time"
 
 	"petreltide/internal/api/fault"
 	"petreltide/internal/api/wire"
@@ -76,47 +75,6 @@
 	return mux
 }
 
-func (h *Host) follow(ctx context.Context, f *wire.SubscribeRequest, send func(*wire.GatewayUpdate) error) error {
-	mine := &newsStream{latest: make(chan wire.GatewayUpdate, 1)}
-	defer h.act.Tell(func() {
-		if h.newsStreams[f.Gateway] == mine {
-			delete(h.newsStreams, f.Gateway)
-		}
-	})
-	view, ran := actor.Ask(ctx, h.act, func() uint64 {
-		if !h.core.Node.TailReady(h.core.Node.NowUs()) {
-			return 0
-		}
-		h.newsStreams[f.Gateway] = mine
-		h.step(FollowUpdates{Request: f})
-		return h.core.Node.View().Number
-	})
-	if !ran || view == 0 {
-		return fault.New(fault.NotServing, "", "not the open tail")
-	}
-	still := time.NewTicker(300 * time.Millisecond)
-	defer still.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return nil
-		case <-h.act.Ctx.Done():
-			return nil
-		case news := <-mine.latest:
-			if err := send(&news); err != nil {
-				return err
-			}
-		case <-still.C:
-			gone, ran := actor.Ask(ctx, h.act, func() bool {
-				return h.newsStreams[f.Gateway] != mine || !h.core.Node.IsTail() || h.core.Node.View().Number < view
-			})
-			if gone || !ran {
-				return fault.New(fault.NotServing, "", "no longer the tail")
-			}
-		}
-	}
-}
-
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
@@ -141,27 +99,3 @@
 	}
 	writeJSON(w, status, map[string]any{"error": f})
 }
-
-func (h *Host) getStatus(w http.ResponseWriter, r *http.Request) {
-	raw, ran := actor.Ask(r.Context(), h.act, func() []byte {
-		raw, _ := json.Marshal(h.core.Status(h.core.Node.NowUs()))
-		return raw
-	})
-	if !ran {
-		writeFault(w, fault.New(fault.NotServing, "", "stopping"))
-		return
-	}
-	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(append(raw, '\n'))
-}
-
-func (h *Host) getState(w http.ResponseWriter, r *http.Request) {
-	frozen, ran := actor.Ask(r.Context(), h.act, func() *statemachine.State { return h.core.Node.State().Snapshot() })
-	if !ran {
-		writeFault(w, fault.New(fault.NotServing, "", "stopping"))
-		return
-	}
-	raw := frozen.Encode()
-	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(append(raw, '\n'))
-}
--- /dev/null
+++ b/internal/controlplane/controlnode/membership.go
@@ -0,0 +1,57 @@
+package controlnode
+
+import (
+	"slices"
+
+	"petreltide/internal/api/fault"
+	"petreltide/internal/controlplane/chain"
+	"petreltide/internal/controlplane/statemachine"
+	"petreltide/internal/process/clock"
+)
+
+// checkMember finds the identity that an order is about, or why it must not be taken. Only a control node whose view
+// and state are the chain's of now may refuse it.
+func (c *Core) checkMember(nowUs int64, m *statemachine.MembershipChange, evenAlive bool) *fault.Fault {
+	if !c.Node.UpToDate(nowUs) {
+		return fault.New(fault.NotServing, "", "this office has no word of the chain: ask another")
+	}
+	return c.Node.ResolveMemberChange(m, evenAlive)
+}
+
+// control nodes are those that gateways may follow: the ones that are heard. A control node that is behind names all members of its
+// view as well, since the ones that it does not hear may be current.
+func (c *Core) reachableMembers(nowUs int64) []chain.Member {
+	all := []chain.Member{c.Node.Self()}
+	for _, p := range c.Node.Peers() {
+		if p.Alive {
+			all = append(all, p.Member)
+		}
+	}
+	if c.Node.UpToDate(nowUs) {
+		return all
+	}
+	view := c.Node.View()
+	members := slices.Clone(view.Voters)
+	for _, s := range view.Replicas {
+		members = append(members, s.Member)
+	}
+	for _, m := range members {
+		named := slices.ContainsFunc(all, func(order chain.Member) bool { return order.ID == m.ID })
+		if m.Addr != "" && !named {
+			all = append(all, m)
+		}
+	}
+	return all
+}
+
+const memberDoneRetryUs = 500 * clock.Ms
+
+// completeMemberChange is the head's: it takes an order about members out of the ledger once the view has it.
+func (c *Core) completeMemberChange(nowUs int64) {
+	if nowUs-c.memberDoneUs < memberDoneRetryUs || !c.Node.IsHead() || !c.Node.MemberChangeDone() {
+		return
+	}
+	c.memberDoneUs = nowUs
+	id := c.Node.State().MembershipID
+	c.chain(nowUs, chain.ChangeSubmitted{Change: &statemachine.Change{ID: "done-" + id, Membership: &statemachine.MembershipChange{Action: statemachine.MembershipDone, Name: id}}})
+}
--- /dev/null
+++ b/internal/controlplane/controlnode/open.go
@@ -0,0 +1,108 @@
+package controlnode
+
+import (
+	"path/filepath"
+	"time"
+
+	"github.com/go-kit/log"
+	"github.com/juju/errors"
+
+	"petreltide/internal/api/fault"
+	"petreltide/internal/api/settings"
+	"petreltide/internal/api/wire"
+	"petreltide/internal/controlplane/chain"
+	"petreltide/internal/controlplane/controller"
+	"petreltide/internal/controlplane/peering"
+	"petreltide/internal/controlplane/storage"
+	"petreltide/internal/process/actor"
+	"petreltide/internal/process/clock"
+	"petreltide/internal/process/logring"
+	"petreltide/internal/process/randomid"
+	"petreltide/internal/process/rpc"
+)
+
+// Open reads the data folder. Damaged data is set aside under a name that says so and the
+// control node comes back as a new member; it never votes on what it can no longer know.
+func Open(set settings.ControlNode, ring *logring.Ring) (*Host, error) {
+	logger := ring.Logger("office", set.Name)
+	lock, err := storage.Lock(set.DataDir, set.Name, lockTimeout)
+	if err != nil {
+		return nil, errors.Trace(err)
+	}
+	h, err := openLocked(set, ring, logger)
+	if err != nil {
+		_ = lock.Close()
+		return nil, err
+	}
+	lock.WriteOwner(set.Name)
+	h.lock = lock
+	return h, nil
+}
+
+func openLocked(set settings.ControlNode, ring *logring.Ring, logger log.Logger) (*Host, error) {
+	seal := chain.Owner{MemberID: set.Name + "-" + randomid.New(4), Name: set.Name}
+	opened, err := storage.Open(set.DataDir, seal)
+	var bad *fault.Fault
+	founding := set.FoundingSize
+	if errors.As(err, &bad) && bad.Code == fault.DamagedData {
+		kept, moveErr := storage.Quarantine(set.DataDir, randomid.New(4))
+		if moveErr != nil {
+			return nil, errors.Trace(moveErr)
+		}
+		_ = logger.Log("event", "damaged data set aside", "kept", kept, "why", bad.Error())
+		ring.Dump("stored data is damaged (" + bad.Error() + "); it is kept in " + kept + " and will be copied from partners")
+		opened, err = storage.Open(set.DataDir, seal)
+	}
+	if err != nil {
+		return nil, err
+	}
+	if opened.TornBytes > 0 {
+		_ = logger.Log("event", "cut a torn last record", "bytes", opened.TornBytes)
+	}
+	if opened.WriteErr != nil {
+		_ = logger.Log("event", "the disk takes no bytes", "err", opened.WriteErr)
+	}
+	me := chain.Member{ID: opened.Store.Owner().MemberID, Name: set.Name, Addr: set.Advertise, Zone: set.Zone}
+	if kept, _ := filepath.Glob(filepath.Join(set.DataDir, "chain.damaged-*")); opened.Created && len(kept) > 0 {
+		founding = 0
+	}
+	opts := chain.Options{
+		Self: me, Incarnation: randomid.New(6), BootstrapCount: founding, MinReplicas: set.MinReplicas, MinZones: set.MinZones, AutoMembership: set.Membership == settings.AutomaticMembership,
+		Unsynced: opened.WriteErr != nil,
+	}
+	if opts.AutoMembership {
+		opts = SelfPaced(opts)
+	}
+	if opened.Created {
+		opts.BootstrapAddrs, opts.FirstStart = set.Founders, len(set.Founders) > 0
+	}
+	node, err := chain.NewNode(opts, opened.Records, clock.NowUs())
+	if err != nil {
+		return nil, fault.New(fault.DamagedData, set.DataDir, "%v", err)
+	}
+	core := NewCoreWith(node, CoreOptions{
+		UnreachableUs: set.HeartbeatMs * 5 / 2 * clock.Ms,
+		Controller: controller.Options{
+			LeaseUs: set.LeaseMs * clock.Ms, StoreWindowUs: set.StoreWindowMs * clock.Ms, StoreOvershoot: set.StoreOvershoot,
+			Outlier: set.Outlier.OptionsWithout(set.Disable), Disable: set.Disable,
+		},
+	})
+	h := &Host{
+		settings: set, core: core, disk: opened.Store, ring: ring, log: logger,
+		replicaClient: rpc.Client(500, set.Listen), peerClient: rpc.NodeClient(peerDialTimeoutMs, set.Listen),
+		act: actor.New(mailboxCapacity), saveQueue: newSaveQueue(), retryTimer: func() <-chan time.Time { return time.After(diskRetryInterval) },
+		outboxes: map[string]chan peering.Message{}, transfers: map[string]*stateTransfer{}, waiters: map[string][]chan wire.Result{}, leases: map[uint64]chan wire.Lease{}, acknowledgements: map[uint64]chan bool{},
+		newsStreams: map[string]*newsStream{}, rebuilding: opened.Created && founding == 0 && len(set.Founders) == 0, fatal: make(chan error, 1),
+		frameStreams: map[string]*frameStream{},
+	}
+	h.replicas = &declaredReplicas{h}
+	h.seeds.Store(&set.Seeds)
+	return h, nil
+}
+
+// SelfPaced gives a chain whose control nodes take in and drop each other the times that they keep to.
+func SelfPaced(options chain.Options) chain.Options {
+	options.HelloIntervalUs, options.HeartbeatIntervalUs, options.SuspectTimeoutUs = selfHeartbeatUs, selfHeartbeatUs, selfSuspectUs
+	options.LeaseDurationUs, options.VoteRecoveryTimeoutUs, options.GatherTimeoutUs, options.PrepareTimeoutUs = selfLeaseUs, selfCompareUs, selfGatherUs, selfAskUs
+	return options
+}
--- a/internal/controlplane/controlnode/config.go
+++ b/internal/controlplane/controlnode/operator_handlers.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"encoding/json"
 	"io"
 	"net/http"
 	"strconv"
@@ -13,8 +14,33 @@
 	"petreltide/internal/controlplane/placement"
 	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/process/actor"
+	"petreltide/internal/process/randomid"
 )
 
+func (h *Host) getStatus(w http.ResponseWriter, r *http.Request) {
+	raw, ran := actor.Ask(r.Context(), h.act, func() []byte {
+		raw, _ := json.Marshal(h.core.Status(h.core.Node.NowUs()))
+		return raw
+	})
+	if !ran {
+		writeFault(w, fault.New(fault.NotServing, "", "stopping"))
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	_, _ = w.Write(append(raw, '\n'))
+}
+
+func (h *Host) getState(w http.ResponseWriter, r *http.Request) {
+	frozen, ran := actor.Ask(r.Context(), h.act, func() *statemachine.State { return h.core.Node.State().Snapshot() })
+	if !ran {
+		writeFault(w, fault.New(fault.NotServing, "", "stopping"))
+		return
+	}
+	raw := frozen.Encode()
+	w.Header().Set("Content-Type", "application/json")
+	_, _ = w.Write(append(raw, '\n'))
+}
+
 // maxRequestBytes bounds what an operator may send, in bytes.
 const maxRequestBytes = 4 << 20
 
@@ -100,7 +126,7 @@
 func changeID(r *http.Request) (string, *fault.Fault) {
 	id := r.URL.Query().Get("change")
 	if id == "" {
-		return "op-" + RandomID(8), nil
+		return "op-" + randomid.New(8), nil
 	}
 	if len(id) > 128 {
 		return "", fault.New(fault.BadField, "change", "longer than 128 bytes")
@@ -146,91 +172,6 @@
 	h.submitAndRespond(w, r, statemachine.Change{ID: a.changeID, Config: &statemachine.ConfigChange{Base: a.base, Doc: doc}})
 }
 
-// patchStep is what becomes of a patch at this control node.
-type patchStep int
-
-const (
-	// mergeHere: what the patch builds on is in force.
-	mergeHere patchStep = iota
-	// baseAhead: the base may come into force yet, and the patch be taken by another control node then.
-	baseAhead
-	// deferToChain: the base has been passed. The patch can't be taken any more, but it may have been taken before,
-	// and only the chain knows for sure.
-	deferToChain
-	// nothingToPatch: no patch can build on the empty state.
-	nothingToPatch
-)
-
-// nextPatchStep judges a patch by the newest configuration there is.
-func nextPatchStep(now CurrentConfig, base uint64) patchStep {
-	switch {
-	case now.Revision < base:
-		return baseAhead
-	case now.Revision > base:
-		return deferToChain
-	case now.Declaration == nil:
-		return nothingToPatch
-	}
-	return mergeHere
-}
-
-// patchBase is what a patch is judged by: this control node's own declaration where that is past the patch's base
-// already, as revisions only rise, else the newest.
-func (h *Host) patchBase(ctx context.Context, base uint64) (CurrentConfig, bool) {
-	if own, ran := h.config(ctx); ran && own.Revision > base {
-		return own, true
-	}
-	return h.newestConfig(ctx)
-}
-
-func (h *Host) patchConfig(w http.ResponseWriter, r *http.Request) {
-	a, ok := h.readConfigRequest(w, r)
-	if !ok {
-		return
-	}
-	if first, seen := h.outcome(r.Context(), a.changeID); seen {
-		h.respondApplied(r.Context(), w, a.changeID, wire.Result{Outcome: first, OnAllGateways: true})
-		return
-	}
-	now, known := h.patchBase(r.Context(), a.base)
-	if !known {
-		writeFault(w, errConfigUnknown())
-		return
-	}
-	switch nextPatchStep(now, a.base) {
-	case baseAhead:
-		writeFault(w, fault.New(fault.InDoubt, "base", "revision %d is not in force yet, only %d", a.base, now.Revision))
-		return
-	case nothingToPatch:
-		writeFault(w, fault.New(fault.StaleBase, "base", "there is no declaration yet"))
-		return
-	case deferToChain:
-		h.submitAndRespond(w, r, statemachine.Change{ID: a.changeID, Config: &statemachine.ConfigChange{Base: a.base, Doc: now.Declaration}})
-		return
-	}
-	merged, bad := configuration.Merge(now.Declaration, a.body)
-	if bad != nil {
-		writeFault(w, bad)
-		return
-	}
-	a.body = merged
-	h.submitDeclaration(w, r, a)
-}
-
-func (h *Host) outcome(ctx context.Context, id string) (statemachine.Outcome, bool) {
-	first, ran := actor.Ask(ctx, h.act, func() *statemachine.Outcome {
-		out, seen := h.core.Outcome(id)
-		if !seen {
-			return nil
-		}
-		return &out
-	})
-	if !ran || first == nil {
-		return statemachine.Outcome{}, false
-	}
-	return *first, true
-}
-
 func (h *Host) submitAndRespond(w http.ResponseWriter, r *http.Request, c statemachine.Change) {
 	result, ok := h.Submit(r.Context(), c, changeTimeout)
 	if ok {
@@ -266,59 +207,37 @@
 	writeJSON(w, status, a)
 }
 
-// postZone is a read, a merge and a write; it loses to another operator's change at most a few
-// times before it says so.
-func (h *Host) postZone(w http.ResponseWriter, r *http.Request) {
-	zone, act := r.PathValue("zone"), r.PathValue("act")
+// postMember takes an operator's order about one control node. It is refused here where this control node can see that
+// it must not be carried out; what was taken waits until it is safe.
+func (h *Host) postMember(w http.ResponseWriter, r *http.Request) {
 	id, bad := changeID(r)
-	if bad == nil && act != "empty" && act != "restore" {
-		bad = fault.New(fault.NotFound, "act", "%q: want empty or restore", act)
-	}
-	if bad != nil {
-		writeFault(w, bad)
-		return
-	}
-	for try := 0; ; try++ {
-		now, known := h.newestConfig(r.Context())
-		if !known {
-			writeFault(w, errConfigUnknown())
-			return
-		}
-		if now.Declaration == nil {
-			writeFault(w, fault.New(fault.NoSuchZone, "zone", "no declaration yet"))
-			return
-		}
-		if !now.Declaration.HasZone(zone) {
-			writeFault(w, fault.New(fault.NoSuchZone, "zone", "%q is not declared", zone))
+	m := statemachine.MembershipChange{Action: statemachine.MembershipAction(r.PathValue("act")), Name: r.PathValue("name")}
+	if bad == nil {
+		var seen bool
+		var first statemachine.Outcome
+		if first, seen = h.outcome(r.Context(), id); seen {
+			h.respondApplied(r.Context(), w, id, wire.Result{Outcome: first, OnAllGateways: true})
 			return
 		}
-		doc := *now.Declaration
-		doc.DrainedZones = nil
-		for _, z := range now.Declaration.DrainedZones {
-			if z != zone {
-				doc.DrainedZones = append(doc.DrainedZones, z)
-			}
+		evenAlive := r.URL.Query().Get("even-alive") == "true"
+		type fit struct {
+			change statemachine.MembershipChange
+			bad    *fault.Fault
 		}
-		if act == "empty" {
-			doc.DrainedZones = append(doc.DrainedZones, zone)
+		asked := m
+		got, ran := actor.Ask(r.Context(), h.act, func() fit {
+			f := fit{change: asked}
+			f.bad = h.core.checkMember(h.core.Node.NowUs(), &f.change, evenAlive)
+			return f
+		})
+		m, bad = got.change, got.bad
+		if !ran {
+			bad = fault.New(fault.NotServing, "", "stopping")
 		}
-		c := statemachine.Change{ID: id, Config: &statemachine.ConfigChange{Base: now.Revision, Doc: &doc}}
-		if try > 0 {
-			c.ID = id + "-" + strconv.Itoa(try)
-		}
-		result, ok := h.Submit(r.Context(), c, changeTimeout)
-		if ok && result.Outcome.Fault != nil && result.Outcome.Fault.Code == fault.StaleBase && try < 8 {
-			continue
-		}
-		if !ok {
-			if out, seen := h.outcome(r.Context(), c.ID); seen {
-				h.respondApplied(r.Context(), w, c.ID, wire.Result{Outcome: out})
-				return
-			}
-			writeFault(w, fault.New(fault.InDoubt, "", "no answer from the chain in time; ask status, or send the same change id again"))
-			return
-		}
-		h.respondApplied(r.Context(), w, id, result)
+	}
+	if bad != nil {
+		writeFault(w, bad)
 		return
 	}
+	h.submitAndRespond(w, r, statemachine.Change{ID: id, Membership: &m})
 }
--- /dev/null
+++ b/internal/controlplane/controlnode/reports.go
@@ -0,0 +1,48 @@
+package controlnode
+
+import (
+	"petreltide/internal/api/wire"
+	"petreltide/internal/controlplane/controller"
+	"petreltide/internal/controlplane/failuredetector"
+	"petreltide/internal/controlplane/peering"
+)
+
+// routedGatewayReported takes a gateway's report, or passes it on to the controller where it came to another control node.
+func (c *Core) routedGatewayReported(nowUs int64, r wire.Report) {
+	c.soft.Hub.RecordGateway(nowUs, r.Gateway)
+	if c.Node.IsHead() {
+		c.controller(nowUs, controller.GatewayReport{Report: &r})
+	} else if head := c.Node.View().Head(); head.Addr != "" && head.ID != c.Node.Self().ID {
+		c.send(head.Addr, peering.Message{Report: &r})
+	}
+}
+
+func (c *Core) reportSuspects(nowUs int64) {
+	if nowUs-c.suspectsReportedUs < failuredetector.HeartbeatIntervalUs {
+		return
+	}
+	c.suspectsReportedUs = nowUs
+	s := &failuredetector.SuspicionReport{Reporter: c.Node.Self().ID, Suspects: c.FailureDetector.Suspects(nowUs)}
+	if c.Node.IsHead() {
+		c.controller(nowUs, controller.WatcherReport{Report: *s})
+	} else if head := c.Node.View().Head(); head.Addr != "" {
+		c.send(head.Addr, peering.Message{Suspicion: s})
+	}
+}
+
+func (c *Core) gatewayReported(nowUs int64, r GatewayReport) {
+	c.Snapshots.SetActive(nowUs, c.Node.TailReady(nowUs))
+	view := c.Node.View().Number
+	lease := c.Snapshots.Report(nowUs, view, c.Node.State().UpdateIndex, c.checked == view, r.Report)
+	lease.Ring = c.Snapshots.Ring(nowUs, c.Node.View())
+	c.effects = append(c.effects, ReplyLease{Reply: r.Reply, Lease: lease})
+	if !c.Node.TailReady(nowUs) {
+		return
+	}
+	if c.Node.IsHead() {
+		c.controller(nowUs, controller.GatewayReport{Report: &r.Report})
+		return
+	}
+	report := r.Report
+	c.send(c.Node.View().Head().Addr, peering.Message{Report: &report})
+}
--- /dev/null
+++ b/internal/controlplane/controlnode/status.go
@@ -0,0 +1,92 @@
+package controlnode
+
+import (
+	"sort"
+
+	"petreltide/internal/api/fault"
+	"petreltide/internal/controlplane/chain"
+	"petreltide/internal/controlplane/controller"
+	"petreltide/internal/controlplane/distribution"
+	"petreltide/internal/controlplane/statemachine"
+	"petreltide/internal/outlier"
+)
+
+func viewText(v chain.View) string {
+	text := ""
+	for i, s := range v.Replicas {
+		if i > 0 {
+			text += " > "
+		}
+		text += s.ID
+	}
+	return text
+}
+
+// Status is what a control node knows of itself, the chain and the fleet. It is this control node's own view, and may be old.
+type Status struct {
+	ControlNode      chain.Member                   `json:"office"`
+	Phase            chain.Phase                    `json:"phase"`
+	View             chain.View                     `json:"view"`
+	Open             bool                           `json:"open"`
+	WaitingFor       string                         `json:"waitsFor,omitempty"`
+	Commit           uint64                         `json:"commit"`
+	Last             uint64                         `json:"last"`
+	Epoch            uint64                         `json:"epoch"`
+	LeaseHolder      string                         `json:"holder"`
+	IsLeader         bool                           `json:"onDuty"`
+	Revision         uint64                         `json:"revision"`
+	EmptiedZones     []string                       `json:"emptied,omitempty"`
+	Peers            []chain.PeerStatus             `json:"partners"`
+	Gateways         []distribution.GatewayStatus   `json:"desks,omitempty"`
+	Demand           []controller.GatewayStatus     `json:"demand,omitempty"`
+	Replicas         []statemachine.Replica         `json:"replicas"`
+	Pending          []statemachine.ReplicaCommand  `json:"pending"`
+	Counts           any                            `json:"counts,omitempty"`
+	Policy           controller.PolicyStatus        `json:"policy"`
+	Shadows          []controller.PolicyStatus      `json:"shadows,omitempty"`
+	Faults           map[fault.Code]uint64          `json:"faults,omitempty"`
+	Refused          map[fault.Code]uint64          `json:"refused,omitempty"`
+	Keys             int                            `json:"keys"`
+	Member           *statemachine.MembershipChange `json:"member,omitempty"`
+	MemberWaitingFor string                         `json:"memberWaitsFor,omitempty"`
+	Grants           int                            `json:"grants"`
+	Loads            uint64                         `json:"loads"`
+	LoadedMb         int64                          `json:"loadedMb"`
+	Fleet            *Fleet                         `json:"fleet,omitempty"`
+	// Outliers are the replicas that gateways are kept from, wholly or in part.
+	Outliers []outlier.Verdict `json:"outliers,omitempty"`
+}
+
+// Status is this control node's own view of now.
+func (c *Core) Status(nowUs int64) Status {
+	s := c.Node.State()
+	st := Status{
+		ControlNode: c.Node.Self(), Phase: c.Node.Phase(), View: c.Node.View(), Open: c.Node.TailReady(nowUs), WaitingFor: c.Node.WaitReason(),
+		Commit: c.Node.CommitIndex(), Last: c.Node.LastIndex(), Epoch: s.Epoch, LeaseHolder: s.Leader, IsLeader: c.Controller.IsLeader(s),
+		Revision: s.Revision, Peers: c.Node.Peers(), Gateways: c.Snapshots.Gateways(nowUs), Demand: c.Controller.Gateways(nowUs),
+		Counts: c.Controller.Counts(), Policy: c.Controller.PolicyStatus(), Shadows: c.Controller.ShadowStatuses(),
+		Faults: copyOf(c.Controller.Faults), Refused: copyOf(s.RefusalCounts), Keys: len(s.Keys), Member: s.Membership, MemberWaitingFor: c.Node.MemberChangeWaitReason(), Grants: len(s.Grants), Loads: s.TotalLoads, LoadedMb: s.TotalLoadedMB,
+		Pending: []statemachine.ReplicaCommand{}, Replicas: []statemachine.Replica{}, Fleet: c.fleetStatus(nowUs), Outliers: c.soft.Outliers.Rows,
+	}
+	if s.Doc != nil {
+		st.EmptiedZones = s.Doc.DrainedZones
+	}
+	for _, id := range s.ReplicaIDs() {
+		r := *s.Replicas[id]
+		r.Resident, r.Quotas = copyOf(r.Resident), copyOf(r.Quotas)
+		st.Replicas = append(st.Replicas, r)
+	}
+	for _, t := range s.Pending {
+		st.Pending = append(st.Pending, t)
+	}
+	sort.Slice(st.Pending, func(i, j int) bool { return st.Pending[i].Number < st.Pending[j].Number })
+	return st
+}
+
+func copyOf[K comparable, V any](m map[K]V) map[K]V {
+	out := make(map[K]V, len(m))
+	for k, v := range m {
+		out[k] = v
+	}
+	return out
+}
