--- a/internal/dataplane/gateway/calls.go
+++ b/internal/dataplane/gateway/calls.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"errors"
 	"io"
 	"net/http"
 	"strconv"
@@ -68,7 +69,8 @@
 func (h *Host) decode(w http.ResponseWriter, r *http.Request) (*CallRequest, *fault.Fault) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(h.settings.MaxBodyKB)<<10))
 	if err != nil {
-		if _, ok := err.(*http.MaxBytesError); ok {
+		var large *http.MaxBytesError
+		if errors.As(err, &large) {
 			return nil, fault.New(fault.TooLarge, "", "a body may have %d KiB", h.settings.MaxBodyKB)
 		}
 		return nil, fault.New(fault.BadJSON, "", "%v", err)
--- a/internal/dataplane/gateway/handler.go
+++ b/internal/dataplane/gateway/handler.go
@@ -85,6 +85,7 @@
 	_ = json.NewEncoder(w).Encode(map[string]bool{"ready": true})
 }
 
+// writeFault answers with a fault; its status tells whether, and Retry-After when, to try again.
 func writeFault(w http.ResponseWriter, status int, f *fault.Fault) {
 	if f.Run == "" {
 		f.Run = fault.RunNone
@@ -94,9 +95,15 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(map[string]any{"error": f})
+	_ = json.NewEncoder(w).Encode(faultBody{f})
 }
 
+// faultBody is the JSON of an answer that is a fault.
+type faultBody struct {
+	Error *fault.Fault `json:"error"`
+}
+
+// httpStatus is the status code by which a fault is answered.
 func httpStatus(f *fault.Fault) int {
 	switch f.Code {
 	case fault.BadJSON, fault.BadField, fault.BadLastEventID, fault.PastDeadline:
--- a/internal/dataplane/gateway/host.go
+++ b/internal/dataplane/gateway/host.go
@@ -24,47 +24,64 @@
 )
 
 const (
+	// tickInterval is how often the decider sees time pass; informerTickInterval is that of a gateway with an informer,
+	// whose timers are longer.
 	tickInterval         = 20 * time.Millisecond
 	informerTickInterval = 50 * time.Millisecond
-	maxTickGapUs         = 500 * clock.Ms
-	submitTimeout        = 2500 * time.Millisecond
-	cancelTimeout        = 2 * time.Second
-	continueTimeout      = time.Second
-	mailboxCapacity      = 16384
+	// maxTickGapUs between two ticks means that the process did not run meanwhile.
+	maxTickGapUs = 500 * clock.Ms
+	// submitTimeout bounds how long a caller waits for an idempotency key to be recorded by the control nodes.
+	submitTimeout = 2500 * time.Millisecond
+	// cancelTimeout bounds how long a replica's slot is awaited after its attempt was cancelled.
+	cancelTimeout = 2 * time.Second
+	// continueTimeout is how long a replica may take to ask for an attempt's body (Expect: 100-continue).
+	continueTimeout = time.Second
+	// mailboxCapacity is how many functions may wait for the actor.
+	mailboxCapacity = 16384
 )
 
 // Host runs one gateway: its listeners, its connection to the control nodes and its decider, which only its actor
 // touches.
 type Host struct {
-	settings    settings.Gateway
+	settings settings.Gateway
+	// incarnation tells this process from earlier ones of the same name.
 	incarnation string
 	decider     *scheduling.Decider
 	ring        *logring.Ring
 	// info and warn are loggers of a level, made once: none is made on the path of a request.
-	info          log.Logger
-	warn          log.Logger
+	info log.Logger
+	warn log.Logger
+	// nodeClient speaks to control nodes, and cancels attempts; attemptClient opens a connection for each attempt.
 	nodeClient    *http.Client
 	attemptClient *http.Client
 
-	snapshot    atomic.Pointer[scheduling.Snapshot]
-	leaseUs     atomic.Int64
+	// snapshot is the newest control state, read without the actor; nil before the first.
+	snapshot atomic.Pointer[scheduling.Snapshot]
+	// leaseUs is the instant until which this gateway may send attempts, in microseconds; 0 without a lease.
+	leaseUs atomic.Int64
+	// activeCalls counts what a drain waits for; callNumber is the last one given to a call without an ID.
 	activeCalls atomic.Int64
 	callNumber  atomic.Int64
 
-	act          *actor.Actor
-	lastTickUs   int64
+	// act owns everything from here to streams.
+	act        *actor.Actor
+	lastTickUs int64
+	// callers are the goroutines that wait for a decision, by the call's ID.
 	callers      map[string]*caller
 	membership   atomic.Pointer[wire.MembershipResponse]
 	subscriber   *controlclient.Subscriber
 	cancelFollow context.CancelFunc
 
-	informer  *controlclient.Informer
-	streams   map[uint64]context.CancelFunc
+	// informer takes the place of subscriber where calls come by routes; nil otherwise. streams are its open ones, by number.
+	informer *controlclient.Informer
+	streams  map[uint64]context.CancelFunc
+	// listeners are fixed once Run begins.
 	listeners []Listener
 	// declared is closed once this gateway has a declaration.
-	declared        chan struct{}
+	declared chan struct{}
+	// openConnections counts connections by replica; nil where nobody keeps any.
 	openConnections func() map[string]int
-	// Memory is shared by all doors.
+	// Memory bounds the bodies and answers of all listeners together.
 	Memory *MemoryLimit
 }
 
@@ -76,6 +93,8 @@
 	Shutdown(ctx context.Context) error
 }
 
+// caller is a goroutine that carries one call and waits for the decider. Only the actor touches cancel and
+// cancelRequested.
 type caller struct {
 	next            chan scheduling.Effect
 	cancel          context.CancelFunc
@@ -128,7 +147,7 @@
 // SetConnectionCounter says, before Run, who knows how many connections to each replica are open.
 func (h *Host) SetConnectionCounter(open func() map[string]int) { h.openConnections = open }
 
-// AddListener adds a door before Run.
+// AddListener adds a listener before Run.
 func (h *Host) AddListener(d Listener) { h.listeners = append(h.listeners, d) }
 
 // Run serves until ctx ends, then drains: what waits and what streams is given its time.
--- a/internal/dataplane/gateway/informer.go
+++ b/internal/dataplane/gateway/informer.go
@@ -70,6 +70,7 @@
 	return h.runCall(ctx, c, e)
 }
 
+// stepInformer gives the informer an event and does what it wants done. It runs on the actor.
 func (h *Host) stepInformer(ev controlclient.InformerEvent) {
 	ev.NowUs = clock.NowUs()
 	ev.Failing = h.decider.HasUnreportedFailures()
@@ -146,6 +147,7 @@
 	return max(limit, minConnections)
 }
 
+// minConnections and maxConnections bound this gateway's share of one replica's connections.
 const (
 	minConnections = 2
 	maxConnections = 256
--- a/internal/dataplane/gateway/keys.go
+++ b/internal/dataplane/gateway/keys.go
@@ -9,6 +9,7 @@
 	"petreltide/internal/dataplane/scheduling"
 )
 
+// claimKey records an idempotency key for a call before it starts, or says what became of the call that has it.
 func (h *Host) claimKey(ctx context.Context, key string, c *scheduling.Call) *fault.Fault {
 	change := statemachine.Change{ID: "key-" + c.ID, Key: &wire.KeyChange{Key: key, Gateway: h.settings.Name, GatewayIncarnation: h.incarnation, Call: c.ID}}
 	result, err := h.Submit(ctx, change)
@@ -37,6 +38,7 @@
 	return f
 }
 
+// submitKey records how the call with a key ended, or with no end releases the key. It doesn't wait for the control nodes.
 func (h *Host) submitKey(key string, c *scheduling.Call, end string) {
 	change := statemachine.Change{ID: "key-" + end + "-" + c.ID, Key: &wire.KeyChange{Key: key, Gateway: h.settings.Name, GatewayIncarnation: h.incarnation, Call: c.ID, End: end, Release: end == ""}}
 	h.activeCalls.Add(1)
@@ -48,8 +50,10 @@
 	})
 }
 
+// releaseKey gives a key back that was not, or may not have been, claimed.
 func (h *Host) releaseKey(key string, c *scheduling.Call) { h.submitKey(key, c, "") }
 
+// completeKey records the end of a call with a key; one that did not run leaves the key free.
 func (h *Host) completeKey(key string, c *scheduling.Call, end string) {
 	if end == fault.RunNone {
 		end = ""
--- a/internal/dataplane/gateway/stream.go
+++ b/internal/dataplane/gateway/stream.go
@@ -23,6 +23,7 @@
 	}
 )
 
+// stream writes one answer as server-sent events. It belongs to the goroutine of its call.
 type stream struct {
 	w           http.ResponseWriter
 	flush       func() error
--- a/internal/dataplane/gateway/subscriber.go
+++ b/internal/dataplane/gateway/subscriber.go
@@ -18,6 +18,7 @@
 	"petreltide/internal/process/rpc"
 )
 
+// stepSubscriber gives the subscriber an event and does what it wants done. It runs on the actor.
 func (h *Host) stepSubscriber(ev controlclient.Event) {
 	ev.NowUs = clock.NowUs()
 	for _, e := range h.subscriber.Step(ev) {
--- a/internal/dataplane/upstream/idle_timeout.go
+++ b/internal/dataplane/upstream/idle_timeout.go
@@ -3,12 +3,16 @@
 import "petreltide/internal/process/clock"
 
 const (
-	minIdleUs           = 50 * clock.Ms
+	// minIdleUs is the shortest idle timeout, in microseconds; what was idle for less was not closed for being idle.
+	minIdleUs = 50 * clock.Ms
+	// idleRaiseIntervalUs without an early close raises the timeout by idleRaiseFactor, until it is unlimited again.
 	idleRaiseIntervalUs = 2 * clock.Sec
 	idleRaiseFactor     = 1.25
 	unlimitedIdleUs     = 60 * clock.Sec
-	closeWindowUs       = 10 * clock.Sec
-	shortIdleDivisor    = 4
+	// closeWindowUs is how close together two replicas of a service must close early to lower its timeout.
+	closeWindowUs = 10 * clock.Sec
+	// shortIdleDivisor: an early close after less than this part of the timeout is the replica's own doing.
+	shortIdleDivisor = 4
 )
 
 // idleTimeout is how long connections of one service are used again after they lay idle. It falls to half
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -14,14 +14,18 @@
 	"petreltide/internal/process/clock"
 )
 
-// Options bound the kept connections of one gateway. IdleTimeoutUs is how long one may lie idle where the replica
-// does not say; MaxConnsPerReplica is asked for each replica, as shares change with the number of gateways.
+// Options bound the connections of one gateway.
 type Options struct {
-	LocalIP            net.IP
-	DialTimeoutUs      int64
-	IdleTimeoutUs      int64
+	// LocalIP is the address that connections leave from; nil or unspecified: the system's choice.
+	LocalIP net.IP
+	// DialTimeoutUs bounds a dial, in microseconds; 0 is no bound but the context's.
+	DialTimeoutUs int64
+	// IdleTimeoutUs is how long a connection may be idle where the replica does not say, in microseconds.
+	IdleTimeoutUs int64
+	// MaxConnsPerReplica is asked before each dial, as shares change with the number of gateways. It must be set.
 	MaxConnsPerReplica func(replica string) int
-	// ServiceOf is that of a replica: its connections are taken to be kept alike. May be left out.
+	// ServiceOf names a replica's service, whose connections are taken to have one idle timeout; nil: each replica is
+	// its own.
 	ServiceOf func(replica string) string
 }
 
@@ -31,8 +35,9 @@
 	Reader *bufio.Reader
 	Reused bool
 
-	limited     *limitedReader
-	replica     string
+	limited *limitedReader
+	replica string
+	// expiresAtUs and idleSinceUs are instants, idleUs is how long it was idle before its present use; microseconds.
 	expiresAtUs int64
 	idleSinceUs int64
 	idleUs      int64
