--- a/internal/dataplane/controlclient/informer.go
+++ b/internal/dataplane/controlclient/informer.go
@@ -13,26 +13,38 @@
 )
 
 const (
-	frameTimeoutUs     = 1300 * clock.Ms
-	openIntervalUs     = 300 * clock.Ms
+	// frameTimeoutUs without a frame ends a stream.
+	frameTimeoutUs = 1300 * clock.Ms
+	// openIntervalUs is the shortest time between two tries to open streams.
+	openIntervalUs = 300 * clock.Ms
+	// reconnectBackoffUs is how long a control node is left alone whose stream ended or that took no report.
 	reconnectBackoffUs = 1000 * clock.Ms
 	// undeclaredBackoffUs is how long a control node is left alone that did not answer a gateway without a declaration, and how
 	// often such a gateway tries: it holds its callers meanwhile.
-	undeclaredBackoffUs        = 100 * clock.Ms
+	undeclaredBackoffUs = 100 * clock.Ms
+	// reportIntervalUs and, for each gateway, reportIntervalPerGatewayUs more lie between two reports, so that the load of
+	// all reports stays bounded; failureReportIntervalUs bounds it while failed attempts are unreported.
 	reportIntervalUs           = 250 * clock.Ms
 	reportIntervalPerGatewayUs = 3 * clock.Ms
-	streamCount                = 2
 	failureReportIntervalUs    = 250 * clock.Ms
-	outlierTimeoutUs           = 30 * clock.Sec
+	// streamCount is a primary and a standby.
+	streamCount = 2
+	// outlierTimeoutUs after the last table of ejected replicas it no longer counts.
+	outlierTimeoutUs = 30 * clock.Sec
 )
 
-// InformerEvent brings a frame of a stream, or its end, or seeds that changed.
+// InformerEvent brings a frame of a stream, or its end, or seeds that changed; with none of these, time has passed.
 type InformerEvent struct {
-	NowUs  int64
+	// NowUs is the instant of the event, in microseconds.
+	NowUs int64
+	// Frame came on the stream numbered Stream; nil: none.
 	Frame  *wire.Frame
 	Stream uint64
+	// Closed is the number of a stream that ended; 0: none.
 	Closed uint64
-	Seeds  []string
+	// Seeds replace those of the options; nil: they stay.
+	Seeds []string
+	// Urgent asks for a report at once.
 	Urgent bool
 	// Failing: attempts have failed that no report has told yet.
 	Failing bool
@@ -40,7 +52,7 @@
 	Unreachable string
 }
 
-// InformerEffect is one thing that the mirror wants done: a stream opened or closed, a report sent to an address, or a
+// InformerEffect is one thing that the informer wants done: a stream opened or closed, a report sent to an address, or a
 // snapshot published.
 type InformerEffect struct {
 	Open     *Stream
@@ -51,18 +63,23 @@
 
 // Stream is one held connection to one control node.
 type Stream struct {
+	// Number tells streams of one informer apart; it is never 0.
 	Number  uint64
 	Addr    string
 	Request wire.SubscribeRequest
 }
 
+// source is one stream, and what its control node has said on it.
 type source struct {
-	stream       uint64
-	standby      bool
-	addr         string
+	stream uint64
+	// standby asks for little: what it lacks comes by the primary.
+	standby bool
+	addr    string
+	// receivedAtUs is the instant of its last frame, or of its opening.
 	receivedAtUs int64
-	live         bool
-	complete     bool
+	// live: it has brought a frame; complete: it has brought all that its control node knows.
+	live     bool
+	complete bool
 	// staleSinceUs is since when the control node says that it may be behind; 0 where it does not.
 	staleSinceUs int64
 	controlNode  string
@@ -76,11 +93,14 @@
 // Informer keeps what a gateway knows by the frames of two control nodes at once, so that the loss of one costs no
 // time. Without any it goes on with what it last knew. Revisions only rise.
 type Informer struct {
-	opts           Options
-	sources        map[uint64]*source
+	opts Options
+	// sources are the open streams, by number.
+	sources map[uint64]*source
+	// backoffUntilUs is until when an address isn't tried again.
 	backoffUntilUs map[string]int64
 	// failedAtUs is when a stream to an address last ended before it had brought a frame, until one does bring one.
-	failedAtUs         map[string]int64
+	failedAtUs map[string]int64
+	// unreachableUntilUs is until when an address gets no reports, as one did not arrive there.
 	unreachableUntilUs map[string]int64
 	// staleAtUs is when a control node last was behind for too long.
 	staleAtUs      map[string]int64
@@ -95,14 +115,16 @@
 	urgentAtUs     int64
 	outliersAtUs   int64
 	failing        bool
-	lastSource     *source
-	replicas       map[string]wire.ReplicaRow
-	orders         map[string]wire.PendingOrder
-	ordersNumber   uint64
-	gatewayCount   int
-	outliers       outlier.Table
-	replicaIDs     []string
-	snapshot       *scheduling.Snapshot
+	// lastSource was the last complete one, and counts while none is.
+	lastSource *source
+	// replicas, orders, gatewayCount and outliers are merged from all complete sources.
+	replicas     map[string]wire.ReplicaRow
+	orders       map[string]wire.PendingOrder
+	ordersNumber uint64
+	gatewayCount int
+	outliers     outlier.Table
+	replicaIDs   []string
+	snapshot     *scheduling.Snapshot
 	// changed are the replicas that the next snapshot shows otherwise than the last.
 	changed map[string]bool
 	effects []InformerEffect
--- a/internal/dataplane/controlclient/subscriber.go
+++ b/internal/dataplane/controlclient/subscriber.go
@@ -9,12 +9,18 @@
 )
 
 const (
+	// membershipIntervalUs is how often the control nodes are asked for their view without a lease, and
+	// membershipIdleIntervalUs with one.
 	membershipIntervalUs     = 250 * clock.Ms
 	membershipIdleIntervalUs = 1000 * clock.Ms
-	ackIntervalUs            = 200 * clock.Ms
-	followRetryUs            = 300 * clock.Ms
-	followTimeoutUs          = 2500 * clock.Ms
-	leaseMarginUs            = 50 * clock.Ms
+	// ackIntervalUs is how often the tail gets a report, which renews the lease.
+	ackIntervalUs = 200 * clock.Ms
+	// followRetryUs is the shortest time between two streams to the tail.
+	followRetryUs = 300 * clock.Ms
+	// followTimeoutUs without a lease ends the stream to the tail.
+	followTimeoutUs = 2500 * clock.Ms
+	// leaseMarginUs is taken off each lease, so that it ends here before it ends there.
+	leaseMarginUs = 50 * clock.Ms
 )
 
 // Event is one thing that happened to the subscriber; with all fields but NowUs empty, time has passed.
@@ -49,12 +55,14 @@
 type Options struct {
 	Gateway     string
 	Incarnation string
-	Addr        string
-	Zone        string
-	Seeds       []string
+	// Addr is where others reach this gateway, IP:port.
+	Addr string
+	Zone string
+	// Seeds are IP:port of any nodes, for first contact only.
+	Seeds []string
 }
 
-// Subscriber finds the open tail, follows its news and keeps the gateway's lease. Seeds are only a
+// Subscriber finds the open tail, follows its updates and keeps the gateway's lease. Seeds are only a
 // first contact: from then on it asks the control nodes it has met.
 type Subscriber struct {
 	opts           Options
