--- /dev/null
+++ b/internal/dataplane/scheduling/arrivals.go
@@ -0,0 +1,99 @@
+package scheduling
+
+import "petreltide/internal/process/clock"
+
+const (
+	// arrivalSlots is the number of slots over which arrivals are counted, the one that has begun among them.
+	arrivalSlots = 6
+	// arrivalSlotUs is the length of one slot, in microseconds.
+	arrivalSlotUs = 1 * clock.Sec
+)
+
+// arrivals counts the calls that came in, in a ring of slots of a second each.
+type arrivals struct {
+	// calls are by model and by unit of an adapter, tokens of prompts by model, paths by route and model.
+	calls  [arrivalSlots]map[string]int
+	tokens [arrivalSlots]map[string]int64
+	paths  [arrivalSlots]map[string]int
+	// slot is the one that began at slotStartUs; complete is how many others have been filled.
+	slot        int
+	slotStartUs int64
+	complete    int
+}
+
+func newArrivals() *arrivals {
+	a := &arrivals{}
+	for i := range a.calls {
+		a.clear(i)
+	}
+	return a
+}
+
+func (a *arrivals) clear(slot int) {
+	a.calls[slot] = map[string]int{}
+	a.tokens[slot] = map[string]int64{}
+	a.paths[slot] = map[string]int{}
+}
+
+// advance begins the slots that nowUs has reached.
+func (a *arrivals) advance(nowUs int64) {
+	if a.slotStartUs == 0 {
+		a.slotStartUs = nowUs
+	}
+	for n := 0; nowUs-a.slotStartUs >= arrivalSlotUs; n++ {
+		a.slotStartUs += arrivalSlotUs
+		if n >= arrivalSlots {
+			a.slotStartUs = nowUs
+		}
+		a.slot = (a.slot + 1) % arrivalSlots
+		a.clear(a.slot)
+		a.complete = min(a.complete+1, arrivalSlots-1)
+	}
+}
+
+// add counts a call.
+func (a *arrivals) add(c *Call) {
+	if c.Model != "" {
+		a.calls[a.slot][c.Model]++
+		if c.Routed != nil {
+			a.tokens[a.slot][c.Model] += c.Routed.PromptTokens
+			a.paths[a.slot][c.Kind+"|"+c.Model]++
+		}
+	}
+	if c.Adapter != "" {
+		a.calls[a.slot][c.demandUnit()]++
+	}
+}
+
+// rates are calls per second over the complete slots, by model and by adapter.
+func (a *arrivals) rates() map[string]float64 { return ratesOf(a, a.calls) }
+
+// tokenRates are tokens of prompts per second over the same slots, by model.
+func (a *arrivals) tokenRates() map[string]float64 { return ratesOf(a, a.tokens) }
+
+func ratesOf[N int | int64](a *arrivals, slots [arrivalSlots]map[string]N) map[string]float64 {
+	rates := map[string]float64{}
+	seconds := float64(max(a.complete, 1))
+	for i, slot := range slots {
+		if i == a.slot && a.complete > 0 {
+			continue
+		}
+		for unit, n := range slot {
+			rates[unit] += float64(n) / seconds
+		}
+	}
+	return rates
+}
+
+// recentRates are calls per second over the last complete slot and the one that has begun.
+func (a *arrivals) recentRates(nowUs int64) map[string]float64 {
+	rates := map[string]float64{}
+	seconds := 1 + float64(nowUs-a.slotStartUs)/1e6
+	last := (a.slot + arrivalSlots - 1) % arrivalSlots
+	for _, slot := range []map[string]int{a.calls[a.slot], a.calls[last]} {
+		for unit, n := range slot {
+			rates[unit] += float64(n) / seconds
+		}
+	}
+	return rates
+}
--- a/internal/dataplane/scheduling/decider.go
+++ b/internal/dataplane/scheduling/decider.go
@@ -18,12 +18,8 @@
 	maxCachedPrefixes = 4096
 	// refusedBackoffUs is how long a replica of the declared platform gets nothing after it refused, or could not be reached.
 	refusedBackoffUs = 400 * clock.Ms
-	// arrivalSlots is the number of slots over which arrivals are counted, the one that has begun among them.
-	arrivalSlots = 6
 	// maxLoggedDecisions bounds the decision log; when it is full the older half is dropped.
 	maxLoggedDecisions = 512
-	// arrivalSlotUs is the length of one slot of arrivals, in microseconds.
-	arrivalSlotUs = 1 * clock.Sec
 	// noLeaseRetryMs is when a client is told to come back that met no lease or no declaration, in ms.
 	noLeaseRetryMs = 500
 	// drainingRetryMs is the same at the end of a drain: another gateway can take the call at once.
@@ -63,12 +59,7 @@
 	attemptGrants   map[string]*attemptGrant
 	queued          int
 	virtualTime     float64
-	slots           [arrivalSlots]map[string]int
-	tokens          [arrivalSlots]map[string]int64
-	paths           [arrivalSlots]map[string]int
-	slotAtUs        int64
-	slotNow         int
-	slotsSeen       int
+	arrivals        *arrivals
 	meanServiceUs   float64
 	gauges          []*RevisionCounters
 	decisionLog     []Decision
@@ -84,13 +75,8 @@
 
 // New is a decider that knows no declaration yet.
 func New(opts Options) *Decider {
-	d := &Decider{opts: opts, calls: map[string]*Call{}, kinds: map[string]*kindQueue{}, grantedReplicas: map[string]*grantedReplica{}, attemptGrants: map[string]*attemptGrant{},
+	d := &Decider{opts: opts, arrivals: newArrivals(), calls: map[string]*Call{}, kinds: map[string]*kindQueue{}, grantedReplicas: map[string]*grantedReplica{}, attemptGrants: map[string]*attemptGrant{},
 		replicaStats: map[string]*replicaStats{}, budgets: map[string]*retryBudget{}, prefillModels: map[string]*prefillModel{}, loadEstimates: newLoadEstimates(), admission: newAdmission(), outliers: outlier.NewLocalDetector(opts.Outlier)}
-	for i := range d.slots {
-		d.slots[i] = map[string]int{}
-		d.tokens[i] = map[string]int64{}
-		d.paths[i] = map[string]int{}
-	}
 	return d
 }
 
@@ -98,7 +84,7 @@
 func (d *Decider) Step(nowUs int64, ev Event) []Effect {
 	d.effects = nil
 	d.nowUs = nowUs
-	d.advanceArrivals()
+	d.arrivals.advance(nowUs)
 	var arrived *Call
 	switch ev := ev.(type) {
 	case CallArrived:
@@ -142,16 +128,7 @@
 func (d *Decider) callArrived(c *Call) {
 	k := d.kind(c.Kind)
 	k.arrived++
-	if c.Model != "" {
-		d.slots[d.slotNow][c.Model]++
-		if c.Routed != nil {
-			d.tokens[d.slotNow][c.Model] += c.Routed.PromptTokens
-			d.paths[d.slotNow][c.Kind+"|"+c.Model]++
-		}
-	}
-	if c.Adapter != "" {
-		d.slots[d.slotNow][c.demandUnit()]++
-	}
+	d.arrivals.add(c)
 	d.calls[c.ID] = c
 	d.countReceived(c)
 	if c.ArrivedUs == 0 {
--- a/internal/dataplane/scheduling/report.go
+++ b/internal/dataplane/scheduling/report.go
@@ -23,70 +23,13 @@
 	d.decisionLog = append(d.decisionLog, Decision{d.nowUs, c.ID, c.Kind, c.Model, what, replica, why})
 }
 
-func (d *Decider) advanceArrivals() {
-	if d.slotAtUs == 0 {
-		d.slotAtUs = d.nowUs
-	}
-	for n := 0; d.nowUs-d.slotAtUs >= arrivalSlotUs; n++ {
-		d.slotAtUs += arrivalSlotUs
-		if n >= arrivalSlots {
-			d.slotAtUs = d.nowUs
-		}
-		d.slotNow = (d.slotNow + 1) % arrivalSlots
-		d.slots[d.slotNow] = map[string]int{}
-		d.tokens[d.slotNow] = map[string]int64{}
-		d.paths[d.slotNow] = map[string]int{}
-		d.slotsSeen = min(d.slotsSeen+1, arrivalSlots-1)
-	}
-}
-
-// Arrivals per second over the last whole seconds, by model and by adapter.
-func (d *Decider) Arrivals() map[string]float64 {
-	rates := map[string]float64{}
-	span := float64(max(d.slotsSeen, 1))
-	for i, slot := range d.slots {
-		if i == d.slotNow && d.slotsSeen > 0 {
-			continue
-		}
-		for unit, n := range slot {
-			rates[unit] += float64(n) / span
-		}
-	}
-	return rates
-}
-
-// tokenRates are tokens of prompts a second over the same seconds, by model.
-func (d *Decider) tokenRates() map[string]float64 {
-	rates := map[string]float64{}
-	span := float64(max(d.slotsSeen, 1))
-	for i, slot := range d.tokens {
-		if i == d.slotNow && d.slotsSeen > 0 {
-			continue
-		}
-		for unit, n := range slot {
-			rates[unit] += float64(n) / span
-		}
-	}
-	return rates
-}
-
-// recentArrivals are arrivals a second over the last whole second and the one that has begun.
-func (d *Decider) recentArrivals() map[string]float64 {
-	rates := map[string]float64{}
-	spanS := 1 + float64(d.nowUs-d.slotAtUs)/1e6
-	last := (d.slotNow + arrivalSlots - 1) % arrivalSlots
-	for _, slot := range []map[string]int{d.slots[d.slotNow], d.slots[last]} {
-		for unit, n := range slot {
-			rates[unit] += float64(n) / spanS
-		}
-	}
-	return rates
-}
+// Arrivals are the calls per second over the last complete seconds, by model and by adapter.
+func (d *Decider) Arrivals() map[string]float64 { return d.arrivals.rates() }
 
 // Report is what a gateway tells the control nodes: arrivals, what waits, what runs, how attempts ended.
 func (d *Decider) Report(nowUs int64) wire.Report {
 	rep := wire.Report{
-		Gateway: d.opts.Gateway, Incarnation: d.opts.Incarnation, SentUs: nowUs, Arrivals: d.Arrivals(), Draining: d.draining,
+		Gateway: d.opts.Gateway, Incarnation: d.opts.Incarnation, SentUs: nowUs, Arrivals: d.arrivals.rates(), Draining: d.draining,
 		Queued: map[string]int{}, InFlight: map[string]int{}, UnusedGrants: map[string]wire.UnusedGrant{},
 	}
 	if d.snapshot != nil {
@@ -109,9 +52,9 @@
 	}
 	d.reportRouted(&rep)
 	if d.routed() {
-		rep.PromptTokens, rep.RecentArrivals = d.tokenRates(), d.recentArrivals()
+		rep.PromptTokens, rep.RecentArrivals = d.arrivals.tokenRates(), d.arrivals.recentRates(d.nowUs)
 		rep.RouteArrivals = map[string]float64{}
-		for _, slot := range d.paths {
+		for _, slot := range d.arrivals.paths {
 			for key, n := range slot {
 				rep.RouteArrivals[key] += float64(n) / arrivalSlots
 			}
