--- a/internal/controlplane/controller/basis.go
+++ b/internal/controlplane/controller/basis.go
@@ -21,10 +21,10 @@
 
 // recordedBasis is the basis that the ledger keeps of a replica; nil where its count is not known.
 func recordedBasis(r *statemachine.Replica) *basis {
-	if r == nil || r.CommandsTaken == nil {
+	if r == nil || r.CommandsAccepted == nil {
 		return nil
 	}
-	return &basis{orders: *r.CommandsTaken, units: slices.Sorted(maps.Keys(r.Resident))}
+	return &basis{orders: *r.CommandsAccepted, units: slices.Sorted(maps.Keys(r.Resident))}
 }
 
 // reportedBasis is what a report shows; nil while an order is under way, as what is held will change.
@@ -95,6 +95,6 @@
 		return settled
 	}
 	orders := o.result.orders
-	settled.CommandsTaken, settled.Resident = &orders, holdings(s.Doc, svc, o.result.units)
+	settled.CommandsAccepted, settled.Resident = &orders, holdings(s.Doc, svc, o.result.units)
 	return settled
 }
--- a/internal/controlplane/controller/registry_sync.go
+++ b/internal/controlplane/controller/registry_sync.go
@@ -91,7 +91,7 @@
 	units := c.routed.residency.withTrusted(snapshot.NowUs, have, e.Units)
 	switch {
 	case have == nil:
-		n.ResidentKnown, n.Resident, n.CommandsTaken = true, holdings(snapshot.State.Doc, svc, units), new(uint64)
+		n.ResidentKnown, n.Resident, n.CommandsAccepted = true, holdings(snapshot.State.Doc, svc, units), new(uint64)
 	case pending || holdsExactly(have, units):
 	case c.routed.registry.isOutdated(e, c.routed.predecessor.startedUs):
 		c.routed.registry.compared = comparedVersion{}
--- a/internal/controlplane/controlnode/gossip.go
+++ b/internal/controlplane/controlnode/gossip.go
@@ -14,7 +14,7 @@
 func (c *Core) gossipReceived(nowUs int64, h peering.Gossip) {
 	c.soft.Registry.Merge(nowUs, h.Observations)
 	c.confirmDepartures(h)
-	if c.soft.Registry.TakeResyncRequest() {
+	if c.soft.Registry.ConsumeResyncRequest() {
 		c.soft.resync = true
 	}
 	if h.RequestAll {
@@ -59,7 +59,7 @@
 		}
 	}
 	if due {
-		c.soft.Registry.MarkGossiped(nowUs)
+		c.soft.Registry.EndGossipRound(nowUs)
 	}
 	if asks {
 		c.departuresRequested(nowUs)
--- a/internal/controlplane/distribution/frame_publisher_test.go
+++ b/internal/controlplane/distribution/frame_publisher_test.go
@@ -13,8 +13,8 @@
 	"petreltide/internal/process/clock"
 )
 
-// routedLedger has replicas that hold m1 and have an order for m2 each.
-func routedLedger(t *testing.T, ids ...string) *statemachine.State {
+// newRoutedState has replicas that hold m1 and have an order for m2 each.
+func newRoutedState(t *testing.T, ids ...string) *statemachine.State {
 	t.Helper()
 	s := statemachine.NewState()
 	engine := &configuration.Engine{Slots: 4, CacheTokens: 1, CapacityMB: 100, LoadsPerSecond: 1, Models: []configuration.EngineModel{{Name: "m1", SizeMB: 10, LoadMs: 100}, {Name: "m2", SizeMB: 10, LoadMs: 100}}}
@@ -35,7 +35,7 @@
 // With 140 replicas and forty loads a second, every frame named every order that stood, and every load went
 // out twice more as the replica's own word of what the ledger had said already.
 func TestFramesCarryOnlyChangesAndStandbyStreamsGetFewer(t *testing.T) {
-	s := routedLedger(t, "r1", "r2", "r3")
+	s := newRoutedState(t, "r1", "r2", "r3")
 	soft := registry.New(3 * clock.Sec)
 	h := NewFramePublisher()
 	nowUs := clock.Sec
@@ -109,7 +109,7 @@
 	if first := frame(0); first == nil || !first.Complete || len(first.Replicas) != 1 || first.Revision != 0 {
 		t.Fatal("the first frame is not what a control node knows that has just started")
 	}
-	in.State = routedLedger(t, "r1", "r2", "r3")
+	in.State = newRoutedState(t, "r1", "r2", "r3")
 	if before := frame(clock.Ms); before != nil && before.Revision != 0 {
 		t.Fatal("a declaration was told that may not be the chain's")
 	}
@@ -143,7 +143,7 @@
 
 // An incarnation that was heard and has ended must not come back by a late change of its row in the ledger.
 func TestStateChangeDoesNotReviveRemovedReplica(t *testing.T) {
-	s := routedLedger(t, "r1", "r2")
+	s := newRoutedState(t, "r1", "r2")
 	soft := registry.New(3 * clock.Sec)
 	h := NewFramePublisher()
 	nowUs := clock.Sec
--- a/internal/controlplane/distribution/update_publisher.go
+++ b/internal/controlplane/distribution/update_publisher.go
@@ -121,8 +121,8 @@
 		gateway.behindSinceUs = nowUs
 	}
 	behind := gateway.behindSinceUs > 0 && (nowUs >= gateway.leaseEndUs || nowUs-gateway.behindSinceUs > maxBehindUs)
-	listUnread := !checked && nowUs-p.activeSinceUs < checkGraceUs
-	if !gateway.following || gateway.acked == 0 || behind || listUnread {
+	listUnchecked := !checked && nowUs-p.activeSinceUs < checkGraceUs
+	if !gateway.following || gateway.acked == 0 || behind || listUnchecked {
 		return refusal
 	}
 	gateway.leaseEndUs = nowUs + GatewayLeaseUs
--- a/internal/controlplane/distribution/update_publisher_test.go
+++ b/internal/controlplane/distribution/update_publisher_test.go
@@ -9,7 +9,7 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-func opened(s *statemachine.State) *UpdatePublisher {
+func newActivePublisher(s *statemachine.State) *UpdatePublisher {
 	r := NewUpdatePublisher()
 	r.SetActive(1, true)
 	r.Follow(2, wire.SubscribeRequest{Gateway: "front", Incarnation: "i1"})
@@ -30,7 +30,7 @@
 // A pushed declaration may be lost with its connection: seed 218 served an emptied zone that way.
 func TestDeclarationIsPushedUntilAcknowledged(t *testing.T) {
 	s := stateAt(3, 30)
-	r := opened(s)
+	r := newActivePublisher(s)
 	if p := r.Updates(s, chain.View{}); len(p) != 1 || p[0].Update.Declaration == nil {
 		t.Fatalf("first push: %+v", p)
 	}
@@ -48,7 +48,7 @@
 // Seed 138: a gateway whose lease had lapsed got it back while it still worked by old news.
 func TestLapsedGatewayNeedsNewestUpdateForLease(t *testing.T) {
 	s := stateAt(1, 10)
-	r := opened(s)
+	r := newActivePublisher(s)
 	if !r.Report(100, 1, 10, true, report(10, 1)).OK {
 		t.Fatal("an up-to-date gateway gets no lease")
 	}
@@ -69,7 +69,7 @@
 
 func TestResultWaitsForEveryGatewayOrItsLeaseExpiry(t *testing.T) {
 	s := stateAt(1, 10)
-	r := opened(s)
+	r := newActivePublisher(s)
 	startUs := 2 * GatewayLeaseUs
 	r.Report(startUs, 1, 10, true, report(10, 1))
 	r.AwaitAcknowledgements("op", statemachine.Outcome{ID: "c"}, 11)
@@ -104,7 +104,7 @@
 
 func TestNewTailWaitsForControllerToCheckPlatformList(t *testing.T) {
 	s := stateAt(1, 10)
-	r := opened(s)
+	r := newActivePublisher(s)
 	if r.Report(100, 1, 10, false, report(10, 1)).OK {
 		t.Fatal("a lease before the list was looked at in this view")
 	}
--- a/internal/controlplane/registry/conflict_test.go
+++ b/internal/controlplane/registry/conflict_test.go
@@ -11,9 +11,9 @@
 func TestHeartbeatReadLateIsConfirmedAtItsEarliestTime(t *testing.T) {
 	at := 10 * clock.Sec
 	woken, other := New(unreachableUs), New(unreachableUs)
-	other.HandleHeartbeat(at-4*clock.Sec, word("r", "1", 3, holds("m")))
+	other.HandleHeartbeat(at-4*clock.Sec, heartbeat("r", "1", 3, withUnits("m")))
 	woken.ReadDelayUs = 5 * clock.Sec
-	woken.HandleHeartbeat(at, word("r", "1", 4))
+	woken.HandleHeartbeat(at, heartbeat("r", "1", 4))
 	if e := woken.Entry("r"); e.ConfirmedUs != at-5*clock.Sec || e.LastHeartbeatUs != at {
 		t.Fatalf("heard at %d, said at %d", e.LastHeartbeatUs, e.ConfirmedUs)
 	}
@@ -22,7 +22,7 @@
 	if e := other.Entry("r"); e.ConfirmedUs != at-4*clock.Sec || e.LastHeartbeatUs != at {
 		t.Fatalf("told on: heard at %d, said at %d", e.LastHeartbeatUs, e.ConfirmedUs)
 	}
-	other.HandleHeartbeat(at+clock.Sec, word("r", "1", 5))
+	other.HandleHeartbeat(at+clock.Sec, heartbeat("r", "1", 5))
 	if e := other.Entry("r"); e.ConfirmedUs != at+clock.Sec {
 		t.Fatalf("a fresh word holds since %d", e.ConfirmedUs)
 	}
@@ -43,18 +43,18 @@
 	}
 	t.Run("heard by an office that knows the new life alone", func(t *testing.T) {
 		r := New(unreachableUs)
-		r.HandleHeartbeat(at, word("new", "1", 3))
-		r.HandleHeartbeat(at+200*clock.Ms, word("old", "1", 90))
+		r.HandleHeartbeat(at, heartbeat("new", "1", 3))
+		r.HandleHeartbeat(at+200*clock.Ms, heartbeat("old", "1", 90))
 		lives(t, r)
-		r.HandleHeartbeat(at+1200*clock.Ms, word("new", "1", 4))
+		r.HandleHeartbeat(at+1200*clock.Ms, heartbeat("new", "1", 4))
 		lives(t, r)
 	})
 	t.Run("heard first by an office that came back empty", func(t *testing.T) {
 		back, other := New(unreachableUs), New(unreachableUs)
-		other.HandleHeartbeat(at, word("new", "1", 3))
-		back.HandleHeartbeat(at+200*clock.Ms, word("old", "1", 90))
+		other.HandleHeartbeat(at, heartbeat("new", "1", 3))
+		back.HandleHeartbeat(at+200*clock.Ms, heartbeat("old", "1", 90))
 		for us := at + 300*clock.Ms; us < at+4*clock.Sec; us += 300 * clock.Ms {
-			other.HandleHeartbeat(us, word("new", "1", uint64(us)))
+			other.HandleHeartbeat(us, heartbeat("new", "1", uint64(us)))
 			back.Merge(us, other.GossipSince(us, 0, true))
 			other.Merge(us, back.GossipSince(us, 0, true))
 		}
@@ -67,8 +67,8 @@
 	})
 	t.Run("two lives heard by two offices at the same time", func(t *testing.T) {
 		back, other := New(unreachableUs), New(unreachableUs)
-		back.HandleHeartbeat(at, word("old", "1", 90))
-		other.HandleHeartbeat(at-100*clock.Ms, word("new", "1", 3))
+		back.HandleHeartbeat(at, heartbeat("old", "1", 90))
+		other.HandleHeartbeat(at-100*clock.Ms, heartbeat("new", "1", 3))
 		back.Merge(at, other.GossipSince(at, 0, true))
 		other.Merge(at, back.GossipSince(at, 0, true))
 		if e := back.Entry("new"); e != nil && e.Removed {
@@ -78,9 +78,9 @@
 	})
 	t.Run("a new life is taken once the one before is silent", func(t *testing.T) {
 		r := New(unreachableUs)
-		r.HandleHeartbeat(at, word("old", "1", 90))
+		r.HandleHeartbeat(at, heartbeat("old", "1", 90))
 		for us := at + 300*clock.Ms; us <= at+2*clock.Sec; us += 300 * clock.Ms {
-			r.HandleHeartbeat(us, word("new", "1", uint64(us)))
+			r.HandleHeartbeat(us, heartbeat("new", "1", uint64(us)))
 		}
 		lives(t, r)
 		if !r.Entry("old").Removed {
--- a/internal/controlplane/registry/gossip.go
+++ b/internal/controlplane/registry/gossip.go
@@ -58,8 +58,8 @@
 	return true
 }
 
-// TakeResyncRequest returns true once after gossip named something that this control node has missed.
-func (r *Registry) TakeResyncRequest() bool {
+// ConsumeResyncRequest returns true once after gossip named something that this control node has missed.
+func (r *Registry) ConsumeResyncRequest() bool {
 	needed := r.needsResync
 	r.needsResync = false
 	return needed
@@ -67,7 +67,7 @@
 
 // GossipSince returns the gossip for control nodes that have had everything up to a revision of this registry; 0 for all.
 // It holds the statuses that changed and, with includeAlive, a sign of life of replicas whose heartbeat came to this
-// control node since MarkGossiped, and the removals of the last seconds once more.
+// control node since EndGossipRound, and the removals of the last seconds once more.
 func (r *Registry) GossipSince(nowUs int64, since uint64, includeAlive bool) []GossipEntry {
 	gossip := []GossipEntry{}
 	for _, id := range r.IDs() {
@@ -111,8 +111,8 @@
 	return &status
 }
 
-// MarkGossiped ends a round of gossip to all other control nodes.
-func (r *Registry) MarkGossiped(nowUs int64) {
+// EndGossipRound ends a round of gossip to all other control nodes.
+func (r *Registry) EndGossipRound(nowUs int64) {
 	for _, e := range r.entries {
 		e.gossipedUs = nowUs
 	}
--- a/internal/controlplane/registry/registry_test.go
+++ b/internal/controlplane/registry/registry_test.go
@@ -12,7 +12,7 @@
 
 const unreachableUs = 3 * clock.Sec
 
-func word(id, addr string, seq uint64, edit ...func(*ReplicaStatus)) ReplicaStatus {
+func heartbeat(id, addr string, seq uint64, edit ...func(*ReplicaStatus)) ReplicaStatus {
 	status := ReplicaStatus{ID: id, Service: "s", Addr: addr, Zone: "a", Slots: 4, Seq: seq}
 	for _, e := range edit {
 		e(&status)
@@ -20,33 +20,35 @@
 	return status
 }
 
-func draining(remainingMs int64) func(*ReplicaStatus) {
+func withDraining(remainingMs int64) func(*ReplicaStatus) {
 	return func(r *ReplicaStatus) { r.Draining, r.RemainingMs = true, remainingMs }
 }
 
-func holds(units ...string) func(*ReplicaStatus) { return func(r *ReplicaStatus) { r.Units = units } }
+func withUnits(units ...string) func(*ReplicaStatus) {
+	return func(r *ReplicaStatus) { r.Units = units }
+}
 
-type heard struct {
-	row     ReplicaStatus
+type receivedHeartbeat struct {
+	status  ReplicaStatus
 	changed bool
 }
 
 func TestRegistryTakesOnlyNewerHeartbeats(t *testing.T) {
 	for name, c := range map[string]struct {
-		words []heard
+		words []receivedHeartbeat
 		want  ReplicaStatus
 	}{
-		"a late word":             {[]heard{{word("r", "1", 5, draining(0)), true}, {word("r", "1", 4), false}, {word("r", "1", 5), false}}, word("r", "1", 5, draining(0))},
-		"the same again":          {[]heard{{word("r", "1", 1), true}, {word("r", "1", 2), false}}, word("r", "1", 2)},
-		"what it holds":           {[]heard{{word("r", "1", 1), true}, {word("r", "1", 2, holds("m", "m/a1")), true}}, word("r", "1", 2, holds("m", "m/a1"))},
-		"a notice":                {[]heard{{word("r", "1", 1), true}, {word("r", "1", 2, draining(900)), true}, {word("r", "1", 3, draining(500)), false}}, word("r", "1", 3, draining(500))},
-		"a notice without a time": {[]heard{{word("r", "1", 1, draining(900)), true}, {word("r", "1", 2, draining(0)), true}}, word("r", "1", 2, draining(900))},
-		"cold, then warm":         {[]heard{{word("r", "1", 1, func(r *ReplicaStatus) { r.WarmUpMs = 80 }), true}, {word("r", "1", 2, func(r *ReplicaStatus) { r.WarmUpMs = 40 }), false}, {word("r", "1", 3), true}}, word("r", "1", 3)},
+		"a late word":             {[]receivedHeartbeat{{heartbeat("r", "1", 5, withDraining(0)), true}, {heartbeat("r", "1", 4), false}, {heartbeat("r", "1", 5), false}}, heartbeat("r", "1", 5, withDraining(0))},
+		"the same again":          {[]receivedHeartbeat{{heartbeat("r", "1", 1), true}, {heartbeat("r", "1", 2), false}}, heartbeat("r", "1", 2)},
+		"what it holds":           {[]receivedHeartbeat{{heartbeat("r", "1", 1), true}, {heartbeat("r", "1", 2, withUnits("m", "m/a1")), true}}, heartbeat("r", "1", 2, withUnits("m", "m/a1"))},
+		"a notice":                {[]receivedHeartbeat{{heartbeat("r", "1", 1), true}, {heartbeat("r", "1", 2, withDraining(900)), true}, {heartbeat("r", "1", 3, withDraining(500)), false}}, heartbeat("r", "1", 3, withDraining(500))},
+		"a notice without a time": {[]receivedHeartbeat{{heartbeat("r", "1", 1, withDraining(900)), true}, {heartbeat("r", "1", 2, withDraining(0)), true}}, heartbeat("r", "1", 2, withDraining(900))},
+		"cold, then warm":         {[]receivedHeartbeat{{heartbeat("r", "1", 1, func(r *ReplicaStatus) { r.WarmUpMs = 80 }), true}, {heartbeat("r", "1", 2, func(r *ReplicaStatus) { r.WarmUpMs = 40 }), false}, {heartbeat("r", "1", 3), true}}, heartbeat("r", "1", 3)},
 	} {
 		r := New(unreachableUs)
 		for i, w := range c.words {
 			before := r.Revision
-			if got := r.HandleHeartbeat(int64(i), w.row); got != w.changed || (r.Revision > before) != w.changed {
+			if got := r.HandleHeartbeat(int64(i), w.status); got != w.changed || (r.Revision > before) != w.changed {
 				t.Errorf("%s: word %d changed it: %v, revision %d after %d", name, i, got, r.Revision, before)
 			}
 		}
@@ -58,22 +60,22 @@
 
 func TestRemovedIncarnationStaysRemoved(t *testing.T) {
 	r, other := New(unreachableUs), New(unreachableUs)
-	r.HandleHeartbeat(1, word("r", "1", 3))
+	r.HandleHeartbeat(1, heartbeat("r", "1", 3))
 	other.Merge(1, r.GossipSince(1, 0, true))
 	if !r.Remove(2, "r") || r.Remove(3, "r") {
 		t.Fatal("it ends once")
 	}
-	if r.HandleHeartbeat(3, word("r", "1", 900)) || !r.Entry("r").Removed {
+	if r.HandleHeartbeat(3, heartbeat("r", "1", 900)) || !r.Entry("r").Removed {
 		t.Error("a late word brought it back")
 	}
-	other.HandleHeartbeat(3, word("r", "1", 4))
+	other.HandleHeartbeat(3, heartbeat("r", "1", 4))
 	if !other.Merge(4, r.GossipSince(4, 0, true)) || !other.Entry("r").Removed {
 		t.Error("the other control node does not learn of its end")
 	}
 	if other.Merge(5, []GossipEntry{{ID: "r", Seq: 9, Status: &ReplicaStatus{ID: "r", Addr: "1", Seq: 9}}}) || !other.Entry("r").Removed {
 		t.Error("a word from elsewhere brought it back")
 	}
-	if !r.Remove(6, "never-heard") || r.HandleHeartbeat(7, word("never-heard", "9", 1)) {
+	if !r.Remove(6, "never-heard") || r.HandleHeartbeat(7, heartbeat("never-heard", "9", 1)) {
 		t.Error("an end that came before every word does not hold")
 	}
 	r.Sweep(7)
@@ -87,20 +89,20 @@
 
 func TestNewIncarnationRemovesPredecessorAtItsAddress(t *testing.T) {
 	r := New(unreachableUs)
-	r.HandleHeartbeat(0, word("old", "1", 7))
-	r.HandleHeartbeat(2*clock.Sec, word("new", "1", 1))
+	r.HandleHeartbeat(0, heartbeat("old", "1", 7))
+	r.HandleHeartbeat(2*clock.Sec, heartbeat("new", "1", 1))
 	if !r.Entry("old").Removed || r.Entry("new").Removed {
 		t.Fatal("two incarnations at one address")
 	}
-	r.HandleHeartbeat(2*clock.Sec, word("beside", "2", 1))
+	r.HandleHeartbeat(2*clock.Sec, heartbeat("beside", "2", 1))
 	if r.Entry("new").Removed {
 		t.Fatal("one at another address ended it")
 	}
 
 	// A control node that came back empty hears the new incarnation, and then another control node's word of the old one.
 	lagging, back := New(unreachableUs), New(unreachableUs)
-	lagging.HandleHeartbeat(0, word("old", "1", 7))
-	back.HandleHeartbeat(3*clock.Sec, word("new", "1", 1))
+	lagging.HandleHeartbeat(0, heartbeat("old", "1", 7))
+	back.HandleHeartbeat(3*clock.Sec, heartbeat("new", "1", 1))
 	back.Merge(3*clock.Sec, lagging.GossipSince(3*clock.Sec, 0, true))
 	if back.Entry("new").Removed {
 		t.Fatal("a late word of the incarnation before ended the one that came after")
@@ -121,12 +123,12 @@
 		awake.Sweep(us)
 	}
 	for _, r := range []*Registry{frozen, awake} {
-		r.HandleHeartbeat(2*clock.Sec, word("lives", "1", 1))
-		r.HandleHeartbeat(2*clock.Sec, word("died", "2", 1))
+		r.HandleHeartbeat(2*clock.Sec, heartbeat("lives", "1", 1))
+		r.HandleHeartbeat(2*clock.Sec, heartbeat("died", "2", 1))
 	}
 	since := awake.Revision
 	for us := 2 * clock.Sec; us <= 12*clock.Sec; us += 250 * clock.Ms {
-		awake.HandleHeartbeat(us, word("lives", "1", uint64(us)))
+		awake.HandleHeartbeat(us, heartbeat("lives", "1", uint64(us)))
 		awake.Sweep(us)
 	}
 	if !awake.Entry("died").Unreachable || awake.Entry("lives").Unreachable {
@@ -149,7 +151,7 @@
 	if !frozen.Entry("died").Unreachable {
 		t.Error("and it never finds out")
 	}
-	if !awake.HandleHeartbeat(17*clock.Sec, word("died", "2", 2)) || awake.Entry("died").Unreachable {
+	if !awake.HandleHeartbeat(17*clock.Sec, heartbeat("died", "2", 2)) || awake.Entry("died").Unreachable {
 		t.Error("it spoke again")
 	}
 }
@@ -183,7 +185,7 @@
 				}
 			}
 			for i, o := range controlNodes {
-				if wants[i] = o.TakeResyncRequest(); wants[i] {
+				if wants[i] = o.ConsumeResyncRequest(); wants[i] {
 					asked++
 				}
 			}
@@ -200,7 +202,7 @@
 				ended[id] = true
 			case incarnation >= 6 && n < 40, incarnation < 3 && n >= 30:
 			default:
-				o.HandleHeartbeat(nowUs, word(id, addr, seqs[id], func(status *ReplicaStatus) {
+				o.HandleHeartbeat(nowUs, heartbeat(id, addr, seqs[id], func(status *ReplicaStatus) {
 					status.Draining = r.Intn(4) == 0
 					status.Units = []string{"m", "n"}[:r.Intn(3)]
 				}))
@@ -255,8 +257,8 @@
 // The time that a replica has left runs on between its words, and what nobody heard of takes no room without end.
 func TestRemainingTimeRunsOnAndRemovalsAreBounded(t *testing.T) {
 	r, other := New(unreachableUs), New(unreachableUs)
-	r.HandleHeartbeat(clock.Sec, word("r", "1", 1, draining(900), func(r *ReplicaStatus) { r.Stage = "decode" }))
-	r.HandleHeartbeat(2*clock.Sec, word("r", "1", 2, draining(0)))
+	r.HandleHeartbeat(clock.Sec, heartbeat("r", "1", 1, withDraining(900), func(r *ReplicaStatus) { r.Stage = "decode" }))
+	r.HandleHeartbeat(2*clock.Sec, heartbeat("r", "1", 2, withDraining(0)))
 	other.Merge(2*clock.Sec, r.GossipSince(2*clock.Sec, 0, true))
 	if e := r.Entry("r"); e.EndUs != clock.Sec+900*clock.Ms || e.Stage != "decode" {
 		t.Errorf("it ends at %d us in stage %q", e.EndUs, e.Stage)
@@ -264,7 +266,7 @@
 	if e := other.Entry("r"); e.EndUs > 2*clock.Sec+clock.Ms {
 		t.Errorf("elsewhere it ends at %d us", e.EndUs)
 	}
-	r.HandleHeartbeat(3*clock.Sec, word("r", "1", 3, draining(500)))
+	r.HandleHeartbeat(3*clock.Sec, heartbeat("r", "1", 3, withDraining(500)))
 	if e := r.Entry("r"); e.EndUs != 3*clock.Sec+500*clock.Ms {
 		t.Errorf("a later word says %d us", e.EndUs)
 	}
--- a/internal/controlplane/statemachine/bounds_test.go
+++ b/internal/controlplane/statemachine/bounds_test.go
@@ -12,15 +12,15 @@
 	"petreltide/internal/api/fault"
 )
 
-func claim(i int) Change {
+func keyClaim(i int) Change {
 	return Change{ID: fmt.Sprint("key-", i), Key: &KeyChange{Key: fmt.Sprintf("family-%032d", i), Gateway: "front-3", GatewayIncarnation: "0123456789ab", Call: fmt.Sprintf("front-3-%016d", i)}}
 }
 
 // Full is a ledger with every key it may keep.
-func full(t testing.TB, keys int) *State {
+func newFullKeyTable(t testing.TB, keys int) *State {
 	s := NewState()
 	for i := 0; i < keys; i++ {
-		if out := s.Apply(s.Index+1, claim(i)); out.Fault != nil {
+		if out := s.Apply(s.Index+1, keyClaim(i)); out.Fault != nil {
 			t.Fatal(out.Fault)
 		}
 	}
@@ -29,12 +29,12 @@
 
 // A full table refuses; it never forgets a key before its time, and an old key still answers.
 func TestFullKeyTableRefusesAndEvictsNothing(t *testing.T) {
-	s := full(t, MaxKeys)
-	if out := s.Apply(s.Index+1, claim(MaxKeys)); out.Fault == nil || out.Fault.Code != fault.KeysFull {
+	s := newFullKeyTable(t, MaxKeys)
+	if out := s.Apply(s.Index+1, keyClaim(MaxKeys)); out.Fault == nil || out.Fault.Code != fault.KeysFull {
 		t.Fatalf("%+v", out)
 	}
 	for _, i := range []int{0, 1, MaxKeys / 2, MaxKeys - 1} {
-		again := claim(i)
+		again := keyClaim(i)
 		again.Key.Call = "another"
 		if out := s.Apply(s.Index+1, again); !out.Repeated || out.Key == nil {
 			t.Fatalf("key %d: %+v", i, out)
@@ -48,7 +48,7 @@
 	if len(s.Keys) != MaxKeys-100 {
 		t.Fatalf("%d keys after 100 were forgotten", len(s.Keys))
 	}
-	if out := s.Apply(s.Index+1, claim(MaxKeys)); out.Fault != nil {
+	if out := s.Apply(s.Index+1, keyClaim(MaxKeys)); out.Fault != nil {
 		t.Fatal(out.Fault)
 	}
 }
@@ -71,36 +71,36 @@
 }
 
 func TestSnapshotIsUnchangedByLaterChanges(t *testing.T) {
-	s := ready(t)
-	must(t, s, load("r0", "a"))
-	must(t, s, claim(1))
+	s := newReadyState(t)
+	mustApply(t, s, loadCommand("r0", "a"))
+	mustApply(t, s, keyClaim(1))
 	before := string(s.Encode())
 	frozen := s.Snapshot()
 	if diff := cmp.Diff(before, string(frozen.Encode())); diff != "" {
 		t.Fatal(diff)
 	}
-	must(t, s, Change{ID: "s", Epoch: 1, LeaderUpdate: &LeaderUpdate{Results: []CommandResult{{Number: 1, Succeeded: true}}, Quotas: map[string]map[string]int{"r1": {"d": 2}},
+	mustApply(t, s, Change{ID: "s", Epoch: 1, LeaderUpdate: &LeaderUpdate{Results: []CommandResult{{Number: 1, Succeeded: true}}, Quotas: map[string]map[string]int{"r1": {"d": 2}},
 		Grants: []GrantRequest{{Gateway: "d", GatewayIncarnation: "i", Replica: "r1", Incarnation: "i", Model: "a", Count: 9}}, RemovedReplicas: []string{"r2"}}})
 	for i := 2; i < 40; i++ {
-		must(t, s, claim(i))
+		mustApply(t, s, keyClaim(i))
 	}
-	must(t, s, Change{ID: "end", Key: &KeyChange{Key: claim(1).Key.Key, Gateway: "front-3", GatewayIncarnation: "0123456789ab", Call: claim(1).Key.Call, End: "yes"}})
-	must(t, s, Change{ID: "f", Epoch: 1, LeaderUpdate: &LeaderUpdate{ForgetKeysBefore: s.Index}})
-	must(t, s, Change{ID: "c2", Config: &ConfigChange{Base: 1, Doc: &configuration.Declaration{Name: "next"}}})
+	mustApply(t, s, Change{ID: "end", Key: &KeyChange{Key: keyClaim(1).Key.Key, Gateway: "front-3", GatewayIncarnation: "0123456789ab", Call: keyClaim(1).Key.Call, End: "yes"}})
+	mustApply(t, s, Change{ID: "f", Epoch: 1, LeaderUpdate: &LeaderUpdate{ForgetKeysBefore: s.Index}})
+	mustApply(t, s, Change{ID: "c2", Config: &ConfigChange{Base: 1, Doc: &configuration.Declaration{Name: "next"}}})
 	if diff := cmp.Diff(before, string(frozen.Encode())); diff != "" {
 		t.Fatalf("what went on changed the frozen one: %s", diff)
 	}
 }
 
 func BenchmarkSnapshotFullKeyTable(b *testing.B) {
-	s := full(b, MaxKeys)
+	s := newFullKeyTable(b, MaxKeys)
 	for b.Loop() {
 		s.Snapshot()
 	}
 }
 
 func BenchmarkEncodeFullKeyTable(b *testing.B) {
-	s := full(b, MaxKeys)
+	s := newFullKeyTable(b, MaxKeys)
 	for b.Loop() {
 		s.Encode()
 	}
@@ -139,7 +139,7 @@
 }
 
 func TestRememberedOutcomesNameOnlyTheirFirstFaults(t *testing.T) {
-	s := ready(t)
+	s := newReadyState(t)
 	doc := &configuration.Declaration{}
 	for i := range 10 * maxRememberedFaults {
 		doc.Models = append(doc.Models, configuration.Model{Name: fmt.Sprint("m", i), SizeMB: 1 << 40})
--- a/internal/controlplane/statemachine/commands.go
+++ b/internal/controlplane/statemachine/commands.go
@@ -7,16 +7,16 @@
 	"petreltide/internal/api/fault"
 )
 
-// CommandResult resolves a pending command. With CommandsTaken, Resident is all that the replica holds once it has taken
+// CommandResult resolves a pending command. With CommandsAccepted, Resident is all that the replica holds once it has taken
 // that many commands; without, nothing is known but whether the command succeeded.
 type CommandResult struct {
 	// Number is the command's.
 	Number    uint64 `json:"number"`
 	Succeeded bool   `json:"done"`
 	// Reason is why it did not succeed, for people.
-	Reason        string         `json:"why,omitempty"`
-	CommandsTaken *uint64        `json:"orders,omitempty"`
-	Resident      []ResidentUnit `json:"holds,omitempty"`
+	Reason           string         `json:"why,omitempty"`
+	CommandsAccepted *uint64        `json:"orders,omitempty"`
+	Resident         []ResidentUnit `json:"holds,omitempty"`
 }
 
 // PendingLoads returns how many loads are pending.
@@ -46,11 +46,11 @@
 		if result.Succeeded {
 			s.applyCommand(replica, command)
 		}
-		replica.CommandsTaken = nil
-		if result.CommandsTaken != nil {
-			replica.setResident(result.Resident, result.CommandsTaken)
+		replica.CommandsAccepted = nil
+		if result.CommandsAccepted != nil {
+			replica.setResident(result.Resident, result.CommandsAccepted)
 		}
-		if !result.Succeeded && result.CommandsTaken == nil {
+		if !result.Succeeded && result.CommandsAccepted == nil {
 			return false
 		}
 		replica.ModifiedIndex, s.ReplicasIndex = s.Index, s.Index
--- a/internal/controlplane/statemachine/configuration_test.go
+++ b/internal/controlplane/statemachine/configuration_test.go
@@ -24,8 +24,8 @@
 	return &configuration.Declaration{Version: version, Routes: routes, Services: []configuration.Service{{Name: "s"}, {Name: "t"}}}
 }
 
-// order is an operator's: its id stands for all that it says.
-func order(base, version uint64, doc *configuration.Declaration, edit *configuration.Edit) Change {
+// versionChange is an operator's: its id stands for all that it says.
+func versionChange(base, version uint64, doc *configuration.Declaration, edit *configuration.Edit) Change {
 	raw, err := json.Marshal([]any{base, version, doc, edit})
 	if err != nil {
 		panic(err)
@@ -35,8 +35,8 @@
 
 func TestStateAppliesNumberedVersions(t *testing.T) {
 	a, b := versionRoute("a", 100, "s"), versionRoute("b", 200, "s")
-	first := order(0, 5, versionDoc(5, a), nil)
-	second := order(5, 8, nil, &configuration.Edit{Version: 8, Routes: []configuration.Route{b}})
+	first := versionChange(0, 5, versionDoc(5, a), nil)
+	second := versionChange(5, 8, nil, &configuration.Edit{Version: 8, Routes: []configuration.Route{b}})
 	type act struct {
 		name    string
 		c       Change
@@ -46,23 +46,23 @@
 	}
 	s := NewState()
 	for i, c := range []act{
-		{"an edit of nothing", order(0, 4, nil, &configuration.Edit{Version: 4}), fault.InvalidConfig, false, 0},
+		{"an edit of nothing", versionChange(0, 4, nil, &configuration.Edit{Version: 4}), fault.InvalidConfig, false, 0},
 		{"the first", first, "", false, 5},
 		{"the first again", first, "", true, 5},
-		{"another with its number", order(0, 5, versionDoc(5, b), nil), fault.StaleBase, false, 5},
-		{"the same number on top", order(5, 5, versionDoc(5, b), nil), fault.InvalidConfig, false, 5},
-		{"a lower number on top", order(5, 4, versionDoc(4, b), nil), fault.InvalidConfig, false, 5},
-		{"a base that never was", order(6, 9, versionDoc(9, b), nil), fault.StaleBase, false, 5},
-		{"an edit that names a service that is not there", order(5, 8, nil, &configuration.Edit{Version: 8, Routes: []configuration.Route{versionRoute("b", 1, "none")}}), fault.InvalidConfig, false, 5},
-		{"an edit that takes a service in use", order(5, 8, nil, &configuration.Edit{Version: 8, RemoveServices: []string{"s"}}), fault.InvalidConfig, false, 5},
-		{"an edit that names one route twice", order(5, 8, nil, &configuration.Edit{Version: 8, Routes: []configuration.Route{b, b}}), fault.InvalidConfig, false, 5},
-		{"neither a whole one nor an edit", order(5, 8, nil, nil), fault.InvalidConfig, false, 5},
+		{"another with its number", versionChange(0, 5, versionDoc(5, b), nil), fault.StaleBase, false, 5},
+		{"the same number on top", versionChange(5, 5, versionDoc(5, b), nil), fault.InvalidConfig, false, 5},
+		{"a lower number on top", versionChange(5, 4, versionDoc(4, b), nil), fault.InvalidConfig, false, 5},
+		{"a base that never was", versionChange(6, 9, versionDoc(9, b), nil), fault.StaleBase, false, 5},
+		{"an edit that names a service that is not there", versionChange(5, 8, nil, &configuration.Edit{Version: 8, Routes: []configuration.Route{versionRoute("b", 1, "none")}}), fault.InvalidConfig, false, 5},
+		{"an edit that takes a service in use", versionChange(5, 8, nil, &configuration.Edit{Version: 8, RemoveServices: []string{"s"}}), fault.InvalidConfig, false, 5},
+		{"an edit that names one route twice", versionChange(5, 8, nil, &configuration.Edit{Version: 8, Routes: []configuration.Route{b, b}}), fault.InvalidConfig, false, 5},
+		{"neither a whole one nor an edit", versionChange(5, 8, nil, nil), fault.InvalidConfig, false, 5},
 		{"the second", second, "", false, 8},
-		{"its rival", order(5, 8, nil, &configuration.Edit{Version: 8, RemoveRoutes: []string{"a"}}), fault.StaleBase, false, 8},
-		{"its rival with a higher number", order(5, 9, nil, &configuration.Edit{Version: 9, RemoveRoutes: []string{"a"}}), fault.StaleBase, false, 8},
+		{"its rival", versionChange(5, 8, nil, &configuration.Edit{Version: 8, RemoveRoutes: []string{"a"}}), fault.StaleBase, false, 8},
+		{"its rival with a higher number", versionChange(5, 9, nil, &configuration.Edit{Version: 9, RemoveRoutes: []string{"a"}}), fault.StaleBase, false, 8},
 		{"the first again, two versions later", first, "", true, 8},
 		{"the second again", second, "", true, 8},
-		{"a third", order(8, 20, versionDoc(20, b), nil), "", false, 20},
+		{"a third", versionChange(8, 20, versionDoc(20, b), nil), "", false, 20},
 		{"the second again, later", second, "", true, 20},
 	} {
 		before, taken := s.Encode(), s.Revision
@@ -110,7 +110,7 @@
 				}
 			}
 			if base == 0 || r.Intn(15) == 0 {
-				return order(base, version, versionDoc(version, routes...), nil)
+				return versionChange(base, version, versionDoc(version, routes...), nil)
 			}
 			e := &configuration.Edit{Version: version, Routes: routes}
 			for _, name := range []string{"a", "b", "c", "d", "e", "none"} {
@@ -121,7 +121,7 @@
 			if r.Intn(5) == 0 {
 				e.Limits = &configuration.Limits{MaxBodyBytes: r.Int63n(100)}
 			}
-			return order(base, version, nil, e)
+			return versionChange(base, version, nil, e)
 		}
 		for n := 0; n < 60; n++ {
 			base, taken := s.Version(), 0
@@ -191,7 +191,7 @@
 	doc.Services[0].Engine = &configuration.Engine{Slots: 1, CacheTokens: 1, CapacityMB: 100, MaxAdapters: 2, LoadsPerSecond: 1, Models: []configuration.EngineModel{
 		{Name: "m", SizeMB: 60, LoadMs: 1, Adapters: 3, AdapterMB: 5}, {Name: "n", SizeMB: 35, LoadMs: 1, Adapters: 1, AdapterMB: 5}, {Name: "o", SizeMB: 30, LoadMs: 1}}}
 	index++
-	if out := s.Apply(index, order(0, 1, doc, nil)); out.Fault != nil {
+	if out := s.Apply(index, versionChange(0, 1, doc, nil)); out.Fault != nil {
 		t.Fatal(out.Fault)
 	}
 	do(LeaderUpdate{Replicas: []ReplicaUpdate{{ID: "r", Incarnation: "r", CapacityMB: 100, Slots: 1, Service: "s", ResidentKnown: true}}})
--- a/internal/controlplane/statemachine/outcomes_test.go
+++ b/internal/controlplane/statemachine/outcomes_test.go
@@ -13,12 +13,12 @@
 // apply hands one change to the state as the next entry of the log.
 func apply(s *State, c Change) Outcome { return s.Apply(s.Index+1, c) }
 
-// numbered takes versions up to a number, one on top of the other, and returns the orders.
-func numbered(t *testing.T, s *State, upto uint64) []Change {
+// applyVersions takes versions up to a number, one on top of the other, and returns the orders.
+func applyVersions(t *testing.T, s *State, upto uint64) []Change {
 	t.Helper()
 	orders := []Change{}
 	for version := s.Version() + 1; version <= upto; version++ {
-		c := order(version-1, version, versionDoc(version, versionRoute("a", int64(version), "s")), nil)
+		c := versionChange(version-1, version, versionDoc(version, versionRoute("a", int64(version), "s")), nil)
 		if out := apply(s, c); out.Fault != nil {
 			t.Fatal(out.Fault)
 		}
@@ -33,7 +33,7 @@
 func TestAppliedVersionIsNeverRefusedWhenSentAgain(t *testing.T) {
 	s := NewState()
 	const forgotten = 100
-	orders := numbered(t, s, MaxOutcomes+forgotten)
+	orders := applyVersions(t, s, MaxOutcomes+forgotten)
 	version := s.Version()
 	for i, c := range orders {
 		want := fault.Code("")
@@ -49,9 +49,9 @@
 		version uint64
 		want    fault.Code
 	}{{1, fault.InDoubt}, {forgotten, fault.InDoubt}, {forgotten + 1, fault.StaleBase}, {version, fault.StaleBase}, {version + 1, fault.StaleBase}} {
-		c := order(rival.version-1, rival.version, versionDoc(rival.version, versionRoute("b", 1, "t")), nil)
+		c := versionChange(rival.version-1, rival.version, versionDoc(rival.version, versionRoute("b", 1, "t")), nil)
 		if rival.version == version+1 {
-			c = order(version-1, rival.version, versionDoc(rival.version, versionRoute("b", 1, "t")), nil)
+			c = versionChange(version-1, rival.version, versionDoc(rival.version, versionRoute("b", 1, "t")), nil)
 		}
 		if out := apply(s, c); code(out) != rival.want {
 			t.Errorf("another order under number %d: %+v, want %q", rival.version, out, rival.want)
@@ -73,12 +73,12 @@
 // must not be taken once that version is in force.
 func TestVersionRefusedBeforeItsBaseIsNeverApplied(t *testing.T) {
 	s := NewState()
-	numbered(t, s, 5)
-	early := order(6, 7, versionDoc(7, versionRoute("b", 1, "s")), nil)
+	applyVersions(t, s, 5)
+	early := versionChange(6, 7, versionDoc(7, versionRoute("b", 1, "s")), nil)
 	if out := apply(s, early); code(out) != fault.StaleBase {
 		t.Fatalf("ahead of its base: %+v", out)
 	}
-	numbered(t, s, 6)
+	applyVersions(t, s, 6)
 	back, err := Decode(s.Encode())
 	if err != nil {
 		t.Fatal(err)
@@ -88,7 +88,7 @@
 			t.Errorf("%s: refused before, and now %+v, version %d in force", name, out, state.Version())
 		}
 	}
-	anew := order(6, 8, versionDoc(8, versionRoute("b", 1, "s")), nil)
+	anew := versionChange(6, 8, versionDoc(8, versionRoute("b", 1, "s")), nil)
 	if out := apply(s, anew); out.Fault != nil {
 		t.Errorf("the same under another number: %+v", out)
 	}
@@ -98,10 +98,10 @@
 // bound there is no clear answer, as the order may yet be taken.
 func TestEarlyRefusalsAreBounded(t *testing.T) {
 	s := NewState()
-	numbered(t, s, 1)
+	applyVersions(t, s, 1)
 	early := func(n int) Change {
 		version := uint64(10 + n)
-		return order(2, version, versionDoc(version, versionRoute("b", 1, "s")), nil)
+		return versionChange(2, version, versionDoc(version, versionRoute("b", 1, "s")), nil)
 	}
 	for n := range MaxEarlyRefusals {
 		if out := apply(s, early(n)); code(out) != fault.StaleBase {
@@ -115,11 +115,11 @@
 	if out := apply(s, early(0)); code(out) != fault.StaleBase || !out.Repeated {
 		t.Fatalf("refused again: %+v", out)
 	}
-	senseless := order(9, 9, versionDoc(9, versionRoute("b", 1, "s")), nil)
+	senseless := versionChange(9, 9, versionDoc(9, versionRoute("b", 1, "s")), nil)
 	if out := apply(s, senseless); code(out) != fault.StaleBase {
 		t.Fatalf("a number that is not above its base can never be taken: %+v", out)
 	}
-	numbered(t, s, 2)
+	applyVersions(t, s, 2)
 	for n := range MaxEarlyRefusals {
 		if out := apply(s, early(n)); code(out) != fault.StaleBase {
 			t.Fatalf("refused, and now %d: %+v", n, out)
@@ -139,7 +139,7 @@
 // Once numbered versions are in force, a declaration without a number would set the numbers back.
 func TestUnnumberedDeclarationDoesNotReplaceNumberedOne(t *testing.T) {
 	s := NewState()
-	orders := numbered(t, s, 3)
+	orders := applyVersions(t, s, 3)
 	out := apply(s, Change{ID: "op-whole", Config: &ConfigChange{Base: s.Revision, Doc: versionDoc(0)}})
 	if code(out) != fault.InvalidConfig || s.Version() != 3 {
 		t.Fatalf("%+v, version %d in force", out, s.Version())
@@ -154,8 +154,8 @@
 // A numbered order that was refused on top of no numbered version stays refused, whatever comes into force without a
 // number: only numbered versions never change.
 func TestRefusalWithoutVersionInForceIsRemembered(t *testing.T) {
-	edit := order(0, 5, nil, &configuration.Edit{Version: 5, Routes: []configuration.Route{versionRoute("b", 1, "s")}})
-	clash := order(0, 6, nil, &configuration.Edit{Version: 6, RemoveServices: []string{"s"}})
+	edit := versionChange(0, 5, nil, &configuration.Edit{Version: 5, Routes: []configuration.Route{versionRoute("b", 1, "s")}})
+	clash := versionChange(0, 6, nil, &configuration.Edit{Version: 6, RemoveServices: []string{"s"}})
 	s := NewState()
 	if out := apply(s, edit); code(out) != fault.InvalidConfig {
 		t.Fatalf("an edit of nothing: %+v", out)
--- a/internal/controlplane/statemachine/replicas.go
+++ b/internal/controlplane/statemachine/replicas.go
@@ -31,8 +31,8 @@
 	Resident map[string]int64 `json:"holds"`
 	// ModifiedIndex is the entry that last changed this record.
 	ModifiedIndex uint64 `json:"index,omitempty"`
-	// CommandsTaken is how many commands this incarnation had taken when it held just Resident; nil where that is not known.
-	CommandsTaken *uint64 `json:"orders,omitempty"`
+	// CommandsAccepted is how many commands this incarnation had taken when it held just Resident; nil where that is not known.
+	CommandsAccepted *uint64 `json:"orders,omitempty"`
 	// EverLoaded are the models that this incarnation has held at some time: they come back from its own disk.
 	EverLoaded map[string]bool `json:"had,omitempty"`
 	// NextAttempt is the first attempt number that is not granted yet.
@@ -63,11 +63,11 @@
 	RemainingMs int64  `json:"leftMs,omitempty"`
 	Unreachable bool   `json:"dark,omitempty"`
 	Service     string `json:"service,omitempty"`
-	// ResidentKnown says that Resident and CommandsTaken count; without it what the replica holds stays as it is recorded.
+	// ResidentKnown says that Resident and CommandsAccepted count; without it what the replica holds stays as it is recorded.
 	ResidentKnown bool           `json:"told,omitempty"`
 	Resident      []ResidentUnit `json:"holds,omitempty"`
-	// CommandsTaken is how many commands it had taken when it held just Resident; nil where that is not known.
-	CommandsTaken *uint64 `json:"orders,omitempty"`
+	// CommandsAccepted is how many commands it had taken when it held just Resident; nil where that is not known.
+	CommandsAccepted *uint64 `json:"orders,omitempty"`
 }
 
 // ReplicaIDs returns the IDs of all replicas in order.
@@ -110,7 +110,7 @@
 	r.Draining, r.RemainingMs, r.Unreachable, r.Service = update.Draining, update.RemainingMs, update.Unreachable, update.Service
 	r.ModifiedIndex, s.ReplicasIndex = s.Index, s.Index
 	if update.ResidentKnown {
-		r.setResident(update.Resident, update.CommandsTaken)
+		r.setResident(update.Resident, update.CommandsAccepted)
 	}
 }
 
@@ -125,8 +125,8 @@
 }
 
 // setResident replaces what a replica holds, and after how many commands, where that is known.
-func (r *Replica) setResident(units []ResidentUnit, commandsTaken *uint64) {
-	r.Resident, r.CommandsTaken = map[string]int64{}, commandsTaken
+func (r *Replica) setResident(units []ResidentUnit, commandsAccepted *uint64) {
+	r.Resident, r.CommandsAccepted = map[string]int64{}, commandsAccepted
 	for _, unit := range units {
 		r.Resident[unit.Unit] = unit.SizeMB
 		r.recordLoaded(unit.Unit)
--- a/internal/controlplane/statemachine/state_test.go
+++ b/internal/controlplane/statemachine/state_test.go
@@ -10,21 +10,21 @@
 	"petreltide/internal/api/fault"
 )
 
-func ready(t *testing.T) *State {
+func newReadyState(t *testing.T) *State {
 	t.Helper()
 	s := NewState()
 	doc := &configuration.Declaration{Store: configuration.Store{Loads: 2}, Models: []configuration.Model{{Name: "a", SizeMB: 60}, {Name: "b", SizeMB: 50}}}
-	must(t, s, Change{ID: "c1", Config: &ConfigChange{Doc: doc}})
-	must(t, s, Change{ID: "claim", Epoch: 1, Claim: &Claim{Leader: "one"}})
+	mustApply(t, s, Change{ID: "c1", Config: &ConfigChange{Doc: doc}})
+	mustApply(t, s, Change{ID: "claim", Epoch: 1, Claim: &Claim{Leader: "one"}})
 	notes := []ReplicaUpdate{}
 	for i := 0; i < 4; i++ {
 		notes = append(notes, ReplicaUpdate{ID: fmt.Sprintf("r%d", i), Incarnation: "i", CapacityMB: 100, Slots: 4})
 	}
-	must(t, s, Change{ID: "n", Epoch: 1, LeaderUpdate: &LeaderUpdate{Replicas: notes}})
+	mustApply(t, s, Change{ID: "n", Epoch: 1, LeaderUpdate: &LeaderUpdate{Replicas: notes}})
 	return s
 }
 
-func must(t *testing.T, s *State, c Change) Outcome {
+func mustApply(t *testing.T, s *State, c Change) Outcome {
 	t.Helper()
 	out := s.Apply(s.Index+1, c)
 	if out.Fault != nil || len(out.Faults) > 0 {
@@ -33,7 +33,7 @@
 	return out
 }
 
-func load(replica, unit string) Change {
+func loadCommand(replica, unit string) Change {
 	return Change{ID: replica + unit, Epoch: 1, LeaderUpdate: &LeaderUpdate{Commands: []ReplicaCommand{{Replica: replica, Incarnation: "i", Revision: 1, Action: Load, Unit: unit}}}}
 }
 
@@ -48,23 +48,23 @@
 }
 
 func TestCommandsRespectCapacityStoreRateAndOnePending(t *testing.T) {
-	s := ready(t)
-	must(t, s, load("r0", "a"))
-	if got := code(s.Apply(s.Index+1, load("r0", "b"))); got != fault.ReplicaBusy {
+	s := newReadyState(t)
+	mustApply(t, s, loadCommand("r0", "a"))
+	if got := code(s.Apply(s.Index+1, loadCommand("r0", "b"))); got != fault.ReplicaBusy {
 		t.Fatalf("a second order got %q", got)
 	}
-	must(t, s, load("r1", "a"))
-	if got := code(s.Apply(s.Index+1, load("r2", "a"))); got != fault.StoreRateLimited {
+	mustApply(t, s, loadCommand("r1", "a"))
+	if got := code(s.Apply(s.Index+1, loadCommand("r2", "a"))); got != fault.StoreRateLimited {
 		t.Fatalf("a third load got %q", got)
 	}
-	must(t, s, Change{ID: "d", Epoch: 1, LeaderUpdate: &LeaderUpdate{Results: []CommandResult{{Number: 1, Succeeded: true}, {Number: 2}}}})
+	mustApply(t, s, Change{ID: "d", Epoch: 1, LeaderUpdate: &LeaderUpdate{Results: []CommandResult{{Number: 1, Succeeded: true}, {Number: 2}}}})
 	if diff := cmp.Diff(map[string]int64{"a": 60}, s.Replicas["r0"].Resident); diff != "" {
 		t.Fatal(diff)
 	}
-	if got := code(s.Apply(s.Index+1, load("r0", "b"))); got != fault.InsufficientCapacity {
+	if got := code(s.Apply(s.Index+1, loadCommand("r0", "b"))); got != fault.InsufficientCapacity {
 		t.Fatalf("beyond room got %q", got)
 	}
-	must(t, s, Change{ID: "u", Epoch: 1, LeaderUpdate: &LeaderUpdate{Commands: []ReplicaCommand{{Replica: "r0", Incarnation: "i", Revision: 1, Action: Unload, Unit: "a"}}}})
+	mustApply(t, s, Change{ID: "u", Epoch: 1, LeaderUpdate: &LeaderUpdate{Commands: []ReplicaCommand{{Replica: "r0", Incarnation: "i", Revision: 1, Action: Unload, Unit: "a"}}}})
 	if s.ReservedMB("r0") != 60 {
 		t.Fatal("an unconfirmed unload gave its room back")
 	}
@@ -74,9 +74,9 @@
 }
 
 func TestStaleEpochsAreRefused(t *testing.T) {
-	s := ready(t)
-	must(t, s, Change{ID: "claim2", Epoch: 2, Claim: &Claim{Leader: "two"}})
-	if got := code(s.Apply(s.Index+1, load("r0", "a"))); got != fault.StaleEpoch {
+	s := newReadyState(t)
+	mustApply(t, s, Change{ID: "claim2", Epoch: 2, Claim: &Claim{Leader: "two"}})
+	if got := code(s.Apply(s.Index+1, loadCommand("r0", "a"))); got != fault.StaleEpoch {
 		t.Fatalf("a frozen controller's ticket got %q", got)
 	}
 	if got := code(s.Apply(s.Index+1, Change{ID: "claim2b", Epoch: 2, Claim: &Claim{Leader: "one"}})); got != fault.StaleEpoch {
@@ -88,13 +88,13 @@
 }
 
 func TestGrantsNeverOverlap(t *testing.T) {
-	s := ready(t)
+	s := newReadyState(t)
 	ask := func(gateway string, n uint64) GrantRequest {
 		return GrantRequest{Gateway: gateway, GatewayIncarnation: "d", Replica: "r0", Incarnation: "i", Model: "a", Count: n}
 	}
-	must(t, s, Change{ID: "g1", Epoch: 1, LeaderUpdate: &LeaderUpdate{Grants: []GrantRequest{ask("x", 10), ask("y", 5)}}})
+	mustApply(t, s, Change{ID: "g1", Epoch: 1, LeaderUpdate: &LeaderUpdate{Grants: []GrantRequest{ask("x", 10), ask("y", 5)}}})
 	first := s.Grants[Grant{Gateway: "x", Replica: "r0", Model: "a"}.Key()]
-	must(t, s, Change{ID: "g2", Epoch: 1, LeaderUpdate: &LeaderUpdate{Grants: []GrantRequest{ask("x", 10)}, RemovedGateways: []string{"y"}}})
+	mustApply(t, s, Change{ID: "g2", Epoch: 1, LeaderUpdate: &LeaderUpdate{Grants: []GrantRequest{ask("x", 10)}, RemovedGateways: []string{"y"}}})
 	second := s.Grants[Grant{Gateway: "x", Replica: "r0", Model: "a"}.Key()]
 	if first.To > second.From || second.From < 16 || first.Number == second.Number {
 		t.Fatalf("%+v then %+v", first, second)
@@ -102,16 +102,16 @@
 	if _, kept := s.Grants[Grant{Gateway: "y", Replica: "r0", Model: "a"}.Key()]; kept {
 		t.Fatal("a gone gateway keeps its grant")
 	}
-	must(t, s, Change{ID: "n2", Epoch: 1, LeaderUpdate: &LeaderUpdate{Replicas: []ReplicaUpdate{{ID: "r0", Incarnation: "new", CapacityMB: 100, Slots: 4}}}})
+	mustApply(t, s, Change{ID: "n2", Epoch: 1, LeaderUpdate: &LeaderUpdate{Replicas: []ReplicaUpdate{{ID: "r0", Incarnation: "new", CapacityMB: 100, Slots: 4}}}})
 	if len(s.Grants) != 0 {
 		t.Fatal("grants outlive the replica they were for")
 	}
 }
 
 func TestOneOfRacingConfigurationsIsAppliedOnce(t *testing.T) {
-	s := ready(t)
+	s := newReadyState(t)
 	doc := s.Doc
-	won := must(t, s, Change{ID: "x", Config: &ConfigChange{Base: 1, Doc: doc}})
+	won := mustApply(t, s, Change{ID: "x", Config: &ConfigChange{Base: 1, Doc: doc}})
 	lost := s.Apply(s.Index+1, Change{ID: "y", Config: &ConfigChange{Base: 1, Doc: doc}})
 	if code(lost) != fault.StaleBase || lost.Fault.Revision != 2 || s.Revision != 2 {
 		t.Fatalf("%+v", lost)
@@ -123,7 +123,7 @@
 }
 
 func TestIdempotencyKeyIsClaimedOnce(t *testing.T) {
-	s := ready(t)
+	s := newReadyState(t)
 	claim := func(key, call string) Outcome {
 		return s.Apply(s.Index+1, Change{ID: call, Key: &KeyChange{Key: key, Gateway: "d", GatewayIncarnation: "i", Call: call}})
 	}
@@ -150,8 +150,8 @@
 }
 
 func TestStateRoundTripsThroughEncoding(t *testing.T) {
-	s := ready(t)
-	must(t, s, load("r0", "a"))
+	s := newReadyState(t)
+	mustApply(t, s, loadCommand("r0", "a"))
 	back, err := Decode(s.Encode())
 	if err != nil {
 		t.Fatal(err)
@@ -162,7 +162,7 @@
 }
 
 func TestCommandsOfAnotherRevisionAreRefused(t *testing.T) {
-	s := ready(t)
+	s := newReadyState(t)
 	for _, revision := range []uint64{0, 2} {
 		out := s.Apply(s.Index+1, Change{ID: "t", Epoch: 1, LeaderUpdate: &LeaderUpdate{Commands: []ReplicaCommand{{Replica: "r0", Incarnation: "i", Revision: revision, Action: Load, Unit: "a"}}}})
 		if len(out.Faults) != 1 || out.Faults[0].Code != fault.StaleBase || len(s.Pending) != 0 {
--- a/internal/dataplane/controlclient/informer_test.go
+++ b/internal/dataplane/controlclient/informer_test.go
@@ -236,7 +236,7 @@
 					if i != j {
 						to.roster.Merge(nowUs, from.roster.GossipSince(nowUs, since[[2]int{i, j}], true))
 						since[[2]int{i, j}] = from.roster.Revision
-						if to.roster.TakeResyncRequest() {
+						if to.roster.ConsumeResyncRequest() {
 							since[[2]int{i, j}] = 0
 						}
 					}
