--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -6,9 +6,9 @@
 
 	"petreltide/internal/api/fault"
 	"petreltide/internal/api/feature"
-	"petreltide/internal/controlplane/failuredetector"
 	"petreltide/internal/controlplane/scaler"
 	"petreltide/internal/controlplane/statemachine"
+	"petreltide/internal/failuredetector"
 	"petreltide/internal/outlier"
 	"petreltide/internal/process/clock"
 )
--- a/internal/controlplane/controller/event.go
+++ b/internal/controlplane/controller/event.go
@@ -2,9 +2,9 @@
 
 import (
 	"petreltide/internal/api/wire"
-	"petreltide/internal/controlplane/failuredetector"
 	"petreltide/internal/controlplane/placement"
 	"petreltide/internal/controlplane/statemachine"
+	"petreltide/internal/failuredetector"
 )
 
 // Event is one input of the controller. It is sealed: the types of this file are all there are. An event happens at
--- a/internal/controlplane/controller/gateways.go
+++ b/internal/controlplane/controller/gateways.go
@@ -2,7 +2,7 @@
 
 import (
 	"petreltide/internal/api/wire"
-	"petreltide/internal/controlplane/failuredetector"
+	"petreltide/internal/failuredetector"
 	"petreltide/internal/process/clock"
 )
 
--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -6,9 +6,9 @@
 	"petreltide/internal/controlplane/chain"
 	"petreltide/internal/controlplane/controller"
 	"petreltide/internal/controlplane/distribution"
-	"petreltide/internal/controlplane/failuredetector"
 	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/controlplane/statemachine"
+	"petreltide/internal/failuredetector"
 	"petreltide/internal/process/clock"
 )
 
--- a/internal/controlplane/controlnode/event.go
+++ b/internal/controlplane/controlnode/event.go
@@ -3,10 +3,10 @@
 import (
 	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/controller"
-	"petreltide/internal/controlplane/failuredetector"
 	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/controlplane/registry"
 	"petreltide/internal/controlplane/statemachine"
+	"petreltide/internal/failuredetector"
 )
 
 // Event is one thing that happens to a control node. The types of this file are all there are.
--- a/internal/controlplane/controlnode/forms_test.go
+++ b/internal/controlplane/controlnode/forms_test.go
@@ -11,9 +11,9 @@
 
 	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/chain"
-	"petreltide/internal/controlplane/failuredetector"
 	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/controlplane/statemachine"
+	"petreltide/internal/failuredetector"
 )
 
 var writeForms = flag.Bool("write-forms", false, "write testdata/forms anew; only for a form that is meant to change")
--- a/internal/controlplane/controlnode/handlers.go
+++ b/internal/controlplane/controlnode/handlers.go
@@ -7,9 +7,9 @@
 
 	"petreltide/internal/api/fault"
 	"petreltide/internal/api/wire"
-	"petreltide/internal/controlplane/failuredetector"
 	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/controlplane/statemachine"
+	"petreltide/internal/failuredetector"
 	"petreltide/internal/process/actor"
 	"petreltide/internal/process/rpc"
 )
--- a/internal/controlplane/controlnode/malformed_test.go
+++ b/internal/controlplane/controlnode/malformed_test.go
@@ -12,9 +12,9 @@
 	"petreltide/internal/api/configuration"
 	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/chain"
-	"petreltide/internal/controlplane/failuredetector"
 	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/controlplane/statemachine"
+	"petreltide/internal/failuredetector"
 	"petreltide/internal/process/clock"
 )
 
--- a/internal/controlplane/controlnode/reports.go
+++ b/internal/controlplane/controlnode/reports.go
@@ -3,7 +3,7 @@
 import (
 	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/controller"
-	"petreltide/internal/controlplane/failuredetector"
+	"petreltide/internal/failuredetector"
 	"petreltide/internal/controlplane/peering"
 )
 
--- a/internal/controlplane/distribution/update_publisher.go
+++ b/internal/controlplane/distribution/update_publisher.go
@@ -6,8 +6,8 @@
 
 	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/chain"
-	"petreltide/internal/controlplane/failuredetector"
 	"petreltide/internal/controlplane/statemachine"
+	"petreltide/internal/failuredetector"
 	"petreltide/internal/process/clock"
 )
 
--- a/internal/controlplane/peering/message.go
+++ b/internal/controlplane/peering/message.go
@@ -6,8 +6,8 @@
 import (
 	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/chain"
-	"petreltide/internal/controlplane/failuredetector"
 	"petreltide/internal/controlplane/registry"
+	"petreltide/internal/failuredetector"
 	"petreltide/internal/outlier"
 )
 
--- a/internal/dataplane/controlclient/subscriber.go
+++ b/internal/dataplane/controlclient/subscriber.go
@@ -3,8 +3,8 @@
 import (
 	"petreltide/internal/api/membership"
 	"petreltide/internal/api/wire"
-	"petreltide/internal/controlplane/failuredetector"
 	"petreltide/internal/dataplane/scheduling"
+	"petreltide/internal/failuredetector"
 	"petreltide/internal/process/clock"
 )
 
--- a/internal/dataplane/gateway/keys.go
+++ b/internal/dataplane/gateway/keys.go
@@ -5,13 +5,12 @@
 
 	"petreltide/internal/api/fault"
 	"petreltide/internal/api/wire"
-	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/dataplane/scheduling"
 )
 
 // claimKey records an idempotency key for a call before it starts, or says what became of the call that has it.
 func (h *Host) claimKey(ctx context.Context, key string, c *scheduling.Call) *fault.Fault {
-	change := statemachine.Change{ID: "key-" + c.ID, Key: &wire.KeyChange{Key: key, Gateway: h.settings.Name, GatewayIncarnation: h.incarnation, Call: c.ID}}
+	change := wire.KeySubmission{ID: "key-" + c.ID, Key: &wire.KeyChange{Key: key, Gateway: h.settings.Name, GatewayIncarnation: h.incarnation, Call: c.ID}}
 	result, err := h.Submit(ctx, change)
 	if err != nil {
 		f := fault.New(fault.Overloaded, "Idempotency-Key", "the key could not be claimed in time")
@@ -40,7 +39,7 @@
 
 // submitKey records how the call with a key ended, or with no end releases the key. It doesn't wait for the control nodes.
 func (h *Host) submitKey(key string, c *scheduling.Call, end string) {
-	change := statemachine.Change{ID: "key-" + end + "-" + c.ID, Key: &wire.KeyChange{Key: key, Gateway: h.settings.Name, GatewayIncarnation: h.incarnation, Call: c.ID, End: end, Release: end == ""}}
+	change := wire.KeySubmission{ID: "key-" + end + "-" + c.ID, Key: &wire.KeyChange{Key: key, Gateway: h.settings.Name, GatewayIncarnation: h.incarnation, Call: c.ID, End: end, Release: end == ""}}
 	h.activeCalls.Add(1)
 	h.act.Spawn(func() {
 		defer h.activeCalls.Add(-1)
--- a/internal/dataplane/gateway/subscriber.go
+++ b/internal/dataplane/gateway/subscriber.go
@@ -9,10 +9,9 @@
 	"petreltide/internal/api/fault"
 	"petreltide/internal/api/membership"
 	"petreltide/internal/api/wire"
-	"petreltide/internal/controlplane/failuredetector"
-	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/dataplane/controlclient"
 	"petreltide/internal/dataplane/scheduling"
+	"petreltide/internal/failuredetector"
 	"petreltide/internal/process/actor"
 	"petreltide/internal/process/clock"
 	"petreltide/internal/process/rpc"
@@ -110,7 +109,7 @@
 }
 
 // Submit carries a change through any control node that answers.
-func (h *Host) Submit(ctx context.Context, c statemachine.Change) (*wire.Result, error) {
+func (h *Host) Submit(ctx context.Context, c wire.KeySubmission) (*wire.Result, error) {
 	ctx, done := context.WithTimeout(ctx, submitTimeout)
 	defer done()
 	var last error
@@ -119,7 +118,7 @@
 		return nil, fault.New(fault.Draining, "", "stopping")
 	}
 	for _, addr := range controlNodes {
-		result, err := rpc.NewCaller[statemachine.Change, wire.Result](h.nodeClient, addr, rpc.SubmitPath).Call(ctx, &c)
+		result, err := rpc.NewCaller[wire.KeySubmission, wire.Result](h.nodeClient, addr, rpc.SubmitPath).Call(ctx, &c)
 		if err == nil {
 			return result, nil
 		}
--- a/tests/golden/forms_test.go
+++ b/tests/golden/forms_test.go
@@ -9,7 +9,6 @@
 	"petreltide/internal/controlplane/controller"
 	"petreltide/internal/controlplane/controlnode"
 	"petreltide/internal/controlplane/distribution"
-	"petreltide/internal/controlplane/failuredetector"
 	"petreltide/internal/controlplane/peering"
 	"petreltide/internal/controlplane/placement"
 	"petreltide/internal/controlplane/registry"
@@ -17,6 +16,7 @@
 	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/dataplane/gateway"
 	"petreltide/internal/dataplane/scheduling"
+	"petreltide/internal/failuredetector"
 	"petreltide/internal/outlier"
 )
 
--- a/tests/simulator/gateways.go
+++ b/tests/simulator/gateways.go
@@ -8,11 +8,11 @@
 	"petreltide/internal/api/fault"
 	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/controlnode"
-	"petreltide/internal/controlplane/failuredetector"
 	"petreltide/internal/controlplane/statemachine"
 	"petreltide/internal/dataplane/controlclient"
 	"petreltide/internal/dataplane/gateway"
 	"petreltide/internal/dataplane/scheduling"
+	"petreltide/internal/failuredetector"
 	"petreltide/tests/modelserver"
 	"petreltide/tests/rules"
 )
