--- a/internal/controlplane/controlnode/controller_effects.go
+++ b/internal/controlplane/controlnode/controller_effects.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 
+	"github.com/go-kit/log/level"
+
 	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/controller"
 	"petreltide/internal/controlplane/placement"
@@ -26,7 +28,7 @@
 	case controller.ReportRequest:
 		h.act.Spawn(func() { h.askReplica(effect) })
 	case controller.SendOrder:
-		_ = h.log.Log("event", "order", "ticket", effect.Order.Command.Number, "step", string(effect.Order.Command.Action),
+		_ = level.Info(h.log).Log("msg", "order", "ticket", effect.Order.Command.Number, "step", string(effect.Order.Command.Action),
 			"unit", effect.Order.Command.Unit, "replica", effect.Order.Command.Replica, "epoch", effect.Order.Epoch)
 		h.act.Spawn(func() { h.order(effect) })
 	case controller.PolicyRun:
@@ -67,7 +69,7 @@
 	ctx, done := context.WithTimeout(h.act.Ctx, replicaTimeout)
 	defer done()
 	state, err := h.replicas.Order(ctx, order.Addr, order.Order)
-	_ = h.log.Log("event", "ordered", "ticket", order.Order.Command.Number, "state", state.State, "why", state.Reason, "err", err)
+	_ = level.Info(h.log).Log("msg", "ordered", "ticket", order.Order.Command.Number, "state", state.State, "why", state.Reason, "err", err)
 	if err != nil {
 		state = wire.OrderState{Number: order.Order.Command.Number, State: wire.OrderInDoubt, Reason: err.Error()}
 	}
--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -36,17 +36,16 @@
 	rejectedUs int64
 }
 
-// CoreOptions are what a control node knows of replicas that make themselves known; all may be left out.
+// CoreOptions adjust a control node's reducer; the zero value serves.
 type CoreOptions struct {
+	// UnreachableUs is after how long without a heartbeat, in microseconds, a replica is unreachable; 0 means 3 s.
 	UnreachableUs int64
-	Controller    controller.Options
+	// Controller adjusts the controller.
+	Controller controller.Options
 }
 
-// NewCore is NewCoreWith without anything known of replicas.
-func NewCore(node *chain.Node) *Core { return NewCoreWith(node, CoreOptions{}) }
-
-// NewCoreWith is a control node around its part of the chain.
-func NewCoreWith(node *chain.Node, opts CoreOptions) *Core {
+// NewCore is a control node around its part of the chain.
+func NewCore(node *chain.Node, opts CoreOptions) *Core {
 	return &Core{
 		Node: node, Snapshots: distribution.NewUpdatePublisher(), Controller: controller.New(node.Self().ID, opts.Controller), FailureDetector: failuredetector.NewMonitor(), soft: newSoftState(opts.UnreachableUs),
 		startUs: node.NowUs(), startIndex: node.LastIndex(),
--- a/internal/controlplane/controlnode/departures.go
+++ b/internal/controlplane/controlnode/departures.go
@@ -13,7 +13,8 @@
 	// departureTimeoutUs is how long a replica's word that it leaves may wait for a quorum; the replica itself goes on
 	// to another control node after a second.
 	departureTimeoutUs = 700 * clock.Ms
-	departureRetryUs   = 150 * clock.Ms
+	// departureRetryUs is after how long peers that did not confirm are asked again.
+	departureRetryUs = 150 * clock.Ms
 )
 
 // departure is a replica's word that it leaves, or has left, until a quorum of control nodes knows of it. A replica
--- a/internal/controlplane/controlnode/departures_test.go
+++ b/internal/controlplane/controlnode/departures_test.go
@@ -35,7 +35,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		tr.cores[i] = NewCoreWith(node, CoreOptions{UnreachableUs: 3 * clock.Sec})
+		tr.cores[i] = NewCore(node, CoreOptions{UnreachableUs: 3 * clock.Sec})
 		tr.step(i, LearnPeers{Addrs: addrs})
 	}
 	tr.pass(3 * clock.Sec)
--- a/internal/controlplane/controlnode/fleet_test.go
+++ b/internal/controlplane/controlnode/fleet_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := NewCoreWith(node, CoreOptions{UnreachableUs: 3 * clock.Sec})
+	c := NewCore(node, CoreOptions{UnreachableUs: 3 * clock.Sec})
 	if c.Status(clock.Sec).Fleet != nil {
 		t.Error("a fleet before any declaration")
 	}
--- a/internal/controlplane/controlnode/gateway_streams.go
+++ b/internal/controlplane/controlnode/gateway_streams.go
@@ -76,8 +76,10 @@
 }
 
 const (
+	// frameStreamCapacity is how many frames may wait for a gateway; one that does not keep up is ended.
 	frameStreamCapacity = 256
-	readTimeout         = 700 * time.Millisecond
+	// readTimeout bounds the question to the tail for what is in force.
+	readTimeout = 700 * time.Millisecond
 )
 
 // frameStream is one gateway's stream; one that does not keep up is ended, and the gateway follows anew.
--- a/internal/controlplane/controlnode/host.go
+++ b/internal/controlplane/controlnode/host.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 	"github.com/juju/errors"
 
 	"petreltide/internal/api/fault"
@@ -22,26 +23,38 @@
 )
 
 const (
-	tickInterval     = 25 * time.Millisecond
-	mailboxCapacity  = 8192
-	outboxCapacity   = 1024
-	changeTimeout    = 8 * time.Second
-	peerTimeout      = 15 * time.Second
+	// tickInterval is how often the reducer is told that time passes; the chain's shortest times are 200 ms.
+	tickInterval = 25 * time.Millisecond
+	// mailboxCapacity and outboxCapacity are numbers of events and of messages to one peer. A full mailbox makes its
+	// writers wait; a full outbox drops the message, as a network may.
+	mailboxCapacity = 8192
+	outboxCapacity  = 1024
+	// changeTimeout is how long an operator's call waits for the outcome of its change.
+	changeTimeout = 8 * time.Second
+	// peerTimeout is how long a control node without data waits for a peer to copy the chain from before it ends.
+	peerTimeout = 15 * time.Second
+	// submitTimeout is how long a gateway's change waits, and resubmitInterval after how long without an outcome a
+	// change is sent to the head again: messages may be lost.
 	submitTimeout    = 2 * time.Second
 	resubmitInterval = 400 * time.Millisecond
-	replicaTimeout   = time.Duration(controller.OrderFlightUs) * time.Microsecond
-	platformTimeout  = 800 * time.Millisecond
+	// replicaTimeout bounds a call to a replica: the controller counts on its answer for no longer.
+	replicaTimeout = time.Duration(controller.OrderFlightUs) * time.Microsecond
+	// platformTimeout bounds a call for the platform's list of replicas.
+	platformTimeout = 800 * time.Millisecond
 
+	// discoveryIntervalSettled is how often the seeds are asked once the chain is known; before, each second.
 	discoveryIntervalSettled = 5 * time.Second
 	// lockTimeout is how long a control node waits for the process before it to let go of the data folder.
-	lockTimeout       = 10 * time.Second
+	lockTimeout = 10 * time.Second
+	// peerDialTimeoutMs bounds the opening of a connection to a peer, in milliseconds.
 	peerDialTimeoutMs = 250
-	selfHeartbeatUs   = 200 * clock.Ms
-	selfSuspectUs     = 800 * clock.Ms
-	selfLeaseUs       = 700 * clock.Ms
-	selfCompareUs     = 900 * clock.Ms
-	selfGatherUs      = 1300 * clock.Ms
-	selfAskUs         = 200 * clock.Ms
+	// The times of a chain whose members take in and drop each other (SelfPaced), in microseconds.
+	selfHeartbeatUs = 200 * clock.Ms
+	selfSuspectUs   = 800 * clock.Ms
+	selfLeaseUs     = 700 * clock.Ms
+	selfCompareUs   = 900 * clock.Ms
+	selfGatherUs    = 1300 * clock.Ms
+	selfAskUs       = 200 * clock.Ms
 )
 
 // Host runs a Core: it gives it events one at a time and carries out its effects on disk, network and clock.
@@ -95,7 +108,7 @@
 	}
 	server := &http.Server{Handler: h.handler(), ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = server.Serve(listener) }()
-	_ = h.log.Log("event", "started", "id", h.core.Node.Self().ID, "phase", string(h.core.Node.Phase()), "disabled", h.settings.Disable.String())
+	_ = level.Info(h.log).Log("msg", "started", "id", h.core.Node.Self().ID, "phase", string(h.core.Node.Phase()), "disabled", h.settings.Disable.String())
 	h.act.Spawn(func() { h.act.Loop(tickInterval, func() { h.step(Tick{}) }) })
 	h.act.Spawn(h.persistLoop)
 	h.act.Spawn(h.discoverPeers)
@@ -171,7 +184,7 @@
 		case ChangeApplied:
 			// Only the simulator follows what is applied.
 		case LogMessage:
-			_ = h.log.Log("event", effect.Message, "what", effect.Detail, "number", h.core.Node.View().Number)
+			_ = level.Info(h.log).Log("msg", effect.Message, "detail", effect.Detail, "view", h.core.Node.View().Number)
 		}
 	}
 }
--- a/internal/controlplane/controlnode/incarnation_test.go
+++ b/internal/controlplane/controlnode/incarnation_test.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	p.cores[i] = NewCoreWith(node, CoreOptions{Controller: controller.Options{LeaseUs: pairLeaseMs * clock.Ms}})
+	p.cores[i] = NewCore(node, CoreOptions{Controller: controller.Options{LeaseUs: pairLeaseMs * clock.Ms}})
 	p.step(i, LearnPeers{Addrs: []string{"a0", "a1"}})
 }
 
--- a/internal/controlplane/controlnode/leave.go
+++ b/internal/controlplane/controlnode/leave.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"github.com/go-kit/log/level"
+
 	"petreltide/internal/process/actor"
 	"petreltide/internal/process/clock"
 )
@@ -31,5 +33,5 @@
 			waiting = false
 		}
 	}
-	_ = h.log.Log("event", "leaving", "handed over", left, "ms", (clock.NowUs()-fromUs)/clock.Ms)
+	_ = level.Info(h.log).Log("msg", "leaving", "handedOver", left, "ms", (clock.NowUs()-fromUs)/clock.Ms)
 }
--- a/internal/controlplane/controlnode/open.go
+++ b/internal/controlplane/controlnode/open.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 	"github.com/juju/errors"
 
 	"petreltide/internal/api/fault"
@@ -49,7 +50,7 @@
 		if moveErr != nil {
 			return nil, errors.Trace(moveErr)
 		}
-		_ = logger.Log("event", "damaged data set aside", "kept", kept, "why", bad.Error())
+		_ = level.Error(logger).Log("msg", "damaged data set aside", "kept", kept, "why", bad.Error())
 		ring.Dump("stored data is damaged (" + bad.Error() + "); it is kept in " + kept + " and will be copied from partners")
 		opened, err = storage.Open(set.DataDir, seal)
 	}
@@ -57,10 +58,10 @@
 		return nil, err
 	}
 	if opened.TornBytes > 0 {
-		_ = logger.Log("event", "cut a torn last record", "bytes", opened.TornBytes)
+		_ = level.Warn(logger).Log("msg", "cut a torn last record", "bytes", opened.TornBytes)
 	}
 	if opened.WriteErr != nil {
-		_ = logger.Log("event", "the disk takes no bytes", "err", opened.WriteErr)
+		_ = level.Error(logger).Log("msg", "the disk takes no bytes", "err", opened.WriteErr)
 	}
 	me := chain.Member{ID: opened.Store.Owner().MemberID, Name: set.Name, Addr: set.Advertise, Zone: set.Zone}
 	if kept, _ := filepath.Glob(filepath.Join(set.DataDir, "chain.damaged-*")); opened.Created && len(kept) > 0 {
@@ -80,7 +81,7 @@
 	if err != nil {
 		return nil, fault.New(fault.DamagedData, set.DataDir, "%v", err)
 	}
-	core := NewCoreWith(node, CoreOptions{
+	core := NewCore(node, CoreOptions{
 		UnreachableUs: set.HeartbeatMs * 5 / 2 * clock.Ms,
 		Controller: controller.Options{
 			LeaseUs: set.LeaseMs * clock.Ms, StoreWindowUs: set.StoreWindowMs * clock.Ms, StoreOvershoot: set.StoreOvershoot,
--- a/internal/controlplane/controlnode/saver.go
+++ b/internal/controlplane/controlnode/saver.go
@@ -4,6 +4,7 @@
 	"sync"
 	"time"
 
+	"github.com/go-kit/log/level"
 	"github.com/juju/errors"
 
 	"petreltide/internal/api/fault"
@@ -87,13 +88,13 @@
 		case err == nil && tries == 0:
 			return true
 		case err == nil:
-			_ = h.log.Log("event", "the disk takes bytes again", "after", time.Since(since).Round(time.Millisecond))
+			_ = level.Info(h.log).Log("msg", "the disk takes bytes again", "after", time.Since(since).Round(time.Millisecond))
 			return true
 		case errors.As(err, &bad) && bad.Code == fault.DamagedData:
 			h.stop(bad)
 			return false
 		case tries%diskLogInterval == 0:
-			_ = h.log.Log("event", "the disk takes no bytes; the same is tried again", "every", diskRetryInterval, "err", err)
+			_ = level.Error(h.log).Log("msg", "the disk takes no bytes; the same is tried again", "every", diskRetryInterval, "err", err)
 		}
 		if seq != 0 && tries == 0 {
 			h.post(PersistFailed{Seq: seq})
--- a/internal/controlplane/controlnode/soft_state.go
+++ b/internal/controlplane/controlnode/soft_state.go
@@ -9,12 +9,18 @@
 )
 
 const (
+	// gossipIntervalUs and, more for each replica that is known, gossipIntervalPerReplicaUs are the time between two
+	// rounds of gossip; changes are sent at once.
 	gossipIntervalUs           = 250 * clock.Ms
 	gossipIntervalPerReplicaUs = 3 * clock.Ms
-	membersIntervalUs          = 100 * clock.Ms
-	defaultUnreachableUs       = 3000 * clock.Ms
-	pausedUs                   = 500 * clock.Ms
-	resumeWindowUs             = 300 * clock.Ms
+	// membersIntervalUs is how often the control nodes that gateways may follow are found anew.
+	membersIntervalUs = 100 * clock.Ms
+	// defaultUnreachableUs is after how long without a heartbeat a replica is unreachable, unless the options say.
+	defaultUnreachableUs = 3000 * clock.Ms
+	// pausedUs is a gap between two events that shows that the process was not run; for resumeWindowUs after it, what
+	// is read may be as old as the gap.
+	pausedUs       = 500 * clock.Ms
+	resumeWindowUs = 300 * clock.Ms
 )
 
 // softState is a control node's soft state: the replicas it has heard of, the gateways that follow it, and what the
--- a/tests/history/walk_test.go
+++ b/tests/history/walk_test.go
@@ -123,7 +123,7 @@
 	if err != nil {
 		panic(err)
 	}
-	o.core = controlnode.NewCoreWith(node, controlnode.CoreOptions{Controller: controller.Options{LeaseUs: 3 * clock.Sec}})
+	o.core = controlnode.NewCore(node, controlnode.CoreOptions{Controller: controller.Options{LeaseUs: 3 * clock.Sec}})
 	o.step(controlnode.LearnPeers{Addrs: []string{"a0", "a1", "a2"}})
 	o.tick()
 }
--- a/tests/simulator/control_nodes.go
+++ b/tests/simulator/control_nodes.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		panic(err)
 	}
-	o.core = controlnode.NewCore(node)
+	o.core = controlnode.NewCore(node, controlnode.CoreOptions{})
 	o.tick()
 	o.seek()
 }
--- a/tests/simulator/routed_control_nodes.go
+++ b/tests/simulator/routed_control_nodes.go
@@ -84,7 +84,7 @@
 	if o.day.plan.Plant == "no-lease" {
 		leaseUs = 0
 	}
-	o.core = controlnode.NewCoreWith(node, controlnode.CoreOptions{
+	o.core = controlnode.NewCore(node, controlnode.CoreOptions{
 		UnreachableUs: heartbeatUs * 5 / 2,
 		Controller:    controller.Options{LeaseUs: leaseUs, StoreWindowUs: b.LoadWindowUs, StoreOvershoot: b.LoadOvershoot},
 	})
