--- a/internal/dataplane/scheduling/decider.go
+++ b/internal/dataplane/scheduling/decider.go
@@ -64,7 +64,7 @@
 	gauges          []*RevisionCounters
 	decisionLog     []Decision
 	replicaStats    map[string]*replicaStats
-	budgets         map[string]*retryBudget
+	budgets         *retryBudgets
 	prefillModels   map[string]*prefillModel
 	loadEstimates   *loadEstimates
 	admission       *admission
@@ -76,7 +76,7 @@
 // New is a decider that knows no declaration yet.
 func New(opts Options) *Decider {
 	d := &Decider{opts: opts, arrivals: newArrivals(), calls: map[string]*Call{}, kinds: map[string]*kindQueue{}, grantedReplicas: map[string]*grantedReplica{}, attemptGrants: map[string]*attemptGrant{},
-		replicaStats: map[string]*replicaStats{}, budgets: map[string]*retryBudget{}, prefillModels: map[string]*prefillModel{}, loadEstimates: newLoadEstimates(), admission: newAdmission(), outliers: outlier.NewLocalDetector(opts.Outlier)}
+		replicaStats: map[string]*replicaStats{}, budgets: newRetryBudgets(opts.RetryBudget), prefillModels: map[string]*prefillModel{}, loadEstimates: newLoadEstimates(), admission: newAdmission(), outliers: outlier.NewLocalDetector(opts.Outlier)}
 	return d
 }
 
--- a/internal/dataplane/scheduling/retry_budget.go
+++ b/internal/dataplane/scheduling/retry_budget.go
@@ -42,17 +42,28 @@
 	}
 }
 
-func (d *Decider) retryBudgetOf(service string) *retryBudget {
-	b := d.budgets[service]
+// retryBudgets holds one budget for each service.
+type retryBudgets struct {
+	opts      RetryBudgetOptions
+	byService map[string]*retryBudget
+}
+
+func newRetryBudgets(opts RetryBudgetOptions) *retryBudgets {
+	return &retryBudgets{opts: opts, byService: map[string]*retryBudget{}}
+}
+
+// of is a service's budget at nowUs.
+func (r *retryBudgets) of(service string, nowUs int64) *retryBudget {
+	b := r.byService[service]
 	if b == nil {
 		b = &retryBudget{}
-		d.budgets[service] = b
+		r.byService[service] = b
 	}
-	windowUs := d.opts.RetryBudget.WindowUs
+	windowUs := r.opts.WindowUs
 	if windowUs == 0 {
 		windowUs = 10 * clock.Sec
 	}
-	b.advance(d.nowUs, windowUs/(retryBudgetSlots-1))
+	b.advance(nowUs, windowUs/(retryBudgetSlots-1))
 	return b
 }
 
@@ -68,11 +79,11 @@
 
 // spendRetry says whether one more attempt beyond a call's first may go to a service now, and counts it.
 func (d *Decider) spendRetry(service string) bool {
-	if d.opts.RetryBudget.WindowUs == 0 {
+	if d.budgets.opts.WindowUs == 0 {
 		return true
 	}
-	b := d.retryBudgetOf(service)
-	if _, spent, most := b.totals(d.opts.RetryBudget, d.snapshot.Gateways); float64(spent+1) > most {
+	b := d.budgets.of(service, d.nowUs)
+	if _, spent, most := b.totals(d.budgets.opts, d.snapshot.Gateways); float64(spent+1) > most {
 		return false
 	}
 	b.retries[b.slot]++
--- a/internal/dataplane/scheduling/retry_budget_status.go
+++ b/internal/dataplane/scheduling/retry_budget_status.go
@@ -18,11 +18,11 @@
 
 func (d *Decider) retryBudgetStatuses() []RetryBudgetStatus {
 	notes := []RetryBudgetStatus{}
-	if d.opts.RetryBudget.WindowUs == 0 || d.snapshot == nil {
+	if d.budgets.opts.WindowUs == 0 || d.snapshot == nil {
 		return notes
 	}
-	for _, service := range slices.Sorted(maps.Keys(d.budgets)) {
-		calls, spent, most := d.retryBudgetOf(service).totals(d.opts.RetryBudget, d.snapshot.Gateways)
+	for _, service := range slices.Sorted(maps.Keys(d.budgets.byService)) {
+		calls, spent, most := d.budgets.of(service, d.nowUs).totals(d.budgets.opts, d.snapshot.Gateways)
 		notes = append(notes, RetryBudgetStatus{service, calls, spent, int(math.Floor(most)), max(d.snapshot.Gateways, minGateways)})
 	}
 	return notes
--- a/internal/dataplane/scheduling/routed.go
+++ b/internal/dataplane/scheduling/routed.go
@@ -140,7 +140,7 @@
 }
 
 func (d *Decider) admitRouted(c *Call) {
-	b := d.retryBudgetOf(c.Routed.Service)
+	b := d.budgets.of(c.Routed.Service, d.nowUs)
 	b.calls[b.slot]++
 	d.loadEstimates.callArrived(c)
 	if d.rejectOverload(c) {
