--- a/tests/simulator/gateways.go
+++ b/tests/simulator/gateways.go
@@ -90,6 +90,7 @@
 
 func (d *gatewayNode) subscribe(ev controlclient.Event) {
 	s := d.sim
+	ev.NowUs = d.clock()
 	for _, e := range d.subscriber.Step(ev) {
 		switch {
 		case e.RequestMembership != nil:
