--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -1,5 +1,13 @@
-// Package outlier judges replicas by what became of the attempts sent to them. It is a reducer without clocks
-// or traffic of its own: gateways count outcomes by class, the controller folds the counts of all gateways.
+// Package outlier ejects replicas that fail what is sent to them, by what became of attempts (passive health checking, as
+// Envoy's outlier detection does it). It is a reducer without clocks or traffic of its own.
+//
+// Each gateway has a LocalDetector, which ejects for that gateway alone, for seconds, and counts outcomes by Class. The
+// controller has a Detector, which takes the counts of all gateways and publishes a Table of Verdicts. An ejected replica
+// comes back in stages of probation, in which it gets a few in 100 of its calls.
+//
+// Evidence is a cumulative sum of log likelihood ratios (CUSUM): of a replica that fails more than its service does,
+// against one that fails as its service does. No more than a fraction of a service's replicas is ever ejected or on
+// probation at once.
 package outlier
 
 import (
@@ -24,11 +32,15 @@
 	ResetFresh
 	// ResetReused means that a kept connection did; it may have been dead before, so that it says nothing of the replica.
 	ResetReused
+	// ResponseTimeout means that no first byte came in time.
 	ResponseTimeout
+	// ErrorResponse means that the replica answered with an error of its own.
 	ErrorResponse
+	// BrokenStream means that a response ended before its end.
 	BrokenStream
 	// Shed means that the replica turned the attempt away unrun.
 	Shed
+	// Slow means that the first byte came far later than was expected.
 	Slow
 	// Inconclusive means that it ended for a reason that is not the replica's.
 	Inconclusive
