--- a/internal/process/actor/actor.go
+++ b/internal/process/actor/actor.go
@@ -16,9 +16,9 @@
 }
 
 // New makes an actor whose mailbox holds so many functions before Tell and Ask wait. It runs nothing until Loop is called.
-func New(mailboxMost int) *Actor {
+func New(mailboxCapacity int) *Actor {
 	ctx, stop := context.WithCancel(context.Background())
-	return &Actor{mailbox: make(chan func(), mailboxMost), Ctx: ctx, stop: stop}
+	return &Actor{mailbox: make(chan func(), mailboxCapacity), Ctx: ctx, stop: stop}
 }
 
 // Spawn runs a helper on a goroutine of its own; End waits for it.
--- a/internal/process/logring/logring.go
+++ b/internal/process/logring/logring.go
@@ -14,7 +14,7 @@
 	"github.com/go-kit/log"
 )
 
-const linesMost = 4000
+const maxLines = 4000
 
 // Ring keeps the last lines in memory; Dump writes them out when something goes wrong.
 type Ring struct {
@@ -30,7 +30,7 @@
 
 // NewRing makes a ring that is dumped into files of a folder, or to out where the folder is empty.
 func NewRing(folder string, out io.Writer) *Ring {
-	return &Ring{lines: make([][]byte, 0, linesMost), folder: folder, out: out}
+	return &Ring{lines: make([][]byte, 0, maxLines), folder: folder, out: out}
 }
 
 // Logger writes lines in the logfmt form to the ring, each with its time and the process's role and name.
@@ -46,11 +46,11 @@
 	if r.Aloud {
 		_, _ = r.out.Write(kept)
 	}
-	if len(r.lines) < linesMost {
+	if len(r.lines) < maxLines {
 		r.lines = append(r.lines, kept)
 	} else {
 		r.lines[r.next] = kept
-		r.next = (r.next + 1) % linesMost
+		r.next = (r.next + 1) % maxLines
 	}
 	return len(line), nil
 }
@@ -67,22 +67,22 @@
 }
 
 const (
-	dumpsMost     = 20
-	keptMost      = 8
-	keptBytesMost = 4 << 20
-	dumpBytesMost = 1 << 20
+	maxDumps         = 20
+	maxRetainedDumps = 8
+	maxRetainedBytes = 4 << 20
+	maxDumpBytes     = 1 << 20
 )
 
 // Dump writes the ring out. In a folder the older ones make room, of earlier lives too; a disk that takes
 // none costs nothing but the dump.
 func (r *Ring) Dump(why string) {
 	content := r.Bytes()
-	content = content[max(0, len(content)-dumpBytesMost):]
+	content = content[max(0, len(content)-maxDumpBytes):]
 	r.mu.Lock()
 	r.dumps++
 	n := r.dumps
 	r.mu.Unlock()
-	if n > dumpsMost {
+	if n > maxDumps {
 		return
 	}
 	if r.folder == "" {
@@ -91,15 +91,15 @@
 	}
 	path := filepath.Join(r.folder, fmt.Sprintf("log-%d-%02d.txt", os.Getpid(), n))
 	fmt.Fprintf(r.out, "%s; the log ring is in %s\n", why, path)
-	r.makeRoom(path, int64(len(content)))
+	r.removeOldest(path, int64(len(content)))
 	if err := os.WriteFile(path, content, 0o644); err != nil {
 		_ = os.Remove(path)
 		fmt.Fprintf(r.out, "log ring: %v\n", err)
 	}
 }
 
-// makeRoom removes the oldest dumps until there is room for one more in number and bytes.
-func (r *Ring) makeRoom(but string, bytes int64) {
+// removeOldest removes the oldest dumps until there is room for one more in number and bytes.
+func (r *Ring) removeOldest(but string, bytes int64) {
 	type dump struct {
 		path string
 		size int64
@@ -117,7 +117,7 @@
 		}
 	}
 	slices.SortFunc(dumps, func(a, b dump) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.path, b.path)) })
-	for len(dumps) > 0 && (len(dumps) >= keptMost || bytes > keptBytesMost) {
+	for len(dumps) > 0 && (len(dumps) >= maxRetainedDumps || bytes > maxRetainedBytes) {
 		_ = os.Remove(dumps[0].path)
 		bytes -= dumps[0].size
 		dumps = dumps[1:]
--- a/internal/process/logring/logring_test.go
+++ b/internal/process/logring/logring_test.go
@@ -36,16 +36,16 @@
 			t.Fatal(err)
 		}
 		r := NewRing(folder, io.Discard)
-		for i := range linesMost {
+		for i := range maxLines {
 			fmt.Fprintf(r, "line %d %s\n", i, strings.Repeat("y", 400))
 		}
 		r.Dump("trouble")
-		if count, bytes := dumps(t, folder); count > keptMost || bytes > keptBytesMost {
+		if count, bytes := dumps(t, folder); count > maxRetainedDumps || bytes > maxRetainedBytes {
 			t.Fatalf("life %d: %d dumps of %d bytes", life, count, bytes)
 		}
 		mine := filepath.Join(folder, fmt.Sprintf("log-%d-01.txt", os.Getpid()))
 		raw, err := os.ReadFile(mine)
-		if err != nil || len(raw) > dumpBytesMost || !bytes.Contains(raw, []byte(fmt.Sprint("line ", linesMost-1))) {
+		if err != nil || len(raw) > maxDumpBytes || !bytes.Contains(raw, []byte(fmt.Sprint("line ", maxLines-1))) {
 			t.Fatal(err, len(raw))
 		}
 	}
--- a/internal/process/rpc/dial.go
+++ b/internal/process/rpc/dial.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// redialEvery is after how long without an answer an opening packet is taken for lost: one that was sent to a machine
+// redialInterval is after how long without an answer an opening packet is taken for lost: one that was sent to a machine
 // without power is sent again by the system after a second only.
-const redialEvery = 80 * time.Millisecond
+const redialInterval = 80 * time.Millisecond
 
 // dialFunc opens a connection.
 type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -22,14 +22,14 @@
 // redialer opens a connection by several attempts, each begun when those before have had no answer for a while. The
 // first answer counts, also a refusal.
 type redialer struct {
-	dial  dialFunc
-	most  time.Duration
-	after func(time.Duration) <-chan time.Time
+	dial    dialFunc
+	timeout time.Duration
+	after   func(time.Duration) <-chan time.Time
 }
 
 // DialContext returns the connection of the first attempt that is answered.
 func (r *redialer) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, r.most)
+	ctx, cancel := context.WithTimeout(ctx, r.timeout)
 	answers := make(chan dialed)
 	attempts := 0
 	attempt := func() {
@@ -46,7 +46,7 @@
 			cancel()
 			go closeRest(answers, attempts-1)
 			return first.conn, first.err
-		case <-r.after(redialEvery):
+		case <-r.after(redialInterval):
 			attempt()
 		}
 	}
--- a/internal/process/rpc/dial_test.go
+++ b/internal/process/rpc/dial_test.go
@@ -34,7 +34,7 @@
 			waits <- time.Time{}
 			second := &noted{closed: make(chan struct{})}
 			first := &noted{closed: make(chan struct{})}
-			r := &redialer{most: time.Minute, after: func(time.Duration) <-chan time.Time { return waits }, dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
+			r := &redialer{timeout: time.Minute, after: func(time.Duration) <-chan time.Time { return waits }, dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
 				if calls.Add(1) > 1 {
 					if c.err != nil {
 						return nil, c.err
@@ -64,7 +64,7 @@
 func TestDiallingEndsWithItsTime(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	r := &redialer{most: time.Minute, after: func(time.Duration) <-chan time.Time { return nil }, dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
+	r := &redialer{timeout: time.Minute, after: func(time.Duration) <-chan time.Time { return nil }, dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}}
--- a/internal/process/rpc/rpc.go
+++ b/internal/process/rpc/rpc.go
@@ -36,11 +36,11 @@
 	if err := z.Reset(bytes.NewReader(raw)); err != nil {
 		return err
 	}
-	bare, err := io.ReadAll(io.LimitReader(z, readMost+1))
+	bare, err := io.ReadAll(io.LimitReader(z, maxReadBytes+1))
 	if err != nil {
 		return err
 	}
-	if len(bare) > readMost {
+	if len(bare) > maxReadBytes {
 		return connect.NewError(connect.CodeResourceExhausted, io.ErrShortBuffer)
 	}
 	return json.Unmarshal(bare, v)
@@ -50,16 +50,16 @@
 
 // Paths of the procedures that control nodes and gateways serve to each other.
 const (
-	BatchPath  = "/petreltide.Office/Post"
-	WherePath  = "/petreltide.Office/Where"
-	SubmitPath = "/petreltide.Office/Submit"
-	FollowPath = "/petreltide.Office/Follow"
-	AckPath    = "/petreltide.Office/Ack"
-	BeatPath   = "/petreltide.Node/Beat"
-	FramesPath = "/petreltide.Office/Frames"
-	TellPath   = "/petreltide.Office/Tell"
-	ReadPath   = "/petreltide.Office/Read"
-	readMost   = 256 << 20
+	BatchPath    = "/petreltide.Office/Post"
+	WherePath    = "/petreltide.Office/Where"
+	SubmitPath   = "/petreltide.Office/Submit"
+	FollowPath   = "/petreltide.Office/Follow"
+	AckPath      = "/petreltide.Office/Ack"
+	BeatPath     = "/petreltide.Node/Beat"
+	FramesPath   = "/petreltide.Office/Frames"
+	TellPath     = "/petreltide.Office/Tell"
+	ReadPath     = "/petreltide.Office/Read"
+	maxReadBytes = 256 << 20
 	// zipLeast is the least answer that is worth zipping: most are a few bytes.
 	zipLeast = 2048
 )
@@ -75,7 +75,7 @@
 // NodeClient is a Client for control nodes and gateways among themselves, who may dial a machine just as it comes back.
 func NodeClient(dialMs int, listen string) *http.Client {
 	dialer := dialerFor(dialMs, listen)
-	return clientOf((&redialer{dial: dialer.DialContext, most: dialer.Timeout, after: time.After}).DialContext)
+	return clientOf((&redialer{dial: dialer.DialContext, timeout: dialer.Timeout, after: time.After}).DialContext)
 }
 
 func dialerFor(dialMs int, listen string) *net.Dialer {
@@ -104,7 +104,7 @@
 // NewCaller makes a caller of the procedure at a path; h bounds how long dialling may take.
 func NewCaller[Req, Res any](h *http.Client, addr, path string) *Caller[Req, Res] {
 	return &Caller[Req, Res]{client: connect.NewClient[Req, Res](h, "http://"+addr+path,
-		connect.WithCodec(plain{}), connect.WithReadMaxBytes(readMost))}
+		connect.WithCodec(plain{}), connect.WithReadMaxBytes(maxReadBytes))}
 }
 
 // Call sends one request and waits for its answer. It is sent once: whether to send again is for who calls.
@@ -129,7 +129,7 @@
 			return nil, connect.NewError(connect.CodeUnavailable, err)
 		}
 		return connect.NewResponse(res), nil
-	}, connect.WithCodec(plain{}), connect.WithReadMaxBytes(readMost), connect.WithCompressMinBytes(zipLeast)))
+	}, connect.WithCodec(plain{}), connect.WithReadMaxBytes(maxReadBytes), connect.WithCompressMinBytes(zipLeast)))
 }
 
 // ServeStream answers a procedure whose answers are sent one by one, until serve returns.
@@ -139,5 +139,5 @@
 			return connect.NewError(connect.CodeUnavailable, err)
 		}
 		return nil
-	}, append([]connect.HandlerOption{connect.WithCodec(plain{}), connect.WithReadMaxBytes(readMost), connect.WithCompressMinBytes(zipLeast)}, opts...)...))
+	}, append([]connect.HandlerOption{connect.WithCodec(plain{}), connect.WithReadMaxBytes(maxReadBytes), connect.WithCompressMinBytes(zipLeast)}, opts...)...))
 }
