--- a/internal/controlplane/controlnode/reports.go
+++ b/internal/controlplane/controlnode/reports.go
@@ -3,8 +3,8 @@
 import (
 	"petreltide/internal/api/wire"
 	"petreltide/internal/controlplane/controller"
-	"petreltide/internal/failuredetector"
 	"petreltide/internal/controlplane/peering"
+	"petreltide/internal/failuredetector"
 )
 
 // routedGatewayReported takes a gateway's report, or passes it on to the controller where it came to another control node.
