--- a/internal/controlplane/chain/auto_membership_test.go
+++ b/internal/controlplane/chain/auto_membership_test.go
@@ -11,42 +11,42 @@
 	"petreltide/internal/process/clock"
 )
 
-// yard is a chain whose control nodes take each other in by themselves: links that delay and cut, disks that take
+// testCluster is a chain whose control nodes take each other in by themselves: links that delay and cut, disks that take
 // their time, machines that die, lose their disks or are replaced at another address.
-type yard struct {
+type testCluster struct {
 	t            *testing.T
 	r            *rand.Rand
 	nowUs        int64
-	spots        []*spot
-	mail         []message
+	members      []*testMember
+	inFlight     []message
 	cuts         map[[2]string]bool
 	seeds        []string
 	views        map[uint64]View
 	acked        map[uint64]string
-	most         uint64
+	lastAcked    uint64
 	incarnations int
 	writes       int
 	broken       string
-	founder      []string
-	copies       int
+	founderAddrs []string
+	minReplicas  int
 	paced        bool
 	// idle: nobody writes.
 	idle bool
-	// loose links bring messages twice, late and out of their order.
-	loose bool
+	// lossyLinks links bring messages twice, late and out of their order.
+	lossyLinks bool
 	// slowestUs is the longest time from a successor's start until it had taken over.
 	slowestUs int64
 }
 
-type spot struct {
-	me    Member
-	node  *Node
-	disk  []Record
-	saves []synced
-	slow  bool
-	gone  bool
-	// frozen: its process stands still. What is sent to it waits.
-	frozen bool
+type testMember struct {
+	me      Member
+	node    *Node
+	disk    []Record
+	saves   []pendingSync
+	slow    bool
+	removed bool
+	// paused: its process stands still. What is sent to it waits.
+	paused bool
 	opts   Options
 	// phaseUs is by how much its ticks come before those of the others.
 	phaseUs int64
@@ -54,7 +54,7 @@
 	bornUs int64
 }
 
-type synced struct {
+type pendingSync struct {
 	atUs int64
 	save Persist
 }
@@ -65,123 +65,125 @@
 	msg      Msg
 }
 
-func newYard(t *testing.T, seed int64, controlNodes, founders int) *yard {
-	y := &yard{t: t, r: rand.New(rand.NewSource(seed)), nowUs: clock.Sec, cuts: map[[2]string]bool{}, views: map[uint64]View{}, acked: map[uint64]string{}, copies: 2}
+func newTestCluster(t *testing.T, seed int64, controlNodes, founders int) *testCluster {
+	y := &testCluster{t: t, r: rand.New(rand.NewSource(seed)), nowUs: clock.Sec, cuts: map[[2]string]bool{}, views: map[uint64]View{}, acked: map[uint64]string{}, minReplicas: 2}
 	for i := range controlNodes {
-		y.spots = append(y.spots, &spot{me: Member{ID: fmt.Sprintf("n%d-0", i), Name: fmt.Sprint("n", i), Addr: fmt.Sprint("a", i)}})
+		y.members = append(y.members, &testMember{me: Member{ID: fmt.Sprintf("n%d-0", i), Name: fmt.Sprint("n", i), Addr: fmt.Sprint("a", i)}})
 	}
-	for _, s := range y.spots[:founders] {
-		y.founder = append(y.founder, s.me.Addr)
+	for _, s := range y.members[:founders] {
+		y.founderAddrs = append(y.founderAddrs, s.me.Addr)
 	}
-	y.seeds = y.founder
+	y.seeds = y.founderAddrs
 	return y
 }
 
-func (y *yard) start(s *spot, first bool) {
-	y.incarnations++
-	s.opts = Options{Self: s.me, Incarnation: fmt.Sprintf("%s/%d", s.me.ID, y.incarnations), AutoMembership: true, MinReplicas: y.copies, MaxRetainedEntries: 30}
-	if y.paced {
+func (tc *testCluster) start(s *testMember, first bool) {
+	tc.incarnations++
+	s.opts = Options{Self: s.me, Incarnation: fmt.Sprintf("%s/%d", s.me.ID, tc.incarnations), AutoMembership: true, MinReplicas: tc.minReplicas, MaxRetainedEntries: 30}
+	if tc.paced {
 		s.opts = paced(s.opts)
 	}
 	if first {
-		s.opts.BootstrapAddrs, s.opts.FirstStart = y.founder, true
+		s.opts.BootstrapAddrs, s.opts.FirstStart = tc.founderAddrs, true
 	}
 	if len(s.disk) == 0 {
-		s.bornUs = y.nowUs
+		s.bornUs = tc.nowUs
 	}
-	node, err := NewNode(s.opts, s.disk, y.nowUs)
+	node, err := NewNode(s.opts, s.disk, tc.nowUs)
 	if err != nil {
-		y.t.Fatal(err)
+		tc.t.Fatal(err)
 	}
 	s.node, s.saves = node, nil
-	y.step(s, AddrsLearned{Addrs: y.seeds})
+	tc.step(s, AddrsLearned{Addrs: tc.seeds})
 }
 
-func (y *yard) stop(s *spot) {
-	s.node, s.saves, s.slow, s.frozen = nil, nil, false, false
-	y.mail = slices.DeleteFunc(y.mail, func(l message) bool { return l.to == s.me.Addr })
+func (tc *testCluster) stop(s *testMember) {
+	s.node, s.saves, s.slow, s.paused = nil, nil, false, false
+	tc.inFlight = slices.DeleteFunc(tc.inFlight, func(l message) bool { return l.to == s.me.Addr })
 }
 
 // wipe takes a disk: the control node comes back under its name as another identity.
-func (y *yard) wipe(s *spot) {
-	y.stop(s)
-	y.incarnations++
-	s.disk, s.me.ID = nil, fmt.Sprintf("%s-%d", s.me.Name, y.incarnations)
-	y.start(s, false)
+func (tc *testCluster) wipe(s *testMember) {
+	tc.stop(s)
+	tc.incarnations++
+	s.disk, s.me.ID = nil, fmt.Sprintf("%s-%d", s.me.Name, tc.incarnations)
+	tc.start(s, false)
 }
 
 // replace takes a machine away for good; an empty one comes at another address under another name.
-func (y *yard) replace(s *spot) {
-	y.stop(s)
-	s.gone = true
-	y.incarnations++
-	name := fmt.Sprint("n", 10+y.incarnations)
-	fresh := &spot{me: Member{ID: name + "-0", Name: name, Addr: "a" + name}}
-	y.spots = append(y.spots, fresh)
-	y.seeds = nil
-	for _, o := range y.spots {
-		if !o.gone && o != fresh && len(y.seeds) < 3 {
-			y.seeds = append(y.seeds, o.me.Addr)
+func (tc *testCluster) replace(s *testMember) {
+	tc.stop(s)
+	s.removed = true
+	tc.incarnations++
+	name := fmt.Sprint("n", 10+tc.incarnations)
+	fresh := &testMember{me: Member{ID: name + "-0", Name: name, Addr: "a" + name}}
+	tc.members = append(tc.members, fresh)
+	tc.seeds = nil
+	for _, o := range tc.members {
+		if !o.removed && o != fresh && len(tc.seeds) < 3 {
+			tc.seeds = append(tc.seeds, o.me.Addr)
 		}
 	}
-	y.start(fresh, false)
+	tc.start(fresh, false)
 }
 
-func (y *yard) at(addr string) *spot {
-	for _, s := range y.spots {
-		if s.me.Addr == addr && !s.gone {
+func (tc *testCluster) at(addr string) *testMember {
+	for _, s := range tc.members {
+		if s.me.Addr == addr && !s.removed {
 			return s
 		}
 	}
 	return nil
 }
 
-func (y *yard) step(s *spot, ev Event) {
+func (tc *testCluster) step(s *testMember, ev Event) {
 	if s.node == nil {
 		return
 	}
-	for _, e := range s.node.Step(y.nowUs, ev) {
+	for _, e := range s.node.Step(tc.nowUs, ev) {
 		switch e := e.(type) {
 		case Send:
-			if to := y.at(e.Addr); to != nil && to.node != nil && to != s && !y.cut(s.me.Addr, to.me.Addr) {
-				y.post(s.me.Addr, to.me.Addr, e.Msg)
+			if to := tc.at(e.Addr); to != nil && to.node != nil && to != s && !tc.partitioned(s.me.Addr, to.me.Addr) {
+				tc.deliverLater(s.me.Addr, to.me.Addr, e.Msg)
 			}
 		case Persist:
-			us := y.nowUs + y.r.Int63n(8*clock.Ms)
+			us := tc.nowUs + tc.r.Int63n(8*clock.Ms)
 			if n := len(s.saves); n > 0 {
 				us = max(us, s.saves[n-1].atUs)
 			}
-			s.saves = append(s.saves, synced{us, e})
+			s.saves = append(s.saves, pendingSync{us, e})
 		case Applied:
-			y.applied(s, e)
+			tc.applied(s, e)
 		case ViewInstalled:
-			y.viewed(e.View)
+			tc.viewed(e.View)
 		}
 	}
 }
 
-func (y *yard) cut(a, b string) bool { return y.cuts[[2]string{a, b}] || y.cuts[[2]string{b, a}] }
+func (tc *testCluster) partitioned(a, b string) bool {
+	return tc.cuts[[2]string{a, b}] || tc.cuts[[2]string{b, a}]
+}
 
-// post keeps the order of messages between two control nodes.
-func (y *yard) post(from, to string, m Msg) {
-	us := y.nowUs + 1 + y.r.Int63n(6*clock.Ms)
-	for i := len(y.mail) - 1; i >= 0; i-- {
-		if y.mail[i].from == from && y.mail[i].to == to {
-			us = max(us, y.mail[i].atUs)
+// deliverLater keeps the order of messages between two control nodes.
+func (tc *testCluster) deliverLater(from, to string, m Msg) {
+	us := tc.nowUs + 1 + tc.r.Int63n(6*clock.Ms)
+	for i := len(tc.inFlight) - 1; i >= 0; i-- {
+		if tc.inFlight[i].from == from && tc.inFlight[i].to == to {
+			us = max(us, tc.inFlight[i].atUs)
 			break
 		}
 	}
-	if !y.loose {
-		y.mail = append(y.mail, message{us, from, to, m})
+	if !tc.lossyLinks {
+		tc.inFlight = append(tc.inFlight, message{us, from, to, m})
 		return
 	}
-	us = y.nowUs + 1 + y.r.Int63n(20*clock.Ms)
-	if y.r.Intn(30) == 0 {
-		us += y.r.Int63n(lateMostUs)
+	us = tc.nowUs + 1 + tc.r.Int63n(20*clock.Ms)
+	if tc.r.Intn(30) == 0 {
+		us += tc.r.Int63n(lateMostUs)
 	}
-	y.mail = append(y.mail, message{us, from, to, m})
-	if y.r.Intn(10) == 0 {
-		y.mail = append(y.mail, message{us + y.r.Int63n(lateMostUs), from, to, m})
+	tc.inFlight = append(tc.inFlight, message{us, from, to, m})
+	if tc.r.Intn(10) == 0 {
+		tc.inFlight = append(tc.inFlight, message{us + tc.r.Int63n(lateMostUs), from, to, m})
 	}
 }
 
@@ -190,15 +192,15 @@
 
 // viewed: a number stands for one view, which the voters of the one before decide alone; from one to the next
 // at most one vote comes and one goes.
-func (y *yard) viewed(v View) {
-	if before, seen := y.views[v.Number]; seen {
+func (tc *testCluster) viewed(v View) {
+	if before, seen := tc.views[v.Number]; seen {
 		if fmt.Sprint(before) != fmt.Sprint(v) {
-			y.broken = fmt.Sprintf("view %d was decided twice: %v and %v", v.Number, before, v)
+			tc.broken = fmt.Sprintf("view %d was decided twice: %v and %v", v.Number, before, v)
 		}
 		return
 	}
-	y.views[v.Number] = v
-	if prior, seen := y.views[v.Number-1]; seen {
+	tc.views[v.Number] = v
+	if prior, seen := tc.views[v.Number-1]; seen {
 		came, went := 0, 0
 		for _, m := range v.Voters {
 			if !prior.IsVoter(m.ID) {
@@ -210,45 +212,45 @@
 				went++
 			}
 		}
-		if came > 1 || went > 1 || len(v.Voters) < min(len(y.founder), minVoters) {
-			y.broken = fmt.Sprintf("from view %d to %d %d votes came and %d went: %v and %v", prior.Number, v.Number, came, went, prior.Voters, v.Voters)
+		if came > 1 || went > 1 || len(v.Voters) < min(len(tc.founderAddrs), minVoters) {
+			tc.broken = fmt.Sprintf("from view %d to %d %d votes came and %d went: %v and %v", prior.Number, v.Number, came, went, prior.Voters, v.Voters)
 		}
 	}
 }
 
-func (y *yard) applied(s *spot, a Applied) {
+func (tc *testCluster) applied(s *testMember, a Applied) {
 	id := a.Entry.Change.ID
-	if before, seen := y.acked[a.Entry.Index]; seen && before != id {
-		y.broken = fmt.Sprintf("%s applies %s at %d, where %s was acknowledged", s.me.ID, id, a.Entry.Index, before)
+	if before, seen := tc.acked[a.Entry.Index]; seen && before != id {
+		tc.broken = fmt.Sprintf("%s applies %s at %d, where %s was acknowledged", s.me.ID, id, a.Entry.Index, before)
 	}
 	if s.node.IsTail() && s.node.AcceptsWrites() {
-		y.acked[a.Entry.Index], y.most = id, max(y.most, a.Entry.Index)
+		tc.acked[a.Entry.Index], tc.lastAcked = id, max(tc.lastAcked, a.Entry.Index)
 	}
 }
 
 const yardStepUs = 5 * clock.Ms
 
-func (y *yard) pass(us int64) {
-	for endUs := y.nowUs + us; y.nowUs < endUs; {
-		y.nowUs += yardStepUs
+func (tc *testCluster) advance(us int64) {
+	for endUs := tc.nowUs + us; tc.nowUs < endUs; {
+		tc.nowUs += yardStepUs
 		due := []message{}
-		y.mail = slices.DeleteFunc(y.mail, func(l message) bool {
-			if to := y.at(l.to); l.atUs <= y.nowUs && (to == nil || !to.frozen) {
+		tc.inFlight = slices.DeleteFunc(tc.inFlight, func(l message) bool {
+			if to := tc.at(l.to); l.atUs <= tc.nowUs && (to == nil || !to.paused) {
 				due = append(due, l)
 				return true
 			}
 			return false
 		})
 		for _, l := range due {
-			if to := y.at(l.to); to != nil && !y.cut(l.from, l.to) {
-				y.step(to, MessageReceived{Msg: &l.msg})
+			if to := tc.at(l.to); to != nil && !tc.partitioned(l.from, l.to) {
+				tc.step(to, MessageReceived{Msg: &l.msg})
 			}
 		}
-		for _, s := range y.spots {
-			if s.frozen {
+		for _, s := range tc.members {
+			if s.paused {
 				continue
 			}
-			for len(s.saves) > 0 && s.saves[0].atUs <= y.nowUs && !s.slow {
+			for len(s.saves) > 0 && s.saves[0].atUs <= tc.nowUs && !s.slow {
 				done := s.saves[0].save
 				s.saves = s.saves[1:]
 				if done.Compact {
@@ -258,66 +260,66 @@
 					s.disk = append(slices.Clip(s.disk), Record{Snapshot: done.Snapshot})
 				}
 				s.disk = append(slices.Clip(s.disk), done.Records...)
-				y.step(s, Persisted{Seq: done.Seq})
+				tc.step(s, Persisted{Seq: done.Seq})
 			}
-			if (y.nowUs+s.phaseUs)%(25*clock.Ms) == 0 {
-				y.step(s, Tick{})
+			if (tc.nowUs+s.phaseUs)%(25*clock.Ms) == 0 {
+				tc.step(s, Tick{})
 			}
 		}
-		if y.nowUs%(50*clock.Ms) == 0 && !y.idle {
-			y.write()
+		if tc.nowUs%(50*clock.Ms) == 0 && !tc.idle {
+			tc.write()
 		}
-		y.judge()
+		tc.checkInvariants()
 	}
 }
 
-func (y *yard) write() {
-	y.writes++
-	for _, s := range y.spots {
-		if s.node != nil && s.node.IsHead() && !s.frozen {
-			doc := &configuration.Declaration{Name: fmt.Sprint("w", y.writes)}
-			y.step(s, ChangeSubmitted{Change: &statemachine.Change{ID: fmt.Sprint(doc.Name, s.me.ID), Config: &statemachine.ConfigChange{Doc: doc}}})
+func (tc *testCluster) write() {
+	tc.writes++
+	for _, s := range tc.members {
+		if s.node != nil && s.node.IsHead() && !s.paused {
+			doc := &configuration.Declaration{Name: fmt.Sprint("w", tc.writes)}
+			tc.step(s, ChangeSubmitted{Change: &statemachine.Change{ID: fmt.Sprint(doc.Name, s.me.ID), Config: &statemachine.ConfigChange{Doc: doc}}})
 		}
 	}
 }
 
-func (y *yard) judge() {
+func (tc *testCluster) checkInvariants() {
 	open := []string{}
-	for _, s := range y.spots {
+	for _, s := range tc.members {
 		if s.node != nil {
-			y.most = max(y.most, s.node.durableIndex())
+			tc.lastAcked = max(tc.lastAcked, s.node.durableIndex())
 		}
 	}
-	for _, s := range y.spots {
-		if s.node != nil && s.node.TailReady(y.nowUs) {
+	for _, s := range tc.members {
+		if s.node != nil && s.node.TailReady(tc.nowUs) {
 			open = append(open, s.me.ID)
-			if s.node.CommitIndex() < y.most {
-				y.broken = fmt.Sprintf("%s is open at %d, %d was acknowledged", s.me.ID, s.node.CommitIndex(), y.most)
+			if s.node.CommitIndex() < tc.lastAcked {
+				tc.broken = fmt.Sprintf("%s is open at %d, %d was acknowledged", s.me.ID, s.node.CommitIndex(), tc.lastAcked)
 			}
 		}
 	}
 	if len(open) > 1 {
-		y.broken = fmt.Sprintf("two open tails: %v", open)
+		tc.broken = fmt.Sprintf("two open tails: %v", open)
 	}
-	if y.broken != "" {
-		y.t.Fatalf("at %d ms: %s", y.nowUs/1000, y.broken)
+	if tc.broken != "" {
+		tc.t.Fatalf("at %d ms: %s", tc.nowUs/1000, tc.broken)
 	}
 }
 
-func (y *yard) living() []*spot {
-	all := []*spot{}
-	for _, s := range y.spots {
-		if !s.gone {
+func (tc *testCluster) living() []*testMember {
+	all := []*testMember{}
+	for _, s := range tc.members {
+		if !s.removed {
 			all = append(all, s)
 		}
 	}
 	return all
 }
 
-// settled: every control node that is there has a seat in one view and acknowledges; votes are theirs.
-func (y *yard) settled() string {
+// unsettledReason: every control node that is there has a seat in one view and acknowledges; votes are theirs.
+func (tc *testCluster) unsettledReason() string {
 	var view View
-	for _, s := range y.living() {
+	for _, s := range tc.living() {
 		if s.node == nil || !s.node.serving() || !s.node.caughtUp {
 			return fmt.Sprintf("%s has no seat: %v", s.me.ID, s.node != nil)
 		}
@@ -326,34 +328,34 @@
 		}
 		view = s.node.view
 	}
-	if len(view.Replicas) != len(y.living()) {
-		return fmt.Sprintf("%d seats for %d offices", len(view.Replicas), len(y.living()))
+	if len(view.Replicas) != len(tc.living()) {
+		return fmt.Sprintf("%d seats for %d offices", len(view.Replicas), len(tc.living()))
 	}
-	for _, s := range y.living() {
+	for _, s := range tc.living() {
 		if !view.IsVoter(s.me.ID) {
 			return fmt.Sprintf("%s has no vote in %v", s.me.ID, view.Voters)
 		}
 	}
-	if len(view.Voters) != len(y.living()) {
-		return fmt.Sprintf("%d votes for %d offices: %v", len(view.Voters), len(y.living()), view.Voters)
+	if len(view.Voters) != len(tc.living()) {
+		return fmt.Sprintf("%d votes for %d offices: %v", len(view.Voters), len(tc.living()), view.Voters)
 	}
 	return ""
 }
 
-func (y *yard) settles(withinUs int64, what string) {
-	y.t.Helper()
-	for endUs := y.nowUs + withinUs; y.nowUs < endUs; y.pass(100 * clock.Ms) {
-		if y.settled() == "" {
-			before := y.most
-			if y.pass(500 * clock.Ms); y.most > before {
+func (tc *testCluster) requireSettled(withinUs int64, what string) {
+	tc.t.Helper()
+	for endUs := tc.nowUs + withinUs; tc.nowUs < endUs; tc.advance(100 * clock.Ms) {
+		if tc.unsettledReason() == "" {
+			before := tc.lastAcked
+			if tc.advance(500 * clock.Ms); tc.lastAcked > before {
 				return
 			}
 		}
 	}
-	y.t.Fatalf("%s: after %d s %s, %d acknowledged", what, withinUs/clock.Sec, y.settled(), y.most)
+	tc.t.Fatalf("%s: after %d s %s, %d acknowledged", what, withinUs/clock.Sec, tc.unsettledReason(), tc.lastAcked)
 }
 
-func TestFoundingByAddresses(t *testing.T) {
+func TestBootstrapByAddresses(t *testing.T) {
 	for _, c := range []struct {
 		name                   string
 		controlNodes, founders int
@@ -371,22 +373,22 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := int64(0); seed < 4; seed++ {
-				y := newYard(t, seed, c.controlNodes, c.founders)
+				y := newTestCluster(t, seed, c.controlNodes, c.founders)
 				for us := int64(0); us <= 7*clock.Sec; us += 10 * clock.Ms {
-					for i, s := range y.spots {
+					for i, s := range y.members {
 						if s.node == nil && us >= c.startUs(i) {
 							y.start(s, true)
 						}
 					}
-					if y.pass(10 * clock.Ms); us < c.laterUs && len(y.views) > 0 {
+					if y.advance(10 * clock.Ms); us < c.laterUs && len(y.views) > 0 {
 						t.Fatal("founded without a founder")
 					}
 				}
-				y.settles(30*clock.Sec, "founding")
+				y.requireSettled(30*clock.Sec, "founding")
 				if v := y.views[1]; len(v.Voters) != c.founders {
 					t.Errorf("founded by %v", v.Voters)
 				}
-				if last := y.spots[0].node.view; last.ExtraVoters != 0 {
+				if last := y.members[0].node.view; last.ExtraVoters != 0 {
 					t.Errorf("votes of a first start count as extra: %v", last)
 				}
 			}
@@ -394,16 +396,16 @@
 	}
 }
 
-func grown(t *testing.T, seed int64, controlNodes, founders int) *yard {
-	y := newYard(t, seed, controlNodes, founders)
-	for _, s := range y.spots {
+func grown(t *testing.T, seed int64, controlNodes, founders int) *testCluster {
+	y := newTestCluster(t, seed, controlNodes, founders)
+	for _, s := range y.members {
 		y.start(s, true)
 	}
-	y.settles(30*clock.Sec, "founding")
+	y.requireSettled(30*clock.Sec, "founding")
 	return y
 }
 
-func TestANewcomerTakesTheVoteOfOneThatIsGone(t *testing.T) {
+func TestNewMemberReplacesLostVoter(t *testing.T) {
 	for seed := int64(0); seed < 6; seed++ {
 		y := grown(t, seed, 3+2*int(seed%2), 3)
 		for n := range 4 {
@@ -415,7 +417,7 @@
 			} else {
 				y.wipe(lost)
 			}
-			y.settles(40*clock.Sec, "a newcomer")
+			y.requireSettled(40*clock.Sec, "a newcomer")
 			if now := y.living()[0].node.view; len(now.Voters) != votes || now.ExtraVoters != 0 {
 				t.Fatalf("seed %d: %d votes became %v, extra %d", seed, votes, now.Voters, now.ExtraVoters)
 			}
@@ -424,20 +426,20 @@
 }
 
 // One that comes before the one it replaces has gone gets a vote of its own, and the vote of the silent one goes.
-func TestAVoteTooManyIsDropped(t *testing.T) {
+func TestExtraVoterIsRemoved(t *testing.T) {
 	for seed := int64(0); seed < 4; seed++ {
 		y := grown(t, seed, 3, 3)
-		leaves := y.spots[int(seed)%3]
-		fresh := &spot{me: Member{ID: "new-0", Name: "new", Addr: "anew"}}
-		y.spots = append(y.spots, fresh)
+		leaves := y.members[int(seed)%3]
+		fresh := &testMember{me: Member{ID: "new-0", Name: "new", Addr: "anew"}}
+		y.members = append(y.members, fresh)
 		y.start(fresh, false)
-		y.settles(40*clock.Sec, "one more")
+		y.requireSettled(40*clock.Sec, "one more")
 		if v := fresh.node.view; len(v.Voters) != 4 || v.ExtraVoters != 1 {
 			t.Fatalf("seed %d: %v, extra %d", seed, v.Voters, v.ExtraVoters)
 		}
 		y.stop(leaves)
-		leaves.gone = true
-		y.settles(40*clock.Sec, "one less")
+		leaves.removed = true
+		y.requireSettled(40*clock.Sec, "one less")
 		if v := fresh.node.view; len(v.Voters) != 3 || v.ExtraVoters != 0 || v.IsVoter(leaves.me.ID) {
 			t.Fatalf("seed %d: %v, extra %d", seed, v.Voters, v.ExtraVoters)
 		}
@@ -446,22 +448,22 @@
 
 // A newcomer may take the vote of a control node that is only cut off, as it cannot know; that one then takes the vote of
 // the one that is gone. No vote stays with nobody.
-func TestNoVoteStaysWithOneThatIsGone(t *testing.T) {
+func TestNoVoteStaysWithLostMember(t *testing.T) {
 	for seed := int64(0); seed < 6; seed++ {
 		y := grown(t, seed, 5, 3)
 		y.cuts[[2]string{"a1", "a0"}], y.cuts[[2]string{"a1", "a2"}], y.cuts[[2]string{"a1", "a3"}], y.cuts[[2]string{"a1", "a4"}] = true, true, true, true
-		y.pass(3 * clock.Sec)
-		y.replace(y.spots[2])
-		y.cuts[[2]string{"a1", y.spots[5].me.Addr}] = true
-		y.pass(6 * clock.Sec)
+		y.advance(3 * clock.Sec)
+		y.replace(y.members[2])
+		y.cuts[[2]string{"a1", y.members[5].me.Addr}] = true
+		y.advance(6 * clock.Sec)
 		clear(y.cuts)
-		y.settles(40*clock.Sec, "one cut off, one replaced")
+		y.requireSettled(40*clock.Sec, "one cut off, one replaced")
 	}
 }
 
 // Long histories of machines that die, freeze their disks, are cut off, wiped and replaced, never more of them lost
 // for good at once than may be: one chain, nothing acknowledged is lost, and in the end all are in it.
-func TestSeededControlNodesThatTakeEachOtherIn(t *testing.T) {
+func TestSeededAutoMembership(t *testing.T) {
 	seeds := int64(60)
 	if raced {
 		seeds = 6
@@ -478,20 +480,20 @@
 				switch y.r.Intn(8) {
 				case 0:
 					y.stop(s)
-					y.pass(y.r.Int63n(3 * clock.Sec))
+					y.advance(y.r.Int63n(3 * clock.Sec))
 					y.start(s, false)
 				case 1:
 					for _, o := range live {
 						y.stop(o)
 					}
-					y.pass(y.r.Int63n(clock.Sec))
+					y.advance(y.r.Int63n(clock.Sec))
 					for _, o := range live {
 						y.start(o, false)
-						y.pass(y.r.Int63n(200 * clock.Ms))
+						y.advance(y.r.Int63n(200 * clock.Ms))
 					}
 				case 2:
 					s.slow = true
-					y.pass(y.r.Int63n(4 * clock.Sec))
+					y.advance(y.r.Int63n(4 * clock.Sec))
 					s.slow = false
 				case 3, 4:
 					for _, a := range live {
@@ -501,32 +503,32 @@
 							}
 						}
 					}
-					y.pass(y.r.Int63n(6 * clock.Sec))
+					y.advance(y.r.Int63n(6 * clock.Sec))
 					if y.r.Intn(2) == 0 {
 						y.stop(s)
-						y.pass(y.r.Int63n(2 * clock.Sec))
+						y.advance(y.r.Int63n(2 * clock.Sec))
 						y.start(s, false)
 					}
 					clear(y.cuts)
 				case 5:
-					y.settles(60*clock.Sec, "before a wipe")
+					y.requireSettled(60*clock.Sec, "before a wipe")
 					y.wipe(s)
 				case 6:
-					y.settles(60*clock.Sec, "before a replacement")
+					y.requireSettled(60*clock.Sec, "before a replacement")
 					y.replace(s)
 				case 7:
-					y.settles(60*clock.Sec, "before a wipe and a cut")
+					y.requireSettled(60*clock.Sec, "before a wipe and a cut")
 					y.wipe(s)
 					o := live[y.r.Intn(len(live))]
 					y.cuts[[2]string{o.me.Addr, live[0].me.Addr}] = true
-					y.pass(y.r.Int63n(4 * clock.Sec))
+					y.advance(y.r.Int63n(4 * clock.Sec))
 					clear(y.cuts)
 				}
-				y.pass(y.r.Int63n(2 * clock.Sec))
+				y.advance(y.r.Int63n(2 * clock.Sec))
 			}
-			y.settles(60*clock.Sec, "in the end")
-			if len(y.views) < first+3 || y.most < 100 {
-				t.Errorf("%d views, %d acknowledged: it proves little", len(y.views), y.most)
+			y.requireSettled(60*clock.Sec, "in the end")
+			if len(y.views) < first+3 || y.lastAcked < 100 {
+				t.Errorf("%d views, %d acknowledged: it proves little", len(y.views), y.lastAcked)
 			}
 		})
 	}
--- a/internal/controlplane/chain/bootstrap_test.go
+++ b/internal/controlplane/chain/bootstrap_test.go
@@ -9,54 +9,54 @@
 )
 
 // founding is a chain whose control nodes start for the first time.
-func founding(t *testing.T, seed int64, controlNodes int) *yard {
-	y := newYard(t, seed, controlNodes, 3)
-	y.copies, y.paced = controlNodes/2+1, true
-	for _, s := range y.spots {
+func founding(t *testing.T, seed int64, controlNodes int) *testCluster {
+	y := newTestCluster(t, seed, controlNodes, 3)
+	y.minReplicas, y.paced = controlNodes/2+1, true
+	for _, s := range y.members {
 		y.start(s, true)
 	}
 	return y
 }
 
-// TestFoundersThatAreKilledFoundAfterAll kills one, two or all processes at every moment of the founding from when their
+// TestKilledFoundersStillBootstrap kills one, two or all processes at every moment of the founding from when their
 // first record is on the disk. The disks remain, and they are not told again that it is the first start.
-func TestFoundersThatAreKilledFoundAfterAll(t *testing.T) {
+func TestKilledFoundersStillBootstrap(t *testing.T) {
 	for seed := range int64(360) {
 		y := founding(t, seed, 3+2*int(seed%2))
-		killed := y.spots[:1+seed%3]
-		unkept := func(s *spot) bool { return len(s.disk) == 0 }
+		killed := y.members[:1+seed%3]
+		unkept := func(s *testMember) bool { return len(s.disk) == 0 }
 		for endUs := y.nowUs + clock.Sec; slices.ContainsFunc(killed, unkept) && y.nowUs < endUs; {
-			y.pass(clock.Ms)
+			y.advance(clock.Ms)
 		}
-		y.pass(seed / 3 * 3 * clock.Ms)
+		y.advance(seed / 3 * 3 * clock.Ms)
 		for _, s := range killed {
 			y.stop(s)
 		}
-		y.pass(seed % 7 * 80 * clock.Ms)
+		y.advance(seed % 7 * 80 * clock.Ms)
 		for _, s := range killed {
 			y.start(s, false)
 		}
-		y.settles(30*clock.Sec, fmt.Sprint("founding, seed ", seed))
+		y.requireSettled(30*clock.Sec, fmt.Sprint("founding, seed ", seed))
 	}
 }
 
-// TestTheFirstEntryIsWrittenByWhoeverLeads: three found a chain of five whose acknowledgements need three copies, and the
+// TestHeadAppendsFirstEntry: three found a chain of five whose acknowledgements need three copies, and the
 // head is gone for good before it has written anything. Those who join need an entry to have a copy of.
-func TestTheFirstEntryIsWrittenByWhoeverLeads(t *testing.T) {
+func TestHeadAppendsFirstEntry(t *testing.T) {
 	for seed := range int64(40) {
 		y := founding(t, seed, 5)
 		for endUs := y.nowUs + 10*clock.Sec; len(y.views) == 0 && y.nowUs < endUs; {
-			y.pass(clock.Ms)
+			y.advance(clock.Ms)
 		}
-		y.pass(seed % 20 * clock.Ms)
-		y.replace(y.spots[0])
-		y.settles(30*clock.Sec, fmt.Sprint("founding, seed ", seed))
+		y.advance(seed % 20 * clock.Ms)
+		y.replace(y.members[0])
+		y.requireSettled(30*clock.Sec, fmt.Sprint("founding, seed ", seed))
 	}
 }
 
-// TestAnAcceptedFirstViewOutlivesALaterPromise: what a founder has accepted is still known after it has promised a
+// TestAcceptedFirstViewSurvivesLaterPromise: what a founder has accepted is still known after it has promised a
 // higher ballot and restarted.
-func TestAnAcceptedFirstViewOutlivesALaterPromise(t *testing.T) {
+func TestAcceptedFirstViewSurvivesLaterPromise(t *testing.T) {
 	a, b := Member{ID: "a", Addr: "a"}, Member{ID: "b", Addr: "b"}
 	before := View{Voters: []Member{a, b}}
 	next := View{Number: 1, Voters: before.Voters, Replicas: []Replica{{Member: a}, {Member: b}}}
--- a/internal/controlplane/chain/disk_refusal_test.go
+++ b/internal/controlplane/chain/disk_refusal_test.go
@@ -10,12 +10,12 @@
 
 // A member whose disk refuses a write lives on, is put out of the view by the others, promises and accepts
 // nothing it cannot keep, and comes back by a copy once its disk takes bytes again.
-func TestAMemberWhoseDiskRefusesIsPutOutAndComesBack(t *testing.T) {
+func TestMemberWithRefusingDiskIsRemovedAndRejoins(t *testing.T) {
 	for i := range 3 {
 		t.Run(fmt.Sprint("member ", i), func(t *testing.T) {
-			b := newBox()
+			b := newSmallChain()
 			b.write()
-			b.settle()
+			b.deliverAll()
 			if len(b.acked) != 1 {
 				t.Fatal(b.acked)
 			}
@@ -24,7 +24,7 @@
 			b.tick()
 			b.write()
 			for n := 0; n < 40 && !p.ready(); n++ {
-				b.onward()
+				b.requireProgress()
 			}
 			b.fill(i)
 			if !p.node.diskStalled() || !p.node.diskRefusing() || p.node.WaitReason() == "" {
@@ -32,14 +32,14 @@
 			}
 			kept := len(p.disk)
 			before, index := p.node.promisedBallot, p.node.commitIndex
-			b.pass(4)
+			b.advanceTicks(4)
 			for j, other := range b.members {
 				if j != i && (other.node.view.HasReplica(id) || !other.node.AcceptsWrites()) {
 					t.Fatalf("%s has %+v", other.me.ID, other.node.view.Replicas)
 				}
 			}
 			b.write()
-			b.pass(2)
+			b.advanceTicks(2)
 			if len(b.acked) < 2 {
 				t.Fatalf("%d acknowledged while one disk of three is full", len(b.acked))
 			}
@@ -47,7 +47,7 @@
 				t.Fatalf("it has gone on: %d records, commit %d, promised %+v", len(p.disk), p.node.commitIndex, p.node.promisedBallot)
 			}
 			p.full = false
-			b.pass(12)
+			b.advanceTicks(12)
 			last := uint64(0)
 			for index := range b.acked {
 				last = max(last, index)
@@ -55,7 +55,7 @@
 			if !p.node.serving() || !p.node.caughtUp || p.node.commitIndex < last || p.node.diskStalled() {
 				t.Fatalf("it is %s, whole %v, at %d of %d, waits for %q", p.node.phase, p.node.caughtUp, p.node.commitIndex, last, p.node.WaitReason())
 			}
-			b.judge()
+			b.checkInvariants()
 			if b.broken != "" {
 				t.Fatal(b.broken)
 			}
@@ -64,10 +64,10 @@
 }
 
 // All restart, and the disk of the one that would go first refuses: another of the same length goes first.
-func TestAFullDiskDoesNotHoldUpARestartOfAll(t *testing.T) {
-	b := newBox()
+func TestFullDiskDoesNotDelayRestartOfAllMembers(t *testing.T) {
+	b := newSmallChain()
 	b.write()
-	b.settle()
+	b.deliverAll()
 	for i := range b.members {
 		b.crash(i)
 	}
@@ -78,7 +78,7 @@
 	first.node.persist([]Record{{PromisedBallot: &first.node.promisedBallot}}, 0, nil)
 	first.saves = append(first.saves, Persist{Seq: first.node.persistSeq, Records: []Record{{PromisedBallot: &first.node.promisedBallot}}})
 	b.fill(0)
-	b.pass(12)
+	b.advanceTicks(12)
 	if b.broken != "" {
 		t.Fatal(b.broken)
 	}
@@ -87,15 +87,15 @@
 		t.Fatalf("phase %s, head %s, waits for %q", b.members[1].node.Phase(), head.ID, b.members[1].node.WaitReason())
 	}
 	b.write()
-	b.settle()
+	b.deliverAll()
 	if len(b.acked) < 2 {
 		t.Fatal("nothing is acknowledged")
 	}
 }
 
 // What waits for a disk that hangs is bounded: a member that owes much promises no more.
-func TestAMemberThatOwesMuchPromisesNoMore(t *testing.T) {
-	b := newBox()
+func TestMemberWithManyPendingWritesRefusesVotes(t *testing.T) {
+	b := newSmallChain()
 	p := b.members[1]
 	for n := range 10 * maxPendingWrites {
 		b.step(1, MessageReceived{Msg: &Msg{From: b.members[0].me, Incarnation: b.members[0].node.opts.Incarnation,
@@ -107,8 +107,8 @@
 }
 
 // An order is large and is sent again until its outcome comes: it stands in the log once.
-func TestAnOrderSentAgainStandsInTheLogOnce(t *testing.T) {
-	b := newBox()
+func TestResentChangeIsLoggedOnce(t *testing.T) {
+	b := newSmallChain()
 	head := b.members[0]
 	before := head.node.LastIndex()
 	for n := range 6 {
@@ -121,11 +121,11 @@
 }
 
 // A log that is logTooLarge is begun anew, and only as many entries stay as are small enough for those behind.
-func TestEntriesThatStayAreBoundedByBytes(t *testing.T) {
-	b := newBox()
+func TestRetainedEntriesAreBoundedByBytes(t *testing.T) {
+	b := newSmallChain()
 	for range 10 {
 		b.write()
-		b.settle()
+		b.deliverAll()
 	}
 	n := b.members[2].node
 	n.opts.MaxLogBytes = 12 * entryOverheadBytes
--- a/internal/controlplane/chain/disk_stall_test.go
+++ b/internal/controlplane/chain/disk_stall_test.go
@@ -10,38 +10,38 @@
 
 // stallAll lets no disk come back with a sync for a while, from a moment on when each has one under way. Then they do so
 // one after the other, the first of them at once.
-func (y *yard) stallAll(order []int, spanUs, apartUs int64) {
-	for _, seat := range slices.Backward(y.spots[0].node.View().Replicas) {
-		s := y.at(seat.Addr)
+func (tc *testCluster) stallAll(order []int, spanUs, apartUs int64) {
+	for _, seat := range slices.Backward(tc.members[0].node.View().Replicas) {
+		s := tc.at(seat.Addr)
 		for len(s.saves) == 0 {
-			y.pass(yardStepUs)
+			tc.advance(yardStepUs)
 		}
 		s.slow = true
 	}
-	y.pass(spanUs)
+	tc.advance(spanUs)
 	for _, i := range order {
-		y.spots[i].slow = false
-		y.pass(apartUs)
+		tc.members[i].slow = false
+		tc.advance(apartUs)
 	}
 }
 
 // A disk that all members share, or a hypervisor that holds all of them, stalls every sync at once. Whoever is back
 // first puts nobody out of the view for a stall that it has only just had itself: each removal costs three more syncs
 // on the same disks, and the removed member comes back by a copy.
-func TestAStallOfAllDisksAtOnceChangesNoView(t *testing.T) {
+func TestStallOfAllDisksKeepsView(t *testing.T) {
 	for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
 		for _, apartUs := range []int64{5 * clock.Ms, 30 * clock.Ms, 150 * clock.Ms} {
 			t.Run(fmt.Sprint(order, " ", apartUs/clock.Ms, " ms apart"), func(t *testing.T) {
-				y := pacedYard(t, 1, 3)
-				number, most := y.spots[0].node.View().Number, y.most
+				y := newPacedTestCluster(t, 1, 3)
+				number, most := y.members[0].node.View().Number, y.lastAcked
 				y.stallAll(order, 750*clock.Ms, apartUs)
-				y.pass(2 * clock.Sec)
-				for _, s := range y.spots {
+				y.advance(2 * clock.Sec)
+				for _, s := range y.members {
 					if now := s.node.View(); now.Number != number {
 						t.Fatalf("%s is in view %d of %d members, and was in view %d of three", s.me.ID, now.Number, len(now.Replicas), number)
 					}
 				}
-				if y.most <= most {
+				if y.lastAcked <= most {
 					t.Error("nothing was acknowledged after the stall")
 				}
 			})
@@ -51,15 +51,15 @@
 
 // Only some have something to sync when every disk stalls. The others learn of their own disks' stall by the sync that
 // a change of the view needs, and give the change up once the members that they wanted to put out are back.
-func TestAStallOfAllDisksThatSomeDoNotNoticeChangesNoView(t *testing.T) {
+func TestStallOfAllDisksUnnoticedBySomeKeepsView(t *testing.T) {
 	for idle := range 3 {
 		for _, spanUs := range []int64{1000 * clock.Ms, 1150 * clock.Ms, 1300 * clock.Ms} {
 			t.Run(fmt.Sprintf("member %d is idle, %d ms", idle, spanUs/clock.Ms), func(t *testing.T) {
-				y := pacedYard(t, 1, 3)
-				number := y.spots[0].node.View().Number
+				y := newPacedTestCluster(t, 1, 3)
+				number := y.members[0].node.View().Number
 				y.stallSome(idle, spanUs)
-				y.pass(2 * clock.Sec)
-				for _, s := range y.spots {
+				y.advance(2 * clock.Sec)
+				for _, s := range y.members {
 					if now := s.node.View(); now.Number != number {
 						t.Fatalf("%s is in view %d of %d members, and was in view %d of three", s.me.ID, now.Number, len(now.Replicas), number)
 					}
@@ -70,41 +70,41 @@
 }
 
 // stallSome stalls all disks while each but one has a sync under way.
-func (y *yard) stallSome(idle int, spanUs int64) {
-	for _, seat := range slices.Backward(y.spots[0].node.View().Replicas) {
-		s := y.at(seat.Addr)
-		for (len(s.saves) > 0) == (s == y.spots[idle]) {
-			y.pass(yardStepUs)
+func (tc *testCluster) stallSome(idle int, spanUs int64) {
+	for _, seat := range slices.Backward(tc.members[0].node.View().Replicas) {
+		s := tc.at(seat.Addr)
+		for (len(s.saves) > 0) == (s == tc.members[idle]) {
+			tc.advance(yardStepUs)
 		}
 		s.slow = true
 	}
-	y.pass(spanUs)
-	for _, s := range y.spots {
+	tc.advance(spanUs)
+	for _, s := range tc.members {
 		s.slow = false
 	}
 }
 
 // A member whose disk goes on standing still is put out all the same, by those that are back.
-func TestAMemberThatStaysStalledAfterTheOthersIsPutOut(t *testing.T) {
+func TestMemberStalledLongerThanOthersIsRemoved(t *testing.T) {
 	for stays := range 3 {
 		t.Run(fmt.Sprint("member ", stays), func(t *testing.T) {
-			y := pacedYard(t, 1, 3)
+			y := newPacedTestCluster(t, 1, 3)
 			order := []int{}
-			for i := range y.spots {
+			for i := range y.members {
 				if i != stays {
 					order = append(order, i)
 				}
 			}
 			y.stallAll(order, 750*clock.Ms, 5*clock.Ms)
-			y.pass(2 * clock.Sec)
+			y.advance(2 * clock.Sec)
 			for _, i := range order {
-				if now := y.spots[i].node.View(); now.HasReplica(y.spots[stays].me.ID) || len(now.Replicas) != 2 {
-					t.Fatalf("%s has %v", y.spots[i].me.ID, now.Replicas)
+				if now := y.members[i].node.View(); now.HasReplica(y.members[stays].me.ID) || len(now.Replicas) != 2 {
+					t.Fatalf("%s has %v", y.members[i].me.ID, now.Replicas)
 				}
 			}
-			most := y.most
-			y.pass(clock.Sec)
-			if y.most <= most {
+			most := y.lastAcked
+			y.advance(clock.Sec)
+			if y.lastAcked <= most {
 				t.Error("nothing is acknowledged without it")
 			}
 		})
--- a/internal/controlplane/chain/durable_test.go
+++ b/internal/controlplane/chain/durable_test.go
@@ -12,16 +12,16 @@
 
 // The head is left alone with a write that nobody else has; a voter that holds nothing helps it into a view of one,
 // which commits the write. It may be acknowledged only once a second copy of it lies on a disk.
-func TestWhatAViewOfTooFewCommitsIsNotAcknowledged(t *testing.T) {
+func TestCommitsOfTooFewReplicasAreNotAcknowledged(t *testing.T) {
 	for seed := int64(0); seed < 6; seed++ {
 		y := grown(t, seed, 3, 3)
-		order := y.spots[0].node.view.Replicas
+		order := y.members[0].node.view.Replicas
 		head, middle, tail := y.at(order[0].Addr), y.at(order[1].Addr), y.at(order[2].Addr)
 		y.stop(tail)
-		y.pass(3 * clock.Sec)
+		y.advance(3 * clock.Sec)
 		y.cuts[[2]string{middle.me.Addr, tail.me.Addr}] = true
 		y.start(tail, false)
-		y.pass(3 * clock.Sec)
+		y.advance(3 * clock.Sec)
 		y.cuts[[2]string{head.me.Addr, middle.me.Addr}] = true
 		const id = "lone"
 		y.step(head, ChangeSubmitted{Change: &statemachine.Change{ID: id, Config: &statemachine.ConfigChange{
@@ -29,7 +29,7 @@
 		}}})
 		index := head.node.LastIndex()
 		lone := false
-		for endUs := y.nowUs + 6*clock.Sec; y.nowUs < endUs && len(head.node.view.Replicas) < 2 || !lone && y.nowUs < endUs; y.pass(25 * clock.Ms) {
+		for endUs := y.nowUs + 6*clock.Sec; y.nowUs < endUs && len(head.node.view.Replicas) < 2 || !lone && y.nowUs < endUs; y.advance(25 * clock.Ms) {
 			if len(head.node.view.Replicas) == 1 && head.node.commitIndex >= index {
 				lone = true
 				if head.node.Durable(index) {
@@ -41,8 +41,8 @@
 			t.Fatalf("seed %d: the head never was alone with its write: %+v", seed, head.node.view.Replicas)
 		}
 		clear(y.cuts)
-		y.settles(40*clock.Sec, "healed")
-		for _, s := range y.spots {
+		y.requireSettled(40*clock.Sec, "healed")
+		for _, s := range y.members {
 			if _, seen := s.node.state.Outcomes[id]; !seen || !s.node.Durable(index) {
 				t.Fatalf("seed %d: %s has it %v, kept %v", seed, s.me.ID, seen, s.node.Durable(index))
 			}
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestWritesAreTakenOnEnoughCopiesInEnoughZones(t *testing.T) {
+func TestWritesNeedEnoughReplicasInEnoughZones(t *testing.T) {
 	view := func(voters, seated string) View {
 		v := View{Number: 1}
 		for i, zone := range strings.Fields(voters) {
@@ -86,30 +86,30 @@
 }
 
 // A fleet whose core is one machine acknowledges on its one disk, also after a restart.
-func TestAChainOfOne(t *testing.T) {
-	y := newYard(t, 1, 1, 1)
-	y.copies = 1
-	only := y.spots[0]
+func TestSingleMemberChainCommits(t *testing.T) {
+	y := newTestCluster(t, 1, 1, 1)
+	y.minReplicas = 1
+	only := y.members[0]
 	y.start(only, true)
-	y.settles(20*clock.Sec, "founding")
-	before := y.most
+	y.requireSettled(20*clock.Sec, "founding")
+	before := y.lastAcked
 	y.stop(only)
-	y.pass(clock.Sec)
+	y.advance(clock.Sec)
 	y.start(only, false)
-	y.settles(20*clock.Sec, "restarted")
-	if y.most <= before {
-		t.Fatal(y.most, before)
+	y.requireSettled(20*clock.Sec, "restarted")
+	if y.lastAcked <= before {
+		t.Fatal(y.lastAcked, before)
 	}
 }
 
 // Three found the chain of seven whose acknowledgements need four copies.
-func TestMoreCopiesThanFounders(t *testing.T) {
-	y := newYard(t, 3, 7, 3)
-	y.copies = 4
-	for _, s := range y.spots {
+func TestMinReplicasAboveFounderCount(t *testing.T) {
+	y := newTestCluster(t, 3, 7, 3)
+	y.minReplicas = 4
+	for _, s := range y.members {
 		y.start(s, true)
 	}
-	y.settles(30*clock.Sec, "founding")
+	y.requireSettled(30*clock.Sec, "founding")
 	for index, id := range y.acked {
 		if id == "founded" {
 			t.Errorf("what was written on three copies was acknowledged, at %d", index)
--- a/internal/controlplane/chain/explore_members_test.go
+++ b/internal/controlplane/chain/explore_members_test.go
@@ -12,11 +12,11 @@
 	"petreltide/internal/process/clock"
 )
 
-// machines is a box whose members take each other in, with machines that are lost, replaced, terminated and
+// memberExplorer is a box whose members take each other in, with machines that are lost, replaced, terminated and
 // brought back. It keeps the platform's account of which losses count: at most one machine at a time (two of five) is
 // down or has run for less than its time to catch up.
-type machines struct {
-	*box
+type memberExplorer struct {
+	*smallChain
 	// plant is a defect that the harness brings about.
 	plant plant
 	// losses counts the losses so far, of lossesMost.
@@ -28,8 +28,8 @@
 	history []string
 }
 
-func (m *machines) note(format string, args ...any) {
-	m.history = append(slices.Clip(m.history), fmt.Sprintf("%.2f ", float64(m.nowUs)/1e6)+fmt.Sprintf(format, args...))
+func (me *memberExplorer) note(format string, args ...any) {
+	me.history = append(slices.Clip(me.history), fmt.Sprintf("%.2f ", float64(me.nowUs)/1e6)+fmt.Sprintf(format, args...))
 }
 
 type plant string
@@ -42,78 +42,78 @@
 )
 
 // caughtUpTicks is the time to catch up, in ticks.
-func (m *machines) caughtUpTicks() int {
-	if m.tolerated() > 1 {
-		return int(catchUpTwoUs/m.tickLength()) + 1
+func (me *memberExplorer) caughtUpTicks() int {
+	if me.tolerated() > 1 {
+		return int(catchUpTwoUs/me.tickLength()) + 1
 	}
-	return int(catchUpOneUs/m.tickLength()) + 1
+	return int(catchUpOneUs/me.tickLength()) + 1
 }
 
 // tolerated is how many machines may be lost at once.
-func (m *machines) tolerated() int { return m.copies - 1 }
+func (me *memberExplorer) tolerated() int { return me.minReplicas - 1 }
 
-func newMachines(count int, everyUs int64) *machines {
-	b := &box{nowUs: clock.Sec, pipes: map[[2]int][]Msg{}, views: map[uint64]View{}, acked: map[uint64]string{}, self: true, copies: (count-1)/2 + 1, everyUs: everyUs}
+func newMemberExplorer(count int, everyUs int64) *memberExplorer {
+	b := &smallChain{nowUs: clock.Sec, pipes: map[[2]int][]Msg{}, views: map[uint64]View{}, acked: map[uint64]string{}, autoMembership: true, minReplicas: (count-1)/2 + 1, tickEveryUs: everyUs}
 	for i := range count {
 		name := fmt.Sprintf("m%d", i)
-		b.members = append(b.members, &place{me: Member{ID: name + "-1", Name: name, Addr: name}})
+		b.members = append(b.members, &smallMember{me: Member{ID: name + "-1", Name: name, Addr: name}})
 	}
-	m := &machines{box: b, leaving: -1, lossesMost: 1}
+	m := &memberExplorer{smallChain: b, leaving: -1, lossesMost: 1}
 	for i := range b.members {
 		b.start(i, count)
 	}
 	m.rest(m.caughtUpTicks() + 4)
 	m.write()
-	m.settle()
+	m.deliverAll()
 	return m
 }
 
-func (m *machines) clone() *machines {
-	c := *m
-	c.box = m.box.clone()
+func (me *memberExplorer) clone() *memberExplorer {
+	c := *me
+	c.smallChain = me.smallChain.clone()
 	return &c
 }
 
-func (m *machines) key() string {
-	text := m.box.key()
-	for _, p := range m.members {
-		text += fmt.Sprint(p.gone, min(p.sinceTicks, m.caughtUpTicks()))
+func (me *memberExplorer) key() string {
+	text := me.smallChain.key()
+	for _, p := range me.members {
+		text += fmt.Sprint(p.removed, min(p.sinceTicks, me.caughtUpTicks()))
 	}
-	return text + fmt.Sprint(m.losses, m.leaving, m.goes)
+	return text + fmt.Sprint(me.losses, me.leaving, me.goes)
 }
 
 // elapse is a tick; those that run are a tick nearer to having caught up.
-func (m *machines) elapse() {
-	for _, p := range m.members {
+func (me *memberExplorer) elapse() {
+	for _, p := range me.members {
 		if p.node != nil {
 			p.sinceTicks++
 		}
 	}
-	m.tick()
-	m.hushed = false
-	m.plantOnDisks()
+	me.tick()
+	me.hellosLost = false
+	me.plantOnDisks()
 }
 
 // rest lets time go by with all links and disks in order.
-func (m *machines) rest(ticks int) {
+func (me *memberExplorer) rest(ticks int) {
 	for range ticks {
-		m.elapse()
-		m.settleAll()
+		me.elapse()
+		me.settleAll()
 	}
-	m.ticks = 0
+	me.ticks = 0
 }
 
-func (m *machines) settleAll() {
-	m.tamper()
-	m.settle()
-	m.mayEnd()
+func (me *memberExplorer) settleAll() {
+	me.tamper()
+	me.deliverAll()
+	me.mayEnd()
 }
 
 // outstanding counts the machines that are down, or back for less than their time to catch up.
-func (m *machines) outstanding() int {
+func (me *memberExplorer) outstanding() int {
 	n := 0
-	for _, p := range m.members {
-		if !p.gone && (p.node == nil || p.sinceTicks < m.caughtUpTicks()) {
+	for _, p := range me.members {
+		if !p.removed && (p.node == nil || p.sinceTicks < me.caughtUpTicks()) {
 			n++
 		}
 	}
@@ -121,10 +121,10 @@
 }
 
 // there counts the machines that have not gone for good.
-func (m *machines) there() int {
+func (me *memberExplorer) there() int {
 	n := 0
-	for _, p := range m.members {
-		if !p.gone {
+	for _, p := range me.members {
+		if !p.removed {
 			n++
 		}
 	}
@@ -132,71 +132,71 @@
 }
 
 // mayLose: the platform may take one more machine now.
-func (m *machines) mayLose() bool {
-	return m.losses < m.lossesMost && m.leaving < 0 && m.outstanding() < m.tolerated() && m.there() > 2*m.tolerated()
+func (me *memberExplorer) mayLose() bool {
+	return me.losses < me.lossesMost && me.leaving < 0 && me.outstanding() < me.tolerated() && me.there() > 2*me.tolerated()
 }
 
 // fresh is an empty machine beside the others.
-func (m *machines) fresh() int {
-	m.incarnations++
-	name := fmt.Sprintf("m%d", 10+m.incarnations)
-	m.members = append(m.members, &place{me: Member{ID: name + "-1", Name: name, Addr: name}})
-	i := len(m.members) - 1
-	m.start(i, 0)
+func (me *memberExplorer) fresh() int {
+	me.incarnations++
+	name := fmt.Sprintf("m%d", 10+me.incarnations)
+	me.members = append(me.members, &smallMember{me: Member{ID: name + "-1", Name: name, Addr: name}})
+	i := len(me.members) - 1
+	me.start(i, 0)
 	return i
 }
 
-func (m *machines) lose(i int, how repair) {
-	m.losses++
-	p := m.members[i]
-	m.note("%s is lost: %s", p.me.ID, how)
-	m.crash(i)
+func (me *memberExplorer) lose(i int, how repair) {
+	me.losses++
+	p := me.members[i]
+	me.note("%s is lost: %s", p.me.ID, how)
+	me.crash(i)
 	p.sinceTicks = 0
 	switch how {
 	case replaced:
-		p.gone = true
-		m.fresh()
+		p.removed = true
+		me.fresh()
 	case emptied:
-		m.incarnations++
-		p.disk, p.me.ID = nil, fmt.Sprintf("%s-%d", p.me.Name, m.incarnations)
+		me.incarnations++
+		p.disk, p.me.ID = nil, fmt.Sprintf("%s-%d", p.me.Name, me.incarnations)
 	case readdressed:
-		m.incarnations++
-		p.me.Addr = fmt.Sprintf("%s-%d", p.me.Name, m.incarnations)
+		me.incarnations++
+		p.me.Addr = fmt.Sprintf("%s-%d", p.me.Name, me.incarnations)
 	}
 }
 
-func (m *machines) boot(i int) {
-	m.start(i, 0)
-	m.note("%s starts", m.members[i].me.ID)
+func (me *memberExplorer) boot(i int) {
+	me.start(i, 0)
+	me.note("%s starts", me.members[i].me.ID)
 }
 
 // terminate tells a process to end; it ends for good, or comes back with its disk.
-func (m *machines) terminate(i int, forGood bool) {
-	m.leaving, m.goes = i, forGood
-	m.note("%s is told to end, for good %v", m.members[i].me.ID, forGood)
-	m.step(i, ShutdownRequested{})
-	m.mayEnd()
+func (me *memberExplorer) terminate(i int, forGood bool) {
+	me.leaving, me.goes = i, forGood
+	me.note("%s is told to end, for good %v", me.members[i].me.ID, forGood)
+	me.step(i, ShutdownRequested{})
+	me.mayEnd()
 }
 
 // mayEnd ends the process that was told to, once it says that it may.
-func (m *machines) mayEnd() {
-	i := m.leaving
-	if i < 0 || m.members[i].node == nil || (!m.members[i].node.ShutdownComplete() && m.plant != abruptHolder) {
+func (me *memberExplorer) mayEnd() {
+	i := me.leaving
+	if i < 0 || me.members[i].node == nil || (!me.members[i].node.ShutdownComplete() && me.plant != abruptHolder) {
 		return
 	}
-	m.note("%s has ended", m.members[i].me.ID)
-	m.crash(i)
-	m.members[i].sinceTicks = 0
-	m.members[i].gone = m.goes
-	m.leaving = -1
+	me.note("%s has ended", me.members[i].me.ID)
+	me.crash(i)
+	me.members[i].sinceTicks = 0
+	me.members[i].removed = me.goes
+	me.leaving = -1
 }
 
 // tamper plants a second change of votes beside one that is proposed.
-func (m *machines) tamper() {
-	if m.plant != twoVotes {
+func (me *memberExplorer) tamper() {
+	if me.plant != twoVotes {
 		return
 	}
-	for _, p := range m.members {
+	for _, p := range me.members {
 		if p.node == nil || p.node.proposal == nil || !p.node.proposal.preparing {
 			continue
 		}
@@ -216,42 +216,42 @@
 
 // plantOnDisks takes from disks what the planted defect does not keep there: promises, or what a newcomer should have
 // copied before it was seated.
-func (m *machines) plantOnDisks() {
-	for i, p := range m.members {
+func (me *memberExplorer) plantOnDisks() {
+	for i, p := range me.members {
 		switch {
-		case m.plant == forgotPromise:
+		case me.plant == forgotPromise:
 			p.disk = slices.DeleteFunc(slices.Clone(p.disk), func(r Record) bool { return r.PromisedBallot != nil || r.AcceptedProposal != nil })
-		case m.plant == voteWithoutCopy && i >= 3:
+		case me.plant == voteWithoutCopy && i >= 3:
 			p.disk = slices.DeleteFunc(slices.Clone(p.disk), func(r Record) bool { return r.Snapshot != nil || r.Entry != nil })
 		}
 	}
 }
 
 // judgeMachines holds the account of losses against what lies on the disks.
-func (m *machines) judgeMachines() {
-	m.judge()
-	if m.broken != "" {
+func (me *memberExplorer) judgeMachines() {
+	me.checkInvariants()
+	if me.broken != "" {
 		return
 	}
-	spare := m.tolerated() - m.outstanding()
-	if m.leaving >= 0 {
+	spare := me.tolerated() - me.outstanding()
+	if me.leaving >= 0 {
 		spare--
 	}
 	spare = max(0, spare)
-	for index, id := range m.acked {
+	for index, id := range me.acked {
 		holders := 0
-		for _, p := range m.members {
-			if !p.gone && holds(p.disk, index) {
+		for _, p := range me.members {
+			if !p.removed && holds(p.disk, index) {
 				holders++
 			}
 		}
 		if holders < spare+1 {
-			m.broken = fmt.Sprintf("%s, acknowledged at %d, lies on %d disks when %d may be lost", id, index, holders, spare)
+			me.broken = fmt.Sprintf("%s, acknowledged at %d, lies on %d disks when %d may be lost", id, index, holders, spare)
 		}
 	}
-	for number, v := range m.views {
-		if prior, seen := m.views[number-1]; seen && number > 1 && votesMoved(prior, v) > 1 {
-			m.broken = fmt.Sprintf("more than one vote changed from %v to %v", prior, v)
+	for number, v := range me.views {
+		if prior, seen := me.views[number-1]; seen && number > 1 && votesMoved(prior, v) > 1 {
+			me.broken = fmt.Sprintf("more than one vote changed from %v to %v", prior, v)
 		}
 	}
 }
@@ -284,10 +284,10 @@
 
 // recovers: once all that is down has come back and nothing more is lost, all have seat and vote within the time to
 // catch up, and a write is acknowledged.
-func (m *machines) recovers() string {
-	c := m.clone()
+func (me *memberExplorer) recovers() string {
+	c := me.clone()
 	for i, p := range c.members {
-		if p.node == nil && !p.gone {
+		if p.node == nil && !p.removed {
 			c.start(i, 0)
 		}
 		p.full = false
@@ -313,107 +313,107 @@
 }
 
 // hush loses all hellos until time goes by: all machines count as cut off.
-func (m *machines) hush() {
-	m.hushed = true
-	m.note("hellos are lost")
-	for _, p := range m.members {
+func (me *memberExplorer) hush() {
+	me.hellosLost = true
+	me.note("hellos are lost")
+	for _, p := range me.members {
 		p.sinceTicks = 0
 	}
 }
 
 // killAll ends every process at once; disks remain, and one machine comes back later than the others.
-func (m *machines) killAll(late int, lateTicks int64) {
-	m.leaving = -1
-	m.note("all are killed, %d comes %d ticks late", late, lateTicks)
-	for i, p := range m.members {
-		if p.gone {
+func (me *memberExplorer) killAll(late int, lateTicks int64) {
+	me.leaving = -1
+	me.note("all are killed, %d comes %d ticks late", late, lateTicks)
+	for i, p := range me.members {
+		if p.removed {
 			continue
 		}
-		m.crash(i)
-		p.sinceTicks, p.backUs = 0, m.nowUs
+		me.crash(i)
+		p.sinceTicks, p.backUs = 0, me.nowUs
 		if i == late {
-			p.backUs += lateTicks * m.tickLength()
+			p.backUs += lateTicks * me.tickLength()
 		}
 	}
 }
 
 // memberActs are the changes of machines that may come now.
-func (m *machines) memberActs() []func(*machines) {
-	acts := []func(*machines){}
-	if !m.mayLose() {
+func (me *memberExplorer) memberActs() []func(*memberExplorer) {
+	acts := []func(*memberExplorer){}
+	if !me.mayLose() {
 		return acts
 	}
-	for i, p := range m.members {
-		if p.node == nil || p.gone {
+	for i, p := range me.members {
+		if p.node == nil || p.removed {
 			continue
 		}
 		for _, how := range []repair{replaced, emptied, restarted, readdressed} {
-			acts = append(acts, func(c *machines) { c.lose(i, how) })
+			acts = append(acts, func(c *memberExplorer) { c.lose(i, how) })
 		}
 	}
 	return acts
 }
 
 // flowActs are deliveries, syncs and starts.
-func (m *machines) flowActs() []func(*machines) {
-	acts := []func(*machines){}
-	for i, p := range m.members {
+func (me *memberExplorer) flowActs() []func(*memberExplorer) {
+	acts := []func(*memberExplorer){}
+	for i, p := range me.members {
 		if p.ready() {
-			acts = append(acts, func(c *machines) { c.synced(i) })
+			acts = append(acts, func(c *memberExplorer) { c.synced(i) })
 		}
-		if p.node == nil && !p.gone && m.nowUs >= p.backUs {
-			acts = append(acts, func(c *machines) { c.boot(i) })
+		if p.node == nil && !p.removed && me.nowUs >= p.backUs {
+			acts = append(acts, func(c *memberExplorer) { c.boot(i) })
 		}
-		for j := range m.members {
-			if way := [2]int{i, j}; len(m.pipes[way]) > 0 {
-				acts = append(acts, func(c *machines) { c.deliver(way) })
+		for j := range me.members {
+			if way := [2]int{i, j}; len(me.pipes[way]) > 0 {
+				acts = append(acts, func(c *memberExplorer) { c.deliver(way) })
 			}
 		}
 	}
 	return acts
 }
 
-func (m *machines) do(act func(*machines)) {
-	m.tamper()
-	act(m)
-	m.mayEnd()
-	m.judgeMachines()
+func (me *memberExplorer) do(act func(*memberExplorer)) {
+	me.tamper()
+	act(me)
+	me.mayEnd()
+	me.judgeMachines()
 }
 
 // memberScenarios begin where one machine's repair is under way or has just ended.
-func memberScenarios() map[string]func() *machines {
-	return map[string]func() *machines{
-		"replaced for good, the next lost": func() *machines {
-			m := newMachines(3, tickUs)
+func memberScenarios() map[string]func() *memberExplorer {
+	return map[string]func() *memberExplorer{
+		"replaced for good, the next lost": func() *memberExplorer {
+			m := newMemberExplorer(3, tickUs)
 			m.lose(0, replaced)
 			m.rest(m.caughtUpTicks())
 			m.losses = 0
 			return m
 		},
-		"replaced for good, and the next lost at once when the successor has caught up": func() *machines {
-			m := newMachines(3, tickUs)
+		"replaced for good, and the next lost at once when the successor has caught up": func() *memberExplorer {
+			m := newMemberExplorer(3, tickUs)
 			m.lose(0, replaced)
 			m.rest(m.caughtUpTicks())
 			m.lose(1, replaced)
 			m.rest(2)
 			return m
 		},
-		"the successor came first, the old one is told to end": func() *machines {
-			m := newMachines(3, tickUs)
+		"the successor came first, the old one is told to end": func() *memberExplorer {
+			m := newMemberExplorer(3, tickUs)
 			m.fresh()
 			m.rest(m.caughtUpTicks())
 			m.terminate(0, true)
 			return m
 		},
-		"the old head of four is told to end and comes back": func() *machines {
-			m := newMachines(3, tickUs)
+		"the old head of four is told to end and comes back": func() *memberExplorer {
+			m := newMemberExplorer(3, tickUs)
 			m.fresh()
 			m.rest(m.caughtUpTicks())
 			m.terminate(1, false)
 			return m
 		},
-		"an empty one joins as another is told to end": func() *machines {
-			m := newMachines(3, tickUs)
+		"an empty one joins as another is told to end": func() *memberExplorer {
+			m := newMemberExplorer(3, tickUs)
 			m.lose(1, emptied)
 			m.rest(2)
 			m.start(1, 0)
@@ -421,18 +421,18 @@
 			m.terminate(2, true)
 			return m
 		},
-		"a newcomer beside one that has fallen silent": func() *machines {
-			m := newMachines(3, tickUs)
+		"a newcomer beside one that has fallen silent": func() *memberExplorer {
+			m := newMemberExplorer(3, tickUs)
 			m.lose(2, replaced)
 			m.rest(2)
 			return m
 		},
-		"one that was removed comes back with its old disk": func() *machines {
-			m := newMachines(3, tickUs)
+		"one that was removed comes back with its old disk": func() *memberExplorer {
+			m := newMemberExplorer(3, tickUs)
 			disk, me := m.members[2].disk, m.members[2].me
 			m.lose(2, replaced)
 			m.rest(m.caughtUpTicks())
-			m.members[2].gone, m.members[2].disk, m.members[2].me = false, disk, me
+			m.members[2].removed, m.members[2].disk, m.members[2].me = false, disk, me
 			m.start(2, 0)
 			m.losses = 0
 			m.elapse()
@@ -460,15 +460,15 @@
 
 // exploreMachines goes through every state within a depth, each once; of every stride-th of those at the edge it asks
 // whether the chain recovers.
-func exploreMachines(from *machines, depth, ticks, stride int) (e explored, broken string) {
+func exploreMachines(from *memberExplorer, depth, ticks, stride int) (e explored, broken string) {
 	seen := map[string]bool{from.key(): true}
-	edge := []*machines{from}
+	edge := []*memberExplorer{from}
 	for d := range depth {
-		var beyond []*machines
+		var beyond []*memberExplorer
 		for _, m := range edge {
 			acts := append(m.flowActs(), m.memberActs()...)
 			if m.ticks < ticks {
-				acts = append(acts, (*machines).elapse)
+				acts = append(acts, (*memberExplorer).elapse)
 			}
 			for _, act := range acts {
 				c := m.clone()
@@ -496,13 +496,13 @@
 }
 
 // forward takes the next action in a fixed order, or a tick.
-func (m *machines) forward() {
-	if acts := m.flowActs(); len(acts) > 0 {
-		m.do(acts[0])
+func (me *memberExplorer) forward() {
+	if acts := me.flowActs(); len(acts) > 0 {
+		me.do(acts[0])
 		return
 	}
-	m.do((*machines).elapse)
-	m.ticks = 0
+	me.do((*memberExplorer).elapse)
+	me.ticks = 0
 }
 
 const (
@@ -566,8 +566,8 @@
 
 // walkMachines goes on at random for long: losses of every kind, each as soon as the platform may bring it, and
 // processes that are told to end, for good with their successor started first or to come back.
-func walkMachines(w walk) (m *machines, broken string) {
-	m = newMachines(w.count, walkTickUs)
+func walkMachines(w walk) (m *memberExplorer, broken string) {
+	m = newMemberExplorer(w.count, walkTickUs)
 	m.plant, m.lossesMost = w.plant, 1<<30
 	r := w.seed*2654435761 + 1
 	next := func(n int) int {
@@ -583,17 +583,17 @@
 		switch flow := m.flowActs(); {
 		case next(w.killEvery) == 0:
 			late, ticks := next(len(m.members)), int64(next(10))
-			m.do(func(c *machines) { c.killAll(late, ticks) })
+			m.do(func(c *memberExplorer) { c.killAll(late, ticks) })
 		case len(flow) > 0 && next(12) > 0:
 			m.do(flow[next(len(flow))])
 		case m.mayLose() && next(3) == 0:
 			m.disturb(next)
 		case next(6) == 0:
-			m.do(func(c *machines) { c.write() })
+			m.do(func(c *memberExplorer) { c.write() })
 		default:
 			// Time goes by only with what is under way carried out: links and disks are in order.
 			m.settleAll()
-			m.do((*machines).elapse)
+			m.do((*memberExplorer).elapse)
 			m.ticks = 0
 		}
 		if m.broken == "" && n%400 == 399 {
@@ -607,25 +607,25 @@
 }
 
 // disturb loses a machine, or tells one to end, with or without a successor that came first.
-func (m *machines) disturb(next func(int) int) {
+func (me *memberExplorer) disturb(next func(int) int) {
 	if next(3) > 0 {
-		acts := m.memberActs()
-		m.do(acts[next(len(acts))])
+		acts := me.memberActs()
+		me.do(acts[next(len(acts))])
 		return
 	}
 	live := []int{}
-	for i, p := range m.members {
-		if p.node != nil && !p.gone {
+	for i, p := range me.members {
+		if p.node != nil && !p.removed {
 			live = append(live, i)
 		}
 	}
 	i, forGood := live[next(len(live))], next(2) == 0
-	m.losses++
+	me.losses++
 	if forGood {
-		m.fresh()
-		m.rest(m.caughtUpTicks())
+		me.fresh()
+		me.rest(me.caughtUpTicks())
 	}
-	m.do(func(c *machines) { c.terminate(i, forGood) })
+	me.do(func(c *memberExplorer) { c.terminate(i, forGood) })
 }
 
 func TestLongWalksThroughRepairs(t *testing.T) {
@@ -654,7 +654,7 @@
 }
 
 // Each rule of the explorer must be able to fail: a defect is planted, and a walk must find it.
-func TestPlantedDefectsOfMembershipAreFound(t *testing.T) {
+func TestPlantedMembershipDefectsAreFound(t *testing.T) {
 	// What the walks must say; an empty text stands for several ways in which it shows.
 	for p, says := range map[plant]string{voteWithoutCopy: "", twoVotes: "more than one vote changed", abruptHolder: "", forgotPromise: "was decided twice"} {
 		t.Run(string(p), func(t *testing.T) {
--- a/internal/controlplane/chain/explore_test.go
+++ b/internal/controlplane/chain/explore_test.go
@@ -15,12 +15,12 @@
 	"petreltide/internal/process/clock"
 )
 
-// box is a whole chain in the small: members, their disks, and what is under way between them. Hellos
+// smallChain is a whole chain in the small: members, their disks, and what is under way between them. Hellos
 // arrive with the tick that sends them; everything else may be delivered, lost with a crash or held
 // back in any order across pairs.
-type box struct {
+type smallChain struct {
 	nowUs        int64
-	members      []*place
+	members      []*smallMember
 	pipes        map[[2]int][]Msg
 	views        map[uint64]View
 	acked        map[uint64]string
@@ -30,26 +30,26 @@
 	fills        int
 	incarnations int
 	broken       string
-	// self: the members take each other in and drop each other without orders.
-	self bool
-	// copies is how many synced copies an acknowledgement needs there.
-	copies int
-	// everyUs is how far apart ticks are; 0 stands for tickUs.
-	everyUs int64
-	// hushed: hellos are lost on their way.
-	hushed bool
+	// autoMembership: the members take each other in and drop each other without orders.
+	autoMembership bool
+	// minReplicas is how many synced copies an acknowledgement needs there.
+	minReplicas int
+	// tickEveryUs is how far apart ticks are; 0 stands for tickUs.
+	tickEveryUs int64
+	// hellosLost: hellos are lost on their way.
+	hellosLost bool
 	// cuts are the ways on which nothing arrives.
 	cuts map[[2]int]bool
 }
 
-type place struct {
+type smallMember struct {
 	me    Member
 	node  *Node
 	disk  []Record
 	saves []Persist
 	full  bool
-	// gone: this machine never comes back. sinceTicks is how many ticks its process has run for.
-	gone       bool
+	// removed: this machine never comes back. sinceTicks is how many ticks its process has run for.
+	removed    bool
 	sinceTicks int
 	// backUs is when it may start again.
 	backUs int64
@@ -116,22 +116,22 @@
 		leases, n.tailCommitIndex, ago(n.leaseUntilUs), ago(n.viewInstalledUs), ago(n.startedUs), peers, saving)
 }
 
-func (b *box) key() string {
+func (sc *smallChain) key() string {
 	var text strings.Builder
-	for _, p := range b.members {
+	for _, p := range sc.members {
 		if p.node != nil {
-			text.WriteString(p.node.key(b.nowUs))
+			text.WriteString(p.node.key(sc.nowUs))
 		}
 		fmt.Fprint(&text, "|", len(p.saves), len(p.disk), p.full, ";")
 	}
-	for i := range b.members {
-		for j := range b.members {
-			for _, m := range b.pipes[[2]int{i, j}] {
-				fmt.Fprint(&text, i, j, kindOf(m), short(m), ";")
+	for i := range sc.members {
+		for j := range sc.members {
+			for _, m := range sc.pipes[[2]int{i, j}] {
+				fmt.Fprint(&text, i, j, kindOf(m), messageSummary(m), ";")
 			}
 		}
 	}
-	fmt.Fprint(&text, len(b.cuts), b.crashes, b.ticks, b.writes, b.fills, len(b.acked))
+	fmt.Fprint(&text, len(sc.cuts), sc.crashes, sc.ticks, sc.writes, sc.fills, len(sc.acked))
 	return text.String()
 }
 
@@ -160,7 +160,7 @@
 	return "hello"
 }
 
-func short(m Msg) string {
+func messageSummary(m Msg) string {
 	switch {
 	case m.Prepare != nil:
 		return fmt.Sprint(*m.Prepare)
@@ -182,75 +182,75 @@
 	return ""
 }
 
-func (b *box) clone() *box {
-	c := *b
+func (sc *smallChain) clone() *smallChain {
+	c := *sc
 	c.members = nil
-	for _, p := range b.members {
-		held := &place{me: p.me, disk: slices.Clip(p.disk), saves: slices.Clone(p.saves), full: p.full, gone: p.gone, sinceTicks: p.sinceTicks, backUs: p.backUs}
+	for _, p := range sc.members {
+		held := &smallMember{me: p.me, disk: slices.Clip(p.disk), saves: slices.Clone(p.saves), full: p.full, removed: p.removed, sinceTicks: p.sinceTicks, backUs: p.backUs}
 		if p.node != nil {
 			held.node = p.node.clone()
 		}
 		c.members = append(c.members, held)
 	}
 	c.pipes = map[[2]int][]Msg{}
-	for way, list := range b.pipes {
+	for way, list := range sc.pipes {
 		if len(list) > 0 {
 			c.pipes[way] = slices.Clone(list)
 		}
 	}
-	c.views, c.acked = maps.Clone(b.views), maps.Clone(b.acked)
+	c.views, c.acked = maps.Clone(sc.views), maps.Clone(sc.acked)
 	return &c
 }
 
-func newBox() *box {
-	b := &box{nowUs: clock.Sec, pipes: map[[2]int][]Msg{}, views: map[uint64]View{}, acked: map[uint64]string{}}
+func newSmallChain() *smallChain {
+	b := &smallChain{nowUs: clock.Sec, pipes: map[[2]int][]Msg{}, views: map[uint64]View{}, acked: map[uint64]string{}}
 	for i := 0; i < 3; i++ {
 		name := fmt.Sprintf("m%d", i)
-		b.members = append(b.members, &place{me: Member{ID: name + "-1", Name: name, Addr: name}})
+		b.members = append(b.members, &smallMember{me: Member{ID: name + "-1", Name: name, Addr: name}})
 	}
 	for i := range b.members {
 		b.start(i, 3)
 	}
 	for n := 0; n < 12; n++ {
 		b.tick()
-		b.settle()
+		b.deliverAll()
 	}
 	b.ticks = 0
 	return b
 }
 
-func (b *box) start(i, founding int) {
-	b.incarnations++
-	p := b.members[i]
-	opts := Options{Self: p.me, Incarnation: fmt.Sprintf("%s/%d", p.me.ID, b.incarnations), BootstrapCount: founding}
-	if b.self {
-		opts.AutoMembership, opts.MinReplicas = true, b.copies
+func (sc *smallChain) start(i, founding int) {
+	sc.incarnations++
+	p := sc.members[i]
+	opts := Options{Self: p.me, Incarnation: fmt.Sprintf("%s/%d", p.me.ID, sc.incarnations), BootstrapCount: founding}
+	if sc.autoMembership {
+		opts.AutoMembership, opts.MinReplicas = true, sc.minReplicas
 		opts = paced(opts)
 	}
-	node, err := NewNode(opts, p.disk, b.nowUs)
+	node, err := NewNode(opts, p.disk, sc.nowUs)
 	if err != nil {
 		panic(err)
 	}
 	p.node = node
-	for j, other := range b.members {
-		if j != i && !other.gone {
+	for j, other := range sc.members {
+		if j != i && !other.removed {
 			node.knownAddrs[other.me.Addr] = true
 		}
 	}
 }
 
-func (b *box) crash(i int) {
-	p := b.members[i]
+func (sc *smallChain) crash(i int) {
+	p := sc.members[i]
 	p.node, p.saves, p.full = nil, nil, false
-	for way := range b.pipes {
+	for way := range sc.pipes {
 		if way[0] == i || way[1] == i {
-			delete(b.pipes, way)
+			delete(sc.pipes, way)
 		}
 	}
 }
 
-func (b *box) at(addr string) int {
-	for i, p := range b.members {
+func (sc *smallChain) at(addr string) int {
+	for i, p := range sc.members {
 		if p.me.Addr == addr {
 			return i
 		}
@@ -260,120 +260,120 @@
 
 // step feeds one event and carries its effects out; a hello arrives at once, and a newer beat of one
 // kind takes the place of an older one that is still under way.
-func (b *box) step(i int, ev Event) {
-	p := b.members[i]
+func (sc *smallChain) step(i int, ev Event) {
+	p := sc.members[i]
 	if p.node == nil {
 		return
 	}
-	for _, e := range p.node.Step(b.nowUs, ev) {
+	for _, e := range p.node.Step(sc.nowUs, ev) {
 		switch e := e.(type) {
 		case Send:
-			j := b.at(e.Addr)
-			if j < 0 || b.members[j].node == nil {
+			j := sc.at(e.Addr)
+			if j < 0 || sc.members[j].node == nil {
 				continue
 			}
 			m := e.Msg
-			if b.cuts[[2]int{i, j}] || (m.Hello != nil && b.hushed) {
+			if sc.cuts[[2]int{i, j}] || (m.Hello != nil && sc.hellosLost) {
 				continue
 			}
 			if m.Hello != nil {
-				b.step(j, MessageReceived{Msg: &m})
+				sc.step(j, MessageReceived{Msg: &m})
 				continue
 			}
-			b.put(i, j, m)
+			sc.enqueue(i, j, m)
 		case Persist:
 			p.saves = append(p.saves, e)
 		case Applied:
-			b.applied(p, e)
+			sc.applied(p, e)
 		case ViewInstalled:
-			if before, seen := b.views[e.View.Number]; seen {
+			if before, seen := sc.views[e.View.Number]; seen {
 				if diff := cmp.Diff(before, e.View); diff != "" {
-					b.broken = fmt.Sprintf("view %d was decided twice: %s", e.View.Number, diff)
+					sc.broken = fmt.Sprintf("view %d was decided twice: %s", e.View.Number, diff)
 				}
 			}
-			b.views[e.View.Number] = e.View
+			sc.views[e.View.Number] = e.View
 		}
 	}
 }
 
-func (b *box) put(i, j int, m Msg) {
+func (sc *smallChain) enqueue(i, j int, m Msg) {
 	way := [2]int{i, j}
 	kind := kindOf(m)
 	if kind == "forward" || kind == "ack" || kind == "lease" || kind == "given" {
-		for at, older := range b.pipes[way] {
+		for at, older := range sc.pipes[way] {
 			if kindOf(older) == kind {
-				b.pipes[way][at] = m
+				sc.pipes[way][at] = m
 				return
 			}
 		}
 	}
-	b.pipes[way] = append(b.pipes[way], m)
+	sc.pipes[way] = append(sc.pipes[way], m)
 }
 
-func (b *box) applied(p *place, a Applied) {
+func (sc *smallChain) applied(p *smallMember, a Applied) {
 	id := a.Entry.Change.ID
-	if before, seen := b.acked[a.Entry.Index]; seen && before != id {
-		b.broken = fmt.Sprintf("%s applies %s at %d, where %s was acknowledged", p.me.ID, id, a.Entry.Index, before)
+	if before, seen := sc.acked[a.Entry.Index]; seen && before != id {
+		sc.broken = fmt.Sprintf("%s applies %s at %d, where %s was acknowledged", p.me.ID, id, a.Entry.Index, before)
 	}
 	if p.node.IsTail() && p.node.AcceptsWrites() {
-		b.acked[a.Entry.Index] = id
+		sc.acked[a.Entry.Index] = id
 	}
 }
 
-func (b *box) judge() {
+func (sc *smallChain) checkInvariants() {
 	open := []string{}
 	most := uint64(0)
-	for index := range b.acked {
+	for index := range sc.acked {
 		most = max(most, index)
 	}
-	for _, p := range b.members {
+	for _, p := range sc.members {
 		if p.node != nil {
 			most = max(most, p.node.durableIndex())
 		}
 	}
-	for _, p := range b.members {
-		if p.node != nil && p.node.TailReady(b.nowUs) {
+	for _, p := range sc.members {
+		if p.node != nil && p.node.TailReady(sc.nowUs) {
 			open = append(open, p.me.ID)
 			if p.node.CommitIndex() < most {
-				b.broken = fmt.Sprintf("%s is open at %d, %d was acknowledged", p.me.ID, p.node.CommitIndex(), most)
+				sc.broken = fmt.Sprintf("%s is open at %d, %d was acknowledged", p.me.ID, p.node.CommitIndex(), most)
 			}
 		}
 	}
 	if len(open) > 1 {
-		b.broken = fmt.Sprintf("two open tails: %v", open)
+		sc.broken = fmt.Sprintf("two open tails: %v", open)
 	}
 }
 
 const tickUs = 350 * clock.Ms
 
-func (b *box) tickLength() int64 {
-	if b.everyUs > 0 {
-		return b.everyUs
+func (sc *smallChain) tickLength() int64 {
+	if sc.tickEveryUs > 0 {
+		return sc.tickEveryUs
 	}
 	return tickUs
 }
 
-func (b *box) tick() {
-	b.nowUs += b.tickLength()
-	b.ticks++
-	for i := range b.members {
-		b.step(i, Tick{})
+func (sc *smallChain) tick() {
+	sc.nowUs += sc.tickLength()
+	sc.ticks++
+	for i := range sc.members {
+		sc.step(i, Tick{})
 	}
 }
 
 // ready: the next save of this member may be synced.
-func (p *place) ready() bool { return len(p.saves) > 0 && !p.full }
+func (p *smallMember) ready() bool { return len(p.saves) > 0 && !p.full }
 
 // fill makes a disk refuse its next save, and all until it takes bytes again.
-func (b *box) fill(i int) {
-	b.fills++
-	p := b.members[i]
+func (sc *smallChain) fill(i int) {
+	sc.fills++
+	p := sc.members[i]
 	p.full = true
-	b.step(i, PersistRefused{Seq: p.saves[0].Seq})
+	sc.step(i, PersistRefused{Seq: p.saves[0].Seq})
 }
 
-func (b *box) synced(i int) {
-	p := b.members[i]
+func (sc *smallChain) synced(i int) {
+	p := sc.members[i]
 	s := p.saves[0]
 	p.saves = p.saves[1:]
 	if s.Compact {
@@ -383,27 +383,27 @@
 		p.disk = append(slices.Clip(p.disk), Record{Snapshot: s.Snapshot})
 	}
 	p.disk = append(slices.Clip(p.disk), s.Records...)
-	b.step(i, Persisted{Seq: s.Seq})
+	sc.step(i, Persisted{Seq: s.Seq})
 }
 
-func (b *box) deliver(way [2]int) {
-	m := b.pipes[way][0]
-	b.pipes[way] = slices.Clone(b.pipes[way][1:])
-	b.step(way[1], MessageReceived{Msg: &m})
+func (sc *smallChain) deliver(way [2]int) {
+	m := sc.pipes[way][0]
+	sc.pipes[way] = slices.Clone(sc.pipes[way][1:])
+	sc.step(way[1], MessageReceived{Msg: &m})
 }
 
-// settle carries out all that is under way, in one fixed order.
-func (b *box) settle() {
+// deliverAll carries out all that is under way, in one fixed order.
+func (sc *smallChain) deliverAll() {
 	for n := 0; n < 400; n++ {
 		moved := false
-		for i := range b.members {
-			if b.members[i].ready() {
-				b.synced(i)
+		for i := range sc.members {
+			if sc.members[i].ready() {
+				sc.synced(i)
 				moved = true
 			}
-			for j := range b.members {
-				if len(b.pipes[[2]int{i, j}]) > 0 {
-					b.deliver([2]int{i, j})
+			for j := range sc.members {
+				if len(sc.pipes[[2]int{i, j}]) > 0 {
+					sc.deliver([2]int{i, j})
 					moved = true
 				}
 			}
@@ -414,12 +414,12 @@
 	}
 }
 
-func (b *box) write() {
-	b.writes++
-	for i, p := range b.members {
+func (sc *smallChain) write() {
+	sc.writes++
+	for i, p := range sc.members {
 		if p.node != nil && p.node.IsHead() {
-			doc := &configuration.Declaration{Name: fmt.Sprint("w", b.writes)}
-			b.step(i, ChangeSubmitted{Change: &statemachine.Change{ID: doc.Name, Config: &statemachine.ConfigChange{Doc: doc}}})
+			doc := &configuration.Declaration{Name: fmt.Sprint("w", sc.writes)}
+			sc.step(i, ChangeSubmitted{Change: &statemachine.Change{ID: doc.Name, Config: &statemachine.ConfigChange{Doc: doc}}})
 			return
 		}
 	}
@@ -432,58 +432,58 @@
 }
 
 // next lists every state one action away.
-func (b *box) next(l limits) []*box {
-	out := []*box{}
-	try := func(act func(c *box)) {
-		c := b.clone()
+func (sc *smallChain) next(l limits) []*smallChain {
+	out := []*smallChain{}
+	try := func(act func(c *smallChain)) {
+		c := sc.clone()
 		act(c)
-		c.judge()
+		c.checkInvariants()
 		out = append(out, c)
 	}
-	for i := range b.members {
-		if b.members[i].ready() {
-			try(func(c *box) { c.synced(i) })
-			if b.fills < l.fills && b.crashes == 0 {
-				try(func(c *box) { c.fill(i) })
+	for i := range sc.members {
+		if sc.members[i].ready() {
+			try(func(c *smallChain) { c.synced(i) })
+			if sc.fills < l.fills && sc.crashes == 0 {
+				try(func(c *smallChain) { c.fill(i) })
 			}
 		}
-		if b.members[i].full {
-			try(func(c *box) { c.members[i].full = false })
+		if sc.members[i].full {
+			try(func(c *smallChain) { c.members[i].full = false })
 		}
-		for j := range b.members {
-			if way := [2]int{i, j}; len(b.pipes[way]) > 0 {
-				try(func(c *box) { c.deliver(way) })
+		for j := range sc.members {
+			if way := [2]int{i, j}; len(sc.pipes[way]) > 0 {
+				try(func(c *smallChain) { c.deliver(way) })
 			}
 		}
-		if b.members[i].node == nil {
-			try(func(c *box) { c.start(i, 0) })
-		} else if b.crashes < l.crashes && b.fills == 0 {
-			try(func(c *box) {
+		if sc.members[i].node == nil {
+			try(func(c *smallChain) { c.start(i, 0) })
+		} else if sc.crashes < l.crashes && sc.fills == 0 {
+			try(func(c *smallChain) {
 				c.crashes++
 				c.crash(i)
 			})
 		}
 	}
-	if l.heals && len(b.cuts) > 0 {
-		try(func(c *box) { c.cuts = nil })
+	if l.heals && len(sc.cuts) > 0 {
+		try(func(c *smallChain) { c.cuts = nil })
 	}
-	if b.ticks < l.ticks {
-		try(func(c *box) { c.tick() })
+	if sc.ticks < l.ticks {
+		try(func(c *smallChain) { c.tick() })
 	}
-	if b.writes < l.writes {
-		try(func(c *box) { c.write() })
+	if sc.writes < l.writes {
+		try(func(c *smallChain) { c.write() })
 	}
 	return out
 }
 
 // explore goes through every state within a depth, each once; it reports how many there are, and how
 // many views and acknowledgements they held.
-func explore(t *testing.T, from *box, depth int, l limits) (states, views, acked int) {
+func explore(t *testing.T, from *smallChain, depth int, l limits) (states, views, acked int) {
 	t.Helper()
 	seen := map[string]bool{from.key(): true}
-	edge := []*box{from}
+	edge := []*smallChain{from}
 	for d := 0; d < depth; d++ {
-		var beyond []*box
+		var beyond []*smallChain
 		for _, b := range edge {
 			for _, c := range b.next(l) {
 				if c.broken != "" {
@@ -501,72 +501,72 @@
 	return len(seen), views, acked
 }
 
-func (b *box) pass(ticks int) {
+func (sc *smallChain) advanceTicks(ticks int) {
 	for n := 0; n < ticks; n++ {
-		b.tick()
-		b.settle()
+		sc.tick()
+		sc.deliverAll()
 	}
-	b.ticks = 0
+	sc.ticks = 0
 }
 
-// silence lets time go by without anything being delivered or synced but hellos.
-func (b *box) silence(ticks int) {
+// advanceIsolated lets time go by without anything being delivered or synced but hellos.
+func (sc *smallChain) advanceIsolated(ticks int) {
 	for n := 0; n < ticks; n++ {
-		b.tick()
+		sc.tick()
 	}
-	b.ticks = 0
+	sc.ticks = 0
 }
 
-func scenarios() map[string]func() *box {
-	down := func(i int) func() *box {
-		return func() *box {
-			b := newBox()
+func scenarios() map[string]func() *smallChain {
+	down := func(i int) func() *smallChain {
+		return func() *smallChain {
+			b := newSmallChain()
 			b.write()
-			b.settle()
+			b.deliverAll()
 			b.crash(i)
-			b.silence(3)
+			b.advanceIsolated(3)
 			return b
 		}
 	}
-	return map[string]func() *box{
+	return map[string]func() *smallChain{
 		"the head is gone":   down(0),
 		"the middle is gone": down(1),
 		"the tail is gone":   down(2),
-		"a write under way as the tail goes": func() *box {
-			b := newBox()
+		"a write under way as the tail goes": func() *smallChain {
+			b := newSmallChain()
 			b.write()
 			b.synced(0)
 			b.crash(2)
-			b.silence(3)
+			b.advanceIsolated(3)
 			return b
 		},
-		"an empty one joins": func() *box {
-			b := newBox()
+		"an empty one joins": func() *smallChain {
+			b := newSmallChain()
 			b.write()
-			b.settle()
+			b.deliverAll()
 			b.crash(1)
-			b.pass(8)
+			b.advanceTicks(8)
 			b.members[1].disk, b.members[1].me.ID = nil, "m1-2"
 			b.start(1, 0)
-			b.silence(2)
+			b.advanceIsolated(2)
 			return b
 		},
-		"one that lost its last records joins": func() *box {
-			b := newBox()
+		"one that lost its last records joins": func() *smallChain {
+			b := newSmallChain()
 			b.write()
-			b.settle()
+			b.deliverAll()
 			disk := b.members[2].disk
 			b.crash(2)
-			b.pass(6)
+			b.advanceTicks(6)
 			b.members[2].disk = disk[:len(disk)-2]
 			b.start(2, 0)
-			b.silence(2)
+			b.advanceIsolated(2)
 			return b
 		},
-		"all restart, one of them lossy": func() *box {
-			b := newBox()
+		"all restart, one of them lossy": func() *smallChain {
+			b := newSmallChain()
 			b.write()
-			b.settle()
+			b.deliverAll()
 			for i := range b.members {
 				b.crash(i)
 			}
@@ -574,7 +574,7 @@
 			for i := range b.members {
 				b.start(i, 0)
 			}
-			b.silence(1)
+			b.advanceIsolated(1)
 			return b
 		},
 	}
@@ -587,27 +587,27 @@
 	pathStride   = 6
 )
 
-// onward takes the one action that comes first in a fixed order, or a tick where nothing is under way.
-func (b *box) onward() {
-	for i := range b.members {
-		if b.members[i].ready() {
-			b.synced(i)
+// requireProgress takes the one action that comes first in a fixed order, or a tick where nothing is under way.
+func (sc *smallChain) requireProgress() {
+	for i := range sc.members {
+		if sc.members[i].ready() {
+			sc.synced(i)
 			return
 		}
-		for j := range b.members {
-			if len(b.pipes[[2]int{i, j}]) > 0 {
-				b.deliver([2]int{i, j})
+		for j := range sc.members {
+			if len(sc.pipes[[2]int{i, j}]) > 0 {
+				sc.deliver([2]int{i, j})
 				return
 			}
 		}
 	}
-	b.tick()
-	b.ticks = 0
+	sc.tick()
+	sc.ticks = 0
 }
 
 // From states all along the way through each scenario's view changes, every interleaving of
 // deliveries, syncs, ticks, writes, a crash and restarts up to a depth.
-func TestEveryInterleavingInTheSmall(t *testing.T) {
+func TestEveryInterleavingOfSmallChains(t *testing.T) {
 	depth, stride := exploreDepth, pathStride
 	if raced {
 		depth, stride = racedDepth, 2*pathStride
@@ -624,8 +624,8 @@
 					s, v, a := explore(t, b.clone(), depth, limits{crashes: 1, ticks: 2, writes: b.writes + 1, fills: 1})
 					states, views, acked, starts = states+s, max(views, v), max(acked, a), starts+1
 				}
-				b.onward()
-				b.judge()
+				b.requireProgress()
+				b.checkInvariants()
 				if b.broken != "" {
 					t.Fatal(b.broken)
 				}
@@ -664,7 +664,7 @@
 					} else {
 						nexts[r%uint64(len(nexts))](b)
 					}
-					b.judge()
+					b.checkInvariants()
 					if b.broken != "" {
 						t.Fatalf("walk %d, action %d: %s", seed, n, b.broken)
 					}
@@ -682,47 +682,47 @@
 const crashEvery = 50
 
 // choices are the actions open at a moment, crashes and ticks kept rarer than deliveries.
-func (b *box) choices(r uint64) []func(*box) {
-	acts := []func(*box){}
+func (sc *smallChain) choices(r uint64) []func(*smallChain) {
+	acts := []func(*smallChain){}
 	down := 0
-	for i := range b.members {
-		if b.members[i].ready() {
-			acts = append(acts, func(c *box) { c.synced(i) })
+	for i := range sc.members {
+		if sc.members[i].ready() {
+			acts = append(acts, func(c *smallChain) { c.synced(i) })
 			if r%40 == 7 {
-				acts = append(acts, func(c *box) { c.fill(i) })
+				acts = append(acts, func(c *smallChain) { c.fill(i) })
 			}
 		}
-		if b.members[i].full && r%12 == 5 {
-			acts = append(acts, func(c *box) { c.members[i].full = false })
+		if sc.members[i].full && r%12 == 5 {
+			acts = append(acts, func(c *smallChain) { c.members[i].full = false })
 		}
-		for j := range b.members {
-			if way := [2]int{i, j}; len(b.pipes[way]) > 0 {
-				acts = append(acts, func(c *box) { c.deliver(way) })
+		for j := range sc.members {
+			if way := [2]int{i, j}; len(sc.pipes[way]) > 0 {
+				acts = append(acts, func(c *smallChain) { c.deliver(way) })
 			}
 		}
-		if b.members[i].node == nil {
+		if sc.members[i].node == nil {
 			down++
 			if r%8 == 0 {
-				acts = append(acts, func(c *box) { c.start(i, 0) })
+				acts = append(acts, func(c *smallChain) { c.start(i, 0) })
 			}
 		}
 	}
 	if r%crashEvery == 1 && down == 0 {
-		acts = append(acts, func(c *box) { c.crash(int(r/64) % 3) })
+		acts = append(acts, func(c *smallChain) { c.crash(int(r/64) % 3) })
 	}
 	if r%20 == 3 {
-		acts = append(acts, (*box).write)
+		acts = append(acts, (*smallChain).write)
 	}
 	if r%6 == 2 {
-		acts = append(acts, (*box).tick)
+		acts = append(acts, (*smallChain).tick)
 	}
 	return acts
 }
 
-func TestRecordsAreCarriedAsJSON(t *testing.T) {
-	b := newBox()
+func TestRecordsRoundTripAsJSON(t *testing.T) {
+	b := newSmallChain()
 	b.write()
-	b.settle()
+	b.deliverAll()
 	raw, err := json.Marshal(b.members[0].disk)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/chain/foreign_message_test.go
+++ b/internal/controlplane/chain/foreign_message_test.go
@@ -8,8 +8,8 @@
 	"petreltide/internal/process/clock"
 )
 
-// strange are messages that must not be read: of another chain's members, and of a later version.
-func strange(n *Node) map[string]Msg {
+// foreignMessages are messages that must not be read: of another chain's members, and of a later version.
+func foreignMessages(n *Node) map[string]Msg {
 	other := n.View()
 	other.Number, other.System = other.Number+1, "elsewhere-1"
 	other.Replicas = []Replica{{Member: Member{ID: "elsewhere-1", Name: "elsewhere", Addr: "x"}, Incarnation: "x/1"}}
@@ -28,20 +28,20 @@
 	}
 }
 
-// told is what a message changes in a member.
-func told(n *Node) [6]any {
+// observedState is what a message changes in a member.
+func observedState(n *Node) [6]any {
 	return [6]any{n.View().Number, n.LastIndex(), n.CommitIndex(), n.promisedBallot, n.acceptedProposal != nil, len(n.peers)}
 }
 
 // None of them changes anything, gets an answer, or is served from; each is told of as a typed fault.
-func TestMessagesOfAnotherChainAndOfALaterVersionAreNotRead(t *testing.T) {
+func TestForeignAndNewerMessagesAreRejected(t *testing.T) {
 	y := grown(t, 1, 3, 3)
-	for _, s := range y.spots {
+	for _, s := range y.members {
 		if s.node.View().System == "" {
 			t.Fatalf("%s belongs to no chain", s.me.ID)
 		}
-		for name, m := range strange(s.node) {
-			before := told(s.node)
+		for name, m := range foreignMessages(s.node) {
+			before := observedState(s.node)
 			effects := s.node.Step(y.nowUs, MessageReceived{Msg: &m})
 			var bad *fault.Fault
 			for _, e := range effects {
@@ -55,20 +55,20 @@
 			if m.Version > 0 {
 				want = fault.UnknownFormat
 			}
-			if bad == nil || bad.Code != want || told(s.node) != before {
-				t.Errorf("%s, %s: fault %v, %v before, %v after", s.me.ID, name, bad, before, told(s.node))
+			if bad == nil || bad.Code != want || observedState(s.node) != before {
+				t.Errorf("%s, %s: fault %v, %v before, %v after", s.me.ID, name, bad, before, observedState(s.node))
 			}
 		}
 	}
-	y.settles(5*clock.Sec, "afterwards")
+	y.requireSettled(5*clock.Sec, "afterwards")
 }
 
 // The check must be able to fail: read all the same, a foreign hello takes the member out of its chain.
-func TestAForeignHelloThatIsReadTakesAMemberAway(t *testing.T) {
+func TestUncheckedForeignHelloWouldInstallItsView(t *testing.T) {
 	y := grown(t, 1, 3, 3)
-	n := y.spots[0].node
+	n := y.members[0].node
 	before := n.View().Number
-	hello := strange(n)["a hello with a newer view"]
+	hello := foreignMessages(n)["a hello with a newer view"]
 	hello.Hello.View.System = ""
 	if n.Step(y.nowUs, MessageReceived{Msg: &hello}); n.View().Number == before {
 		t.Fatal("a hello without a chain's name is not read either: the check proves nothing")
@@ -76,7 +76,7 @@
 }
 
 // A chain that was founded before names were kept goes on, and its members read each other.
-func TestAChainWithoutANameGoesOn(t *testing.T) {
+func TestChainWithoutSystemNameAcceptsItsMembers(t *testing.T) {
 	n := &Node{view: View{Number: 3}}
 	if n.isForeign(View{Number: 4, System: "a-1"}) || n.isForeign(View{Number: 4}) {
 		t.Error("a chain without a name takes its own members for foreign")
--- a/internal/controlplane/chain/head_time_test.go
+++ b/internal/controlplane/chain/head_time_test.go
@@ -8,34 +8,34 @@
 )
 
 // byPlace are the members of a chain of three in the order of their seats.
-func byPlace(y *yard) (all [3]*spot) {
-	for _, s := range y.spots {
+func byPlace(y *testCluster) (all [3]*testMember) {
+	for _, s := range y.members {
 		all[s.node.position()] = s
 	}
 	return all
 }
 
 // holdAcks takes away what one control node tells another's chain, for as long as it is asked to, and returns it.
-func (y *yard) holdAcks(from, to *spot, us int64) (held []message) {
-	for endUs := y.nowUs + us; y.nowUs < endUs; {
-		y.mail = slices.DeleteFunc(y.mail, func(l message) bool {
+func (tc *testCluster) holdAcks(from, to *testMember, us int64) (held []message) {
+	for endUs := tc.nowUs + us; tc.nowUs < endUs; {
+		tc.inFlight = slices.DeleteFunc(tc.inFlight, func(l message) bool {
 			if l.from == from.me.Addr && l.to == to.me.Addr && l.msg.Ack != nil {
 				held = append(held, l)
 				return true
 			}
 			return false
 		})
-		y.pass(yardStepUs)
+		tc.advance(yardStepUs)
 	}
 	return held
 }
 
 // Echoes that lay in a link while a control node was cut off say nothing of now, in whatever order they come.
-func TestAnEchoThatLayInALinkMakesNobodyCurrent(t *testing.T) {
+func TestDelayedHeadTimeConfirmationDoesNotCount(t *testing.T) {
 	for seed := range int64(10) {
 		for place := range 2 {
-			y := pacedYard(t, seed, 3)
-			y.pass(clock.Sec)
+			y := newPacedTestCluster(t, seed, 3)
+			y.advance(clock.Sec)
 			all := byPlace(y)
 			struck, next := all[place], all[place+1]
 			if !struck.node.UpToDate(y.nowUs) {
@@ -43,9 +43,9 @@
 			}
 			held := y.holdAcks(next, struck, 400*clock.Ms)
 			for _, s := range all {
-				y.apart([]*spot{struck}, []*spot{s})
+				y.apart([]*testMember{struck}, []*testMember{s})
 			}
-			y.pass(3 * clock.Sec)
+			y.advance(3 * clock.Sec)
 			if struck.node.UpToDate(y.nowUs) || len(held) < 2 {
 				t.Fatalf("seed %d: cut off, place %d is current; %d messages are held", seed, place, len(held))
 			}
@@ -56,9 +56,9 @@
 				}
 			}
 			y.cuts = map[[2]string]bool{}
-			y.settles(20*clock.Sec, "back in contact")
-			y.pass(clock.Sec)
-			for _, s := range y.spots {
+			y.requireSettled(20*clock.Sec, "back in contact")
+			y.advance(clock.Sec)
+			for _, s := range y.members {
 				if !s.node.UpToDate(y.nowUs) {
 					t.Errorf("seed %d: back in contact, %s is not current", seed, s.me.ID)
 				}
@@ -68,9 +68,9 @@
 }
 
 // Time stamps of what was never sent count for nothing: neither an echo nor a lease can come from the future.
-func TestTimeStampsFromTheFutureCountForNothing(t *testing.T) {
+func TestHeadTimesFromTheFutureAreIgnored(t *testing.T) {
 	for _, us := range []int64{clock.Sec, 1 << 60, 1<<63 - 1} {
-		y := pacedYard(t, 1, 3)
+		y := newPacedTestCluster(t, 1, 3)
 		all := byPlace(y)
 		for place := range 2 {
 			n, next := all[place].node, all[place+1]
--- a/internal/controlplane/chain/join_test.go
+++ b/internal/controlplane/chain/join_test.go
@@ -8,7 +8,7 @@
 
 // A joiner is seated behind a tail that holds the whole log only: it takes what its predecessor holds as the view
 // begins for all that was acknowledged.
-func TestAJoinerIsSeatedBehindAWholeTailOnly(t *testing.T) {
+func TestJoinerIsAddedOnlyBehindCaughtUpTail(t *testing.T) {
 	seat := func(id string) Replica {
 		return Replica{Member: Member{ID: id, Name: id, Addr: id}, Incarnation: id + "1"}
 	}
--- a/internal/controlplane/chain/lease_release_test.go
+++ b/internal/controlplane/chain/lease_release_test.go
@@ -8,32 +8,32 @@
 )
 
 // refuse lets a disk take no more bytes, from the next save of its member on.
-func (y *yard) refuse(s *spot) {
+func (tc *testCluster) refuse(s *testMember) {
 	for len(s.saves) == 0 {
-		y.pass(yardStepUs)
+		tc.advance(yardStepUs)
 	}
 	s.slow = true
-	y.step(s, PersistRefused{Seq: s.saves[0].save.Seq})
+	tc.step(s, PersistRefused{Seq: s.saves[0].save.Seq})
 }
 
 // A tail whose disk refuses gives its lease up: the others put it out and acknowledge again without waiting for the end
 // of it, as they do for any other seat.
-func TestAMemberWhoseDiskRefusesIsPutOutAtOnce(t *testing.T) {
+func TestMemberWithRefusingDiskIsRemovedAtOnce(t *testing.T) {
 	for place := range 3 {
 		for seed := range int64(20) {
 			t.Run(fmt.Sprintf("seat %d, seed %d", place, seed), func(t *testing.T) {
-				y := pacedYard(t, seed, 3)
-				y.pass(seed * 7 * clock.Ms)
-				s := y.at(y.spots[0].node.View().Replicas[place].Addr)
+				y := newPacedTestCluster(t, seed, 3)
+				y.advance(seed * 7 * clock.Ms)
+				s := y.at(y.members[0].node.View().Replicas[place].Addr)
 				y.refuse(s)
-				most := y.most
-				y.pass(400 * clock.Ms)
-				for _, other := range y.spots {
+				most := y.lastAcked
+				y.advance(400 * clock.Ms)
+				for _, other := range y.members {
 					if v := other.node.View(); other != s && (v.HasReplica(s.me.ID) || len(v.Replicas) != 2) {
 						t.Errorf("%s has %v", other.me.ID, v.Replicas)
 					}
 				}
-				if y.most <= most {
+				if y.lastAcked <= most {
 					t.Error("nothing was acknowledged within 0.4 s")
 				}
 			})
@@ -43,41 +43,41 @@
 
 // The same where links bring messages twice, late and out of their order, and disks come and go: no two tails are open,
 // and none is open without what was acknowledged.
-func TestReleasedLeasesOnLooseLinks(t *testing.T) {
+func TestLeaseReleaseOverLossyLinks(t *testing.T) {
 	for seed := range int64(60) {
-		y := pacedYard(t, seed, 3)
-		y.loose = true
+		y := newPacedTestCluster(t, seed, 3)
+		y.lossyLinks = true
 		for range 12 {
-			s := y.spots[y.r.Intn(3)]
-			if tail := y.at(y.spots[0].node.View().Tail().Addr); y.r.Intn(2) == 0 {
+			s := y.members[y.r.Intn(3)]
+			if tail := y.at(y.members[0].node.View().Tail().Addr); y.r.Intn(2) == 0 {
 				s = tail
 			}
 			y.refuse(s)
-			y.pass(y.r.Int63n(900 * clock.Ms))
+			y.advance(y.r.Int63n(900 * clock.Ms))
 			s.slow = false
-			y.pass(y.r.Int63n(1500 * clock.Ms))
+			y.advance(y.r.Int63n(1500 * clock.Ms))
 		}
-		y.loose = false
-		y.pass(6 * clock.Sec)
-		if why := y.settled(); why != "" {
+		y.lossyLinks = false
+		y.advance(6 * clock.Sec)
+		if why := y.unsettledReason(); why != "" {
 			t.Fatalf("seed %d: %s", seed, why)
 		}
 	}
 }
 
 // Nobody can take the tail's place: it keeps its lease and goes on answering for as long as its voters grant it.
-func TestATailThatNobodyCanReplaceKeepsItsLease(t *testing.T) {
-	y := pacedYard(t, 1, 3)
-	tail := y.at(y.spots[0].node.View().Tail().Addr)
-	for _, s := range y.spots {
+func TestIrreplaceableTailKeepsItsLease(t *testing.T) {
+	y := newPacedTestCluster(t, 1, 3)
+	tail := y.at(y.members[0].node.View().Tail().Addr)
+	for _, s := range y.members {
 		if s != tail {
 			y.refuse(s)
 		}
 	}
-	y.pass(20 * clock.Ms)
+	y.advance(20 * clock.Ms)
 	y.refuse(tail)
 	for endUs := y.nowUs + 3*clock.Sec; y.nowUs < endUs; {
-		y.pass(yardStepUs)
+		y.advance(yardStepUs)
 		if !tail.node.TailReady(y.nowUs) {
 			t.Fatalf("it is not open: waits for %q", tail.node.WaitReason())
 		}
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestAVoterWaitsForTheLeaseItGaveUnlessThatIsReleased(t *testing.T) {
+func TestVoterWaitsForItsGrantUnlessReleased(t *testing.T) {
 	lease := func(sentUs int64) Msg { return Msg{Lease: &Lease{View: 5, SentUs: sentUs}} }
 	release := func(sentUs int64) Msg { return Msg{Lease: &Lease{View: 5, SentUs: sentUs, Released: true}} }
 	for name, c := range map[string]struct {
@@ -133,7 +133,7 @@
 }
 
 // Only the tail of the view releases its lease.
-func TestAReleaseOfAnotherCountsForNothing(t *testing.T) {
+func TestLeaseReleaseOfOtherThanTailIsIgnored(t *testing.T) {
 	n, got := releasedNode(t, "a")
 	got("c", Msg{Lease: &Lease{View: 5, SentUs: 10}})
 	got("b", Msg{Lease: &Lease{View: 5, SentUs: 20, Released: true}})
@@ -144,7 +144,7 @@
 }
 
 // A voter that accepts a next view once the lease is released does so at once, not with its next tick.
-func TestAViewThatWaitsForALeaseIsAcceptedOnceThatIsReleased(t *testing.T) {
+func TestPendingViewIsAcceptedOnceLeaseIsReleased(t *testing.T) {
 	n, got := releasedNode(t, "a")
 	got("c", Msg{Lease: &Lease{View: 5, SentUs: 10}})
 	next := View{Number: 6, Voters: n.view.Voters, Replicas: n.view.Replicas[:2]}
@@ -159,7 +159,7 @@
 }
 
 // A tail takes up no grant that it asked for before it released its lease.
-func TestAGrantFromBeforeTheReleaseCountsForNothing(t *testing.T) {
+func TestLeaseGrantFromBeforeReleaseIsIgnored(t *testing.T) {
 	n, got := releasedNode(t, "c")
 	n.phase = PhaseServing
 	n.leaseReleasedUs = 4 * clock.Sec
--- a/internal/controlplane/chain/lease_yield_test.go
+++ b/internal/controlplane/chain/lease_yield_test.go
@@ -8,7 +8,7 @@
 
 // A voter that has accepted a next view with another tail gives the tail of now no lease, as the others may
 // decide at any moment; and where nobody brings that view to an end it takes it up itself.
-func TestAVoterThatAcceptedAnotherTailGivesNoLease(t *testing.T) {
+func TestVoterThatAcceptedAnotherTailGrantsNoLease(t *testing.T) {
 	seat := func(id string) Replica { return Replica{Member: Member{ID: id, Addr: id}, Incarnation: id + "1"} }
 	view := func(number uint64, order ...string) View {
 		v := View{Number: number, Voters: []Member{seat("a").Member, seat("b").Member, seat("c").Member}}
--- a/internal/controlplane/chain/partition_test.go
+++ b/internal/controlplane/chain/partition_test.go
@@ -8,37 +8,37 @@
 )
 
 // cutOff takes away what a member says to the others, what they say to it, or both, with what is under way.
-func (b *box) cutOff(struck int, says, hears bool) {
-	b.cuts = map[[2]int]bool{}
-	for other := range b.members {
+func (sc *smallChain) cutOff(struck int, says, hears bool) {
+	sc.cuts = map[[2]int]bool{}
+	for other := range sc.members {
 		if other == struck {
 			continue
 		}
 		for way, cut := range map[[2]int]bool{{struck, other}: says, {other, struck}: hears} {
 			if cut {
-				b.cuts[way] = true
-				delete(b.pipes, way)
+				sc.cuts[way] = true
+				delete(sc.pipes, way)
 			}
 		}
 	}
 }
 
 // cutScenarios cut each member off in each way: between writes, or with one under way.
-func cutScenarios() map[string]func() *box {
-	all := map[string]func() *box{}
+func cutScenarios() map[string]func() *smallChain {
+	all := map[string]func() *smallChain{}
 	ways := map[string][2]bool{"both ways": {true, true}, "mute": {true, false}, "deaf": {false, true}}
 	for struck, role := range []string{"head", "middle", "tail"} {
 		for name, way := range ways {
-			all[fmt.Sprintf("the %s is cut off, %s", role, name)] = func() *box {
-				b := newBox()
+			all[fmt.Sprintf("the %s is cut off, %s", role, name)] = func() *smallChain {
+				b := newSmallChain()
 				b.write()
-				b.settle()
+				b.deliverAll()
 				b.cutOff(struck, way[0], way[1])
-				b.silence(2)
+				b.advanceIsolated(2)
 				return b
 			}
-			all[fmt.Sprintf("the %s is cut off during a write, %s", role, name)] = func() *box {
-				b := newBox()
+			all[fmt.Sprintf("the %s is cut off during a write, %s", role, name)] = func() *smallChain {
+				b := newSmallChain()
 				b.write()
 				b.synced(0)
 				b.cutOff(struck, way[0], way[1])
@@ -57,7 +57,7 @@
 
 // From states all along the way through each cut, every interleaving of deliveries, syncs, ticks, writes and
 // the links' healing up to a depth.
-func TestEveryInterleavingWhileAMemberIsCutOff(t *testing.T) {
+func TestEveryInterleavingUnderPartition(t *testing.T) {
 	depth, stride := cutDepth, cutPathStride
 	if raced {
 		depth, stride = racedDepth, cutPathStride/2
@@ -74,8 +74,8 @@
 					s, v, _ := explore(t, b.clone(), depth, limits{ticks: 2, writes: b.writes + 1, heals: true})
 					states, views = states+s, max(views, v)
 				}
-				b.onward()
-				b.judge()
+				b.requireProgress()
+				b.checkInvariants()
 				if b.broken != "" {
 					t.Fatal(b.broken)
 				}
@@ -89,14 +89,14 @@
 }
 
 // Long walks at random, in which one member after another is cut off and comes back.
-func TestLongWalksWithMembersCutOff(t *testing.T) {
+func TestLongWalksUnderPartitions(t *testing.T) {
 	walks := 300
 	if raced {
 		walks = 30
 	}
 	views, acked, cuts := 0, 0, 0
 	for seed := 0; seed < walks; seed++ {
-		b := newBox()
+		b := newSmallChain()
 		r := uint64(seed)*2654435761 + 1
 		for n := 0; n < 600; n++ {
 			r ^= r << 13
@@ -119,7 +119,7 @@
 			} else {
 				acts[r%uint64(len(acts))](b)
 			}
-			b.judge()
+			b.checkInvariants()
 			if b.broken != "" {
 				t.Fatalf("walk %d, action %d: %s", seed, n, b.broken)
 			}
--- a/internal/controlplane/chain/process_pause_test.go
+++ b/internal/controlplane/chain/process_pause_test.go
@@ -7,28 +7,28 @@
 	"petreltide/internal/process/clock"
 )
 
-// freeze lets a member's process stand still. What came meanwhile is read only after its next tick.
-func (y *yard) freeze(s *spot, spanUs int64) {
-	s.frozen = true
-	y.pass(spanUs)
-	s.frozen = false
-	y.step(s, Tick{})
+// pause lets a member's process stand still. What came meanwhile is read only after its next tick.
+func (tc *testCluster) pause(s *testMember, spanUs int64) {
+	s.paused = true
+	tc.advance(spanUs)
+	s.paused = false
+	tc.step(s, Tick{})
 }
 
 // A member that stood still has heard nobody, which says nothing of the others, however short or long it was.
-func TestAMemberThatStoodStillSuspectsNobody(t *testing.T) {
+func TestPausedProcessSuspectsNobody(t *testing.T) {
 	for member := range 3 {
 		for spanUs := 100 * clock.Ms; spanUs <= 1500*clock.Ms; spanUs += 50 * clock.Ms {
 			t.Run(fmt.Sprintf("member %d for %d ms", member, spanUs/clock.Ms), func(t *testing.T) {
-				y := pacedYard(t, 1, 3)
-				s := y.spots[member]
-				y.freeze(s, spanUs)
+				y := newPacedTestCluster(t, 1, 3)
+				s := y.members[member]
+				y.pause(s, spanUs)
 				if p := s.node.proposal; p != nil {
 					t.Fatalf("it wants %v", p.desired.Replicas)
 				}
-				y.pass(3 * clock.Sec)
+				y.advance(3 * clock.Sec)
 				for _, v := range y.views {
-					for _, other := range y.spots {
+					for _, other := range y.members {
 						if other != s && !v.HasReplica(other.me.ID) {
 							t.Fatalf("view %d is without %s, which never stood still", v.Number, other.me.ID)
 						}
@@ -40,19 +40,19 @@
 }
 
 // Members that stand still again and again, as on a machine of too few cores, put out a lost one all the same.
-func TestMembersThatStandStillOftenPutOutALostOne(t *testing.T) {
+func TestOftenPausedMembersRemoveLostOne(t *testing.T) {
 	for _, spanUs := range []int64{150 * clock.Ms, 300 * clock.Ms, 600 * clock.Ms} {
 		t.Run(fmt.Sprint(spanUs/clock.Ms, " ms each"), func(t *testing.T) {
-			y := pacedYard(t, 1, 3)
-			y.stop(y.spots[2])
+			y := newPacedTestCluster(t, 1, 3)
+			y.stop(y.members[2])
 			for endUs := y.nowUs + 5*clock.Sec; y.nowUs < endUs; {
-				y.spots[0].frozen, y.spots[1].frozen = true, true
-				y.pass(spanUs)
-				y.spots[0].frozen, y.spots[1].frozen = false, false
-				y.pass(100 * clock.Ms)
+				y.members[0].paused, y.members[1].paused = true, true
+				y.advance(spanUs)
+				y.members[0].paused, y.members[1].paused = false, false
+				y.advance(100 * clock.Ms)
 			}
-			for _, s := range y.spots[:2] {
-				if v := s.node.View(); v.HasReplica(y.spots[2].me.ID) || len(v.Replicas) != 2 {
+			for _, s := range y.members[:2] {
+				if v := s.node.View(); v.HasReplica(y.members[2].me.ID) || len(v.Replicas) != 2 {
 					t.Errorf("%s has %v", s.me.ID, v.Replicas)
 				}
 			}
--- a/internal/controlplane/chain/record_test.go
+++ b/internal/controlplane/chain/record_test.go
@@ -7,12 +7,12 @@
 )
 
 // A record that was handed out stays as it was, whatever the member learns before the disk has it.
-func TestARecordDoesNotChangeOnItsWayToTheDisk(t *testing.T) {
+func TestPersistedRecordIsImmutable(t *testing.T) {
 	y := grown(t, 1, 3, 3)
 	for range 40 {
-		y.pass(100 * clock.Ms)
+		y.advance(100 * clock.Ms)
 	}
-	for _, s := range y.spots {
+	for _, s := range y.members {
 		if s.node.base.Index == 0 {
 			t.Fatal("nothing was compacted")
 		}
--- a/internal/controlplane/chain/replaced_vote_test.go
+++ b/internal/controlplane/chain/replaced_vote_test.go
@@ -8,18 +8,18 @@
 )
 
 // apart cuts every link between two groups of control nodes; what is under way there is lost.
-func (y *yard) apart(one, other []*spot) {
+func (tc *testCluster) apart(one, other []*testMember) {
 	for _, a := range one {
 		for _, b := range other {
-			y.cuts[[2]string{a.me.Addr, b.me.Addr}] = true
+			tc.cuts[[2]string{a.me.Addr, b.me.Addr}] = true
 		}
 	}
 }
 
 // passUntil goes on until something holds, and says whether it came to hold in time.
-func (y *yard) passUntil(withinUs int64, holds func() bool) bool {
-	for endUs := y.nowUs + withinUs; y.nowUs < endUs && !holds(); {
-		y.pass(yardStepUs)
+func (tc *testCluster) passUntil(withinUs int64, holds func() bool) bool {
+	for endUs := tc.nowUs + withinUs; tc.nowUs < endUs && !holds(); {
+		tc.advance(yardStepUs)
 	}
 	return holds()
 }
@@ -29,10 +29,10 @@
 // head suspects it the others give that vote to the first newcomer. Then the network splits: the tail is beside a majority
 // of the voters before, and a majority of the voters after is on the other side, where the head reaches the first
 // newcomer only once it suspects the tail. It says whether it came to that.
-func splitAfterAReplacedVote(t *testing.T, seed int64) (y *yard, split bool) {
-	y = pacedYard(t, seed, 3)
-	spots := map[int]*spot{}
-	for _, s := range y.spots {
+func splitAfterAReplacedVote(t *testing.T, seed int64) (y *testCluster, split bool) {
+	y = newPacedTestCluster(t, seed, 3)
+	spots := map[int]*testMember{}
+	for _, s := range y.members {
 		spots[s.node.position()] = s
 	}
 	head, middle, silent := spots[0], spots[1], spots[2]
@@ -41,36 +41,36 @@
 		t.Fatalf("seed %d: a member whose disk hangs keeps its seat", seed)
 	}
 	first, second := y.fresh(), y.fresh()
-	y.apart([]*spot{head}, []*spot{first, second})
+	y.apart([]*testMember{head}, []*testMember{first, second})
 	y.start(first, false)
 	y.start(second, false)
-	y.pass(2 * clock.Sec)
+	y.advance(2 * clock.Sec)
 	y.cuts = map[[2]string]bool{}
-	for _, s := range []*spot{head, middle} {
+	for _, s := range []*testMember{head, middle} {
 		y.stop(s)
 		y.start(s, false)
 	}
-	y.pass(600 * clock.Ms)
-	y.apart([]*spot{silent}, []*spot{middle, first})
-	y.pass(800 * clock.Ms)
-	y.apart([]*spot{silent}, []*spot{head})
-	y.pass((1000 + 3*seed) * clock.Ms)
-	y.apart([]*spot{head}, []*spot{second})
+	y.advance(600 * clock.Ms)
+	y.apart([]*testMember{silent}, []*testMember{middle, first})
+	y.advance(800 * clock.Ms)
+	y.apart([]*testMember{silent}, []*testMember{head})
+	y.advance((1000 + 3*seed) * clock.Ms)
+	y.apart([]*testMember{head}, []*testMember{second})
 	split = y.passUntil(5*clock.Sec, func() bool {
 		v := head.node.view
 		return v.Tail().ID == second.me.ID && v.IsVoter(first.me.ID) && !v.IsVoter(silent.me.ID) && len(v.Voters) == 3
 	})
 	y.cuts = map[[2]string]bool{}
-	y.apart([]*spot{head, first}, []*spot{middle, silent, second})
-	y.apart([]*spot{head}, []*spot{first})
-	y.pass(200 * clock.Ms)
+	y.apart([]*testMember{head, first}, []*testMember{middle, silent, second})
+	y.apart([]*testMember{head}, []*testMember{first})
+	y.advance(200 * clock.Ms)
 	delete(y.cuts, [2]string{head.me.Addr, first.me.Addr})
 	return y, split
 }
 
 // The lease that the tail has from the voters of the view before must have run out before the voters of the view after
 // can have another tail.
-func TestAReplacedVoteLeavesNoLeaseBehind(t *testing.T) {
+func TestReplacedVoterLeavesNoLeaseBehind(t *testing.T) {
 	splits := 0
 	for seed := range int64(60) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -78,12 +78,12 @@
 			if split {
 				splits++
 			}
-			y.pass(4 * clock.Sec)
+			y.advance(4 * clock.Sec)
 			y.cuts = map[[2]string]bool{}
-			for _, s := range y.spots {
+			for _, s := range y.members {
 				s.slow = false
 			}
-			y.settles(20*clock.Sec, "after the split")
+			y.requireSettled(20*clock.Sec, "after the split")
 		})
 	}
 	t.Logf("%d splits", splits)
--- a/internal/controlplane/chain/shutdown_test.go
+++ b/internal/controlplane/chain/shutdown_test.go
@@ -9,15 +9,15 @@
 
 // As many disks as may be lost are lost, and at the same moment one of those that hold the log is told to end: it
 // serves on until enough others hold all of it.
-func TestAHolderLeavesOnlyOnceOthersHoldTheLog(t *testing.T) {
+func TestShutdownWaitsUntilOtherReplicasHoldTheLog(t *testing.T) {
 	for _, controlNodes := range []int{3, 5} {
 		for place := range controlNodes {
 			t.Run(fmt.Sprintf("%d offices, place %d", controlNodes, place), func(t *testing.T) {
 				t.Parallel()
 				for seed := range int64(3) {
-					y := pacedYard(t, seed, controlNodes)
-					var holder *spot
-					others := []*spot{}
+					y := newPacedTestCluster(t, seed, controlNodes)
+					var holder *testMember
+					others := []*testMember{}
 					for _, s := range y.living() {
 						if s.node.position() == place {
 							holder = s
@@ -29,7 +29,7 @@
 					y.step(holder, ShutdownRequested{})
 					waitedUs := int64(0)
 					for ; !holder.node.ShutdownComplete(); waitedUs += yardStepUs {
-						if y.pass(yardStepUs); waitedUs > graceUs {
+						if y.advance(yardStepUs); waitedUs > graceUs {
 							t.Fatalf("seed %d: it has not left: %s", seed, holder.node.WaitReason())
 						}
 					}
@@ -39,13 +39,13 @@
 							holders++
 						}
 					}
-					if holders < y.copies || waitedUs < clock.Sec/2 {
+					if holders < y.minReplicas || waitedUs < clock.Sec/2 {
 						t.Fatalf("seed %d: it left after %d ms, when %d others held the log", seed, waitedUs/clock.Ms, holders)
 					}
 					y.stop(holder)
-					y.pass(clock.Sec)
+					y.advance(clock.Sec)
 					y.start(holder, false)
-					y.settles(20*clock.Sec, "back")
+					y.requireSettled(20*clock.Sec, "back")
 				}
 			})
 		}
@@ -54,46 +54,46 @@
 
 // Where operators change the members, one that is told to end hands over its seat, keeps its vote, and has both again
 // when it is back.
-func TestAMemberByCommandHandsOverItsSeatOnly(t *testing.T) {
+func TestShutdownWithoutAutoMembershipHandsOverPositionOnly(t *testing.T) {
 	for i := range 3 {
-		b := newBox()
+		b := newSmallChain()
 		p := b.members[i]
 		b.step(i, ShutdownRequested{})
 		for n := 0; n < 12 && !p.node.ShutdownComplete(); n++ {
 			b.tick()
-			b.settle()
+			b.deliverAll()
 		}
 		if !p.node.ShutdownComplete() || p.node.view.HasReplica(p.me.ID) || !p.node.view.IsVoter(p.me.ID) {
 			t.Fatalf("member %d: left %v, %+v", i, p.node.ShutdownComplete(), p.node.view)
 		}
 		b.crash(i)
 		b.write()
-		b.settle()
+		b.deliverAll()
 		if len(b.acked) != 1 {
 			t.Fatalf("member %d: %d acknowledged without it", i, len(b.acked))
 		}
 		b.start(i, 0)
-		b.pass(14)
-		if b.judge(); b.broken != "" || !p.node.serving() || len(p.node.view.Replicas) != 3 {
+		b.advanceTicks(14)
+		if b.checkInvariants(); b.broken != "" || !p.node.serving() || len(p.node.view.Replicas) != 3 {
 			t.Fatalf("member %d: %s, back as %s in %+v", i, b.broken, p.node.phase, p.node.view)
 		}
 	}
 }
 
 // Where all are told to end, nobody waits for the others to take over.
-func TestAllThatAreToldToEndEndAtOnce(t *testing.T) {
+func TestShutdownOfAllMembersCompletesAtOnce(t *testing.T) {
 	for _, controlNodes := range []int{1, 3, 5} {
-		y := newYard(t, 1, controlNodes, min(3, controlNodes))
-		y.paced, y.copies = true, (controlNodes-1)/2+1
-		for _, s := range y.spots {
+		y := newTestCluster(t, 1, controlNodes, min(3, controlNodes))
+		y.paced, y.minReplicas = true, (controlNodes-1)/2+1
+		for _, s := range y.members {
 			y.start(s, true)
 		}
-		y.settles(30*clock.Sec, "founding")
-		for _, s := range y.spots {
+		y.requireSettled(30*clock.Sec, "founding")
+		for _, s := range y.members {
 			y.step(s, ShutdownRequested{})
 		}
-		y.pass(clock.Sec / 4)
-		for _, s := range y.spots {
+		y.advance(clock.Sec / 4)
+		for _, s := range y.members {
 			if !s.node.ShutdownComplete() {
 				t.Errorf("%d control nodes: %s waits for %s", controlNodes, s.me.ID, s.node.WaitReason())
 			}
@@ -103,41 +103,41 @@
 
 // One machine (two of five) is down with its disk, and nobody comes in its place: another that is told to end waits for
 // it, as without it too few would hold what is acknowledged.
-func TestAHolderWaitsForOneThatIsDown(t *testing.T) {
+func TestShutdownWaitsForMemberThatIsDown(t *testing.T) {
 	for _, controlNodes := range []int{3, 5} {
 		for seed := range int64(4) {
-			y := pacedYard(t, seed, controlNodes)
+			y := newPacedTestCluster(t, seed, controlNodes)
 			lost := y.picks(int(seed))
 			for _, s := range lost {
 				y.stop(s)
 			}
-			y.pass(2 * clock.Sec)
-			var holder *spot
+			y.advance(2 * clock.Sec)
+			var holder *testMember
 			for _, s := range y.living() {
 				if s.node != nil {
 					holder = s
 				}
 			}
 			y.step(holder, ShutdownRequested{})
-			y.pass(clock.Sec)
-			before := y.most
-			y.pass(clock.Sec)
-			if holder.node.ShutdownComplete() || holder.node.WaitReason() == "" || y.most == before {
-				t.Fatalf("%d control nodes, seed %d: left %v, %d acknowledged in a second, in %+v", controlNodes, seed, holder.node.ShutdownComplete(), y.most-before, holder.node.view)
+			y.advance(clock.Sec)
+			before := y.lastAcked
+			y.advance(clock.Sec)
+			if holder.node.ShutdownComplete() || holder.node.WaitReason() == "" || y.lastAcked == before {
+				t.Fatalf("%d control nodes, seed %d: left %v, %d acknowledged in a second, in %+v", controlNodes, seed, holder.node.ShutdownComplete(), y.lastAcked-before, holder.node.view)
 			}
 			for _, s := range lost {
 				y.start(s, false)
 			}
 			for endUs := y.nowUs + 4*clock.Sec; y.nowUs < endUs && !holder.node.ShutdownComplete(); {
-				y.pass(yardStepUs)
+				y.advance(yardStepUs)
 			}
 			if !holder.node.ShutdownComplete() {
 				t.Fatalf("%d control nodes, seed %d: it waits for %s", controlNodes, seed, holder.node.WaitReason())
 			}
 			y.terminate(holder)
-			y.pass(clock.Sec)
+			y.advance(clock.Sec)
 			y.start(holder, false)
-			y.settles(20*clock.Sec, "back")
+			y.requireSettled(20*clock.Sec, "back")
 		}
 	}
 }
--- a/internal/controlplane/chain/superseded_test.go
+++ b/internal/controlplane/chain/superseded_test.go
@@ -8,7 +8,7 @@
 
 // A voter knows of a tail's end by an incarnation of its control node that came after. One that it heard before, and has not
 // heard from since, says nothing of the tail.
-func TestOnlyALaterIncarnationEndsASeat(t *testing.T) {
+func TestOnlyLaterIncarnationSupersedesReplica(t *testing.T) {
 	for name, c := range map[string]struct {
 		heard string
 		view  uint64
--- a/internal/controlplane/chain/unsynced_log_test.go
+++ b/internal/controlplane/chain/unsynced_log_test.go
@@ -31,8 +31,8 @@
 	return n
 }
 
-// acked is the highest index that the member tells its predecessor it has synced.
-func acked(n *Node, nowUs int64, ev Event) (highest uint64) {
+// highestAcked is the highest index that the member tells its predecessor it has synced.
+func highestAcked(n *Node, nowUs int64, ev Event) (highest uint64) {
 	for _, e := range n.Step(nowUs, ev) {
 		if send, ok := e.(Send); ok && send.Msg.Ack != nil {
 			highest = max(highest, send.Msg.Ack.SyncedIndex)
@@ -43,17 +43,17 @@
 
 // What the disk gave back without having synced it is not counted before the disk has: the member says that its disk
 // stands still, reports nothing as synced and takes part in no vote.
-func TestALogThatWasNotSyncedDoesNotCount(t *testing.T) {
+func TestUnsyncedLogIsNotAcknowledged(t *testing.T) {
 	heartbeatUs := clock.Sec + 30*clock.Ms
 	heartbeat := MessageReceived{Msg: &Msg{From: Member{ID: "a", Addr: "a"}, Incarnation: "a/2", Forward: &Forward{View: 2, LastIndex: 1, HeadTimeUs: 1}}}
-	if n := restartedMember(t, false); acked(n, heartbeatUs, heartbeat) != 1 || n.diskStalled() {
+	if n := restartedMember(t, false); highestAcked(n, heartbeatUs, heartbeat) != 1 || n.diskStalled() {
 		t.Fatal("a synced log does not count")
 	}
 	n := restartedMember(t, true)
-	if last := acked(n, heartbeatUs, heartbeat); last != 0 || !n.diskStalled() || !n.refusesToVote() {
+	if last := highestAcked(n, heartbeatUs, heartbeat); last != 0 || !n.diskStalled() || !n.refusesToVote() {
 		t.Fatalf("acknowledges %d, stalled %v, mute %v", last, n.diskStalled(), n.refusesToVote())
 	}
-	if last := acked(n, clock.Sec+40*clock.Ms, Persisted{Seq: OpeningPersistSeq}); last != 1 || n.diskStalled() {
+	if last := highestAcked(n, clock.Sec+40*clock.Ms, Persisted{Seq: OpeningPersistSeq}); last != 1 || n.diskStalled() {
 		t.Fatalf("synced it acknowledges %d, stalled %v", last, n.diskStalled())
 	}
 }
--- a/internal/controlplane/chain/validate_test.go
+++ b/internal/controlplane/chain/validate_test.go
@@ -10,8 +10,8 @@
 )
 
 // malformedMessages are such as no control node sends, each as if it came from the first control node to another.
-func malformedMessages(y *yard, n *Node) map[string]Msg {
-	from := y.spots[0]
+func malformedMessages(y *testCluster, n *Node) map[string]Msg {
+	from := y.members[0]
 	next := n.View()
 	next.Number++
 	with := func(change func(*View)) View {
@@ -42,7 +42,7 @@
 		"a hello with votes to spare below 0":   {Hello: hello(with(func(v *View) { v.ExtraVoters = -1 }))},
 		"a copy of nothing":                     {Forward: &Forward{View: n.view.Number, Snapshot: &Snapshot{Index: n.LastIndex() + 9, State: &statemachine.State{}}}},
 		"a copy without a state":                {InstallSnapshot: &InstallSnapshot{View: n.view.Number, Incarnation: n.opts.Incarnation}},
-		"a copy with a replica of nothing":      {Forward: &Forward{View: n.view.Number, Snapshot: &Snapshot{Index: n.LastIndex() + 9, State: spoiltState()}}},
+		"a copy with a replica of nothing":      {Forward: &Forward{View: n.view.Number, Snapshot: &Snapshot{Index: n.LastIndex() + 9, State: malformedState()}}},
 	}
 	for name, m := range all {
 		m.From, m.Incarnation = from.me, from.opts.Incarnation
@@ -51,32 +51,32 @@
 	return all
 }
 
-func spoiltState() *statemachine.State {
+func malformedState() *statemachine.State {
 	s := statemachine.NewState()
 	s.Replicas["r"] = nil
 	return s
 }
 
 // None of them is read: nothing changes, each is told of, and the chain goes on.
-func TestMalformedMessagesAreNotRead(t *testing.T) {
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	y := grown(t, 1, 3, 3)
-	for _, s := range y.spots[1:] {
+	for _, s := range y.members[1:] {
 		for name, m := range malformedMessages(y, s.node) {
-			before := told(s.node)
+			before := observedState(s.node)
 			var bad *fault.Fault
 			for _, e := range s.node.Step(y.nowUs, MessageReceived{Msg: &m}) {
 				if rejected, ok := e.(MessageRejected); ok {
 					bad = rejected.Fault
 				}
 			}
-			if bad == nil || bad.Code != fault.BadField || told(s.node) != before {
-				t.Errorf("%s, %s: fault %v, %v before, %v after", s.me.ID, name, bad, before, told(s.node))
+			if bad == nil || bad.Code != fault.BadField || observedState(s.node) != before {
+				t.Errorf("%s, %s: fault %v, %v before, %v after", s.me.ID, name, bad, before, observedState(s.node))
 			}
 		}
 	}
-	y.settles(5*clock.Sec, "afterwards")
-	y.replace(y.spots[0])
-	y.settles(20*clock.Sec, "after a loss")
+	y.requireSettled(5*clock.Sec, "afterwards")
+	y.replace(y.members[0])
+	y.requireSettled(20*clock.Sec, "after a loss")
 }
 
 // Who does not vote decides nothing, whatever it says that it has promised or accepted.
--- a/internal/controlplane/storage/bounds_test.go
+++ b/internal/controlplane/storage/bounds_test.go
@@ -204,7 +204,7 @@
 }
 
 // Views come and go and nothing is written: the log is begun anew all the same.
-func TestALogOfNothingButViewsIsBounded(t *testing.T) {
+func TestLogOfViewsOnlyIsBounded(t *testing.T) {
 	const most = 32 << 10
 	b := flapped(t, most)
 	if b.copies == 0 || b.store.LogBytes() > 2*most {
--- a/internal/controlplane/storage/catchup_test.go
+++ b/internal/controlplane/storage/catchup_test.go
@@ -68,7 +68,7 @@
 
 // A member that was down through many changes is caught up soon while they go on, at the cost of one copy, and no
 // acknowledgement waits for it.
-func TestAMemberDownThroughManyChanges(t *testing.T) {
+func TestMemberDownDuringManyChangesCatchesUp(t *testing.T) {
 	type absence struct {
 		routes, changes, place int
 		with                   lost
@@ -131,7 +131,7 @@
 }
 
 // Each must be seen: a link too slow for a copy, and a core that does nothing else while it encodes one.
-func TestTheCheckOfCatchingUpCanFail(t *testing.T) {
+func TestCatchUpCheckCanFail(t *testing.T) {
 	for planted, c := range map[string]costs{
 		"a slow link":    {linkNs: 200_000, codeNs: codeNsPerByte},
 		"a core held up": {linkNs: linkNsPerByte, codeNs: 200_000},
--- a/internal/controlplane/storage/codec_test.go
+++ b/internal/controlplane/storage/codec_test.go
@@ -54,7 +54,7 @@
 }
 
 // What a later version wrote is refused as such, wherever in a record it stands, and left as it is.
-func TestARecordOfAnUnknownFormIsRefused(t *testing.T) {
+func TestRecordOfUnknownFormatIsRefused(t *testing.T) {
 	for name, payload := range map[string]string{
 		"another kind of record":     `[{"lease":{"until":5}}]`,
 		"one more field of an entry": `[{"entry":{"index":6,"view":1,"change":{"id":"c"},"after":5}}]`,
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestACopyOfAnUnknownFormIsRefused(t *testing.T) {
+func TestSnapshotOfUnknownFormatIsRefused(t *testing.T) {
 	for text, want := range map[string]fault.Code{
 		`{"index":2,"view":1,"state":{},"from":1,"parts":2}`:  fault.UnknownFormat,
 		`{"index":2,"view":1,"state":{"quotas":{}},"from":1}`: fault.UnknownFormat,
@@ -112,7 +112,7 @@
 }
 
 // A copy that is damaged in any one byte is refused, and so is one that is cut short.
-func TestACopyDamagedAnywhereIsRefused(t *testing.T) {
+func TestDamagedSnapshotIsRefused(t *testing.T) {
 	dir := filled(t, 3)
 	o, err := Open(dir, mine)
 	if err != nil {
--- a/internal/controlplane/storage/crash_test.go
+++ b/internal/controlplane/storage/crash_test.go
@@ -303,7 +303,7 @@
 // Power is lost, or the process killed and its successor's power lost, before every change of the disk that a
 // store makes; every name and every write that no sync covered is kept or lost by itself. All that was reported
 // as saved comes back, in order and once, and at most what was under way besides.
-func TestPowerLostAtEveryStep(t *testing.T) {
+func TestPowerLossAtEveryStep(t *testing.T) {
 	betweens := [][2]int{{0, 0}, {1, 2}, {2, 3}, {3, 4}, {4, 5}, {5, 1}}
 	if raced {
 		betweens = betweens[:1]
@@ -325,7 +325,7 @@
 }
 
 // The same while the disk is full for a while, from every change on.
-func TestPowerLostWhileTheDiskIsFull(t *testing.T) {
+func TestPowerLossWhileDiskIsFull(t *testing.T) {
 	plain := &explorer{}
 	changes := plain.explore(newPowerDisk(), [2]int{})
 	if plain.wrong != "" {
@@ -347,7 +347,7 @@
 
 // Each defect must be seen: of the disk, of a store that does not make sure of what it finds, and of a user that
 // forgets the log before the copy is kept.
-func TestTheCheckOfLostPowerCanFail(t *testing.T) {
+func TestPowerLossCheckCanFail(t *testing.T) {
 	for _, planted := range []lie{foldersAreUnsynced, copiesAreUnsynced, logIsUnsynced} {
 		d, x := newPowerDisk(), &explorer{}
 		d.lie = planted
@@ -401,7 +401,7 @@
 }
 
 // What a disk gives back while it refuses every sync does not count as saved until it takes one.
-func TestARefusedOpeningIsSaid(t *testing.T) {
+func TestWriteErrorOfOpenIsReported(t *testing.T) {
 	d, copies := newPowerDisk(), []history{}
 	u := &user{disk: d, copies: &copies, writer: "first-"}
 	if err := u.enter([]string{""}); err != nil {
--- a/internal/controlplane/storage/disk_refusal_test.go
+++ b/internal/controlplane/storage/disk_refusal_test.go
@@ -356,7 +356,7 @@
 
 // Whatever the disk refuses, and for however long: the same is tried again, and at every moment all that
 // was synced is there, once and in order, after a kill and after a loss of power.
-func TestARefusedWriteIsTriedAgainAndNothingIsLostOrTwice(t *testing.T) {
+func TestRefusedWriteIsRetriedExactlyOnce(t *testing.T) {
 	plain := newTrial()
 	if why, n := life(plain, judged(plain)); why != "" || n < 30 {
 		t.Fatal(why, n)
@@ -386,7 +386,7 @@
 }
 
 // The check itself must be able to fail: a disk that does not cut, and one that does not sync.
-func TestTheCheckOfRefusedWritesCanFail(t *testing.T) {
+func TestRefusedWriteCheckCanFail(t *testing.T) {
 	for _, how := range []string{"truncate lies", "sync lies"} {
 		caught := false
 		for from := 1; from <= 80 && !caught; from++ {
--- a/internal/controlplane/storage/diskuse_test.go
+++ b/internal/controlplane/storage/diskuse_test.go
@@ -19,7 +19,7 @@
 }
 
 // What a member has on its disk, and its state, stay bounded however many changes pass.
-func TestDiskInUseOverManyChanges(t *testing.T) {
+func TestDiskUsageOverManyChanges(t *testing.T) {
 	if raced {
 		t.Skip("too slow under the race detector, and all of it is one goroutine")
 	}
@@ -55,7 +55,7 @@
 
 // A disk is full for twenty seconds, from any moment on, while snapshots are taken again and again: the member goes
 // on, the others acknowledge without it, its disk does not grow, and it is caught up soon after room is there.
-func TestADiskThatIsFullForLong(t *testing.T) {
+func TestDiskFullForLong(t *testing.T) {
 	const logMost = 64 << 10
 	seeds := int64(6)
 	if raced {
--- a/internal/controlplane/storage/lock_test.go
+++ b/internal/controlplane/storage/lock_test.go
@@ -11,7 +11,7 @@
 )
 
 // A folder is one process's: the next one waits for it, and gives up where it does not end.
-func TestAFolderBelongsToOneProcess(t *testing.T) {
+func TestDirIsLockedByOneProcess(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "data")
 	first, err := Lock(folder, "core-1", time.Second)
 	if err != nil {
@@ -38,7 +38,7 @@
 }
 
 // A disk that takes no lock is used all the same.
-func TestADiskThatTakesNoLockIsUsed(t *testing.T) {
+func TestDiskWithoutLockSupportIsUsed(t *testing.T) {
 	folder := t.TempDir()
 	if err := os.Mkdir(filepath.Join(folder, lockName), 0o755); err != nil {
 		t.Fatal(err)
@@ -51,7 +51,7 @@
 }
 
 // A folder that another member's process uses is told apart from one that is only in use, and nobody waits for it.
-func TestAFolderInUseByAnotherMemberIsForeign(t *testing.T) {
+func TestDirLockedByAnotherMemberIsForeign(t *testing.T) {
 	folder := t.TempDir()
 	first, err := Lock(folder, "core-1", time.Second)
 	if err != nil {
--- a/internal/controlplane/storage/restored_test.go
+++ b/internal/controlplane/storage/restored_test.go
@@ -108,7 +108,7 @@
 
 // A member that was restored never answers as tail, nor gives orders, with less than was acknowledged, whatever its
 // disk came back with; and what was acknowledged is what the next change builds on.
-func TestRestoredMembersNeverSpeakForOlderState(t *testing.T) {
+func TestRestoredMembersNeverServeOlderState(t *testing.T) {
 	seeds := int64(12)
 	if raced {
 		seeds = 1
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestTheCheckOfRestoredMembersCanFail(t *testing.T) {
+func TestRestoredMembersCheckCanFail(t *testing.T) {
 	for planted, day := range map[lie]string{
 		logIsUnsynced:      "all lose power",
 		foldersAreUnsynced: "each takes a copy in turn, then all lose power",
@@ -150,7 +150,7 @@
 
 // Power is lost before every change of the disk that the installing of a copy takes, and each disk that may be left
 // comes back: the member is caught up all the same, and never speaks for less than was acknowledged.
-func TestACopyHalfInstalledWhenPowerIsLost(t *testing.T) {
+func TestSnapshotHalfInstalledAtPowerLoss(t *testing.T) {
 	const copyChanges = 5
 	for lossAt := 1; lossAt <= copyChanges+1; lossAt++ {
 		for place := range 3 {
--- a/internal/controlplane/storage/storage_test.go
+++ b/internal/controlplane/storage/storage_test.go
@@ -57,7 +57,7 @@
 	return o, err
 }
 
-func TestRecordsAndIdentityComeBack(t *testing.T) {
+func TestRecordsAndOwnerSurviveReopen(t *testing.T) {
 	o, err := reopened(t, filled(t, 5))
 	if err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestTornLastRecordIsCut(t *testing.T) {
+func TestTornLastRecordIsTruncated(t *testing.T) {
 	for cut := 1; cut < 50; cut += 7 {
 		dir := filled(t, 5)
 		raw, err := os.ReadFile(lastSegment(t, dir))
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestDamageInTheMiddleIsNamedNotCut(t *testing.T) {
+func TestDamageInsideLogIsReportedNotTruncated(t *testing.T) {
 	dir := filled(t, 8)
 	path := lastSegment(t, dir)
 	raw, err := os.ReadFile(path)
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestForeignFolderIsRefused(t *testing.T) {
+func TestForeignDirIsRefused(t *testing.T) {
 	dir := filled(t, 2)
 	_, err := Open(dir, chain.Owner{MemberID: "core-9-zz", Name: "core-9"})
 	var bad *fault.Fault
@@ -132,7 +132,7 @@
 }
 
 // A copy stands for the log before it only once it is kept; killed at any point between, nothing is lost.
-func TestACopyTakesTheLogsPlaceOnlyOnceItIsKept(t *testing.T) {
+func TestLogIsCompactedOnlyOnceSnapshotIsSynced(t *testing.T) {
 	for at, want := range map[string]struct{ records, copied int }{
 		"written": {50 + 1 + 2, 0}, "half kept": {50 + 1 + 2, 0}, "kept": {50 + 1 + 2 + 1, 1}, "forgotten": {3, 1},
 	} {
@@ -181,7 +181,7 @@
 
 // A control node that was put out of the view with entries nobody else had takes a peer's copy. Restarted, it
 // must not find those entries again behind the copy.
-func TestACopyStandsWhereInTheLogItWasTaken(t *testing.T) {
+func TestSnapshotIsReplayedAtItsLogPosition(t *testing.T) {
 	dir := filled(t, 15)
 	o, err := Open(dir, mine)
 	if err != nil {
@@ -223,7 +223,7 @@
 	}
 }
 
-func TestADamagedCopyIsNeverTaken(t *testing.T) {
+func TestDamagedSnapshotIsNeverLoaded(t *testing.T) {
 	dir := filled(t, 3)
 	o, err := Open(dir, mine)
 	if err != nil {
