--- a/tests/brief/brief_test.go
+++ b/tests/brief/brief_test.go
@@ -79,7 +79,7 @@
 			t.Fatal(err)
 		}
 		unknown, unnamed := checked(string(raw), tests, map[string][]string{
-			"day:": simulator.FaultNames(), "real:": fleet.FaultNames(), "routed:": simulator.RoutedFaultNames(), "platform:": platformfleet.FaultNames(),
+			"day:": simulator.DeclaredFaultNames(), "real:": fleet.FaultNames(), "routed:": simulator.RoutedFaultNames(), "platform:": platformfleet.FaultNames(),
 		})
 		if len(unknown) > 0 {
 			t.Errorf("%s names what does not exist: %v", page, unknown)
--- a/tests/cmd/fleet/compare.go
+++ b/tests/cmd/fleet/compare.go
@@ -48,7 +48,7 @@
 			if err != nil {
 				return err
 			}
-			figures, breaches := simulator.Hold(contest)
+			figures, breaches := simulator.ComparePolicies(contest)
 			simulator.Report(cmd.OutOrStdout(), contest, figures)
 			if len(breaches) > 0 {
 				return fault.New(fault.PolicyFailed, "", "%d rule(s) broken, first: %s", len(breaches), breaches[0])
@@ -68,8 +68,8 @@
 }
 
 // contest checks what was told, and reads the declaration and the policies.
-func (c *simulatedComparison) contest(declaration string) (simulator.Contest, error) {
-	contest := simulator.Contest{SpanUs: c.span.Microseconds(), PerSec: c.rate, Faults: c.faults, Gateways: c.gateways, Replicas: c.replicas}
+func (c *simulatedComparison) contest(declaration string) (simulator.PolicyComparison, error) {
+	contest := simulator.PolicyComparison{DurationUs: c.span.Microseconds(), CallsPerSecond: c.rate, Faults: c.faults, Gateways: c.gateways, Replicas: c.replicas}
 	raw, err := configuration.ReadFile(declaration)
 	if err != nil {
 		return contest, err
@@ -78,7 +78,7 @@
 	if bad != nil {
 		return contest, bad
 	}
-	contest.Doc = doc
+	contest.Declaration = doc
 	if len(c.files) < 2 {
 		return contest, fault.New(fault.BadField, "policy", "name two policies or more")
 	}
--- a/tests/fleet/fleet_test.go
+++ b/tests/fleet/fleet_test.go
@@ -44,7 +44,7 @@
 
 func small(t *testing.T) (*Fleet, *configuration.Declaration, context.Context) {
 	t.Helper()
-	doc := simulator.Doc()
+	doc := simulator.ExampleDeclaration()
 	f, err := New(Plan{Petreltide: petreltide, Self: self, Folder: t.TempDir(), ControlNodes: 3, Gateways: 2, Replicas: 3, Zones: doc.Zones,
 		RoomMb: doc.Replica.CapacityMB, Slots: 8, PieceUs: 20_000, FirstUs: 5_000, PartUs: 1_000, Store: doc.Store})
 	if err != nil {
--- a/tests/simulator/compare.go
+++ b/tests/simulator/compare.go
@@ -11,16 +11,16 @@
 	"petreltide/tests/rules"
 )
 
-// Contest is what Hold plays: policies on the same seeds of demand and faults.
-type Contest struct {
-	Doc      *configuration.Declaration
-	Policies []configuration.Policy
-	Seeds    []int64
-	SpanUs   int64
-	PerSec   float64
-	Faults   int
-	Gateways int
-	Replicas int
+// PolicyComparison is what Hold plays: policies on the same seeds of demand and faults.
+type PolicyComparison struct {
+	Declaration    *configuration.Declaration
+	Policies       []configuration.Policy
+	Seeds          []int64
+	DurationUs     int64
+	CallsPerSecond float64
+	Faults         int
+	Gateways       int
+	Replicas       int
 }
 
 // Figure is one measurement of one kind of call; Values are by policy, in the order of the seeds.
@@ -31,13 +31,13 @@
 	Values map[string][]float64
 }
 
-// Hold plays every policy on the same demand and faults, seed by seed, and returns each figure
+// ComparePolicies plays every policy on the same demand and faults, seed by seed, and returns each figure
 // in the order of the seeds.
-func Hold(c Contest) ([]Figure, []rules.Breach) {
+func ComparePolicies(c PolicyComparison) ([]Figure, []rules.Breach) {
 	type cell struct {
 		policy string
 		seed   int
-		out    Outcome
+		out    DeclaredOutcome
 	}
 	cells := make([]cell, 0, len(c.Policies)*len(c.Seeds))
 	for _, p := range c.Policies {
@@ -54,11 +54,11 @@
 			defer group.Done()
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			doc := clone(*c.Doc)
+			doc := clone(*c.Declaration)
 			doc.Policy, doc.Shadows = policy, nil
 			seed := c.Seeds[cells[i].seed]
-			cells[i].out = Play(Plan{Seed: seed, ControlNodes: 3, Gateways: c.Gateways, Replicas: c.Replicas, SpanUs: c.SpanUs, PerSec: c.PerSec,
-				Faults: contestFaults(seed, c.Faults, c.SpanUs), Doc: &doc, Declared: true})
+			cells[i].out = RunDeclaredWithBaseline(DeclaredPlan{Seed: seed, ControlNodes: 3, Gateways: c.Gateways, Replicas: c.Replicas, DurationUs: c.DurationUs, CallsPerSecond: c.CallsPerSecond,
+				Faults: comparisonFaults(seed, c.Faults, c.DurationUs), Doc: &doc, UseDeclaredReplicas: true})
 		}()
 	}
 	group.Wait()
@@ -80,10 +80,10 @@
 	}
 	for _, cell := range cells {
 		breaches = append(breaches, cell.out.Breaches...)
-		for _, k := range c.Doc.Kinds {
+		for _, k := range c.Declaration.Kinds {
 			firsts := []float64{}
 			counts := map[string]float64{}
-			for _, t := range cell.out.Told {
+			for _, t := range cell.out.Results {
 				if t.Kind != k.Name || t.Code == "hung up" {
 					continue
 				}
@@ -123,13 +123,13 @@
 	return figures, breaches
 }
 
-// contestFaults are those a policy can answer: replicas lost, noticed and replaced, and crowds.
-func contestFaults(seed int64, count int, spanUs int64) []Fault {
+// comparisonFaults are those a policy can answer: replicas lost, noticed and replaced, and crowds.
+func comparisonFaults(seed int64, count int, spanUs int64) []Fault {
 	faults := []Fault{}
 	if count == 0 {
 		return faults
 	}
-	for _, f := range Draw(seed, count, spanUs) {
+	for _, f := range DrawDeclaredFaults(seed, count, spanUs) {
 		f.Kind = []string{"crash-replica", "notice", "crowd", "notice"}[f.B%4]
 		faults = append(faults, f)
 	}
@@ -138,7 +138,7 @@
 
 // Report writes the figures of each policy beside the first one's, and says where the spread of
 // the paired differences leaves no difference to be seen.
-func Report(w io.Writer, c Contest, figures []Figure) {
+func Report(w io.Writer, c PolicyComparison, figures []Figure) {
 	first := c.Policies[0].Name
 	for _, p := range c.Policies[1:] {
 		fmt.Fprintf(w, "%s against %s, %d paired seeds\n", p.Name, first, len(c.Seeds))
--- a/tests/simulator/compare_test.go
+++ b/tests/simulator/compare_test.go
@@ -19,8 +19,8 @@
     return []
 `
 
-func contest(policies ...configuration.Policy) Contest {
-	return Contest{Doc: Doc(), Policies: policies, Seeds: []int64{1, 2, 3, 4}, SpanUs: 10 * sec, PerSec: 20, Faults: 2, Gateways: 2, Replicas: 5}
+func contest(policies ...configuration.Policy) PolicyComparison {
+	return PolicyComparison{Declaration: ExampleDeclaration(), Policies: policies, Seeds: []int64{1, 2, 3, 4}, DurationUs: 10 * second, CallsPerSecond: 20, Faults: 2, Gateways: 2, Replicas: 5}
 }
 
 func seen(figures []Figure, a, b string) []string {
@@ -36,7 +36,7 @@
 func TestAPolicyDoesNotDifferFromItself(t *testing.T) {
 	heavy(t)
 	c := contest(configuration.Policy{Name: "steady", Source: examples.Steady}, configuration.Policy{Name: "steady-again", Source: examples.Steady})
-	figures, breaches := Hold(c)
+	figures, breaches := ComparePolicies(c)
 	if len(breaches) > 0 {
 		t.Fatal(breaches)
 	}
@@ -53,7 +53,7 @@
 func TestAPlantedWorsePolicyIsFound(t *testing.T) {
 	heavy(t)
 	c := contest(configuration.Policy{Name: "steady", Source: examples.Steady}, configuration.Policy{Name: "drowsy", Source: drowsy})
-	figures, breaches := Hold(c)
+	figures, breaches := ComparePolicies(c)
 	if len(breaches) > 0 {
 		t.Fatal(breaches)
 	}
--- a/tests/simulator/cutoff_test.go
+++ b/tests/simulator/cutoff_test.go
@@ -8,21 +8,21 @@
 	"petreltide/tests/rules"
 )
 
-const cutOffUs = 20 * sec
+const cutOffUs = 20 * second
 
-func cutOffPlan(seed int64, controlNodes int, cuts ...CutOff) RoutedPlan {
+func cutOffPlan(seed int64, controlNodes int, cuts ...Partition) RoutedPlan {
 	p := routedPlan(seed, 0)
-	p.ControlNodes, p.Closing, p.CutOffs, p.SpanUs = controlNodes, "", cuts, 24*sec
-	for i := range p.CutOffs {
-		c := &p.CutOffs[i]
+	p.ControlNodes, p.Closing, p.Partitions, p.DurationUs = controlNodes, "", cuts, 24*second
+	for i := range p.Partitions {
+		c := &p.Partitions[i]
 		if c.AtUs == 0 {
-			c.AtUs = sec
+			c.AtUs = second
 		}
-		if c.ForUs == 0 {
-			c.ForUs = cutOffUs
+		if c.DurationUs == 0 {
+			c.DurationUs = cutOffUs
 		}
-		if c.Way == "" {
-			c.Way = SilentWay
+		if c.Direction == "" {
+			c.Direction = SilentWay
 		}
 	}
 	return p
@@ -32,23 +32,23 @@
 func cutOffDays() map[string]RoutedPlan {
 	days := map[string]RoutedPlan{}
 	seed := int64(1)
-	add := func(name string, controlNodes int, cuts ...CutOff) {
+	add := func(name string, controlNodes int, cuts ...Partition) {
 		days[name] = cutOffPlan(seed, controlNodes, cuts...)
 		seed++
 	}
 	for _, role := range []Role{HeadRole, MiddleRole, TailRole, ControllerRole, JoinerRole} {
-		for _, way := range []Way{SilentWay, MuteWay, DeafWay, ResetWay} {
-			add(fmt.Sprintf("%s-%s", role, way), 3, CutOff{Role: role, Way: way, Lure: true, Meet: true, Race: true, Drain: true})
+		for _, way := range []Direction{SilentWay, MuteWay, DeafWay, ResetWay} {
+			add(fmt.Sprintf("%s-%s", role, way), 3, Partition{Role: role, Direction: way, Lure: true, Meet: true, Race: true, Drain: true})
 		}
-		add(string(role)+"-all", 3, CutOff{Role: role, All: true, Meet: true, Race: true, Drain: true, Lure: true})
-		add(string(role)+"-near", 3, CutOff{Role: role, Near: true, Meet: true, Race: true, Drain: true, Lure: true})
-		add(string(role)+"-freeze", 3, CutOff{Role: role, FreezeUs: 6 * sec, Meet: true, Race: true, Drain: true, Lure: true})
-		add(string(role)+"-step", 3, CutOff{Role: role, StepUs: 4 * sec, Meet: true, Race: true, Drain: true, Lure: true})
+		add(string(role)+"-all", 3, Partition{Role: role, IncludesGateways: true, Meet: true, Race: true, Drain: true, Lure: true})
+		add(string(role)+"-near", 3, Partition{Role: role, Near: true, Meet: true, Race: true, Drain: true, Lure: true})
+		add(string(role)+"-freeze", 3, Partition{Role: role, FreezeUs: 6 * second, Meet: true, Race: true, Drain: true, Lure: true})
+		add(string(role)+"-step", 3, Partition{Role: role, StepUs: 4 * second, Meet: true, Race: true, Drain: true, Lure: true})
 	}
-	for _, way := range []Way{SilentWay, MuteWay, DeafWay, ResetWay} {
-		add("pair-"+string(way), 5, CutOff{Role: TailRole, Count: 2, Way: way, Lure: true, Meet: true, Race: true, Drain: true})
-		add("followed-"+string(way), 5, CutOff{Role: FollowedRole, Count: 2, Way: way, Lure: true, Race: true, Drain: true})
-		add("turns-"+string(way), 3, CutOff{Role: HeadRole, Way: way, ForUs: 12 * sec, Lure: true, Meet: true, Race: true}, CutOff{Role: TailRole, Way: way, AtUs: 18 * sec, ForUs: 12 * sec, Lure: true, Meet: true, Race: true})
+	for _, way := range []Direction{SilentWay, MuteWay, DeafWay, ResetWay} {
+		add("pair-"+string(way), 5, Partition{Role: TailRole, Count: 2, Direction: way, Lure: true, Meet: true, Race: true, Drain: true})
+		add("followed-"+string(way), 5, Partition{Role: FollowedRole, Count: 2, Direction: way, Lure: true, Race: true, Drain: true})
+		add("turns-"+string(way), 3, Partition{Role: HeadRole, Direction: way, DurationUs: 12 * second, Lure: true, Meet: true, Race: true}, Partition{Role: TailRole, Direction: way, AtUs: 18 * second, DurationUs: 12 * second, Lure: true, Meet: true, Race: true})
 	}
 	return days
 }
@@ -63,7 +63,7 @@
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				out := RunRouted(p)
-				sum.add(Outcome{Caused: out.Caused, Stakes: out.Stakes})
+				sum.add(DeclaredOutcome{Caused: out.Caused, ChecksAtStake: out.ChecksAtStake})
 				if len(out.Breaches) > 0 {
 					t.Fatalf("%v\n%s", out.Breaches, strings.Join(last(out.Log, 60), "\n"))
 				}
@@ -73,7 +73,7 @@
 	for _, role := range []Role{HeadRole, MiddleRole, TailRole, ControllerRole, JoinerRole} {
 		kinds = append(kinds, "cut-off-"+string(role))
 	}
-	for _, way := range []Way{SilentWay, MuteWay, DeafWay, ResetWay} {
+	for _, way := range []Direction{SilentWay, MuteWay, DeafWay, ResetWay} {
 		kinds = append(kinds, "cut-off-"+string(way))
 	}
 	if !t.Failed() {
@@ -87,7 +87,7 @@
 	for _, c := range []struct {
 		plant string
 		rule  string
-		way   Way
+		way   Direction
 	}{
 		{"credulous", rules.LeaveLost, SilentWay},
 		{"credulous", rules.LeaveLost, MuteWay},
@@ -100,9 +100,9 @@
 			t.Parallel()
 			for seed := int64(1); seed <= 6; seed++ {
 				for _, role := range []Role{HeadRole, TailRole} {
-					p := cutOffPlan(seed, 3, CutOff{Role: role, Way: c.way, Lure: true, Meet: true, Race: true, Drain: true})
+					p := cutOffPlan(seed, 3, Partition{Role: role, Direction: c.way, Lure: true, Meet: true, Race: true, Drain: true})
 					if c.plant == "sure" {
-						p = cutOffPlan(seed, 5, CutOff{Role: FollowedRole, Count: 2, Way: c.way, Race: true})
+						p = cutOffPlan(seed, 5, Partition{Role: FollowedRole, Count: 2, Direction: c.way, Race: true})
 					}
 					p.Plant = c.plant
 					for _, b := range RunRouted(p).Breaches {
--- a/tests/simulator/digest_test.go
+++ b/tests/simulator/digest_test.go
@@ -102,8 +102,8 @@
 func declaredDigest(seed int64) string {
 	d, p := newDigester(), plan(seed, 7)
 	p.Trace = d.trace
-	out := Run(p)
-	d.end(len(out.Breaches), out.Calls, out.Ended, out.Told, out.Loads, out.LoadMb, out.Fetches, out.Codes, counts(out.Caused), counts(out.Stakes))
+	out := RunDeclared(p)
+	d.end(len(out.Breaches), out.Calls, out.Ended, out.Results, out.Loads, out.LoadMb, out.Fetches, out.Codes, counts(out.Caused), counts(out.ChecksAtStake))
 	return d.line("declared", seed, out.Events)
 }
 
@@ -111,8 +111,8 @@
 	d, p := newDigester(), routedPlan(seed, 7)
 	p.Trace = d.trace
 	out := RunRouted(p)
-	seen := out.Seen
-	d.end(len(out.Breaches), out.Tries, out.Served, out.Owed, out.Loads, out.Statuses, counts(out.Caused), counts(out.Stakes),
+	seen := out.Observed
+	d.end(len(out.Breaches), out.Attempts, out.Served, out.Offered, out.Loads, out.Statuses, counts(out.Caused), counts(out.ChecksAtStake),
 		seen.Attempts, seen.Arrivals, seen.Orders, seen.Loads, seen.Versions, seen.Deregistrations, seen.Calls, seen.EndUs)
 	return d.line("routed", seed, out.Events)
 }
--- a/tests/simulator/disk.go
+++ b/tests/simulator/disk.go
@@ -5,32 +5,32 @@
 	"petreltide/internal/controlplane/controlnode"
 )
 
-const retryUs = 250 * ms
+const retryUs = 250 * millisecond
 
 // disk is what a control node has written. A full one refuses.
 type disk struct {
-	full     bool
-	refused  int
-	identity string
-	records  []chain.Record
-	held     uint64
-	stallUs  int64
-	slowUs   int64
-	keeping  *keeping
+	full               bool
+	refused            int
+	identity           string
+	records            []chain.Record
+	discardedTo        uint64
+	stallUs            int64
+	slowUs             int64
+	snapshotInProgress *snapshotWrite
 }
 
-// keeping is a save with a copy that is on its way to the disk, and how far it has come.
-type keeping struct {
+// snapshotWrite is a save with a copy that is on its way to the disk, and how far it has come.
+type snapshotWrite struct {
 	save chain.Persist
-	step copyStep
+	step snapshotStep
 }
 
-// copyStep is what a save with a copy has done to the disk. A name that was made or removed may be lost with the
+// snapshotStep is what a save with a copy has done to the disk. A name that was made or removed may be lost with the
 // power until the next step has synced its folder.
-type copyStep int
+type snapshotStep int
 
 const (
-	nothingWritten copyStep = iota
+	nothingWritten snapshotStep = iota
 	recordsSynced
 	copyRenamed
 	copySynced
@@ -38,16 +38,18 @@
 	copySteps
 )
 
-// names are which of a disk's changes of names outlast a loss of power, each by itself.
-type names struct{ renamed, removed bool }
+// fileNames are which of a disk's changes of names outlast a loss of power, each by itself.
+type fileNames struct{ renamed, removed bool }
 
 // namesOf draws them from a number; 0 is a kill, at which all stay.
-func namesOf(torn int) names { return names{torn == 0 || torn&1 != 0, torn == 0 || torn&2 != 0} }
+func namesOf(torn int) fileNames {
+	return fileNames{torn == 0 || torn&1 != 0, torn == 0 || torn&2 != 0}
+}
 
 // stop leaves on the disk what the end of the process does of a copy under way.
 func (d *disk) stop(torn int) {
-	k, kept := d.keeping, namesOf(torn)
-	d.keeping = nil
+	k, kept := d.snapshotInProgress, namesOf(torn)
+	d.snapshotInProgress = nil
 	if k.step == nothingWritten {
 		d.write(k.save.Records[:min(torn, len(k.save.Records))], false)
 		return
@@ -62,10 +64,10 @@
 }
 
 // fill takes all room from a disk for a while. An empty machine that takes its place has a disk of its own.
-func (d *disk) fill(s *Sim, forUs int64) {
+func (d *disk) fill(s *DeclaredDay, forUs int64) {
 	identity := d.identity
 	d.full = true
-	s.at(s.nowUs+forUs, func() {
+	s.schedule(s.nowUs+forUs, func() {
 		if d.identity == identity {
 			d.full = false
 		}
@@ -80,9 +82,9 @@
 	for _, r := range records {
 		switch {
 		case r.Snapshot != nil:
-			d.held = r.Snapshot.Index
+			d.discardedTo = r.Snapshot.Index
 		case r.Entry != nil:
-			d.held = r.Entry.Index
+			d.discardedTo = r.Entry.Index
 		}
 	}
 }
@@ -105,10 +107,10 @@
 	pending []chain.Persist
 	writing bool
 	// kept, where it is set, is told how far a copy under way has come.
-	kept func(step copyStep)
+	kept func(step snapshotStep)
 }
 
-func (w *saver) put(save chain.Persist) {
+func (w *saver) enqueue(save chain.Persist) {
 	w.pending = append(w.pending, save)
 	w.write()
 }
@@ -120,9 +122,9 @@
 	}
 	w.writing = true
 	save, boot := w.pending[0], w.on.boot
-	doneUs := max(s.nowUs+300+s.r.Int63n(1500)+w.disk.slowUs, w.disk.stallUs)
+	doneUs := max(s.nowUs+300+s.random.Int63n(1500)+w.disk.slowUs, w.disk.stallUs)
 	if save.Snapshot != nil {
-		w.keep(save, doneUs)
+		w.writeSnapshot(save, doneUs)
 	}
 	var try func()
 	try = func() {
@@ -136,21 +138,21 @@
 		if !w.disk.full {
 			w.disk.write(recordsOf(save), save.Compact)
 		}
-		w.disk.keeping = nil
+		w.disk.snapshotInProgress = nil
 		w.pending, w.writing = w.pending[1:], false
 		w.write()
-		w.on.now(boot, func() { w.step(controlnode.Persisted{Seq: save.Seq}) })
+		w.on.deliver(boot, func() { w.step(controlnode.Persisted{Seq: save.Seq}) })
 	}
-	s.at(doneUs, try)
+	s.schedule(doneUs, try)
 }
 
-// keep takes a copy through its steps until the whole save is done.
-func (w *saver) keep(save chain.Persist, doneUs int64) {
+// writeSnapshot takes a copy through its steps until the whole save is done.
+func (w *saver) writeSnapshot(save chain.Persist, doneUs int64) {
 	s, boot := w.on.sim, w.on.boot
-	k := &keeping{save: save}
-	w.disk.keeping = k
+	k := &snapshotWrite{save: save}
+	w.disk.snapshotInProgress = k
 	for step := recordsSynced; step < copySteps; step++ {
-		s.at(s.nowUs+(doneUs-s.nowUs)*int64(step)/int64(copySteps), func() {
+		s.schedule(s.nowUs+(doneUs-s.nowUs)*int64(step)/int64(copySteps), func() {
 			if !w.on.up || w.on.boot != boot || w.disk.full {
 				return
 			}
@@ -169,16 +171,16 @@
 		w.end()
 		return
 	}
-	w.on.now(w.on.boot, func() { w.step(controlnode.PersistFailed{Seq: seq}) })
+	w.on.deliver(w.on.boot, func() { w.step(controlnode.PersistFailed{Seq: seq}) })
 	if s.plan.Plant != "one-try" {
-		s.at(s.nowUs+retryUs, again)
+		s.schedule(s.nowUs+retryUs, again)
 	}
 }
 
 // torn leaves the first records that wait on the disk, as a loss of power may, or the names that a copy under way
 // has changed.
 func (w *saver) torn(records int) {
-	if w.disk.keeping != nil {
+	if w.disk.snapshotInProgress != nil {
 		w.disk.stop(records)
 		return
 	}
--- a/tests/simulator/disk_test.go
+++ b/tests/simulator/disk_test.go
@@ -10,15 +10,15 @@
 // fullDisk plays one control node's disk filling up under demand and changes, and says what is wrong: the control node
 // must live on, be out of the view within 1.2 s, and be back 4 s after its disk takes bytes again, while the
 // others go on acknowledging.
-func fullDisk(p Plan, at int, spanUs int64, restart bool) string {
+func fullDisk(p DeclaredPlan, at int, spanUs int64, restart bool) string {
 	s := New(p)
-	s.ops.begin()
-	for limitUs := s.nowUs + 40*sec; !s.settled() && s.nowUs < limitUs; {
-		s.runUntil(s.nowUs + 100*ms)
+	s.operators.begin()
+	for limitUs := s.nowUs + 40*second; !s.recovered() && s.nowUs < limitUs; {
+		s.runUntil(s.nowUs + 100*millisecond)
 	}
-	s.demand(s.nowUs + 40*sec)
-	s.ops.play(s.nowUs + 40*sec)
-	s.runUntil(s.nowUs + 3*sec)
+	s.generateCalls(s.nowUs + 40*second)
+	s.operators.play(s.nowUs + 40*second)
+	s.runUntil(s.nowUs + 3*second)
 	o := s.controlNodes[0]
 	order := o.core.Node.View().Replicas
 	if len(order) != 3 {
@@ -34,9 +34,9 @@
 	backUs := s.nowUs + spanUs
 	if restart {
 		boot++
-		s.crashControlNode(o, 0, 0, 300*ms)
+		s.crashControlNode(o, 0, 0, 300*millisecond)
 	}
-	s.runUntil(s.nowUs + 1200*ms)
+	s.runUntil(s.nowUs + 1200*millisecond)
 	seated := func() bool {
 		for _, other := range s.controlNodes {
 			if n := other.core.Node; other != o && n.View().HasReplica(o.disk.identity) {
@@ -54,27 +54,27 @@
 		return most
 	}
 	if seated() {
-		return "its partners still count on it after 1.2 s: " + s.why()
+		return "its partners still count on it after 1.2 s: " + s.unsettledReason()
 	}
 	before := commit()
-	for s.nowUs < backUs-200*ms {
-		s.runUntil(s.nowUs + 100*ms)
+	for s.nowUs < backUs-200*millisecond {
+		s.runUntil(s.nowUs + 100*millisecond)
 		if !o.up || o.boot != boot {
 			return "the office has ended"
 		}
 		if seated() {
-			return "it has a seat while its disk is full: " + s.why()
+			return "it has a seat while its disk is full: " + s.unsettledReason()
 		}
 	}
 	if o.disk.refused < 3 {
 		return fmt.Sprintf("its disk refused %d times", o.disk.refused)
 	}
 	if commit() <= before {
-		return "nothing was acknowledged meanwhile: " + s.why()
+		return "nothing was acknowledged meanwhile: " + s.unsettledReason()
 	}
-	s.runUntil(backUs + 4*sec)
+	s.runUntil(backUs + 4*second)
 	if n := o.core.Node; !o.up || !seated() || n.View().Position(n.Self().ID, n.Incarnation()) < 0 || n.WaitReason() != "" {
-		return "it is not back 4 s after its disk takes bytes: " + s.why()
+		return "it is not back 4 s after its disk takes bytes: " + s.unsettledReason()
 	}
 	if len(s.watch.Breaches) > 0 {
 		return fmt.Sprint(s.watch.Breaches)
@@ -95,7 +95,7 @@
 			t.Parallel()
 			for seed := from; seed < from+count; seed++ {
 				p := plan(int64(seed), 0)
-				if why := fullDisk(p, day.at, 2500*ms+int64(seed%5)*sec, day.restart); why != "" {
+				if why := fullDisk(p, day.at, 2500*millisecond+int64(seed%5)*second, day.restart); why != "" {
 					t.Fatalf("seed %d: %s", seed, why)
 				}
 			}
@@ -111,7 +111,7 @@
 		for seed := int64(1); seed <= 4 && seen == ""; seed++ {
 			p := plan(seed, 0)
 			p.Plant = plant
-			seen = fullDisk(p, 1, 4*sec, false)
+			seen = fullDisk(p, 1, 4*second, false)
 		}
 		if seen == "" {
 			t.Errorf("%s was not seen", plant)
@@ -123,28 +123,28 @@
 // powerLostKeepingACopy plays a control node that comes back and loses power while it puts its copy away, at a step and
 // with some of the changed names lost, and says what is wrong: it must have its seat again 4 s after its second
 // start, and no rule may break.
-func powerLostKeepingACopy(p Plan, at int, step copyStep, torn int) string {
+func powerLostKeepingACopy(p DeclaredPlan, at int, step snapshotStep, torn int) string {
 	s := New(p)
-	s.ops.begin()
-	for limitUs := s.nowUs + 40*sec; !s.settled() && s.nowUs < limitUs; {
-		s.runUntil(s.nowUs + 100*ms)
+	s.operators.begin()
+	for limitUs := s.nowUs + 40*second; !s.recovered() && s.nowUs < limitUs; {
+		s.runUntil(s.nowUs + 100*millisecond)
 	}
-	s.demand(s.nowUs + 40*sec)
-	s.ops.play(s.nowUs + 40*sec)
-	s.runUntil(s.nowUs + 2*sec)
+	s.generateCalls(s.nowUs + 40*second)
+	s.operators.play(s.nowUs + 40*second)
+	s.runUntil(s.nowUs + 2*second)
 	o := s.controlNodes[at]
-	s.crashControlNode(o, 0, 0, 2*sec)
-	for limitUs := s.nowUs + 20*sec; o.disk.keeping == nil || o.disk.keeping.step != step; {
+	s.crashControlNode(o, 0, 0, 2*second)
+	for limitUs := s.nowUs + 20*second; o.disk.snapshotInProgress == nil || o.disk.snapshotInProgress.step != step; {
 		if s.nowUs > limitUs {
-			return "it was given no copy: " + s.why()
+			return "it was given no copy: " + s.unsettledReason()
 		}
 		s.runUntil(s.nowUs + 50)
 	}
-	s.crashControlNode(o, 0, torn, 300*ms)
-	backUs := s.nowUs + 300*ms
-	s.runUntil(backUs + 5*sec)
+	s.crashControlNode(o, 0, torn, 300*millisecond)
+	backUs := s.nowUs + 300*millisecond
+	s.runUntil(backUs + 5*second)
 	if n := o.core.Node; !o.up || n.View().Position(n.Self().ID, n.Incarnation()) < 0 || n.WaitReason() != "" {
-		return "it is not back 5 s after its second start: " + s.why()
+		return "it is not back 5 s after its second start: " + s.unsettledReason()
 	}
 	if len(s.watch.Breaches) > 0 {
 		return fmt.Sprint(s.watch.Breaches)
@@ -175,7 +175,7 @@
 	for step := nothingWritten; step < copySteps; step++ {
 		for torn := 0; torn < 4; torn++ {
 			d := disk{records: []chain.Record{entry(1), entry(2)}}
-			d.keeping = &keeping{save: chain.Persist{Records: []chain.Record{entry(3)}, Snapshot: &chain.Snapshot{Index: 2}, Compact: true}, step: step}
+			d.snapshotInProgress = &snapshotWrite{save: chain.Persist{Records: []chain.Record{entry(3)}, Snapshot: &chain.Snapshot{Index: 2}, Compact: true}, step: step}
 			d.stop(torn)
 			left := ""
 			for _, r := range d.records {
@@ -189,8 +189,8 @@
 			if left != "12" && left != "123" && left != "12c3" && left != "c3" {
 				t.Errorf("step %d, names %d: %s", step, torn, left)
 			}
-			if d.held < 2 && step > nothingWritten {
-				t.Errorf("step %d, names %d: it holds %d", step, torn, d.held)
+			if d.discardedTo < 2 && step > nothingWritten {
+				t.Errorf("step %d, names %d: it holds %d", step, torn, d.discardedTo)
 			}
 		}
 	}
--- a/tests/simulator/faults.go
+++ b/tests/simulator/faults.go
@@ -11,18 +11,18 @@
 
 // Fault is one fault of a day. What A, B and N mean depends on its kind.
 type Fault struct {
-	Kind  string
-	AtUs  int64
-	ForUs int64
-	A, B  int
-	N     int
+	Kind       string
+	AtUs       int64
+	DurationUs int64
+	A, B       int
+	N          int
 }
 
 func (f Fault) String() string {
-	return fmt.Sprintf("%s at %.1fs for %.1fs (%d, %d, %d)", f.Kind, float64(f.AtUs)/1e6, float64(f.ForUs)/1e6, f.A, f.B, f.N)
+	return fmt.Sprintf("%s at %.1fs for %.1fs (%d, %d, %d)", f.Kind, float64(f.AtUs)/1e6, float64(f.DurationUs)/1e6, f.A, f.B, f.N)
 }
 
-var kinds = []string{
+var declaredFaultKinds = []string{
 	"crash-office", "crash-office", "lossy-office", "torn-office", "wipe-office", "freeze-office", "stall-disk", "slow-disk",
 	"cut-office", "one-way", "split-core", "cut-core", "crash-desk", "freeze-desk", "cut-desk", "crash-replica", "dark-replica", "freeze-replica",
 	"notice", "notice-race", "same-address", "list-down", "list-empty", "list-stale", "loss", "clock-jump", "kill-offices", "kill-everything", "crowd", "crowd-rare", "swap-seeds",
@@ -30,15 +30,15 @@
 	"power-config", "power-key", "power-ticket", "power-lease",
 }
 
-// trap waits for an acknowledgement of its kind, and takes the power of whoever gave it.
-type trap struct {
+// armedFault waits for an acknowledgement of its kind, and takes the power of whoever gave it.
+type armedFault struct {
 	fault   Fault
 	kind    string
 	untilUs int64
 }
 
-// spring is told of every acknowledgement as it leaves.
-func (s *Sim) spring(kind string, o *controlNode) {
+// springTraps is told of every acknowledgement as it leaves.
+func (s *DeclaredDay) springTraps(kind string, o *controlNode) {
 	for i, t := range s.traps {
 		if t.kind != kind || s.nowUs > t.untilUs {
 			continue
@@ -56,59 +56,59 @@
 		if !s.damaged() {
 			lossy = 1 + t.fault.N%3
 		}
-		s.note("power of %s lost after a %s was acknowledged, %d records lost", at.name, kind, lossy)
-		s.count(t.fault)
-		s.at(s.nowUs, func() { s.crashControlNode(at, lossy, 0, t.fault.ForUs) })
+		s.logf("power of %s lost after a %s was acknowledged, %d records lost", at.name, kind, lossy)
+		s.countFault(t.fault)
+		s.schedule(s.nowUs, func() { s.crashControlNode(at, lossy, 0, t.fault.DurationUs) })
 		return
 	}
 }
 
-func (s *Sim) count(f Fault) { s.caused[f.Kind]++ }
+func (s *DeclaredDay) countFault(f Fault) { s.caused[f.Kind]++ }
 
-// deal goes through shuffled decks of all kinds, so that neighbouring seeds leave none out.
-func deal(place int64) string {
-	deck := rand.New(rand.NewSource(place / int64(len(kinds)))).Perm(len(kinds))
-	return kinds[deck[place%int64(len(kinds))]]
+// dealFault goes through shuffled decks of all kinds, so that neighbouring seeds leave none out.
+func dealFault(place int64) string {
+	deck := rand.New(rand.NewSource(place / int64(len(declaredFaultKinds)))).Perm(len(declaredFaultKinds))
+	return declaredFaultKinds[deck[place%int64(len(declaredFaultKinds))]]
 }
 
-// Draw picks faults from a seed. Damage that one surviving copy must make good is kept apart, as
+// DrawDeclaredFaults picks faults from a seed. Damage that one surviving copy must make good is kept apart, as
 // losing two copies at once is more than any of the deployments is meant to survive.
-func Draw(seed int64, count int, spanUs int64) []Fault {
+func DrawDeclaredFaults(seed int64, count int, spanUs int64) []Fault {
 	r := rand.New(rand.NewSource(seed))
 	faults := []Fault{}
 	for i := 0; i < count; i++ {
-		f := Fault{Kind: deal(seed*int64(count) + int64(i)), A: r.Intn(100), B: r.Intn(100), N: 1 + r.Intn(12)}
+		f := Fault{Kind: dealFault(seed*int64(count) + int64(i)), A: r.Intn(100), B: r.Intn(100), N: 1 + r.Intn(12)}
 		f.AtUs = spanUs * int64(i) / int64(count)
 		f.AtUs += r.Int63n(spanUs / int64(count))
-		f.ForUs = 300*ms + r.Int63n(5*sec)
+		f.DurationUs = 300*millisecond + r.Int63n(5*second)
 		switch {
 		case i > 0 && r.Intn(3) == 0:
-			f.AtUs = faults[i-1].AtUs + r.Int63n(500*ms)
+			f.AtUs = faults[i-1].AtUs + r.Int63n(500*millisecond)
 		case i == count-1 && r.Intn(3) == 0:
-			f.AtUs = spanUs - 200*ms
+			f.AtUs = spanUs - 200*millisecond
 		}
 		switch f.Kind {
 		case "roll-offices":
-			f.ForUs = 14 * sec
+			f.DurationUs = 14 * second
 		case "roll-replicas":
-			f.ForUs = 6 * sec
+			f.DurationUs = 6 * second
 		}
 		faults = append(faults, f)
 	}
 	return faults
 }
 
-func (s *Sim) cutBoth(a, b string, forUs int64) {
-	s.cutOne(a, b, forUs)
-	s.cutOne(b, a, forUs)
+func (s *DeclaredDay) blockBothWays(a, b string, forUs int64) {
+	s.blockOneWay(a, b, forUs)
+	s.blockOneWay(b, a, forUs)
 }
 
-func (s *Sim) cutOne(a, b string, forUs int64) {
-	s.cuts[[2]string{a, b}]++
-	s.at(s.nowUs+forUs, func() { s.cuts[[2]string{a, b}] = max(0, s.cuts[[2]string{a, b}]-1) })
+func (s *DeclaredDay) blockOneWay(a, b string, forUs int64) {
+	s.blockedLinks[[2]string{a, b}]++
+	s.schedule(s.nowUs+forUs, func() { s.blockedLinks[[2]string{a, b}] = max(0, s.blockedLinks[[2]string{a, b}]-1) })
 }
 
-func (s *Sim) names() []string {
+func (s *DeclaredDay) nodeNames() []string {
 	names := []string{}
 	for _, o := range s.controlNodes {
 		names = append(names, o.name)
@@ -119,7 +119,7 @@
 	return append(names, s.serverIDs()...)
 }
 
-func (s *Sim) damaged() bool {
+func (s *DeclaredDay) damaged() bool {
 	for _, o := range s.controlNodes {
 		if !o.up || o.core.Node.Phase() != "serving" {
 			return true
@@ -128,9 +128,9 @@
 	return false
 }
 
-// cause brings a fault about, and counts it only where it was truly brought about.
-func (s *Sim) cause(f Fault) {
-	s.note("fault %s", f)
+// applyFault brings a fault about, and counts it only where it was truly brought about.
+func (s *DeclaredDay) applyFault(f Fault) {
+	s.logf("fault %s", f)
 	o := s.controlNodes[f.A%len(s.controlNodes)]
 	d := s.gateways[f.A%len(s.gateways)]
 	ids := s.serverIDs()
@@ -138,86 +138,86 @@
 	done := true
 	switch f.Kind {
 	case "crash-office", "torn-office", "lossy-office":
-		done = s.controlNodeFault(f, o)
+		done = s.applyControlNodeFault(f, o)
 	case "wipe-office":
-		done = s.wipe(o, f.ForUs)
+		done = s.replaceByEmpty(o, f.DurationUs)
 	case "old-office-returns":
-		done = s.wipe(o, f.ForUs)
+		done = s.replaceByEmpty(o, f.DurationUs)
 		if done {
-			s.oldReturns(o, f)
+			s.returnOldControlNode(o, f)
 		}
 	case "roll-offices":
 		s.rollControlNodes(f, 0)
 		return
 	case "full-disk":
 		done = o.up
-		o.disk.fill(s, f.ForUs)
+		o.disk.fill(s, f.DurationUs)
 	case "power-config", "power-key", "power-ticket", "power-lease":
-		s.traps = append(s.traps, trap{f, f.Kind[len("power-"):], s.nowUs + f.ForUs + 4*sec})
+		s.traps = append(s.traps, armedFault{f, f.Kind[len("power-"):], s.nowUs + f.DurationUs + 4*second})
 		return
 	case "freeze-office":
 		done = o.up
-		o.thawUs = max(o.thawUs, s.nowUs+f.ForUs)
+		o.thawUs = max(o.thawUs, s.nowUs+f.DurationUs)
 	case "stall-disk":
-		o.disk.stallUs = s.nowUs + f.ForUs
+		o.disk.stallUs = s.nowUs + f.DurationUs
 	case "slow-disk":
-		o.disk.slowUs = int64(f.N) * 8 * ms
-		s.at(s.nowUs+f.ForUs, func() { o.disk.slowUs = 0 })
+		o.disk.slowUs = int64(f.N) * 8 * millisecond
+		s.schedule(s.nowUs+f.DurationUs, func() { o.disk.slowUs = 0 })
 	case "cut-office", "one-way", "split-core", "cut-core", "cut-desk", "dark-replica":
-		s.cutFault(f, o, d, p)
+		s.applyPartition(f, o, d, p)
 	case "crash-desk":
-		done = s.restartGateway(d, f.ForUs)
+		done = s.restartGateway(d, f.DurationUs)
 	case "freeze-desk":
 		done = d.up
-		d.thawUs = max(d.thawUs, s.nowUs+f.ForUs)
+		d.thawUs = max(d.thawUs, s.nowUs+f.DurationUs)
 	case "crash-replica":
-		done = s.retire(p, f.ForUs)
+		done = s.replaceServer(p, f.DurationUs)
 	case "same-address":
 		addr, zone, id := p.addr, p.zone, p.name
-		s.endServer(p)
+		s.terminateServer(p)
 		fresh := s.addServer(id, zone)
 		fresh.addr = addr
-		s.plat.Set(wire.ListedReplica{ID: id, Addr: addr, Zone: zone, CapacityMB: s.plan.Doc.Replica.CapacityMB, Slots: s.slots(), State: wire.ListedReady})
+		s.platform.Set(wire.ListedReplica{ID: id, Addr: addr, Zone: zone, CapacityMB: s.plan.Doc.Replica.CapacityMB, Slots: s.slots(), State: wire.ListedReady})
 	case "roll-replicas":
 		for i, id := range ids {
-			s.at(s.nowUs+f.ForUs*int64(i)/int64(len(ids)), func() { s.retire(s.servers[id], 300*ms) })
+			s.schedule(s.nowUs+f.DurationUs*int64(i)/int64(len(ids)), func() { s.replaceServer(s.servers[id], 300*millisecond) })
 		}
 	case "freeze-replica":
 		done = p.up
-		p.thawUs = max(p.thawUs, s.nowUs+f.ForUs)
+		p.thawUs = max(p.thawUs, s.nowUs+f.DurationUs)
 	case "notice":
-		done = s.noticeReplica(p, f.ForUs+sec)
+		done = s.noticeReplica(p, f.DurationUs+second)
 	case "notice-race":
-		done = s.noticeReplica(p, f.ForUs+sec)
-		s.crashControlNode(s.controlNodes[f.B%len(s.controlNodes)], 0, f.N, f.ForUs)
+		done = s.noticeReplica(p, f.DurationUs+second)
+		s.crashControlNode(s.controlNodes[f.B%len(s.controlNodes)], 0, f.N, f.DurationUs)
 	case "list-down", "list-empty", "list-stale":
-		s.platMood = f.Kind[len("list-"):]
-		s.at(s.nowUs+min(f.ForUs, 2*sec), func() { s.platMood = "" })
+		s.platformFault = f.Kind[len("list-"):]
+		s.schedule(s.nowUs+min(f.DurationUs, 2*second), func() { s.platformFault = "" })
 	case "loss":
 		before := s.loss
 		s.loss = 0.05 + float64(f.N)/100
-		s.at(s.nowUs+f.ForUs, func() { s.loss = before })
+		s.schedule(s.nowUs+f.DurationUs, func() { s.loss = before })
 	case "clock-jump":
-		o.skewUs += int64(f.N) * sec
-		d.skewUs += int64(f.B) * 100 * ms
+		o.skewUs += int64(f.N) * second
+		d.skewUs += int64(f.B) * 100 * millisecond
 	case "kill-offices":
 		for _, o := range s.controlNodes {
 			lossy := 0
 			if s.plan.Plant == "amnesia" {
 				lossy = 10_000
 			}
-			s.crashControlNode(o, lossy, f.N, f.ForUs/2)
+			s.crashControlNode(o, lossy, f.N, f.DurationUs/2)
 		}
 	case "kill-everything":
 		s.killEverything(f, ids)
 	case "lose-zone":
 		s.loseZone(s.plan.Doc.Zones[f.A%len(s.plan.Doc.Zones)], f)
 	case "crowd", "crowd-rare":
-		s.plan.PerSec *= 8
-		s.rareOnly = s.rareOnly || f.Kind == "crowd-rare"
-		s.at(s.nowUs+f.ForUs, func() {
-			s.plan.PerSec /= 8
-			s.rareOnly = false
+		s.plan.CallsPerSecond *= 8
+		s.onlyRareModels = s.onlyRareModels || f.Kind == "crowd-rare"
+		s.schedule(s.nowUs+f.DurationUs, func() {
+			s.plan.CallsPerSecond /= 8
+			s.onlyRareModels = false
 		})
 	case "swap-seeds":
 		s.seeds = nil
@@ -231,13 +231,13 @@
 		panic("no fault " + f.Kind)
 	}
 	if !done {
-		s.note("left out %s: it cannot be caused now", f.Kind)
+		s.logf("left out %s: it cannot be caused now", f.Kind)
 		return
 	}
-	s.count(f)
+	s.countFault(f)
 }
 
-func (s *Sim) controlNodeFault(f Fault, o *controlNode) bool {
+func (s *DeclaredDay) applyControlNodeFault(f Fault, o *controlNode) bool {
 	lossy, torn := 0, 0
 	switch f.Kind {
 	case "torn-office":
@@ -248,14 +248,14 @@
 		}
 		lossy = f.N
 	}
-	return s.crashControlNode(o, lossy, torn, f.ForUs)
+	return s.crashControlNode(o, lossy, torn, f.DurationUs)
 }
 
-func (s *Sim) cutFault(f Fault, o *controlNode, d *gatewayNode, p *serverNode) {
+func (s *DeclaredDay) applyPartition(f Fault, o *controlNode, d *gatewayNode, p *serverNode) {
 	apart := func(name string) {
-		for _, other := range s.names() {
+		for _, other := range s.nodeNames() {
 			if other != name {
-				s.cutBoth(name, other, f.ForUs)
+				s.blockBothWays(name, other, f.DurationUs)
 			}
 		}
 	}
@@ -263,9 +263,9 @@
 	case "cut-office":
 		apart(o.name)
 	case "one-way":
-		s.cutOne(o.name, s.controlNodes[(f.A+1+f.B%2)%len(s.controlNodes)].name, f.ForUs)
+		s.blockOneWay(o.name, s.controlNodes[(f.A+1+f.B%2)%len(s.controlNodes)].name, f.DurationUs)
 	case "split-core":
-		s.cutBoth(o.name, s.controlNodes[(f.A+1)%len(s.controlNodes)].name, f.ForUs)
+		s.blockBothWays(o.name, s.controlNodes[(f.A+1)%len(s.controlNodes)].name, f.DurationUs)
 	case "cut-core":
 		for _, o := range s.controlNodes {
 			apart(o.name)
@@ -277,13 +277,13 @@
 	}
 }
 
-// wipe puts an empty machine at a new address in a control node's place.
-func (s *Sim) wipe(o *controlNode, forUs int64) bool {
+// replaceByEmpty puts an empty machine at a new address in a control node's place.
+func (s *DeclaredDay) replaceByEmpty(o *controlNode, forUs int64) bool {
 	if s.damaged() || !o.up {
 		return false
 	}
 	o.crash(0, 0)
-	s.at(s.nowUs+forUs, func() {
+	s.schedule(s.nowUs+forUs, func() {
 		if !o.up {
 			o.replaceEmpty()
 		}
@@ -291,32 +291,32 @@
 	return true
 }
 
-func (o *controlNode) replaceEmpty() {
-	o.disk = disk{identity: o.name + "-" + o.sim.newIncarnation()}
-	o.addr = fmt.Sprintf("%s:%d", o.name, o.boot+1)
-	o.founding = 0
-	o.start()
-	o.sim.newSeeds()
+func (cn *controlNode) replaceEmpty() {
+	cn.disk = disk{identity: cn.name + "-" + cn.sim.nextIncarnation()}
+	cn.addr = fmt.Sprintf("%s:%d", cn.name, cn.boot+1)
+	cn.founding = 0
+	cn.start()
+	cn.sim.refreshSeeds()
 }
 
-// newSeeds is what an operator writes into every settings file once a control node has another address.
-func (s *Sim) newSeeds() {
+// refreshSeeds is what an operator writes into every settings file once a control node has another address.
+func (s *DeclaredDay) refreshSeeds() {
 	s.seeds = nil
 	for _, o := range s.controlNodes {
-		if o.name == o.named {
+		if o.name == o.memberName {
 			s.seeds = append(s.seeds, o.addr)
 		}
 	}
 }
 
-// oldReturns starts the machine that was replaced, with its old disk, name and address.
-func (s *Sim) oldReturns(o *controlNode, f Fault) {
-	old := &controlNode{machine: machine{sim: s, name: o.name + "-old", addr: o.addr, boot: o.boot}, named: o.name, zone: o.zone, founding: o.founding, disk: o.disk}
-	s.at(s.nowUs+f.ForUs+3*sec, func() {
-		s.note("%s is back beside its replacement", old.name)
+// returnOldControlNode starts the machine that was replaced, with its old disk, name and address.
+func (s *DeclaredDay) returnOldControlNode(o *controlNode, f Fault) {
+	old := &controlNode{machine: machine{sim: s, name: o.name + "-old", addr: o.addr, boot: o.boot}, memberName: o.name, zone: o.zone, founding: o.founding, disk: o.disk}
+	s.schedule(s.nowUs+f.DurationUs+3*second, func() {
+		s.logf("%s is back beside its replacement", old.name)
 		s.controlNodes = append(s.controlNodes, old)
 		old.start()
-		s.at(s.nowUs+4*sec, func() {
+		s.schedule(s.nowUs+4*second, func() {
 			old.crash(0, 0)
 			for i := range s.controlNodes {
 				if s.controlNodes[i] == old {
@@ -330,11 +330,11 @@
 
 // rollControlNodes replaces one control node after another by an empty one at a new address, each once the
 // one before serves; in the end no seed of old is left, and a gateway starts with the new ones.
-func (s *Sim) rollControlNodes(f Fault, at int) {
-	untilUs := s.nowUs + 8*sec
+func (s *DeclaredDay) rollControlNodes(f Fault, at int) {
+	untilUs := s.nowUs + 8*second
 	if at == len(s.controlNodes) {
-		s.restartGateway(s.gateways[f.A%len(s.gateways)], 300*ms)
-		s.count(f)
+		s.restartGateway(s.gateways[f.A%len(s.gateways)], 300*millisecond)
+		s.countFault(f)
 		return
 	}
 	var next func()
@@ -342,8 +342,8 @@
 		if s.nowUs > untilUs || s.healed {
 			return
 		}
-		if !s.wipe(s.controlNodes[at], 200*ms) {
-			s.at(s.nowUs+100*ms, next)
+		if !s.replaceByEmpty(s.controlNodes[at], 200*millisecond) {
+			s.schedule(s.nowUs+100*millisecond, next)
 			return
 		}
 		s.rollControlNodes(f, at+1)
@@ -351,12 +351,12 @@
 	next()
 }
 
-func (s *Sim) restartGateway(d *gatewayNode, forUs int64) bool {
+func (s *DeclaredDay) restartGateway(d *gatewayNode, forUs int64) bool {
 	if !d.up {
 		return false
 	}
 	d.crash()
-	s.at(s.nowUs+forUs, func() {
+	s.schedule(s.nowUs+forUs, func() {
 		if !d.up {
 			d.start()
 		}
@@ -364,46 +364,46 @@
 	return true
 }
 
-func (s *Sim) killEverything(f Fault, ids []string) {
+func (s *DeclaredDay) killEverything(f Fault, ids []string) {
 	for i, o := range s.controlNodes {
 		lossy := 0
 		if i == f.B%len(s.controlNodes) && !s.damaged() {
 			lossy = f.N
 		}
-		s.crashControlNode(o, lossy, f.N, f.ForUs/3)
+		s.crashControlNode(o, lossy, f.N, f.DurationUs/3)
 	}
 	for _, d := range s.gateways {
-		s.restartGateway(d, f.ForUs/3)
+		s.restartGateway(d, f.DurationUs/3)
 	}
 	for _, id := range ids {
-		s.retire(s.servers[id], f.ForUs/3)
+		s.replaceServer(s.servers[id], f.DurationUs/3)
 	}
 }
 
-func (s *Sim) loseZone(zone string, f Fault) {
+func (s *DeclaredDay) loseZone(zone string, f Fault) {
 	for _, o := range s.controlNodes {
 		if o.zone == zone {
-			s.crashControlNode(o, 0, f.N, f.ForUs)
+			s.crashControlNode(o, 0, f.N, f.DurationUs)
 		}
 	}
 	for _, d := range s.gateways {
 		if d.zone == zone {
-			s.restartGateway(d, f.ForUs)
+			s.restartGateway(d, f.DurationUs)
 		}
 	}
 	for _, id := range s.serverIDs() {
 		if p := s.servers[id]; p.zone == zone {
-			s.retire(p, f.ForUs)
+			s.replaceServer(p, f.DurationUs)
 		}
 	}
 }
 
-func (s *Sim) crashControlNode(o *controlNode, lossy, torn int, forUs int64) bool {
+func (s *DeclaredDay) crashControlNode(o *controlNode, lossy, torn int, forUs int64) bool {
 	if !o.up {
 		return false
 	}
 	o.crash(lossy, torn)
-	s.at(s.nowUs+forUs, func() {
+	s.schedule(s.nowUs+forUs, func() {
 		if !o.up {
 			o.start()
 		}
@@ -411,18 +411,18 @@
 	return true
 }
 
-func (s *Sim) endServer(p *serverNode) {
+func (s *DeclaredDay) terminateServer(p *serverNode) {
 	p.kill()
-	s.plat.Drop(p.name)
+	s.platform.Drop(p.name)
 	s.watch.NoticeOver(p.name, s.nowUs)
 }
 
-func (s *Sim) retire(p *serverNode, forUs int64) bool {
+func (s *DeclaredDay) replaceServer(p *serverNode, forUs int64) bool {
 	if !p.up {
 		return false
 	}
-	s.endServer(p)
-	s.at(s.nowUs+forUs, func() {
+	s.terminateServer(p)
+	s.schedule(s.nowUs+forUs, func() {
 		if s.servers[p.name] == p {
 			s.addServer(p.name, p.zone)
 		}
@@ -431,37 +431,37 @@
 }
 
 // noticeReplica shows it as leaving, and takes it away when its time is over.
-func (s *Sim) noticeReplica(p *serverNode, leftUs int64) bool {
-	if !p.up || p.leaving {
+func (s *DeclaredDay) noticeReplica(p *serverNode, leftUs int64) bool {
+	if !p.up || p.draining {
 		return false
 	}
-	p.leaving = true
-	s.plat.Set(wire.ListedReplica{ID: p.name, Addr: p.addr, Zone: p.zone, CapacityMB: s.plan.Doc.Replica.CapacityMB, Slots: s.slots(), State: wire.ListedDraining, RemainingMs: leftUs / 1000})
+	p.draining = true
+	s.platform.Set(wire.ListedReplica{ID: p.name, Addr: p.addr, Zone: p.zone, CapacityMB: s.plan.Doc.Replica.CapacityMB, Slots: s.slots(), State: wire.ListedDraining, RemainingMs: leftUs / 1000})
 	var learned func()
 	learned = func() {
-		if toldUs := s.plat.ToldUs()[p.name]; toldUs != 0 {
+		if toldUs := s.platform.ToldUs()[p.name]; toldUs != 0 {
 			s.watch.Notice(rules.Interval{ID: p.name, FromUs: toldUs, ToUs: rules.Open})
 			return
 		}
 		if p.up {
-			s.at(s.nowUs+20*ms, learned)
+			s.schedule(s.nowUs+20*millisecond, learned)
 		}
 	}
 	learned()
-	s.at(s.nowUs+leftUs, func() {
+	s.schedule(s.nowUs+leftUs, func() {
 		if s.servers[p.name] == p {
-			s.retire(p, 400*ms)
+			s.replaceServer(p, 400*millisecond)
 		}
 	})
 	return true
 }
 
 // heal ends every fault: all machines are back and every pipe is whole.
-func (s *Sim) heal() {
-	s.note("healed")
+func (s *DeclaredDay) heal() {
+	s.logf("healed")
 	s.healed, s.traps = true, nil
-	s.cuts = map[[2]string]int{}
-	s.loss, s.platMood = 0, ""
+	s.blockedLinks = map[[2]string]int{}
+	s.loss, s.platformFault = 0, ""
 	for _, o := range s.controlNodes {
 		o.thawUs, o.disk.full = min(o.thawUs, s.nowUs), false
 		o.disk.stallUs, o.disk.slowUs = min(o.disk.stallUs, s.nowUs), 0
@@ -484,9 +484,9 @@
 	}
 }
 
-// FaultNames lists every fault that seeded days are dealt.
-func FaultNames() []string {
-	names := slices.Clone(kinds)
+// DeclaredFaultNames lists every fault that seeded days are dealt.
+func DeclaredFaultNames() []string {
+	names := slices.Clone(declaredFaultKinds)
 	slices.Sort(names)
 	return slices.Compact(names)
 }
--- a/tests/simulator/gateways.go
+++ b/tests/simulator/gateways.go
@@ -23,249 +23,249 @@
 	incarnation string
 	decider     *scheduling.Decider
 	subscriber  *controlclient.Subscriber
-	snap        *scheduling.Snapshot
+	snapshot    *scheduling.Snapshot
 	leaseUs     int64
-	calls       map[string]*callState
+	calls       map[string]*callInFlight
 }
 
-type callState struct {
+type callInFlight struct {
 	call    *scheduling.Call
-	ask     gateway.CallRequest
-	told    rules.ClientAttempt
+	request gateway.CallRequest
+	result  rules.ClientAttempt
 	attempt string
 	stop    func()
 	keyed   bool
-	hung    bool
+	hungUp  bool
 	done    func(rules.ClientAttempt)
 }
 
-func newGateway(s *Sim, name, zone string) *gatewayNode {
+func newGateway(s *DeclaredDay, name, zone string) *gatewayNode {
 	d := &gatewayNode{machine: machine{sim: s, name: name, addr: name + ":1"}, zone: zone}
 	d.start()
 	return d
 }
 
-func (d *gatewayNode) start() {
-	d.boot++
-	d.up, d.thawUs = true, 0
-	d.incarnation = d.sim.newIncarnation()
-	d.skewUs = d.sim.r.Int63n(1000) * sec
-	d.decider = scheduling.New(scheduling.Options{Gateway: d.name, Incarnation: d.incarnation, QueueMax: 200})
-	d.subscriber = controlclient.New(controlclient.Options{Gateway: d.name, Incarnation: d.incarnation, Addr: d.addr, Zone: d.zone, Seeds: d.sim.seeds})
-	d.snap, d.leaseUs, d.calls = nil, 0, map[string]*callState{}
-	d.tick()
+func (g *gatewayNode) start() {
+	g.boot++
+	g.up, g.thawUs = true, 0
+	g.incarnation = g.sim.nextIncarnation()
+	g.skewUs = g.sim.random.Int63n(1000) * second
+	g.decider = scheduling.New(scheduling.Options{Gateway: g.name, Incarnation: g.incarnation, QueueMax: 200})
+	g.subscriber = controlclient.New(controlclient.Options{Gateway: g.name, Incarnation: g.incarnation, Addr: g.addr, Zone: g.zone, Seeds: g.sim.seeds})
+	g.snapshot, g.leaseUs, g.calls = nil, 0, map[string]*callInFlight{}
+	g.tick()
 }
 
-func (d *gatewayNode) tick() {
-	d.later(20*ms, func() {
-		d.step(scheduling.Tick{})
-		d.subscribe(controlclient.Event{})
-		d.tick()
+func (g *gatewayNode) tick() {
+	g.after(20*millisecond, func() {
+		g.step(scheduling.Tick{})
+		g.subscribe(controlclient.Event{})
+		g.tick()
 	})
 }
 
 // crash: every open call is cut off for its caller, and the replicas see their pipes close.
-func (d *gatewayNode) crash() {
-	d.up = false
-	ids := make([]string, 0, len(d.calls))
-	for id := range d.calls {
+func (g *gatewayNode) crash() {
+	g.up = false
+	ids := make([]string, 0, len(g.calls))
+	for id := range g.calls {
 		ids = append(ids, id)
 	}
 	sort.Strings(ids)
 	for _, id := range ids {
-		c := d.calls[id]
+		c := g.calls[id]
 		if c.stop != nil {
 			c.stop()
 		}
-		if c.hung {
+		if c.hungUp {
 			continue
 		}
-		c.told.Broken, c.told.Code, c.told.Run = true, "cut", fault.RunUnknown
-		d.sim.finish(c)
+		c.result.Broken, c.result.Code, c.result.Run = true, "cut", fault.RunUnknown
+		g.sim.recordResult(c)
 	}
-	d.calls = map[string]*callState{}
+	g.calls = map[string]*callInFlight{}
 }
 
-func (d *gatewayNode) news(n wire.GatewayUpdate) { d.subscribe(controlclient.Event{Update: &n}) }
+func (g *gatewayNode) applyUpdate(n wire.GatewayUpdate) { g.subscribe(controlclient.Event{Update: &n}) }
 
-func (d *gatewayNode) subscribe(ev controlclient.Event) {
-	s := d.sim
-	ev.NowUs = d.clock()
-	for _, e := range d.subscriber.Step(ev) {
+func (g *gatewayNode) subscribe(ev controlclient.Event) {
+	s := g.sim
+	ev.NowUs = g.clock()
+	for _, e := range g.subscriber.Step(ev) {
 		switch {
 		case e.RequestMembership != nil:
 			for _, addr := range e.RequestMembership {
 				if o := s.controlNodeAt(addr); o != nil {
-					s.send(&d.machine, &o.machine, func() {
-						where := o.where()
-						s.send(&o.machine, &d.machine, func() { d.subscribe(controlclient.Event{Membership: &where}) })
+					s.send(&g.machine, &o.machine, func() {
+						where := o.membership()
+						s.send(&o.machine, &g.machine, func() { g.subscribe(controlclient.Event{Membership: &where}) })
 					})
 				}
 			}
 		case e.Follow != nil:
-			d.follow(*e.Follow)
+			g.subscribeTo(*e.Follow)
 		case e.Report != nil:
-			d.report(e.Report.Addr)
+			g.report(e.Report.Addr)
 		case e.Heartbeats != nil:
 			for _, n := range e.Heartbeats {
-				d.beat(n.Addr, false)
+				g.sendHeartbeat(n.Addr, false)
 			}
 			for _, n := range e.Farewells {
-				d.beat(n.Addr, true)
+				g.sendHeartbeat(n.Addr, true)
 			}
 		case e.Snapshot != nil:
-			if s.plan.Plant == "deaf" && d.snap != nil && d.snap.Declaration != nil && d.snap.Grants["gpu-0|m7"].To+d.snap.Grants["gpu-1|m7"].To+d.snap.Grants["gpu-2|m7"].To+d.snap.Grants["gpu-3|m7"].To+d.snap.Grants["gpu-4|m7"].To > 0 {
-				fresh := *d.snap
+			if s.plan.Plant == "deaf" && g.snapshot != nil && g.snapshot.Declaration != nil && g.snapshot.Grants["gpu-0|m7"].To+g.snapshot.Grants["gpu-1|m7"].To+g.snapshot.Grants["gpu-2|m7"].To+g.snapshot.Grants["gpu-3|m7"].To+g.snapshot.Grants["gpu-4|m7"].To > 0 {
+				fresh := *g.snapshot
 				fresh.Number, fresh.View, fresh.Grants = e.Snapshot.Number, e.Snapshot.View, e.Snapshot.Grants
 				e.Snapshot = &fresh
 			}
-			if s.plan.Plant == "old-doc" && d.snap != nil && d.snap.Declaration != nil {
+			if s.plan.Plant == "old-doc" && g.snapshot != nil && g.snapshot.Declaration != nil {
 				fresh := *e.Snapshot
-				fresh.Declaration, e.Snapshot = d.snap.Declaration, &fresh
+				fresh.Declaration, e.Snapshot = g.snapshot.Declaration, &fresh
 			}
-			d.snap = e.Snapshot
-			s.ops.sawDoc(d.name, e.Snapshot)
-			d.step(scheduling.SnapshotReceived{Snapshot: e.Snapshot})
+			g.snapshot = e.Snapshot
+			s.operators.sawDoc(g.name, e.Snapshot)
+			g.step(scheduling.SnapshotReceived{Snapshot: e.Snapshot})
 		case e.LeaseUs != 0:
-			d.leaseUs = e.LeaseUs
-			d.step(scheduling.LeaseExtended{UntilUs: e.LeaseUs})
+			g.leaseUs = e.LeaseUs
+			g.step(scheduling.LeaseExtended{UntilUs: e.LeaseUs})
 		}
 	}
 }
 
-func (d *gatewayNode) beat(addr string, last bool) {
-	s := d.sim
-	b := failuredetector.Heartbeat{ID: d.name, Final: last}
+func (g *gatewayNode) sendHeartbeat(addr string, last bool) {
+	s := g.sim
+	b := failuredetector.Heartbeat{ID: g.name, Final: last}
 	if o := s.controlNodeAt(addr); o != nil {
-		s.send(&d.machine, &o.machine, func() { o.step(controlnode.PeerHeartbeat{Heartbeat: &b}) })
+		s.send(&g.machine, &o.machine, func() { o.step(controlnode.PeerHeartbeat{Heartbeat: &b}) })
 	}
 	for _, to := range s.gateways {
 		if to.addr == addr {
-			s.send(&d.machine, &to.machine, func() { to.subscribe(controlclient.Event{Heartbeat: &b}) })
+			s.send(&g.machine, &to.machine, func() { to.subscribe(controlclient.Event{Heartbeat: &b}) })
 		}
 	}
 }
 
-func (d *gatewayNode) follow(f controlclient.Follow) {
-	s := d.sim
+func (g *gatewayNode) subscribeTo(f controlclient.Follow) {
+	s := g.sim
 	o := s.controlNodeAt(f.Tail.Addr)
 	if o == nil {
-		d.later(5*ms, func() { d.subscribe(controlclient.Event{Closed: f.Number}) })
+		g.after(5*millisecond, func() { g.subscribe(controlclient.Event{Closed: f.Number}) })
 		return
 	}
-	s.send(&d.machine, &o.machine, func() {
+	s.send(&g.machine, &o.machine, func() {
 		if !o.core.Node.TailReady(o.clock()) {
-			s.send(&o.machine, &d.machine, func() { d.subscribe(controlclient.Event{Closed: f.Number}) })
+			s.send(&o.machine, &g.machine, func() { g.subscribe(controlclient.Event{Closed: f.Number}) })
 			return
 		}
-		o.follows[d.name] = d
+		o.followers[g.name] = g
 		ask := f.Request
 		o.step(controlnode.FollowUpdates{Request: &ask})
 	})
 }
 
-func (d *gatewayNode) report(addr string) {
-	s := d.sim
+func (g *gatewayNode) report(addr string) {
+	s := g.sim
 	o := s.controlNodeAt(addr)
 	if o == nil {
 		return
 	}
-	report := clone(d.decider.Report(d.clock()))
-	report.Addr, report.Zone, report.Suspects = d.addr, d.zone, d.subscriber.Suspects(d.clock())
-	s.show("report", report)
-	s.send(&d.machine, &o.machine, func() {
+	report := clone(g.decider.Report(g.clock()))
+	report.Addr, report.Zone, report.Suspects = g.addr, g.zone, g.subscriber.Suspects(g.clock())
+	s.logValue("report", report)
+	s.send(&g.machine, &o.machine, func() {
 		o.replySeq++
 		o.replies[o.replySeq] = func(l wire.Lease) {
-			s.send(&o.machine, &d.machine, func() { d.subscribe(controlclient.Event{Lease: &l}) })
+			s.send(&o.machine, &g.machine, func() { g.subscribe(controlclient.Event{Lease: &l}) })
 			if l.OK {
-				s.spring("lease", o)
+				s.springTraps("lease", o)
 			}
 		}
 		o.step(controlnode.GatewayReport{Report: report, Reply: o.replySeq})
 	})
 }
 
-func (d *gatewayNode) step(ev scheduling.Event) {
-	s := d.sim
-	for _, e := range d.decider.Step(d.clock(), ev) {
+func (g *gatewayNode) step(ev scheduling.Event) {
+	s := g.sim
+	for _, e := range g.decider.Step(g.clock(), ev) {
 		switch e := e.(type) {
 		case *scheduling.AttemptStart:
-			d.attempt(*e)
+			g.attempt(*e)
 		case *scheduling.CallFailed:
-			if c := d.calls[e.Call.ID]; c != nil {
-				d.give(c, e.Fault)
+			if c := g.calls[e.Call.ID]; c != nil {
+				g.failCall(c, e.Fault)
 			}
 		case *scheduling.CallFinished:
-			if c := d.calls[e.Call.ID]; c != nil {
-				d.cut(c, e.Outcome)
+			if c := g.calls[e.Call.ID]; c != nil {
+				g.endTruncated(c, e.Outcome)
 			}
 		case scheduling.CancelAttempt:
-			if c := d.calls[e.Call.ID]; c != nil && c.stop != nil && (c.hung || s.plan.Plant != "still") {
+			if c := g.calls[e.Call.ID]; c != nil && c.stop != nil && (c.hungUp || s.plan.Plant != "still") {
 				c.stop()
 			}
 		}
 	}
 }
 
-func (d *gatewayNode) give(c *callState, f *fault.Fault) {
-	c.told.Code, c.told.Run, c.told.RetryMs = string(f.Code), f.Run, f.RetryMs
-	d.over(c)
+func (g *gatewayNode) failCall(c *callInFlight, f *fault.Fault) {
+	c.result.Code, c.result.Run, c.result.RetryMs = string(f.Code), f.Run, f.RetryMs
+	g.callEnded(c)
 }
 
-// cut is a call whose last attempt did not end well.
-func (d *gatewayNode) cut(c *callState, e scheduling.Outcome) {
-	c.told.Code, c.told.Run, c.told.Broken = string(fault.OutcomeUnknown), fault.RunUnknown, len(c.told.Chunks) > 0
+// endTruncated is a call whose last attempt did not end well.
+func (g *gatewayNode) endTruncated(c *callInFlight, e scheduling.Outcome) {
+	c.result.Code, c.result.Run, c.result.Broken = string(fault.OutcomeUnknown), fault.RunUnknown, len(c.result.Chunks) > 0
 	switch {
-	case d.sim.plan.Plant == "lie":
-		c.told.Run = fault.RunNone
+	case g.sim.plan.Plant == "lie":
+		c.result.Run = fault.RunNone
 	case e == scheduling.OutcomeTimedOut:
-		c.told.Code = string(fault.Expired)
-	case len(c.told.Chunks) > 0:
-		c.told.Code, c.told.Run = string(fault.StreamBroken), fault.RunPartial
+		c.result.Code = string(fault.Expired)
+	case len(c.result.Chunks) > 0:
+		c.result.Code, c.result.Run = string(fault.StreamBroken), fault.RunPartial
 	}
-	d.over(c)
+	g.callEnded(c)
 }
 
-func (d *gatewayNode) over(c *callState) {
-	delete(d.calls, c.call.ID)
+func (g *gatewayNode) callEnded(c *callInFlight) {
+	delete(g.calls, c.call.ID)
 	if c.keyed {
-		end := c.told.Run
-		if c.told.Complete {
+		end := c.result.Run
+		if c.result.Complete {
 			end = fault.RunYes
 		}
-		d.keyChange(c, end)
+		g.keyChange(c, end)
 	}
-	if !c.hung {
-		d.sim.finish(c)
+	if !c.hungUp {
+		g.sim.recordResult(c)
 	}
 }
 
 // hangUp is a caller that goes away, waiting or in the middle of a stream.
-func (d *gatewayNode) hangUp(c *callState) {
-	if d.calls[c.call.ID] != c || c.hung {
+func (g *gatewayNode) hangUp(c *callInFlight) {
+	if g.calls[c.call.ID] != c || c.hungUp {
 		return
 	}
-	c.hung = true
-	c.told.Broken, c.told.Code, c.told.Run = true, "hung up", fault.RunUnknown
+	c.hungUp = true
+	c.result.Broken, c.result.Code, c.result.Run = true, "hung up", fault.RunUnknown
 	c.done = nil
-	d.sim.finish(c)
+	g.sim.recordResult(c)
 	running := c.attempt != "" && c.stop != nil
-	d.step(scheduling.CallCanceled{Call: c.call.ID})
+	g.step(scheduling.CallCanceled{Call: c.call.ID})
 	if !running {
-		d.over(c)
+		g.callEnded(c)
 	}
 }
 
-func (d *gatewayNode) keyChange(c *callState, end string) {
-	change := statemachine.Change{ID: "keyend-" + c.call.ID, Key: &statemachine.KeyChange{Key: c.told.Key, Gateway: d.name, GatewayIncarnation: d.incarnation, Call: c.call.ID, End: end, Release: end == fault.RunNone}}
+func (g *gatewayNode) keyChange(c *callInFlight, end string) {
+	change := statemachine.Change{ID: "keyend-" + c.call.ID, Key: &statemachine.KeyChange{Key: c.result.Key, Gateway: g.name, GatewayIncarnation: g.incarnation, Call: c.call.ID, End: end, Release: end == fault.RunNone}}
 	if end == fault.RunNone {
 		change.Key.End = ""
 	}
-	d.submit(change, func(wire.Result, bool) {})
+	g.submit(change, func(wire.Result, bool) {})
 }
 
-func (d *gatewayNode) submit(c statemachine.Change, done func(wire.Result, bool)) {
-	s := d.sim
+func (g *gatewayNode) submit(c statemachine.Change, done func(wire.Result, bool)) {
+	s := g.sim
 	over := false
 	finish := func(r wire.Result, ok bool) {
 		if !over {
@@ -273,45 +273,45 @@
 			done(r, ok)
 		}
 	}
-	d.later(2500*ms, func() { finish(wire.Result{}, false) })
+	g.after(2500*millisecond, func() { finish(wire.Result{}, false) })
 	var o *controlNode
-	for _, addr := range d.subscriber.ControlNodes() {
-		if at := s.controlNodeAt(addr); o == nil && at != nil && !s.isCut(d.name, at.name) && !s.isCut(at.name, d.name) {
+	for _, addr := range g.subscriber.ControlNodes() {
+		if at := s.controlNodeAt(addr); o == nil && at != nil && !s.isCut(g.name, at.name) && !s.isCut(at.name, g.name) {
 			o = at
 		}
 	}
 	if o == nil {
 		return
 	}
-	s.send(&d.machine, &o.machine, func() {
-		o.submit(c, 2*sec, func(r wire.Result, ok bool) {
+	s.send(&g.machine, &o.machine, func() {
+		o.submit(c, 2*second, func(r wire.Result, ok bool) {
 			if ok {
-				s.send(&o.machine, &d.machine, func() { finish(r, true) })
-				s.spring("key", o)
+				s.send(&o.machine, &g.machine, func() { finish(r, true) })
+				s.springTraps("key", o)
 			}
 		})
 	})
 }
 
-func (d *gatewayNode) maySend(st scheduling.AttemptStart) bool {
-	return st.MaySend(d.snap, d.clock(), d.leaseUs) || d.sim.plan.Plant == "deaf"
+func (g *gatewayNode) maySend(st scheduling.AttemptStart) bool {
+	return st.MaySend(g.snapshot, g.clock(), g.leaseUs) || g.sim.plan.Plant == "deaf"
 }
 
 // attempt is the executor: it obeys one decision against the simulated network and replica.
-func (d *gatewayNode) attempt(st scheduling.AttemptStart) {
-	s := d.sim
-	c := d.calls[st.Call.ID]
+func (g *gatewayNode) attempt(st scheduling.AttemptStart) {
+	s := g.sim
+	c := g.calls[st.Call.ID]
 	ended := func(e scheduling.Outcome) {
-		d.step(scheduling.AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: e})
+		g.step(scheduling.AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: e})
 	}
-	if c == nil || !d.maySend(st) {
-		d.later(10, func() { ended(scheduling.OutcomeUnsent) })
+	if c == nil || !g.maySend(st) {
+		g.after(10, func() { ended(scheduling.OutcomeUnsent) })
 		return
 	}
 	c.attempt = st.Attempt
 	p := s.servers[st.Replica]
-	if p == nil || !p.up || p.addr != st.Addr || s.isCut(d.name, p.name) || s.isCut(p.name, d.name) {
-		d.later(400*ms, func() { ended(scheduling.OutcomeUnsent) })
+	if p == nil || !p.up || p.addr != st.Addr || s.isCut(g.name, p.name) || s.isCut(p.name, g.name) {
+		g.after(400*millisecond, func() { ended(scheduling.OutcomeUnsent) })
 		return
 	}
 	over := false
@@ -321,7 +321,7 @@
 		}
 		over = true
 		c.stop = nil
-		d.attemptEnded(c, st, e, why, ended)
+		g.attemptEnded(c, st, e, why, ended)
 	}
 	var run *modelserver.Run
 	close := func() {
@@ -335,97 +335,97 @@
 		}
 		over = true
 		c.stop = nil
-		boot := d.boot
-		s.at(s.nowUs+2*ms, func() {
+		boot := g.boot
+		s.schedule(s.nowUs+2*millisecond, func() {
 			close()
-			d.now(boot, func() { d.attemptEnded(c, st, scheduling.OutcomeMigrated, "moved", ended) })
+			g.deliver(boot, func() { g.attemptEnded(c, st, scheduling.OutcomeMigrated, "moved", ended) })
 		})
 	}
-	d.later(max(1, st.DeadlineUs-d.clock()), func() {
+	g.after(max(1, st.DeadlineUs-g.clock()), func() {
 		if !over {
 			close()
 			finish(scheduling.OutcomeTimedOut, "expired while it ran")
 		}
 	})
-	attempt := wire.Attempt{ID: st.Attempt, Ticket: st.Ticket, Incarnation: st.Incarnation, Call: st.Call.ID, Model: c.ask.Model, Adapter: c.ask.Adapter,
-		Prefix: c.ask.Prefix, Prompt: c.ask.Prompt, Received: append(append([]string(nil), c.ask.Received...), c.told.Chunks...), NextChunk: c.told.ReceivedChunks + len(c.told.Chunks) + 1, MaxOutput: c.ask.MaxOutput}
-	boot := d.boot
+	attempt := wire.Attempt{ID: st.Attempt, Ticket: st.Ticket, Incarnation: st.Incarnation, Call: st.Call.ID, Model: c.request.Model, Adapter: c.request.Adapter,
+		Prefix: c.request.Prefix, Prompt: c.request.Prompt, Received: append(append([]string(nil), c.request.Received...), c.result.Chunks...), NextChunk: c.result.ReceivedChunks + len(c.result.Chunks) + 1, MaxOutput: c.request.MaxOutput}
+	boot := g.boot
 	asked := false
-	d.later(sec, func() {
+	g.after(second, func() {
 		if !asked {
 			finish(scheduling.OutcomeUnsent, "the replica did not ask for the leg")
 		}
 	})
-	wait := func() int64 { return 200 + s.r.Int63n(1500) }
+	wait := func() int64 { return 200 + s.random.Int63n(1500) }
 	start := func(reachedUs int64) {
 		started, refusal, firstUs := p.core.StartAttempt(reachedUs, attempt)
 		if refusal != nil {
-			d.now(boot, func() { finish(scheduling.OutcomeRejected, refusal.Code) })
+			g.deliver(boot, func() { finish(scheduling.OutcomeRejected, refusal.Code) })
 			return
 		}
 		run = started
-		if over || !d.up || d.boot != boot {
+		if over || !g.up || g.boot != boot {
 			close()
 			return
 		}
-		d.pieces(p, c, run, attempt, firstUs, boot, func() bool { return over }, finish)
+		g.deliverChunks(p, c, run, attempt, firstUs, boot, func() bool { return over }, finish)
 	}
 	body := func() {
 		if over {
 			return
 		}
 		asked = true
-		if !d.maySend(st) {
+		if !g.maySend(st) {
 			finish(scheduling.OutcomeUnsent, "the news changed before it was sent")
 			return
 		}
-		s.at(s.nowUs+wait(), func() {
+		s.schedule(s.nowUs+wait(), func() {
 			if !p.up {
-				d.now(boot, func() { finish(scheduling.OutcomeUnknown, "the pipe broke") })
+				g.deliver(boot, func() { finish(scheduling.OutcomeUnknown, "the pipe broke") })
 				return
 			}
 			reachedUs := s.nowUs
-			p.now(p.boot, func() { start(reachedUs) })
+			p.deliver(p.boot, func() { start(reachedUs) })
 		})
 	}
-	s.at(s.nowUs+wait(), func() {
+	s.schedule(s.nowUs+wait(), func() {
 		if !p.up {
-			d.now(boot, func() { finish(scheduling.OutcomeUnsent, "the connection broke before the attempt was asked for") })
+			g.deliver(boot, func() { finish(scheduling.OutcomeUnsent, "the connection broke before the attempt was asked for") })
 			return
 		}
-		p.now(p.boot, func() { s.at(s.nowUs+wait(), func() { d.now(boot, body) }) })
+		p.deliver(p.boot, func() { s.schedule(s.nowUs+wait(), func() { g.deliver(boot, body) }) })
 	})
 }
 
-func (d *gatewayNode) pieces(p *serverNode, c *callState, run *modelserver.Run, attempt wire.Attempt, firstUs int64, boot int, over func() bool, finish func(scheduling.Outcome, string)) {
-	s := d.sim
+func (g *gatewayNode) deliverChunks(p *serverNode, c *callInFlight, run *modelserver.Run, attempt wire.Attempt, firstUs int64, boot int, over func() bool, finish func(scheduling.Outcome, string)) {
+	s := g.sim
 	n := attempt.NextChunk
 	serverBoot := p.boot
 	deliver := func(piece wire.Chunk) {
-		d.now(boot, func() {
+		g.deliver(boot, func() {
 			if over() {
 				return
 			}
-			ending, why := scheduling.CheckPiece(attempt.ID, c.told.ReceivedChunks+len(c.told.Chunks), piece)
+			ending, why := scheduling.CheckPiece(attempt.ID, c.result.ReceivedChunks+len(c.result.Chunks), piece)
 			switch {
-			case s.plan.Plant == "blind" && piece.Number != c.told.ReceivedChunks+len(c.told.Chunks)+1 && !piece.End:
+			case s.plan.Plant == "blind" && piece.Number != c.result.ReceivedChunks+len(c.result.Chunks)+1 && !piece.End:
 				ending = ""
-			case s.plan.Plant == "hasty" && len(c.told.Chunks) == 3:
+			case s.plan.Plant == "hasty" && len(c.result.Chunks) == 3:
 				ending = scheduling.OutcomeDone
-			case s.plan.Plant == "mixed" && len(c.told.Chunks) == 2:
+			case s.plan.Plant == "mixed" && len(c.result.Chunks) == 2:
 				piece.Text = "0000000000000000~" + run.Nonce
 			}
 			if ending != "" {
 				finish(ending, why)
 				return
 			}
-			if c.told.FirstUs == 0 {
-				c.told.FirstUs = s.nowUs
+			if c.result.FirstUs == 0 {
+				c.result.FirstUs = s.nowUs
 			}
-			c.call.FirstByteUs.CompareAndSwap(0, d.clock())
-			c.told.Chunks = append(c.told.Chunks, piece.Text)
-			c.told.IDs = append(c.told.IDs, c.told.ReceivedChunks+len(c.told.Chunks))
-			c.call.Progress.Store(int64(c.told.ReceivedChunks + len(c.told.Chunks)))
+			c.call.FirstByteUs.CompareAndSwap(0, g.clock())
+			c.result.Chunks = append(c.result.Chunks, piece.Text)
+			c.result.IDs = append(c.result.IDs, c.result.ReceivedChunks+len(c.result.Chunks))
+			c.call.Progress.Store(int64(c.result.ReceivedChunks + len(c.result.Chunks)))
 		})
 	}
 	var next func()
@@ -434,21 +434,23 @@
 			return
 		}
 		if !p.up || p.boot != serverBoot {
-			s.at(s.nowUs+ms, func() { d.now(boot, func() { finish(scheduling.OutcomeBroken, "the replica's stream ended early") }) })
+			s.schedule(s.nowUs+millisecond, func() {
+				g.deliver(boot, func() { finish(scheduling.OutcomeBroken, "the replica's stream ended early") })
+			})
 			return
 		}
 		if p.thawUs > s.nowUs {
-			s.at(p.thawUs, next)
+			s.schedule(p.thawUs, next)
 			return
 		}
-		if s.isCut(p.name, d.name) {
-			s.at(s.nowUs+50*ms, next)
+		if s.isCut(p.name, g.name) {
+			s.schedule(s.nowUs+50*millisecond, next)
 			return
 		}
 		if n > run.Total {
 			run.Ended = true
 			p.core.EndAttempt(s.nowUs, run, true)
-			s.at(s.nowUs+300, func() { deliver(wire.Chunk{AttemptID: attempt.ID, End: true, Number: run.Total}) })
+			s.schedule(s.nowUs+300, func() { deliver(wire.Chunk{AttemptID: attempt.ID, End: true, Number: run.Total}) })
 			return
 		}
 		piece := wire.Chunk{AttemptID: attempt.ID, Number: n, Text: modelserver.Text(attempt.Prompt, attempt.Model, attempt.Adapter, n, run.Nonce)}
@@ -456,81 +458,81 @@
 			n++
 			piece.Number, piece.Text = n, modelserver.Text(attempt.Prompt, attempt.Model, attempt.Adapter, n, run.Nonce)
 		}
-		s.at(s.nowUs+300, func() { deliver(piece) })
+		s.schedule(s.nowUs+300, func() { deliver(piece) })
 		run.Sent = n
 		n++
-		s.at(s.nowUs+p.core.PieceUs(), next)
+		s.schedule(s.nowUs+p.core.PieceUs(), next)
 	}
-	s.at(s.nowUs+firstUs, next)
+	s.schedule(s.nowUs+firstUs, next)
 }
 
-func (d *gatewayNode) attemptEnded(c *callState, st scheduling.AttemptStart, e scheduling.Outcome, why string, ended func(scheduling.Outcome)) {
-	if d.sim.plan.Plant == "again" && (e == scheduling.OutcomeUnknown || e == scheduling.OutcomeBroken) && len(c.told.Chunks) == 0 {
+func (g *gatewayNode) attemptEnded(c *callInFlight, st scheduling.AttemptStart, e scheduling.Outcome, why string, ended func(scheduling.Outcome)) {
+	if g.sim.plan.Plant == "again" && (e == scheduling.OutcomeUnknown || e == scheduling.OutcomeBroken) && len(c.result.Chunks) == 0 {
 		e = scheduling.OutcomeUnsent
 	}
-	if c.hung {
-		d.over(c)
+	if c.hungUp {
+		g.callEnded(c)
 		ended(e)
 		return
 	}
 	if e == scheduling.OutcomeDone {
-		c.told.Complete, c.told.EndCount = true, c.told.ReceivedChunks+len(c.told.Chunks)
-		d.over(c)
+		c.result.Complete, c.result.EndCount = true, c.result.ReceivedChunks+len(c.result.Chunks)
+		g.callEnded(c)
 	}
 	ended(e)
 }
 
-// take is a call reaching this gateway.
-func (d *gatewayNode) take(ask gateway.CallRequest, t rules.ClientAttempt, done func(rules.ClientAttempt)) {
-	s := d.sim
+// serveCall is a call reaching this gateway.
+func (g *gatewayNode) serveCall(ask gateway.CallRequest, t rules.ClientAttempt, done func(rules.ClientAttempt)) {
+	s := g.sim
 	t.AdmittedUs = s.nowUs
 	s.watch.Admitted(t.Tag, s.nowUs)
-	c := &callState{ask: ask, told: t, done: done}
+	c := &callInFlight{request: ask, result: t, done: done}
 	refuse := func(f *fault.Fault) {
-		c.told.Code, c.told.Run, c.told.RetryMs = string(f.Code), f.Run, f.RetryMs
-		if c.told.Run == "" {
-			c.told.Run = fault.RunNone
+		c.result.Code, c.result.Run, c.result.RetryMs = string(f.Code), f.Run, f.RetryMs
+		if c.result.Run == "" {
+			c.result.Run = fault.RunNone
 		}
-		s.finish(c)
+		s.recordResult(c)
 	}
-	if d.snap == nil || d.snap.Declaration == nil {
+	if g.snapshot == nil || g.snapshot.Declaration == nil {
 		refuse(&fault.Fault{Code: fault.NoLease, RetryMs: 500})
 		return
 	}
-	kind, bad := d.snap.Lookup(scheduling.Lookup{Kind: ask.Kind, Model: ask.Model, Adapter: ask.Adapter, Resuming: t.ReceivedChunks > 0}, d.clock(), d.leaseUs)
+	kind, bad := g.snapshot.Lookup(scheduling.Lookup{Kind: ask.Kind, Model: ask.Model, Adapter: ask.Adapter, Resuming: t.ReceivedChunks > 0}, g.clock(), g.leaseUs)
 	if bad != nil {
 		refuse(bad)
 		return
 	}
 	s.calls++
 	c.call = &scheduling.Call{
-		ID: fmt.Sprintf("%s-%d", d.name, s.calls), Kind: kind.Name, Model: ask.Model, Adapter: ask.Adapter, Prefix: ask.Prefix, ArrivedUs: d.clock(), Delivered: t.ReceivedChunks,
+		ID: fmt.Sprintf("%s-%d", g.name, s.calls), Kind: kind.Name, Model: ask.Model, Adapter: ask.Adapter, Prefix: ask.Prefix, ArrivedUs: g.clock(), Delivered: t.ReceivedChunks,
 	}
 	c.call.Progress.Store(int64(t.ReceivedChunks))
 	enter := func() {
-		d.calls[c.call.ID] = c
-		if s.r.Intn(40) == 0 {
-			d.later(s.r.Int63n(600*ms), func() { d.hangUp(c) })
+		g.calls[c.call.ID] = c
+		if s.random.Intn(40) == 0 {
+			g.after(s.random.Int63n(600*millisecond), func() { g.hangUp(c) })
 		}
-		d.step(scheduling.CallArrived{Call: c.call})
+		g.step(scheduling.CallArrived{Call: c.call})
 	}
 	if t.Key == "" || kind.Resumable {
 		enter()
 		return
 	}
-	change := statemachine.Change{ID: "key-" + c.call.ID, Key: &statemachine.KeyChange{Key: t.Key, Gateway: d.name, GatewayIncarnation: d.incarnation, Call: c.call.ID}}
-	d.calls[c.call.ID] = c
-	d.submit(change, func(r wire.Result, ok bool) {
-		delete(d.calls, c.call.ID)
+	change := statemachine.Change{ID: "key-" + c.call.ID, Key: &statemachine.KeyChange{Key: t.Key, Gateway: g.name, GatewayIncarnation: g.incarnation, Call: c.call.ID}}
+	g.calls[c.call.ID] = c
+	g.submit(change, func(r wire.Result, ok bool) {
+		delete(g.calls, c.call.ID)
 		switch {
 		case !ok:
-			d.keyChange(c, fault.RunNone)
+			g.keyChange(c, fault.RunNone)
 			refuse(&fault.Fault{Code: fault.Overloaded, RetryMs: 1000})
 		case r.Outcome.Fault != nil:
 			refuse(&fault.Fault{Code: r.Outcome.Fault.Code, RetryMs: 2000})
 		case r.Outcome.Repeated && s.plan.Plant != "keys":
-			c.told.Code, c.told.Run = string(fault.KeyRunning), fault.RunUnknown
-			s.finish(c)
+			c.result.Code, c.result.Run = string(fault.KeyRunning), fault.RunUnknown
+			s.recordResult(c)
 		default:
 			c.keyed = true
 			enter()
@@ -538,18 +540,18 @@
 	})
 }
 
-func (s *Sim) finish(c *callState) {
-	c.told.EndUs = s.nowUs
-	s.told = append(s.told, c.told)
-	s.watch.Observed(c.told)
+func (s *DeclaredDay) recordResult(c *callInFlight) {
+	c.result.EndUs = s.nowUs
+	s.results = append(s.results, c.result)
+	s.watch.Observed(c.result)
 	if c.done != nil {
-		c.done(c.told)
+		c.done(c.result)
 	}
 }
 
-// demand sends seeded calls until a time; a keyed call whose fate is not known is asked for
+// generateCalls sends seeded calls until a time; a keyed call whose fate is not known is asked for
 // again, with its key, at another gateway.
-func (s *Sim) demand(untilUs int64) {
+func (s *DeclaredDay) generateCalls(untilUs int64) {
 	r := rand.New(rand.NewSource(s.plan.Seed*7 + s.nowUs))
 	label := fmt.Sprintf("t%d", s.nowUs/1000)
 	n := 0
@@ -559,27 +561,27 @@
 			return
 		}
 		n++
-		ask := s.draw(r, label, n)
+		ask := s.randomCall(r, label, n)
 		key := ""
 		if r.Intn(4) == 0 {
 			key = "key-" + ask.Prompt
 		}
-		s.call(ask, key, r.Intn(len(s.gateways)), 0)
-		s.at(s.nowUs+int64(r.ExpFloat64()/s.plan.PerSec*1e6), next)
+		s.sendCall(ask, key, r.Intn(len(s.gateways)), 0)
+		s.schedule(s.nowUs+int64(r.ExpFloat64()/s.plan.CallsPerSecond*1e6), next)
 	}
 	next()
 }
 
-func (s *Sim) draw(r *rand.Rand, label string, n int) gateway.CallRequest {
+func (s *DeclaredDay) randomCall(r *rand.Rand, label string, n int) gateway.CallRequest {
 	d := s.plan.Doc
-	kind := byUrgency(d)[[]int{0, 1, 1, 2, 2, 2, 2}[r.Intn(7)]%len(d.Kinds)]
+	kind := kindsByPriority(d)[[]int{0, 1, 1, 2, 2, 2, 2}[r.Intn(7)]%len(d.Kinds)]
 	m := d.Models[min(int(r.ExpFloat64()*float64(len(d.Models))/4), len(d.Models)-1)]
-	if s.rareOnly {
+	if s.onlyRareModels {
 		m = d.Models[len(d.Models)/2+r.Intn(len(d.Models)/2)]
 	}
 	ask := gateway.CallRequest{Kind: kind.Name, Model: m.Name, Prefix: []string{"house", fmt.Sprintf("school %d", r.Intn(4))}, Prompt: fmt.Sprintf("%s.%d go", label, n)}
-	if s.ops.once["model of "+d.Adapters[1].Name] && r.Intn(8) == 0 {
-		ask.Adapter, ask.Model = d.Adapters[1].Name, s.ops.elsewhere()
+	if s.operators.done["model of "+d.Adapters[1].Name] && r.Intn(8) == 0 {
+		ask.Adapter, ask.Model = d.Adapters[1].Name, s.operators.elsewhere()
 		return ask
 	}
 	if r.Intn(4) == 0 {
@@ -592,32 +594,32 @@
 	return ask
 }
 
-func (s *Sim) call(ask gateway.CallRequest, key string, at, try int) {
+func (s *DeclaredDay) sendCall(ask gateway.CallRequest, key string, at, try int) {
 	d := s.gateways[at%len(s.gateways)]
 	t := rules.ClientAttempt{Tag: modelserver.TagOf(ask.Prompt), Key: key, Kind: ask.Kind, Model: ask.Model, Adapter: ask.Adapter, Prompt: ask.Prompt, Gateway: d.name,
-		StartUs: s.nowUs, ReceivedChunks: len(ask.Received), MaxOutput: ask.MaxOutput, Resumable: s.ops.mayResume(ask.Kind)}
+		StartUs: s.nowUs, ReceivedChunks: len(ask.Received), MaxOutput: ask.MaxOutput, Resumable: s.operators.mayResume(ask.Kind)}
 	s.watch.Requested(t)
-	done := func(t rules.ClientAttempt) { s.askAgain(t, ask, key, at, try) }
+	done := func(t rules.ClientAttempt) { s.retryCall(t, ask, key, at, try) }
 	if !d.up {
 		t.Code, t.Run, t.EndUs = "down", fault.RunNone, s.nowUs
-		s.told = append(s.told, t)
+		s.results = append(s.results, t)
 		done(t)
 		return
 	}
 	boot := d.boot
-	s.at(s.nowUs+500, func() {
+	s.schedule(s.nowUs+500, func() {
 		if !d.up || d.boot != boot {
 			t.Code, t.Run, t.EndUs = "cut", fault.RunUnknown, s.nowUs
-			s.told = append(s.told, t)
+			s.results = append(s.results, t)
 			return
 		}
-		d.now(boot, func() { d.take(ask, t, done) })
+		d.deliver(boot, func() { d.serveCall(ask, t, done) })
 	})
 }
 
-// askAgain is what a sensible caller does: it comes back when it was told to, asks what became of
+// retryCall is what a sensible caller does: it comes back when it was told to, asks what became of
 // a keyed call, and goes on with a stream that was cut where that is allowed.
-func (s *Sim) askAgain(t rules.ClientAttempt, ask gateway.CallRequest, key string, at, try int) {
+func (s *DeclaredDay) retryCall(t rules.ClientAttempt, ask gateway.CallRequest, key string, at, try int) {
 	if t.Complete || try >= 4 || t.Code == "hung up" {
 		return
 	}
@@ -629,5 +631,5 @@
 	default:
 		return
 	}
-	s.at(s.nowUs+max(t.RetryMs, 200)*ms, func() { s.call(ask, key, at+1, try+1) })
+	s.schedule(s.nowUs+max(t.RetryMs, 200)*millisecond, func() { s.sendCall(ask, key, at+1, try+1) })
 }
--- a/tests/simulator/member_repair_test.go
+++ b/tests/simulator/member_repair_test.go
@@ -9,7 +9,7 @@
 )
 
 func repairPlan(seed int64, controlNodes int, r Repairs) RoutedPlan {
-	return RoutedPlan{Seed: seed, ControlNodes: controlNodes, Gateways: 2, Cards: 4, Logs: 2, PerSec: 8, CalmUs: 5 * sec, SpanUs: sec, Repairs: r, Closing: "wipe-after-ack-all"}
+	return RoutedPlan{Seed: seed, ControlNodes: controlNodes, Gateways: 2, CardReplicas: 4, LogReplicas: 2, CallsPerSecond: 8, QuietUs: 5 * second, DurationUs: second, Repairs: r, Closing: "wipe-after-ack-all"}
 }
 
 // A control machine is lost for good, emptied or replaced as planned, and the next one the moment that its successor
@@ -24,7 +24,7 @@
 				for seed := from; seed < from+count; seed++ {
 					t.Run(fmt.Sprintf("%d offices/%s/oldest %v/seed-%d", controlNodes, how, oldest, seed), func(t *testing.T) {
 						t.Parallel()
-						out := RunRouted(repairPlan(int64(seed), controlNodes, Repairs{Rounds: 4, How: how, Oldest: oldest}))
+						out := RunRouted(repairPlan(int64(seed), controlNodes, Repairs{Rounds: 4, Method: how, Oldest: oldest}))
 						if len(out.Breaches) > 0 {
 							t.Fatalf("%v\n%s", out.Breaches, strings.Join(last(out.Log, 80), "\n"))
 						}
@@ -35,13 +35,13 @@
 							}
 						}
 						acked := 0
-						for _, v := range out.Seen.Versions {
+						for _, v := range out.Observed.Versions {
 							if v.AckedUs > 0 {
 								acked++
 							}
 						}
-						if rounds != 4 || acked < 20 || out.Stakes[rules.Acks] == 0 || out.Stakes[rules.ConfigGon] == 0 {
-							t.Fatalf("%d rounds, %d acknowledged, at stake %v: it proves little\n%s", rounds, acked, out.Stakes, strings.Join(last(out.Log, 60), "\n"))
+						if rounds != 4 || acked < 20 || out.ChecksAtStake[rules.Acks] == 0 || out.ChecksAtStake[rules.ConfigGon] == 0 {
+							t.Fatalf("%d rounds, %d acknowledged, at stake %v: it proves little\n%s", rounds, acked, out.ChecksAtStake, strings.Join(last(out.Log, 60), "\n"))
 						}
 					})
 				}
@@ -54,7 +54,7 @@
 func TestAnAbruptMemberIsFound(t *testing.T) {
 	heavy(t)
 	for seed := int64(1); seed <= 8; seed++ {
-		p := repairPlan(seed, 3, Repairs{Rounds: 4, How: repairMixed})
+		p := repairPlan(seed, 3, Repairs{Rounds: 4, Method: repairMixed})
 		p.Plant, p.Closing = "abrupt-office", ""
 		for _, b := range RunRouted(p).Breaches {
 			if b.Rule == rules.Acks {
--- a/tests/simulator/member_test.go
+++ b/tests/simulator/member_test.go
@@ -11,10 +11,10 @@
 
 // order sends an order about members until it is answered, at any control node that is up, and once more after
 // that, as an operator may who lost the answer.
-func (p *operators) order(id string, m statemachine.MembershipChange) {
-	s := p.sim
-	o := p.controlNode()
-	again := func() { s.at(s.nowUs+300*ms, func() { p.order(id, m) }) }
+func (ops *operators) order(id string, m statemachine.MembershipChange) {
+	s := ops.sim
+	o := ops.controlNode()
+	again := func() { s.schedule(s.nowUs+300*millisecond, func() { ops.order(id, m) }) }
 	if o == nil {
 		again()
 		return
@@ -25,7 +25,7 @@
 		return
 	}
 	sent := held
-	o.submit(statemachine.Change{ID: id, Membership: &sent}, 2*sec, func(r wire.Result, ok bool) {
+	o.submit(statemachine.Change{ID: id, Membership: &sent}, 2*second, func(r wire.Result, ok bool) {
 		switch {
 		case !ok:
 			again()
@@ -37,24 +37,24 @@
 	})
 }
 
-func (s *Sim) empty(name, zone string) *controlNode {
-	o := newControlNode(s, name, fmt.Sprintf("%s:new%s", name, s.newIncarnation()), zone, 0)
+func (s *DeclaredDay) empty(name, zone string) *controlNode {
+	o := newControlNode(s, name, fmt.Sprintf("%s:new%s", name, s.nextIncarnation()), zone, 0)
 	s.controlNodes = append(s.controlNodes, o)
 	return o
 }
 
-func (s *Sim) until(t *testing.T, what string, holds func() bool) {
+func (s *DeclaredDay) until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for limitUs := s.nowUs + 30*sec; !holds(); {
-		if !s.runUntil(s.nowUs+50*ms) || s.nowUs > limitUs {
-			t.Fatalf("not %s: %v %s", what, s.watch.Breaches, s.why())
+	for limitUs := s.nowUs + 30*second; !holds(); {
+		if !s.runUntil(s.nowUs+50*millisecond) || s.nowUs > limitUs {
+			t.Fatalf("not %s: %v %s", what, s.watch.Breaches, s.unsettledReason())
 		}
 	}
 }
 
 // votes are the names that vote in the newest view any control node has, whether all are seated, and the order
 // that stands.
-func (s *Sim) votes() (names map[string]string, seated bool, order *statemachine.MembershipChange) {
+func (s *DeclaredDay) votes() (names map[string]string, seated bool, order *statemachine.MembershipChange) {
 	var newest *controlNode
 	for _, o := range s.controlNodes {
 		if o.up && (newest == nil || o.core.Node.View().Number > newest.core.Node.View().Number) {
@@ -86,18 +86,18 @@
 			p := plan(int64(seed), 0)
 			p.Changes = false
 			s := New(p)
-			s.ops.begin()
-			s.until(t, "up", func() bool { return s.ops.grown && s.settled() })
-			s.demand(s.nowUs + 90*sec)
+			s.operators.begin()
+			s.until(t, "up", func() bool { return s.operators.grown && s.recovered() })
+			s.generateCalls(s.nowUs + 90*second)
 			kill := func() {
-				s.at(s.nowUs+s.r.Int63n(2500*ms), func() {
+				s.schedule(s.nowUs+s.random.Int63n(2500*millisecond), func() {
 					if !s.damaged() {
-						s.crashControlNode(s.controlNodes[s.r.Intn(len(s.controlNodes))], 0, s.r.Intn(4), 300*ms+s.r.Int63n(1500*ms))
+						s.crashControlNode(s.controlNodes[s.random.Intn(len(s.controlNodes))], 0, s.random.Intn(4), 300*millisecond+s.random.Int63n(1500*millisecond))
 					}
 				})
 			}
 			step := func(what string, m statemachine.MembershipChange, done func(names map[string]string) bool) {
-				s.ops.order("member-"+what, m)
+				s.operators.order("member-"+what, m)
 				kill()
 				s.until(t, what, func() bool {
 					names, seated, order := s.votes()
@@ -105,7 +105,7 @@
 				})
 			}
 			s.empty("core-3", "a")
-			s.runUntil(s.nowUs + 2*sec)
+			s.runUntil(s.nowUs + 2*second)
 			if names, _, _ := s.votes(); names["core-3"] != "" {
 				t.Fatal("a control node nobody ordered votes")
 			}
@@ -113,7 +113,7 @@
 			old := s.controlNodes[1]
 			oldID := old.core.Node.Self().ID
 			s.empty(old.name, old.zone)
-			s.runUntil(s.nowUs + 2*sec)
+			s.runUntil(s.nowUs + 2*second)
 			if names, _, _ := s.votes(); names[old.name] != oldID {
 				t.Fatal("a living control node was replaced without an order")
 			}
@@ -121,12 +121,12 @@
 			old.crash(0, 0)
 			s.controlNodes = append(s.controlNodes[:1:1], s.controlNodes[2:]...)
 			step("removed", statemachine.MembershipChange{Action: statemachine.RemoveMember, Name: "core-3"}, func(n map[string]string) bool { return len(n) == 3 && n["core-3"] == "" })
-			s.until(t, "usual again", func() bool { return s.settled() })
+			s.until(t, "usual again", func() bool { return s.recovered() })
 			fromUs := s.nowUs
-			if !s.runUntil(fromUs + 8*sec) {
+			if !s.runUntil(fromUs + 8*second) {
 				t.Fatal(s.watch.Breaches)
 			}
-			if row := s.service(fromUs, fromUs+4*sec)["all"]; row == nil || row.share() < 0.95 {
+			if row := s.serviceLevels(fromUs, fromUs+4*second)["all"]; row == nil || row.share() < 0.95 {
 				t.Fatalf("%+v", row)
 			}
 		})
@@ -134,10 +134,10 @@
 }
 
 // damagedBut: a control node that votes is down or not yet serving.
-func (s *Sim) damagedBut() bool {
+func (s *DeclaredDay) damagedBut() bool {
 	names, _, _ := s.votes()
 	for _, o := range s.controlNodes {
-		if id := names[o.named]; id == o.disk.identity && (!o.up || o.core.Node.Phase() != "serving") {
+		if id := names[o.memberName]; id == o.disk.identity && (!o.up || o.core.Node.Phase() != "serving") {
 			return true
 		}
 	}
--- a/tests/simulator/moves_test.go
+++ b/tests/simulator/moves_test.go
@@ -12,34 +12,34 @@
 func moved(t *testing.T, seed int64, plant string, leftUs int64) (ran, cut, cutPieces, ended, calls int) {
 	t.Helper()
 	p := plan(seed, 0)
-	p.Changes, p.Plant, p.Declared, p.Loss = false, plant, true, 0
+	p.Changes, p.Plant, p.UseDeclaredReplicas, p.LossRatio = false, plant, true, 0
 	s := New(p)
-	s.ops.begin()
-	s.until(t, "up", func() bool { return s.ops.grown && s.settled() })
-	s.runUntil(s.nowUs + 6*sec)
+	s.operators.begin()
+	s.until(t, "up", func() bool { return s.operators.grown && s.recovered() })
+	s.runUntil(s.nowUs + 6*second)
 	fromUs := s.nowUs
 	for n := 0; n < 120; n++ {
 		ask := gateway.CallRequest{Kind: "pages", Model: p.modelAt(s, n), Prompt: fmt.Sprintf("move-%d-%d go", seed, n), MaxOutput: 60}
-		s.at(fromUs+int64(n)*25*ms, func() { s.call(ask, "", n, 0) })
+		s.schedule(fromUs+int64(n)*25*millisecond, func() { s.sendCall(ask, "", n, 0) })
 	}
-	s.runUntil(fromUs + 2500*ms)
+	s.runUntil(fromUs + 2500*millisecond)
 	gpu := s.servers["gpu-0"]
 	running := map[string]bool{}
 	for _, attempt := range gpu.core.Attempts() {
 		running[attempt.Attempt] = true
 	}
 	s.noticeReplica(gpu, leftUs)
-	s.runUntil(s.nowUs + leftUs - 5*ms)
+	s.runUntil(s.nowUs + leftUs - 5*millisecond)
 	for _, attempt := range gpu.core.Attempts() {
 		if running[attempt.Attempt] {
 			cut++
 			cutPieces += attempt.Sent
 		}
 	}
-	if !s.runUntil(s.nowUs + 20*sec) {
+	if !s.runUntil(s.nowUs + 20*second) {
 		t.Fatal(s.watch.Breaches)
 	}
-	for _, told := range s.told {
+	for _, told := range s.results {
 		calls++
 		if told.Complete || told.Code == "hung up" {
 			ended++
@@ -48,13 +48,13 @@
 	return len(running), cut, cutPieces, ended, calls
 }
 
-func (p Plan) modelAt(s *Sim, n int) string { return s.plan.Doc.Models[n%4].Name }
+func (p DeclaredPlan) modelAt(s *DeclaredDay, n int) string { return s.plan.Doc.Models[n%4].Name }
 
 // Attempts that may be resumed leave a replica under notice while survivors have room; the project's earlier
 // version, which left them there, is the planted one.
 func TestResumableAttemptsMoveOffAReplicaUnderNotice(t *testing.T) {
 	heavy(t)
-	for _, leftUs := range []int64{600 * ms, 900 * ms} {
+	for _, leftUs := range []int64{600 * millisecond, 900 * millisecond} {
 		sum := map[string][4]int{}
 		for _, plant := range []string{"", "still"} {
 			var ran, cut, ended, calls int
--- a/tests/simulator/overload_test.go
+++ b/tests/simulator/overload_test.go
@@ -21,9 +21,9 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			out := Play(Plan{Seed: 3, ControlNodes: 3, Gateways: 3, Replicas: 5, SpanUs: 5 * sec, PerSec: 60 * times, Declared: true})
+			out := RunDeclaredWithBaseline(DeclaredPlan{Seed: 3, ControlNodes: 3, Gateways: 3, Replicas: 5, DurationUs: 5 * second, CallsPerSecond: 60 * times, UseDeclaredReplicas: true})
 			c := carried{times: times, byKind: map[string]float64{}}
-			for _, told := range out.Told {
+			for _, told := range out.Results {
 				if told.Complete {
 					c.ended += 0.2
 					c.byKind[told.Kind] += 0.2
--- a/tests/simulator/plant_routed_test.go
+++ b/tests/simulator/plant_routed_test.go
@@ -12,11 +12,11 @@
 	at := func(kinds ...string) []Fault {
 		faults := []Fault{}
 		for i, k := range kinds {
-			faults = append(faults, Fault{Kind: k, AtUs: int64(2+4*i) * sec, ForUs: 3 * sec, A: i, B: 1, N: 4})
+			faults = append(faults, Fault{Kind: k, AtUs: int64(2+4*i) * second, DurationUs: 3 * second, A: i, B: 1, N: 4})
 		}
 		return faults
 	}
-	turned := []Fault{{Kind: "turning-replica", AtUs: 2 * sec, ForUs: 20 * sec, B: 1}, {Kind: "burst", AtUs: 6 * sec, ForUs: 10 * sec}}
+	turned := []Fault{{Kind: "turning-replica", AtUs: 2 * second, DurationUs: 20 * second, B: 1}, {Kind: "burst", AtUs: 6 * second, DurationUs: 10 * second}}
 	crashes := at("crash-replica", "crash-replica", "crash-replica", "crash-replica", "crash-replica")
 	for _, c := range []struct {
 		plant  string
@@ -56,7 +56,7 @@
 		{"small-only", rules.Sizes, nil},
 		{"clingy", rules.Removal, at("give-up", "give-up", "give-up", "give-up")},
 		{"forgetful", rules.Known, nil},
-		{"seed-bound", rules.Seeds, []Fault{{Kind: "cut-seeds", AtUs: 2 * sec, ForUs: 3 * sec, N: 1}, {Kind: "cut-seeds", AtUs: 13 * sec, ForUs: 3 * sec, A: 1, N: 1}}},
+		{"seed-bound", rules.Seeds, []Fault{{Kind: "cut-seeds", AtUs: 2 * second, DurationUs: 3 * second, N: 1}, {Kind: "cut-seeds", AtUs: 13 * second, DurationUs: 3 * second, A: 1, N: 1}}},
 		{"stranger", rules.ConfigTwo, at("ack-lost-race", "model-shift", "ack-lost-race")},
 		{"two-winners", rules.ConfigTwo, at("ack-lost-race", "model-shift", "ack-lost-race")},
 		{"amnesia", rules.ConfigGon, at("cut-behind", "model-shift", "cut-behind")},
@@ -70,7 +70,7 @@
 				p := routedPlan(seed, 0)
 				p.Plant, p.Faults, p.Closing = c.plant, c.faults, ""
 				if c.rule == rules.Twice || c.rule == rules.Refused || c.rule == rules.Budget {
-					p.PerSec = 60
+					p.CallsPerSecond = 60
 				}
 				if c.rule == rules.Recover {
 					p.Closing = "kill-all"
--- a/tests/simulator/recovery_test.go
+++ b/tests/simulator/recovery_test.go
@@ -9,35 +9,35 @@
 // recovery kills everything under a crowd that stays before the doors, and tells how long after the
 // machines came back the first call ended, every model had a holder, and service was usual again: the
 // end of the last second in which fewer than 90 of 100 calls begun ended well.
-func recovery(t *testing.T, p Plan, crowd float64) (firstUs, heldUs, usualUs int64) {
+func recovery(t *testing.T, p DeclaredPlan, crowd float64) (firstUs, heldUs, usualUs int64) {
 	t.Helper()
 	s := New(p)
-	s.ops.begin()
-	for limitUs := s.nowUs + 40*sec; !s.settled() && s.nowUs < limitUs; {
-		s.runUntil(s.nowUs + 100*ms)
+	s.operators.begin()
+	for limitUs := s.nowUs + 40*second; !s.recovered() && s.nowUs < limitUs; {
+		s.runUntil(s.nowUs + 100*millisecond)
 	}
-	s.demand(s.nowUs + 60*sec)
-	s.runUntil(s.nowUs + 5*sec)
-	s.plan.PerSec *= crowd
-	const downUs = 900 * ms
-	s.cause(Fault{Kind: "kill-everything", ForUs: 3 * downUs, B: 1, N: 3})
+	s.generateCalls(s.nowUs + 60*second)
+	s.runUntil(s.nowUs + 5*second)
+	s.plan.CallsPerSecond *= crowd
+	const downUs = 900 * millisecond
+	s.applyFault(Fault{Kind: "kill-everything", DurationUs: 3 * downUs, B: 1, N: 3})
 	backUs := s.nowUs + downUs
-	s.at(backUs+6*sec, func() { s.plan.PerSec /= crowd })
-	for s.nowUs < backUs+25*sec {
-		if !s.runUntil(s.nowUs + 50*ms) {
+	s.schedule(backUs+6*second, func() { s.plan.CallsPerSecond /= crowd })
+	for s.nowUs < backUs+25*second {
+		if !s.runUntil(s.nowUs + 50*millisecond) {
 			t.Fatal(s.watch.Breaches)
 		}
-		if heldUs == 0 && s.nowUs > backUs+200*ms && s.settled() {
+		if heldUs == 0 && s.nowUs > backUs+200*millisecond && s.recovered() {
 			heldUs = s.nowUs - backUs
 		}
 	}
-	s.runUntil(s.nowUs + 15*sec)
+	s.runUntil(s.nowUs + 15*second)
 	all, well := map[int64]int{}, map[int64]int{}
-	for _, told := range s.told {
-		if told.StartUs < backUs || told.StartUs > backUs+20*sec || told.Code == "hung up" || told.Code == "key_running" {
+	for _, told := range s.results {
+		if told.StartUs < backUs || told.StartUs > backUs+20*second || told.Code == "hung up" || told.Code == "key_running" {
 			continue
 		}
-		at := (told.StartUs - backUs) / sec
+		at := (told.StartUs - backUs) / second
 		all[at]++
 		if told.Complete {
 			well[at]++
@@ -48,7 +48,7 @@
 	}
 	for at, n := range all {
 		if well[at]*100 < n*90 {
-			usualUs = max(usualUs, (at+1)*sec)
+			usualUs = max(usualUs, (at+1)*second)
 		}
 	}
 	return firstUs, heldUs, usualUs
@@ -71,7 +71,7 @@
 				p := sized(t, name, int64(seed))
 				f, h, u := recovery(t, p, 4)
 				first, held, usual = append(first, f), append(held, h), append(usual, u)
-				if h == 0 || h > 14*sec || u > 9*sec {
+				if h == 0 || h > 14*second || u > 9*second {
 					t.Errorf("seed %d: every model held after %d ms, usual service after %d ms", seed, h/1000, u/1000)
 				}
 			}
--- a/tests/simulator/routed.go
+++ b/tests/simulator/routed.go
@@ -14,76 +14,76 @@
 
 // RoutedPlan is a day on the users' platform: replicas make themselves known, and calls come by routes.
 type RoutedPlan struct {
-	Seed         int64
-	ControlNodes int
-	Gateways     int
-	Cards        int
-	Logs         int
-	PerSec       float64
-	CalmUs       int64
-	SpanUs       int64
-	Faults       []Fault
-	CutOffs      []CutOff
-	Repairs      Repairs
-	Closing      string
-	Plant        string
+	Seed           int64
+	ControlNodes   int
+	Gateways       int
+	CardReplicas   int
+	LogReplicas    int
+	CallsPerSecond float64
+	QuietUs        int64
+	DurationUs     int64
+	Faults         []Fault
+	Partitions     []Partition
+	Repairs        Repairs
+	Closing        string
+	Plant          string
 	// Trace is as in Plan.
 	Trace func(atUs int64, kind string, what any)
 }
 
 const (
-	bootUs      = 10 * sec
-	heartbeatUs = 1200 * ms
-	seedLagUs   = 3 * sec
-	reuseUs     = 2 * sec
-	routedJudge = 6 * sec
+	bootUs      = 10 * second
+	heartbeatUs = 1200 * millisecond
+	seedLagUs   = 3 * second
+	reuseUs     = 2 * second
+	routedJudge = 6 * second
 	seedsMost   = 3
 )
 
 // routedDay drives the reducers of every role, by routes, under one virtual clock.
 type routedDay struct {
-	*Sim
-	plan         RoutedPlan
-	seen         *rules.Day
-	engine       *configuration.Engine
-	store        *replica.Store
-	disks        map[string]*replica.Disk
-	controlNodes []*routedControlNode
-	gateways     []*routedGateway
-	replicas     map[string]*replicaNode
-	lives        int
-	conns        uint64
-	ports        int
-	listed       []listing
-	clients      *clients
-	ops          *routedOperators
-	springs      []*spring
-	taking       []func(t *routedGateway)
-	ordering     []Fault
-	keepers      []Fault
-	handed       bool
-	cutOff       cutOffState
+	*DeclaredDay
+	plan             RoutedPlan
+	observed         *rules.Day
+	engine           *configuration.Engine
+	store            *replica.Store
+	disks            map[string]*replica.Disk
+	controlNodes     []*routedControlNode
+	gateways         []*routedGateway
+	replicas         map[string]*replicaNode
+	incarnations     int
+	connections      uint64
+	ports            int
+	seedLists        []seedList
+	clients          *clients
+	operators        *routedOperators
+	armedFaults      []*armedDiskFault
+	taking           []func(t *routedGateway)
+	awaitingOrder    []Fault
+	awaitingSnapshot []Fault
+	handed           bool
+	partitions       partitionState
 }
 
-// listing is the operators' list of machines that serve control, from a moment on.
-type listing struct {
+// seedList is the operators' list of machines that serve control, from a moment on.
+type seedList struct {
 	atUs  int64
 	addrs []string
 }
 
 // RoutedOutcome is what came of a day.
 type RoutedOutcome struct {
-	Breaches []rules.Breach
-	Stakes   map[string]int
-	Caused   map[string]int
-	Tries    int
-	Served   int
-	Owed     int
-	Loads    int
-	Events   int
-	Statuses map[string]int
-	Log      []string
-	Seen     *rules.Day
+	Breaches      []rules.Breach
+	ChecksAtStake map[string]int
+	Caused        map[string]int
+	Attempts      int
+	Served        int
+	Offered       int
+	Loads         int
+	Events        int
+	Statuses      map[string]int
+	Log           []string
+	Observed      *rules.Day
 }
 
 func routedEngine() *configuration.Engine {
@@ -101,12 +101,12 @@
 func newRoutedDay(plan RoutedPlan) *routedDay {
 	d := &routedDay{
 		plan: plan, engine: routedEngine(), disks: map[string]*replica.Disk{}, replicas: map[string]*replicaNode{}, ports: 8000,
-		Sim: &Sim{r: rand.New(rand.NewSource(plan.Seed)), cuts: map[[2]string]int{}, nowUs: sec, caused: map[string]int{}, trace: plan.Trace},
+		DeclaredDay: &DeclaredDay{random: rand.New(rand.NewSource(plan.Seed)), blockedLinks: map[[2]string]int{}, nowUs: second, caused: map[string]int{}, trace: plan.Trace},
 	}
 	d.store = &replica.Store{AtOnce: d.engine.MaxConcurrentLoads()}
-	d.seen = &rules.Day{Bounds: rules.SmallBounds(d.engine.LoadsPerSecond)}
+	d.observed = &rules.Day{Bounds: rules.SmallBounds(d.engine.LoadsPerSecond)}
 	if plan.Plant == "strict-store" {
-		d.seen.Bounds.LoadsPerS /= 4
+		d.observed.Bounds.LoadsPerS /= 4
 	}
 	zones := []string{"a", "b", "c"}
 	for i := range min(plan.ControlNodes, seedsMost) {
@@ -115,19 +115,19 @@
 	for i := range plan.ControlNodes {
 		d.addControlNode(fmt.Sprintf("core-%d", i), fmt.Sprintf("core-%d:1", i), zones[i%3], true)
 	}
-	d.list()
+	d.publishSeeds()
 	for i := range plan.Gateways {
 		d.gateways = append(d.gateways, newRoutedGateway(d, fmt.Sprintf("front-%d", i), zones[i%3]))
 	}
-	for i := range plan.Cards {
-		d.startReplica(fmt.Sprintf("gpu-%d", i), "cards", zones[i%3], "", d.placed(i))
+	for i := range plan.CardReplicas {
+		d.startReplica(fmt.Sprintf("gpu-%d", i), "cards", zones[i%3], "", d.initialModels(i))
 	}
-	for i := range plan.Logs {
+	for i := range plan.LogReplicas {
 		d.startReplica(fmt.Sprintf("cpu-%d", i), "log", zones[i%3], "", nil)
 		d.startReplica(fmt.Sprintf("cpb-%d", i), "log-b", zones[i%3], "", nil)
 	}
 	d.clients = newClients(d)
-	d.ops = newRoutedOperators(d)
+	d.operators = newRoutedOperators(d)
 	return d
 }
 
@@ -137,17 +137,17 @@
 // catchUpUs is how long after its return the platform counts a machine as lost.
 func (d *routedDay) catchUpUs() int64 {
 	if d.tolerated() > 1 {
-		return 6 * sec
+		return 6 * second
 	}
-	return 4 * sec
+	return 4 * second
 }
 
-// placed is what a replica holds at the start: busy models on many, the others on one each.
-func (d *routedDay) placed(i int) []string {
+// initialModels is what a replica holds at the start: busy models on many, the others on one each.
+func (d *routedDay) initialModels(i int) []string {
 	held := []string{}
 	var mb int64
 	for n, m := range d.engine.Models {
-		if (n < 2 && i%2 == n) || n%d.plan.Cards == i {
+		if (n < 2 && i%2 == n) || n%d.plan.CardReplicas == i {
 			if mb+m.SizeMB <= d.engine.CapacityMB {
 				held = append(held, m.Name)
 				mb += m.SizeMB
@@ -157,20 +157,20 @@
 	return held
 }
 
-// list notes which machines serve control now; the others learn it with a lag.
-func (d *routedDay) list() {
+// publishSeeds notes which machines serve control now; the others learn it with a lag.
+func (d *routedDay) publishSeeds() {
 	addrs := []string{}
 	for _, o := range d.controlNodes {
 		if !o.removed {
 			addrs = append(addrs, o.addr)
 		}
 	}
-	d.listed = append(d.listed, listing{d.nowUs, addrs})
+	d.seedLists = append(d.seedLists, seedList{d.nowUs, addrs})
 }
 
-func (d *routedDay) listedNow() []string {
-	out := d.listed[0].addrs
-	for _, l := range d.listed {
+func (d *routedDay) currentSeeds() []string {
+	out := d.seedLists[0].addrs
+	for _, l := range d.seedLists {
 		if l.atUs <= d.nowUs-seedLagUs {
 			out = l.addrs
 		}
@@ -187,91 +187,91 @@
 	return nil
 }
 
-// trouble notes what was done to a machine; one without an end is ended by over.
-func (d *routedDay) trouble(t rules.FaultInterval) {
+// recordFault notes what was done to a machine; one without an end is ended by over.
+func (d *routedDay) recordFault(t rules.FaultInterval) {
 	t.FromUs = d.nowUs
 	if t.ToUs == 0 {
 		t.ToUs = rules.Open
 	}
-	d.seen.Faults = append(d.seen.Faults, t)
+	d.observed.Faults = append(d.observed.Faults, t)
 }
 
-func (d *routedDay) over(machine, kind string) {
-	for i := range d.seen.Faults {
-		if t := &d.seen.Faults[i]; t.Machine == machine && t.Kind == kind && t.ToUs == rules.Open {
+func (d *routedDay) endFault(machine, kind string) {
+	for i := range d.observed.Faults {
+		if t := &d.observed.Faults[i]; t.Machine == machine && t.Kind == kind && t.ToUs == rules.Open {
 			t.ToUs = d.nowUs
 		}
 	}
 }
 
-func (d *routedDay) cut(from, to string, forUs int64) {
-	d.cutOne(from, to, forUs)
-	d.seen.Partitions = append(d.seen.Partitions, rules.Partition{From: from, To: to, FromUs: d.nowUs, ToUs: d.nowUs + forUs})
+func (d *routedDay) blockLink(from, to string, forUs int64) {
+	d.blockOneWay(from, to, forUs)
+	d.observed.Partitions = append(d.observed.Partitions, rules.Partition{From: from, To: to, FromUs: d.nowUs, ToUs: d.nowUs + forUs})
 }
 
-// carry brings act to another machine as a short call on a connection does: late where a link loses bytes,
+// transmit brings act to another machine as a short call on a connection does: late where a link loses bytes,
 // held up by a cut until waitUs are over. failed is told where it did not get there.
-func (d *routedDay) carry(from, to *machine, waitUs int64, act, failed func()) {
+func (d *routedDay) transmit(from, to *machine, waitUs int64, act, failed func()) {
 	toBoot, endUs := to.boot, d.nowUs+waitUs
-	delayUs := 150 + d.r.Int63n(1200)
-	if d.r.Float64() < d.loss {
-		delayUs += 200*ms + d.r.Int63n(200*ms)
+	delayUs := 150 + d.random.Int63n(1200)
+	if d.random.Float64() < d.loss {
+		delayUs += 200*millisecond + d.random.Int63n(200*millisecond)
 	}
 	var arrive func()
 	arrive = func() {
 		switch {
 		case d.nowUs > endUs:
 			failed()
-		case d.isCut(from.name, to.name) && d.cutOff.refuses(from.name, to.name):
+		case d.isCut(from.name, to.name) && d.partitions.refuses(from.name, to.name):
 			failed()
 		case d.isCut(from.name, to.name):
-			d.at(d.nowUs+10*ms, arrive)
+			d.schedule(d.nowUs+10*millisecond, arrive)
 		case !to.up || to.boot != toBoot:
 			failed()
 		default:
-			to.now(toBoot, act)
+			to.deliver(toBoot, act)
 		}
 	}
-	d.at(d.nowUs+delayUs, arrive)
+	d.schedule(d.nowUs+delayUs, arrive)
 }
 
-// pipe is one direction of a connection: what is sent arrives in order, and nothing after its end.
-type pipe struct {
-	d        *routedDay
-	from, to *machine
-	toBoot   int
-	freeUs   int64
-	queue    []func()
-	closed   bool
+// link is one direction of a connection: what is sent arrives in order, and nothing after its end.
+type link struct {
+	d              *routedDay
+	from, to       *machine
+	toBoot         int
+	nextDeliveryUs int64
+	queue          []func()
+	closed         bool
 }
 
-func (d *routedDay) pipe(from, to *machine) *pipe {
-	return &pipe{d: d, from: from, to: to, toBoot: to.boot}
+func (d *routedDay) newLink(from, to *machine) *link {
+	return &link{d: d, from: from, to: to, toBoot: to.boot}
 }
 
-func (p *pipe) send(act func()) {
+func (p *link) send(act func()) {
 	d := p.d
-	delayUs := 150 + d.r.Int63n(1000)
-	if d.r.Float64() < d.loss {
-		delayUs += 200*ms + d.r.Int63n(200*ms)
+	delayUs := 150 + d.random.Int63n(1000)
+	if d.random.Float64() < d.loss {
+		delayUs += 200*millisecond + d.random.Int63n(200*millisecond)
 	}
-	p.freeUs = max(p.freeUs, d.nowUs+delayUs)
+	p.nextDeliveryUs = max(p.nextDeliveryUs, d.nowUs+delayUs)
 	p.queue = append(p.queue, act)
-	d.at(p.freeUs, p.pump)
+	d.schedule(p.nextDeliveryUs, p.deliverNext)
 }
 
-func (p *pipe) pump() {
+func (p *link) deliverNext() {
 	if p.closed || !p.to.up || p.to.boot != p.toBoot {
 		return
 	}
 	if p.d.isCut(p.from.name, p.to.name) {
-		p.freeUs = max(p.freeUs, p.d.nowUs+10*ms)
-		p.d.at(p.d.nowUs+10*ms, p.pump)
+		p.nextDeliveryUs = max(p.nextDeliveryUs, p.d.nowUs+10*millisecond)
+		p.d.schedule(p.d.nowUs+10*millisecond, p.deliverNext)
 		return
 	}
 	act := p.queue[0]
 	p.queue = p.queue[1:]
-	p.to.now(p.toBoot, func() {
+	p.to.deliver(p.toBoot, func() {
 		if !p.closed {
 			act()
 		}
@@ -281,72 +281,72 @@
 // RunRouted plays a whole day: bring-up, calm, faults, healing, a closing fault, and the reading back.
 func RunRouted(plan RoutedPlan) RoutedOutcome {
 	d := newRoutedDay(plan)
-	d.ops.first()
+	d.operators.first()
 	d.runUntil(bootUs)
 	d.clients.start()
-	startUs := bootUs + plan.CalmUs
+	startUs := bootUs + plan.QuietUs
 	d.runUntil(startUs)
-	lastUs := startUs + plan.SpanUs
-	d.ops.play(startUs, lastUs)
+	lastUs := startUs + plan.DurationUs
+	d.operators.play(startUs, lastUs)
 	for _, f := range plan.Faults {
-		d.at(startUs+f.AtUs, func() { d.cause(f) })
-		lastUs = max(lastUs, startUs+f.AtUs+f.ForUs+coreCutsUs[f.Kind])
+		d.schedule(startUs+f.AtUs, func() { d.tryFault(f) })
+		lastUs = max(lastUs, startUs+f.AtUs+f.DurationUs+coreCutsUs[f.Kind])
 	}
-	for _, c := range plan.CutOffs {
-		d.at(startUs+c.AtUs, func() { d.cutOffNow(c, startUs+c.AtUs+8*sec) })
-		lastUs = max(lastUs, startUs+c.AtUs+c.ForUs)
+	for _, c := range plan.Partitions {
+		d.schedule(startUs+c.AtUs, func() { d.applyPartition(c, startUs+c.AtUs+8*second) })
+		lastUs = max(lastUs, startUs+c.AtUs+c.DurationUs)
 	}
 	if plan.Repairs.Rounds > 0 {
-		d.at(startUs, func() { d.repairs(plan.Repairs) })
+		d.schedule(startUs, func() { d.repairs(plan.Repairs) })
 		lastUs = max(lastUs, startUs+plan.Repairs.spanUs(d.catchUpUs()))
 	}
 	d.runUntil(lastUs)
 	d.heal()
-	d.runUntil(d.nowUs + 5*sec)
+	d.runUntil(d.nowUs + 5*second)
 	if plan.Closing != "" {
 		d.close(plan.Closing)
-		d.runUntil(d.seen.Closing.BackUs + d.seen.Bounds.RecoveryUs + routedJudge)
+		d.runUntil(d.observed.Closing.BackUs + d.observed.Bounds.RecoveryUs + routedJudge)
 	} else {
 		d.runUntil(d.nowUs + routedJudge)
 	}
 	d.clients.stop()
-	d.runUntil(d.nowUs + d.clients.mostUs() + sec)
-	d.ops.read()
-	d.runUntil(d.nowUs + 3*d.seen.Bounds.ContactUs)
-	d.known()
+	d.runUntil(d.nowUs + d.clients.meanGapUs() + second)
+	d.operators.read()
+	d.runUntil(d.nowUs + 3*d.observed.Bounds.ContactUs)
+	d.checkKnownReplicas()
 	return d.outcome()
 }
 
 func (d *routedDay) runUntil(us int64) {
-	for len(d.q) > 0 && d.q[0].atUs <= us {
+	for len(d.queue) > 0 && d.queue[0].atUs <= us {
 		d.step()
 	}
 	d.nowUs = max(d.nowUs, us)
 }
 
 func (d *routedDay) step() {
-	it := heap.Pop(&d.q).(*item)
+	it := heap.Pop(&d.queue).(*simulatedEvent)
 	d.nowUs = max(d.nowUs, it.atUs)
-	d.show("event", it.seq)
+	d.logValue("event", it.seq)
 	it.act()
 	d.events++
 }
 
 func (d *routedDay) outcome() RoutedOutcome {
-	d.seen.EndUs = d.nowUs
-	for i := range d.seen.Core {
-		if d.seen.Core[i].ToUs == 0 {
-			d.seen.Core[i].ToUs = rules.Open
+	d.observed.EndUs = d.nowUs
+	for i := range d.observed.Core {
+		if d.observed.Core[i].ToUs == 0 {
+			d.observed.Core[i].ToUs = rules.Open
 		}
 	}
-	d.seen.Calls = d.ops.calls.Calls()
-	breaches, stakes := rules.Judge(d.seen)
-	out := RoutedOutcome{Breaches: breaches, Stakes: stakes, Caused: d.caused, Events: d.events, Log: d.Log, Statuses: map[string]int{}, Seen: d.seen, Loads: len(d.seen.Loads)}
-	for _, t := range d.seen.Attempts {
+	d.observed.Calls = d.operators.calls.Calls()
+	breaches, stakes := rules.Judge(d.observed)
+	out := RoutedOutcome{Breaches: breaches, ChecksAtStake: stakes, Caused: d.caused, Events: d.events, Log: d.Log, Statuses: map[string]int{}, Observed: d.observed, Loads: len(d.observed.Loads)}
+	for _, t := range d.observed.Attempts {
 		if t.Probe {
 			continue
 		}
-		out.Tries++
+		out.Attempts++
 		name := fmt.Sprintf("%s %d", t.Class, t.Status)
 		switch {
 		case t.HungUp:
@@ -358,7 +358,7 @@
 		}
 		out.Statuses[name]++
 		if !t.HungUp {
-			out.Owed++
+			out.Offered++
 			if t.Served() {
 				out.Served++
 			}
--- a/tests/simulator/routed_attempts.go
+++ b/tests/simulator/routed_attempts.go
@@ -9,192 +9,192 @@
 
 // attempt is one request on one connection to a replica.
 type attempt struct {
-	x     *exchange
-	st    scheduling.AttemptStart
-	conn  uint64
-	to    *replicaNode
-	up    *pipe
-	down  *pipe
-	seal  string
-	head  bool
-	ended bool
-	kept  bool
+	exchange        *exchange
+	start           scheduling.AttemptStart
+	connection      uint64
+	to              *replicaNode
+	toReplica       *link
+	fromReplica     *link
+	seal            string
+	headersReceived bool
+	ended           bool
+	reused          bool
 }
 
 // write sends the request, unless the news has changed since it was decided.
-func (l *attempt) write() {
-	t, st := l.x.gateway, l.st
+func (a *attempt) write() {
+	t, st := a.exchange.gateway, a.start
 	d := t.day
-	if l.ended {
+	if a.ended {
 		return
 	}
-	if !st.MaySend(t.snap, t.clock(), 0) || !l.to.up {
-		l.finish(scheduling.OutcomeUnsent)
+	if !st.MaySend(t.snapshot, t.clock(), 0) || !a.to.up {
+		a.finish(scheduling.OutcomeUnsent)
 		return
 	}
-	ask := l.x.ask
-	ask.From, ask.Expect, ask.Last = t.name, st.Incarnation, l.x.last
-	ask.Priority = l.st.Route.Priority
-	ask.DeadlineUs = d.nowUs + max(1, (st.DeadlineUs-t.clock()-deadlineUs)/1000)*ms
-	if d.plan.Plant == "smuggler" && d.r.Intn(50) == 0 {
+	ask := a.exchange.request
+	ask.From, ask.Expect, ask.Last = t.name, st.Incarnation, a.exchange.last
+	ask.Priority = a.start.Route.Priority
+	ask.DeadlineUs = d.nowUs + max(1, (st.DeadlineUs-t.clock()-deadlineUs)/1000)*millisecond
+	if d.plan.Plant == "smuggler" && d.random.Intn(50) == 0 {
 		ask.ID += "x"
 	}
-	l.up, l.down = d.pipe(&t.machine, &l.to.machine), d.pipe(&l.to.machine, &t.machine)
-	if drops := l.to.dropsIdle; drops != nil && l.kept {
+	a.toReplica, a.fromReplica = d.newLink(&t.machine, &a.to.machine), d.newLink(&a.to.machine, &t.machine)
+	if drops := a.to.dropsIdle; drops != nil && a.reused {
 		drops()
-		delete(t.kept, st.Incarnation)
-		l.up.closed = true
-		l.reset()
+		delete(t.idleConnections, st.Incarnation)
+		a.toReplica.closed = true
+		a.reset()
 		return
 	}
-	l.up.send(func() { l.to.take(l, ask) })
-	boot := l.to.boot
-	d.at(d.nowUs+3*ms, func() { l.watch(boot) })
-	t.later(max(1, st.DeadlineUs-t.clock()), func() { l.lost(true) })
+	a.toReplica.send(func() { a.to.receive(a, ask) })
+	boot := a.to.boot
+	d.schedule(d.nowUs+3*millisecond, func() { a.watch(boot) })
+	t.after(max(1, st.DeadlineUs-t.clock()), func() { a.connectionLost(true) })
 }
 
 // watch finds a replica's end before it has taken the request.
-func (l *attempt) watch(boot int) {
-	if l.ended || l.to.conns[l.conn] != nil {
+func (a *attempt) watch(boot int) {
+	if a.ended || a.to.connections[a.connection] != nil {
 		return
 	}
-	if !l.to.up || l.to.boot != boot {
-		l.reset()
+	if !a.to.up || a.to.boot != boot {
+		a.reset()
 		return
 	}
-	if len(l.up.queue) > 0 {
-		l.x.gateway.day.at(l.x.gateway.day.nowUs+20*ms, func() { l.watch(boot) })
+	if len(a.toReplica.queue) > 0 {
+		a.exchange.gateway.day.schedule(a.exchange.gateway.day.nowUs+20*millisecond, func() { a.watch(boot) })
 	}
 }
 
 // reset is a connection that the other end has given up; a cut hides it.
-func (l *attempt) reset() {
-	t := l.x.gateway
+func (a *attempt) reset() {
+	t := a.exchange.gateway
 	d := t.day
 	boot := t.boot
 	var arrive func()
 	arrive = func() {
-		if l.ended {
+		if a.ended {
 			return
 		}
-		if d.isCut(l.to.name, t.name) {
-			d.at(d.nowUs+20*ms, arrive)
+		if d.isCut(a.to.name, t.name) {
+			d.schedule(d.nowUs+20*millisecond, arrive)
 			return
 		}
-		t.now(boot, func() { l.lost(false) })
+		t.deliver(boot, func() { a.connectionLost(false) })
 	}
-	d.at(max(d.nowUs+ms, l.down.freeUs), arrive)
+	d.schedule(max(d.nowUs+millisecond, a.fromReplica.nextDeliveryUs), arrive)
 }
 
-// lost is an attempt that was sent and whose answer did not come, or not whole.
-func (l *attempt) lost(late bool) {
+// connectionLost is an attempt that was sent and whose answer did not come, or not whole.
+func (a *attempt) connectionLost(late bool) {
 	switch {
-	case late && !l.x.gone:
-		l.finish(scheduling.Decide(l.st.Kind, scheduling.NoResponseBeforeDeadline).Outcome)
-	case l.head:
-		l.finish(scheduling.Decide(l.st.Kind, l.broke()).Outcome)
+	case late && !a.exchange.clientGone:
+		a.finish(scheduling.Decide(a.start.Kind, scheduling.NoResponseBeforeDeadline).Outcome)
+	case a.headersReceived:
+		a.finish(scheduling.Decide(a.start.Kind, a.brokenObservation()).Outcome)
 	default:
-		if l.x.gateway.day.plan.Plant == "again" {
-			l.finish(scheduling.OutcomeUnsent)
+		if a.exchange.gateway.day.plan.Plant == "again" {
+			a.finish(scheduling.OutcomeUnsent)
 			return
 		}
-		l.finish(scheduling.Decide(l.st.Kind, scheduling.ClosedBeforeResponse).Outcome)
+		a.finish(scheduling.Decide(a.start.Kind, scheduling.ClosedBeforeResponse).Outcome)
 	}
 }
 
-// broke is a stream that cannot be read on, by what of it has reached the client.
-func (l *attempt) broke() scheduling.Observation {
-	if l.x.opened {
+// brokenObservation is a stream that cannot be read on, by what of it has reached the client.
+func (a *attempt) brokenObservation() scheduling.Observation {
+	if a.exchange.opened {
 		return scheduling.StreamInterrupted
 	}
 	return scheduling.TruncatedResponse
 }
 
 // cancel ends an attempt whose client is gone.
-func (l *attempt) cancel() {
-	boot := l.x.gateway.boot
-	l.x.gateway.day.at(l.x.gateway.day.nowUs+ms, func() {
-		l.x.gateway.now(boot, func() {
-			if !l.ended {
-				if l.up == nil {
-					l.finish(scheduling.OutcomeUnsent)
+func (a *attempt) cancel() {
+	boot := a.exchange.gateway.boot
+	a.exchange.gateway.day.schedule(a.exchange.gateway.day.nowUs+millisecond, func() {
+		a.exchange.gateway.deliver(boot, func() {
+			if !a.ended {
+				if a.toReplica == nil {
+					a.finish(scheduling.OutcomeUnsent)
 					return
 				}
-				l.lost(false)
+				a.connectionLost(false)
 			}
 		})
 	})
 }
 
 // close gives the connection up: what a cut holds back is lost, and the replica learns of the end.
-func (l *attempt) close() {
-	if l.ended {
+func (a *attempt) close() {
+	if a.ended {
 		return
 	}
-	l.ended = true
-	if l.up == nil {
+	a.ended = true
+	if a.toReplica == nil {
 		return
 	}
-	l.up.closed, l.down.closed = true, true
-	t, p := l.x.gateway, l.to
+	a.toReplica.closed, a.fromReplica.closed = true, true
+	t, p := a.exchange.gateway, a.to
 	d := t.day
 	var arrive func()
 	arrive = func() {
 		if d.isCut(t.name, p.name) {
-			d.at(d.nowUs+50*ms, arrive)
+			d.schedule(d.nowUs+50*millisecond, arrive)
 			return
 		}
-		p.now(p.boot, func() { p.gone(l.conn) })
+		p.deliver(p.boot, func() { p.connectionClosed(a.connection) })
 	}
-	d.at(d.nowUs+ms, arrive)
+	d.schedule(d.nowUs+millisecond, arrive)
 }
 
 // finish tells the decider how an attempt ended.
-func (l *attempt) finish(e scheduling.Outcome) {
-	if l.ended {
+func (a *attempt) finish(e scheduling.Outcome) {
+	if a.ended {
 		return
 	}
-	x, t := l.x, l.x.gateway
+	x, t := a.exchange, a.exchange.gateway
 	if e == scheduling.OutcomeDone || e == scheduling.OutcomeFailed || e == scheduling.OutcomeRejected || e == scheduling.OutcomeModelMissing {
-		l.ended = true
-		t.kept[l.st.Incarnation] = t.day.nowUs + idleUs
+		a.ended = true
+		t.idleConnections[a.start.Incarnation] = t.day.nowUs + idleUs
 	} else {
-		l.close()
-		l.ended = true
+		a.close()
+		a.ended = true
 	}
-	x.attempt = nil
-	if x.gone || e == scheduling.OutcomeDone || e == scheduling.OutcomeFailed {
-		x.done()
+	x.current = nil
+	if x.clientGone || e == scheduling.OutcomeDone || e == scheduling.OutcomeFailed {
+		x.close()
 	}
-	t.step(scheduling.AttemptEnded{Call: l.st.Call.ID, Attempt: l.st.Attempt, Outcome: e})
+	t.step(scheduling.AttemptEnded{Call: a.start.Call.ID, Attempt: a.start.Attempt, Outcome: e})
 }
 
-// got is what a replica sends, as the platform's side of a gateway reads it.
-func (l *attempt) got(e replica.Effect) {
-	if l.ended {
+// onEffect is what a replica sends, as the platform's side of a gateway reads it.
+func (a *attempt) onEffect(e replica.Effect) {
+	if a.ended {
 		return
 	}
-	x := l.x
+	x := a.exchange
 	d := x.gateway.day
 	switch {
 	case e.Head && (e.Status == http.StatusMisdirectedRequest || e.NotExecuted):
-		l.turned(e)
-	case e.Head && x.try.Stream && e.Status/100 == 2:
-		l.head, l.seal = true, e.Seal
+		a.onRejection(e)
+	case e.Head && x.attempt.Stream && e.Status/100 == 2:
+		a.headersReceived, a.seal = true, e.Seal
 		if e.End {
-			l.finish(scheduling.OutcomeDone)
+			a.finish(scheduling.OutcomeDone)
 		}
 	case e.Head:
-		l.whole(e)
+		a.onCompleteResponse(e)
 	case e.End:
 		if !x.opened {
-			l.open()
+			a.open()
 		}
-		x.back.send(func() { x.seat.complete(x.try) })
-		l.finish(scheduling.OutcomeDone)
+		x.toClient.send(func() { x.client.onComplete(x.attempt) })
+		a.finish(scheduling.OutcomeDone)
 	default:
 		if int64(e.N) <= x.call.Progress.Load() && x.call.Progress.Load() > 0 {
-			l.finish(scheduling.Decide(l.st.Kind, l.broke()).Outcome)
+			a.finish(scheduling.Decide(a.start.Kind, a.brokenObservation()).Outcome)
 			return
 		}
 		if d.plan.Plant == "skips" && e.N == 3 {
@@ -202,34 +202,34 @@
 		}
 		x.last = e.N
 		x.call.Progress.Store(int64(e.N))
-		l.open()
+		a.open()
 		text := e.Text
 		if d.plan.Plant == "mixer" && e.N == 2 {
 			text = "0000000000000000~" + text
 		}
-		x.back.send(func() { x.seat.event(x.try, e.N, text) })
+		x.toClient.send(func() { x.client.onStreamEvent(x.attempt, e.N, text) })
 	}
 }
 
-func (l *attempt) turned(e replica.Effect) {
+func (a *attempt) onRejection(e replica.Effect) {
 	switch {
-	case e.Status == http.StatusMisdirectedRequest && l.to.name != l.st.Incarnation:
-		l.finish(scheduling.OutcomeWrongIncarnation)
+	case e.Status == http.StatusMisdirectedRequest && a.to.name != a.start.Incarnation:
+		a.finish(scheduling.OutcomeWrongIncarnation)
 	case e.Status == http.StatusMisdirectedRequest:
-		l.finish(scheduling.OutcomeModelMissing)
+		a.finish(scheduling.OutcomeModelMissing)
 	default:
-		l.finish(scheduling.OutcomeRejected)
+		a.finish(scheduling.OutcomeRejected)
 	}
 }
 
-// whole is an answer that came at once.
-func (l *attempt) whole(e replica.Effect) {
-	x := l.x
-	l.first()
-	decided := scheduling.Decide(l.st.Kind, l.classify(e.Status))
+// onCompleteResponse is an answer that came at once.
+func (a *attempt) onCompleteResponse(e replica.Effect) {
+	x := a.exchange
+	a.recordFirstToken()
+	decided := scheduling.Decide(a.start.Kind, a.classify(e.Status))
 	if decided.Response != scheduling.ForwardResponse {
 		x.retried = x.retried || e.Status/100 != 2
-		l.finish(decided.Outcome)
+		a.finish(decided.Outcome)
 		return
 	}
 	x.opened = true
@@ -237,35 +237,37 @@
 	if x.gateway.day.plan.Plant == "unsealed" {
 		seal = ""
 	}
-	x.back.send(func() { x.seat.answered(x.try, e.Status, seal, e.Body, 0) })
-	l.finish(decided.Outcome)
+	x.toClient.send(func() { x.client.onResponse(x.attempt, e.Status, seal, e.Body, 0) })
+	a.finish(decided.Outcome)
 }
 
 // classify is what a whole answer is to this request, as the platform's side of a gateway has it.
-func (l *attempt) classify(status int) scheduling.Observation {
+func (a *attempt) classify(status int) scheduling.Observation {
 	switch {
-	case l.x.opened:
+	case a.exchange.opened:
 		return scheduling.NonStreamResponse
 	case status/100 == 2:
 		return scheduling.CompleteResponse
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == http.StatusRequestTimeout:
 		return scheduling.UnconfirmedRejection
-	case l.x.retried || l.st.Route.MaxAttempts <= 1:
+	case a.exchange.retried || a.start.Route.MaxAttempts <= 1:
 		return scheduling.ErrorResponseRepeated
 	}
 	return scheduling.ErrorResponse
 }
 
-func (l *attempt) first() { l.x.call.FirstByteUs.CompareAndSwap(0, l.x.gateway.clock()) }
+func (a *attempt) recordFirstToken() {
+	a.exchange.call.FirstByteUs.CompareAndSwap(0, a.exchange.gateway.clock())
+}
 
 // open begins an answer with the head of the replica that sent the first event.
-func (l *attempt) open() {
-	l.first()
-	x := l.x
+func (a *attempt) open() {
+	a.recordFirstToken()
+	x := a.exchange
 	if x.opened {
 		return
 	}
 	x.opened = true
-	seal := l.seal
-	x.back.send(func() { x.seat.head(x.try, http.StatusOK, seal) })
+	seal := a.seal
+	x.toClient.send(func() { x.client.onHeaders(x.attempt, http.StatusOK, seal) })
 }
--- a/tests/simulator/routed_changes.go
+++ b/tests/simulator/routed_changes.go
@@ -9,36 +9,36 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-func (p *routedOperators) first() {
-	p.busy = true
-	number := p.draw()
-	routes := append(p.firstRoutes(), markRoute(number))
-	v := p.version(number, nil, routes, nil, true)
-	p.mark(v)
-	p.later(2*sec, func() { p.until(v) })
+func (ops *routedOperators) first() {
+	ops.busy = true
+	number := ops.draw()
+	routes := append(ops.firstRoutes(), fingerprintRoute(number))
+	v := ops.version(number, nil, routes, nil, true)
+	ops.recordFingerprint(v)
+	ops.after(2*second, func() { ops.until(v) })
 }
 
 // until sends the first version until it is taken.
-func (p *routedOperators) until(v *opVersion) {
-	p.send(v, func(status int) {
+func (ops *routedOperators) until(v *configurationVersion) {
+	ops.send(v, func(status int) {
 		if status == http.StatusOK {
-			p.tip = v
-			p.busy = false
-			p.pump()
+			ops.newest = v
+			ops.busy = false
+			ops.sendNext()
 			return
 		}
-		p.until(v)
+		ops.until(v)
 	})
 }
 
 // play changes the configuration now and then, beside what the faults do with it.
-func (p *routedOperators) play(fromUs, toUs int64) {
-	for us := fromUs + sec; us < toUs; us += 5*sec + p.r.Int63n(4*sec) {
-		p.day.at(us, func() { p.do(p.change) })
+func (ops *routedOperators) play(fromUs, toUs int64) {
+	for us := fromUs + second; us < toUs; us += 5*second + ops.random.Int63n(4*second) {
+		ops.day.schedule(us, func() { ops.do(ops.change) })
 	}
 }
 
-func (v *opVersion) change() statemachine.ConfigChange {
+func (v *configurationVersion) change() statemachine.ConfigChange {
 	number := v.seen.Number
 	if v.low > 0 {
 		number = v.low
@@ -49,21 +49,21 @@
 	return statemachine.ConfigChange{Base: v.seen.Base, Version: number, Doc: &configuration.Declaration{Version: number, Routes: v.routes, Services: v.services}}
 }
 
-func (p *routedOperators) change(done func()) {
-	v := p.next(p.tip, 0)
-	p.mark(v)
-	p.send(v, func(status int) { p.settle(v, status, done) })
+func (ops *routedOperators) change(done func()) {
+	v := ops.next(ops.newest, 0)
+	ops.recordFingerprint(v)
+	ops.send(v, func(status int) { ops.onAnswer(v, status, done) })
 }
 
-func (p *routedOperators) grow(extra int) func(done func()) {
+func (ops *routedOperators) grow(extra int) func(done func()) {
 	return func(done func()) {
-		v := p.next(p.tip, extra)
-		p.mark(v)
-		p.send(v, func(status int) {
-			p.settle(v, status, func() {
+		v := ops.next(ops.newest, extra)
+		ops.recordFingerprint(v)
+		ops.send(v, func(status int) {
+			ops.onAnswer(v, status, func() {
 				if v.seen.AckedUs > 0 {
 					for n := range extra {
-						p.grown = append(p.grown, bigPrefix(v.seen.Number, n))
+						ops.grown = append(ops.grown, bigPrefix(v.seen.Number, n))
 					}
 				}
 				done()
@@ -73,18 +73,18 @@
 }
 
 // race sends two versions on one base at once; at most one may win.
-func (p *routedOperators) race(done func()) {
-	base := p.tip
-	a := p.next(base, 0)
-	b := p.next(base, 0)
-	p.mark(a)
-	p.mark(b)
+func (ops *routedOperators) race(done func()) {
+	base := ops.newest
+	a := ops.next(base, 0)
+	b := ops.next(base, 0)
+	ops.recordFingerprint(a)
+	ops.recordFingerprint(b)
 	left := 2
-	for _, v := range []*opVersion{a, b} {
-		p.send(v, func(status int) {
-			p.settle(v, status, func() {
+	for _, v := range []*configurationVersion{a, b} {
+		ops.send(v, func(status int) {
+			ops.onAnswer(v, status, func() {
 				if v.seen.AckedUs == 0 {
-					p.shadow = append(p.shadow, markOf(v.seen.Number))
+					ops.shadow = append(ops.shadow, markOf(v.seen.Number))
 				}
 				if left--; left == 0 {
 					done()
@@ -102,19 +102,19 @@
 )
 
 // rivals sends up to eight versions at once, under one number and on one base, that all differ; one may win.
-func (p *routedOperators) rivals(done func()) {
-	base, number := p.tip, p.draw()
-	left := 2 + p.r.Intn(underWayMost-1)
-	p.day.caused["rivals"] += left
-	versions := []*opVersion{}
+func (ops *routedOperators) rivals(done func()) {
+	base, number := ops.newest, ops.draw()
+	left := 2 + ops.random.Intn(underWayMost-1)
+	ops.day.caused["rivals"] += left
+	versions := []*configurationVersion{}
 	for n := range left {
 		shown := routeOf(fmt.Sprintf("mark-%d-%d", number, n), opsHost, rivalMark(number, n), configuration.Idempotent, to("log"))
-		versions = append(versions, p.nextAs(base, number, 0, shown))
+		versions = append(versions, ops.nextAs(base, number, 0, shown))
 	}
 	for n, v := range versions {
-		p.marks = append(p.marks, rivalMark(number, n))
-		p.send(v, func(status int) {
-			p.settle(v, status, func() {
+		ops.fingerprints = append(ops.fingerprints, rivalMark(number, n))
+		ops.send(v, func(status int) {
+			ops.onAnswer(v, status, func() {
 				if left--; left == 0 {
 					done()
 				}
@@ -126,15 +126,15 @@
 func rivalMark(number uint64, n int) string { return fmt.Sprintf("/v%d-%d/", number, n) }
 
 // again sends one of the orders that had a clear answer once more, as it was, to any machine; that answer must stand.
-func (p *routedOperators) again(done func()) {
-	clear := slices.DeleteFunc(slices.Clone(p.sent[max(0, len(p.sent)-againMost):]), func(v *opVersion) bool { return v.seen.AckedUs+v.seen.RefusedUs == 0 })
+func (ops *routedOperators) again(done func()) {
+	clear := slices.DeleteFunc(slices.Clone(ops.sent[max(0, len(ops.sent)-againMost):]), func(v *configurationVersion) bool { return v.seen.AckedUs+v.seen.RefusedUs == 0 })
 	if len(clear) == 0 {
 		done()
 		return
 	}
-	v := clear[p.r.Intn(len(clear))]
-	d := p.day
-	call := p.calls.Send(v.order(), d.nowUs)
+	v := clear[ops.random.Intn(len(clear))]
+	d := ops.day
+	call := ops.calls.Send(v.order(), d.nowUs)
 	over := false
 	end := func() {
 		if !over {
@@ -142,17 +142,17 @@
 			done()
 		}
 	}
-	p.later(sec, end)
-	o := p.controlNodeFor(false)
+	ops.after(second, end)
+	o := ops.controlNodeFor(false)
 	if o == nil {
 		return
 	}
 	change := clone(v.change())
-	d.carry(&p.machine, &o.machine, sec, func() {
+	d.transmit(&ops.machine, &o.machine, second, func() {
 		o.configure(call.Order.ID, change, func() bool { return !over }, func(status int) {
-			d.carry(&o.machine, &p.machine, sec, func() {
-				p.calls.Answered(call, answerOf(status), d.nowUs)
-				d.caused["again "+string(answerOf(status))]++
+			d.transmit(&o.machine, &ops.machine, second, func() {
+				ops.calls.Answered(call, historyAnswer(status), d.nowUs)
+				d.caused["again "+string(historyAnswer(status))]++
 				end()
 			}, func() {})
 		})
@@ -160,11 +160,11 @@
 }
 
 // bad sends a version that wants a refusal: spoiled in its last route, or not above the one in force.
-func (p *routedOperators) bad(done func()) {
-	base, number := p.tip, p.draw()
-	spoiled := []configuration.Route{markRoute(number)}
+func (ops *routedOperators) bad(done func()) {
+	base, number := ops.newest, ops.draw()
+	spoiled := []configuration.Route{fingerprintRoute(number)}
 	var low uint64
-	switch p.r.Intn(5) {
+	switch ops.random.Intn(5) {
 	case 0:
 		spoiled[0].Split = []configuration.WeightedService{to("nowhere")}
 	case 1:
@@ -179,14 +179,14 @@
 		low = base.seen.Number
 	}
 	var edit *configuration.Edit
-	if p.r.Intn(2) == 0 {
+	if ops.random.Intn(2) == 0 {
 		edit = &configuration.Edit{Routes: spoiled}
 	}
-	v := p.version(number, base, edited(base.routes, spoiled, nil), edit, false)
+	v := ops.version(number, base, edited(base.routes, spoiled, nil), edit, false)
 	v.low = low
 	if edit != nil && low > 0 {
 		edit.Version = low
 	}
-	p.shadow = append(p.shadow, markOf(number))
-	p.send(v, func(status int) { p.settle(v, status, done) })
+	ops.shadow = append(ops.shadow, markOf(number))
+	ops.send(v, func(status int) { ops.onAnswer(v, status, done) })
 }
--- a/tests/simulator/routed_clients.go
+++ b/tests/simulator/routed_clients.go
@@ -12,20 +12,20 @@
 
 const opsHost = "ops.example"
 
-// class is one kind of request and the clients that send it.
-type class struct {
-	name      string
-	route     string
-	share     float64
-	stream    bool
-	resumable bool
-	repeat    bool
-	aimUs     int64
-	limitUs   int64
-	promptMin int64
-	promptMax int64
-	eventsMax int
-	rare      bool
+// requestClass is one kind of request and the clients that send it.
+type requestClass struct {
+	name            string
+	route           string
+	weight          float64
+	stream          bool
+	resumable       bool
+	idempotent      bool
+	latencyTargetUs int64
+	timeoutUs       int64
+	promptMin       int64
+	promptMax       int64
+	eventsMax       int
+	rare            bool
 }
 
 const (
@@ -33,62 +33,62 @@
 	busyNow    = 3
 )
 
-var classes = []class{
-	{name: "deck", route: "deck", share: 0.40, stream: true, aimUs: sec, limitUs: 5 * sec, promptMin: 300, promptMax: 1500, eventsMax: 12},
-	{name: "rebuild", route: "rebuild", share: 0.14, stream: true, resumable: true, rare: true, aimUs: 3 * sec, limitUs: 10 * sec, promptMin: 300, promptMax: 1500, eventsMax: 24},
-	{name: "hint", route: "hint", share: 0.16, stream: true, aimUs: 800 * ms, limitUs: 12 * sec, promptMin: 200, promptMax: 800, eventsMax: 40},
-	{name: "grade", route: "grade", share: 0.15, repeat: true, aimUs: 300 * ms, limitUs: 4 * sec},
-	{name: "record", route: "record", share: 0.15, aimUs: 300 * ms, limitUs: 4 * sec},
+var classes = []requestClass{
+	{name: "deck", route: "deck", weight: 0.40, stream: true, latencyTargetUs: second, timeoutUs: 5 * second, promptMin: 300, promptMax: 1500, eventsMax: 12},
+	{name: "rebuild", route: "rebuild", weight: 0.14, stream: true, resumable: true, rare: true, latencyTargetUs: 3 * second, timeoutUs: 10 * second, promptMin: 300, promptMax: 1500, eventsMax: 24},
+	{name: "hint", route: "hint", weight: 0.16, stream: true, latencyTargetUs: 800 * millisecond, timeoutUs: 12 * second, promptMin: 200, promptMax: 800, eventsMax: 40},
+	{name: "grade", route: "grade", weight: 0.15, idempotent: true, latencyTargetUs: 300 * millisecond, timeoutUs: 4 * second},
+	{name: "record", route: "record", weight: 0.15, latencyTargetUs: 300 * millisecond, timeoutUs: 4 * second},
 }
 
 // clients send seeded requests through the platform's address, and come back once.
 type clients struct {
 	machine
-	day     *routedDay
-	r       *rand.Rand
-	n       int
-	on      bool
-	perSec  float64
-	rareX   float64
-	shift   int
-	missed  map[string]int
-	healthy map[string]bool
-	// leaving is a fault by which half of the clients leave early until leavesUs; repeats is one by which refused
-	// clients come back at once and often until abuseUs.
-	leaving  Fault
-	leavesUs int64
-	repeats  Fault
-	abuseUs  int64
+	day             *routedDay
+	random          *rand.Rand
+	requestCount    int
+	active          bool
+	callsPerSecond  float64
+	rareModelFactor float64
+	modelShift      int
+	missed          map[string]int
+	healthy         map[string]bool
+	// giveUpFault is a fault by which half of the clients leave early until givesUpUntilUs; repeats is one by which refused
+	// clients come back at once and often until abuseUntilUs.
+	giveUpFault    Fault
+	givesUpUntilUs int64
+	abuseFault     Fault
+	abuseUntilUs   int64
 }
 
-// seat is one client's side of one try.
-type seat struct {
-	c         *clients
-	class     *class
-	body      string
-	model     string
-	adapter   string
-	parts     []replica.Part
-	in        int64
-	firstUs   int64
-	nth       int
-	had       int
-	impatient bool
-	gateway   *routedGateway
-	x         *exchange
-	over      bool
-	silentUs  int64
+// clientRequest is one client's side of one try.
+type clientRequest struct {
+	clients       *clients
+	class         *requestClass
+	body          string
+	model         string
+	adapter       string
+	promptParts   []replica.Part
+	promptTokens  int64
+	firstUs       int64
+	attemptNumber int
+	received      int
+	impatient     bool
+	gateway       *routedGateway
+	exchange      *exchange
+	ended         bool
+	silentUs      int64
 }
 
 func newClients(d *routedDay) *clients {
-	c := &clients{machine: machine{sim: d.Sim, name: "clients", up: true, boot: 1}, day: d, r: rand.New(rand.NewSource(d.plan.Seed * 7)), perSec: d.plan.PerSec, rareX: 1,
+	c := &clients{machine: machine{sim: d.DeclaredDay, name: "clients", up: true, boot: 1}, day: d, random: rand.New(rand.NewSource(d.plan.Seed * 7)), callsPerSecond: d.plan.CallsPerSecond, rareModelFactor: 1,
 		missed: map[string]int{}, healthy: map[string]bool{}}
-	c.poll()
+	c.pollReadiness()
 	return c
 }
 
-// poll is the platform's question each second whether clients may be sent to a gateway.
-func (c *clients) poll() {
+// pollReadiness is the platform's question each second whether clients may be sent to a gateway.
+func (c *clients) pollReadiness() {
 	for _, t := range c.day.gateways {
 		if t.up && t.thawUs <= c.day.nowUs && t.decider.Ready(t.clock()) == nil {
 			c.missed[t.name], c.healthy[t.name] = 0, true
@@ -96,35 +96,35 @@
 			c.healthy[t.name] = false
 		}
 	}
-	c.later(sec, c.poll)
+	c.after(second, c.pollReadiness)
 }
 
 func (c *clients) start() {
-	c.on = true
+	c.active = true
 	c.next()
-	c.probe()
+	c.checkReadiness()
 }
 
-func (c *clients) stop() { c.on = false }
+func (c *clients) stop() { c.active = false }
 
-func (c *clients) mostUs() int64 {
+func (c *clients) meanGapUs() int64 {
 	mostUs := int64(0)
 	for _, k := range classes {
-		mostUs = max(mostUs, k.limitUs)
+		mostUs = max(mostUs, k.timeoutUs)
 	}
 	return mostUs
 }
 
 func (c *clients) next() {
-	if !c.on {
+	if !c.active {
 		return
 	}
-	c.draw()
-	c.later(int64(c.r.ExpFloat64()/c.perSec/c.weight()*1e6), c.next)
+	c.newRequest()
+	c.after(int64(c.random.ExpFloat64()/c.callsPerSecond/c.totalWeight()*1e6), c.next)
 }
 
-// pick is the gateway that the platform hands a client to: one of its zone that answers ready, if half of them do.
-func (c *clients) pick(zone string) *routedGateway {
+// pickGateway is the gateway that the platform hands a client to: one of its zone that answers ready, if half of them do.
+func (c *clients) pickGateway(zone string) *routedGateway {
 	in := func(keep func(*routedGateway) bool) (out []*routedGateway) {
 		for _, t := range c.day.gateways {
 			if keep(t) {
@@ -137,282 +137,284 @@
 	ready := in(func(t *routedGateway) bool { return t.zone == zone && c.healthy[t.name] })
 	switch {
 	case len(all) > 0 && 2*len(ready) >= len(all) && len(ready) > 0:
-		return ready[c.r.Intn(len(ready))]
+		return ready[c.random.Intn(len(ready))]
 	case len(ready) > 0:
-		return all[c.r.Intn(len(all))]
+		return all[c.random.Intn(len(all))]
 	}
 	if any := in(func(t *routedGateway) bool { return c.healthy[t.name] }); len(any) > 0 {
-		return any[c.r.Intn(len(any))]
+		return any[c.random.Intn(len(any))]
 	}
-	return c.day.gateways[c.r.Intn(len(c.day.gateways))]
+	return c.day.gateways[c.random.Intn(len(c.day.gateways))]
 }
 
-func (c *clients) share(k *class) float64 {
+func (c *clients) classWeight(k *requestClass) float64 {
 	if k.rare {
-		return k.share * c.rareX
+		return k.weight * c.rareModelFactor
 	}
-	return k.share
+	return k.weight
 }
 
-func (c *clients) weight() (sum float64) {
+func (c *clients) totalWeight() (sum float64) {
 	for i := range classes {
-		sum += c.share(&classes[i])
+		sum += c.classWeight(&classes[i])
 	}
 	return sum
 }
 
 // model: most requests go to a few busy models, which change during the day; a rare class takes all others.
-func (c *clients) model(k *class) int {
+func (c *clients) model(k *requestClass) int {
 	n := len(c.day.engine.Models)
 	if k.rare {
-		return busyModels + c.r.Intn(n-busyModels)
+		return busyModels + c.random.Intn(n-busyModels)
 	}
-	at := min(int(c.r.ExpFloat64()*1.5), busyNow-1)
-	return (at + c.shift) % busyModels
+	at := min(int(c.random.ExpFloat64()*1.5), busyNow-1)
+	return (at + c.modelShift) % busyModels
 }
 
-func (c *clients) draw() {
-	c.n++
-	x, k := c.r.Float64()*c.weight(), 0
+func (c *clients) newRequest() {
+	c.requestCount++
+	x, k := c.random.Float64()*c.totalWeight(), 0
 	for k = range classes {
-		if x -= c.share(&classes[k]); x < 0 {
+		if x -= c.classWeight(&classes[k]); x < 0 {
 			break
 		}
 	}
-	s := &seat{c: c, class: &classes[k], firstUs: c.day.nowUs, impatient: c.r.Intn(3) == 0}
-	s.body = fmt.Sprintf("c%d/%d", c.n, 1)
+	s := &clientRequest{clients: c, class: &classes[k], firstUs: c.day.nowUs, impatient: c.random.Intn(3) == 0}
+	s.body = fmt.Sprintf("c%d/%d", c.requestCount, 1)
 	if s.class.stream {
-		s.body = fmt.Sprintf("c%d/%d", c.n, 1+c.r.Intn(s.class.eventsMax))
+		s.body = fmt.Sprintf("c%d/%d", c.requestCount, 1+c.random.Intn(s.class.eventsMax))
 		m := c.day.engine.Models[c.model(s.class)]
 		s.model = m.Name
-		if m.Adapters > 0 && c.r.Intn(5) == 0 {
-			s.adapter = fmt.Sprintf("a%d", 1+c.r.Intn(m.Adapters))
+		if m.Adapters > 0 && c.random.Intn(5) == 0 {
+			s.adapter = fmt.Sprintf("a%d", 1+c.random.Intn(m.Adapters))
 		}
-		own := s.class.promptMin + c.r.Int63n(s.class.promptMax-s.class.promptMin)
-		subject := c.r.Intn(12)
-		s.parts = []replica.Part{{ID: fmt.Sprintf("h%d", subject%3), Tokens: 200}, {ID: fmt.Sprintf("s%d", subject), Tokens: 150}, {ID: fmt.Sprintf("o%d", c.n), Tokens: own}}
-		s.in = 350 + own
+		own := s.class.promptMin + c.random.Int63n(s.class.promptMax-s.class.promptMin)
+		subject := c.random.Intn(12)
+		s.promptParts = []replica.Part{{ID: fmt.Sprintf("h%d", subject%3), Tokens: 200}, {ID: fmt.Sprintf("s%d", subject), Tokens: 150}, {ID: fmt.Sprintf("o%d", c.requestCount), Tokens: own}}
+		s.promptTokens = 350 + own
 	}
 	s.send()
 }
 
 // subject is the last shared part of the prompt.
-func (s *seat) subject() string {
-	if len(s.parts) < 2 {
+func (cr *clientRequest) subject() string {
+	if len(cr.promptParts) < 2 {
 		return ""
 	}
-	return s.parts[len(s.parts)-2].ID
+	return cr.promptParts[len(cr.promptParts)-2].ID
 }
 
 // size weighs a generation: its prompt, and ten times the tokens of its answer.
-func (s *seat) size() int64 {
-	if !s.class.stream {
+func (cr *clientRequest) size() int64 {
+	if !cr.class.stream {
 		return 0
 	}
-	return s.in + 10*int64(replica.Total(s.body)*s.c.day.engine.Stride)
+	return cr.promptTokens + 10*int64(replica.Total(cr.body)*cr.clients.day.engine.Stride)
 }
 
 // send is one try, with an id of its own.
-func (s *seat) send() {
-	c, d := s.c, s.c.day
-	zone := []string{"a", "b", "c"}[c.r.Intn(3)]
-	s.gateway, s.x, s.over = c.pick(zone), nil, false
-	c.n++
+func (cr *clientRequest) send() {
+	c, d := cr.clients, cr.clients.day
+	zone := []string{"a", "b", "c"}[c.random.Intn(3)]
+	cr.gateway, cr.exchange, cr.ended = c.pickGateway(zone), nil, false
+	c.requestCount++
 	t := &rules.Attempt{
-		ID: fmt.Sprintf("r%d", c.n), Class: s.class.name, Model: s.model, Adapter: s.adapter, Subject: s.subject(), Size: s.size(), Nth: s.nth, Method: "POST", Host: "cards.example", Path: "/" + s.class.route + "/1f", Body: s.body, Machine: s.gateway.name,
-		Stream: s.class.stream, ReceivedChunks: s.had, LatencyTargetUs: s.class.aimUs, LimitUs: s.class.limitUs, SentUs: d.nowUs,
+		ID: fmt.Sprintf("r%d", c.requestCount), Class: cr.class.name, Model: cr.model, Adapter: cr.adapter, Subject: cr.subject(), Size: cr.size(), Nth: cr.attemptNumber, Method: "POST", Host: "cards.example", Path: "/" + cr.class.route + "/1f", Body: cr.body, Machine: cr.gateway.name,
+		Stream: cr.class.stream, ReceivedChunks: cr.received, LatencyTargetUs: cr.class.latencyTargetUs, LimitUs: cr.class.timeoutUs, SentUs: d.nowUs,
 	}
-	if d.plan.Plant == "" && c.r.Intn(40) == 0 {
-		c.later(c.r.Int63n(900*ms), func() { s.hangUp(t) })
+	if d.plan.Plant == "" && c.random.Intn(40) == 0 {
+		c.after(c.random.Int63n(900*millisecond), func() { cr.hangUp(t) })
 	}
-	if d.nowUs < c.leavesUs && c.r.Intn(2) == 0 {
-		c.later(1+c.r.Int63n(s.class.aimUs/2), func() { s.giveUp(t) })
+	if d.nowUs < c.givesUpUntilUs && c.random.Intn(2) == 0 {
+		c.after(1+c.random.Int63n(cr.class.latencyTargetUs/2), func() { cr.giveUp(t) })
 	}
-	s.deliver(t, s.firstUs+s.class.limitUs-d.nowUs)
-	s.silentUs = d.nowUs
-	s.patience(t)
+	cr.deliver(t, cr.firstUs+cr.class.timeoutUs-d.nowUs)
+	cr.silentUs = d.nowUs
+	cr.awaitFirstToken(t)
 }
 
-func (s *seat) deliver(t *rules.Attempt, leftUs int64) {
-	c, d := s.c, s.c.day
-	d.seen.Attempts = append(d.seen.Attempts, t)
-	gateway := s.gateway
-	ask := replica.Ask{ID: t.ID, Method: t.Method, Host: t.Host, Path: t.Path, Body: t.Body, Model: s.model, Adapter: s.adapter, In: s.in, Parts: s.parts, Last: s.had, Stream: t.Stream}
+func (cr *clientRequest) deliver(t *rules.Attempt, leftUs int64) {
+	c, d := cr.clients, cr.clients.day
+	d.observed.Attempts = append(d.observed.Attempts, t)
+	gateway := cr.gateway
+	ask := replica.Ask{ID: t.ID, Method: t.Method, Host: t.Host, Path: t.Path, Body: t.Body, Model: cr.model, Adapter: cr.adapter, In: cr.promptTokens, Parts: cr.promptParts, Last: cr.received, Stream: t.Stream}
 	t.LimitUs = leftUs
-	d.carry(&c.machine, &gateway.machine, sec, func() {
-		if s.over {
+	d.transmit(&c.machine, &gateway.machine, second, func() {
+		if cr.ended {
 			return
 		}
-		if gateway.shut {
-			s.broken(t)
+		if gateway.listenersClosed {
+			cr.onBrokenConnection(t)
 			return
 		}
-		s.x = gateway.take(s, t, ask, leftUs/1000)
-	}, func() { s.broken(t) })
+		cr.exchange = gateway.serve(cr, t, ask, leftUs/1000)
+	}, func() { cr.onBrokenConnection(t) })
 }
 
-// patience: a client gives up what is silent for too long, and a repeatable try that nobody has read.
-func (s *seat) patience(t *rules.Attempt) {
-	d := s.c.day
-	mostUs := max(2*sec, 4*s.class.aimUs, 8*400*ms)
+// awaitFirstToken: a client gives up what is silent for too long, and a repeatable try that nobody has read.
+func (cr *clientRequest) awaitFirstToken(t *rules.Attempt) {
+	d := cr.clients.day
+	mostUs := max(2*second, 4*cr.class.latencyTargetUs, 8*400*millisecond)
 	endUs := t.SentUs + t.LimitUs
 	var look func()
 	look = func() {
 		switch {
-		case s.over || t.EndUs > 0:
+		case cr.ended || t.EndUs > 0:
 			return
-		case d.nowUs >= endUs, t.Stream && d.nowUs-s.silentUs > mostUs:
-			s.leave(t)
+		case d.nowUs >= endUs, t.Stream && d.nowUs-cr.silentUs > mostUs:
+			cr.hangUpOnGateway(t)
 			t.GaveUp = true
 			return
-		case t.ReadUs == 0 && (s.class.repeat || s.class.resumable) && d.nowUs-t.SentUs > min(sec, t.LimitUs/3):
-			s.leave(t)
+		case t.ReadUs == 0 && (cr.class.idempotent || cr.class.resumable) && d.nowUs-t.SentUs > min(second, t.LimitUs/3):
+			cr.hangUpOnGateway(t)
 			t.GaveUp = true
-			s.again(t, 0)
+			cr.retry(t, 0)
 			return
 		}
-		s.c.later(50*ms, look)
+		cr.clients.after(50*millisecond, look)
 	}
-	s.c.later(50*ms, look)
+	cr.clients.after(50*millisecond, look)
 }
 
-func (s *seat) hangUp(t *rules.Attempt) {
-	if !s.over {
-		s.leave(t)
+func (cr *clientRequest) hangUp(t *rules.Attempt) {
+	if !cr.ended {
+		cr.hangUpOnGateway(t)
 		t.HungUp = true
 	}
 }
 
-// leave closes the client's connection.
-func (s *seat) leave(t *rules.Attempt) {
-	s.over = true
-	t.EndUs = s.c.day.nowUs
-	if x, gateway := s.x, s.gateway; x != nil {
-		s.c.day.carry(&s.c.machine, &gateway.machine, 5*sec, func() {
+// hangUpOnGateway closes the client's connection.
+func (cr *clientRequest) hangUpOnGateway(t *rules.Attempt) {
+	cr.ended = true
+	t.EndUs = cr.clients.day.nowUs
+	if x, gateway := cr.exchange, cr.gateway; x != nil {
+		cr.clients.day.transmit(&cr.clients.machine, &gateway.machine, 5*second, func() {
 			if x.gateway.boot == gateway.boot {
-				gateway.left(x)
+				gateway.onClientGone(x)
 			}
 		}, func() {})
 	}
 }
 
-func (s *seat) end(t *rules.Attempt) bool {
-	if s.over {
+func (cr *clientRequest) end(t *rules.Attempt) bool {
+	if cr.ended {
 		return false
 	}
-	s.over = true
-	t.EndUs = s.c.day.nowUs
+	cr.ended = true
+	t.EndUs = cr.clients.day.nowUs
 	return true
 }
 
-// broken is a connection that ended without a whole answer.
-func (s *seat) broken(t *rules.Attempt) {
-	if !s.end(t) {
+// onBrokenConnection is a connection that ended without a whole answer.
+func (cr *clientRequest) onBrokenConnection(t *rules.Attempt) {
+	if !cr.end(t) {
 		return
 	}
-	if s.class == nil {
+	if cr.class == nil {
 		return
 	}
 	switch {
-	case t.ReadUs == 0, s.class.repeat:
-		s.again(t, 0)
-	case s.class.resumable:
-		s.had = t.ReceivedChunks + len(t.Events)
-		s.again(t, 0)
+	case t.ReadUs == 0, cr.class.idempotent:
+		cr.retry(t, 0)
+	case cr.class.resumable:
+		cr.received = t.ReceivedChunks + len(t.Events)
+		cr.retry(t, 0)
 	}
 }
 
-func (s *seat) answered(t *rules.Attempt, status int, seal, body string, retryMs int64) {
-	if !s.end(t) {
+func (cr *clientRequest) onResponse(t *rules.Attempt, status int, seal, body string, retryMs int64) {
+	if !cr.end(t) {
 		return
 	}
-	t.Status, t.Seal, t.Response, t.ResponseID, t.Complete, t.FirstUs = status, seal, body, t.ID, true, s.c.day.nowUs
-	if s.class == nil || status/100 == 2 || slices.Contains([]int{400, 401, 404, 413, 431}, status) {
+	t.Status, t.Seal, t.Response, t.ResponseID, t.Complete, t.FirstUs = status, seal, body, t.ID, true, cr.clients.day.nowUs
+	if cr.class == nil || status/100 == 2 || slices.Contains([]int{400, 401, 404, 413, 431}, status) {
 		return
 	}
 	promise := slices.Contains([]int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest}, status)
-	if !promise && !s.class.repeat && !s.class.resumable {
+	if !promise && !cr.class.idempotent && !cr.class.resumable {
 		return
 	}
-	s.again(t, retryMs)
+	cr.retry(t, retryMs)
 }
 
-func (s *seat) head(t *rules.Attempt, status int, seal string) {
-	if !s.over {
+func (cr *clientRequest) onHeaders(t *rules.Attempt, status int, seal string) {
+	if !cr.ended {
 		t.Status, t.Seal, t.ResponseID = status, seal, t.ID
 	}
 }
 
-func (s *seat) event(t *rules.Attempt, n int, text string) {
-	if s.over {
+func (cr *clientRequest) onStreamEvent(t *rules.Attempt, n int, text string) {
+	if cr.ended {
 		return
 	}
 	if t.FirstUs == 0 {
-		t.FirstUs = s.c.day.nowUs
+		t.FirstUs = cr.clients.day.nowUs
 	}
-	s.silentUs = s.c.day.nowUs
-	t.Events = append(t.Events, rules.EventSeen{N: n, Text: text, AtUs: s.c.day.nowUs})
+	cr.silentUs = cr.clients.day.nowUs
+	t.Events = append(t.Events, rules.EventSeen{N: n, Text: text, AtUs: cr.clients.day.nowUs})
 }
 
-func (s *seat) complete(t *rules.Attempt) {
-	if s.end(t) {
+func (cr *clientRequest) onComplete(t *rules.Attempt) {
+	if cr.end(t) {
 		t.Complete = true
 	}
 }
 
-// again is the client's one further try: at once, or when it was told.
-func (s *seat) again(t *rules.Attempt, retryMs int64) {
-	d := s.c.day
-	leftUs := s.firstUs + s.class.limitUs - d.nowUs
+// retry is the client's one further try: at once, or when it was told.
+func (cr *clientRequest) retry(t *rules.Attempt, retryMs int64) {
+	d := cr.clients.day
+	leftUs := cr.firstUs + cr.class.timeoutUs - d.nowUs
 	triesMost := 1
-	if d.nowUs < s.c.abuseUs {
-		triesMost += abuseTries
+	if d.nowUs < cr.clients.abuseUntilUs {
+		triesMost += abuseAttempts
 	}
-	if s.nth >= triesMost || leftUs < 200*ms || (s.had > 0 && s.had >= replica.Total(s.body)) {
+	if cr.attemptNumber >= triesMost || leftUs < 200*millisecond || (cr.received > 0 && cr.received >= replica.Total(cr.body)) {
 		return
 	}
-	waitUs := min(retryMs*ms, leftUs/3)
-	if s.impatient || triesMost > 1 {
+	waitUs := min(retryMs*millisecond, leftUs/3)
+	if cr.impatient || triesMost > 1 {
 		waitUs = 0
 	}
-	if s.nth >= 1 {
-		d.count(s.c.repeats)
+	if cr.attemptNumber >= 1 {
+		d.countFault(cr.clients.abuseFault)
 	}
-	next := &seat{c: s.c, class: s.class, body: s.body, model: s.model, adapter: s.adapter, parts: s.parts, in: s.in, firstUs: s.firstUs, nth: s.nth + 1, had: s.had, impatient: s.impatient}
-	s.c.later(waitUs+ms, next.send)
+	next := &clientRequest{clients: cr.clients, class: cr.class, body: cr.body, model: cr.model, adapter: cr.adapter, promptParts: cr.promptParts, promptTokens: cr.promptTokens, firstUs: cr.firstUs, attemptNumber: cr.attemptNumber + 1, received: cr.received, impatient: cr.impatient}
+	cr.clients.after(waitUs+millisecond, next.send)
 }
 
-// probe asks a gateway directly for a route that was just added or removed, or that never was.
-func (c *clients) probe() {
-	if !c.on {
+// checkReadiness asks a gateway directly for a route that was just added or removed, or that never was.
+func (c *clients) checkReadiness() {
+	if !c.active {
 		return
 	}
-	c.later(120*ms+c.r.Int63n(120*ms), c.probe)
-	gateway := c.day.gateways[c.r.Intn(len(c.day.gateways))]
+	c.after(120*millisecond+c.random.Int63n(120*millisecond), c.checkReadiness)
+	gateway := c.day.gateways[c.random.Intn(len(c.day.gateways))]
 	if !gateway.up || !c.healthy[gateway.name] {
 		return
 	}
-	c.n++
+	c.requestCount++
 	t := &rules.Attempt{
-		ID: fmt.Sprintf("r%d", c.n), Class: "probe", Method: "POST", Host: opsHost, Path: c.day.ops.probed(c.r) + "1f", Body: fmt.Sprintf("c%d/1", c.n), Machine: gateway.name,
-		Probe: true, LatencyTargetUs: sec, LimitUs: 2 * sec, SentUs: c.day.nowUs,
+		ID: fmt.Sprintf("r%d", c.requestCount), Class: "probe", Method: "POST", Host: opsHost, Path: c.day.operators.probed(c.random) + "1f", Body: fmt.Sprintf("c%d/1", c.requestCount), Machine: gateway.name,
+		Probe: true, LatencyTargetUs: second, LimitUs: 2 * second, SentUs: c.day.nowUs,
 	}
-	s := &seat{c: c, gateway: gateway, firstUs: c.day.nowUs}
-	s.deliver(t, 2*sec)
-	c.later(2*sec, func() { s.hangUp(t) })
+	s := &clientRequest{clients: c, gateway: gateway, firstUs: c.day.nowUs}
+	s.deliver(t, 2*second)
+	c.after(2*second, func() { s.hangUp(t) })
 }
 
-// abuseTries is how many times more than others an abusive client tries, without a pause.
-const abuseTries = 3
+// abuseAttempts is how many times more than others an abusive client tries, without a pause.
+const abuseAttempts = 3
 
-func (c *clients) giveUp(f Fault) { c.leaving, c.leavesUs = f, c.day.nowUs+f.ForUs+2*sec }
+func (c *clients) giveUp(f Fault) {
+	c.giveUpFault, c.givesUpUntilUs = f, c.day.nowUs+f.DurationUs+2*second
+}
 
-func (c *clients) abuse(f Fault) { c.repeats, c.abuseUs = f, c.day.nowUs+f.ForUs+2*sec }
+func (c *clients) abuse(f Fault) { c.abuseFault, c.abuseUntilUs = f, c.day.nowUs+f.DurationUs+2*second }
 
 // giveUp is a client that leaves within half of its aim.
-func (s *seat) giveUp(t *rules.Attempt) {
-	if !s.over {
-		s.c.day.count(s.c.leaving)
+func (cr *clientRequest) giveUp(t *rules.Attempt) {
+	if !cr.ended {
+		cr.clients.day.countFault(cr.clients.giveUpFault)
 	}
-	s.hangUp(t)
+	cr.hangUp(t)
 }
--- a/tests/simulator/routed_cutoff.go
+++ b/tests/simulator/routed_cutoff.go
@@ -9,18 +9,18 @@
 	"petreltide/tests/rules"
 )
 
-// CutOff cuts control machines off from the others for a time. Clients, operators and replicas go on
+// Partition cuts control machines off from the others for a time. Clients, operators and replicas go on
 // reaching them, but where a field says otherwise.
-type CutOff struct {
+type Partition struct {
 	Role Role
 	// Count is how many are cut off together; 0 is one.
-	Count int
-	AtUs  int64
-	ForUs int64
-	Way   Way
-	// All also cuts them off from the gateways, Near from gateways and replicas of other zones.
-	All  bool
-	Near bool
+	Count      int
+	AtUs       int64
+	DurationUs int64
+	Direction  Direction
+	// IncludesGateways also cuts them off from the gateways, Near from gateways and replicas of other zones.
+	IncludesGateways bool
+	Near             bool
 	// Lure makes leaving replicas and a third of the others report there first; Meet makes operators ask there first.
 	Lure bool
 	Meet bool
@@ -50,22 +50,22 @@
 	TurnRole Role = "turn"
 )
 
-// Way is how a cut shows at the ends.
-type Way string
+// Direction is how a cut shows at the ends.
+type Direction string
 
 // The ways of a cut.
 const (
 	// SilentWay means that packets vanish in both directions.
-	SilentWay Way = "silent"
+	SilentWay Direction = "silent"
 	// MuteWay means that what they say vanishes, and what is said to them arrives. DeafWay is the other direction.
-	MuteWay Way = "mute"
-	DeafWay Way = "deaf"
+	MuteWay Direction = "mute"
+	DeafWay Direction = "deaf"
 	// ResetWay means that calls fail at once, and connections that are open end.
-	ResetWay Way = "reset"
+	ResetWay Direction = "reset"
 )
 
-// cutOffState is what stands while machines are cut off.
-type cutOffState struct {
+// partitionState is what stands while machines are cut off.
+type partitionState struct {
 	reset map[[2]string]int
 	lure  []*routedControlNode
 	meet  []*routedControlNode
@@ -76,30 +76,30 @@
 	times map[string]int
 }
 
-func (c *cutOffState) refuses(from, to string) bool { return c.reset[[2]string{from, to}] > 0 }
+func (c *partitionState) refuses(from, to string) bool { return c.reset[[2]string{from, to}] > 0 }
 
 // resets makes a cut link refuse calls at once, in both directions.
 func (d *routedDay) resets(a, b string, forUs int64) {
-	if d.cutOff.reset == nil {
-		d.cutOff.reset = map[[2]string]int{}
+	if d.partitions.reset == nil {
+		d.partitions.reset = map[[2]string]int{}
 	}
 	for _, pair := range [][2]string{{a, b}, {b, a}} {
-		d.cutOff.reset[pair]++
-		d.at(d.nowUs+forUs, func() { d.cutOff.reset[pair]-- })
+		d.partitions.reset[pair]++
+		d.schedule(d.nowUs+forUs, func() { d.partitions.reset[pair]-- })
 	}
 }
 
 // controlNodeFor is the machine that a replica reports to: at its first try where it is lured, else one of the list.
 func (d *routedDay) controlNodeFor(p *replicaNode, try int) *routedControlNode {
-	if lure := d.cutOff.lure; try == 0 && len(lure) > 0 && (p.core.Draining || d.lured(p)) {
+	if lure := d.partitions.lure; try == 0 && len(lure) > 0 && (p.core.Draining || d.luredTo(p)) {
 		return lure[0]
 	}
-	addrs := d.listedNow()
-	return d.controlNodeAt(addrs[d.r.Intn(len(addrs))])
+	addrs := d.currentSeeds()
+	return d.controlNodeAt(addrs[d.random.Intn(len(addrs))])
 }
 
-// lured: every third replica.
-func (d *routedDay) lured(p *replicaNode) bool {
+// luredTo: every third replica.
+func (d *routedDay) luredTo(p *replicaNode) bool {
 	sum := 0
 	for _, c := range p.name {
 		sum += int(c)
@@ -108,23 +108,23 @@
 }
 
 // controlNodeFor is the machine that an operator calls: first the one that it is made to meet.
-func (p *routedOperators) controlNodeFor(first bool) *routedControlNode {
-	d := p.day
-	if meet := d.cutOff.meet; (first || d.cutOff.hard) && len(meet) > 0 {
-		return meet[p.r.Intn(len(meet))]
+func (ops *routedOperators) controlNodeFor(first bool) *routedControlNode {
+	d := ops.day
+	if meet := d.partitions.meet; (first || d.partitions.hard) && len(meet) > 0 {
+		return meet[ops.random.Intn(len(meet))]
 	}
-	addrs := d.listedNow()
-	return d.controlNodeAt(addrs[p.r.Intn(len(addrs))])
+	addrs := d.currentSeeds()
+	return d.controlNodeAt(addrs[ops.random.Intn(len(addrs))])
 }
 
-// struck are the machines that hold a role now; none where nobody does.
-func (d *routedDay) struck(c CutOff) []*routedControlNode {
+// partitionedNodes are the machines that hold a role now; none where nobody does.
+func (d *routedDay) partitionedNodes(c Partition) []*routedControlNode {
 	if c.Role == TurnRole {
-		return d.leastCut(max(c.Count, 1))
+		return d.leastPartitioned(max(c.Count, 1))
 	}
 	all := []*routedControlNode{}
 	for _, o := range d.upControlNodes() {
-		if o.holds(c.Role) {
+		if o.hasRole(c.Role) {
 			all = append(all, o)
 		}
 	}
@@ -136,8 +136,8 @@
 	return all[:min(len(all), max(c.Count, 1))]
 }
 
-func (o *routedControlNode) holds(role Role) bool {
-	n := o.core.Node
+func (cn *routedControlNode) hasRole(role Role) bool {
+	n := cn.core.Node
 	switch role {
 	case HeadRole:
 		return n.IsHead()
@@ -146,52 +146,52 @@
 	case MiddleRole:
 		return n.Phase() == chain.PhaseServing && !n.IsHead() && !n.IsTail()
 	case ControllerRole:
-		return o.isLeader()
+		return cn.isLeader()
 	case JoinerRole:
 		return n.Phase() == chain.PhaseStandby && n.LastIndex() > 0
 	case FollowedRole:
-		return o.streams[o.day.gateways[0].name] != nil
+		return cn.streams[cn.day.gateways[0].name] != nil
 	}
 	return false
 }
 
-// cutOffNow brings the cut about, or looks again a moment later where nobody holds the role yet.
-func (d *routedDay) cutOffNow(c CutOff, limitUs int64) {
-	struck := d.struck(c)
-	if c.Role == JoinerRole && len(struck) == 0 && !d.cutOff.joins {
-		d.cutOff.joins = true
-		d.empty("b")
+// applyPartition brings the cut about, or looks again a moment later where nobody holds the role yet.
+func (d *routedDay) applyPartition(c Partition, limitUs int64) {
+	struck := d.partitionedNodes(c)
+	if c.Role == JoinerRole && len(struck) == 0 && !d.partitions.joins {
+		d.partitions.joins = true
+		d.addEmptyControlNode("b")
 	}
 	if len(struck) == 0 {
 		if d.nowUs < limitUs {
-			d.at(d.nowUs+5*ms, func() { d.cutOffNow(c, limitUs) })
+			d.schedule(d.nowUs+5*millisecond, func() { d.applyPartition(c, limitUs) })
 		}
 		return
 	}
-	d.count(Fault{Kind: "cut-off-" + string(c.Role)})
-	d.count(Fault{Kind: "cut-off-" + string(c.Way)})
+	d.countFault(Fault{Kind: "cut-off-" + string(c.Role)})
+	d.countFault(Fault{Kind: "cut-off-" + string(c.Direction)})
 	for _, o := range struck {
-		if d.cutOff.times == nil {
-			d.cutOff.times = map[string]int{}
+		if d.partitions.times == nil {
+			d.partitions.times = map[string]int{}
 		}
-		d.cutOff.times[o.name]++
-		d.note("cut off %s (%s, %s) for %.1f s", o.name, c.Role, c.Way, float64(c.ForUs)/1e6)
+		d.partitions.times[o.name]++
+		d.logf("cut off %s (%s, %s) for %.1f s", o.name, c.Role, c.Direction, float64(c.DurationUs)/1e6)
 		for _, m := range d.otherSide(c, o, struck) {
-			d.cutOffFrom(c, o.name, m)
+			d.partitionFrom(c, o.name, m)
 		}
 		if c.FreezeUs > 0 {
 			d.freeze(&o.machine, c.FreezeUs)
 		}
 		if c.StepUs > 0 {
 			o.skewUs += c.StepUs
-			d.seen.Faults = append(d.seen.Faults, rules.FaultInterval{Machine: o.name, Kind: "clock", FromUs: d.nowUs, ToUs: d.nowUs})
+			d.observed.Faults = append(d.observed.Faults, rules.FaultInterval{Machine: o.name, Kind: "clock", FromUs: d.nowUs, ToUs: d.nowUs})
 		}
 	}
-	d.cutOffBy(c, struck)
+	d.partitionWith(c, struck)
 }
 
 // otherSide are the machines that one which is struck loses.
-func (d *routedDay) otherSide(c CutOff, o *routedControlNode, struck []*routedControlNode) []string {
+func (d *routedDay) otherSide(c Partition, o *routedControlNode, struck []*routedControlNode) []string {
 	names := []string{}
 	for _, other := range d.controlNodes {
 		if !other.removed && !slices.Contains(struck, other) {
@@ -199,7 +199,7 @@
 		}
 	}
 	for _, t := range d.gateways {
-		if c.All || (c.Near && t.zone != o.zone) {
+		if c.IncludesGateways || (c.Near && t.zone != o.zone) {
 			names = append(names, t.name)
 		}
 	}
@@ -211,15 +211,15 @@
 	return names
 }
 
-func (d *routedDay) cutOffFrom(c CutOff, struck, other string) {
-	if c.Way != DeafWay {
-		d.cut(struck, other, c.ForUs)
+func (d *routedDay) partitionFrom(c Partition, struck, other string) {
+	if c.Direction != DeafWay {
+		d.blockLink(struck, other, c.DurationUs)
 	}
-	if c.Way != MuteWay {
-		d.cut(other, struck, c.ForUs)
+	if c.Direction != MuteWay {
+		d.blockLink(other, struck, c.DurationUs)
 	}
-	if c.Way == ResetWay {
-		d.resets(struck, other, c.ForUs)
+	if c.Direction == ResetWay {
+		d.resets(struck, other, c.DurationUs)
 		for _, o := range d.controlNodes {
 			for _, gateway := range slices.Sorted(maps.Keys(o.streams)) {
 				s := o.streams[gateway]
@@ -234,37 +234,37 @@
 // reset ends a stream at both ends at once.
 func (s *frameStream) reset(o *routedControlNode) {
 	gateway, number := s.gateway, s.number
-	s.down.closed = true
-	o.day.at(o.day.nowUs+ms, func() {
-		o.now(o.boot, func() { o.unfollow(s) })
-		gateway.now(gateway.boot, func() { gateway.closed(number) })
+	s.fromControlNode.closed = true
+	o.day.schedule(o.day.nowUs+millisecond, func() {
+		o.deliver(o.boot, func() { o.unfollow(s) })
+		gateway.deliver(gateway.boot, func() { gateway.closed(number) })
 	})
 }
 
-// cutOffBy is what others do meanwhile.
-func (d *routedDay) cutOffBy(c CutOff, struck []*routedControlNode) {
+// partitionWith is what others do meanwhile.
+func (d *routedDay) partitionWith(c Partition, struck []*routedControlNode) {
 	if c.Lure {
-		d.cutOff.lure = struck
+		d.partitions.lure = struck
 	}
 	if c.Meet {
-		d.cutOff.meet = struck
+		d.partitions.meet = struck
 	}
-	endUs := d.nowUs + c.ForUs
-	for us := d.nowUs + 200*ms; us < endUs+3*sec; us += 700 * ms {
-		d.at(us, func() { d.readAll() })
+	endUs := d.nowUs + c.DurationUs
+	for us := d.nowUs + 200*millisecond; us < endUs+3*second; us += 700 * millisecond {
+		d.schedule(us, func() { d.readAll() })
 	}
 	if c.Race {
-		for us := d.nowUs + 300*ms; us < endUs; us += 4 * sec {
-			d.at(us, func() { d.ops.do(d.ops.race) })
+		for us := d.nowUs + 300*millisecond; us < endUs; us += 4 * second {
+			d.schedule(us, func() { d.operators.do(d.operators.race) })
 		}
 	}
 	if c.Drain {
-		for us := d.nowUs + 100*ms; us < endUs-2*sec; us += 5 * sec {
-			d.at(us, d.drainOne)
+		for us := d.nowUs + 100*millisecond; us < endUs-2*second; us += 5 * second {
+			d.schedule(us, d.drainOne)
 		}
 	}
-	d.at(endUs, func() {
-		d.cutOff.lure, d.cutOff.meet = nil, nil
+	d.schedule(endUs, func() {
+		d.partitions.lure, d.partitions.meet = nil, nil
 	})
 	if c.Then != nil {
 		c.Then(struck)
@@ -274,21 +274,21 @@
 // readAll asks every control machine by itself.
 func (d *routedDay) readAll() {
 	for _, o := range d.upControlNodes() {
-		d.ops.readAt(o, func(_ *configuration.Declaration, _ bool) {})
+		d.operators.readAt(o, func(_ *configuration.Declaration, _ bool) {})
 	}
 }
 
 // drainOne lets a replica of each service leave and another come in its place. One says that it drains, the
 // other that it is gone; which is which goes by turns.
 func (d *routedDay) drainOne() {
-	d.cutOff.left++
+	d.partitions.left++
 	for i, service := range []string{"cards", "log"} {
 		for _, p := range d.running(service) {
 			if p.core.Draining {
 				continue
 			}
-			d.fresh(p)
-			if (d.cutOff.left+i)%2 == 0 {
+			d.replacement(p)
+			if (d.partitions.left+i)%2 == 0 {
 				p.withdraw()
 			} else {
 				p.drain()
--- a/tests/simulator/routed_exchange.go
+++ b/tests/simulator/routed_exchange.go
@@ -11,22 +11,22 @@
 
 // exchange is one client's request at one gateway.
 type exchange struct {
-	gateway *routedGateway
-	call    *scheduling.Call
-	try     *rules.Attempt
-	ask     replica.Ask
-	seat    *seat
-	back    *pipe
-	opened  bool
-	retried bool
-	last    int
-	attempt *attempt
-	gone    bool
-	over    bool
+	gateway    *routedGateway
+	call       *scheduling.Call
+	attempt    *rules.Attempt
+	request    replica.Ask
+	client     *clientRequest
+	toClient   *link
+	opened     bool
+	retried    bool
+	last       int
+	current    *attempt
+	clientGone bool
+	finished   bool
 }
 
-func (x *exchange) done() {
-	x.over = true
+func (x *exchange) close() {
+	x.finished = true
 	if x.call != nil {
 		delete(x.gateway.open, x.call.ID)
 	}
@@ -34,12 +34,12 @@
 
 // fail ends a request with an answer of the product's own, or cuts it where one has begun.
 func (x *exchange) fail(f *fault.Fault) {
-	if x.over {
+	if x.finished {
 		return
 	}
-	x.done()
+	x.close()
 	if x.opened {
-		x.back.send(func() { x.seat.broken(x.try) })
+		x.toClient.send(func() { x.client.onBrokenConnection(x.attempt) })
 		return
 	}
 	x.answer(f)
@@ -63,7 +63,7 @@
 	if x.gateway.day.plan.Plant == "liar" && status == http.StatusBadGateway {
 		status = http.StatusServiceUnavailable
 	}
-	x.back.send(func() { x.seat.answered(x.try, status, "", "", f.RetryMs) })
+	x.toClient.send(func() { x.client.onResponse(x.attempt, status, "", "", f.RetryMs) })
 }
 
 // ended is a call whose last attempt did not end well.
@@ -78,28 +78,28 @@
 	x.fail(f)
 }
 
-// begin is the executor of one attempt.
-func (x *exchange) begin(st scheduling.AttemptStart) {
+// startAttempt is the executor of one attempt.
+func (x *exchange) startAttempt(st scheduling.AttemptStart) {
 	t := x.gateway
 	d := t.day
-	d.conns++
-	l := &attempt{x: x, st: st, conn: d.conns}
-	x.attempt = l
-	if st.DeadlineUs-t.clock() < ms {
-		t.later(1, func() { l.finish(scheduling.OutcomeUnsent) })
+	d.connections++
+	l := &attempt{exchange: x, start: st, connection: d.connections}
+	x.current = l
+	if st.DeadlineUs-t.clock() < millisecond {
+		t.after(1, func() { l.finish(scheduling.OutcomeUnsent) })
 		return
 	}
 	l.to = d.replicaAt(st.Addr)
-	reused := t.kept[st.Incarnation] > d.nowUs && l.to != nil && l.to.name == st.Incarnation
+	reused := t.idleConnections[st.Incarnation] > d.nowUs && l.to != nil && l.to.name == st.Incarnation
 	switch {
 	case l.to == nil:
-		t.later(ms, func() { l.finish(scheduling.OutcomeUnsent) })
+		t.after(millisecond, func() { l.finish(scheduling.OutcomeUnsent) })
 	case reused:
-		l.kept = true
-		t.later(1, l.write)
+		l.reused = true
+		t.after(1, l.write)
 	case d.isCut(t.name, l.to.name) || d.isCut(l.to.name, t.name) || l.to.thawUs > d.nowUs:
-		t.later(dialUs, func() { l.finish(scheduling.OutcomeUnsent) })
+		t.after(dialUs, func() { l.finish(scheduling.OutcomeUnsent) })
 	default:
-		t.later(300+d.r.Int63n(1500), l.write)
+		t.after(300+d.random.Int63n(1500), l.write)
 	}
 }
--- a/tests/simulator/routed_faults.go
+++ b/tests/simulator/routed_faults.go
@@ -8,7 +8,7 @@
 	"petreltide/tests/platform/replica"
 )
 
-var routedKinds = []string{
+var routedFaultKinds = []string{
 	"kill-office", "kill-holder", "power-office", "freeze-office", "freeze-holder", "stall-disk", "slow-disk", "full-disk", "replace-office", "wipe-after-ack", "power-after-ack",
 	"cut-office", "one-way", "split-core", "cut-desk", "kill-desk", "herd-kill", "kill-offices", "roll-desks", "freeze-desk", "clock-step", "swap-seeds", "loss",
 	"crash-replica", "lose-replica", "dark-replica", "reuse-address", "notice", "notice-race", "release", "scale-in", "failing-replica", "turning-replica", "breaking-replica",
@@ -21,8 +21,8 @@
 	"cut-replica-reset", "cut-replica-fronts", "cut-replica-some", "config-flood",
 }
 
-// pairKinds strike two control nodes at once, where the fleet is made to bear that.
-var pairKinds = []string{"kill-pair", "power-pair", "freeze-pair", "cut-pair", "replace-pair", "wipe-pair-after-ack"}
+// pairFaultKinds strike two control nodes at once, where the fleet is made to bear that.
+var pairFaultKinds = []string{"kill-pair", "power-pair", "freeze-pair", "cut-pair", "replace-pair", "wipe-pair-after-ack"}
 
 // selfCounted faults are counted where they first have an effect, beside those that wait for an acknowledgement.
 var selfCounted = []string{
@@ -38,7 +38,7 @@
 
 // RoutedFaultNames lists every fault that routed days are dealt.
 func RoutedFaultNames() []string {
-	names := append(slices.Clone(routedKinds), pairKinds...)
+	names := append(slices.Clone(routedFaultKinds), pairFaultKinds...)
 	slices.Sort(names)
 	return names
 }
@@ -55,15 +55,15 @@
 	faults := []Fault{}
 	for i := range count {
 		place := seed*int64(count) + int64(i)
-		deck := rand.New(rand.NewSource(place / int64(len(routedKinds)))).Perm(len(routedKinds))
-		f := Fault{Kind: routedKinds[deck[place%int64(len(routedKinds))]], A: r.Intn(100), B: r.Intn(100), N: 1 + r.Intn(12)}
+		deck := rand.New(rand.NewSource(place / int64(len(routedFaultKinds)))).Perm(len(routedFaultKinds))
+		f := Fault{Kind: routedFaultKinds[deck[place%int64(len(routedFaultKinds))]], A: r.Intn(100), B: r.Intn(100), N: 1 + r.Intn(12)}
 		f.AtUs = spanUs*int64(i)/int64(count) + r.Int63n(spanUs/int64(count))
-		f.ForUs = 500*ms + r.Int63n(5*sec)
+		f.DurationUs = 500*millisecond + r.Int63n(5*second)
 		if i > 0 && r.Intn(3) == 0 {
-			f.AtUs = faults[i-1].AtUs + r.Int63n(800*ms)
+			f.AtUs = faults[i-1].AtUs + r.Int63n(800*millisecond)
 		}
 		if f.Kind == "turning-replica" {
-			f.ForUs += 3 * sec
+			f.DurationUs += 3 * second
 		}
 		faults = append(faults, f)
 	}
@@ -75,7 +75,7 @@
 	faults := DrawRouted(seed, count, spanUs)
 	for i := range faults {
 		if i%2 == 0 {
-			faults[i].Kind = pairKinds[(int(seed)/pairsEvery+i/2)%len(pairKinds)]
+			faults[i].Kind = pairFaultKinds[(int(seed)/pairsEvery+i/2)%len(pairFaultKinds)]
 		}
 	}
 	return faults
@@ -88,19 +88,19 @@
 	return all[n%len(all)], true
 }
 
-// cause brings a fault about, and counts it only where it was truly brought about.
-func (d *routedDay) cause(f Fault) {
-	d.note("fault %s", f)
-	if !d.bring(f) {
-		d.note("left out %s: it cannot be caused now", f.Kind)
+// tryFault brings a fault about, and counts it only where it was truly brought about.
+func (d *routedDay) tryFault(f Fault) {
+	d.logf("fault %s", f)
+	if !d.applyFault(f) {
+		d.logf("left out %s: it cannot be caused now", f.Kind)
 		return
 	}
 	if !countsItself(f.Kind) {
-		d.count(f)
+		d.countFault(f)
 	}
 }
 
-func (d *routedDay) bring(f Fault) bool {
+func (d *routedDay) applyFault(f Fault) bool {
 	controlNodes := d.upControlNodes()
 	o, haveControlNode := pickOf(controlNodes, f.A)
 	t := d.gateways[f.A%len(d.gateways)]
@@ -116,7 +116,7 @@
 		"kill-offices", "roll-offices":
 		return haveControlNode && d.controlNodeFault(f, o)
 	case "kill-pair", "power-pair", "freeze-pair", "cut-pair", "replace-pair":
-		return haveControlNode && d.pairFault(f, o, d.mate(o, f.B))
+		return haveControlNode && d.pairFault(f, o, d.nextControlNode(o, f.B))
 	case "cut-behind", "cut-split", "cut-both", "cut-relieve", "cut-turn", "cut-seeds", "power-keeping", "ack-lost-race", "herd-power-order", "herd-power-work", "config-flood":
 		return haveControlNode && d.worstFault(f, o)
 	case "wipe-after-ack", "power-after-ack", "wipe-pair-after-ack":
@@ -124,57 +124,57 @@
 	case "power-after-taking":
 		d.taking = append(d.taking, func(t *routedGateway) {
 			if t.up {
-				d.count(f)
+				d.countFault(f)
 				t.crash(false)
-				d.at(d.nowUs+f.ForUs, t.start)
+				d.schedule(d.nowUs+f.DurationUs, t.start)
 			}
 		})
 	case "power-after-send":
-		d.ops.struck = append(d.ops.struck, f)
-		d.ops.do(d.ops.change)
+		d.operators.struckFaults = append(d.operators.struckFaults, f)
+		d.operators.do(d.operators.change)
 	case "ack-lost":
-		d.ops.loses(f)
+		d.operators.loseAnswers(f)
 	case "give-up":
 		d.clients.giveUp(f)
 	case "retry-abuse":
-		return haveCard && d.abused(f, p)
+		return haveCard && d.abuseBudgetFault(f, p)
 	case "kill-zone":
 		d.killZone([]string{"a", "b", "c"}[f.A%3], f)
 	case "cut-desk", "kill-desk", "herd-kill", "roll-desks", "freeze-desk", "clock-step":
 		return d.gatewayFault(f, t)
 	case "config-change":
-		d.ops.do(d.ops.change)
+		d.operators.do(d.operators.change)
 	case "config-storm":
 		for range 3 + f.N%4 {
-			d.ops.do(d.ops.change)
+			d.operators.do(d.operators.change)
 		}
 	case "config-race":
-		d.ops.do(d.ops.race)
+		d.operators.do(d.operators.race)
 	case "config-rivals":
 		for range 1 + f.N%3 {
-			d.ops.do(d.ops.rivals)
+			d.operators.do(d.operators.rivals)
 		}
 	case "config-again":
 		for range 2 + f.N%5 {
-			d.ops.do(d.ops.again)
+			d.operators.do(d.operators.again)
 		}
 	case "bad-config":
 		for range 1 + f.N%3 {
-			d.ops.do(d.ops.bad)
+			d.operators.do(d.operators.bad)
 		}
 	case "big-config":
-		d.ops.do(d.ops.grow(20 + 10*f.N))
+		d.operators.do(d.operators.grow(20 + 10*f.N))
 	case "burst":
-		d.clients.perSec = d.plan.PerSec * (1.5 + float64(f.N)/8)
-		d.at(d.nowUs+f.ForUs, func() { d.clients.perSec = d.plan.PerSec })
+		d.clients.callsPerSecond = d.plan.CallsPerSecond * (1.5 + float64(f.N)/8)
+		d.schedule(d.nowUs+f.DurationUs, func() { d.clients.callsPerSecond = d.plan.CallsPerSecond })
 	case "burst-rare":
-		d.clients.rareX = 1.5 + float64(f.N)/10
-		d.at(d.nowUs+f.ForUs, func() { d.clients.rareX = 1 })
+		d.clients.rareModelFactor = 1.5 + float64(f.N)/10
+		d.schedule(d.nowUs+f.DurationUs, func() { d.clients.rareModelFactor = 1 })
 	case "model-shift":
-		d.clients.shift += 2 + f.N%6
+		d.clients.modelShift += 2 + f.N%6
 	case "slow-store":
 		d.store.Slow(float64(2 + f.N))
-		d.at(d.nowUs+f.ForUs, func() { d.store.Slow(1) })
+		d.schedule(d.nowUs+f.DurationUs, func() { d.store.Slow(1) })
 	case "swap-seeds":
 		d.swapSeeds()
 	case "loss":
@@ -187,10 +187,10 @@
 
 // swapSeeds names other seeds, and tells the gateways.
 func (d *routedDay) swapSeeds() {
-	d.seeds = slices.Clone(d.listedNow())
+	d.seeds = slices.Clone(d.currentSeeds())
 	slices.Reverse(d.seeds)
 	d.seeds = d.seeds[:min(len(d.seeds), seedsMost)]
 	for _, t := range d.gateways {
-		t.now(t.boot, func() { t.seeded() })
+		t.deliver(t.boot, func() { t.seeded() })
 	}
 }
--- a/tests/simulator/routed_faults_power.go
+++ b/tests/simulator/routed_faults_power.go
@@ -6,11 +6,11 @@
 
 const (
 	// strikeUs is how soon after an event its fault strikes.
-	strikeUs = 4 * ms
+	strikeUs = 4 * millisecond
 	// awayForCopyUs is how long a machine is away that is to come back by a copy.
-	awayForCopyUs = 2 * sec
+	awayForCopyUs = 2 * second
 	// meetUs is how long operators go to a machine that has come back.
-	meetUs = 4 * sec
+	meetUs = 4 * second
 	// floodLeast is how many changes a flood has at least.
 	floodLeast = 100
 )
@@ -18,53 +18,53 @@
 // returningFault are faults of a machine of the core that comes back.
 func (d *routedDay) returningFault(f Fault, o *routedControlNode) {
 	if f.Kind == "power-keeping" {
-		d.keepers = append(d.keepers, f)
+		d.awaitingSnapshot = append(d.awaitingSnapshot, f)
 		d.killControlNode(o, 0, awayForCopyUs)
 		return
 	}
-	awayUs := min(f.ForUs, 2*sec)
+	awayUs := min(f.DurationUs, 2*second)
 	d.killControlNode(o, 0, awayUs)
-	d.at(d.nowUs+awayUs+ms, func() {
+	d.schedule(d.nowUs+awayUs+millisecond, func() {
 		if !d.handed && o.up {
 			d.metAfterReturn(f, o)
 		}
 	})
 }
 
-// keepsCopy is told how far a control node has come with a copy that it keeps, and strikes at the step that was drawn. Some
+// snapshotStepReached is told how far a control node has come with a copy that it keeps, and strikes at the step that was drawn. Some
 // of the names that the copy has changed are lost with the power, each by itself.
-func (o *routedControlNode) keepsCopy(step copyStep) {
-	d := o.day
-	if len(d.keepers) == 0 {
+func (cn *routedControlNode) snapshotStepReached(step snapshotStep) {
+	d := cn.day
+	if len(d.awaitingSnapshot) == 0 {
 		return
 	}
-	f := d.keepers[0]
-	if step != recordsSynced+copyStep(f.B)%(copySteps-recordsSynced) {
+	f := d.awaitingSnapshot[0]
+	if step != recordsSynced+snapshotStep(f.B)%(copySteps-recordsSynced) {
 		return
 	}
-	d.keepers = d.keepers[1:]
-	d.count(f)
-	d.note("%s loses power as it keeps a copy, step %d", o.name, step)
-	d.killControlNode(o, 1+f.N%4, min(f.ForUs, sec))
+	d.awaitingSnapshot = d.awaitingSnapshot[1:]
+	d.countFault(f)
+	d.logf("%s loses power as it keeps a copy, step %d", cn.name, step)
+	d.killControlNode(cn, 1+f.N%4, min(f.DurationUs, second))
 }
 
 // metAfterReturn lets operators race at a machine that has just come back, while most acknowledgements are lost, and
 // replicas of its zone leave soon after.
 func (d *routedDay) metAfterReturn(f Fault, o *routedControlNode) {
 	met := []*routedControlNode{o}
-	d.cutOff.meet, d.cutOff.hard = met, f.B%2 == 0
-	d.ops.lost, d.ops.loseUs = f, d.nowUs+meetUs
+	d.partitions.meet, d.partitions.hard = met, f.B%2 == 0
+	d.operators.lostAnswerFault, d.operators.loseAnswersUntilUs = f, d.nowUs+meetUs
 	for i := range int64(3) {
-		d.at(d.nowUs+i*500*ms, func() { d.ops.do(d.ops.race) })
+		d.schedule(d.nowUs+i*500*millisecond, func() { d.operators.do(d.operators.race) })
 	}
 	for i := range int64(2) {
-		d.at(d.nowUs+(300+1000*i)*ms, func() { d.drainIn(o.zone, i == 0) })
+		d.schedule(d.nowUs+(300+1000*i)*millisecond, func() { d.drainIn(o.zone, i == 0) })
 	}
-	d.at(d.nowUs+meetUs, func() {
-		if len(d.cutOff.meet) == 1 && d.cutOff.meet[0] == o {
-			d.cutOff.meet = nil
+	d.schedule(d.nowUs+meetUs, func() {
+		if len(d.partitions.meet) == 1 && d.partitions.meet[0] == o {
+			d.partitions.meet = nil
 		}
-		d.cutOff.hard = false
+		d.partitions.hard = false
 	})
 }
 
@@ -75,7 +75,7 @@
 			if p.core.Draining || p.core.Zone() != zone {
 				continue
 			}
-			d.fresh(p)
+			d.replacement(p)
 			if withdraws {
 				p.withdraw()
 			} else {
@@ -93,34 +93,34 @@
 		d.taking = append(d.taking, func(*routedGateway) { d.powerOff(f) })
 		return
 	}
-	d.ordering = append(d.ordering, f)
-	d.clients.shift += 2 + f.N%6
+	d.awaitingOrder = append(d.awaitingOrder, f)
+	d.clients.modelShift += 2 + f.N%6
 }
 
-// orderTaken is told that a replica has accepted an order.
-func (d *routedDay) orderTaken() {
-	if len(d.ordering) == 0 {
+// orderAccepted is told that a replica has accepted an order.
+func (d *routedDay) orderAccepted() {
+	if len(d.awaitingOrder) == 0 {
 		return
 	}
-	f := d.ordering[0]
-	d.ordering = d.ordering[1:]
-	d.at(d.nowUs+d.r.Int63n(strikeUs), func() { d.powerOff(f) })
+	f := d.awaitingOrder[0]
+	d.awaitingOrder = d.awaitingOrder[1:]
+	d.schedule(d.nowUs+d.random.Int63n(strikeUs), func() { d.powerOff(f) })
 }
 
 func (d *routedDay) powerOff(f Fault) {
 	if d.handed {
 		return
 	}
-	d.count(f)
-	d.note("%s: the core loses power", f.Kind)
-	awayUs := min(f.ForUs, 2*sec)
+	d.countFault(f)
+	d.logf("%s: the core loses power", f.Kind)
+	awayUs := min(f.DurationUs, 2*second)
 	for _, o := range d.upControlNodes() {
-		d.killControlNode(o, d.r.Intn(4), awayUs)
+		d.killControlNode(o, d.random.Intn(4), awayUs)
 	}
 	for _, t := range d.gateways {
 		if f.B%2 == 0 && t.up {
 			t.crash(false)
-			d.at(d.nowUs+awayUs, t.start)
+			d.schedule(d.nowUs+awayUs, t.start)
 		}
 	}
 }
@@ -129,29 +129,29 @@
 func (d *routedDay) flood(f Fault, o *routedControlNode) {
 	changes := floodLeast + 10*f.N
 	for range changes {
-		d.ops.do(func(done func()) {
+		d.operators.do(func(done func()) {
 			if d.handed {
 				done()
 				return
 			}
-			d.ops.change(done)
+			d.operators.change(done)
 		})
 	}
-	d.at(d.nowUs+500*ms, func() { d.killControlNode(o, 0, f.ForUs) })
+	d.schedule(d.nowUs+500*millisecond, func() { d.killControlNode(o, 0, f.DurationUs) })
 	before := o.core.Node.State().Version()
-	d.at(d.nowUs+f.ForUs+3*sec, func() {
-		d.ops.readAt(o, func(doc *configuration.Declaration, ok bool) {
+	d.schedule(d.nowUs+f.DurationUs+3*second, func() {
+		d.operators.readAt(o, func(doc *configuration.Declaration, ok bool) {
 			if ok && doc != nil && doc.Version > before+floodLeast/2 {
-				d.count(f)
+				d.countFault(f)
 			}
 		})
 	})
 }
 
-// cutReplica cuts a replica off from the core by a reset, from the core and a third of the gateways, or from a third of
+// partitionReplica cuts a replica off from the core by a reset, from the core and a third of the gateways, or from a third of
 // the gateways alone.
-func (d *routedDay) cutReplica(f Fault, p *replicaNode) {
-	forUs := f.ForUs + 2*sec
+func (d *routedDay) partitionReplica(f Fault, p *replicaNode) {
+	forUs := f.DurationUs + 2*second
 	lost := []string{}
 	if f.Kind != "cut-replica-some" {
 		for _, o := range d.controlNodes {
@@ -164,8 +164,8 @@
 		}
 	}
 	for _, name := range lost {
-		d.cut(p.name, name, forUs)
-		d.cut(name, p.name, forUs)
+		d.blockLink(p.name, name, forUs)
+		d.blockLink(name, p.name, forUs)
 		if f.Kind == "cut-replica-reset" {
 			d.resets(p.name, name, forUs)
 		}
--- a/tests/simulator/routed_faults_replicas.go
+++ b/tests/simulator/routed_faults_replicas.go
@@ -14,12 +14,12 @@
 	"grey-one-zone": replica.Errs, "lying-errors": replica.Errs, "lying-hang": replica.Hangs, "lying-reset": replica.Resets, "answer-lost": replica.Loses,
 }
 
-// abused: replicas turn requests away, and clients come back at once and often.
-func (d *routedDay) abused(f Fault, p *replicaNode) bool {
-	f.ForUs += 5 * sec
+// abuseBudgetFault: replicas turn requests away, and clients come back at once and often.
+func (d *routedDay) abuseBudgetFault(f Fault, p *replicaNode) bool {
+	f.DurationUs += 5 * second
 	d.clients.abuse(f)
 	f.Kind = "turning-replica"
-	d.ill(p, f, func(p *replicaNode) { p.turning = func(n int) bool { return n%5 < 4 } })
+	d.applyAilment(p, f, func(p *replicaNode) { p.turning = func(n int) bool { return n%5 < 4 } })
 	return true
 }
 
@@ -27,43 +27,43 @@
 func (d *routedDay) lossy(f Fault) {
 	d.loss = 0.02 + float64(f.N)/200
 	for _, o := range d.controlNodes {
-		d.seen.Faults = append(d.seen.Faults, rules.FaultInterval{Machine: o.name, Kind: "loss", FromUs: d.nowUs, ToUs: d.nowUs + f.ForUs, Slow: true})
+		d.observed.Faults = append(d.observed.Faults, rules.FaultInterval{Machine: o.name, Kind: "loss", FromUs: d.nowUs, ToUs: d.nowUs + f.DurationUs, Slow: true})
 	}
 	for _, t := range d.gateways {
-		d.seen.Faults = append(d.seen.Faults, rules.FaultInterval{Machine: t.name, Kind: "loss", FromUs: d.nowUs, ToUs: d.nowUs + f.ForUs, Slow: true})
+		d.observed.Faults = append(d.observed.Faults, rules.FaultInterval{Machine: t.name, Kind: "loss", FromUs: d.nowUs, ToUs: d.nowUs + f.DurationUs, Slow: true})
 	}
-	d.at(d.nowUs+f.ForUs, func() { d.loss = 0 })
+	d.schedule(d.nowUs+f.DurationUs, func() { d.loss = 0 })
 }
 
 func (d *routedDay) gatewayFault(f Fault, t *routedGateway) bool {
-	if !t.up || t.term {
+	if !t.up || t.terminating {
 		return false
 	}
 	switch f.Kind {
 	case "kill-desk":
 		t.crash(false)
-		d.at(d.nowUs+f.ForUs, t.start)
+		d.schedule(d.nowUs+f.DurationUs, t.start)
 	case "herd-kill":
 		for i, t := range d.gateways {
 			if (i+f.A)%2 == 0 && t.up {
 				t.crash(false)
-				d.at(d.nowUs+f.ForUs, t.start)
+				d.schedule(d.nowUs+f.DurationUs, t.start)
 			}
 		}
 	case "freeze-desk":
-		d.freeze(&t.machine, f.ForUs)
+		d.freeze(&t.machine, f.DurationUs)
 	case "clock-step":
-		t.skewUs += int64(f.N) * 500 * ms
-		d.seen.Faults = append(d.seen.Faults, rules.FaultInterval{Machine: t.name, Kind: "clock", FromUs: d.nowUs, ToUs: d.nowUs})
+		t.skewUs += int64(f.N) * 500 * millisecond
+		d.observed.Faults = append(d.observed.Faults, rules.FaultInterval{Machine: t.name, Kind: "clock", FromUs: d.nowUs, ToUs: d.nowUs})
 	case "cut-desk":
 		for _, o := range d.controlNodes {
-			d.cut(o.name, t.name, f.ForUs)
-			d.cut(t.name, o.name, f.ForUs)
+			d.blockLink(o.name, t.name, f.DurationUs)
+			d.blockLink(t.name, o.name, f.DurationUs)
 		}
 	case "roll-desks":
 		for i, t := range d.gateways {
-			d.at(d.nowUs+int64(i)*9*sec, func() {
-				t.stop(func() { d.at(d.nowUs+400*ms, t.start) })
+			d.schedule(d.nowUs+int64(i)*9*second, func() {
+				t.stop(func() { d.schedule(d.nowUs+400*millisecond, t.start) })
 			})
 		}
 	}
@@ -82,9 +82,9 @@
 			p = logs[f.A%len(logs)]
 		}
 		p.end(true)
-		d.at(d.nowUs+f.ForUs, func() { d.successor(p, p.addr) })
+		d.schedule(d.nowUs+f.DurationUs, func() { d.successor(p, p.addr) })
 	case "lose-replica":
-		if len(cards) <= d.plan.Cards-1 {
+		if len(cards) <= d.plan.CardReplicas-1 {
 			return false
 		}
 		p.end(true)
@@ -95,62 +95,62 @@
 		}
 		logs[0].end(true)
 		addr := logs[0].addr
-		d.at(d.nowUs+reuseUs, func() { d.startReplica("reused", "log-b", logs[0].core.Zone(), addr, nil) })
-		d.at(d.nowUs+4*sec, func() { d.successor(logs[0], "") })
+		d.schedule(d.nowUs+reuseUs, func() { d.startReplica("reused", "log-b", logs[0].core.Zone(), addr, nil) })
+		d.schedule(d.nowUs+4*second, func() { d.successor(logs[0], "") })
 	case "dark-replica":
 		for _, m := range d.machines() {
-			d.cut(m, p.name, f.ForUs)
-			d.cut(p.name, m, f.ForUs)
+			d.blockLink(m, p.name, f.DurationUs)
+			d.blockLink(p.name, m, f.DurationUs)
 		}
 	case "notice", "notice-race":
-		p.taken(sec + f.ForUs)
-		d.at(d.nowUs+sec+f.ForUs+500*ms, func() { d.fresh(p) })
+		p.takeAway(second + f.DurationUs)
+		d.schedule(d.nowUs+second+f.DurationUs+500*millisecond, func() { d.replacement(p) })
 		if f.Kind == "notice-race" {
 			if o, ok := pickOf(d.upControlNodes(), f.B); ok {
-				d.killControlNode(o, 0, f.ForUs)
+				d.killControlNode(o, 0, f.DurationUs)
 			}
 		}
 	case "withdraw":
-		d.fresh(p)
+		d.replacement(p)
 		p.withdraw()
 	case "scale-in":
-		if len(cards) <= d.plan.Cards-1 {
+		if len(cards) <= d.plan.CardReplicas-1 {
 			return false
 		}
 		p.drain()
 	case "release":
 		for i, p := range cards {
-			d.at(d.nowUs+int64(i)*1500*ms, func() {
+			d.schedule(d.nowUs+int64(i)*1500*millisecond, func() {
 				if p.up && !p.core.Draining {
-					d.fresh(p)
+					d.replacement(p)
 					p.drain()
 				}
 			})
 		}
 	case "failing-replica":
-		d.ill(p, f, func(p *replicaNode) { p.failing = func(n int) bool { return n%5 < 2 } })
+		d.applyAilment(p, f, func(p *replicaNode) { p.failing = func(n int) bool { return n%5 < 2 } })
 	case "turning-replica":
-		d.ill(p, f, func(p *replicaNode) { p.turning = func(n int) bool { return n%5 < 3 } })
+		d.applyAilment(p, f, func(p *replicaNode) { p.turning = func(n int) bool { return n%5 < 3 } })
 	case "breaking-replica":
-		d.ill(p, f, func(p *replicaNode) { p.breaking = func(n int) bool { return n%3 == 0 } })
+		d.applyAilment(p, f, func(p *replicaNode) { p.breaking = func(n int) bool { return n%3 == 0 } })
 	case "grey-errors", "grey-shed", "grey-busy", "grey-hang", "grey-reset", "grey-mute", "grey-one-zone", "lying-errors", "lying-hang", "lying-reset", "answer-lost":
-		d.ill(p, f, func(p *replicaNode) { p.ail = d.ailing(f) })
+		d.applyAilment(p, f, func(p *replicaNode) { p.ail = d.ailmentFault(f) })
 	case "grey-slow":
-		d.ill(p, f, func(p *replicaNode) { p.slowX = 8 })
+		d.applyAilment(p, f, func(p *replicaNode) { p.slowFactor = 8 })
 	case "drop-idle":
-		d.ill(p, f, func(p *replicaNode) { p.dropsIdle = d.once(f) })
+		d.applyAilment(p, f, func(p *replicaNode) { p.dropsIdle = d.once(f) })
 	case "flap":
 		d.flap(p, f)
 	case "unheard-leave":
-		d.unheard(p, f)
+		d.unheardFault(p, f)
 	default:
 		panic("no fault " + f.Kind)
 	}
 	return true
 }
 
-// ill makes a replica fail for a while, and with it a replica of short requests, or all of those.
-func (d *routedDay) ill(p *replicaNode, f Fault, begin func(*replicaNode)) {
+// applyAilment makes a replica fail for a while, and with it a replica of short requests, or all of those.
+func (d *routedDay) applyAilment(p *replicaNode, f Fault, begin func(*replicaNode)) {
 	sick := []*replicaNode{p}
 	if f.Kind == "turning-replica" {
 		sick = append(sick, append(d.running("log"), d.running("log-b")...)...)
@@ -160,9 +160,9 @@
 	for _, p := range sick {
 		begin(p)
 	}
-	d.at(d.nowUs+f.ForUs, func() {
+	d.schedule(d.nowUs+f.DurationUs, func() {
 		for _, p := range sick {
-			p.well()
+			p.endAilment()
 		}
 	})
 }
@@ -173,14 +173,14 @@
 	return func() {
 		if !counted {
 			counted = true
-			d.count(f)
+			d.countFault(f)
 		}
 	}
 }
 
-// ailing is how a replica fails the requests that it is dealt: two in five, or all where it lies, or those of
+// ailmentFault is how a replica fails the requests that it is dealt: two in five, or all where it lies, or those of
 // one zone's gateways.
-func (d *routedDay) ailing(f Fault) func(n int, from string) replica.Ailment {
+func (d *routedDay) ailmentFault(f Fault) func(n int, from string) replica.Ailment {
 	struck := d.once(f)
 	zone := d.gateways[f.B%len(d.gateways)].zone
 	return func(n int, from string) replica.Ailment {
@@ -197,33 +197,33 @@
 
 // flap takes a replica down and up by turns: each time a new incarnation, or the same one that was not to be reached.
 func (d *routedDay) flap(p *replicaNode, f Fault) {
-	turnUs := 300*ms + int64(f.N)*80*ms
+	turnUs := 300*millisecond + int64(f.N)*80*millisecond
 	for i := range 4 {
-		d.at(d.nowUs+int64(2*i)*turnUs, func() {
+		d.schedule(d.nowUs+int64(2*i)*turnUs, func() {
 			if f.B%2 == 0 {
 				for _, m := range d.machines() {
-					d.cut(m, p.name, turnUs)
-					d.cut(p.name, m, turnUs)
+					d.blockLink(m, p.name, turnUs)
+					d.blockLink(p.name, m, turnUs)
 				}
 				return
 			}
 			if p.up {
 				p.end(true)
-				d.at(d.nowUs+turnUs, func() { p = d.successor(p, p.addr) })
+				d.schedule(d.nowUs+turnUs, func() { p = d.successor(p, p.addr) })
 			}
 		})
 	}
 }
 
-// unheard is a replica that leaves, whose word arrives and that hears no answer to it.
-func (d *routedDay) unheard(p *replicaNode, f Fault) {
+// unheardFault is a replica that leaves, whose word arrives and that hears no answer to it.
+func (d *routedDay) unheardFault(p *replicaNode, f Fault) {
 	for _, o := range d.controlNodes {
-		d.cut(o.name, p.name, 10*sec)
+		d.blockLink(o.name, p.name, 10*second)
 	}
 	p.drain()
-	d.at(d.nowUs+9500*ms, func() {
-		if p.leave.AckedUs == 0 && !p.up {
-			d.count(f)
+	d.schedule(d.nowUs+9500*millisecond, func() {
+		if p.departure.AckedUs == 0 && !p.up {
+			d.countFault(f)
 		}
 	})
 }
@@ -240,7 +240,7 @@
 }
 
 // seeded is a change of a gateway's settings that it was told of.
-func (t *routedGateway) seeded() {
-	t.day.seen.Terms = append(t.day.seen.Terms, rules.Term{Machine: t.name, AtUs: t.day.nowUs, Hup: true})
-	t.reseed(t.day.seeds)
+func (g *routedGateway) seeded() {
+	g.day.observed.Terms = append(g.day.observed.Terms, rules.Term{Machine: g.name, AtUs: g.day.nowUs, Hup: true})
+	g.reseed(g.day.seeds)
 }
--- a/tests/simulator/routed_frames.go
+++ b/tests/simulator/routed_frames.go
@@ -10,54 +10,54 @@
 	"petreltide/internal/dataplane/scheduling"
 )
 
-func (t *routedGateway) unfollow(number uint64) {
-	s := t.streams[number]
-	delete(t.streams, number)
+func (g *routedGateway) closeStream(number uint64) {
+	s := g.streams[number]
+	delete(g.streams, number)
 	if s == nil {
 		return
 	}
-	s.down.closed = true
-	if o, ok := t.day.controlNodeOf(s); ok {
-		t.day.carry(&t.machine, &o.machine, 5*sec, func() { o.unfollow(s) }, func() {})
+	s.fromControlNode.closed = true
+	if o, ok := g.day.controlNodeOf(s); ok {
+		g.day.transmit(&g.machine, &o.machine, 5*second, func() { o.unfollow(s) }, func() {})
 	}
 }
 
 func (d *routedDay) controlNodeOf(s *frameStream) (*routedControlNode, bool) {
 	for _, o := range d.controlNodes {
-		if &o.machine == s.down.from {
+		if &o.machine == s.fromControlNode.from {
 			return o, true
 		}
 	}
 	return nil, false
 }
 
-func (t *routedGateway) reflect(ev controlclient.InformerEvent) {
-	d := t.day
-	ev.NowUs = t.clock()
-	for _, e := range t.mirror.Step(ev) {
+func (g *routedGateway) stepInformer(ev controlclient.InformerEvent) {
+	d := g.day
+	ev.NowUs = g.clock()
+	for _, e := range g.informer.Step(ev) {
 		switch {
 		case e.Open != nil:
-			t.follow(*e.Open)
+			g.openStream(*e.Open)
 		case e.Close != 0:
-			t.unfollow(e.Close)
+			g.closeStream(e.Close)
 		case e.Report != "":
-			report := clone(t.decider.Report(t.clock()))
-			report.Addr, report.Zone = t.addr, t.zone
-			d.show("report", report)
+			report := clone(g.decider.Report(g.clock()))
+			report.Addr, report.Zone = g.addr, g.zone
+			d.logValue("report", report)
 			if o := d.controlNodeAt(e.Report); o != nil {
-				d.carry(&t.machine, &o.machine, 600*ms, func() { o.step(controlnode.RoutedGatewayReport{Report: &report}) }, func() {})
+				d.transmit(&g.machine, &o.machine, 600*millisecond, func() { o.step(controlnode.RoutedGatewayReport{Report: &report}) }, func() {})
 			}
 		case e.Snapshot != nil:
-			t.swap(e.Snapshot)
+			g.publishSnapshot(e.Snapshot)
 		}
 	}
 }
 
-// swap takes the newest news; the plants break that.
-func (t *routedGateway) swap(snap *scheduling.Snapshot) {
+// publishSnapshot takes the newest news; the plants break that.
+func (g *routedGateway) publishSnapshot(snap *scheduling.Snapshot) {
 	held := *snap
-	if t.snap != nil {
-		switch t.day.plan.Plant {
+	if g.snapshot != nil {
+		switch g.day.plan.Plant {
 		case "deaf":
 			fresh := map[string]*wire.ReplicaUpdate{}
 			for id, r := range held.Replicas {
@@ -74,20 +74,20 @@
 				forget(&held, held.IDs[0])
 			}
 		case "old-doc":
-			if t.snap.Declaration != nil && t.day.nowUs > bootUs+t.day.plan.CalmUs {
-				held.Declaration, held.Revision = t.snap.Declaration, t.snap.Revision
+			if g.snapshot.Declaration != nil && g.day.nowUs > bootUs+g.day.plan.QuietUs {
+				held.Declaration, held.Revision = g.snapshot.Declaration, g.snapshot.Revision
 			}
 		case "back":
-			if t.older == nil && t.snap.Declaration != nil && t.snap.Declaration != held.Declaration {
-				t.older = t.snap
+			if g.previousSnapshot == nil && g.snapshot.Declaration != nil && g.snapshot.Declaration != held.Declaration {
+				g.previousSnapshot = g.snapshot
 			}
-			if t.older != nil && t.day.nowUs/sec%4 >= 2 {
-				held.Declaration = t.older.Declaration
+			if g.previousSnapshot != nil && g.day.nowUs/second%4 >= 2 {
+				held.Declaration = g.previousSnapshot.Declaration
 			}
 		}
 	}
-	t.snap = &held
-	t.step(scheduling.SnapshotReceived{Snapshot: &held})
+	g.snapshot = &held
+	g.step(scheduling.SnapshotReceived{Snapshot: &held})
 }
 
 // forget leaves a replica out of what a gateway knows.
@@ -99,34 +99,34 @@
 	s.ByService[row.Service] = slices.DeleteFunc(slices.Clone(s.ByService[row.Service]), func(r *wire.ReplicaUpdate) bool { return r.ID == id })
 }
 
-func (t *routedGateway) follow(s controlclient.Stream) {
-	d := t.day
+func (g *routedGateway) openStream(s controlclient.Stream) {
+	d := g.day
 	o := d.controlNodeAt(s.Addr)
 	if d.plan.Plant == "seed-bound" && !slices.Contains(d.seeds, s.Addr) {
 		o = nil
 	}
-	if o == nil || !o.up || d.isCut(t.name, o.name) || d.isCut(o.name, t.name) {
-		t.later(dialUs, func() { t.closed(s.Number) })
+	if o == nil || !o.up || d.isCut(g.name, o.name) || d.isCut(o.name, g.name) {
+		g.after(dialUs, func() { g.closed(s.Number) })
 		return
 	}
-	f := &frameStream{gateway: t, number: s.Number, down: d.pipe(&o.machine, &t.machine)}
-	t.streams[s.Number] = f
+	f := &frameStream{gateway: g, number: s.Number, fromControlNode: d.newLink(&o.machine, &g.machine)}
+	g.streams[s.Number] = f
 	ask := s.Request
-	d.carry(&t.machine, &o.machine, 5*sec, func() { o.subscribe(f, ask) }, func() {
-		t.now(t.boot, func() { t.closed(s.Number) })
+	d.transmit(&g.machine, &o.machine, 5*second, func() { o.subscribe(f, ask) }, func() {
+		g.deliver(g.boot, func() { g.closed(s.Number) })
 	})
 }
 
-func (t *routedGateway) closed(number uint64) {
-	delete(t.streams, number)
-	t.reflect(controlclient.InformerEvent{Closed: number})
+func (g *routedGateway) closed(number uint64) {
+	delete(g.streams, number)
+	g.stepInformer(controlclient.InformerEvent{Closed: number})
 }
 
-func (t *routedGateway) frame(number uint64, f *wire.Frame) {
-	t.reflect(controlclient.InformerEvent{Frame: f, Stream: number})
+func (g *routedGateway) frame(number uint64, f *wire.Frame) {
+	g.stepInformer(controlclient.InformerEvent{Frame: f, Stream: number})
 }
 
 // reseed gives the mirror other first contacts.
-func (t *routedGateway) reseed(seeds []string) {
-	t.reflect(controlclient.InformerEvent{Seeds: seeds})
+func (g *routedGateway) reseed(seeds []string) {
+	g.stepInformer(controlclient.InformerEvent{Seeds: seeds})
 }
