--- a/tests/simulator/routed_gateways.go
+++ b/tests/simulator/routed_gateways.go
@@ -14,164 +14,164 @@
 )
 
 const (
-	dialUs      = 400 * ms
-	idleUs      = 900 * ms
-	lingerUs    = 2300 * ms
-	drainMostUs = 7300 * ms
-	deadlineUs  = 5 * ms
+	dialUs      = 400 * millisecond
+	idleUs      = 900 * millisecond
+	lingerUs    = 2300 * millisecond
+	drainMostUs = 7300 * millisecond
+	deadlineUs  = 5 * millisecond
 )
 
 type routedGateway struct {
 	machine
-	day         *routedDay
-	zone        string
-	incarnation string
-	decider     *scheduling.Decider
-	mirror      *controlclient.Informer
-	snap        *scheduling.Snapshot
-	older       *scheduling.Snapshot
-	open        map[string]*exchange
-	streams     map[uint64]*frameStream
-	kept        map[string]int64
-	term        bool
-	shut        bool
-	calls       int
+	day              *routedDay
+	zone             string
+	incarnation      string
+	decider          *scheduling.Decider
+	informer         *controlclient.Informer
+	snapshot         *scheduling.Snapshot
+	previousSnapshot *scheduling.Snapshot
+	open             map[string]*exchange
+	streams          map[uint64]*frameStream
+	idleConnections  map[string]int64
+	terminating      bool
+	listenersClosed  bool
+	calls            int
 }
 
 func newRoutedGateway(d *routedDay, name, zone string) *routedGateway {
-	t := &routedGateway{machine: machine{sim: d.Sim, name: name, addr: name + ":1"}, day: d, zone: zone}
+	t := &routedGateway{machine: machine{sim: d.DeclaredDay, name: name, addr: name + ":1"}, day: d, zone: zone}
 	t.start()
 	return t
 }
 
-func (t *routedGateway) start() {
-	if t.up {
+func (g *routedGateway) start() {
+	if g.up {
 		return
 	}
-	d := t.day
-	t.boot++
-	t.up, t.thawUs, t.term, t.shut = true, 0, false, false
-	t.incarnation = d.newIncarnation()
-	t.skewUs = d.r.Int63n(1000) * sec
-	b := d.seen.Bounds
+	d := g.day
+	g.boot++
+	g.up, g.thawUs, g.terminating, g.listenersClosed = true, 0, false, false
+	g.incarnation = d.nextIncarnation()
+	g.skewUs = d.random.Int63n(1000) * second
+	b := d.observed.Bounds
 	budget := scheduling.RetryBudgetOptions{Ratio: b.BudgetRatio, Slack: b.BudgetSlack, WindowUs: b.BudgetUs}
 	if d.plan.Plant == "no-budget" {
 		budget.WindowUs = 0
 	}
-	t.decider = scheduling.New(scheduling.Options{Gateway: t.name, Incarnation: t.incarnation, Zone: t.zone, QueueMax: 200, RetryBudget: budget})
-	t.mirror = controlclient.NewInformer(controlclient.Options{Gateway: t.name, Incarnation: t.incarnation, Addr: t.addr, Zone: t.zone, Seeds: d.seeds})
-	t.snap, t.older, t.open, t.streams, t.kept = nil, nil, map[string]*exchange{}, map[uint64]*frameStream{}, map[string]int64{}
-	d.over(t.name, "down")
-	t.tick()
+	g.decider = scheduling.New(scheduling.Options{Gateway: g.name, Incarnation: g.incarnation, Zone: g.zone, QueueMax: 200, RetryBudget: budget})
+	g.informer = controlclient.NewInformer(controlclient.Options{Gateway: g.name, Incarnation: g.incarnation, Addr: g.addr, Zone: g.zone, Seeds: d.seeds})
+	g.snapshot, g.previousSnapshot, g.open, g.streams, g.idleConnections = nil, nil, map[string]*exchange{}, map[uint64]*frameStream{}, map[string]int64{}
+	d.endFault(g.name, "down")
+	g.tick()
 }
 
-func (t *routedGateway) tick() {
-	t.later(50*ms, func() {
-		t.step(scheduling.Tick{})
-		t.reflect(controlclient.InformerEvent{})
-		t.tick()
+func (g *routedGateway) tick() {
+	g.after(50*millisecond, func() {
+		g.step(scheduling.Tick{})
+		g.stepInformer(controlclient.InformerEvent{})
+		g.tick()
 	})
 }
 
 // crash ends the process: clients and replicas see their connections close.
-func (t *routedGateway) crash(planned bool) {
-	if !t.up {
+func (g *routedGateway) crash(planned bool) {
+	if !g.up {
 		return
 	}
-	t.up = false
-	t.day.over(t.name, "freeze")
-	t.day.trouble(rules.FaultInterval{Machine: t.name, Kind: "down", Down: true, Planned: planned})
-	for _, id := range slices.Sorted(maps.Keys(t.open)) {
-		x := t.open[id]
-		x.over = true
-		if x.attempt != nil {
-			x.attempt.close()
+	g.up = false
+	g.day.endFault(g.name, "freeze")
+	g.day.recordFault(rules.FaultInterval{Machine: g.name, Kind: "down", Down: true, Planned: planned})
+	for _, id := range slices.Sorted(maps.Keys(g.open)) {
+		x := g.open[id]
+		x.finished = true
+		if x.current != nil {
+			x.current.close()
 		}
-		x.back.closed = true
-		x.seat.broken(x.try)
+		x.toClient.closed = true
+		x.client.onBrokenConnection(x.attempt)
 	}
-	t.open = map[string]*exchange{}
-	for _, n := range slices.Sorted(maps.Keys(t.streams)) {
-		t.unfollow(n)
+	g.open = map[string]*exchange{}
+	for _, n := range slices.Sorted(maps.Keys(g.streams)) {
+		g.closeStream(n)
 	}
 }
 
-func (t *routedGateway) step(ev scheduling.Event) {
+func (g *routedGateway) step(ev scheduling.Event) {
 	urgent := false
-	for _, e := range t.decider.Step(t.clock(), ev) {
+	for _, e := range g.decider.Step(g.clock(), ev) {
 		switch e := e.(type) {
 		case *scheduling.AttemptStart:
-			if x := t.open[e.Call.ID]; x != nil {
-				x.begin(*e)
+			if x := g.open[e.Call.ID]; x != nil {
+				x.startAttempt(*e)
 				continue
 			}
 			st := *e
-			t.later(1, func() { t.step(scheduling.CallCanceled{Call: st.Call.ID}) })
-			t.later(2, func() {
-				t.step(scheduling.AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: scheduling.OutcomeUnsent})
+			g.after(1, func() { g.step(scheduling.CallCanceled{Call: st.Call.ID}) })
+			g.after(2, func() {
+				g.step(scheduling.AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: scheduling.OutcomeUnsent})
 			})
 		case *scheduling.CallFailed:
-			if x := t.open[e.Call.ID]; x != nil {
+			if x := g.open[e.Call.ID]; x != nil {
 				x.fail(e.Fault)
 			}
 		case *scheduling.CallFinished:
-			if x := t.open[e.Call.ID]; x != nil {
+			if x := g.open[e.Call.ID]; x != nil {
 				x.ended(e.Outcome)
 			}
 		case scheduling.CallUnplaced:
 			urgent = true
 		case scheduling.CancelAttempt:
-			if x := t.open[e.Call.ID]; x != nil && x.attempt != nil {
-				x.attempt.cancel()
+			if x := g.open[e.Call.ID]; x != nil && x.current != nil {
+				x.current.cancel()
 			}
 		}
 	}
 	if urgent {
-		t.reflect(controlclient.InformerEvent{Urgent: true})
+		g.stepInformer(controlclient.InformerEvent{Urgent: true})
 	}
 }
 
-// take is a request that this gateway has read whole.
-func (t *routedGateway) take(s *seat, try *rules.Attempt, ask replica.Ask, deadlineMs int64) *exchange {
-	d := t.day
-	try.ReadUs, try.Incarnation = d.nowUs, t.boot
-	x := &exchange{gateway: t, try: try, ask: ask, seat: s, back: d.pipe(&t.machine, &d.clients.machine), last: ask.Last}
-	if t.snap == nil || t.snap.Declaration == nil {
+// serve is a request that this gateway has read whole.
+func (g *routedGateway) serve(s *clientRequest, try *rules.Attempt, ask replica.Ask, deadlineMs int64) *exchange {
+	d := g.day
+	try.ReadUs, try.Incarnation = d.nowUs, g.boot
+	x := &exchange{gateway: g, attempt: try, request: ask, client: s, toClient: d.newLink(&g.machine, &d.clients.machine), last: ask.Last}
+	if g.snapshot == nil || g.snapshot.Declaration == nil {
 		x.answer(&fault.Fault{Code: fault.NoLease, RetryMs: 500})
 		return x
 	}
-	route := t.snap.Declaration.Match(try.Host, try.Path)
-	if route == nil || (d.plan.Plant == "denier" && d.r.Intn(10) == 0) {
+	route := g.snapshot.Declaration.Match(try.Host, try.Path)
+	if route == nil || (d.plan.Plant == "denier" && d.random.Intn(10) == 0) {
 		x.answer(&fault.Fault{Code: fault.NotFound})
 		return x
 	}
-	if t.snubs(s, route.Name) {
+	if g.plantedRefusal(s, route.Name) {
 		x.answer(&fault.Fault{Code: fault.Overloaded})
 		return x
 	}
-	t.calls++
-	x.call = &scheduling.Call{ID: fmt.Sprintf("%s-%s-%d", t.name, t.incarnation, t.calls), Kind: route.Name, Model: ask.Model, Adapter: ask.Adapter, TimeoutMs: deadlineMs, ArrivedUs: t.clock(),
+	g.calls++
+	x.call = &scheduling.Call{ID: fmt.Sprintf("%s-%s-%d", g.name, g.incarnation, g.calls), Kind: route.Name, Model: ask.Model, Adapter: ask.Adapter, TimeoutMs: deadlineMs, ArrivedUs: g.clock(),
 		Routed: &scheduling.RoutedCall{Route: route, PromptTokens: ask.In, MaxOutputTokens: int64(replica.Total(ask.Body) * 3)}}
 	for _, p := range ask.Parts {
-		x.call.Routed.Segments = append(x.call.Routed.Segments, scheduling.PromptSegment{ID: hashPart(p.ID), Tokens: p.Tokens})
+		x.call.Routed.Segments = append(x.call.Routed.Segments, scheduling.PromptSegment{ID: hashID(p.ID), Tokens: p.Tokens})
 	}
 	if ask.Last > 0 && route.Resumable {
 		x.call.Delivered = ask.Last
 		x.call.Progress.Store(int64(ask.Last))
 	}
-	t.open[x.call.ID] = x
-	t.step(scheduling.CallArrived{Call: x.call})
+	g.open[x.call.ID] = x
+	g.step(scheduling.CallArrived{Call: x.call})
 	if len(d.taking) > 0 {
 		strike := d.taking[0]
 		d.taking = d.taking[1:]
-		d.at(d.nowUs+d.r.Int63n(4*ms), func() { strike(t) })
+		d.schedule(d.nowUs+d.random.Int63n(4*millisecond), func() { strike(g) })
 	}
 	return x
 }
 
-// snubs are the plants that never serve some requests.
-func (t *routedGateway) snubs(s *seat, route string) bool {
-	switch t.day.plan.Plant {
+// plantedRefusal are the plants that never serve some requests.
+func (g *routedGateway) plantedRefusal(s *clientRequest, route string) bool {
+	switch g.day.plan.Plant {
 	case "snob":
 		return route == "record"
 	case "no-newcomers":
@@ -186,53 +186,53 @@
 	return false
 }
 
-// left is a client that has gone.
-func (t *routedGateway) left(x *exchange) {
-	if x.over || x.call == nil || t.day.plan.Plant == "clingy" {
+// onClientGone is a client that has gone.
+func (g *routedGateway) onClientGone(x *exchange) {
+	if x.finished || x.call == nil || g.day.plan.Plant == "clingy" {
 		return
 	}
-	x.gone = true
-	t.step(scheduling.CallCanceled{Call: x.call.ID})
-	if x.attempt == nil {
-		x.done()
+	x.clientGone = true
+	g.step(scheduling.CallCanceled{Call: x.call.ID})
+	if x.current == nil {
+		x.close()
 	}
 }
 
 // stop is SIGTERM: no longer ready, then nobody new, then the end when nobody is inside.
-func (t *routedGateway) stop(again func()) {
-	if !t.up || t.term {
+func (g *routedGateway) stop(again func()) {
+	if !g.up || g.terminating {
 		return
 	}
-	d := t.day
-	t.term = true
-	d.seen.Terms = append(d.seen.Terms, rules.Term{Machine: t.name, AtUs: d.nowUs})
+	d := g.day
+	g.terminating = true
+	d.observed.Terms = append(d.observed.Terms, rules.Term{Machine: g.name, AtUs: d.nowUs})
 	if d.plan.Plant == "abrupt" {
-		t.crash(true)
+		g.crash(true)
 		again()
 		return
 	}
-	t.step(scheduling.DrainStarted{})
-	boot, endUs := t.boot, d.nowUs+drainMostUs
-	t.later(lingerUs, func() {
-		t.shut = true
-		t.step(scheduling.DrainEnded{})
+	g.step(scheduling.DrainStarted{})
+	boot, endUs := g.boot, d.nowUs+drainMostUs
+	g.after(lingerUs, func() {
+		g.listenersClosed = true
+		g.step(scheduling.DrainEnded{})
 	})
 	var look func()
 	look = func() {
-		if !t.up || t.boot != boot {
+		if !g.up || g.boot != boot {
 			return
 		}
-		if t.shut && len(t.open) == 0 || d.nowUs >= endUs {
-			t.crash(true)
+		if g.listenersClosed && len(g.open) == 0 || d.nowUs >= endUs {
+			g.crash(true)
 			again()
 			return
 		}
-		t.later(20*ms, look)
+		g.after(20*millisecond, look)
 	}
-	t.later(20*ms, look)
+	g.after(20*millisecond, look)
 }
 
-func hashPart(id string) uint64 {
+func hashID(id string) uint64 {
 	h := uint64(14695981039346656037)
 	for _, b := range []byte(id) {
 		h = (h ^ uint64(b)) * 1099511628211
--- a/tests/simulator/routed_leaving.go
+++ b/tests/simulator/routed_leaving.go
@@ -1,61 +1,61 @@
 package simulator
 
 const (
-	lateLeastUs = sec
-	lateMostUs  = 4 * sec
-	shortDownUs = 400 * ms
+	lateLeastUs = second
+	lateMostUs  = 4 * second
+	shortDownUs = 400 * millisecond
 	oneWay      = 1
 )
 
-// leaveFirst is a planned end without a word of it before; speaks says whether the replica's heartbeats go on
+// deregisterFirst is a planned end without a word of it before; speaks says whether the replica's heartbeats go on
 // meanwhile, as if it stayed.
-func (p *replicaNode) leaveFirst(speaks bool) {
-	p.speaks = speaks
-	p.withdraw()
+func (r *replicaNode) deregisterFirst(speaks bool) {
+	r.sendsHeartbeats = speaks
+	r.withdraw()
 }
 
-// lateBeat is a heartbeat that a replica has sent now and that a control node reads seconds later, whatever became of
+// sendLateHeartbeat is a heartbeat that a replica has sent now and that a control node reads seconds later, whatever became of
 // the replica meanwhile.
-func (p *replicaNode) lateBeat(f Fault, afterUs int64) {
-	d := p.day
-	row := p.row()
-	d.at(d.nowUs+afterUs, func() {
-		o, ok := pickOf(d.upControlNodes(), d.r.Intn(100))
-		if ok && d.taken(o, func() { o.heard(row, func(bool) {}) }) {
-			d.count(f)
+func (r *replicaNode) sendLateHeartbeat(f Fault, afterUs int64) {
+	d := r.day
+	row := r.status()
+	d.schedule(d.nowUs+afterUs, func() {
+		o, ok := pickOf(d.upControlNodes(), d.random.Intn(100))
+		if ok && d.whenAwake(o, func() { o.heartbeat(row, func(bool) {}) }) {
+			d.countFault(f)
 		}
 	})
 }
 
-// taken lets a control node that runs act now.
-func (d *routedDay) taken(o *routedControlNode, act func()) bool {
+// whenAwake lets a control node that runs act now.
+func (d *routedDay) whenAwake(o *routedControlNode, act func()) bool {
 	if o.thawUs > d.nowUs {
 		return false
 	}
-	o.now(o.boot, act)
+	o.deliver(o.boot, act)
 	return true
 }
 
-func (d *routedDay) lateUs() int64 { return lateLeastUs + d.r.Int63n(lateMostUs-lateLeastUs) }
+func (d *routedDay) lateUs() int64 { return lateLeastUs + d.random.Int63n(lateMostUs-lateLeastUs) }
 
 // leavingFault are the ends of replicas that come in an unusual order, and the words that outlive them.
 func (d *routedDay) leavingFault(f Fault, p *replicaNode) bool {
 	switch f.Kind {
 	case "leave-first":
-		d.fresh(p)
-		p.leaveFirst(f.B%2 == 0)
+		d.replacement(p)
+		p.deregisterFirst(f.B%2 == 0)
 	case "late-beat":
-		d.fresh(p)
+		d.replacement(p)
 		for range 3 {
-			p.lateBeat(f, d.lateUs())
+			p.sendLateHeartbeat(f, d.lateUs())
 		}
-		p.leaveFirst(false)
+		p.deregisterFirst(false)
 	case "late-beat-of-former-life":
 		// The control nodes forget which incarnations have been, and then hear of one.
-		p.lateBeat(f, 3*shortDownUs+d.r.Int63n(sec))
+		p.sendLateHeartbeat(f, 3*shortDownUs+d.random.Int63n(second))
 		p.end(true)
-		d.at(d.nowUs+shortDownUs/2, func() { d.successor(p, p.addr) })
-		d.at(d.nowUs+shortDownUs, func() {
+		d.schedule(d.nowUs+shortDownUs/2, func() { d.successor(p, p.addr) })
+		d.schedule(d.nowUs+shortDownUs, func() {
 			for _, o := range d.upControlNodes() {
 				d.killControlNode(o, 0, shortDownUs)
 			}
@@ -63,24 +63,24 @@
 	case "reuse-after-drain":
 		return d.reuse(f, func(log *replicaNode) int64 {
 			log.drain()
-			return d.seen.Bounds.DrainUs + 9*sec
+			return d.observed.Bounds.DrainUs + 9*second
 		})
 	case "reuse-after-dark":
 		return d.reuse(f, func(log *replicaNode) int64 {
 			for _, m := range d.machines() {
-				d.cut(m, log.name, 2*sec)
-				d.cut(log.name, m, 2*sec)
+				d.blockLink(m, log.name, 2*second)
+				d.blockLink(log.name, m, 2*second)
 			}
-			d.at(d.nowUs+2*sec, func() { log.end(true) })
-			return 2 * sec
+			d.schedule(d.nowUs+2*second, func() { log.end(true) })
+			return 2 * second
 		})
 	case "cut-replica-reset", "cut-replica-fronts", "cut-replica-some":
-		d.cutReplica(f, p)
+		d.partitionReplica(f, p)
 	case "cut-replica":
 		for _, o := range d.controlNodes {
-			d.cut(p.name, o.name, f.ForUs+2*sec)
+			d.blockLink(p.name, o.name, f.DurationUs+2*second)
 			if f.B%3 != oneWay {
-				d.cut(o.name, p.name, f.ForUs+2*sec)
+				d.blockLink(o.name, p.name, f.DurationUs+2*second)
 			}
 		}
 	}
@@ -99,37 +99,37 @@
 	var look func()
 	look = func() {
 		switch {
-		case log.up && d.nowUs < endUs+sec:
-			d.at(d.nowUs+100*ms, look)
+		case log.up && d.nowUs < endUs+second:
+			d.schedule(d.nowUs+100*millisecond, look)
 		case !log.up:
-			d.at(d.nowUs+reuseUs, func() {
-				d.count(f)
+			d.schedule(d.nowUs+reuseUs, func() {
+				d.countFault(f)
 				d.startReplica("reused", "log-b", log.core.Zone(), log.addr, nil)
 			})
-			d.at(d.nowUs+4*sec, func() { d.successor(log, "") })
+			d.schedule(d.nowUs+4*second, func() { d.successor(log, "") })
 		}
 	}
 	look()
 	return true
 }
 
-// known notes which replicas that have spoken for a while each gateway knows, as the day ends.
-func (d *routedDay) known() {
+// checkKnownReplicas notes which replicas that have spoken for a while each gateway knows, as the day ends.
+func (d *routedDay) checkKnownReplicas() {
 	for _, t := range d.gateways {
-		if !t.up || t.term || t.snap == nil {
+		if !t.up || t.terminating || t.snapshot == nil {
 			continue
 		}
 		for _, p := range d.running("") {
-			if p.withdrawn || p.core.Draining || p.bornUs > d.nowUs-knownUs {
+			if p.withdrawn || p.core.Draining || p.startedUs > d.nowUs-knownUs {
 				continue
 			}
-			d.seen.Known++
-			if t.snap.Replicas[p.name] == nil {
-				d.seen.Unknown = append(d.seen.Unknown, p.name+" at "+t.name)
+			d.observed.Known++
+			if t.snapshot.Replicas[p.name] == nil {
+				d.observed.Unknown = append(d.observed.Unknown, p.name+" at "+t.name)
 			}
 		}
 	}
 }
 
 // knownUs is how long after its start a replica that speaks must be known everywhere.
-const knownUs = 6 * sec
+const knownUs = 6 * second
--- a/tests/simulator/routed_operators.go
+++ b/tests/simulator/routed_operators.go
@@ -12,31 +12,31 @@
 // routedOperators send numbered versions, each by its own account of what would then be in force.
 type routedOperators struct {
 	machine
-	day    *routedDay
-	r      *rand.Rand
-	number uint64
-	tip    *opVersion
-	busy   bool
-	queue  []func(done func())
-	marks  []string
-	sent   []*opVersion
-	shadow []string
-	grown  []string
-	// struck are faults that take the power of who gets the next change, soon after it was sent; lost is one that
-	// loses most acknowledgements until loseUs.
-	struck []Fault
-	lost   Fault
-	loseUs int64
+	day          *routedDay
+	random       *rand.Rand
+	number       uint64
+	newest       *configurationVersion
+	busy         bool
+	queue        []func(done func())
+	fingerprints []string
+	sent         []*configurationVersion
+	shadow       []string
+	grown        []string
+	// struckFaults are faults that take the power of who gets the next change, soon after it was sent; lost is one that
+	// loses most acknowledgements until loseAnswersUntilUs.
+	struckFaults       []Fault
+	lostAnswerFault    Fault
+	loseAnswersUntilUs int64
 	// calls is what they sent, were answered and read.
 	calls history.Recorder
 }
 
 func newRoutedOperators(d *routedDay) *routedOperators {
-	return &routedOperators{machine: machine{sim: d.Sim, name: "operators", up: true, boot: 1}, day: d, r: rand.New(rand.NewSource(d.plan.Seed * 11))}
+	return &routedOperators{machine: machine{sim: d.DeclaredDay, name: "operators", up: true, boot: 1}, day: d, random: rand.New(rand.NewSource(d.plan.Seed * 11))}
 }
 
-// answerOf is what a status says to an operator.
-func answerOf(status int) history.Answer {
+// historyAnswer is what a status says to an operator.
+func historyAnswer(status int) history.Answer {
 	switch status {
 	case http.StatusOK:
 		return history.Acknowledged
@@ -49,18 +49,18 @@
 }
 
 // send carries a version to any machine that serves control until its answer is clear, or too long.
-func (p *routedOperators) send(v *opVersion, done func(status int)) {
-	d := p.day
+func (ops *routedOperators) send(v *configurationVersion, done func(status int)) {
+	d := ops.day
 	v.seen.SentUs = d.nowUs
-	d.seen.Versions = append(d.seen.Versions, v.seen)
+	d.observed.Versions = append(d.observed.Versions, v.seen)
 	order := v.order()
-	endUs := d.nowUs + 14*sec
-	pauseUs := 50 * ms
+	endUs := d.nowUs + 14*second
+	pauseUs := 50 * millisecond
 	first := true
 	var try func()
 	try = func() {
 		if d.nowUs > endUs {
-			d.note("version %d has no clear answer", v.seen.Number)
+			d.logf("version %d has no clear answer", v.seen.Number)
 			done(0)
 			return
 		}
@@ -68,45 +68,45 @@
 		next := func() {
 			if !over {
 				over = true
-				pauseUs = min(pauseUs*2, 800*ms)
-				p.later(pauseUs, try)
+				pauseUs = min(pauseUs*2, 800*millisecond)
+				ops.after(pauseUs, try)
 			}
 		}
-		call := p.calls.Send(order, d.nowUs)
-		o := p.controlNodeFor(first)
+		call := ops.calls.Send(order, d.nowUs)
+		o := ops.controlNodeFor(first)
 		first = false
 		if o == nil {
 			next()
 			return
 		}
-		p.later(sec+int64(len(v.routes))*5*ms, next)
+		ops.after(second+int64(len(v.routes))*5*millisecond, next)
 		change := clone(v.change())
-		p.strike(o)
+		ops.strike(o)
 		if d.plan.Plant == "stranger" {
 			order.ID += "+"
 		}
-		d.carry(&p.machine, &o.machine, sec, func() {
+		d.transmit(&ops.machine, &o.machine, second, func() {
 			o.configure(order.ID, change, func() bool { return !over }, func(status int) {
 				if status == http.StatusOK {
-					d.spring("config", o)
+					d.springFaults("config", o)
 				}
-				if p.losesAck(v, status) || p.r.Intn(12) == 0 {
+				if ops.losesAnswer(v, status) || ops.random.Intn(12) == 0 {
 					return
 				}
-				d.carry(&o.machine, &p.machine, sec, func() {
-					p.calls.Answered(call, answerOf(status), d.nowUs)
+				d.transmit(&o.machine, &ops.machine, second, func() {
+					ops.calls.Answered(call, historyAnswer(status), d.nowUs)
 					switch status {
 					case http.StatusOK:
 						if v.seen.AckedUs == 0 {
 							v.seen.AckedUs = d.nowUs
 						}
-						d.note("version %d acknowledged by %s", v.seen.Number, o.name)
+						d.logf("version %d acknowledged by %s", v.seen.Number, o.name)
 					case http.StatusServiceUnavailable:
 						next()
 						return
 					default:
 						v.seen.RefusedUs, v.seen.Status = d.nowUs, status
-						d.seen.Refusals = append(d.seen.Refusals, rules.ControlRefusal{Machine: o.name, AtUs: d.nowUs, Version: v.seen, Status: status})
+						d.observed.Refusals = append(d.observed.Refusals, rules.ControlRefusal{Machine: o.name, AtUs: d.nowUs, Version: v.seen, Status: status})
 					}
 					if !over {
 						over = true
@@ -119,66 +119,66 @@
 	try()
 }
 
-func (p *routedOperators) do(act func(done func())) {
-	p.queue = append(p.queue, act)
-	p.pump()
+func (ops *routedOperators) do(act func(done func())) {
+	ops.queue = append(ops.queue, act)
+	ops.sendNext()
 }
 
-func (p *routedOperators) pump() {
-	if p.busy || len(p.queue) == 0 {
+func (ops *routedOperators) sendNext() {
+	if ops.busy || len(ops.queue) == 0 {
 		return
 	}
-	act := p.queue[0]
-	p.queue = p.queue[1:]
-	p.busy = true
+	act := ops.queue[0]
+	ops.queue = ops.queue[1:]
+	ops.busy = true
 	act(func() {
-		p.busy = false
-		p.later(ms, p.pump)
+		ops.busy = false
+		ops.after(millisecond, ops.sendNext)
 	})
 }
 
-// settle is what an operator does with an answer that is not a plain yes: it reads what is in force.
-func (p *routedOperators) settle(v *opVersion, status int, done func()) {
+// onAnswer is what an operator does with an answer that is not a plain yes: it reads what is in force.
+func (ops *routedOperators) onAnswer(v *configurationVersion, status int, done func()) {
 	if status == http.StatusOK {
-		if p.tip == nil || v.seen.Number > p.tip.seen.Number {
-			p.tip = v
+		if ops.newest == nil || v.seen.Number > ops.newest.seen.Number {
+			ops.newest = v
 		}
 		done()
 		return
 	}
-	p.ask(func(doc *configuration.Declaration, ok bool) {
+	ops.readFrom(func(doc *configuration.Declaration, ok bool) {
 		if ok && doc != nil {
-			if known := p.known(doc); known != nil && known.seen.Number >= p.tip.seen.Number {
-				p.tip = known
+			if known := ops.known(doc); known != nil && known.seen.Number >= ops.newest.seen.Number {
+				ops.newest = known
 			}
 		}
 		done()
 	}, 20)
 }
 
-func (p *routedOperators) mark(v *opVersion) {
-	p.marks = append(p.marks, markOf(v.seen.Number))
-	if len(p.marks) > 40 {
-		p.marks = p.marks[len(p.marks)-40:]
+func (ops *routedOperators) recordFingerprint(v *configurationVersion) {
+	ops.fingerprints = append(ops.fingerprints, markOf(v.seen.Number))
+	if len(ops.fingerprints) > 40 {
+		ops.fingerprints = ops.fingerprints[len(ops.fingerprints)-40:]
 	}
 }
 
 // probed is a path that shows which version is in force: of late ones most, of refused ones, of none.
-func (p *routedOperators) probed(r *rand.Rand) string {
+func (ops *routedOperators) probed(r *rand.Rand) string {
 	switch n := r.Intn(10); {
-	case n == 0 || len(p.marks) == 0:
+	case n == 0 || len(ops.fingerprints) == 0:
 		return "/never/"
-	case n >= 8 && len(p.grown) > 0:
-		return p.grown[r.Intn(len(p.grown))]
-	case n <= 2 && len(p.shadow) > 0:
-		return p.shadow[max(0, len(p.shadow)-1-r.Intn(4))]
+	case n >= 8 && len(ops.grown) > 0:
+		return ops.grown[r.Intn(len(ops.grown))]
+	case n <= 2 && len(ops.shadow) > 0:
+		return ops.shadow[max(0, len(ops.shadow)-1-r.Intn(4))]
 	default:
-		return p.marks[max(0, len(p.marks)-1-int(r.ExpFloat64()*2))]
+		return ops.fingerprints[max(0, len(ops.fingerprints)-1-int(r.ExpFloat64()*2))]
 	}
 }
 
-// ask reads what is in force from any machine that can say.
-func (p *routedOperators) ask(done func(*configuration.Declaration, bool), tries int) {
+// readFrom reads what is in force from any machine that can say.
+func (ops *routedOperators) readFrom(done func(*configuration.Declaration, bool), tries int) {
 	if tries == 0 {
 		done(nil, false)
 		return
@@ -187,15 +187,15 @@
 	again := func() {
 		if !over {
 			over = true
-			p.later(200*ms, func() { p.ask(done, tries-1) })
+			ops.after(200*millisecond, func() { ops.readFrom(done, tries-1) })
 		}
 	}
-	p.later(sec, again)
-	o := p.controlNodeFor(false)
+	ops.after(second, again)
+	o := ops.controlNodeFor(false)
 	if o == nil {
 		return
 	}
-	p.readAt(o, func(doc *configuration.Declaration, ok bool) {
+	ops.readAt(o, func(doc *configuration.Declaration, ok bool) {
 		if !over && ok {
 			over = true
 			done(doc, true)
@@ -206,22 +206,22 @@
 }
 
 // readAt asks one machine for the newest configuration, and notes what it answers.
-func (p *routedOperators) readAt(o *routedControlNode, done func(*configuration.Declaration, bool)) {
-	d := p.day
+func (ops *routedOperators) readAt(o *routedControlNode, done func(*configuration.Declaration, bool)) {
+	d := ops.day
 	askedUs := d.nowUs
-	call := p.calls.Read(askedUs)
+	call := ops.calls.Read(askedUs)
 	fail := func() { done(nil, false) }
-	d.carry(&p.machine, &o.machine, sec, func() {
+	d.transmit(&ops.machine, &o.machine, second, func() {
 		o.read(func(doc *configuration.Declaration, ok bool) {
-			d.carry(&o.machine, &p.machine, sec, func() {
+			d.transmit(&o.machine, &ops.machine, second, func() {
 				if ok {
 					read := rules.ControlRead{Machine: o.name, AskedUs: askedUs, AtUs: d.nowUs}
 					content := ""
 					if doc != nil {
 						read.Number, content = doc.Version, canonical(doc.Version, doc.Routes, doc.Services)
 					}
-					p.calls.Saw(call, read.Number, content, d.nowUs)
-					d.seen.Reads = append(d.seen.Reads, read)
+					ops.calls.Saw(call, read.Number, content, d.nowUs)
+					d.observed.Reads = append(d.observed.Reads, read)
 				}
 				done(doc, ok)
 			}, fail)
@@ -230,52 +230,52 @@
 }
 
 // read is the end of the day: the newest configuration, asked for as long as the platform does.
-func (p *routedOperators) read() {
-	p.day.seen.Read = &rules.FinalRead{}
-	endUs := p.day.nowUs + p.day.seen.Bounds.ContactUs
+func (ops *routedOperators) read() {
+	ops.day.observed.Read = &rules.FinalRead{}
+	endUs := ops.day.nowUs + ops.day.observed.Bounds.ContactUs
 	var next func()
 	next = func() {
-		p.ask(func(doc *configuration.Declaration, ok bool) {
+		ops.readFrom(func(doc *configuration.Declaration, ok bool) {
 			if ok && doc != nil {
-				p.day.seen.Read = &rules.FinalRead{Received: true, Number: doc.Version, Sent: canonical(doc.Version, doc.Routes, doc.Services)}
+				ops.day.observed.Read = &rules.FinalRead{Received: true, Number: doc.Version, Sent: canonical(doc.Version, doc.Routes, doc.Services)}
 			}
-			if p.day.nowUs < endUs {
-				p.later(300*ms, next)
+			if ops.day.nowUs < endUs {
+				ops.after(300*millisecond, next)
 			}
 		}, 3)
 	}
 	next()
 }
 
-// loses begins a time in which most acknowledgements of changes are lost on their way.
-func (p *routedOperators) loses(f Fault) {
-	p.lost, p.loseUs = f, p.day.nowUs+f.ForUs+3*sec
-	p.do(p.change)
+// loseAnswers begins a time in which most acknowledgements of changes are lost on their way.
+func (ops *routedOperators) loseAnswers(f Fault) {
+	ops.lostAnswerFault, ops.loseAnswersUntilUs = f, ops.day.nowUs+f.DurationUs+3*second
+	ops.do(ops.change)
 }
 
-func (p *routedOperators) losesAck(v *opVersion, status int) bool {
-	if status != http.StatusOK || p.day.nowUs >= p.loseUs || p.r.Intn(10) >= 7 {
+func (ops *routedOperators) losesAnswer(v *configurationVersion, status int) bool {
+	if status != http.StatusOK || ops.day.nowUs >= ops.loseAnswersUntilUs || ops.random.Intn(10) >= 7 {
 		return false
 	}
-	p.day.count(p.lost)
+	ops.day.countFault(ops.lostAnswerFault)
 	if v.seen.FirstLostAckUs == 0 {
-		v.seen.FirstLostAckUs = p.day.nowUs
+		v.seen.FirstLostAckUs = ops.day.nowUs
 	}
 	return true
 }
 
 // strike takes the power of a control node between 5 and 400 ms after a change was sent to it.
-func (p *routedOperators) strike(o *routedControlNode) {
-	if len(p.struck) == 0 {
+func (ops *routedOperators) strike(o *routedControlNode) {
+	if len(ops.struckFaults) == 0 {
 		return
 	}
-	f := p.struck[0]
-	p.struck = p.struck[1:]
-	d := p.day
-	d.at(d.nowUs+5*ms+p.r.Int63n(395*ms), func() {
+	f := ops.struckFaults[0]
+	ops.struckFaults = ops.struckFaults[1:]
+	d := ops.day
+	d.schedule(d.nowUs+5*millisecond+ops.random.Int63n(395*millisecond), func() {
 		if o.up && !o.removed {
-			d.count(f)
-			d.killControlNode(o, f.N%4, f.ForUs)
+			d.countFault(f)
+			d.killControlNode(o, f.N%4, f.DurationUs)
 		}
 	})
 }
--- a/tests/simulator/routed_repairs.go
+++ b/tests/simulator/routed_repairs.go
@@ -11,7 +11,7 @@
 // moment when the platform counts the one before as made good.
 type Repairs struct {
 	Rounds int
-	How    string
+	Method string
 	// Oldest takes those whose disks have lasted longest.
 	Oldest bool
 }
@@ -25,11 +25,11 @@
 )
 
 // successorAfterUs is how long after a loss its successor starts.
-const successorAfterUs = sec
+const successorAfterUs = second
 
 // spanUs is how long all rounds take.
 func (r Repairs) spanUs(catchUpUs int64) int64 {
-	return int64(r.Rounds) * (catchUpUs + successorAfterUs + sec)
+	return int64(r.Rounds) * (catchUpUs + successorAfterUs + second)
 }
 
 // repairs brings the rounds about, with a change by the operators twice a second all along.
@@ -37,11 +37,11 @@
 	endUs := d.nowUs + r.spanUs(d.catchUpUs())
 	var change func()
 	change = func() {
-		if d.nowUs < endUs && !d.ops.busy {
-			d.ops.do(d.ops.change)
+		if d.nowUs < endUs && !d.operators.busy {
+			d.operators.do(d.operators.change)
 		}
 		if d.nowUs < endUs {
-			d.at(d.nowUs+500*ms, change)
+			d.schedule(d.nowUs+500*millisecond, change)
 		}
 	}
 	change()
@@ -53,13 +53,13 @@
 	if round == r.Rounds || d.handed {
 		return
 	}
-	how := r.How
+	how := r.Method
 	if how == repairMixed {
 		how = []string{repairPlanned, repairReplace, repairWipe}[(round+int(d.plan.Seed))%3]
 	}
 	lost := d.struckNow(r.Oldest)
-	d.note("round %d: %s", round, how)
-	d.count(Fault{Kind: "repair-" + how})
+	d.logf("round %d: %s", round, how)
+	d.countFault(Fault{Kind: "repair-" + how})
 	next := func() { d.repairRound(r, round+1) }
 	if how == repairPlanned {
 		d.replaceInTurn(lost, next)
@@ -68,24 +68,24 @@
 	for _, o := range lost {
 		if how == repairReplace {
 			d.remove(o)
-			d.list()
-			d.at(d.nowUs+successorAfterUs, func() { d.empty(o.zone) })
+			d.publishSeeds()
+			d.schedule(d.nowUs+successorAfterUs, func() { d.addEmptyControlNode(o.zone) })
 			continue
 		}
 		o.crash(0)
-		o.disk = disk{identity: o.name + "-" + d.newIncarnation()}
+		o.disk = disk{identity: o.name + "-" + d.nextIncarnation()}
 		o.diskUs = d.nowUs + successorAfterUs
-		d.at(d.nowUs+successorAfterUs, o.start)
+		d.schedule(d.nowUs+successorAfterUs, o.start)
 	}
-	d.at(d.nowUs+successorAfterUs+d.catchUpUs(), next)
+	d.schedule(d.nowUs+successorAfterUs+d.catchUpUs(), next)
 }
 
 // reseed keeps the seeds that a process is told at its start to what the operators' list names by then.
 func (d *routedDay) reseed() {
-	d.seeds = slices.Clone(d.listedNow())
-	d.r.Shuffle(len(d.seeds), func(i, j int) { d.seeds[i], d.seeds[j] = d.seeds[j], d.seeds[i] })
+	d.seeds = slices.Clone(d.currentSeeds())
+	d.random.Shuffle(len(d.seeds), func(i, j int) { d.seeds[i], d.seeds[j] = d.seeds[j], d.seeds[i] })
 	d.seeds = d.seeds[:min(len(d.seeds), seedsMost)]
-	d.at(d.nowUs+500*ms, d.reseed)
+	d.schedule(d.nowUs+500*millisecond, d.reseed)
 }
 
 // struckNow are as many machines as may be lost at once.
@@ -94,7 +94,7 @@
 	if oldest {
 		slices.SortStableFunc(up, func(a, b *routedControlNode) int { return cmp.Compare(a.diskUs, b.diskUs) })
 	} else {
-		d.r.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
+		d.random.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
 	}
 	return up[:d.tolerated()]
 }
@@ -103,9 +103,9 @@
 // moment that the last of these has ended.
 func (d *routedDay) replaceInTurn(old []*routedControlNode, done func()) {
 	for _, o := range old {
-		d.empty(o.zone)
+		d.addEmptyControlNode(o.zone)
 	}
-	d.at(d.nowUs+d.catchUpUs(), func() {
+	d.schedule(d.nowUs+d.catchUpUs(), func() {
 		left := len(old)
 		for _, o := range old {
 			d.terminate(o, func() {
@@ -119,17 +119,17 @@
 
 // terminate tells a control node to end, as SIGTERM does, and removes it once it has or its grace is over.
 func (d *routedDay) terminate(o *routedControlNode, done func()) {
-	endUs := d.nowUs + d.seen.Bounds.GraceUs
-	o.now(o.boot, func() { o.step(controlnode.LeaveChain{}) })
+	endUs := d.nowUs + d.observed.Bounds.GraceUs
+	o.deliver(o.boot, func() { o.step(controlnode.LeaveChain{}) })
 	var look func()
 	look = func() {
 		if o.up && !o.core.Node.ShutdownComplete() && d.nowUs < endUs && d.plan.Plant != "abrupt-office" {
-			d.at(d.nowUs+25*ms, look)
+			d.schedule(d.nowUs+25*millisecond, look)
 			return
 		}
-		d.note("%s has ended", o.name)
+		d.logf("%s has ended", o.name)
 		d.remove(o)
-		d.list()
+		d.publishSeeds()
 		done()
 	}
 	look()
--- a/tests/simulator/routed_replicas.go
+++ b/tests/simulator/routed_replicas.go
@@ -13,42 +13,42 @@
 // replicaNode is one incarnation of a replica: the machine is named by the incarnation's id, host by what lasts.
 type replicaNode struct {
 	machine
-	day      *routedDay
-	core     *replica.Core
-	host     string
-	seq      uint64
-	wakeUs   int64
-	bornUs   int64
-	conns    map[uint64]*attempt
-	leave    *rules.Deregistration
-	leavesUs int64
+	day         *routedDay
+	core        *replica.Core
+	host        string
+	sequence    uint64
+	wakeUs      int64
+	startedUs   int64
+	connections map[uint64]*attempt
+	departure   *rules.Deregistration
+	departsUs   int64
 	// withdrawn replicas have said that they are gone, and serve on for a while; those that speak go on with
 	// their heartbeats all the same.
-	withdrawn bool
-	speaks    bool
-	failing   func(int) bool
-	turning   func(int) bool
-	breaking  func(int) bool
-	ail       func(n int, from string) replica.Ailment
-	slowX     int64
+	withdrawn       bool
+	sendsHeartbeats bool
+	failing         func(int) bool
+	turning         func(int) bool
+	breaking        func(int) bool
+	ail             func(n int, from string) replica.Ailment
+	slowFactor      int64
 	// dropsIdle is called when something is sent on an idle connection that the replica discarded in silence.
 	dropsIdle func()
 }
 
 // startReplica starts a replica under an address of its own, or under one that was another's.
 func (d *routedDay) startReplica(host, service, zone, addr string, holds []string) *replicaNode {
-	d.lives++
+	d.incarnations++
 	if addr == "" {
 		d.ports++
 		addr = fmt.Sprintf("%s:%d", host, d.ports)
 	}
-	id := fmt.Sprintf("i-%d", d.lives)
-	p := &replicaNode{machine: machine{sim: d.Sim, name: id, addr: addr, up: true, boot: 1}, day: d, host: host, bornUs: d.nowUs, conns: map[uint64]*attempt{}}
+	id := fmt.Sprintf("i-%d", d.incarnations)
+	p := &replicaNode{machine: machine{sim: d.DeclaredDay, name: id, addr: addr, up: true, boot: 1}, day: d, host: host, startedUs: d.nowUs, connections: map[uint64]*attempt{}}
 	if d.disks[host] == nil {
 		d.disks[host] = replica.NewDisk()
 	}
 	opts := replica.Options{
-		ID: id, Service: service, Addr: addr, Zone: zone, Release: "v1", Slots: 6, Queue: 24, WorkUs: 60 * ms, Store: d.store, Disk: d.disks[host], Holds: holds,
+		ID: id, Service: service, Addr: addr, Zone: zone, Release: "v1", Slots: 6, Queue: 24, WorkUs: 60 * millisecond, Store: d.store, Disk: d.disks[host], Holds: holds,
 		Anyone: d.plan.Plant == "anyone",
 		Fail:   func(n int) bool { return p.failing != nil && p.failing(n) },
 		Turn:   func(n int) bool { return p.turning != nil && p.turning(n) },
@@ -59,11 +59,11 @@
 			}
 			return p.ail(n, from)
 		},
-		Slow: func() int64 { return p.slowX },
+		Slow: func() int64 { return p.slowFactor },
 		Journal: replica.Journal{
-			Arrived: func(a *replica.Arrival) { d.seen.Arrivals = append(d.seen.Arrivals, a) },
-			Ordered: func(o replica.OrderSeen) { d.seen.Orders = append(d.seen.Orders, o) },
-			Loading: func(l replica.LoadSeen) { d.seen.Loads = append(d.seen.Loads, l) },
+			Arrived: func(a *replica.Arrival) { d.observed.Arrivals = append(d.observed.Arrivals, a) },
+			Ordered: func(o replica.OrderSeen) { d.observed.Orders = append(d.observed.Orders, o) },
+			Loading: func(l replica.LoadSeen) { d.observed.Loads = append(d.observed.Loads, l) },
 		},
 	}
 	if service == "cards" {
@@ -75,7 +75,7 @@
 	}
 	p.core = replica.NewCore(opts)
 	d.replicas[id] = p
-	p.later(d.r.Int63n(200*ms), p.beat)
+	p.after(d.random.Int63n(200*millisecond), p.tick)
 	return p
 }
 
@@ -88,43 +88,43 @@
 	return nil
 }
 
-func (p *replicaNode) row() registry.ReplicaStatus {
-	p.seq++
+func (r *replicaNode) status() registry.ReplicaStatus {
+	r.sequence++
 	row := registry.ReplicaStatus{
-		ID: p.name, Service: p.core.Service(), Addr: p.addr, Zone: p.core.Zone(), Release: "v1", Slots: 6, Draining: p.core.Draining && !p.withdrawn, Seq: p.seq,
+		ID: r.name, Service: r.core.Service(), Addr: r.addr, Zone: r.core.Zone(), Release: "v1", Slots: 6, Draining: r.core.Draining && !r.withdrawn, Seq: r.sequence,
 	}
-	if p.core.Service() == "cards" {
-		row.Slots = p.day.engine.Slots
-		if row.Units = p.core.Units(); len(row.Units) == 0 {
+	if r.core.Service() == "cards" {
+		row.Slots = r.day.engine.Slots
+		if row.Units = r.core.Units(); len(row.Units) == 0 {
 			row.Units = nil
 		}
 	}
-	if p.leavesUs > 0 {
-		row.RemainingMs = max(1, (p.leavesUs-p.day.nowUs)/1000)
+	if r.departsUs > 0 {
+		row.RemainingMs = max(1, (r.departsUs-r.day.nowUs)/1000)
 	}
 	return row
 }
 
-func (p *replicaNode) beat() {
-	if !p.withdrawn || p.speaks {
-		p.say(0)
+func (r *replicaNode) tick() {
+	if !r.withdrawn || r.sendsHeartbeats {
+		r.sendHeartbeat(0)
 	}
-	p.later(heartbeatUs-100*ms+p.day.r.Int63n(200*ms), p.beat)
+	r.after(heartbeatUs-100*millisecond+r.day.random.Int63n(200*millisecond), r.tick)
 }
 
-// say calls one machine that serves control, and the next where no acknowledgement comes.
-func (p *replicaNode) say(try int) {
-	d := p.day
-	o := d.controlNodeFor(p, try)
+// sendHeartbeat calls one machine that serves control, and the next where no acknowledgement comes.
+func (r *replicaNode) sendHeartbeat(try int) {
+	d := r.day
+	o := d.controlNodeFor(r, try)
 	over := false
 	again := func() {
 		if over {
 			return
 		}
 		over = true
-		p.later(ms, func() {
+		r.after(millisecond, func() {
 			if try < 6 {
-				p.say(try + 1)
+				r.sendHeartbeat(try + 1)
 			}
 		})
 	}
@@ -132,21 +132,21 @@
 		again()
 		return
 	}
-	if d.plan.Plant == "mute" && p.core.Draining {
+	if d.plan.Plant == "mute" && r.core.Draining {
 		return
 	}
-	row := p.row()
-	p.later(sec, again)
-	d.carry(&p.machine, &o.machine, sec, func() {
-		o.heard(row, func(ok bool) {
-			d.carry(&o.machine, &p.machine, sec, func() {
+	row := r.status()
+	r.after(second, again)
+	d.transmit(&r.machine, &o.machine, second, func() {
+		o.heartbeat(row, func(ok bool) {
+			d.transmit(&o.machine, &r.machine, second, func() {
 				switch {
 				case over:
 				case !ok:
 					again()
 				default:
 					over = true
-					p.acknowledged(row, o)
+					r.acknowledged(row, o)
 				}
 			}, again)
 		})
@@ -154,78 +154,78 @@
 }
 
 // acknowledged is a control node's 2xx to a heartbeat.
-func (p *replicaNode) acknowledged(row registry.ReplicaStatus, o *routedControlNode) {
-	if !row.Draining || p.leave == nil || p.leave.AckedUs > 0 {
+func (r *replicaNode) acknowledged(row registry.ReplicaStatus, o *routedControlNode) {
+	if !row.Draining || r.departure == nil || r.departure.AckedUs > 0 {
 		return
 	}
-	p.leave.AckedUs, p.leave.Machine = p.day.nowUs, o.name
-	if p.leavesUs == 0 {
-		p.later(p.day.seen.Bounds.DrainUs+300*ms, p.deregister)
+	r.departure.AckedUs, r.departure.Machine = r.day.nowUs, o.name
+	if r.departsUs == 0 {
+		r.after(r.day.observed.Bounds.DrainUs+300*millisecond, r.deregister)
 	}
 }
 
 // drain is a planned end: it says so, serves on for a while after the acknowledgement, and ends.
-func (p *replicaNode) drain() {
-	if p.core.Draining || !p.up {
+func (r *replicaNode) drain() {
+	if r.core.Draining || !r.up {
 		return
 	}
-	p.core.Draining = true
-	p.leave = &rules.Deregistration{Replica: p.name, AnnouncedUs: p.day.nowUs}
-	p.day.seen.Deregistrations = append(p.day.seen.Deregistrations, p.leave)
-	p.say(0)
-	p.later(9*sec, p.deregister)
+	r.core.Draining = true
+	r.departure = &rules.Deregistration{Replica: r.name, AnnouncedUs: r.day.nowUs}
+	r.day.observed.Deregistrations = append(r.day.observed.Deregistrations, r.departure)
+	r.sendHeartbeat(0)
+	r.after(9*second, r.deregister)
 }
 
-// taken is a short notice: once the time is up it is gone, whatever it is running.
-func (p *replicaNode) taken(leftUs int64) {
-	p.leavesUs = p.day.nowUs + leftUs
-	p.drain()
-	p.later(leftUs, func() { p.end(false) })
+// takeAway is a short notice: once the time is up it is gone, whatever it is running.
+func (r *replicaNode) takeAway(leftUs int64) {
+	r.departsUs = r.day.nowUs + leftUs
+	r.drain()
+	r.after(leftUs, func() { r.end(false) })
 }
 
 // withdraw is a planned end without a word of draining: the replica says first that it is gone, serves on for a
 // while after the acknowledgement, and ends.
-func (p *replicaNode) withdraw() {
-	if p.core.Draining || !p.up {
+func (r *replicaNode) withdraw() {
+	if r.core.Draining || !r.up {
 		return
 	}
-	p.core.Draining, p.withdrawn = true, true
-	p.leave = &rules.Deregistration{Replica: p.name, AnnouncedUs: p.day.nowUs}
-	p.day.seen.Deregistrations = append(p.day.seen.Deregistrations, p.leave)
-	p.sayGone(0)
-	p.later(9*sec, func() { p.end(false) })
+	r.core.Draining, r.withdrawn = true, true
+	r.departure = &rules.Deregistration{Replica: r.name, AnnouncedUs: r.day.nowUs}
+	r.day.observed.Deregistrations = append(r.day.observed.Deregistrations, r.departure)
+	r.sendDeregistration(0)
+	r.after(9*second, func() { r.end(false) })
 }
 
-// sayGone calls one machine that serves control, and the next where no acknowledgement comes within a second.
-func (p *replicaNode) sayGone(try int) {
-	d := p.day
+// sendDeregistration calls one machine that serves control, and the next where no acknowledgement comes within a second.
+func (r *replicaNode) sendDeregistration(try int) {
+	d := r.day
 	over := false
 	again := func() {
 		if !over {
 			over = true
-			p.later(ms, func() {
+			r.after(millisecond, func() {
 				if try < 6 {
-					p.sayGone(try + 1)
+					r.sendDeregistration(try + 1)
 				}
 			})
 		}
 	}
-	p.later(sec, again)
-	o := d.controlNodeFor(p, try)
+	r.after(second, again)
+	o := d.controlNodeFor(r, try)
 	if o == nil {
 		return
 	}
-	d.carry(&p.machine, &o.machine, sec, func() {
-		o.word(p.deregistration, func(ok bool) {
-			d.carry(&o.machine, &p.machine, sec, func() {
+	d.transmit(&r.machine, &o.machine, second, func() {
+		o.stepWithReply(r.deregistration, func(ok bool) {
+			d.transmit(&o.machine, &r.machine, second, func() {
 				switch {
 				case over:
 				case !ok:
 					again()
 				default:
 					over = true
-					p.leave.AckedUs, p.leave.Machine = d.nowUs, o.name
-					p.later(d.seen.Bounds.DrainUs+300*ms, func() { p.end(false) })
+					r.departure.AckedUs, r.departure.Machine = d.nowUs, o.name
+					r.after(d.observed.Bounds.DrainUs+300*millisecond, func() { r.end(false) })
 				}
 			}, again)
 		})
@@ -233,101 +233,101 @@
 }
 
 // deregistration is the event of this incarnation's end, whose acknowledgement is awaited under a number.
-func (p *replicaNode) deregistration(reply uint64) controlnode.Event {
-	return controlnode.ReplicaDeregistration{ID: p.name, Reply: reply}
+func (r *replicaNode) deregistration(reply uint64) controlnode.Event {
+	return controlnode.ReplicaDeregistration{ID: r.name, Reply: reply}
 }
 
-func (p *replicaNode) deregister() {
-	d := p.day
-	addrs := d.listedNow()
-	if o := d.controlNodeAt(addrs[(d.r.Intn(len(addrs)))]); o != nil {
-		d.carry(&p.machine, &o.machine, sec, func() { o.word(p.deregistration, func(bool) {}) }, func() {})
+func (r *replicaNode) deregister() {
+	d := r.day
+	addrs := d.currentSeeds()
+	if o := d.controlNodeAt(addrs[(d.random.Intn(len(addrs)))]); o != nil {
+		d.transmit(&r.machine, &o.machine, second, func() { o.stepWithReply(r.deregistration, func(bool) {}) }, func() {})
 	}
-	p.later(5*ms, func() { p.end(false) })
+	r.after(5*millisecond, func() { r.end(false) })
 }
 
 // end takes the incarnation away: what runs is broken off.
-func (p *replicaNode) end(crashed bool) {
-	if !p.up {
+func (r *replicaNode) end(crashed bool) {
+	if !r.up {
 		return
 	}
-	d := p.day
-	if p.leave != nil && crashed {
-		p.leave.Crashed = true
+	d := r.day
+	if r.departure != nil && crashed {
+		r.departure.Crashed = true
 	}
-	if crashed || p.leavesUs > 0 {
-		d.seen.Faults = append(d.seen.Faults, rules.FaultInterval{Machine: p.name, Kind: "crash", FromUs: d.nowUs, ToUs: rules.Open, Down: true})
+	if crashed || r.departsUs > 0 {
+		d.observed.Faults = append(d.observed.Faults, rules.FaultInterval{Machine: r.name, Kind: "crash", FromUs: d.nowUs, ToUs: rules.Open, Down: true})
 	}
-	if p.leave != nil {
-		p.leave.RemovedUs = d.nowUs
+	if r.departure != nil {
+		r.departure.RemovedUs = d.nowUs
 	}
-	p.pass(p.core.Kill(d.nowUs))
-	p.up = false
+	r.applyEffects(r.core.Kill(d.nowUs))
+	r.up = false
 }
 
-func (p *replicaNode) pass(effects []replica.Effect) {
+func (r *replicaNode) applyEffects(effects []replica.Effect) {
 	for _, e := range effects {
-		l := p.conns[e.Conn]
+		l := r.connections[e.Conn]
 		if l == nil {
 			continue
 		}
 		if e.End || e.Broken {
-			delete(p.conns, e.Conn)
+			delete(r.connections, e.Conn)
 		}
 		if e.Broken {
 			l.reset()
 			continue
 		}
-		l.down.send(func() { l.got(e) })
+		l.fromReplica.send(func() { l.onEffect(e) })
 	}
 }
 
-func (p *replicaNode) wake() {
-	nextUs := p.core.NextUs()
-	if nextUs == 0 || (p.wakeUs > p.day.nowUs && p.wakeUs <= nextUs) {
+func (r *replicaNode) wake() {
+	nextUs := r.core.NextUs()
+	if nextUs == 0 || (r.wakeUs > r.day.nowUs && r.wakeUs <= nextUs) {
 		return
 	}
-	p.wakeUs = max(nextUs, p.day.nowUs+1)
-	atUs := p.wakeUs
-	p.day.at(atUs, func() {
-		p.now(p.boot, func() {
-			if p.wakeUs == atUs {
-				p.wakeUs = 0
+	r.wakeUs = max(nextUs, r.day.nowUs+1)
+	atUs := r.wakeUs
+	r.day.schedule(atUs, func() {
+		r.deliver(r.boot, func() {
+			if r.wakeUs == atUs {
+				r.wakeUs = 0
 			}
-			p.pass(p.core.Step(p.day.nowUs))
-			p.wake()
+			r.applyEffects(r.core.Step(r.day.nowUs))
+			r.wake()
 		})
 	})
 }
 
-func (p *replicaNode) take(l *attempt, ask replica.Ask) {
-	p.conns[l.conn] = l
-	p.pass(p.core.Take(p.day.nowUs, l.conn, ask))
-	p.wake()
+func (r *replicaNode) receive(l *attempt, ask replica.Ask) {
+	r.connections[l.connection] = l
+	r.applyEffects(r.core.Take(r.day.nowUs, l.connection, ask))
+	r.wake()
 }
 
-func (p *replicaNode) gone(conn uint64) {
-	if p.conns[conn] == nil {
+func (r *replicaNode) connectionClosed(conn uint64) {
+	if r.connections[conn] == nil {
 		return
 	}
-	delete(p.conns, conn)
-	p.pass(p.core.Gone(p.day.nowUs, conn))
-	p.wake()
+	delete(r.connections, conn)
+	r.applyEffects(r.core.Gone(r.day.nowUs, conn))
+	r.wake()
 }
 
-// well ends all that ails a replica.
-func (p *replicaNode) well() {
-	p.failing, p.turning, p.breaking, p.ail, p.slowX, p.dropsIdle = nil, nil, nil, nil, 0, nil
+// endAilment ends all that ails a replica.
+func (r *replicaNode) endAilment() {
+	r.failing, r.turning, r.breaking, r.ail, r.slowFactor, r.dropsIdle = nil, nil, nil, nil, 0, nil
 }
 
-// ordered takes an order; one beyond what it can hold fells it.
-func (p *replicaNode) ordered(o replica.Order) int {
-	status := p.core.Order(p.day.nowUs, o)
-	if p.core.Fallen {
-		p.end(true)
+// takeOrder takes an order; one beyond what it can hold fells it.
+func (r *replicaNode) takeOrder(o replica.Order) int {
+	status := r.core.Order(r.day.nowUs, o)
+	if r.core.Fallen {
+		r.end(true)
 		return http.StatusAccepted
 	}
-	p.wake()
+	r.wake()
 	return status
 }
 
@@ -336,7 +336,7 @@
 	return d.startReplica(p.host, p.core.Service(), p.core.Zone(), addr, nil)
 }
 
-// fresh is a replica on another machine in another's place, with nothing on its disk.
-func (d *routedDay) fresh(p *replicaNode) *replicaNode {
+// replacement is a replica on another machine in another's place, with nothing on its disk.
+func (d *routedDay) replacement(p *replicaNode) *replicaNode {
 	return d.startReplica(p.host+"'", p.core.Service(), p.core.Zone(), "", nil)
 }
--- a/tests/simulator/routed_test.go
+++ b/tests/simulator/routed_test.go
@@ -9,10 +9,10 @@
 )
 
 func routedPlan(seed int64, count int) RoutedPlan {
-	p := RoutedPlan{Seed: seed, ControlNodes: 3, Gateways: 4, Cards: 6, Logs: 2, PerSec: 25, CalmUs: 6 * sec, SpanUs: 24 * sec,
-		Faults: DrawRouted(seed, count, 24*sec), Closing: Closings[int(seed)%len(Closings)]}
+	p := RoutedPlan{Seed: seed, ControlNodes: 3, Gateways: 4, CardReplicas: 6, LogReplicas: 2, CallsPerSecond: 25, QuietUs: 6 * second, DurationUs: 24 * second,
+		Faults: DrawRouted(seed, count, 24*second), Closing: Closings[int(seed)%len(Closings)]}
 	if seed%pairsEvery == 0 {
-		p.ControlNodes, p.Faults, p.Closing = 5, DrawPairs(seed, count, 24*sec), Closings[int(seed/pairsEvery)%len(Closings)]
+		p.ControlNodes, p.Faults, p.Closing = 5, DrawPairs(seed, count, 24*second), Closings[int(seed/pairsEvery)%len(Closings)]
 	}
 	return p
 }
@@ -65,9 +65,9 @@
 	p := routedPlan(1, 0)
 	p.Closing = ""
 	out := judgeRouted(t, p)
-	t.Logf("%d tries, %d of %d served, %d loads, %d events, %v\n%v", out.Tries, out.Served, out.Owed, out.Loads, out.Events, out.Statuses, out.Stakes)
-	if out.Served*100 < out.Owed*98 {
-		t.Fatalf("%d of %d were served on a quiet day: %v\n%s", out.Served, out.Owed, out.Statuses, strings.Join(out.Log, "\n"))
+	t.Logf("%d tries, %d of %d served, %d loads, %d events, %v\n%v", out.Attempts, out.Served, out.Offered, out.Loads, out.Events, out.Statuses, out.ChecksAtStake)
+	if out.Served*100 < out.Offered*98 {
+		t.Fatalf("%d of %d were served on a quiet day: %v\n%s", out.Served, out.Offered, out.Statuses, strings.Join(out.Log, "\n"))
 	}
 }
 
@@ -82,9 +82,9 @@
 			t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
 				t.Parallel()
 				out := judgeRouted(t, routedPlan(int64(seed), 7))
-				sum.add(Outcome{Caused: out.Caused, Stakes: out.Stakes})
+				sum.add(DeclaredOutcome{Caused: out.Caused, ChecksAtStake: out.ChecksAtStake})
 				if out.Served < 100 {
-					t.Fatalf("only %d of %d were served: the run proves nothing", out.Served, out.Owed)
+					t.Fatalf("only %d of %d were served: the run proves nothing", out.Served, out.Offered)
 				}
 			})
 		}
--- a/tests/simulator/routed_versions.go
+++ b/tests/simulator/routed_versions.go
@@ -11,8 +11,8 @@
 	"petreltide/tests/rules"
 )
 
-// opVersion is one change: a whole configuration, or an update of the one before.
-type opVersion struct {
+// configurationVersion is one change: a whole configuration, or an update of the one before.
+type configurationVersion struct {
 	routes   []configuration.Route
 	services []configuration.Service
 	edit     *configuration.Edit
@@ -45,18 +45,18 @@
 	return routes, services
 }
 
-func (p *routedOperators) firstRoutes() []configuration.Route {
+func (ops *routedOperators) firstRoutes() []configuration.Route {
 	routes := []configuration.Route{}
 	for i, k := range classes {
 		r := routeOf(k.route, "cards.example", "/"+k.route+"/", configuration.Streaming, to("cards"))
-		r.Resumable, r.Affinity, r.TimeoutMs, r.LatencyTargetMs, r.MaxGapMs, r.Priority, r.MaxAttempts = k.resumable, true, k.limitUs/1000, k.aimUs/1000, 400, i, 1
+		r.Resumable, r.Affinity, r.TimeoutMs, r.LatencyTargetMs, r.MaxGapMs, r.Priority, r.MaxAttempts = k.resumable, true, k.timeoutUs/1000, k.latencyTargetUs/1000, 400, i, 1
 		if k.resumable {
 			r.MaxAttempts = 3
 		}
 		if !k.stream {
 			r.Affinity, r.MaxGapMs, r.MaxAttempts, r.Split = false, 0, 2, []configuration.WeightedService{to("log")}
 			r.RetryClass = configuration.NonIdempotent
-			if k.repeat {
+			if k.idempotent {
 				r.RetryClass, r.MaxAttempts = configuration.Idempotent, 3
 			}
 		}
@@ -65,9 +65,9 @@
 	return routes
 }
 
-func (p *routedOperators) services() []configuration.Service {
+func (ops *routedOperators) services() []configuration.Service {
 	return []configuration.Service{
-		{Name: "cards", MaxConnections: 500, Engine: p.day.engine}, {Name: "log", MaxConnections: 110}, {Name: "log-b", MaxConnections: 110},
+		{Name: "cards", MaxConnections: 500, Engine: ops.day.engine}, {Name: "log", MaxConnections: 110}, {Name: "log-b", MaxConnections: 110},
 	}
 }
 
@@ -84,7 +84,7 @@
 }
 
 // order is this version as the judges of histories know it.
-func (v *opVersion) order() *history.Order {
+func (v *configurationVersion) order() *history.Order {
 	c := v.change()
 	return &history.Order{
 		ID: fmt.Sprintf("%d-%d-%d", c.Base, c.Version, v.serial), Base: c.Base, Version: c.Version, Content: v.seen.Sent, Spoiled: !v.seen.Valid,
@@ -92,9 +92,9 @@
 }
 
 // known is the version that a declaration was sent as; nil where it is none of these operators'.
-func (p *routedOperators) known(doc *configuration.Declaration) *opVersion {
+func (ops *routedOperators) known(doc *configuration.Declaration) *configurationVersion {
 	content := canonical(doc.Version, doc.Routes, doc.Services)
-	for _, v := range p.sent {
+	for _, v := range ops.sent {
 		if v.seen.Sent == content {
 			return v
 		}
@@ -103,15 +103,15 @@
 }
 
 // draw takes the next number; they rise in uneven steps.
-func (p *routedOperators) draw() uint64 {
-	p.number += 1 + uint64(p.r.Intn(3))
-	return p.number
+func (ops *routedOperators) draw() uint64 {
+	ops.number += 1 + uint64(ops.random.Intn(3))
+	return ops.number
 }
 
 // version is a change as it is sent and as it should be seen; an invalid one must never be in force.
-func (p *routedOperators) version(number uint64, base *opVersion, routes []configuration.Route, edit *configuration.Edit, valid bool) *opVersion {
-	v := &opVersion{edit: edit}
-	v.routes, v.services = sourced(routes, p.services())
+func (ops *routedOperators) version(number uint64, base *configurationVersion, routes []configuration.Route, edit *configuration.Edit, valid bool) *configurationVersion {
+	v := &configurationVersion{edit: edit}
+	v.routes, v.services = sourced(routes, ops.services())
 	v.seen = &rules.Version{Number: number, Valid: valid, Sent: canonical(number, v.routes, v.services)}
 	if base != nil {
 		v.seen.Base = base.seen.Number
@@ -129,42 +129,42 @@
 		edit.Version = number
 		edit.Routes, _ = sourced(edit.Routes, nil)
 	}
-	p.sent = append(p.sent, v)
-	v.serial = len(p.sent)
+	ops.sent = append(ops.sent, v)
+	v.serial = len(ops.sent)
 	return v
 }
 
 // next is a version on top of another that may be in force: as an update, or whole.
-func (p *routedOperators) next(base *opVersion, extra int) *opVersion {
-	number := p.draw()
-	return p.nextAs(base, number, extra, markRoute(number))
+func (ops *routedOperators) next(base *configurationVersion, extra int) *configurationVersion {
+	number := ops.draw()
+	return ops.nextAs(base, number, extra, fingerprintRoute(number))
 }
 
 // nextAs is next under a number of the caller's, with a route that shows it.
-func (p *routedOperators) nextAs(base *opVersion, number uint64, extra int, shown configuration.Route) *opVersion {
-	upsert, remove := p.moved(base, number, extra)
+func (ops *routedOperators) nextAs(base *configurationVersion, number uint64, extra int, shown configuration.Route) *configurationVersion {
+	upsert, remove := ops.moved(base, number, extra)
 	upsert = append(upsert, shown)
 	var edit *configuration.Edit
-	if p.r.Intn(3) > 0 {
+	if ops.random.Intn(3) > 0 {
 		edit = &configuration.Edit{Routes: upsert, RemoveRoutes: remove}
 	}
-	return p.version(number, base, edited(base.routes, upsert, remove), edit, true)
+	return ops.version(number, base, edited(base.routes, upsert, remove), edit, true)
 }
 
-func markRoute(number uint64) configuration.Route {
+func fingerprintRoute(number uint64) configuration.Route {
 	return routeOf(fmt.Sprintf("mark-%d", number), opsHost, markOf(number), configuration.Idempotent, to("log"))
 }
 
 func markOf(number uint64) string { return fmt.Sprintf("/v%d/", number) }
 
 // moved draws what a change touches: where a class of requests goes, and the mark of its version.
-func (p *routedOperators) moved(base *opVersion, number uint64, extra int) (upsert []configuration.Route, remove []string) {
+func (ops *routedOperators) moved(base *configurationVersion, number uint64, extra int) (upsert []configuration.Route, remove []string) {
 	services := [][]configuration.WeightedService{{to("log")}, {to("log-b")}, {{Service: "log", Weight: 70}, {Service: "log-b", Weight: 30}}, {{Service: "log", Weight: 0}, to("log-b")}}
 	for _, name := range []string{"grade", "record"} {
-		if p.r.Intn(2) == 0 {
+		if ops.random.Intn(2) == 0 {
 			at := slices.IndexFunc(base.routes, func(r configuration.Route) bool { return r.Name == name })
 			r := base.routes[at]
-			r.Split = services[p.r.Intn(len(services))]
+			r.Split = services[ops.random.Intn(len(services))]
 			upsert = append(upsert, r)
 		}
 	}
--- a/tests/simulator/same_test.go
+++ b/tests/simulator/same_test.go
@@ -15,8 +15,8 @@
 			first := RunRouted(p)
 			for range plays - 1 {
 				again := RunRouted(p)
-				if again.Events != first.Events || again.Tries != first.Tries || !slices.Equal(again.Log, first.Log) {
-					t.Fatalf("%d events and %d tries, and then %d and %d", first.Events, first.Tries, again.Events, again.Tries)
+				if again.Events != first.Events || again.Attempts != first.Attempts || !slices.Equal(again.Log, first.Log) {
+					t.Fatalf("%d events and %d tries, and then %d and %d", first.Events, first.Attempts, again.Events, again.Attempts)
 				}
 			}
 		})
--- a/tests/simulator/sim.go
+++ b/tests/simulator/sim.go
@@ -18,87 +18,87 @@
 )
 
 const (
-	ms  = int64(1_000)
-	sec = int64(1_000_000)
+	millisecond = int64(1_000)
+	second      = int64(1_000_000)
 )
 
-// Plan is a day: its machines, its demand in calls a second, its faults, and a defect to plant, if any.
-type Plan struct {
-	Seed         int64
-	ControlNodes int
-	Gateways     int
-	Replicas     int
-	SpanUs       int64
-	PerSec       float64
-	Loss         float64
-	Faults       []Fault
-	Changes      bool
-	Ops          []int
-	Doc          *configuration.Declaration
-	Plant        string
-	Declared     bool
-	CalmUs       int64
-	Steps        int
+// DeclaredPlan is a day: its machines, its demand in calls a second, its faults, and a defect to plant, if any.
+type DeclaredPlan struct {
+	Seed                int64
+	ControlNodes        int
+	Gateways            int
+	Replicas            int
+	DurationUs          int64
+	CallsPerSecond      float64
+	LossRatio           float64
+	Faults              []Fault
+	Changes             bool
+	ChangeSteps         []int
+	Doc                 *configuration.Declaration
+	Plant               string
+	UseDeclaredReplicas bool
+	QuietUs             int64
+	Steps               int
 	// Trace, where it is set, is shown each event and all that is sent, ordered and applied, with its time.
 	Trace func(atUs int64, kind string, what any)
 }
 
-type item struct {
+type simulatedEvent struct {
 	atUs int64
 	seq  uint64
 	act  func()
 }
 
-type queue []*item
+type eventQueue []*simulatedEvent
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
 	if q[i].atUs != q[j].atUs {
 		return q[i].atUs < q[j].atUs
 	}
 	return q[i].seq < q[j].seq
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(*item)) }
-func (q *queue) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(*simulatedEvent)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	*q = old[:len(old)-1]
 	return last
 }
 
-// Sim drives the reducers of every role under one virtual clock.
-type Sim struct {
-	plan         Plan
-	r            *rand.Rand
-	nowUs        int64
-	q            queue
-	seq          uint64
-	cuts         map[[2]string]int
-	loss         float64
-	controlNodes []*controlNode
-	gateways     []*gatewayNode
-	servers      map[string]*serverNode
-	plat         *platform.Platform
-	platMood     string
-	watch        *rules.Monitor
-	agreed       map[uint64]string
-	ops          *operators
-	told         []rules.ClientAttempt
-	caused       map[string]int
-	traps        []trap
-	healed       bool
-	rareOnly     bool
-	calls        int
-	seeds        []string
-	incarnations int
-	events       int
-	Log          []string
-	trace        func(atUs int64, kind string, what any)
+// DeclaredDay drives the reducers of every role under one virtual clock.
+type DeclaredDay struct {
+	plan           DeclaredPlan
+	random         *rand.Rand
+	nowUs          int64
+	queue          eventQueue
+	seq            uint64
+	blockedLinks   map[[2]string]int
+	loss           float64
+	controlNodes   []*controlNode
+	gateways       []*gatewayNode
+	servers        map[string]*serverNode
+	platform       *platform.Platform
+	platformFault  string
+	watch          *rules.Monitor
+	agreedEntries  map[uint64]string
+	operators      *operators
+	results        []rules.ClientAttempt
+	caused         map[string]int
+	traps          []armedFault
+	healed         bool
+	onlyRareModels bool
+	calls          int
+	seeds          []string
+	incarnations   int
+	events         int
+	Log            []string
+	trace          func(atUs int64, kind string, what any)
 }
 
 type machine struct {
-	sim    *Sim
+	sim    *DeclaredDay
 	name   string
 	addr   string
 	up     bool
@@ -109,66 +109,66 @@
 
 func (m *machine) clock() int64 { return m.sim.nowUs + m.skewUs }
 
-// later runs act on this machine if the same process is still there; a frozen one runs it on waking.
-func (m *machine) later(afterUs int64, act func()) {
+// after runs act on this machine if the same process is still there; a frozen one runs it on waking.
+func (m *machine) after(afterUs int64, act func()) {
 	boot := m.boot
-	m.sim.at(m.sim.nowUs+afterUs, func() { m.now(boot, act) })
+	m.sim.schedule(m.sim.nowUs+afterUs, func() { m.deliver(boot, act) })
 }
 
-func (m *machine) now(boot int, act func()) {
+func (m *machine) deliver(boot int, act func()) {
 	if !m.up || m.boot != boot {
 		return
 	}
 	if m.thawUs > m.sim.nowUs {
-		m.sim.at(m.thawUs, func() { m.now(boot, act) })
+		m.sim.schedule(m.thawUs, func() { m.deliver(boot, act) })
 		return
 	}
 	act()
 }
 
-func (s *Sim) at(us int64, act func()) {
+func (s *DeclaredDay) schedule(us int64, act func()) {
 	s.seq++
-	heap.Push(&s.q, &item{us, s.seq, act})
+	heap.Push(&s.queue, &simulatedEvent{us, s.seq, act})
 }
 
-func (s *Sim) note(format string, args ...any) {
+func (s *DeclaredDay) logf(format string, args ...any) {
 	if len(s.Log) < 4000 {
 		s.Log = append(s.Log, fmt.Sprintf("%9.3f ", float64(s.nowUs)/1e6)+fmt.Sprintf(format, args...))
 	}
 }
 
-func (s *Sim) show(kind string, what any) {
+func (s *DeclaredDay) logValue(kind string, what any) {
 	if s.trace != nil {
 		s.trace(s.nowUs, kind, what)
 	}
 }
 
-func (s *Sim) newIncarnation() string {
+func (s *DeclaredDay) nextIncarnation() string {
 	s.incarnations++
 	return fmt.Sprintf("i%d", s.incarnations)
 }
 
-func (s *Sim) isCut(from, to string) bool { return s.cuts[[2]string{from, to}] > 0 }
+func (s *DeclaredDay) isCut(from, to string) bool { return s.blockedLinks[[2]string{from, to}] > 0 }
 
 // send carries act from one machine to another: cut, lost, late or out of order.
-func (s *Sim) send(from, to *machine, act func()) {
-	if s.isCut(from.name, to.name) || s.r.Float64() < s.loss {
+func (s *DeclaredDay) send(from, to *machine, act func()) {
+	if s.isCut(from.name, to.name) || s.random.Float64() < s.loss {
 		return
 	}
-	delayUs := 100 + s.r.Int63n(2000)
-	if s.r.Intn(200) == 0 {
-		delayUs += s.r.Int63n(80 * ms)
+	delayUs := 100 + s.random.Int63n(2000)
+	if s.random.Intn(200) == 0 {
+		delayUs += s.random.Int63n(80 * millisecond)
 	}
-	s.at(s.nowUs+delayUs, func() {
+	s.schedule(s.nowUs+delayUs, func() {
 		if s.isCut(from.name, to.name) {
 			return
 		}
-		to.now(to.boot, act)
+		to.deliver(to.boot, act)
 	})
 }
 
-// Doc is a small deployment with three kinds, eight models and four adapters.
-func Doc() *configuration.Declaration {
+// ExampleDeclaration is a small deployment with three kinds, eight models and four adapters.
+func ExampleDeclaration() *configuration.Declaration {
 	d := &configuration.Declaration{
 		Name: "sim", Zones: []string{"a", "b", "c"}, Replica: configuration.Replica{CapacityMB: 4000},
 		Store: configuration.Store{Loads: 3, MBPerSecond: 4000, BurstMB: 2000}, Scaler: configuration.Scaler{StandbyReplicas: 1, LatencyTolerancePct: 10, WindowMs: 5000},
@@ -193,18 +193,18 @@
 }
 
 // New sets up a day; Run plays it.
-func New(plan Plan) *Sim {
-	s := &Sim{
-		plan: plan, r: rand.New(rand.NewSource(plan.Seed)), cuts: map[[2]string]int{}, loss: plan.Loss,
-		servers: map[string]*serverNode{}, watch: rules.NewMonitor(), agreed: map[uint64]string{}, nowUs: sec, caused: map[string]int{}, trace: plan.Trace,
+func New(plan DeclaredPlan) *DeclaredDay {
+	s := &DeclaredDay{
+		plan: plan, random: rand.New(rand.NewSource(plan.Seed)), blockedLinks: map[[2]string]int{}, loss: plan.LossRatio,
+		servers: map[string]*serverNode{}, watch: rules.NewMonitor(), agreedEntries: map[uint64]string{}, nowUs: second, caused: map[string]int{}, trace: plan.Trace,
 	}
 	if plan.Doc == nil {
-		s.plan.Doc = Doc()
+		s.plan.Doc = ExampleDeclaration()
 	}
 	d := s.plan.Doc
-	s.plat = platform.New(platform.NewStore(d.Store.Loads, d.Store.MBPerSecond, d.Store.BurstMB))
+	s.platform = platform.New(platform.NewStore(d.Store.Loads, d.Store.MBPerSecond, d.Store.BurstMB))
 	if plan.Plant == "strict-store" {
-		s.plat.Store.BurstMb /= 2
+		s.platform.Store.BurstMb /= 2
 	}
 	for i := 0; i < plan.ControlNodes; i++ {
 		s.seeds = append(s.seeds, fmt.Sprintf("core-%d:1", i))
@@ -218,24 +218,24 @@
 	for i := 0; i < plan.Gateways; i++ {
 		s.gateways = append(s.gateways, newGateway(s, fmt.Sprintf("front-%d", i), d.Zones[i%len(d.Zones)]))
 	}
-	s.ops = newOperators(s)
+	s.operators = newOperators(s)
 	return s
 }
 
-func (s *Sim) step() bool {
-	if len(s.q) == 0 {
+func (s *DeclaredDay) step() bool {
+	if len(s.queue) == 0 {
 		return false
 	}
-	it := heap.Pop(&s.q).(*item)
+	it := heap.Pop(&s.queue).(*simulatedEvent)
 	s.nowUs = max(s.nowUs, it.atUs)
-	s.show("event", it.seq)
+	s.logValue("event", it.seq)
 	it.act()
 	s.events++
 	return len(s.watch.Breaches) == 0
 }
 
-func (s *Sim) runUntil(us int64) bool {
-	for len(s.q) > 0 && s.q[0].atUs <= us {
+func (s *DeclaredDay) runUntil(us int64) bool {
+	for len(s.queue) > 0 && s.queue[0].atUs <= us {
 		if !s.step() {
 			return false
 		}
@@ -244,83 +244,83 @@
 	return true
 }
 
-// Outcome is what became of a day.
-type Outcome struct {
-	Breaches []rules.Breach
-	Calls    int
-	Ended    int
-	Told     []rules.ClientAttempt
-	Loads    int
-	LoadMb   int64
-	Events   int
-	Log      []string
-	Codes    map[string]int
-	Caused   map[string]int
-	Fetches  []platform.Fetch
-	Stakes   map[string]int
-}
-
-// Run plays the whole plan: bring-up, demand with faults, healing, and the return to usual service.
-func Run(plan Plan) Outcome {
+// DeclaredOutcome is what became of a day.
+type DeclaredOutcome struct {
+	Breaches      []rules.Breach
+	Calls         int
+	Ended         int
+	Results       []rules.ClientAttempt
+	Loads         int
+	LoadMb        int64
+	Events        int
+	Log           []string
+	Codes         map[string]int
+	Caused        map[string]int
+	Fetches       []platform.Fetch
+	ChecksAtStake map[string]int
+}
+
+// RunDeclared plays the whole plan: bring-up, demand with faults, healing, and the return to usual service.
+func RunDeclared(plan DeclaredPlan) DeclaredOutcome {
 	s := New(plan)
-	s.ops.begin()
-	up := func() bool { return s.ops.grown && s.settled() }
+	s.operators.begin()
+	up := func() bool { return s.operators.grown && s.recovered() }
 	ok := true
-	for limitUs := s.nowUs + 40*sec + int64(plan.Steps)*3*sec; ok && !up(); {
-		ok = s.runUntil(s.nowUs + 100*ms)
+	for limitUs := s.nowUs + 40*second + int64(plan.Steps)*3*second; ok && !up(); {
+		ok = s.runUntil(s.nowUs + 100*millisecond)
 		if s.nowUs > limitUs {
-			s.watch.Break(rules.PoorService, "the fleet did not come up: %s", s.why())
+			s.watch.Break(rules.PoorService, "the fleet did not come up: %s", s.unsettledReason())
 			ok = false
 		}
 	}
 	calmUs := s.nowUs
-	startUs := calmUs + plan.CalmUs
-	endUs := startUs + plan.SpanUs
+	startUs := calmUs + plan.QuietUs
+	endUs := startUs + plan.DurationUs
 	if ok {
-		s.note("up")
-		s.demand(endUs)
+		s.logf("up")
+		s.generateCalls(endUs)
 		ok = s.runUntil(startUs)
 	}
 	if ok {
 		if plan.Changes {
-			s.ops.play(endUs)
+			s.operators.play(endUs)
 		}
 		lastUs := endUs
 		for _, f := range plan.Faults {
 			fault := f
-			s.at(startUs+fault.AtUs, func() { s.cause(fault) })
-			lastUs = max(lastUs, startUs+fault.AtUs+fault.ForUs)
+			s.schedule(startUs+fault.AtUs, func() { s.applyFault(fault) })
+			lastUs = max(lastUs, startUs+fault.AtUs+fault.DurationUs)
 		}
 		ok = s.runUntil(lastUs)
 		if ok {
 			s.heal()
 			healedUs := s.nowUs
-			s.demand(healedUs + rules.RecoverUs + judgeUs)
-			s.ops.restore()
+			s.generateCalls(healedUs + rules.RecoverUs + judgeUs)
+			s.operators.restore()
 			ok = s.runUntil(healedUs + rules.RecoverUs)
 			fromUs := s.nowUs
 			ok = ok && s.runUntil(fromUs+judgeUs)
-			ok = ok && s.runUntil(fromUs+judgeUs+12*sec)
+			ok = ok && s.runUntil(fromUs+judgeUs+12*second)
 			if ok {
-				s.judgeService(startUs-min(judgeUs, plan.CalmUs), startUs, fromUs, fromUs+judgeUs)
+				s.judgeService(startUs-min(judgeUs, plan.QuietUs), startUs, fromUs, fromUs+judgeUs)
 				s.judgeSlots()
-				s.ops.judge()
+				s.operators.judge()
 			}
 		}
 	}
 	return s.outcome()
 }
 
-func (s *Sim) outcome() Outcome {
-	out := Outcome{Breaches: s.watch.Breaches, Calls: len(s.told), Told: s.told, Events: s.events, Log: s.Log, Codes: map[string]int{}, Fetches: s.plat.Store.Fetches, Caused: s.caused, Stakes: s.watch.Stakes}
-	for _, f := range s.plat.Store.Fetches {
-		if s.plan.Declared && f.AtUs < warmUs {
+func (s *DeclaredDay) outcome() DeclaredOutcome {
+	out := DeclaredOutcome{Breaches: s.watch.Breaches, Calls: len(s.results), Results: s.results, Events: s.events, Log: s.Log, Codes: map[string]int{}, Fetches: s.platform.Store.Fetches, Caused: s.caused, ChecksAtStake: s.watch.Stakes}
+	for _, f := range s.platform.Store.Fetches {
+		if s.plan.UseDeclaredReplicas && f.AtUs < warmUpUs {
 			continue
 		}
 		out.Loads++
 		out.LoadMb += f.SizeMb
 	}
-	for _, t := range s.told {
+	for _, t := range s.results {
 		if t.Complete {
 			out.Ended++
 		} else {
@@ -330,45 +330,45 @@
 	return out
 }
 
-const warmUs = 25 * sec
+const warmUpUs = 25 * second
 
-// Play runs demand over faults from a fixed moment on, for comparing: the same seed gives every
+// RunDeclaredWithBaseline runs demand over faults from a fixed moment on, for comparing: the same seed gives every
 // policy the same calls at the same times, whatever the policy does with them.
-func Play(plan Plan) Outcome {
+func RunDeclaredWithBaseline(plan DeclaredPlan) DeclaredOutcome {
 	s := New(plan)
-	s.ops.begin()
-	ok := s.runUntil(warmUs)
-	s.demand(warmUs + plan.SpanUs)
+	s.operators.begin()
+	ok := s.runUntil(warmUpUs)
+	s.generateCalls(warmUpUs + plan.DurationUs)
 	for _, f := range plan.Faults {
 		fault := f
-		s.at(warmUs+fault.AtUs, func() { s.cause(fault) })
+		s.schedule(warmUpUs+fault.AtUs, func() { s.applyFault(fault) })
 	}
 	if ok {
-		s.runUntil(warmUs + plan.SpanUs + 20*sec)
+		s.runUntil(warmUpUs + plan.DurationUs + 20*second)
 	}
 	return s.outcome()
 }
 
 const (
-	judgeUs    = 8 * sec
+	judgeUs    = 8 * second
 	shareLeast = 12
 	tailLeast  = 20
 )
 
-type served struct {
+type serviceLevel struct {
 	calls, ended int
-	firsts       []float64
+	firstTokenMs []float64
 	codes        map[string]int
 }
 
-// service sums what callers got, by kind and once more for the rare half of the models.
-func (s *Sim) service(fromUs, toUs int64) map[string]*served {
-	rows := map[string]*served{}
+// serviceLevels sums what callers got, by kind and once more for the rare half of the models.
+func (s *DeclaredDay) serviceLevels(fromUs, toUs int64) map[string]*serviceLevel {
+	rows := map[string]*serviceLevel{}
 	rare := map[string]bool{}
 	for _, m := range s.plan.Doc.Models[len(s.plan.Doc.Models)/2:] {
 		rare[m.Name] = true
 	}
-	for _, t := range s.told {
+	for _, t := range s.results {
 		if t.StartUs < fromUs || t.StartUs >= toUs || t.Code == "hung up" {
 			continue
 		}
@@ -379,7 +379,7 @@
 		for _, name := range names {
 			row := rows[name]
 			if row == nil {
-				row = &served{codes: map[string]int{}}
+				row = &serviceLevel{codes: map[string]int{}}
 				rows[name] = row
 			}
 			row.calls++
@@ -388,32 +388,32 @@
 				continue
 			}
 			row.ended++
-			row.firsts = append(row.firsts, float64(t.FirstUs-t.StartUs)/1000)
+			row.firstTokenMs = append(row.firstTokenMs, float64(t.FirstUs-t.StartUs)/1000)
 		}
 	}
 	for _, row := range rows {
-		sort.Float64s(row.firsts)
+		sort.Float64s(row.firstTokenMs)
 	}
 	return rows
 }
 
-func (r *served) share() float64 { return float64(r.ended) / float64(max(1, r.calls)) }
+func (r *serviceLevel) share() float64 { return float64(r.ended) / float64(max(1, r.calls)) }
 
-func (r *served) p95Ms() float64 {
-	if len(r.firsts) == 0 {
+func (r *serviceLevel) p95Ms() float64 {
+	if len(r.firstTokenMs) == 0 {
 		return 0
 	}
-	return r.firsts[min(len(r.firsts)-1, len(r.firsts)*95/100)]
+	return r.firstTokenMs[min(len(r.firstTokenMs)-1, len(r.firstTokenMs)*95/100)]
 }
 
 // judgeService holds each kind, and the rare models, against the same run before its faults.
-func (s *Sim) judgeService(calmUs, faultsUs, fromUs, toUs int64) {
-	before, after := s.service(calmUs, faultsUs), s.service(fromUs, toUs)
+func (s *DeclaredDay) judgeService(calmUs, faultsUs, fromUs, toUs int64) {
+	before, after := s.serviceLevels(calmUs, faultsUs), s.serviceLevels(fromUs, toUs)
 	if row := after["all"]; row == nil || row.share() < 0.9 {
-		s.watch.Break(rules.PoorService, "12 s after healing %+v: %s", row, s.why())
+		s.watch.Break(rules.PoorService, "12 s after healing %+v: %s", row, s.unsettledReason())
 		return
 	}
-	if s.plan.CalmUs == 0 {
+	if s.plan.QuietUs == 0 {
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(after)) {
@@ -423,16 +423,16 @@
 		}
 		s.watch.Stake(rules.PoorService)
 		if a.share() < b.share()-0.1 {
-			s.watch.Break(rules.PoorService, "%s: %.2f ended well of %d 12 s after healing, %.2f before the faults: %v %s", name, a.share(), a.calls, b.share(), a.codes, s.why())
+			s.watch.Break(rules.PoorService, "%s: %.2f ended well of %d 12 s after healing, %.2f before the faults: %v %s", name, a.share(), a.calls, b.share(), a.codes, s.unsettledReason())
 		}
-		if len(b.firsts) >= tailLeast && len(a.firsts) >= tailLeast && a.p95Ms() > 2*b.p95Ms()+300 {
-			s.watch.Break(rules.PoorService, "%s: first piece p95 %.0f ms 12 s after healing, %.0f ms before the faults: %s", name, a.p95Ms(), b.p95Ms(), s.why())
+		if len(b.firstTokenMs) >= tailLeast && len(a.firstTokenMs) >= tailLeast && a.p95Ms() > 2*b.p95Ms()+300 {
+			s.watch.Break(rules.PoorService, "%s: first piece p95 %.0f ms 12 s after healing, %.0f ms before the faults: %s", name, a.p95Ms(), b.p95Ms(), s.unsettledReason())
 		}
 	}
 }
 
 // judgeSlots: when every caller has had its answer, no gateway may think that an attempt still runs.
-func (s *Sim) judgeSlots() {
+func (s *DeclaredDay) judgeSlots() {
 	for _, d := range s.gateways {
 		busy := 0
 		for _, n := range d.decider.Status().InFlight {
@@ -444,7 +444,7 @@
 	}
 }
 
-func (s *Sim) settled() bool {
+func (s *DeclaredDay) recovered() bool {
 	held := map[string]bool{}
 	for _, p := range s.servers {
 		for _, h := range p.core.State().Loaded {
@@ -464,7 +464,7 @@
 	return true
 }
 
-func (s *Sim) why() string {
+func (s *DeclaredDay) unsettledReason() string {
 	text := ""
 	for _, o := range s.controlNodes {
 		if !o.up {
@@ -481,7 +481,7 @@
 	return text
 }
 
-func (s *Sim) serverIDs() []string {
+func (s *DeclaredDay) serverIDs() []string {
 	return slices.Sorted(maps.Keys(s.servers))
 }
 
@@ -502,17 +502,17 @@
 	core        *modelserver.Core
 	zone        string
 	incarnation string
-	leaving     bool
+	draining    bool
 }
 
-func (s *Sim) slots() int {
-	if s.plan.Declared {
+func (s *DeclaredDay) slots() int {
+	if s.plan.UseDeclaredReplicas {
 		return 16
 	}
 	return 8
 }
 
-func (s *Sim) addServer(id, zone string) *serverNode {
+func (s *DeclaredDay) addServer(id, zone string) *serverNode {
 	p := s.servers[id]
 	boot := 1
 	if p != nil {
@@ -523,13 +523,13 @@
 	if s.plan.Plant == "narrow" {
 		roomMb /= 3
 	}
-	firstUs, partUs, pieceUs, slots := 15*ms, 8*ms, 6*ms, s.slots()
-	loadUs := func(sizeMb int64) int64 { return 50*ms + sizeMb*300 }
-	if s.plan.Declared {
-		firstUs, partUs, pieceUs = 60*ms, 40*ms, 25*ms
+	firstUs, partUs, pieceUs, slots := 15*millisecond, 8*millisecond, 6*millisecond, s.slots()
+	loadUs := func(sizeMb int64) int64 { return 50*millisecond + sizeMb*300 }
+	if s.plan.UseDeclaredReplicas {
+		firstUs, partUs, pieceUs = 60*millisecond, 40*millisecond, 25*millisecond
 		loadUs = func(int64) int64 { return 0 }
 	}
-	p = &serverNode{machine: machine{sim: s, name: id, addr: fmt.Sprintf("%s:%d", id, boot), up: true, boot: boot}, zone: zone, incarnation: s.newIncarnation()}
+	p = &serverNode{machine: machine{sim: s, name: id, addr: fmt.Sprintf("%s:%d", id, boot), up: true, boot: boot}, zone: zone, incarnation: s.nextIncarnation()}
 	p.core = modelserver.NewCore(modelserver.Options{
 		ID: id, Incarnation: p.incarnation, Zone: zone, RoomMb: roomMb, Slots: slots, FirstUs: firstUs, PartUs: partUs, PieceUs: pieceUs, Fetch: true, LoadUs: loadUs,
 		Journal: func(l modelserver.Line) {
@@ -542,19 +542,19 @@
 				s.watch.Interrupted(*l.End)
 			case l.Order != nil:
 				s.watch.Order(*l.Order)
-				s.ops.sawOrder(*l.Order)
-				s.stakeRoom(p, *l.Order)
+				s.operators.sawOrder(*l.Order)
+				s.checkCapacity(p, *l.Order)
 			}
 		},
 	})
 	s.servers[id] = p
-	s.plat.Set(wire.ListedReplica{ID: id, Addr: p.addr, Zone: zone, CapacityMB: s.plan.Doc.Replica.CapacityMB, Slots: slots, State: wire.ListedReady})
-	p.beat()
+	s.platform.Set(wire.ListedReplica{ID: id, Addr: p.addr, Zone: zone, CapacityMB: s.plan.Doc.Replica.CapacityMB, Slots: slots, State: wire.ListedReady})
+	p.tick()
 	return p
 }
 
-// stakeRoom: a load was at stake when the smallest model would not have fitted beside it.
-func (s *Sim) stakeRoom(p *serverNode, o modelserver.OrderSeen) {
+// checkCapacity: a load was at stake when the smallest model would not have fitted beside it.
+func (s *DeclaredDay) checkCapacity(p *serverNode, o modelserver.OrderSeen) {
 	if !o.Taken || o.Step != "load" {
 		return
 	}
@@ -568,50 +568,50 @@
 	}
 }
 
-func (s *Sim) setStore(store configuration.Store) {
-	s.plat.Store.Limit(s.nowUs, store.Loads, store.MBPerSecond)
+func (s *DeclaredDay) setStore(store configuration.Store) {
+	s.platform.Store.Limit(s.nowUs, store.Loads, store.MBPerSecond)
 }
 
-func (p *serverNode) beat() {
-	p.later(10*ms, func() {
-		p.core.Tick(p.sim.nowUs)
-		p.beat()
+func (n *serverNode) tick() {
+	n.after(10*millisecond, func() {
+		n.core.Tick(n.sim.nowUs)
+		n.tick()
 	})
 }
 
-func (p *serverNode) take(o wire.Order) wire.OrderState {
-	s := p.sim
-	state, fetch := p.core.Take(s.nowUs, o)
+func (n *serverNode) takeOrder(o wire.Order) wire.OrderState {
+	s := n.sim
+	state, fetch := n.core.Take(s.nowUs, o)
 	if !fetch {
 		return state
 	}
-	before := len(s.plat.Store.Broken)
-	if store := s.plat.Store; store.Running()+1 >= store.Loads || store.LevelMb(s.nowUs)+float64(o.Command.SizeMB) > 0.8*float64(store.BurstMb) {
+	before := len(s.platform.Store.Broken)
+	if store := s.platform.Store; store.Running()+1 >= store.Loads || store.LevelMb(s.nowUs)+float64(o.Command.SizeMB) > 0.8*float64(store.BurstMb) {
 		s.watch.Stake(rules.OverStore)
 	}
-	s.plat.Store.Fetch(s.nowUs, platform.Fetch{Replica: p.addr, Unit: o.Command.Unit, SizeMb: o.Command.SizeMB})
-	for _, b := range s.plat.Store.Broken[before:] {
+	s.platform.Store.Fetch(s.nowUs, platform.Fetch{Replica: n.addr, Unit: o.Command.Unit, SizeMb: o.Command.SizeMB})
+	for _, b := range s.platform.Store.Broken[before:] {
 		s.watch.Break(rules.OverStore, "%s", b)
 	}
-	holdUs := p.core.LoadUs(o.Command.SizeMB)
-	if _, loadMs, known := s.plan.Doc.UnitSize(o.Command.Unit); known && s.plan.Declared {
-		holdUs = loadMs * ms
+	holdUs := n.core.LoadUs(o.Command.SizeMB)
+	if _, loadMs, known := s.plan.Doc.UnitSize(o.Command.Unit); known && s.plan.UseDeclaredReplicas {
+		holdUs = loadMs * millisecond
 	}
-	if s.plan.Plant == "sluggish" && s.nowUs > 20*sec {
-		holdUs = 60 * sec
+	if s.plan.Plant == "sluggish" && s.nowUs > 20*second {
+		holdUs = 60 * second
 	}
-	boot := p.boot
-	s.at(s.nowUs+holdUs, func() {
-		s.plat.Store.Done(p.addr)
-		p.now(boot, func() { p.core.Fetched(s.nowUs, o.Command.Number) })
+	boot := n.boot
+	s.schedule(s.nowUs+holdUs, func() {
+		s.platform.Store.Done(n.addr)
+		n.deliver(boot, func() { n.core.Fetched(s.nowUs, o.Command.Number) })
 	})
 	return state
 }
 
-func (p *serverNode) kill() {
-	p.up = false
-	for _, r := range p.core.Attempts() {
-		p.sim.watch.Interrupted(r)
+func (n *serverNode) kill() {
+	n.up = false
+	for _, r := range n.core.Attempts() {
+		n.sim.watch.Interrupted(r)
 	}
-	p.sim.plat.Store.Done(p.addr)
+	n.sim.platform.Store.Done(n.addr)
 }
--- a/tests/simulator/sim_test.go
+++ b/tests/simulator/sim_test.go
@@ -12,17 +12,17 @@
 	"petreltide/tests/rules"
 )
 
-func plan(seed int64, count int) Plan {
-	return Plan{Seed: seed, ControlNodes: 3, Gateways: 3, Replicas: 5, SpanUs: 24 * sec, PerSec: 25, Loss: 0.002, Changes: true,
-		CalmUs: 9 * sec, Faults: Draw(seed, count, 24*sec)}
+func plan(seed int64, count int) DeclaredPlan {
+	return DeclaredPlan{Seed: seed, ControlNodes: 3, Gateways: 3, Replicas: 5, DurationUs: 24 * second, CallsPerSecond: 25, LossRatio: 0.002, Changes: true,
+		QuietUs: 9 * second, Faults: DrawDeclaredFaults(seed, count, 24*second)}
 }
 
 // shorten drops faults one at a time while the same rule still breaks.
-func shorten(p Plan, rule string) Plan {
+func shorten(p DeclaredPlan, rule string) DeclaredPlan {
 	for i := 0; i < len(p.Faults); {
 		fewer := p
 		fewer.Faults = append(append([]Fault(nil), p.Faults[:i]...), p.Faults[i+1:]...)
-		if out := Run(fewer); len(out.Breaches) > 0 && out.Breaches[0].Rule == rule {
+		if out := RunDeclared(fewer); len(out.Breaches) > 0 && out.Breaches[0].Rule == rule {
 			p = fewer
 			continue
 		}
@@ -31,15 +31,15 @@
 	return p
 }
 
-func judge(t *testing.T, p Plan) Outcome {
+func judge(t *testing.T, p DeclaredPlan) DeclaredOutcome {
 	t.Helper()
-	out := Run(p)
+	out := RunDeclared(p)
 	if len(out.Breaches) == 0 {
 		return out
 	}
 	first := out.Breaches
 	p = shorten(p, first[0].Rule)
-	out = Run(p)
+	out = RunDeclared(p)
 	lines := out.Log
 	if len(lines) > 60 {
 		lines = lines[len(lines)-60:]
@@ -80,7 +80,7 @@
 	runs   int
 }
 
-func (o *occasions) add(out Outcome) {
+func (o *occasions) add(out DeclaredOutcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.caused == nil {
@@ -90,7 +90,7 @@
 	for k, n := range out.Caused {
 		o.caused[k] += n
 	}
-	for k, n := range out.Stakes {
+	for k, n := range out.ChecksAtStake {
 		o.stakes[k] += n
 	}
 }
@@ -98,7 +98,7 @@
 // judge fails where a fault was never caused or a rule never at stake: such runs prove nothing of it.
 func (o *occasions) judge(t *testing.T) {
 	t.Helper()
-	o.judgeOf(t, kinds, append(slices.Clone(rules.All), rules.UnsyncedCopy))
+	o.judgeOf(t, declaredFaultKinds, append(slices.Clone(rules.All), rules.UnsyncedCopy))
 }
 
 func (o *occasions) judgeOf(t *testing.T, kinds, all []string) {
@@ -139,7 +139,7 @@
 
 func TestQuietDay(t *testing.T) {
 	p := plan(1, 0)
-	p.Loss, p.Changes = 0, false
+	p.LossRatio, p.Changes = 0, false
 	out := judge(t, p)
 	if (out.Ended+out.Codes["hung up"])*100 < out.Calls*99 {
 		t.Fatalf("%d of %d calls ended well on a quiet day: %v", out.Ended, out.Calls, out.Codes)
--- a/tests/simulator/sizes_test.go
+++ b/tests/simulator/sizes_test.go
@@ -20,9 +20,9 @@
 	return doc
 }
 
-func sized(t testing.TB, name string, seed int64) Plan {
+func sized(t testing.TB, name string, seed int64) DeclaredPlan {
 	p := plan(seed, 5)
-	p.Doc, p.Replicas, p.Declared, p.PerSec = example(t, name), 9, true, 60
+	p.Doc, p.Replicas, p.UseDeclaredReplicas, p.CallsPerSecond = example(t, name), 9, true, 60
 	p.Gateways = map[string]int{"vasilev": 8, "kaardilind": 7}[name]
 	return p
 }
@@ -68,7 +68,7 @@
 func TestADayOnADeclarationGrownTenfold(t *testing.T) {
 	heavy(t)
 	p := sized(t, "kaardilind", 1)
-	p.Doc, p.Steps, p.SpanUs, p.Faults = tenfold(p.Doc), 28, 10*sec, Draw(1, 3, 10*sec)
+	p.Doc, p.Steps, p.DurationUs, p.Faults = tenfold(p.Doc), 28, 10*second, DrawDeclaredFaults(1, 3, 10*second)
 	out := judge(t, p)
 	t.Logf("%d models, %d adapters: %d calls, %d ended, %d loads, %d events, %v", len(p.Doc.Models), len(p.Doc.Adapters), out.Calls, out.Ended, out.Loads, out.Events, out.Codes)
 }
--- a/tests/simulator/slow_store_test.go
+++ b/tests/simulator/slow_store_test.go
@@ -12,17 +12,17 @@
 	p.Closing = ""
 	p.Faults = []Fault{}
 	add := func(kind string, atUs, forUs int64) {
-		p.Faults = append(p.Faults, Fault{Kind: kind, AtUs: atUs, ForUs: forUs, A: int(seed) + len(p.Faults), B: 1, N: 4 + int(seed%5)})
+		p.Faults = append(p.Faults, Fault{Kind: kind, AtUs: atUs, DurationUs: forUs, A: int(seed) + len(p.Faults), B: 1, N: 4 + int(seed%5)})
 	}
-	add("slow-store", sec, 18*sec)
+	add("slow-store", second, 18*second)
 	for i := range int64(5) {
-		add("model-shift", (2+3*i)*sec+seed%7*100*ms, sec)
+		add("model-shift", (2+3*i)*second+seed%7*100*millisecond, second)
 	}
-	add("burst-rare", 3*sec, 12*sec)
-	add("cut-office", 4*sec+seed%5*300*ms, 3*sec)
-	add("cut-office", 9*sec, 3*sec)
-	add("scale-in", 10*sec, sec)
-	add("kill-holder", 11*sec+seed%3*400*ms, 2*sec)
+	add("burst-rare", 3*second, 12*second)
+	add("cut-office", 4*second+seed%5*300*millisecond, 3*second)
+	add("cut-office", 9*second, 3*second)
+	add("scale-in", 10*second, second)
+	add("kill-holder", 11*second+seed%3*400*millisecond, 2*second)
 	return p
 }
 
@@ -38,7 +38,7 @@
 					t.Errorf("seed %d: %s was not caused", seed, kind)
 				}
 			}
-			if out.Stakes[rules.Limit] == 0 {
+			if out.ChecksAtStake[rules.Limit] == 0 {
 				t.Errorf("seed %d: LIMIT was not at stake", seed)
 			}
 			if out.Loads < 10 {
--- a/tests/simulator/watch_test.go
+++ b/tests/simulator/watch_test.go
@@ -8,13 +8,13 @@
 		name     string
 		loss     float64
 		freezeUs int64
-	}{{"quiet", 0, 0}, {"loss 5%", 0.05, 0}, {"loss 15%", 0.15, 0}, {"freezes of 400 ms", 0, 400 * ms}} {
+	}{{"quiet", 0, 0}, {"loss 5%", 0.05, 0}, {"loss 15%", 0.15, 0}, {"freezes of 400 ms", 0, 400 * millisecond}} {
 		var mostUs, sumUs int64
 		found, wrong, looks := 0, 0, 0
 		for seed := int64(1); seed <= 3; seed++ {
-			s := New(Plan{Seed: seed, ControlNodes: 3, Gateways: 5, Replicas: 3, PerSec: 5})
-			s.ops.begin()
-			s.runUntil(12 * sec)
+			s := New(DeclaredPlan{Seed: seed, ControlNodes: 3, Gateways: 5, Replicas: 3, CallsPerSecond: 5})
+			s.operators.begin()
+			s.runUntil(12 * second)
 			s.loss = c.loss
 			silent := func(name string) bool {
 				for _, o := range s.controlNodes {
@@ -29,10 +29,10 @@
 				}
 				return false
 			}
-			for s.nowUs < 22*sec {
-				s.runUntil(s.nowUs + 50*ms)
-				if c.freezeUs > 0 && s.nowUs%(2*sec) == 0 {
-					s.gateways[s.r.Intn(5)].thawUs = s.nowUs + c.freezeUs
+			for s.nowUs < 22*second {
+				s.runUntil(s.nowUs + 50*millisecond)
+				if c.freezeUs > 0 && s.nowUs%(2*second) == 0 {
+					s.gateways[s.random.Intn(5)].thawUs = s.nowUs + c.freezeUs
 				}
 				for _, d := range s.gateways {
 					looks++
@@ -43,8 +43,8 @@
 			}
 			deadUs := s.nowUs
 			s.gateways[2].crash()
-			for s.nowUs < deadUs+5*sec && !silent(s.gateways[2].name) {
-				s.runUntil(s.nowUs + 10*ms)
+			for s.nowUs < deadUs+5*second && !silent(s.gateways[2].name) {
+				s.runUntil(s.nowUs + 10*millisecond)
 			}
 			if silent(s.gateways[2].name) {
 				found++
--- a/tests/testbed/input_test.go
+++ b/tests/testbed/input_test.go
@@ -23,7 +23,7 @@
 
 func open(t *testing.T) *Fleet {
 	t.Helper()
-	doc := simulator.Doc()
+	doc := simulator.ExampleDeclaration()
 	s, err := Open(Plan{Folder: t.TempDir(), ControlNodes: 3, Gateways: 2, Replicas: 3, Slots: 8, FirstUs: 2000, PartUs: 500, PieceUs: 1000, RoomMb: doc.Replica.CapacityMB, Store: doc.Store})
 	if err != nil {
 		t.Fatal(err)
@@ -384,12 +384,12 @@
 
 func operatorInput(t *testing.T, s *Fleet) {
 	url := "http://" + s.ControlNodes[1] + "/v1/config"
-	good, err := json.Marshal(simulator.Doc())
+	good, err := json.Marshal(simulator.ExampleDeclaration())
 	if err != nil {
 		t.Fatal(err)
 	}
 	change := func(edit func(*configuration.Declaration)) string {
-		d := simulator.Doc()
+		d := simulator.ExampleDeclaration()
 		edit(d)
 		raw, err := json.Marshal(d)
 		if err != nil {
