--- a/tests/docs/docs_test.go
+++ b/tests/docs/docs_test.go
@@ -142,7 +142,7 @@
 var (
 	// codeReference is a package of the product in backticks, with or without a name that it declares:
 	// `controlplane/chain`, `controlplane/chain.Node`, `controlplane/chain.Node.Step`.
-	codeReference = regexp.MustCompile("`((?:api|controlplane|dataplane|operator|process)/[a-z]+|outlier|statistics|platform|cmd/petreltide)((?:\\.[A-Za-z]\\w*)*)`")
+	codeReference = regexp.MustCompile("`((?:api|controlplane|dataplane|operator|process)/[a-z]+|outlier|statistics|failuredetector|platform|cmd/petreltide)((?:\\.[A-Za-z]\\w*)*)`")
 	// logReference is a log message as a runbook quotes it: `msg="..."`.
 	logReference = regexp.MustCompile("`msg=\"([^\"`]+)\"`")
 	// faultReference is a code of a fault: `fault:in_doubt`.
