--- a/internal/controlplane/chain/auto_membership_test.go
+++ b/internal/controlplane/chain/auto_membership_test.go
@@ -94,6 +94,11 @@
 		tc.t.Fatal(err)
 	}
 	s.node, s.saves = node, nil
+	if tc.seeds == nil {
+		// Without seeds a start is a tick.
+		tc.step(s, Tick{})
+		return
+	}
 	tc.step(s, AddrsLearned{Addrs: tc.seeds})
 }
 
