--- a/tests/cmd/fleet/capacity.go
+++ b/tests/cmd/fleet/capacity.go
@@ -25,11 +25,11 @@
 }
 
 const (
-	windowLeastS = 1.0
-	windowMostS  = 600.0
-	warmSpan     = 5 * time.Second
-	readySpan    = 45 * time.Second
-	csvName      = "capacity.csv"
+	minWindowS = 1.0
+	maxWindowS = 600.0
+	warmSpan   = 5 * time.Second
+	readySpan  = 45 * time.Second
+	csvName    = "capacity.csv"
 )
 
 // capacityRun is what the capacity command was told.
@@ -88,8 +88,8 @@
 	if bad := capacity.Writable(c.out); bad != nil {
 		return nil, bad
 	}
-	if !(c.windowS >= windowLeastS && c.windowS <= windowMostS) {
-		return nil, fault.New(fault.BadField, "window", "%v s is not within %v and %v", c.windowS, windowLeastS, windowMostS)
+	if !(c.windowS >= minWindowS && c.windowS <= maxWindowS) {
+		return nil, fault.New(fault.BadField, "window", "%v s is not within %v and %v", c.windowS, minWindowS, maxWindowS)
 	}
 	c.plan.Window, c.plan.Warm, c.plan.Ready = time.Duration(c.windowS*float64(time.Second)), warmSpan, readySpan
 	plans, bad := c.alongAxes()
--- a/tests/cmd/fleet/compare.go
+++ b/tests/cmd/fleet/compare.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	seedsLeast = 2
-	seedsMost  = 1000
-	spanLeast  = 5 * time.Second
+	minSeeds  = 2
+	seedsMost = 1000
+	minSpan   = 5 * time.Second
 )
 
 // simulatedComparison is what the compare command was told.
@@ -82,7 +82,7 @@
 	if len(c.files) < 2 {
 		return contest, fault.New(fault.BadField, "policy", "name two policies or more")
 	}
-	if c.seeds < seedsLeast || c.seeds > seedsMost || c.span < spanLeast || c.rate <= 0 || c.gateways < 1 || c.replicas < 1 {
+	if c.seeds < minSeeds || c.seeds > seedsMost || c.span < minSpan || c.rate <= 0 || c.gateways < 1 || c.replicas < 1 {
 		return contest, fault.New(fault.BadField, "", "needs 2 to 1000 seeds, 5 s of span or more, a rate, desks and replicas above 0")
 	}
 	for i, file := range c.files {
--- a/tests/experiment/compare.go
+++ b/tests/experiment/compare.go
@@ -39,19 +39,19 @@
 
 // Compare pairs each further variant's results with those of the first on the same days.
 func Compare(plan Plan, results []Result) []Difference {
-	worth := map[string]map[Day]float64{}
+	value := map[string]map[Day]float64{}
 	for _, r := range results {
-		if worth[r.Variant] == nil {
-			worth[r.Variant] = map[Day]float64{}
+		if value[r.Variant] == nil {
+			value[r.Variant] = map[Day]float64{}
 		}
-		worth[r.Variant][r.Day] = r.Worth
+		value[r.Variant][r.Day] = r.Worth
 	}
 	all := []Difference{}
 	for _, v := range plan.Variants[1:] {
 		pairs := []float64{}
 		for _, day := range plan.Days {
-			base, played := worth[plan.Variants[0].Name][day]
-			other, too := worth[v.Name][day]
+			base, played := value[plan.Variants[0].Name][day]
+			other, too := value[v.Name][day]
 			if played && too {
 				pairs = append(pairs, other-base)
 			}
--- a/tests/experiment/experiment_test.go
+++ b/tests/experiment/experiment_test.go
@@ -28,11 +28,11 @@
 	h := fnv.New64a()
 	fmt.Fprint(h, v.Name, d)
 	noise := rand.New(rand.NewSource(int64(h.Sum64()))).NormFloat64() * p.noise
-	worth := 0.4 + luck + noise
+	value := 0.4 + luck + noise
 	if v.Name == "worse" {
-		worth -= p.worse
+		value -= p.worse
 	}
-	return Result{Variant: v.Name, Day: d, Worth: worth}, nil
+	return Result{Variant: v.Name, Day: d, Worth: value}, nil
 }
 
 func plan(days int, variants ...string) Plan {
--- a/tests/fleet/bounds.go
+++ b/tests/fleet/bounds.go
@@ -75,8 +75,8 @@
 
 // leases looks at every gateway's lease until it is told to stop, and returns the shortest seen and how
 // often there was none.
-func (f *Fleet) leases(ctx context.Context) (leastMs int64, none, looks int) {
-	leastMs = 1 << 40
+func (f *Fleet) leases(ctx context.Context) (minMs int64, none, looks int) {
+	minMs = 1 << 40
 	for ctx.Err() == nil {
 		for _, addr := range f.Addrs("gateway") {
 			r, err := f.Ask(ctx, addr, http.MethodGet, "/v1/status", "")
@@ -85,14 +85,14 @@
 				continue
 			}
 			looks++
-			leastMs = min(leastMs, st.Work.LeaseMs)
+			minMs = min(minMs, st.Work.LeaseMs)
 			if st.Work.LeaseMs == 0 {
 				none++
 			}
 		}
 		pause(ctx, 20*time.Millisecond)
 	}
-	return leastMs, none, looks
+	return minMs, none, looks
 }
 
 // measureBounds fills the table of keys, goes on claiming beside a member that joins empty, and
@@ -101,18 +101,18 @@
 	c := &claimer{f: f, client: rpc.Client(500, "")}
 	watched := func(what string, act func() error) error {
 		looking, stop := context.WithCancel(ctx)
-		var leastMs int64
+		var minMs int64
 		var none, looks int
 		over := make(chan struct{})
 		go func() {
-			leastMs, none, looks = f.leases(looking)
+			minMs, none, looks = f.leases(looking)
 			close(over)
 		}()
 		err := act()
 		stop()
 		<-over
 		c.say(out, what)
-		fmt.Fprintf(out, "%s: shortest lease seen %d ms, none in %d of %d looks\n", what, leastMs, none, looks)
+		fmt.Fprintf(out, "%s: shortest lease seen %d ms, none in %d of %d looks\n", what, minMs, none, looks)
 		return err
 	}
 	if err := watched("filling 200,000 keys", func() error {
@@ -125,12 +125,12 @@
 	return watched("a member joins empty at that size", func() error {
 		joined := make(chan error, 1)
 		go func() {
-			beganUs := NowUs()
+			startedUs := NowUs()
 			err := f.replaceControlNode(ctx, name)
 			if err == nil {
 				err = f.whole(ctx)
 			}
-			fmt.Fprintf(out, "the member that joined was whole after %d ms\n", (NowUs()-beganUs)/1000)
+			fmt.Fprintf(out, "the member that joined was whole after %d ms\n", (NowUs()-startedUs)/1000)
 			joined <- err
 		}()
 		claiming, stop := context.WithCancel(ctx)
--- a/tests/fleet/day.go
+++ b/tests/fleet/day.go
@@ -95,11 +95,11 @@
 		}
 	}
 	head, ok := f.Head(ctx)
-	return ok && countedHeld(head)
+	return ok && countResident(head)
 }
 
-// countedHeld: the scaler has counted models, and each that it counts has a holder.
-func countedHeld(head controlNodeStatus) bool {
+// countResident: the scaler has counted models, and each that it counts has a holder.
+func countResident(head controlNodeStatus) bool {
 	raw, err := json.Marshal(head.Counts)
 	if err != nil {
 		return false
@@ -112,15 +112,15 @@
 		return false
 	}
 	for _, c := range counts {
-		if c.Replicas > 0 && !isHeld(head, c.Model) {
+		if c.Replicas > 0 && !isResident(head, c.Model) {
 			return false
 		}
 	}
 	return true
 }
 
-// isHeld: some replica that stays holds a model.
-func isHeld(head controlNodeStatus, model string) bool {
+// isResident: some replica that stays holds a model.
+func isResident(head controlNodeStatus, model string) bool {
 	for _, r := range head.Replicas {
 		if _, ok := r.Resident[model]; ok && !r.Draining && !r.Unreachable {
 			return true
@@ -292,22 +292,22 @@
 }
 
 const (
-	// judgedSpan is how long a fault of a day is given to be judged by, closingSpan the end of a soak.
-	judgedSpan  = 14 * time.Second
-	closingSpan = 16 * time.Second
-	// usualShare of the calls must end well in usual service; fewer than usualLeast calls are not judged.
-	usualShare = 0.95
-	usualLeast = 10
+	// judgedDuration is how long a fault of a day is given to be judged by, closingDuration the end of a soak.
+	judgedDuration  = 14 * time.Second
+	closingDuration = 16 * time.Second
+	// normalRatio of the calls must end well in usual service; fewer than minUsual calls are not judged.
+	normalRatio = 0.95
+	minUsual    = 10
 )
 
 // Day runs demand with faults in turn and ends with usual service, or says why not.
 func Day(ctx context.Context, f *Fleet, doc *configuration.Declaration, raw string, plan DayPlan, out io.Writer) ([]rules.Breach, error) {
-	beganUs := NowUs()
+	startedUs := NowUs()
 	f.Doc = doc
 	if err := Begin(ctx, f, raw); err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(out, "up and settled after %d ms: %d offices, %d desks, %d replicas\n", (NowUs()-beganUs)/1000,
+	fmt.Fprintf(out, "up and settled after %d ms: %d offices, %d desks, %d replicas\n", (NowUs()-startedUs)/1000,
 		len(f.Names("control-node")), len(f.Names("gateway")), len(f.Names("replica")))
 	fmt.Fprintf(out, "offices at %s, desks at %s\n", strings.Join(f.Addrs("control-node"), ","), strings.Join(f.Addrs("gateway"), ","))
 	loaded, stop := context.WithCancel(ctx)
@@ -369,13 +369,13 @@
 // judgeFault waits after a fault and holds the calls from its recovery on to usual service.
 func (f *Fleet) judgeFault(ctx context.Context, name string, startUs int64, out io.Writer) []rules.Breach {
 	backUs := NowUs()
-	pause(ctx, judgedSpan)
+	pause(ctx, judgedDuration)
 	f.mu.Lock()
-	during, calls := EndedShare(f.Told, startUs, backUs)
-	after, callsAfter := EndedShare(f.Told, backUs+rules.RecoverUs, backUs+judgedSpan.Microseconds())
+	during, calls := EndedRatio(f.Told, startUs, backUs)
+	after, callsAfter := EndedRatio(f.Told, backUs+rules.RecoverUs, backUs+judgedDuration.Microseconds())
 	f.mu.Unlock()
 	fmt.Fprintf(out, "fault %-16s ended well: %5.1f%% of %d while it lasted, %5.1f%% of %d from 12 s after\n", name, during*100, calls, after*100, callsAfter)
-	if callsAfter > usualLeast && after < usualShare {
+	if callsAfter > minUsual && after < normalRatio {
 		return []rules.Breach{{Rule: rules.PoorService, Detail: fmt.Sprintf("%s: %.1f%% of %d calls ended well", name, after*100, callsAfter)}}
 	}
 	return nil
@@ -384,12 +384,12 @@
 // closeSoak waits at the end of a soak and holds its last calls to usual service.
 func (f *Fleet) closeSoak(ctx context.Context, out io.Writer) []rules.Breach {
 	backUs := NowUs()
-	pause(ctx, closingSpan)
+	pause(ctx, closingDuration)
 	f.mu.Lock()
-	share, calls := EndedShare(f.Told, backUs+rules.RecoverUs, backUs+closingSpan.Microseconds())
+	share, calls := EndedRatio(f.Told, backUs+rules.RecoverUs, backUs+closingDuration.Microseconds())
 	f.mu.Unlock()
 	fmt.Fprintf(out, "at the end: %.1f%% of %d ended well from 12 s after the last fault\n", share*100, calls)
-	if calls > usualLeast && share < usualShare {
+	if calls > minUsual && share < normalRatio {
 		return []rules.Breach{{Rule: rules.PoorService, Detail: fmt.Sprintf("at the end %.1f%% of %d calls ended well", share*100, calls)}}
 	}
 	return nil
--- a/tests/fleet/demand.go
+++ b/tests/fleet/demand.go
@@ -128,9 +128,9 @@
 }
 
 // Rows sums calls by kind, in order of the kinds' names.
-func Rows(told []rules.ClientAttempt) []KindRow {
+func Rows(reported []rules.ClientAttempt) []KindRow {
 	byKind := map[string][]rules.ClientAttempt{}
-	for _, t := range told {
+	for _, t := range reported {
 		byKind[t.Kind] = append(byKind[t.Kind], t)
 	}
 	rows := []KindRow{}
@@ -164,10 +164,10 @@
 	return sorted[min(len(sorted)-1, int(float64(len(sorted))*p/100))]
 }
 
-// EndedShare is the part of the attempts begun in a span that ended well.
-func EndedShare(told []rules.ClientAttempt, fromUs, toUs int64) (float64, int) {
+// EndedRatio is the part of the attempts begun in a span that ended well.
+func EndedRatio(reported []rules.ClientAttempt, fromUs, toUs int64) (float64, int) {
 	all, ended := 0, 0
-	for _, t := range told {
+	for _, t := range reported {
 		if t.StartUs >= fromUs && t.StartUs < toUs && t.Code != HungUp {
 			all++
 			if t.Complete {
--- a/tests/fleet/faults.go
+++ b/tests/fleet/faults.go
@@ -19,7 +19,7 @@
 	"petreltide/tests/rules"
 )
 
-const faultSpan = 4 * time.Second
+const faultDuration = 4 * time.Second
 
 type cause func(context.Context, *Fleet) error
 
@@ -51,7 +51,7 @@
 			before += f.net.HeldBackCount(w[0], w[1])
 			f.net.Cut(w[0], w[1])
 		}
-		pause(ctx, faultSpan)
+		pause(ctx, faultDuration)
 		held := -before
 		for _, w := range cuts {
 			held += f.net.HeldBackCount(w[0], w[1])
@@ -125,7 +125,7 @@
 			return errors.Trace(err)
 		}
 		gone := f.Proc(name).gone
-		pause(ctx, faultSpan)
+		pause(ctx, faultDuration)
 		if err := os.Remove(at); err != nil {
 			return errors.Trace(err)
 		}
@@ -273,7 +273,7 @@
 			f.Platform.Drop(name)
 		}
 	}
-	pause(ctx, faultSpan)
+	pause(ctx, faultDuration)
 	for _, name := range lost {
 		if err := f.back(name); err != nil {
 			return err
--- a/tests/fleet/fleet_test.go
+++ b/tests/fleet/fleet_test.go
@@ -180,9 +180,9 @@
 	}); err != nil {
 		t.Error(err)
 	}
-	told := <-got
-	if !told.Complete {
-		t.Fatalf("a drained call ended with %+v", told)
+	reported := <-got
+	if !reported.Complete {
+		t.Fatalf("a drained call ended with %+v", reported)
 	}
 	p := f.Proc(name)
 	<-p.gone
@@ -354,8 +354,8 @@
 		t.Error(b)
 	}
 	ended := 0
-	for _, told := range seen.Told {
-		if told.Complete {
+	for _, reported := range seen.Told {
+		if reported.Complete {
 			ended++
 		}
 	}
--- a/tests/fleet/measure.go
+++ b/tests/fleet/measure.go
@@ -43,22 +43,22 @@
 	return nil
 }
 
-type holderOf struct{ id, incarnation, addr string }
+type leaderOf struct{ id, incarnation, addr string }
 
-func (f *Fleet) holder(ctx context.Context, model string) (holderOf, error) {
+func (f *Fleet) holder(ctx context.Context, model string) (leaderOf, error) {
 	head, ok := f.Head(ctx)
 	if !ok {
-		return holderOf{}, errors.New("nobody is on duty")
+		return leaderOf{}, errors.New("nobody is on duty")
 	}
 	for _, r := range head.Replicas {
 		if _, held := r.Resident[model]; held && !r.Draining && !r.Unreachable {
-			return holderOf{r.ID, r.Incarnation, r.Addr}, nil
+			return leaderOf{r.ID, r.Incarnation, r.Addr}, nil
 		}
 	}
-	return holderOf{}, errors.Errorf("nobody holds %s", model)
+	return leaderOf{}, errors.Errorf("nobody holds %s", model)
 }
 
-func direct(client *http.Client, h holderOf, model, prompt string, n int) error {
+func direct(client *http.Client, h leaderOf, model, prompt string, n int) error {
 	raw, err := json.Marshal(wire.Attempt{ID: fmt.Sprintf("%s/%s/direct-%d", h.id, h.incarnation, n), Incarnation: h.incarnation, Model: model, Prompt: prompt, NextChunk: 1, MaxOutput: 1})
 	if err != nil {
 		return errors.Trace(err)
@@ -191,17 +191,17 @@
 
 // measureOldWay measures how long a change takes to be acknowledged, and how long attempts are still served the old way.
 func measureOldWay(ctx context.Context, f *Fleet, doc *configuration.Declaration, out io.Writer) error {
-	var spans, answers []float64
+	var spans, responses []float64
 	model := doc.Models[1].Name
 	fewer := without(doc, model)
 	for i := 0; i < 5; i++ {
 		err := f.under(ctx, doc, 120, func() error {
-			beganUs := NowUs()
+			startedUs := NowUs()
 			ackUs, err := f.put(ctx, fewer)
 			if err != nil {
 				return err
 			}
-			answers = append(answers, float64(ackUs-beganUs)/1000)
+			responses = append(responses, float64(ackUs-startedUs)/1000)
 			pause(ctx, 2*time.Second)
 			lastUs, err := f.lastRun(func(r modelserver.Run) bool { return r.Model == model })
 			spans = append(spans, float64(lastUs-ackUs)/1000)
@@ -214,7 +214,7 @@
 			return err
 		}
 	}
-	fmt.Fprintf(out, "a change's answer, 8 desks acknowledging, 5 times: p50 %.0f ms, most %.0f ms\n", Percentile(answers, 50), Percentile(answers, 100))
+	fmt.Fprintf(out, "a change's answer, 8 desks acknowledging, 5 times: p50 %.0f ms, most %.0f ms\n", Percentile(responses, 50), Percentile(responses, 100))
 	fmt.Fprintf(out, "acknowledged to the last attempt served the old way: p50 %.1f ms, most %.1f ms (negative: before the answer; may take 2000)\n", Percentile(spans, 50), Percentile(spans, 100))
 	return nil
 }
@@ -264,16 +264,16 @@
 	}
 }
 
-// chainSeat is a place in the chain of control nodes; the last is -1.
-type chainSeat struct {
+// chainReplica is a place in the chain of control nodes; the last is -1.
+type chainReplica struct {
 	name  string
 	place int
 }
 
 // measureFailover kills a control node in each seat, a replica and a gateway, and measures how long each is missed.
 func measureFailover(ctx context.Context, f *Fleet, doc *configuration.Declaration, out io.Writer) error {
-	for _, seat := range []chainSeat{{"head (and controller)", 0}, {"middle", 1}, {"tail", -1}} {
-		if err := measureSeat(ctx, f, doc, seat, out); err != nil {
+	for _, seat := range []chainReplica{{"head (and controller)", 0}, {"middle", 1}, {"tail", -1}} {
+		if err := measureReplica(ctx, f, doc, seat, out); err != nil {
 			return err
 		}
 	}
@@ -283,8 +283,8 @@
 	return measureGatewayAgain(ctx, f, doc, out)
 }
 
-// measureSeat kills the control node in one seat three times, and measures how long it is until a change is taken.
-func measureSeat(ctx context.Context, f *Fleet, doc *configuration.Declaration, seat chainSeat, out io.Writer) error {
+// measureReplica kills the control node in one seat three times, and measures how long it is until a change is taken.
+func measureReplica(ctx context.Context, f *Fleet, doc *configuration.Declaration, seat chainReplica, out io.Writer) error {
 	var spans, gaps []float64
 	for i := 0; i < 3; i++ {
 		name := f.seat(ctx, seat.place)
@@ -363,7 +363,7 @@
 	if err := f.Again(name); err != nil {
 		return err
 	}
-	beganUs := NowUs()
+	startedUs := NowUs()
 	client := rpc.Client(200, "")
 	for {
 		t := callers.Send(ctx, client, f.Proc(name).Addr, gateway.CallRequest{Kind: doc.Kinds[0].Name, Model: doc.Models[0].Name, Prompt: fmt.Sprintf("again-%d", NowUs()), MaxOutput: 1}, "", rules.ClientAttempt{})
@@ -375,7 +375,7 @@
 		}
 		pause(ctx, 20*time.Millisecond)
 	}
-	fmt.Fprintf(out, "desk killed and started again, to its first answer: %d ms\n", (NowUs()-beganUs)/1000)
+	fmt.Fprintf(out, "desk killed and started again, to its first answer: %d ms\n", (NowUs()-startedUs)/1000)
 	return nil
 }
 
--- a/tests/history/walk_test.go
+++ b/tests/history/walk_test.go
@@ -253,17 +253,17 @@
 		}
 	})
 	endUs := o.walk.nowUs + answerWaitUs
-	var again func()
-	again = func() {
+	var retry func()
+	retry = func() {
 		if over || o.walk.nowUs > endUs || !wanted() {
 			over = true
 			return
 		}
 		change := sent.change
 		o.step(controlnode.SubmitChange{Change: &statemachine.Change{ID: id, Origin: o.addr, Config: &change}})
-		o.later(resubmitUs, again)
+		o.later(resubmitUs, retry)
 	}
-	again()
+	retry()
 }
 
 func (o *walkControlNode) answer(out statemachine.Outcome) {
--- a/tests/modelserver/host.go
+++ b/tests/modelserver/host.go
@@ -131,7 +131,7 @@
 		answer(w, http.StatusBadRequest, wire.AttemptRefusal{Code: "bad_json"})
 		return
 	}
-	s := &pieceStream{h: h, w: w, ctx: r.Context(), attempt: l, stop: make(chan struct{}), enc: json.NewEncoder(w)}
+	s := &chunkStream{h: h, w: w, ctx: r.Context(), attempt: l, stop: make(chan struct{}), enc: json.NewEncoder(w)}
 	if refusal := s.start(); refusal != nil {
 		answer(w, http.StatusConflict, refusal)
 		return
@@ -151,15 +151,15 @@
 const (
 	foreignAttempt = "foreign"
 	gapInPieces    = "gap"
-	repeatPiece    = "repeat"
+	repeatedChunk  = "repeat"
 	closeStream    = "close"
 	garbage        = "garbage"
 	noEnd          = "noend"
 	naughtyAfter   = 2
 )
 
-// pieceStream is the answer to one attempt.
-type pieceStream struct {
+// chunkStream is the answer to one attempt.
+type chunkStream struct {
 	h       *Host
 	w       http.ResponseWriter
 	ctx     context.Context
@@ -173,7 +173,7 @@
 }
 
 // start begins the run, or gives the refusal.
-func (s *pieceStream) start() *wire.AttemptRefusal {
+func (s *chunkStream) start() *wire.AttemptRefusal {
 	s.h.mu.Lock()
 	defer s.h.mu.Unlock()
 	run, refusal, firstUs := s.h.core.StartAttempt(clock.NowUs(), s.attempt)
@@ -186,7 +186,7 @@
 }
 
 // end ends the run; whole says that all of the answer was sent.
-func (s *pieceStream) end(whole bool) {
+func (s *chunkStream) end(whole bool) {
 	s.h.mu.Lock()
 	defer s.h.mu.Unlock()
 	s.h.core.EndAttempt(clock.NowUs(), s.run, whole)
@@ -194,7 +194,7 @@
 }
 
 // pause waits; false where the attempt is stopped or its caller gone meanwhile.
-func (s *pieceStream) pause(us int64) bool {
+func (s *chunkStream) pause(us int64) bool {
 	timer := time.NewTimer(time.Duration(us) * time.Microsecond)
 	defer timer.Stop()
 	select {
@@ -207,7 +207,7 @@
 }
 
 // pieces sends one piece after the other; false where it could not send all.
-func (s *pieceStream) pieces() bool {
+func (s *chunkStream) pieces() bool {
 	flush := http.NewResponseController(s.w).Flush
 	for n := s.attempt.NextChunk; n <= s.run.Total; n++ {
 		p := wire.Chunk{AttemptID: s.attempt.ID, Number: n, Text: Text(s.attempt.Prompt, s.attempt.Model, s.attempt.Adapter, n, s.run.Nonce)}
@@ -228,13 +228,13 @@
 }
 
 // spoil breaks the interface at one piece, as the model server was told to.
-func (s *pieceStream) spoil(p *wire.Chunk) {
+func (s *chunkStream) spoil(p *wire.Chunk) {
 	switch s.naughty {
 	case foreignAttempt:
 		p.AttemptID = "other/leg/1"
 	case gapInPieces:
 		p.Number++
-	case repeatPiece:
+	case repeatedChunk:
 		p.Number--
 	case closeStream:
 		panic(http.ErrAbortHandler)
@@ -244,7 +244,7 @@
 }
 
 // sendEnd notes that the run has ended and says so.
-func (s *pieceStream) sendEnd() {
+func (s *chunkStream) sendEnd() {
 	s.h.mu.Lock()
 	s.run.Ended = true
 	s.h.core.journal(Line{End: s.run})
--- a/tests/platform/fleet/operators.go
+++ b/tests/platform/fleet/operators.go
@@ -284,14 +284,14 @@
 	p.atOnce(ctx, p.next(p.tip), p.next(p.tip))
 }
 
-// rivalsMost is how many orders operators have under way at once.
-const rivalsMost = 8
+// maxRivals is how many orders operators have under way at once.
+const maxRivals = 8
 
 // rivals sends up to eight at once, under one number and on one base, that all differ.
 func (p *routedOps) rivals(ctx context.Context) {
 	number := p.draw()
 	versions := []*opsVersion{}
-	for n := range 2 + p.r.Intn(rivalsMost-1) {
+	for n := range 2 + p.r.Intn(maxRivals-1) {
 		shown := p.routeOf(fmt.Sprintf("mark-%d-%d", number, n), opsHost, fmt.Sprintf("/v%d-%d/", number, n), "idempotent", 2*time.Second, 2, "log")
 		versions = append(versions, p.nextAs(p.tip, number, shown))
 	}
--- a/tests/platform/replica/host.go
+++ b/tests/platform/replica/host.go
@@ -17,7 +17,7 @@
 	"petreltide/internal/process/clock"
 )
 
-const effectsMost = 4096
+const maxEffects = 4096
 
 // HostOptions are where an incarnation listens and whom it tells of itself.
 type HostOptions struct {
@@ -280,7 +280,7 @@
 		return
 	}
 	a := h.ask(r, body)
-	out := make(chan Effect, effectsMost)
+	out := make(chan Effect, maxEffects)
 	var conn uint64
 	h.do(func() []Effect {
 		h.conn++
--- a/tests/rules/routed_gone.go
+++ b/tests/rules/routed_gone.go
@@ -3,12 +3,12 @@
 import "petreltide/tests/platform/replica"
 
 const (
-	// goneSlackUs is how long after a client has left its request may still reach a replica, or be worked on.
-	goneSlackUs = 500_000
-	// goneArrivals may reach replicas later all the same.
-	goneArrivals = 3
-	// goneWorkLeast is how many requests must have been worked on as their clients left.
-	goneWorkLeast = 8
+	// clientGoneSlackUs is how long after a client has left its request may still reach a replica, or be worked on.
+	clientGoneSlackUs = 500_000
+	// clientGoneArrivals may reach replicas later all the same.
+	clientGoneArrivals = 3
+	// minGoneWork is how many requests must have been worked on as their clients left.
+	minGoneWork = 8
 )
 
 // gone: soon after a client has left, its request reaches no replica, and replicas work on few of the repeatable
@@ -16,29 +16,29 @@
 func (j *judge) gone() {
 	sentLate, stopped, worked := 0, 0, 0
 	for _, t := range j.Attempts {
-		if !t.HungUp || t.Probe || !j.t.within(t.Machine, t.SentUs, t.EndUs+2*goneSlackUs) {
+		if !t.HungUp || t.Probe || !j.t.within(t.Machine, t.SentUs, t.EndUs+2*clientGoneSlackUs) {
 			continue
 		}
 		repeatable := j.may(t, func(r *RouteSeen) bool { return r.Repeatable })
 		for _, a := range j.arrivals[t.ID] {
 			switch {
 			case j.heldUp(t.Machine, a.Replica, t.EndUs):
-			case a.AtUs > t.EndUs+goneSlackUs:
+			case a.AtUs > t.EndUs+clientGoneSlackUs:
 				sentLate++
 			case a.AtUs <= t.EndUs && (repeatable || t.Stream):
-				stopped += ended(a, t.EndUs, t.EndUs+goneSlackUs)
-				worked += ended(a, t.EndUs+goneSlackUs, Open)
+				stopped += ended(a, t.EndUs, t.EndUs+clientGoneSlackUs)
+				worked += ended(a, t.EndUs+clientGoneSlackUs, Open)
 			}
 		}
 	}
 	if stopped+worked > 0 {
 		j.stake(Removal)
 	}
-	if sentLate > goneArrivals {
-		j.breach(Removal, "%d requests reached replicas over %.1f s after their clients had left", sentLate, sec(goneSlackUs))
+	if sentLate > clientGoneArrivals {
+		j.breach(Removal, "%d requests reached replicas over %.1f s after their clients had left", sentLate, sec(clientGoneSlackUs))
 	}
-	if stopped+worked >= goneWorkLeast && 4*worked > stopped+worked {
-		j.breach(Removal, "replicas worked on %d of %d requests %.1f s after their clients had left", worked, stopped+worked, sec(goneSlackUs))
+	if stopped+worked >= minGoneWork && 4*worked > stopped+worked {
+		j.breach(Removal, "replicas worked on %d of %d requests %.1f s after their clients had left", worked, stopped+worked, sec(clientGoneSlackUs))
 	}
 }
 
--- a/tests/rules/routed_routes.go
+++ b/tests/rules/routed_routes.go
@@ -61,9 +61,9 @@
 const (
 	// slowedFactor is how many times longer a slowed machine may work by an older version than a newer one.
 	slowedFactor = 8
-	// Denials that are let pass: deniedLeast, and one more in deniedOf requests.
-	deniedLeast = 5
-	deniedOf    = 500
+	// Denials that are let pass: minDenied, and one more in deniedOf requests.
+	minDenied = 5
+	deniedOf  = 500
 )
 
 // routes: requests go where the configuration in force sends them, and no proper one is denied.
@@ -77,7 +77,7 @@
 	if len(j.Attempts) > 0 {
 		j.stake(Denied)
 	}
-	if denied > deniedLeast+len(j.Attempts)/deniedOf {
+	if denied > minDenied+len(j.Attempts)/deniedOf {
 		j.breach(Denied, "%d proper requests of %d were ended with a 3xx or 4xx", denied, len(j.Attempts))
 	}
 	for _, v := range j.Versions {
--- a/tests/rules/routed_starved.go
+++ b/tests/rules/routed_starved.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// classLeast is how many requests of a class it takes to judge it, classPart the part of the share of all that are
+	// minClass is how many requests of a class it takes to judge it, minClassRatio the part of the share of all that are
 	// served which its own may not fall below.
-	classLeast = 40
-	classPart  = 1.0 / 4
-	// neverLeast is how many requests over which time it takes to judge that something is never served.
-	neverLeast  = 4
-	neverSpanUs = 8_000_000
+	minClass      = 40
+	minClassRatio = 1.0 / 4
+	// minNever is how many requests over which time it takes to judge that something is never served.
+	minNever      = 4
+	neverServedUs = 8_000_000
 	// neverChance is how many times what chance brings up may be served never, beside the few that always may.
 	neverChance = 3
 )
@@ -54,11 +54,11 @@
 func (j *judge) starved() {
 	c := j.countServed()
 	for name, r := range c.classes {
-		if r.asked < classLeast {
+		if r.asked < minClass {
 			continue
 		}
 		j.stake(Starved)
-		if r.share() < c.all.share()*classPart {
+		if r.share() < c.all.share()*minClassRatio {
 			j.breach(Starved, "%d of %d %s were served, %d of %d of all", r.served, r.asked, name, c.all.served, c.all.asked)
 		}
 	}
@@ -99,7 +99,7 @@
 func (j *judge) never(c *servedCounts, what string, rows servedRows, few, share float64) {
 	none, asked, chance := []string{}, 0, 0.0
 	for name, r := range rows {
-		if r.asked < neverLeast || r.lastUs-r.firstUs < neverSpanUs {
+		if r.asked < minNever || r.lastUs-r.firstUs < neverServedUs {
 			continue
 		}
 		asked++
--- a/tests/simulator/compare.go
+++ b/tests/simulator/compare.go
@@ -124,12 +124,12 @@
 }
 
 // comparisonFaults are those a policy can answer: replicas lost, noticed and replaced, and crowds.
-func comparisonFaults(seed int64, count int, spanUs int64) []Fault {
+func comparisonFaults(seed int64, count int, durationUs int64) []Fault {
 	faults := []Fault{}
 	if count == 0 {
 		return faults
 	}
-	for _, f := range DrawDeclaredFaults(seed, count, spanUs) {
+	for _, f := range DrawDeclaredFaults(seed, count, durationUs) {
 		f.Kind = []string{"crash-replica", "notice", "crowd", "notice"}[f.B%4]
 		faults = append(faults, f)
 	}
--- a/tests/simulator/control_nodes.go
+++ b/tests/simulator/control_nodes.go
@@ -125,9 +125,9 @@
 			cn.saver.enqueue(*e.Save)
 		case controlnode.PushUpdate:
 			if d := cn.followers[e.Push.Gateway]; d != nil {
-				news := clone(e.Push.Update)
-				s.logValue("news", news)
-				s.send(&cn.machine, &d.machine, func() { d.applyUpdate(news) })
+				update := clone(e.Push.Update)
+				s.logValue("news", update)
+				s.send(&cn.machine, &d.machine, func() { d.applyUpdate(update) })
 			}
 		case controlnode.DeliverResult:
 			if w := cn.waiters[e.Result.Outcome.ID]; w != nil {
--- a/tests/simulator/disk_test.go
+++ b/tests/simulator/disk_test.go
@@ -10,7 +10,7 @@
 // fullDisk plays one control node's disk filling up under demand and changes, and says what is wrong: the control node
 // must live on, be out of the view within 1.2 s, and be back 4 s after its disk takes bytes again, while the
 // others go on acknowledging.
-func fullDisk(p DeclaredPlan, at int, spanUs int64, restart bool) string {
+func fullDisk(p DeclaredPlan, at int, durationUs int64, restart bool) string {
 	s := New(p)
 	s.operators.begin()
 	for limitUs := s.nowUs + 40*second; !s.recovered() && s.nowUs < limitUs; {
@@ -30,8 +30,8 @@
 		}
 	}
 	boot := o.boot
-	o.disk.fill(s, spanUs)
-	backUs := s.nowUs + spanUs
+	o.disk.fill(s, durationUs)
+	backUs := s.nowUs + durationUs
 	if restart {
 		boot++
 		s.crashControlNode(o, 0, 0, 300*millisecond)
--- a/tests/simulator/faults.go
+++ b/tests/simulator/faults.go
@@ -73,19 +73,19 @@
 
 // DrawDeclaredFaults picks faults from a seed. Damage that one surviving copy must make good is kept apart, as
 // losing two copies at once is more than any of the deployments is meant to survive.
-func DrawDeclaredFaults(seed int64, count int, spanUs int64) []Fault {
+func DrawDeclaredFaults(seed int64, count int, durationUs int64) []Fault {
 	r := rand.New(rand.NewSource(seed))
 	faults := []Fault{}
 	for i := 0; i < count; i++ {
 		f := Fault{Kind: dealFault(seed*int64(count) + int64(i)), A: r.Intn(100), B: r.Intn(100), N: 1 + r.Intn(12)}
-		f.AtUs = spanUs * int64(i) / int64(count)
-		f.AtUs += r.Int63n(spanUs / int64(count))
+		f.AtUs = durationUs * int64(i) / int64(count)
+		f.AtUs += r.Int63n(durationUs / int64(count))
 		f.DurationUs = 300*millisecond + r.Int63n(5*second)
 		switch {
 		case i > 0 && r.Intn(3) == 0:
 			f.AtUs = faults[i-1].AtUs + r.Int63n(500*millisecond)
 		case i == count-1 && r.Intn(3) == 0:
-			f.AtUs = spanUs - 200*millisecond
+			f.AtUs = durationUs - 200*millisecond
 		}
 		switch f.Kind {
 		case "roll-offices":
--- a/tests/simulator/gateways.go
+++ b/tests/simulator/gateways.go
@@ -401,19 +401,19 @@
 	s := g.sim
 	n := attempt.NextChunk
 	serverBoot := p.boot
-	deliver := func(piece wire.Chunk) {
+	deliver := func(chunk wire.Chunk) {
 		g.deliver(boot, func() {
 			if over() {
 				return
 			}
-			ending, why := scheduling.CheckPiece(attempt.ID, c.result.ReceivedChunks+len(c.result.Chunks), piece)
+			ending, why := scheduling.CheckPiece(attempt.ID, c.result.ReceivedChunks+len(c.result.Chunks), chunk)
 			switch {
-			case s.plan.Plant == "blind" && piece.Number != c.result.ReceivedChunks+len(c.result.Chunks)+1 && !piece.End:
+			case s.plan.Plant == "blind" && chunk.Number != c.result.ReceivedChunks+len(c.result.Chunks)+1 && !chunk.End:
 				ending = ""
 			case s.plan.Plant == "hasty" && len(c.result.Chunks) == 3:
 				ending = scheduling.OutcomeDone
 			case s.plan.Plant == "mixed" && len(c.result.Chunks) == 2:
-				piece.Text = "0000000000000000~" + run.Nonce
+				chunk.Text = "0000000000000000~" + run.Nonce
 			}
 			if ending != "" {
 				finish(ending, why)
@@ -423,7 +423,7 @@
 				c.result.FirstUs = s.nowUs
 			}
 			c.call.FirstByteUs.CompareAndSwap(0, g.clock())
-			c.result.Chunks = append(c.result.Chunks, piece.Text)
+			c.result.Chunks = append(c.result.Chunks, chunk.Text)
 			c.result.IDs = append(c.result.IDs, c.result.ReceivedChunks+len(c.result.Chunks))
 			c.call.Progress.Store(int64(c.result.ReceivedChunks + len(c.result.Chunks)))
 		})
@@ -453,12 +453,12 @@
 			s.schedule(s.nowUs+300, func() { deliver(wire.Chunk{AttemptID: attempt.ID, End: true, Number: run.Total}) })
 			return
 		}
-		piece := wire.Chunk{AttemptID: attempt.ID, Number: n, Text: modelserver.Text(attempt.Prompt, attempt.Model, attempt.Adapter, n, run.Nonce)}
+		chunk := wire.Chunk{AttemptID: attempt.ID, Number: n, Text: modelserver.Text(attempt.Prompt, attempt.Model, attempt.Adapter, n, run.Nonce)}
 		if s.plan.Plant == "blind" && n == 3 {
 			n++
-			piece.Number, piece.Text = n, modelserver.Text(attempt.Prompt, attempt.Model, attempt.Adapter, n, run.Nonce)
+			chunk.Number, chunk.Text = n, modelserver.Text(attempt.Prompt, attempt.Model, attempt.Adapter, n, run.Nonce)
 		}
-		s.schedule(s.nowUs+300, func() { deliver(piece) })
+		s.schedule(s.nowUs+300, func() { deliver(chunk) })
 		run.Sent = n
 		n++
 		s.schedule(s.nowUs+p.core.PieceUs(), next)
--- a/tests/simulator/routed_changes.go
+++ b/tests/simulator/routed_changes.go
@@ -95,16 +95,16 @@
 }
 
 const (
-	// underWayMost is how many orders operators have under way at once.
-	underWayMost = 8
-	// againMost is how far back they go for an order to send once more.
-	againMost = 12
+	// maxUnderWay is how many orders operators have under way at once.
+	maxUnderWay = 8
+	// maxAgain is how far back they go for an order to send once more.
+	maxAgain = 12
 )
 
 // rivals sends up to eight versions at once, under one number and on one base, that all differ; one may win.
 func (ops *routedOperators) rivals(done func()) {
 	base, number := ops.newest, ops.draw()
-	left := 2 + ops.random.Intn(underWayMost-1)
+	left := 2 + ops.random.Intn(maxUnderWay-1)
 	ops.day.caused["rivals"] += left
 	versions := []*configurationVersion{}
 	for n := range left {
@@ -127,7 +127,7 @@
 
 // again sends one of the orders that had a clear answer once more, as it was, to any machine; that answer must stand.
 func (ops *routedOperators) again(done func()) {
-	clear := slices.DeleteFunc(slices.Clone(ops.sent[max(0, len(ops.sent)-againMost):]), func(v *configurationVersion) bool { return v.seen.AckedUs+v.seen.RefusedUs == 0 })
+	clear := slices.DeleteFunc(slices.Clone(ops.sent[max(0, len(ops.sent)-maxAgain):]), func(v *configurationVersion) bool { return v.seen.AckedUs+v.seen.RefusedUs == 0 })
 	if len(clear) == 0 {
 		done()
 		return
--- a/tests/simulator/routed_clients.go
+++ b/tests/simulator/routed_clients.go
@@ -108,11 +108,11 @@
 func (c *clients) stop() { c.active = false }
 
 func (c *clients) meanGapUs() int64 {
-	mostUs := int64(0)
+	maxUs := int64(0)
 	for _, k := range classes {
-		mostUs = max(mostUs, k.timeoutUs)
+		maxUs = max(maxUs, k.timeoutUs)
 	}
-	return mostUs
+	return maxUs
 }
 
 func (c *clients) next() {
@@ -254,14 +254,14 @@
 // awaitFirstToken: a client gives up what is silent for too long, and a repeatable try that nobody has read.
 func (cr *clientRequest) awaitFirstToken(t *rules.Attempt) {
 	d := cr.clients.day
-	mostUs := max(2*second, 4*cr.class.latencyTargetUs, 8*400*millisecond)
+	maxUs := max(2*second, 4*cr.class.latencyTargetUs, 8*400*millisecond)
 	endUs := t.SentUs + t.LimitUs
 	var look func()
 	look = func() {
 		switch {
 		case cr.ended || t.EndUs > 0:
 			return
-		case d.nowUs >= endUs, t.Stream && d.nowUs-cr.silentUs > mostUs:
+		case d.nowUs >= endUs, t.Stream && d.nowUs-cr.silentUs > maxUs:
 			cr.hangUpOnGateway(t)
 			t.GaveUp = true
 			return
@@ -364,15 +364,15 @@
 func (cr *clientRequest) retry(t *rules.Attempt, retryMs int64) {
 	d := cr.clients.day
 	leftUs := cr.firstUs + cr.class.timeoutUs - d.nowUs
-	triesMost := 1
+	maxTries := 1
 	if d.nowUs < cr.clients.abuseUntilUs {
-		triesMost += abuseAttempts
+		maxTries += abuseAttempts
 	}
-	if cr.attemptNumber >= triesMost || leftUs < 200*millisecond || (cr.received > 0 && cr.received >= replica.Total(cr.body)) {
+	if cr.attemptNumber >= maxTries || leftUs < 200*millisecond || (cr.received > 0 && cr.received >= replica.Total(cr.body)) {
 		return
 	}
 	waitUs := min(retryMs*millisecond, leftUs/3)
-	if cr.impatient || triesMost > 1 {
+	if cr.impatient || maxTries > 1 {
 		waitUs = 0
 	}
 	if cr.attemptNumber >= 1 {
--- a/tests/simulator/routed_faults.go
+++ b/tests/simulator/routed_faults.go
@@ -50,14 +50,14 @@
 var Closings = []string{"", "kill-all", "power-off-all", "wipe-after-ack-all"}
 
 // DrawRouted picks faults from a seed, from shuffled decks of all the kinds.
-func DrawRouted(seed int64, count int, spanUs int64) []Fault {
+func DrawRouted(seed int64, count int, durationUs int64) []Fault {
 	r := rand.New(rand.NewSource(seed * 13))
 	faults := []Fault{}
 	for i := range count {
 		place := seed*int64(count) + int64(i)
 		deck := rand.New(rand.NewSource(place / int64(len(routedFaultKinds)))).Perm(len(routedFaultKinds))
 		f := Fault{Kind: routedFaultKinds[deck[place%int64(len(routedFaultKinds))]], A: r.Intn(100), B: r.Intn(100), N: 1 + r.Intn(12)}
-		f.AtUs = spanUs*int64(i)/int64(count) + r.Int63n(spanUs/int64(count))
+		f.AtUs = durationUs*int64(i)/int64(count) + r.Int63n(durationUs/int64(count))
 		f.DurationUs = 500*millisecond + r.Int63n(5*second)
 		if i > 0 && r.Intn(3) == 0 {
 			f.AtUs = faults[i-1].AtUs + r.Int63n(800*millisecond)
@@ -71,8 +71,8 @@
 }
 
 // DrawPairs is DrawRouted with every second fault one that strikes two control nodes.
-func DrawPairs(seed int64, count int, spanUs int64) []Fault {
-	faults := DrawRouted(seed, count, spanUs)
+func DrawPairs(seed int64, count int, durationUs int64) []Fault {
+	faults := DrawRouted(seed, count, durationUs)
 	for i := range faults {
 		if i%2 == 0 {
 			faults[i].Kind = pairFaultKinds[(int(seed)/pairsEvery+i/2)%len(pairFaultKinds)]
--- a/tests/simulator/routed_faults_core.go
+++ b/tests/simulator/routed_faults_core.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// turnsMost is how many cuts a fault by turns makes, and turnUs how long each of them stands.
-	turnsMost = 3
-	turnUs    = 2 * second
+	// maxTurns is how many cuts a fault by turns makes, and turnUs how long each of them stands.
+	maxTurns = 3
+	turnUs   = 2 * second
 	// restartUs is how long a process that is restarted is away.
 	restartUs = 300 * millisecond
 	// seedsRestartUs is how long after a cut some gateways are restarted, and seedsKnownUs how long after their start
@@ -22,7 +22,7 @@
 // coreCutsUs is how much longer than its own time a fault of the core lasts, so that the day is not healed before it has
 // come to its end.
 var coreCutsUs = map[string]int64{
-	"cut-behind": 3 * second, "cut-split": 3 * second, "cut-both": 3 * second, "cut-relieve": 4 * second, "cut-turn": turnsMost * (turnUs + second), "cut-seeds": 6 * second,
+	"cut-behind": 3 * second, "cut-split": 3 * second, "cut-both": 3 * second, "cut-relieve": 4 * second, "cut-turn": maxTurns * (turnUs + second), "cut-seeds": 6 * second,
 }
 
 // worstFault are faults that strike the core together with something else.
@@ -61,7 +61,7 @@
 		c.Then = func(struck []*routedControlNode) { d.partitionThenRelieve(f, c, struck) }
 	case "cut-turn":
 		c.Role, c.DurationUs, c.Race, c.Drain = TurnRole, turnUs, true, true
-		d.partitionInTurn(f, c, turnsMost)
+		d.partitionInTurn(f, c, maxTurns)
 		return
 	case "cut-seeds":
 		c.Count, c.DurationUs = d.tolerated(), f.DurationUs+6*second
--- a/tests/simulator/routed_faults_power.go
+++ b/tests/simulator/routed_faults_power.go
@@ -11,8 +11,8 @@
 	awayForCopyUs = 2 * second
 	// meetUs is how long operators go to a machine that has come back.
 	meetUs = 4 * second
-	// floodLeast is how many changes a flood has at least.
-	floodLeast = 100
+	// minFlood is how many changes a flood has at least.
+	minFlood = 100
 )
 
 // returningFault are faults of a machine of the core that comes back.
@@ -127,7 +127,7 @@
 
 // flood sends a hundred changes and more, one after the other, while a machine of the core is restarted.
 func (d *routedDay) flood(f Fault, o *routedControlNode) {
-	changes := floodLeast + 10*f.N
+	changes := minFlood + 10*f.N
 	for range changes {
 		d.operators.do(func(done func()) {
 			if d.handed {
@@ -141,7 +141,7 @@
 	before := o.core.Node.State().Version()
 	d.schedule(d.nowUs+f.DurationUs+3*second, func() {
 		d.operators.readAt(o, func(doc *configuration.Declaration, ok bool) {
-			if ok && doc != nil && doc.Version > before+floodLeast/2 {
+			if ok && doc != nil && doc.Version > before+minFlood/2 {
 				d.countFault(f)
 			}
 		})
--- a/tests/simulator/routed_gateways.go
+++ b/tests/simulator/routed_gateways.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	dialUs      = 400 * millisecond
-	idleUs      = 900 * millisecond
-	lingerUs    = 2300 * millisecond
-	drainMostUs = 7300 * millisecond
-	deadlineUs  = 5 * millisecond
+	dialUs     = 400 * millisecond
+	idleUs     = 900 * millisecond
+	lingerUs   = 2300 * millisecond
+	maxDrainUs = 7300 * millisecond
+	deadlineUs = 5 * millisecond
 )
 
 type routedGateway struct {
@@ -212,7 +212,7 @@
 		return
 	}
 	g.step(scheduling.DrainStarted{})
-	boot, endUs := g.boot, d.nowUs+drainMostUs
+	boot, endUs := g.boot, d.nowUs+maxDrainUs
 	g.after(lingerUs, func() {
 		g.listenersClosed = true
 		g.step(scheduling.DrainEnded{})
--- a/tests/simulator/routed_leaving.go
+++ b/tests/simulator/routed_leaving.go
@@ -1,8 +1,8 @@
 package simulator
 
 const (
-	lateLeastUs = second
-	lateMostUs  = 4 * second
+	minLateUs   = second
+	maxLateUs   = 4 * second
 	shortDownUs = 400 * millisecond
 	oneWay      = 1
 )
@@ -36,7 +36,7 @@
 	return true
 }
 
-func (d *routedDay) lateUs() int64 { return lateLeastUs + d.random.Int63n(lateMostUs-lateLeastUs) }
+func (d *routedDay) lateUs() int64 { return minLateUs + d.random.Int63n(maxLateUs-minLateUs) }
 
 // leavingFault are the ends of replicas that come in an unusual order, and the words that outlive them.
 func (d *routedDay) leavingFault(f Fault, p *replicaNode) bool {
--- a/tests/simulator/routed_repairs.go
+++ b/tests/simulator/routed_repairs.go
@@ -27,7 +27,7 @@
 // successorAfterUs is how long after a loss its successor starts.
 const successorAfterUs = second
 
-// spanUs is how long all rounds take.
+// durationUs is how long all rounds take.
 func (r Repairs) spanUs(catchUpUs int64) int64 {
 	return int64(r.Rounds) * (catchUpUs + successorAfterUs + second)
 }
--- a/tests/simulator/sim.go
+++ b/tests/simulator/sim.go
@@ -350,9 +350,9 @@
 }
 
 const (
-	judgeUs    = 8 * second
-	shareLeast = 12
-	tailLeast  = 20
+	judgeUs  = 8 * second
+	minShare = 12
+	minTail  = 20
 )
 
 type serviceLevel struct {
@@ -418,14 +418,14 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(after)) {
 		b, a := before[name], after[name]
-		if b == nil || b.calls < shareLeast || a.calls < shareLeast {
+		if b == nil || b.calls < minShare || a.calls < minShare {
 			continue
 		}
 		s.watch.Stake(rules.PoorService)
 		if a.share() < b.share()-0.1 {
 			s.watch.Break(rules.PoorService, "%s: %.2f ended well of %d 12 s after healing, %.2f before the faults: %v %s", name, a.share(), a.calls, b.share(), a.codes, s.unsettledReason())
 		}
-		if len(b.firstTokenMs) >= tailLeast && len(a.firstTokenMs) >= tailLeast && a.p95Ms() > 2*b.p95Ms()+300 {
+		if len(b.firstTokenMs) >= minTail && len(a.firstTokenMs) >= minTail && a.p95Ms() > 2*b.p95Ms()+300 {
 			s.watch.Break(rules.PoorService, "%s: first piece p95 %.0f ms 12 s after healing, %.0f ms before the faults: %s", name, a.p95Ms(), b.p95Ms(), s.unsettledReason())
 		}
 	}
--- a/tests/simulator/watch_test.go
+++ b/tests/simulator/watch_test.go
@@ -9,7 +9,7 @@
 		loss     float64
 		freezeUs int64
 	}{{"quiet", 0, 0}, {"loss 5%", 0.05, 0}, {"loss 15%", 0.15, 0}, {"freezes of 400 ms", 0, 400 * millisecond}} {
-		var mostUs, sumUs int64
+		var maxUs, sumUs int64
 		found, wrong, looks := 0, 0, 0
 		for seed := int64(1); seed <= 3; seed++ {
 			s := New(DeclaredPlan{Seed: seed, ControlNodes: 3, Gateways: 5, Replicas: 3, CallsPerSecond: 5})
@@ -49,10 +49,10 @@
 			if silent(s.gateways[2].name) {
 				found++
 			}
-			mostUs = max(mostUs, s.nowUs-deadUs)
+			maxUs = max(maxUs, s.nowUs-deadUs)
 			sumUs += s.nowUs - deadUs
 		}
-		t.Logf("%s: found %d of 3, mean %d ms, most %d ms; %d of %d looks wrong", c.name, found, sumUs/3/1000, mostUs/1000, wrong, looks)
+		t.Logf("%s: found %d of 3, mean %d ms, most %d ms; %d of %d looks wrong", c.name, found, sumUs/3/1000, maxUs/1000, wrong, looks)
 		if found != 3 || wrong*1000 > looks {
 			t.Errorf("%s: found %d of 3, %d of %d looks suspected a live gateway", c.name, found, wrong, looks)
 		}
