--- a/internal/api/configuration/declaration.go
+++ b/internal/api/configuration/declaration.go
@@ -1,4 +1,3 @@
-// Package configuration holds what operators declare: the declaration in force, edits of it, and the checks that both must pass.
 package configuration
 
 import (
--- a/internal/controlplane/chain/options.go
+++ b/internal/controlplane/chain/options.go
@@ -2,12 +2,14 @@
 
 import "petreltide/internal/process/clock"
 
-// Options are what a Node goes by; times that are 0 are as usual.
+// Options are the settings of a Node. Times are in microseconds; a time or bound that is 0 has the value named with it.
 type Options struct {
-	Self           Member
-	Incarnation    string
+	// Self is this control node as a member; Incarnation names this run of its process.
+	Self        Member
+	Incarnation string
+	// BootstrapCount is how many fresh control nodes must meet to found a chain; 0 founds none.
 	BootstrapCount int
-	// BootstrapAddrs are the addresses of the control nodes that begin a chain together, in place of Founding.
+	// BootstrapAddrs are the addresses of the control nodes that found a chain together, in place of BootstrapCount.
 	BootstrapAddrs []string
 	// FirstStart says that the whole fleet starts for the first time: this control node belongs to it from the start,
 	// and takes nobody's vote. It holds until this control node has had one.
@@ -17,25 +19,38 @@
 	// Unsynced says that the disk has refused to sync the records that it gave back: they count as synced only once
 	// save OpeningPersistSeq is reported.
 	Unsynced bool
-	// MinReplicas is how many synced copies an acknowledgement needs; two at least where there are two voters.
+	// MinReplicas is how many synced replicas of an entry an acknowledgement needs; two at least where there are two voters.
 	MinReplicas int
 	// MinZones is in how many zones they must lie, as far as there are voters in so many.
-	MinZones              int
-	HelloIntervalUs       int64
-	SuspectTimeoutUs      int64
-	LeaseDurationUs       int64
-	LeaseMarginUs         int64
-	StallTimeoutUs        int64
+	MinZones int
+	// HelloIntervalUs is how often every control node greets every other; 0 is 100 ms.
+	HelloIntervalUs int64
+	// SuspectTimeoutUs is the silence after which a member is suspected; 0 is 700 ms.
+	SuspectTimeoutUs int64
+	// LeaseDurationUs is how long a voter's lease holds for the tail; 0 is 1 s. LeaseMarginUs is how much earlier the holder
+	// lets go of it, for clocks that run apart; 0 is 100 ms.
+	LeaseDurationUs, LeaseMarginUs int64
+	// StallTimeoutUs is how long a sync may be outstanding before the member counts as stalled; 0 is 600 ms.
+	StallTimeoutUs int64
+	// VoteRecoveryTimeoutUs is how long a restarted voter waits to compare ballots and log with the others before it
+	// votes; 0 is 1.5 s.
 	VoteRecoveryTimeoutUs int64
-	GatherTimeoutUs       int64
-	ResendTimeoutUs       int64
-	// HeartbeatIntervalUs is how often a member tells its neighbours where it stands while nothing happens.
+	// GatherTimeoutUs is how long restarted voters wait for the others before they propose a view without them; 0 is 2 s.
+	GatherTimeoutUs int64
+	// ResendTimeoutUs is after what silence entries are sent again to the successor; 0 is 150 ms.
+	ResendTimeoutUs int64
+	// HeartbeatIntervalUs is how often a member tells its neighbours where it stands while nothing happens; 0 is at
+	// every tick.
 	HeartbeatIntervalUs int64
-	// PrepareTimeoutUs is how long a ballot may gather promises before a higher one is tried.
-	PrepareTimeoutUs      int64
-	MaxRetainedEntries    int
-	MaxLogBytes           int64
-	MaxBatchEntries       int
+	// PrepareTimeoutUs is how long a ballot may gather promises before a higher one is tried; 0 is SuspectTimeoutUs and
+	// LeaseDurationUs together.
+	PrepareTimeoutUs int64
+	// MaxRetainedEntries and MaxLogBytes bound the log before a snapshot takes its place; 0 is 4096 entries and 16 MiB.
+	MaxRetainedEntries int
+	MaxLogBytes        int64
+	// MaxBatchEntries is how many entries one message carries; 0 is 256.
+	MaxBatchEntries int
+	// MaxUncommittedEntries is how many entries the head takes beyond what is committed; 0 is 2048.
 	MaxUncommittedEntries int
 }
 
--- a/internal/controlplane/storage/storage.go
+++ b/internal/controlplane/storage/storage.go
@@ -1,6 +1,3 @@
-// Package storage keeps one member's part of the chain on its disk: a write-ahead log of records and, beside it, a
-// snapshot of the state that stands for the log before it. It survives kills, losses of power and full disks; what is
-// damaged, foreign or of a later version is told as a typed fault and left as it is.
 package storage
 
 import (
--- a/internal/dataplane/controlclient/doc.go
+++ b/internal/dataplane/controlclient/doc.go
@@ -1,4 +1,7 @@
-// Package controlclient is a gateway's way to the control nodes: which of them it follows as its primary and standby,
-// when it leaves one for another, and the copy of the control state that it folds from their frames (Mirror). It
-// is a reducer that package gateway drives. It never decides about a request.
+// Package controlclient is a gateway's client of the control plane: which control nodes it follows as its primary and its
+// standby, when it leaves one for another, and the local copy of the control state.
+//
+// Subscriber serves declarations by kinds: it follows the tail's numbered updates and holds a lease. Informer serves
+// declarations by routes: it applies the frames of two streams to a local copy and needs no lease. Both are reducers that
+// package gateway drives, and neither decides about a request.
 package controlclient
