--- a/internal/controlplane/chain/options.go
+++ b/internal/controlplane/chain/options.go
@@ -27,9 +27,10 @@
 	HelloIntervalUs int64
 	// SuspectTimeoutUs is the silence after which a member is suspected; 0 is 700 ms.
 	SuspectTimeoutUs int64
-	// LeaseDurationUs is how long a voter's lease holds for the tail; 0 is 1 s. LeaseMarginUs is how much earlier the holder
-	// lets go of it, for clocks that run apart; 0 is 100 ms.
-	LeaseDurationUs, LeaseMarginUs int64
+	// LeaseDurationUs is how long a voter's lease holds for the tail; 0 is 1 s.
+	LeaseDurationUs int64
+	// LeaseMarginUs is how much earlier the holder lets go of a lease, for clocks that run apart; 0 is 100 ms.
+	LeaseMarginUs int64
 	// StallTimeoutUs is how long a sync may be outstanding before the member counts as stalled; 0 is 600 ms.
 	StallTimeoutUs int64
 	// VoteRecoveryTimeoutUs is how long a restarted voter waits to compare ballots and log with the others before it
