--- a/internal/controlplane/controlnode/open.go
+++ b/internal/controlplane/controlnode/open.go
@@ -25,7 +25,7 @@
 // Open reads the data folder. Damaged data is set aside under a name that says so and the
 // control node comes back as a new member; it never votes on what it can no longer know.
 func Open(set settings.ControlNode, ring *logring.Ring) (*Host, error) {
-	logger := ring.Logger("office", set.Name)
+	logger := ring.Logger("control-node", set.Name)
 	lock, err := storage.Lock(set.DataDir, set.Name, lockTimeout)
 	if err != nil {
 		return nil, errors.Trace(err)
