--- a/internal/controlplane/chain/explore_test.go
+++ b/internal/controlplane/chain/explore_test.go
@@ -112,7 +112,7 @@
 		accepted = fmt.Sprint(*n.acceptedProposal)
 	}
 	return fmt.Sprint(n.opts.Incarnation, n.phase, n.view, n.promisedBallot, accepted, n.votesRecovered, n.caughtUp, n.shuttingDown, n.base.Index, n.lastIndex(), n.lastView(), n.commitIndex, n.syncedIndex, n.stagedIndex,
-		n.snapshotIndex, proposal, n.maxRound, ago(n.viewStableUs), ago(n.diskLaggedUs), n.pendingAccept != nil, ago(n.leaseGuardUs), ago(n.grantedLease.untilUs), ago(n.grantedLease.sentUs), ago(n.leaseReleasedUs), n.succLast, n.succSent, n.succKnown, n.viewStartIndex, n.viewStartKnown,
+		n.snapshotIndex, proposal, n.maxRound, ago(n.viewStableUs), ago(n.diskLaggedUs), n.pendingAccept != nil, ago(n.leaseGuardUs), ago(n.grantedLease.untilUs), ago(n.grantedLease.sentUs), ago(n.leaseReleasedUs), n.successorProgress.acked, n.successorProgress.sent, n.successorProgress.known, n.viewStartIndex, n.viewStartKnown,
 		leases, n.tailCommitIndex, ago(n.leaseUntilUs), ago(n.viewInstalledUs), ago(n.startedUs), peers, saving)
 }
 
--- a/internal/controlplane/chain/hello.go
+++ b/internal/controlplane/chain/hello.go
@@ -72,7 +72,7 @@
 	p := n.peers[h.Member.ID]
 	startReplica := p == nil || p.hello.Incarnation != h.Incarnation
 	if startReplica {
-		p = &peer{firstHelloUs: n.nowUs, lastMutualUs: n.nowUs, lastMutualAwakeUs: n.awakeUs}
+		p = &peer{lastMutualUs: n.nowUs, lastMutualAwakeUs: n.awakeUs}
 		n.peers[h.Member.ID] = p
 	}
 	if !h.Stalled {
--- a/internal/controlplane/chain/node.go
+++ b/internal/controlplane/chain/node.go
@@ -3,90 +3,128 @@
 import (
 	"petreltide/internal/api/fault"
 	"petreltide/internal/controlplane/statemachine"
+	"petreltide/internal/process/clock"
 )
 
-// Node is one control node's part of the chain and of the agreement on its view.
+// proposalDelayUs is how long each healthy member before this one in the chain delays its proposal of a view, so that one
+// proposes and the others find it done.
+const proposalDelayUs = 250 * clock.Ms
+
+// Node is one control node's part of the chain and of the agreement on its view. It is not safe for concurrent use.
 type Node struct {
-	opts Options
+	opts    Options
+	phase   Phase
+	effects []Effect
 
-	phase            Phase
-	view             View
-	promisedBallot   Ballot
-	acceptedProposal *AcceptedProposal
-	votesRecovered   bool
-	caughtUp         bool
-	// shuttingDown is set once this process has been told to end.
-	shuttingDown bool
+	// Time. All of it is that of the events, in microseconds.
 
-	entries           []Entry
-	base              Snapshot
-	state             *statemachine.State
-	commitIndex       uint64
-	syncedIndex       uint64
-	stagedIndex       uint64
-	snapshotIndex     uint64
-	logBytes          int64
-	compactedLogBytes int64
-
-	nowUs           int64
-	startedUs       int64
-	lastUs          int64
-	helloSentUs     int64
-	heartbeatSentUs int64
-	persistSeq      uint64
-	pendingWrites   map[uint64]*pendingWrite
-	peers           map[string]*peer
-	knownAddrs      map[string]bool
-	founders        []Member
-	// bootstrapPersisted says that the addresses of the founders have been handed to the disk.
-	bootstrapPersisted bool
-	proposal           *proposal
-	maxRound           uint64
-	viewStableUs       int64
+	// nowUs is the time of the event in hand, startedUs that of NewNode.
+	nowUs, startedUs int64
 	// awakeUs is for how long this process has run, but for times when it stood still: of each at most half of SuspectTimeoutUs
 	// counts. Silence is measured by it, as what came meanwhile may be read only after the next tick.
 	awakeUs int64
-	// diskLaggedUs is when the own disk was last behind with a sync.
-	diskLaggedUs  int64
-	pendingAccept *Msg
-	// pendingPrepare is the newest request for a vote that came before this member had compared notes.
-	pendingPrepare *Msg
-	// leaseGuardUs is until when leases may last that were given before this view or by an earlier process of this member.
-	leaseGuardUs int64
-	grantedLease leaseGrant
+
+	// The view and the agreement on the next one, by single-decree Paxos among the voters.
+
+	view View
+	// promisedBallot and acceptedProposal are the acceptor's state; both are on disk before they are told of.
+	promisedBallot   Ballot
+	acceptedProposal *AcceptedProposal
+	// votesRecovered: since its restart this voter has compared ballots and log with a majority, and may vote.
+	votesRecovered bool
+	// proposal is the proposer's state while this node proposes a view; maxRound is the highest round that was seen.
+	proposal *proposal
+	maxRound uint64
+	// pendingPrepare is the newest Prepare that came before votesRecovered; pendingAccept is an Accept that waits for a
+	// lease to end.
+	pendingPrepare, pendingAccept *Msg
 	// undecidedSinceUs is since when a next view that was accepted here waits for somebody to finish it.
 	undecidedSinceUs int64
+	// viewInstalledUs is when the view was installed here, viewStableUs when it was last found to need no change.
+	viewInstalledUs, viewStableUs int64
 
-	succLast       uint64
-	succSent       uint64
-	succCopied     uint64
-	succAtUs       int64
-	succKnown      bool
+	// The log and the state that its committed entries make.
+
+	// base is the index and view that the log goes on from; entries follow it.
+	base    Snapshot
+	entries []Entry
+	state   *statemachine.State
+	// commitIndex, syncedIndex and stagedIndex are the last entries that are committed, synced here, and given to the disk.
+	commitIndex, syncedIndex, stagedIndex uint64
+	// snapshotIndex is that of a snapshot which this joiner has installed; 0 without one.
+	snapshotIndex uint64
+	// logBytes is the size of the log on disk, compactedLogBytes that after the last snapshot.
+	logBytes, compactedLogBytes int64
+	// caughtUp: the log holds all that the predecessor's held as the view began, and so all that was ever acknowledged.
+	caughtUp bool
+	// viewStartIndex is the last entry of the predecessor's log as the view began; it is known once the predecessor has told.
 	viewStartIndex uint64
 	viewStartKnown bool
-	leaseGrants    map[string]int64
-	leaseUntilUs   int64
+	// successorProgress is how far the successor's log is.
+	successorProgress progress
+	// tailCommitIndex is what the tail of this view has told of its commit.
+	tailCommitIndex uint64
+	// initialIndex is the last entry of the log as the view was installed; initialized is Initialized, once it was true.
+	initialIndex uint64
+	initialized  bool
+
+	// The disk.
+
+	// persistSeq numbers the saves, pendingWrites are those that the disk has not reported.
+	persistSeq    uint64
+	pendingWrites map[uint64]*pendingWrite
+	// diskLaggedUs is when the own disk was last behind with a sync.
+	diskLaggedUs int64
+
+	// Leases and the head's confirmation.
+
+	// leaseGrants are until when each voter's lease to this tail holds; leaseUntilUs is until when a majority's do.
+	leaseGrants  map[string]int64
+	leaseUntilUs int64
+	// grantedLease is the newest lease that this voter gave.
+	grantedLease leaseGrant
+	// leaseGuardUs is until when leases may last that were given before this view or by an earlier process of this member.
+	leaseGuardUs int64
 	// leaseReleasedUs is when this process last gave its lease up as the tail.
-	leaseReleasedUs     int64
-	headTimeUs          int64
-	confirmedHeadTimeUs int64
+	leaseReleasedUs int64
+	// headTimeUs is the newest time stamp of the head that came down the chain, confirmedHeadTimeUs the newest that came
+	// back from the tail.
+	headTimeUs, confirmedHeadTimeUs int64
 	// headTimes are the head's time stamps that went by here of late, and confirmedUs is when the one whose echo is the
 	// newest did: the tail had its lease after that.
 	headTimes   []headTime
 	confirmedUs int64
-	// tailCommitIndex is what the tail of this view has told of its commit.
-	tailCommitIndex   uint64
-	viewInstalledUs   int64
-	snapshotOfferedUs int64
-	initialized       bool
-	initialIndex      uint64
-	effects           []Effect
+
+	// Other control nodes.
+
+	peers      map[string]*peer
+	knownAddrs map[string]bool
+	// founders are the members that this node founds a chain with; bootstrapPersisted says that their addresses have been
+	// given to the disk.
+	founders           []Member
+	bootstrapPersisted bool
+	// helloSentUs, heartbeatSentUs and snapshotOfferedUs are when each was last sent.
+	helloSentUs, heartbeatSentUs, snapshotOfferedUs int64
+	// shuttingDown is set once this process has been told to end.
+	shuttingDown bool
+}
+
+// progress is how far this member knows its successor's log to be.
+type progress struct {
+	// known is false until the successor has acknowledged something in this view.
+	known bool
+	// acked is the last entry that the successor has synced, sent the last one that was sent to it.
+	acked, sent uint64
+	// snapshotIndex is that of a snapshot which was sent in place of entries; 0 without one.
+	snapshotIndex uint64
+	// advancedUs is when acked last rose, or something was sent with nothing outstanding.
+	advancedUs int64
 }
 
 // NewNode begins with what the disk holds.
 func NewNode(opts Options, records []Record, nowUs int64) (*Node, error) {
 	n := &Node{
-		opts: opts.withDefaults(), phase: PhaseBootstrap, state: statemachine.NewState(), nowUs: nowUs, startedUs: nowUs, lastUs: nowUs,
+		opts: opts.withDefaults(), phase: PhaseBootstrap, state: statemachine.NewState(), nowUs: nowUs, startedUs: nowUs,
 		pendingWrites: map[uint64]*pendingWrite{}, peers: map[string]*peer{}, knownAddrs: map[string]bool{}, leaseGrants: map[string]int64{},
 	}
 	n.leaseGuardUs = nowUs + n.opts.LeaseDurationUs
--- a/internal/controlplane/chain/paxos.go
+++ b/internal/controlplane/chain/paxos.go
@@ -13,7 +13,7 @@
 			rank = int64(i)
 		}
 	}
-	if n.nowUs-n.undecidedSinceUs > 2*n.opts.SuspectTimeoutUs+rank*250_000 {
+	if n.nowUs-n.undecidedSinceUs > 2*n.opts.SuspectTimeoutUs+rank*proposalDelayUs {
 		n.undecidedSinceUs = n.nowUs
 		n.propose(n.acceptedProposal.View)
 	}
@@ -149,7 +149,7 @@
 	n.guardCarriedLease(v)
 	n.view, n.promisedBallot, n.acceptedProposal, n.proposal, n.pendingAccept = v, Ballot{}, nil, nil, nil
 	n.viewInstalledUs, n.viewStableUs = n.nowUs, n.nowUs
-	n.succKnown, n.succLast, n.succSent, n.succCopied = false, 0, 0, 0
+	n.successorProgress = progress{advancedUs: n.successorProgress.advancedUs}
 	n.viewStartKnown, n.viewStartIndex, n.leaseGrants, n.leaseUntilUs = false, 0, map[string]int64{}, 0
 	n.headTimeUs, n.confirmedHeadTimeUs, n.confirmedUs, n.headTimes, n.tailCommitIndex = 0, 0, 0, nil, 0
 	n.votesRecovered = n.votesRecovered || n.phase != PhaseRestarted
--- a/internal/controlplane/chain/peer.go
+++ b/internal/controlplane/chain/peer.go
@@ -7,7 +7,6 @@
 	lastHelloUs int64
 	// lastHelloAwakeUs is the node's awakeUs when it was heard last.
 	lastHelloAwakeUs int64
-	firstHelloUs     int64
 	// stalledSinceUs is since when its disk stalls, by its hellos.
 	stalledSinceUs int64
 	lastMutualUs   int64
--- a/internal/controlplane/chain/replicate.go
+++ b/internal/controlplane/chain/replicate.go
@@ -87,37 +87,38 @@
 }
 
 func (n *Node) forward(beat bool) {
+	successor := &n.successorProgress
 	next, ok := n.successor()
 	if !ok {
 		return
 	}
 	resendUs := n.opts.ResendTimeoutUs
-	if n.succCopied > n.succLast {
+	if successor.snapshotIndex > successor.acked {
 		resendUs += n.snapshotTransferUs()
 	}
-	if beat && n.succKnown && n.succSent > n.succLast && n.nowUs-n.succAtUs > resendUs {
-		n.succSent = n.succLast
+	if beat && successor.known && successor.sent > successor.acked && n.nowUs-successor.advancedUs > resendUs {
+		successor.sent = successor.acked
 	}
 	f := Forward{View: n.view.Number, LastIndex: n.lastIndex(), HeadTimeUs: n.outgoingHeadTimeUs()}
-	if n.succKnown {
+	if successor.known {
 		switch first := n.firstIndex(); {
-		case n.succSent+1 < first:
+		case successor.sent+1 < first:
 			f.Snapshot = n.currentSnapshot()
 			f.PrevIndex, f.PrevView = f.Snapshot.Index, f.Snapshot.View
-			n.succSent, n.succCopied = f.Snapshot.Index, f.Snapshot.Index
-			n.succAtUs = n.nowUs
-		case n.succSent < n.syncedIndex && n.succSent-n.succLast < uint64(4*n.opts.MaxBatchEntries):
-			f.PrevIndex = n.succSent
-			f.PrevView, _ = n.viewAt(n.succSent)
-			upto := min(n.syncedIndex, n.succSent+uint64(n.opts.MaxBatchEntries))
-			for i := n.succSent + 1; i <= upto; i++ {
+			successor.sent, successor.snapshotIndex = f.Snapshot.Index, f.Snapshot.Index
+			successor.advancedUs = n.nowUs
+		case successor.sent < n.syncedIndex && successor.sent-successor.acked < uint64(4*n.opts.MaxBatchEntries):
+			f.PrevIndex = successor.sent
+			f.PrevView, _ = n.viewAt(successor.sent)
+			upto := min(n.syncedIndex, successor.sent+uint64(n.opts.MaxBatchEntries))
+			for i := successor.sent + 1; i <= upto; i++ {
 				e, _ := n.entryAt(i)
 				f.Entries = append(f.Entries, e)
 			}
-			if n.succSent == n.succLast {
-				n.succAtUs = n.nowUs
+			if successor.sent == successor.acked {
+				successor.advancedUs = n.nowUs
 			}
-			n.succSent = upto
+			successor.sent = upto
 		}
 	}
 	if beat || len(f.Entries) > 0 || f.Snapshot != nil {
@@ -212,14 +213,15 @@
 	if !ok || a.View != n.view.Number || m.From.ID != next.ID || m.Incarnation != next.Incarnation {
 		return
 	}
-	if a.SyncedIndex > n.succLast || !n.succKnown {
-		n.succAtUs = n.nowUs
+	successor := &n.successorProgress
+	if a.SyncedIndex > successor.acked || !successor.known {
+		successor.advancedUs = n.nowUs
 	}
-	if !n.succKnown {
-		n.succSent = a.SyncedIndex
+	if !successor.known {
+		successor.sent = a.SyncedIndex
 	}
-	n.succKnown, n.succLast = true, a.SyncedIndex
-	n.succSent = max(n.succSent, a.SyncedIndex)
+	successor.known, successor.acked = true, a.SyncedIndex
+	successor.sent = max(successor.sent, a.SyncedIndex)
 	n.confirmHeadTime(a.ConfirmedHeadTimeUs)
 	n.tailCommitIndex = max(n.tailCommitIndex, min(a.CommitIndex, n.syncedIndex))
 	if a.CommitIndex > n.commitIndex {
--- a/internal/controlplane/chain/view_change.go
+++ b/internal/controlplane/chain/view_change.go
@@ -83,7 +83,7 @@
 			rank++
 		}
 	}
-	if n.nowUs-n.viewStableUs < rank*250_000 {
+	if n.nowUs-n.viewStableUs < rank*proposalDelayUs {
 		return
 	}
 	n.propose(want)
