--- a/internal/controlplane/controlnode/host.go
+++ b/internal/controlplane/controlnode/host.go
@@ -57,35 +57,52 @@
 	selfAskUs       = 200 * clock.Ms
 )
 
-// Host runs a Core: it gives it events one at a time and carries out its effects on disk, network and clock.
+// Host runs a Core: it gives it events one at a time and carries out its effects on disk, network and clock. Its actor owns
+// the core and all maps; other goroutines hand it functions.
 type Host struct {
-	settings      settings.ControlNode
-	core          *Core
-	disk          disk
-	lock          *storage.DirLock
-	ring          *logring.Ring
-	log           log.Logger
-	replicaClient *http.Client
-	peerClient    *http.Client
+	settings settings.ControlNode
+	core     *Core
+	// fatal takes the error that ends Run.
+	fatal chan error
 
-	act        *actor.Actor
+	// disk takes the saves of saveQueue in order, each again after retryTimer while it refuses; lock keeps other processes
+	// out of the data folder.
+	disk       disk
+	lock       *storage.DirLock
 	saveQueue  *saveQueue
 	retryTimer func() <-chan time.Time
-	outboxes   map[string]chan peering.Message
-	transfers  map[string]*stateTransfer
-	// waiters are the callers that wait for the outcome of a change, by its id.
-	waiters          map[string][]chan wire.Result
+	// rebuilding: this node holds nothing, may found nothing, and ends if it meets no peer in time.
+	rebuilding bool
+
+	// ring keeps the newest log lines, log writes to it.
+	ring *logring.Ring
+	log  log.Logger
+
+	// act owns everything from here to frameStreams.
+	act *actor.Actor
+	// outboxes are the messages that wait for each peer, by its address; transfers the snapshots under way to one.
+	outboxes  map[string]chan peering.Message
+	transfers map[string]*stateTransfer
+	// waiters are the callers that wait for the outcome of a change, by its ID.
+	waiters map[string][]chan wire.Result
+	// leases and acknowledgements are the callers that wait for the answer to a gateway's report or to a replica's
+	// heartbeat, by a number of which lastWaiter was the last given.
 	leases           map[uint64]chan wire.Lease
 	acknowledgements map[uint64]chan bool
 	lastWaiter       uint64
-	newsStreams      map[string]*newsStream
-	rebuilding       bool
-	fatal            chan error
-
-	seeds        atomic.Pointer[[]string]
-	replicas     ReplicaTransport
+	// newsStreams are the streams of updates with leases, by gateway; frameStreams those of frames.
+	newsStreams  map[string]*newsStream
 	frameStreams map[string]*frameStream
-	listeners    []Listener
+
+	// replicaClient speaks to replicas and the platform, peerClient to control nodes.
+	replicaClient *http.Client
+	peerClient    *http.Client
+	// replicas is how the controller reaches replicas.
+	replicas ReplicaTransport
+	// seeds are addresses of control nodes for first contact.
+	seeds atomic.Pointer[[]string]
+	// listeners are those of other interfaces than this one's own; they are fixed once Run begins.
+	listeners []Listener
 }
 
 // Listener is a listener of another interface than this one's own.
@@ -94,10 +111,10 @@
 	Shutdown(ctx context.Context) error
 }
 
-// SetSeeds are other control nodes for first contact, where the ones in the settings have changed.
+// SetSeeds replaces the addresses for first contact, where the ones in the settings have changed.
 func (h *Host) SetSeeds(addrs []string) { h.seeds.Store(&addrs) }
 
-// AddListener adds a door before Run.
+// AddListener adds a listener before Run.
 func (h *Host) AddListener(d Listener) { h.listeners = append(h.listeners, d) }
 
 // Run serves until ctx ends. A disk that refuses or hangs does not end it.
