--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -12,27 +12,36 @@
 	"petreltide/internal/process/clock"
 )
 
-// Core is a control node's whole reducer: the chain, the tail's feed and the head's controller.
+// Core is a control node's reducer: the chain, the distribution to gateways and, at the head, the controller. It is not safe
+// for concurrent use.
 type Core struct {
-	Node               *chain.Node
-	Snapshots          *distribution.UpdatePublisher
-	Controller         *controller.Controller
-	effects            []Effect
-	FailureDetector    *failuredetector.Monitor
-	suspectsReportedUs int64
-	memberDoneUs       int64
-	checked            uint64
-	soft               softState
-	membersUs          int64
-	members            []chain.Member
-	stepUs             int64
-	pausedUs           int64
-	resumedUs          int64
-	// startUs and startIndex are when this incarnation began, and what its log held then: whatever was settled in there was
+	// Node is this control node's part of the chain.
+	Node *chain.Node
+	// Snapshots publishes numbered updates with leases; it is active at the tail alone.
+	Snapshots *distribution.UpdatePublisher
+	// Controller leads where this control node is the head.
+	Controller *controller.Controller
+	// FailureDetector watches the gateways that the ring gives this control node.
+	FailureDetector *failuredetector.Monitor
+	// soft is what is rebuilt after a restart: replicas by heartbeat, frames, verdicts.
+	soft    softState
+	effects []Effect
+
+	// suspectsReportedUs and memberDoneUs are when suspicions were last reported to the head, and when the end of a
+	// membership change was last submitted.
+	suspectsReportedUs, memberDoneUs int64
+	// checked is the view in which the leader last recorded the platform's list: no lease is given in another one.
+	checked uint64
+	// members are the control nodes that gateways may follow, as of membersUs.
+	members   []chain.Member
+	membersUs int64
+	// stepUs is the last event's time; pausedUs and resumedUs are the ends of the last gap in which this process did not run.
+	stepUs, pausedUs, resumedUs int64
+	// startUs and startIndex are when this incarnation began, and what its log held then: whatever is committed in there was
 	// ordered before.
 	startUs    int64
 	startIndex uint64
-	// rejectedUs is when a message that was not read was last told of.
+	// rejectedUs is when a message that was not read was last logged.
 	rejectedUs int64
 }
 
