--- a/internal/api/settings/settings.go
+++ b/internal/api/settings/settings.go
@@ -85,10 +85,10 @@
 // declaration in force as a standing ticket, which a gateway cut off from the core goes on with.
 type Attempts string
 
-// GrantedAttempts want a lease, DeclaredAttempts only a configuration.
+// GrantedAttempts want a lease, LeaselessAttempts only a configuration.
 const (
-	GrantedAttempts  Attempts = "granted"
-	DeclaredAttempts Attempts = "declared"
+	GrantedAttempts   Attempts = "granted"
+	LeaselessAttempts Attempts = "declared"
 )
 
 // RetryBudget bounds the further attempts of all gateways together, for each service: Ratio of its calls plus Slack in
--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -17,8 +17,8 @@
 type Core struct {
 	// Node is this control node's part of the chain.
 	Node *chain.Node
-	// Snapshots publishes numbered updates with leases; it is active at the tail alone.
-	Snapshots *distribution.UpdatePublisher
+	// Updates publishes numbered updates with leases; it is active at the tail alone.
+	Updates *distribution.UpdatePublisher
 	// Controller leads where this control node is the head.
 	Controller *controller.Controller
 	// FailureDetector watches the gateways that the ring gives this control node.
@@ -56,7 +56,7 @@
 // NewCore is a control node around its part of the chain.
 func NewCore(node *chain.Node, opts CoreOptions) *Core {
 	return &Core{
-		Node: node, Snapshots: distribution.NewUpdatePublisher(), Controller: controller.New(node.Self().ID, opts.Controller), FailureDetector: failuredetector.NewMonitor(), soft: newSoftState(opts.UnreachableUs),
+		Node: node, Updates: distribution.NewUpdatePublisher(), Controller: controller.New(node.Self().ID, opts.Controller), FailureDetector: failuredetector.NewMonitor(), soft: newSoftState(opts.UnreachableUs),
 		startUs: node.NowUs(), startIndex: node.LastIndex(),
 	}
 }
@@ -95,8 +95,8 @@
 func (c *Core) stepFleet(nowUs int64, event Event) {
 	switch event := event.(type) {
 	case FollowUpdates:
-		c.Snapshots.SetActive(nowUs, c.Node.TailReady(nowUs))
-		c.Snapshots.Follow(nowUs, *event.Request)
+		c.Updates.SetActive(nowUs, c.Node.TailReady(nowUs))
+		c.Updates.Follow(nowUs, *event.Request)
 	case GatewayReport:
 		c.gatewayReported(nowUs, event)
 	case ReplicaHeartbeat:
@@ -124,12 +124,12 @@
 // publish sends out what the step changed: snapshots and frames to gateways, results to those that wait for them,
 // gossip to the other control nodes.
 func (c *Core) publish(nowUs int64) {
-	c.Snapshots.SetActive(nowUs, c.Node.TailReady(nowUs))
-	for _, p := range c.Snapshots.Updates(c.Node.State(), c.Node.View()) {
+	c.Updates.SetActive(nowUs, c.Node.TailReady(nowUs))
+	for _, p := range c.Updates.Updates(c.Node.State(), c.Node.View()) {
 		push := p
 		c.effects = append(c.effects, PushUpdate{Push: &push})
 	}
-	for _, a := range c.Snapshots.ReleasedResults(nowUs) {
+	for _, a := range c.Updates.ReleasedResults(nowUs) {
 		c.respond(a.Origin, a.Result)
 	}
 	c.gossip(nowUs)
@@ -170,7 +170,7 @@
 		case chain.Applied:
 			c.applied(nowUs, e)
 		case chain.ViewInstalled:
-			c.Snapshots.SetActive(nowUs, c.Node.TailReady(nowUs))
+			c.Updates.SetActive(nowUs, c.Node.TailReady(nowUs))
 			c.effects = append(c.effects, LogMessage{Message: "view", Detail: viewText(e.View)})
 		case chain.MessageRejected:
 			c.rejected(nowUs, e.Fault)
@@ -214,8 +214,8 @@
 		return
 	}
 	if change.Config != nil && a.Outcome.Fault == nil && change.Config.Version == 0 {
-		c.Snapshots.SetActive(nowUs, c.Node.TailReady(nowUs))
-		c.Snapshots.AwaitAcknowledgements(change.Origin, a.Outcome, c.Node.State().UpdateIndex)
+		c.Updates.SetActive(nowUs, c.Node.TailReady(nowUs))
+		c.Updates.AwaitAcknowledgements(change.Origin, a.Outcome, c.Node.State().UpdateIndex)
 		return
 	}
 	c.respond(change.Origin, wire.Result{Outcome: a.Outcome, OnAllGateways: true})
--- a/internal/controlplane/controlnode/gateway_streams.go
+++ b/internal/controlplane/controlnode/gateway_streams.go
@@ -9,12 +9,12 @@
 	"petreltide/internal/process/actor"
 )
 
-type newsStream struct {
+type updateStream struct {
 	latest chan wire.GatewayUpdate
 }
 
-func (h *Host) pushNews(gateway string, news wire.GatewayUpdate) {
-	f := h.newsStreams[gateway]
+func (h *Host) pushUpdate(gateway string, news wire.GatewayUpdate) {
+	f := h.updateStreams[gateway]
 	if f == nil {
 		return
 	}
@@ -35,17 +35,17 @@
 }
 
 func (h *Host) follow(ctx context.Context, f *wire.SubscribeRequest, send func(*wire.GatewayUpdate) error) error {
-	mine := &newsStream{latest: make(chan wire.GatewayUpdate, 1)}
+	mine := &updateStream{latest: make(chan wire.GatewayUpdate, 1)}
 	defer h.act.Tell(func() {
-		if h.newsStreams[f.Gateway] == mine {
-			delete(h.newsStreams, f.Gateway)
+		if h.updateStreams[f.Gateway] == mine {
+			delete(h.updateStreams, f.Gateway)
 		}
 	})
 	view, ran := actor.Ask(ctx, h.act, func() uint64 {
 		if !h.core.Node.TailReady(h.core.Node.NowUs()) {
 			return 0
 		}
-		h.newsStreams[f.Gateway] = mine
+		h.updateStreams[f.Gateway] = mine
 		h.step(FollowUpdates{Request: f})
 		return h.core.Node.View().Number
 	})
@@ -66,7 +66,7 @@
 			}
 		case <-still.C:
 			gone, ran := actor.Ask(ctx, h.act, func() bool {
-				return h.newsStreams[f.Gateway] != mine || !h.core.Node.IsTail() || h.core.Node.View().Number < view
+				return h.updateStreams[f.Gateway] != mine || !h.core.Node.IsTail() || h.core.Node.View().Number < view
 			})
 			if gone || !ran {
 				return fault.New(fault.NotServing, "", "no longer the tail")
--- a/internal/controlplane/controlnode/host.go
+++ b/internal/controlplane/controlnode/host.go
@@ -90,9 +90,9 @@
 	leases           map[uint64]chan wire.Lease
 	acknowledgements map[uint64]chan bool
 	lastWaiter       uint64
-	// newsStreams are the streams of updates with leases, by gateway; frameStreams those of frames.
-	newsStreams  map[string]*newsStream
-	frameStreams map[string]*frameStream
+	// updateStreams are the streams of updates with leases, by gateway; frameStreams those of frames.
+	updateStreams map[string]*updateStream
+	frameStreams  map[string]*frameStream
 
 	// replicaClient speaks to replicas and the platform, peerClient to control nodes.
 	replicaClient *http.Client
@@ -181,7 +181,7 @@
 		case PersistSave:
 			h.saveQueue.put(*effect.Save)
 		case PushUpdate:
-			h.pushNews(effect.Push.Gateway, effect.Push.Update)
+			h.pushUpdate(effect.Push.Gateway, effect.Push.Update)
 		case PushFrame:
 			h.pushFrame(effect.Push.Gateway, effect.Push.Frame)
 		case DeliverResult:
--- a/internal/controlplane/controlnode/open.go
+++ b/internal/controlplane/controlnode/open.go
@@ -93,7 +93,7 @@
 		replicaClient: rpc.Client(500, set.Listen), peerClient: rpc.NodeClient(peerDialTimeoutMs, set.Listen),
 		act: actor.New(mailboxCapacity), saveQueue: newSaveQueue(), retryTimer: func() <-chan time.Time { return time.After(diskRetryInterval) },
 		outboxes: map[string]chan peering.Message{}, transfers: map[string]*stateTransfer{}, waiters: map[string][]chan wire.Result{}, leases: map[uint64]chan wire.Lease{}, acknowledgements: map[uint64]chan bool{},
-		newsStreams: map[string]*newsStream{}, rebuilding: opened.Created && founding == 0 && len(set.Founders) == 0, fatal: make(chan error, 1),
+		updateStreams: map[string]*updateStream{}, rebuilding: opened.Created && founding == 0 && len(set.Founders) == 0, fatal: make(chan error, 1),
 		frameStreams: map[string]*frameStream{},
 	}
 	h.replicas = &declaredReplicas{h}
--- a/internal/controlplane/controlnode/status.go
+++ b/internal/controlplane/controlnode/status.go
@@ -63,7 +63,7 @@
 	st := Status{
 		ControlNode: c.Node.Self(), Phase: c.Node.Phase(), View: c.Node.View(), Open: c.Node.TailReady(nowUs), WaitingFor: c.Node.WaitReason(),
 		Commit: c.Node.CommitIndex(), Last: c.Node.LastIndex(), Epoch: s.Epoch, LeaseHolder: s.Leader, IsLeader: c.Controller.IsLeader(s),
-		Revision: s.Revision, Peers: c.Node.Peers(), Gateways: c.Snapshots.Gateways(nowUs), Demand: c.Controller.Gateways(nowUs),
+		Revision: s.Revision, Peers: c.Node.Peers(), Gateways: c.Updates.Gateways(nowUs), Demand: c.Controller.Gateways(nowUs),
 		Counts: c.Controller.Counts(), Policy: c.Controller.PolicyStatus(), Shadows: c.Controller.ShadowStatuses(),
 		Faults: copyOf(c.Controller.Faults), Refused: copyOf(s.RefusalCounts), Keys: len(s.Keys), Member: s.Membership, MemberWaitingFor: c.Node.MemberChangeWaitReason(), Grants: len(s.Grants), Loads: s.TotalLoads, LoadedMb: s.TotalLoadedMB,
 		Pending: []statemachine.ReplicaCommand{}, Replicas: []statemachine.Replica{}, Fleet: c.fleetStatus(nowUs), Outliers: c.soft.Outliers.Rows,
--- a/internal/controlplane/storage/codec.go
+++ b/internal/controlplane/storage/codec.go
@@ -17,15 +17,15 @@
 
 const checksumBytes = 4
 
-// Frame puts a checksum before a payload.
-func Frame(payload []byte) []byte {
+// EncodeRecord puts a checksum before a payload.
+func EncodeRecord(payload []byte) []byte {
 	framed := make([]byte, checksumBytes, checksumBytes+len(payload))
 	binary.LittleEndian.PutUint32(framed, crc32.Checksum(payload, castagnoli))
 	return append(framed, payload...)
 }
 
-// Unframe is the payload of a frame, or the fault that its checksum shows.
-func Unframe(framed []byte) ([]byte, *fault.Fault) {
+// DecodeRecord is the payload of a frame, or the fault that its checksum shows.
+func DecodeRecord(framed []byte) ([]byte, *fault.Fault) {
 	if len(framed) < checksumBytes {
 		return nil, fault.New(fault.DamagedData, "", "a record of %d bytes has no checksum", len(framed))
 	}
@@ -95,7 +95,7 @@
 
 // decodeSnapshot reads a copy as it lies on the disk.
 func decodeSnapshot(framed []byte) (*storedSnapshot, *fault.Fault) {
-	payload, bad := Unframe(framed)
+	payload, bad := DecodeRecord(framed)
 	if bad != nil {
 		return nil, bad
 	}
--- a/internal/controlplane/storage/codec_test.go
+++ b/internal/controlplane/storage/codec_test.go
@@ -91,7 +91,7 @@
 	if err := zip.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(dir, logDir, snapshotName), Frame(buf.Bytes()), 0o640); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, logDir, snapshotName), EncodeRecord(buf.Bytes()), 0o640); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/controlplane/storage/storage_test.go
+++ b/internal/controlplane/storage/storage_test.go
@@ -251,11 +251,11 @@
 }
 
 func FuzzUnframe(f *testing.F) {
-	f.Add(Frame([]byte("hello")))
+	f.Add(EncodeRecord([]byte("hello")))
 	f.Add([]byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		payload, bad := Unframe(raw)
-		if bad == nil && string(Frame(payload)) != string(raw) {
+		payload, bad := DecodeRecord(raw)
+		if bad == nil && string(EncodeRecord(payload)) != string(raw) {
 			t.Fatal("a frame was taken that its payload would not give")
 		}
 	})
@@ -264,7 +264,7 @@
 func FuzzIntact(f *testing.F) {
 	whole := []byte{}
 	for i := 0; i < 3; i++ {
-		framed := Frame([]byte("record"))
+		framed := EncodeRecord([]byte("record"))
 		whole = binary.AppendUvarint(whole, uint64(len(framed)))
 		whole = append(whole, framed...)
 	}
--- a/internal/controlplane/storage/wal.go
+++ b/internal/controlplane/storage/wal.go
@@ -92,7 +92,7 @@
 			if !ok {
 				return 0, fault.New(fault.DamagedData, w.dir, "record %d is cut short", w.nextIndex)
 			}
-			payload, bad := Unframe(framed)
+			payload, bad := DecodeRecord(framed)
 			if bad != nil {
 				return 0, fault.New(fault.DamagedData, w.dir, "record %d: %s", w.nextIndex, bad.Detail)
 			}
@@ -127,7 +127,7 @@
 			return err
 		}
 	}
-	framed := Frame(payload)
+	framed := EncodeRecord(payload)
 	raw := append(binary.AppendUvarint(make([]byte, 0, len(framed)+binary.MaxVarintLen64), uint64(len(framed))), framed...)
 	if err := writeAll(w.tailFile, raw); err != nil {
 		w.closeTail()
@@ -317,7 +317,7 @@
 		if !ok {
 			break
 		}
-		if _, bad := Unframe(framed); bad != nil && (len(rest) == 0 || allZero(raw[end:])) {
+		if _, bad := DecodeRecord(framed); bad != nil && (len(rest) == 0 || allZero(raw[end:])) {
 			break
 		}
 		end = len(raw) - len(rest)
--- a/internal/dataplane/gateway/host.go
+++ b/internal/dataplane/gateway/host.go
@@ -138,7 +138,7 @@
 	}
 	opts := controlclient.Options{Gateway: set.Name, Incarnation: incarnation, Addr: set.Advertise, Zone: set.Zone, Seeds: set.Seeds}
 	h.subscriber = controlclient.New(opts)
-	if set.Attempts == settings.DeclaredAttempts {
+	if set.Attempts == settings.LeaselessAttempts {
 		h.informer = controlclient.NewInformer(opts)
 	}
 	return h
--- a/tests/golden/words_test.go
+++ b/tests/golden/words_test.go
@@ -123,5 +123,5 @@
 	{"command", string(settings.OperatorMembership)},
 	{"self", string(settings.AutomaticMembership)},
 	{"granted", string(settings.GrantedAttempts)},
-	{"declared", string(settings.DeclaredAttempts)},
+	{"declared", string(settings.LeaselessAttempts)},
 }
