--- a/internal/api/settings/settings.go
+++ b/internal/api/settings/settings.go
@@ -27,7 +27,7 @@
 	Platform     string   `json:"platform"`
 	FoundingSize int      `json:"founding" validate:"min=0,max=7"`
 
-	// Founders are the control nodes that begin a new chain together, by address; in place of Founding.
+	// Founders are the control nodes that begin a new chain together, by address; in place of FoundingSize.
 	Founders []string `json:"founders,omitempty" validate:"max=7"`
 	// MinReplicas is how many synced copies an acknowledgement needs.
 	MinReplicas int `json:"copiesLeast,omitempty" validate:"min=0,max=7"`
@@ -51,7 +51,7 @@
 
 // Outlier bounds the verdicts on replicas by what became of their attempts; what is left out is as usual.
 // MaxEjectedShare of a service's replicas may be kept off at once; FalsePositiveMs is the time in which a sound one may be
-// suspected once; EjectionMs is its first time out, which doubles up to MaxEjectionMs. Off only counts.
+// suspected once; EjectionMs is its first time out, which doubles up to MaxEjectionMs. CountOnly counts and ejects nobody.
 type Outlier struct {
 	MaxEjectedShare float64 `json:"mostShare,omitempty" validate:"min=0,max=1"`
 	FalsePositiveMs int64   `json:"falseMs,omitempty" validate:"min=0,max=86400000"`
@@ -81,8 +81,8 @@
 	AutomaticMembership Membership = "self"
 )
 
-// Attempts says by which ticket a gateway sends: numbers that the controller granted under a lease, or the
-// declaration in force as a standing ticket, which a gateway cut off from the core goes on with.
+// Attempts says what a gateway needs in order to send: attempt numbers that the controller granted under a lease (the
+// declared platform), or nothing but the configuration in force, with which a gateway that is cut off goes on (the routed one).
 type Attempts string
 
 // GrantedAttempts want a lease, LeaselessAttempts only a configuration.
@@ -99,8 +99,8 @@
 	WindowMs int64   `json:"windowMs,omitempty" validate:"min=0,max=3600000"`
 }
 
-// FirstTokenTimeout is how long callers of streaming routes wait for a first piece: the longest of MinMs, Aims times
-// the route's aim and Gaps times its longest gap.
+// FirstTokenTimeout is how long callers of streaming routes wait for the first token: the longest of MinMs, LatencyTargets
+// times the route's latency target and TokenGaps times its longest gap between tokens.
 type FirstTokenTimeout struct {
 	MinMs          int64 `json:"leastMs,omitempty" validate:"min=0,max=3600000"`
 	LatencyTargets int64 `json:"aims,omitempty" validate:"min=0,max=1000"`
--- a/internal/controlplane/controlnode/membership.go
+++ b/internal/controlplane/controlnode/membership.go
@@ -18,7 +18,7 @@
 	return c.Node.ResolveMemberChange(m, evenAlive)
 }
 
-// control nodes are those that gateways may follow: the ones that are heard. A control node that is behind names all members of its
+// reachableMembers are the control nodes that gateways may follow: those that are heard. A control node that is behind names all members of its
 // view as well, since the ones that it does not hear may be current.
 func (c *Core) reachableMembers(nowUs int64) []chain.Member {
 	all := []chain.Member{c.Node.Self()}
--- a/internal/controlplane/controlnode/submit.go
+++ b/internal/controlplane/controlnode/submit.go
@@ -63,8 +63,8 @@
 	h.waiters[id] = left
 }
 
-// Configure carries an operator's numbered version to the chain. The same mark is the same order, and is
-// answered as it was the first time; no result means that it may yet be taken.
+// Configure carries an operator's numbered version to the chain. The mark is its idempotency token: the same one
+// is answered as it was the first time; no result means that it may yet be applied.
 func (h *Host) Configure(ctx context.Context, mark string, c statemachine.ConfigChange) (statemachine.Outcome, bool) {
 	id := "op-" + mark
 	if out, seen := h.outcome(ctx, id); seen {
--- a/internal/controlplane/storage/wal.go
+++ b/internal/controlplane/storage/wal.go
@@ -65,7 +65,7 @@
 
 // load reads the records that are there and says how many bytes of a torn last one are not among them.
 // It changes nothing: a process that was killed may have left records and names without a sync, and they last only
-// once mend has returned.
+// once repair has returned.
 func (w *wal) load(each func(payload []byte) error) (cut int, err error) {
 	firsts, err := w.segmentStarts()
 	if err != nil {
--- a/internal/dataplane/controlclient/merge.go
+++ b/internal/dataplane/controlclient/merge.go
@@ -7,7 +7,7 @@
 	"petreltide/internal/api/wire"
 )
 
-// whole are the sources that have told all they know; without any, the last one that had.
+// completeSources are the sources that have sent a complete frame; without any, the last one that had.
 func (i *Informer) completeSources() []*source {
 	sources := []*source{}
 	for _, n := range slices.Sorted(maps.Keys(i.sources)) {
--- a/internal/dataplane/gateway/host.go
+++ b/internal/dataplane/gateway/host.go
@@ -224,7 +224,7 @@
 	}
 }
 
-// tick also notes when this process woke after a gap: its lease has run out by itself.
+// tick also logs when this process woke after a gap; a lease, if it holds one, has run out by itself.
 func (h *Host) tick() {
 	nowUs := clock.NowUs()
 	if h.lastTickUs > 0 && nowUs-h.lastTickUs > maxTickGapUs {
--- a/internal/dataplane/scheduling/events.go
+++ b/internal/dataplane/scheduling/events.go
@@ -28,7 +28,8 @@
 // attempts. A lease is never shortened.
 type LeaseExtended struct{ UntilUs int64 }
 
-// DrainStarted begins a graceful shutdown: calls that come from then on are refused, queued ones go on.
+// DrainStarted begins a graceful shutdown: readiness fails, queued calls go on, and a new call is served only if a replica
+// can take it at once (routed), or refused (declared).
 type DrainStarted struct{}
 
 // DrainEnded ends it: what is still queued is refused, as nobody will be here to answer it.
--- a/internal/dataplane/scheduling/retry_decisions.go
+++ b/internal/dataplane/scheduling/retry_decisions.go
@@ -90,7 +90,7 @@
 type ClientResponse uint8
 
 const (
-	// RespondRejected promises that the request has not run, if no earlier attempt of it may have; otherwise it is Fail.
+	// RespondRejected promises that the request has not run, if no earlier attempt of it may have; otherwise it is RespondFailed.
 	RespondRejected ClientResponse = iota
 	// RespondFailed is a failure that promises nothing, or a cut where an answer has begun.
 	RespondFailed
@@ -171,7 +171,7 @@
 // Decide looks up what follows from an observation.
 func Decide(k RequestKind, seen Observation) RetryDecision { return retryDecisions[seen][k] }
 
-// retryByOutcome is the same table by how an attempt counts. All observations that count alike agree in Again and Ran, but
+// retryByOutcome is the same table by how an attempt counts. All observations that count alike agree in Retry and MayHaveRun, but
 // for a failure: it counts as broken only where it is held back.
 var retryByOutcome = indexByOutcome()
 
--- a/internal/dataplane/scheduling/routed.go
+++ b/internal/dataplane/scheduling/routed.go
@@ -15,7 +15,7 @@
 	Tokens int64
 }
 
-// RoutedCall is what a call by route brings beside what every call has. Prompt and Out are tokens.
+// RoutedCall is what a call by route brings beside what every call has. PromptTokens and MaxOutputTokens are counts of tokens.
 type RoutedCall struct {
 	Route           *configuration.Route
 	Service         string
--- a/internal/dataplane/scheduling/selection.go
+++ b/internal/dataplane/scheduling/selection.go
@@ -16,7 +16,7 @@
 	return x ^ x>>33
 }
 
-// takes says whether a replica may get a new attempt of this call by the newest word of it.
+// acceptsRouted reports whether a replica may get a new attempt for this model and adapter by its newest status.
 func (s *Snapshot) acceptsRouted(r *wire.ReplicaUpdate, model, adapter string) bool {
 	if r.Draining || r.Unreachable {
 		return false
--- a/internal/dataplane/scheduling/snapshot.go
+++ b/internal/dataplane/scheduling/snapshot.go
@@ -9,7 +9,7 @@
 	"petreltide/internal/outlier"
 )
 
-// Snapshot is what the newest news said; it is swapped whole and never changed.
+// Snapshot is what the newest update said; it is swapped as a whole and never changed.
 type Snapshot struct {
 	Number      uint64
 	View        uint64
@@ -45,7 +45,7 @@
 	return s
 }
 
-// Accepts says whether a replica may get a new attempt for this model and adapter under the newest news.
+// Accepts says whether a replica may get a new attempt for this model and adapter under the newest update.
 func (s *Snapshot) Accepts(replica, incarnation, model, adapter string) bool {
 	r := s.Replicas[replica]
 	if r == nil || r.Incarnation != incarnation || r.Draining || r.Unreachable || s.Declaration == nil || s.Declaration.IsDrained(r.Zone) {
