--- a/cmd/petreltide/member.go
+++ b/cmd/petreltide/member.go
@@ -82,7 +82,7 @@
 	fmt.Fprintf(out, "view %d, seen by %s\n", st.View.Number, st.ControlNode.ID)
 	states := map[string]string{st.ControlNode.ID: fmt.Sprintf("%s, log up to %d", st.Phase, st.Last)}
 	for _, p := range st.Peers {
-		states[p.Member.ID] = fmt.Sprintf("%s, log up to %d, heard %d ms ago", p.Phase, p.Last, p.LastHelloAgoMs)
+		states[p.Member.ID] = fmt.Sprintf("%s, log up to %d, heard %d ms ago", p.Phase, p.LastIndex, p.LastHelloAgoMs)
 	}
 	for _, v := range st.View.Voters {
 		position := "no seat"
--- a/internal/controlplane/chain/auto_membership_test.go
+++ b/internal/controlplane/chain/auto_membership_test.go
@@ -312,7 +312,7 @@
 		}
 	}
 	for _, s := range tc.members {
-		if s.node != nil && s.node.TailReady(tc.nowUs) {
+		if s.node != nil && s.node.IsTailReady(tc.nowUs) {
 			open = append(open, s.me.ID)
 			if s.node.CommitIndex() < tc.lastAcked {
 				tc.broken = fmt.Sprintf("%s is open at %d, %d was acknowledged", s.me.ID, s.node.CommitIndex(), tc.lastAcked)
--- a/internal/controlplane/chain/bootstrap.go
+++ b/internal/controlplane/chain/bootstrap.go
@@ -30,7 +30,7 @@
 		if p.hello.Phase != PhaseBootstrap || p.hello.View.Number > 0 {
 			return
 		}
-		if n.Alive(id) && (len(n.opts.BootstrapAddrs) == 0 || slices.Contains(n.opts.BootstrapAddrs, p.hello.Member.Addr)) {
+		if n.IsAlive(id) && (len(n.opts.BootstrapAddrs) == 0 || slices.Contains(n.opts.BootstrapAddrs, p.hello.Member.Addr)) {
 			founders = append(founders, p.hello.Member)
 		}
 	}
--- a/internal/controlplane/chain/durable_test.go
+++ b/internal/controlplane/chain/durable_test.go
@@ -32,7 +32,7 @@
 		for endUs := y.nowUs + 6*clock.Sec; y.nowUs < endUs && len(head.node.view.Replicas) < 2 || !lone && y.nowUs < endUs; y.advance(25 * clock.Ms) {
 			if len(head.node.view.Replicas) == 1 && head.node.commitIndex >= index {
 				lone = true
-				if head.node.Durable(index) {
+				if head.node.IsDurable(index) {
 					t.Fatalf("seed %d: a write on one disk counts as kept", seed)
 				}
 			}
@@ -43,8 +43,8 @@
 		clear(y.cuts)
 		y.requireSettled(40*clock.Sec, "healed")
 		for _, s := range y.members {
-			if _, seen := s.node.state.Outcomes[id]; !seen || !s.node.Durable(index) {
-				t.Fatalf("seed %d: %s has it %v, kept %v", seed, s.me.ID, seen, s.node.Durable(index))
+			if _, seen := s.node.state.Outcomes[id]; !seen || !s.node.IsDurable(index) {
+				t.Fatalf("seed %d: %s has it %v, kept %v", seed, s.me.ID, seen, s.node.IsDurable(index))
 			}
 		}
 	}
--- a/internal/controlplane/chain/explore_test.go
+++ b/internal/controlplane/chain/explore_test.go
@@ -344,7 +344,7 @@
 		}
 	}
 	for _, p := range sc.members {
-		if p.node != nil && p.node.TailReady(sc.nowUs) {
+		if p.node != nil && p.node.IsTailReady(sc.nowUs) {
 			open = append(open, p.me.ID)
 			if p.node.CommitIndex() < most {
 				sc.broken = fmt.Sprintf("%s is open at %d, %d was acknowledged", p.me.ID, p.node.CommitIndex(), most)
--- a/internal/controlplane/chain/head_time_test.go
+++ b/internal/controlplane/chain/head_time_test.go
@@ -38,7 +38,7 @@
 			y.advance(clock.Sec)
 			all := byPlace(y)
 			struck, next := all[place], all[place+1]
-			if !struck.node.UpToDate(y.nowUs) {
+			if !struck.node.IsUpToDate(y.nowUs) {
 				t.Fatalf("seed %d: in contact, place %d is not current", seed, place)
 			}
 			held := y.holdAcks(next, struck, 400*clock.Ms)
@@ -46,12 +46,12 @@
 				y.apart([]*testMember{struck}, []*testMember{s})
 			}
 			y.advance(3 * clock.Sec)
-			if struck.node.UpToDate(y.nowUs) || len(held) < 2 {
+			if struck.node.IsUpToDate(y.nowUs) || len(held) < 2 {
 				t.Fatalf("seed %d: cut off, place %d is current; %d messages are held", seed, place, len(held))
 			}
 			for _, l := range held {
 				y.step(struck, MessageReceived{Msg: &l.msg})
-				if struck.node.UpToDate(y.nowUs) {
+				if struck.node.IsUpToDate(y.nowUs) {
 					t.Fatalf("seed %d: an echo of %d ms ago makes place %d current", seed, (y.nowUs-l.atUs)/clock.Ms, place)
 				}
 			}
@@ -59,7 +59,7 @@
 			y.requireSettled(20*clock.Sec, "back in contact")
 			y.advance(clock.Sec)
 			for _, s := range y.members {
-				if !s.node.UpToDate(y.nowUs) {
+				if !s.node.IsUpToDate(y.nowUs) {
 					t.Errorf("seed %d: back in contact, %s is not current", seed, s.me.ID)
 				}
 			}
@@ -76,7 +76,7 @@
 			n, next := all[place].node, all[place+1]
 			n.confirmedHeadTimeUs, n.confirmedUs = 0, 0
 			y.step(all[place], MessageReceived{Msg: &Msg{From: next.me, Incarnation: next.opts.Incarnation, Ack: &Ack{View: n.view.Number, SyncedIndex: n.LastIndex(), ConfirmedHeadTimeUs: y.nowUs + us}}})
-			if n.confirmedHeadTimeUs != 0 || n.UpToDate(y.nowUs) || n.HeadConfirmed(y.nowUs) {
+			if n.confirmedHeadTimeUs != 0 || n.IsUpToDate(y.nowUs) || n.IsHeadConfirmed(y.nowUs) {
 				t.Errorf("an echo of %d from now is taken at place %d", us, place)
 			}
 		}
@@ -85,7 +85,7 @@
 		for _, s := range all {
 			y.step(all[2], MessageReceived{Msg: &Msg{From: s.me, Incarnation: s.opts.Incarnation, Lease: &Lease{View: tail.view.Number, SentUs: y.nowUs + us, Granted: true}}})
 		}
-		if tail.TailReady(y.nowUs) {
+		if tail.IsTailReady(y.nowUs) {
 			t.Errorf("a lease asked for %d from now is taken", us)
 		}
 	}
--- a/internal/controlplane/chain/hello.go
+++ b/internal/controlplane/chain/hello.go
@@ -30,7 +30,7 @@
 		Start: n.startNumber,
 	}
 	for _, id := range n.peerIDs() {
-		if n.Alive(id) {
+		if n.IsAlive(id) {
 			h.AlivePeers = append(h.AlivePeers, id)
 		}
 	}
@@ -50,7 +50,7 @@
 		reached[all[id].Addr] = true
 		told := h
 		told.KnownStarts = n.startsToTell(n.peers[id])
-		if p := n.peers[id]; p != nil && n.Alive(id) && p.hello.View.Number == n.view.Number {
+		if p := n.peers[id]; p != nil && n.IsAlive(id) && p.hello.View.Number == n.view.Number {
 			told.View = View{Number: n.view.Number, System: n.view.System}
 		}
 		n.send(all[id], Msg{Hello: &told})
@@ -138,7 +138,7 @@
 			continue
 		}
 		wanted++
-		if n.Alive(v.ID) && n.hasRecordedStart(n.peers[v.ID].hello) {
+		if n.IsAlive(v.ID) && n.hasRecordedStart(n.peers[v.ID].hello) {
 			heard++
 		}
 	}
--- a/internal/controlplane/chain/join.go
+++ b/internal/controlplane/chain/join.go
@@ -8,7 +8,7 @@
 	}
 	for _, id := range n.peerIDs() {
 		p := n.peers[id]
-		if n.view.HasReplica(id) || !n.Alive(id) || p.hello.Stalled || p.hello.ShuttingDown || p.hello.View.Number != n.view.Number {
+		if n.view.HasReplica(id) || !n.IsAlive(id) || p.hello.Stalled || p.hello.ShuttingDown || p.hello.View.Number != n.view.Number {
 			continue
 		}
 		if p.hello.Phase != PhaseStandby && p.hello.Phase != PhaseRestarted {
@@ -108,7 +108,7 @@
 			continue
 		}
 		if !n.memberShuttingDown(v.ID) && n.aliveWithin(v.ID, 3*n.opts.SuspectTimeoutUs) {
-			waits = waits || !n.Alive(v.ID)
+			waits = waits || !n.IsAlive(v.ID)
 			continue
 		}
 		voters := append([]Member(nil), n.view.Voters...)
@@ -140,12 +140,12 @@
 
 // offerSnapshot is the tail's: it has applied everything that was ever acknowledged.
 func (n *Node) offerSnapshot() {
-	if !n.TailReady(n.nowUs) || n.nowUs-n.snapshotOfferedUs < 2*n.opts.HelloIntervalUs+n.snapshotTransferUs() {
+	if !n.IsTailReady(n.nowUs) || n.nowUs-n.snapshotOfferedUs < 2*n.opts.HelloIntervalUs+n.snapshotTransferUs() {
 		return
 	}
 	for _, id := range n.peerIDs() {
 		p := n.peers[id]
-		if n.view.HasReplica(id) || !n.Alive(id) || p.hello.Phase == PhaseServing || p.hello.Stalled || p.hello.ShuttingDown {
+		if n.view.HasReplica(id) || !n.IsAlive(id) || p.hello.Phase == PhaseServing || p.hello.Stalled || p.hello.ShuttingDown {
 			continue
 		}
 		seated := n.canJoin(p.hello.Member)
--- a/internal/controlplane/chain/lease.go
+++ b/internal/controlplane/chain/lease.go
@@ -86,7 +86,7 @@
 func (n *Node) isReplaceable() bool {
 	heard := 0
 	for _, v := range n.view.Voters {
-		if v.ID != n.opts.Self.ID && n.Alive(v.ID) {
+		if v.ID != n.opts.Self.ID && n.IsAlive(v.ID) {
 			heard++
 		}
 	}
@@ -94,7 +94,7 @@
 		return false
 	}
 	for _, s := range n.view.Replicas {
-		if s.ID != n.opts.Self.ID && n.Alive(s.ID) && n.isHealthy(s) && n.isCaughtUp(s) {
+		if s.ID != n.opts.Self.ID && n.IsAlive(s.ID) && n.isHealthy(s) && n.isCaughtUp(s) {
 			return true
 		}
 	}
--- a/internal/controlplane/chain/lease_release_test.go
+++ b/internal/controlplane/chain/lease_release_test.go
@@ -78,7 +78,7 @@
 	y.refuse(tail)
 	for endUs := y.nowUs + 3*clock.Sec; y.nowUs < endUs; {
 		y.advance(yardStepUs)
-		if !tail.node.TailReady(y.nowUs) {
+		if !tail.node.IsTailReady(y.nowUs) {
 			t.Fatalf("it is not open: waits for %q", tail.node.WaitReason())
 		}
 	}
--- a/internal/controlplane/chain/node.go
+++ b/internal/controlplane/chain/node.go
@@ -181,7 +181,7 @@
 	n.syncedIndex, n.stagedIndex = n.lastIndex(), n.lastIndex()
 	n.maxRound = n.promisedBallot.Round
 	n.persistSeq = OpeningPersistSeq
-	if n.opts.Unsynced {
+	if n.opts.UnsyncedLog {
 		n.pendingWrites[OpeningPersistSeq] = &pendingWrite{startedUs: nowUs, entryIndex: n.lastIndex(), refused: true}
 		n.syncedIndex = 0
 	}
@@ -223,7 +223,7 @@
 		n.becomeShuttingDown()
 	}
 	n.persistEntries()
-	n.initialized = n.Initialized()
+	n.initialized = n.IsInitialized()
 	return n.effects
 }
 
--- a/internal/controlplane/chain/options.go
+++ b/internal/controlplane/chain/options.go
@@ -16,9 +16,9 @@
 	FirstStart bool
 	// AutoMembership lets the control nodes take in and drop each other without an operator's order.
 	AutoMembership bool
-	// Unsynced says that the disk has refused to sync the records that it gave back: they count as synced only once
+	// UnsyncedLog says that the disk has refused to sync the records that it gave back: they count as synced only once
 	// save OpeningPersistSeq is reported.
-	Unsynced bool
+	UnsyncedLog bool
 	// MinReplicas is how many synced replicas of an entry an acknowledgement needs; two at least where there are two voters.
 	MinReplicas int
 	// MinZones is in how many zones they must lie, as far as there are voters in so many.
--- a/internal/controlplane/chain/quorum.go
+++ b/internal/controlplane/chain/quorum.go
@@ -13,14 +13,14 @@
 	})
 }
 
-// UpToDate says whether what this control node knows as committed was the newest a moment ago: it has its seat, and a time
+// IsUpToDate says whether what this control node knows as committed was the newest a moment ago: it has its seat, and a time
 // stamp of the head that went by here a moment ago has gone on to a tail with its lease and has come back.
-func (n *Node) UpToDate(nowUs int64) bool {
+func (n *Node) IsUpToDate(nowUs int64) bool {
 	switch {
 	case !n.serving() || !n.caughtUp:
 		return false
 	case n.IsTail():
-		return n.TailReady(nowUs)
+		return n.IsTailReady(nowUs)
 	}
 	return n.confirmedUs > 0 && nowUs-n.confirmedUs < n.confirmationWindowUs()
 }
--- a/internal/controlplane/chain/restart.go
+++ b/internal/controlplane/chain/restart.go
@@ -19,7 +19,7 @@
 	}
 	for _, id := range n.peerIDs() {
 		p := n.peers[id]
-		if !n.Alive(id) {
+		if !n.IsAlive(id) {
 			continue
 		}
 		if p.hello.Phase == PhaseServing && p.hello.CaughtUp {
--- a/internal/controlplane/chain/restart_test.go
+++ b/internal/controlplane/chain/restart_test.go
@@ -86,7 +86,7 @@
 			stale := 0
 			for endUs := y.nowUs + 4*clock.Sec; y.nowUs < endUs; y.advance(yardStepUs) {
 				for _, s := range y.members {
-					if s.node.IsHead() && !s.node.HeadConfirmed(y.nowUs) {
+					if s.node.IsHead() && !s.node.IsHeadConfirmed(y.nowUs) {
 						stale++
 					}
 				}
--- a/internal/controlplane/chain/shutdown.go
+++ b/internal/controlplane/chain/shutdown.go
@@ -81,7 +81,7 @@
 		switch {
 		case p != nil && p.hello.View.Number >= n.view.Number:
 			know++
-		case n.Alive(v.ID):
+		case n.IsAlive(v.ID):
 			return false
 		}
 	}
@@ -109,7 +109,7 @@
 		return true
 	}
 	for _, id := range n.peerIDs() {
-		if n.Alive(id) && !n.view.IsVoter(id) && !n.memberShuttingDown(id) {
+		if n.IsAlive(id) && !n.view.IsVoter(id) && !n.memberShuttingDown(id) {
 			return true
 		}
 	}
--- a/internal/controlplane/chain/start_test.go
+++ b/internal/controlplane/chain/start_test.go
@@ -178,7 +178,7 @@
 		}
 		older, newer := sc.members[original].node, sc.members[copied].node
 		switch {
-		case older.phase != PhaseFenced || older.TailReady(sc.nowUs) || older.IsHead():
+		case older.phase != PhaseFenced || older.IsTailReady(sc.nowUs) || older.IsHead():
 			t.Errorf("%s: the older process is %s", role, older.phase)
 		case newer.phase != PhaseServing:
 			t.Errorf("%s: the newer process is %s and waits for %q", role, newer.phase, newer.WaitReason())
--- a/internal/controlplane/chain/status.go
+++ b/internal/controlplane/chain/status.go
@@ -19,18 +19,18 @@
 // IsTail says that this process has the last seat.
 func (n *Node) IsTail() bool { return n.serving() && n.position() == len(n.view.Replicas)-1 }
 
-// TailReady says whether this control node may answer as the tail at this moment.
-func (n *Node) TailReady(nowUs int64) bool {
+// IsTailReady says whether this control node may answer as the tail at this moment.
+func (n *Node) IsTailReady(nowUs int64) bool {
 	return n.IsTail() && n.viewStartKnown && n.commitIndex >= n.viewStartIndex && nowUs < n.leaseUntilUs
 }
 
-// HeadConfirmed says that this process is the head and the chain has answered it lately; only such a head gives orders.
-func (n *Node) HeadConfirmed(nowUs int64) bool {
+// IsHeadConfirmed says that this process is the head and the chain has answered it lately; only such a head gives orders.
+func (n *Node) IsHeadConfirmed(nowUs int64) bool {
 	if !n.IsHead() {
 		return false
 	}
 	if n.IsTail() {
-		return n.TailReady(nowUs)
+		return n.IsTailReady(nowUs)
 	}
 	return n.confirmedHeadTimeUs > 0 && nowUs < n.confirmedHeadTimeUs+n.opts.LeaseDurationUs-n.opts.LeaseMarginUs
 }
@@ -56,9 +56,9 @@
 // Incarnation names this process among those of its member.
 func (n *Node) Incarnation() string { return n.opts.Incarnation }
 
-// Initialized says that the state of this control node is the chain's: it has had a seat in this incarnation and holds
+// IsInitialized says that the state of this control node is the chain's: it has had a seat in this incarnation and holds
 // all that was committed before it.
-func (n *Node) Initialized() bool {
+func (n *Node) IsInitialized() bool {
 	if n.initialized {
 		return true
 	}
@@ -99,9 +99,9 @@
 
 func (n *Node) minReplicas() int { return max(n.opts.MinReplicas, min(2, len(n.view.Voters))) }
 
-// Durable says that every member of a view that takes writes has synced all up to an index: what was committed in
+// IsDurable says that every member of a view that takes writes has synced all up to an index: what was committed in
 // a view of too few is applied, and must not be acknowledged before.
-func (n *Node) Durable(index uint64) bool { return index <= n.durableIndex() }
+func (n *Node) IsDurable(index uint64) bool { return index <= n.durableIndex() }
 
 func (n *Node) durableIndex() uint64 {
 	switch {
@@ -113,8 +113,8 @@
 	return n.tailCommitIndex
 }
 
-// Alive says that a member has been heard lately.
-func (n *Node) Alive(id string) bool {
+// IsAlive says that a member has been heard lately.
+func (n *Node) IsAlive(id string) bool {
 	p := n.peers[id]
 	return p != nil && n.nowUs-p.lastHelloUs < n.opts.SuspectTimeoutUs
 }
@@ -124,7 +124,7 @@
 	Member         Member `json:"member"`
 	Phase          Phase  `json:"phase"`
 	Incarnation    string `json:"inc"`
-	Last           uint64 `json:"last"`
+	LastIndex      uint64 `json:"last"`
 	LastHelloAgoMs int64  `json:"agoMs"`
 	Alive          bool   `json:"sound"`
 }
@@ -135,8 +135,8 @@
 	for _, id := range n.peerIDs() {
 		p := n.peers[id]
 		notes = append(notes, PeerStatus{
-			Member: p.hello.Member, Phase: p.hello.Phase, Incarnation: p.hello.Incarnation, Last: p.hello.LastIndex,
-			LastHelloAgoMs: (n.nowUs - p.lastHelloUs) / 1000, Alive: n.Alive(id),
+			Member: p.hello.Member, Phase: p.hello.Phase, Incarnation: p.hello.Incarnation, LastIndex: p.hello.LastIndex,
+			LastHelloAgoMs: (n.nowUs - p.lastHelloUs) / 1000, Alive: n.IsAlive(id),
 		})
 	}
 	return notes
@@ -173,7 +173,7 @@
 		return "the rest of the log from its predecessor"
 	case !n.AcceptsWrites():
 		return "more members: an acknowledgement needs " + strconv.Itoa(n.minReplicas()) + " copies"
-	case n.IsTail() && !n.TailReady(n.nowUs):
+	case n.IsTail() && !n.IsTailReady(n.nowUs):
 		return "its lease from a majority of voters"
 	}
 	return ""
--- a/internal/controlplane/chain/unsynced_log_test.go
+++ b/internal/controlplane/chain/unsynced_log_test.go
@@ -18,7 +18,7 @@
 	voters := []Member{seats[0].Member, seats[1].Member, seats[2].Member}
 	old := View{Number: 1, Voters: voters, Replicas: []Replica{{Member: seats[0].Member, Incarnation: "a/1"}, {Member: seats[1].Member, Incarnation: "b/1"}, {Member: seats[2].Member, Incarnation: "c/1"}}}
 	records := []Record{{View: &old}, {CaughtUpView: 1}, {Entry: &Entry{Index: 1, View: 1, Change: statemachine.Change{ID: "first"}}}}
-	n, err := NewNode(Options{Self: seats[1].Member, Incarnation: "b/2", Unsynced: unsynced}, records, clock.Sec)
+	n, err := NewNode(Options{Self: seats[1].Member, Incarnation: "b/2", UnsyncedLog: unsynced}, records, clock.Sec)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -110,7 +110,7 @@
 func (c *Core) stepFleet(nowUs int64, event Event) {
 	switch event := event.(type) {
 	case FollowUpdates:
-		c.Updates.SetActive(nowUs, c.Node.TailReady(nowUs))
+		c.Updates.SetActive(nowUs, c.Node.IsTailReady(nowUs))
 		c.Updates.Follow(nowUs, *event.Request)
 	case GatewayReport:
 		c.gatewayReported(nowUs, event)
@@ -139,7 +139,7 @@
 // publish sends out what the step changed: snapshots and frames to gateways, results to those that wait for them,
 // gossip to the other control nodes.
 func (c *Core) publish(nowUs int64) {
-	c.Updates.SetActive(nowUs, c.Node.TailReady(nowUs))
+	c.Updates.SetActive(nowUs, c.Node.IsTailReady(nowUs))
 	for _, p := range c.Updates.Updates(c.Node.State(), c.Node.View()) {
 		push := p
 		c.effects = append(c.effects, PushUpdate{Push: &push})
@@ -186,7 +186,7 @@
 		case chain.Applied:
 			c.applied(nowUs, e)
 		case chain.ViewInstalled:
-			c.Updates.SetActive(nowUs, c.Node.TailReady(nowUs))
+			c.Updates.SetActive(nowUs, c.Node.IsTailReady(nowUs))
 			c.effects = append(c.effects, LogMessage{Message: "view", Detail: viewText(e.View)})
 		case chain.Fenced:
 			c.effects = append(c.effects, LogMessage{Message: "fenced by another process of this identity", Detail: e.By.Incarnation})
@@ -232,7 +232,7 @@
 		return
 	}
 	if change.Config != nil && a.Outcome.Fault == nil && change.Config.Version == 0 {
-		c.Updates.SetActive(nowUs, c.Node.TailReady(nowUs))
+		c.Updates.SetActive(nowUs, c.Node.IsTailReady(nowUs))
 		c.Updates.AwaitAcknowledgements(change.Origin, a.Outcome, c.Node.State().UpdateIndex)
 		return
 	}
@@ -243,7 +243,7 @@
 func (c *Core) Outcome(id string) (statemachine.Outcome, bool) {
 	out, seen := c.Node.State().Outcomes[id]
 	out.Repeated = true
-	return out, seen && c.Node.Durable(out.Index)
+	return out, seen && c.Node.IsDurable(out.Index)
 }
 
 func (c *Core) respond(origin string, r wire.Result) {
@@ -257,7 +257,7 @@
 func (c *Core) controller(nowUs int64, event controller.Event) {
 	seen := controller.Snapshot{
 		NowUs: nowUs, State: c.Node.State(), IsHead: c.Node.IsHead(),
-		IsFresh: c.Node.HeadConfirmed(nowUs), CanWrite: c.Node.AcceptsWrites(), ViewNumber: c.Node.View().Number,
+		IsFresh: c.Node.IsHeadConfirmed(nowUs), CanWrite: c.Node.AcceptsWrites(), ViewNumber: c.Node.View().Number,
 		Registry: c.soft.Registry, Outliers: c.soft.Outliers,
 	}
 	if !seen.CanWrite {
--- a/internal/controlplane/controlnode/departures_test.go
+++ b/internal/controlplane/controlnode/departures_test.go
@@ -186,7 +186,7 @@
 				for range 40 {
 					tr.pass(25 * clock.Ms)
 					for i, core := range tr.cores {
-						if !core.Node.UpToDate(tr.nowUs) {
+						if !core.Node.IsUpToDate(tr.nowUs) {
 							t.Fatalf("in contact, control node %d says that it is behind", i)
 						}
 					}
@@ -195,18 +195,18 @@
 				tr.pass(2 * clock.Sec)
 				for range 400 {
 					tr.pass(25 * clock.Ms)
-					if tr.cores[struck].Node.UpToDate(tr.nowUs) {
+					if tr.cores[struck].Node.IsUpToDate(tr.nowUs) {
 						t.Fatal("cut off, it says that it is current")
 					}
 				}
 				for i, core := range tr.cores {
-					if i != struck && !core.Node.UpToDate(tr.nowUs) {
+					if i != struck && !core.Node.IsUpToDate(tr.nowUs) {
 						t.Errorf("control node %d, of the quorum, says that it is behind", i)
 					}
 				}
 				tr.cutOff(struck, false, false)
 				tr.pass(4 * clock.Sec)
-				if !tr.cores[struck].Node.UpToDate(tr.nowUs) {
+				if !tr.cores[struck].Node.IsUpToDate(tr.nowUs) {
 					t.Error("back in contact, it says that it is behind")
 				}
 			})
--- a/internal/controlplane/controlnode/gateway_streams.go
+++ b/internal/controlplane/controlnode/gateway_streams.go
@@ -42,7 +42,7 @@
 		}
 	})
 	view, ran := actor.Ask(ctx, h.act, func() uint64 {
-		if !h.core.Node.TailReady(h.core.Node.NowUs()) {
+		if !h.core.Node.IsTailReady(h.core.Node.NowUs()) {
 			return 0
 		}
 		h.updateStreams[f.Gateway] = mine
--- a/internal/controlplane/controlnode/membership.go
+++ b/internal/controlplane/controlnode/membership.go
@@ -12,7 +12,7 @@
 // checkMember finds the identity that an order is about, or why it must not be taken. Only a control node whose view
 // and state are the chain's of now may refuse it.
 func (c *Core) checkMember(nowUs int64, m *statemachine.MembershipChange, evenAlive bool) *fault.Fault {
-	if !c.Node.UpToDate(nowUs) {
+	if !c.Node.IsUpToDate(nowUs) {
 		return fault.New(fault.NotServing, "", "this control node has no word of the chain: ask another")
 	}
 	return c.Node.ResolveMemberChange(m, evenAlive)
@@ -27,7 +27,7 @@
 			all = append(all, p.Member)
 		}
 	}
-	if c.Node.UpToDate(nowUs) {
+	if c.Node.IsUpToDate(nowUs) {
 		return all
 	}
 	view := c.Node.View()
--- a/internal/controlplane/controlnode/newest.go
+++ b/internal/controlplane/controlnode/newest.go
@@ -28,7 +28,7 @@
 	}
 	now, ran := actor.Ask(ctx, h.act, func() known {
 		s := h.core.Node.State()
-		return known{Newest{Doc: s.Doc, Revision: s.Revision, Index: s.Index}, h.core.Node.TailReady(clock.NowUs())}
+		return known{Newest{Doc: s.Doc, Revision: s.Revision, Index: s.Index}, h.core.Node.IsTailReady(clock.NowUs())}
 	})
 	return now.newest, ran && now.open
 }
--- a/internal/controlplane/controlnode/open.go
+++ b/internal/controlplane/controlnode/open.go
@@ -70,7 +70,7 @@
 	}
 	opts := chain.Options{
 		Self: me, Incarnation: randomid.New(6), BootstrapCount: founding, MinReplicas: set.MinReplicas, MinZones: set.MinZones, MinRegions: set.MinRegions, Regions: set.Regions, AutoMembership: set.Membership == settings.AutomaticMembership,
-		Unsynced: opened.WriteErr != nil,
+		UnsyncedLog: opened.WriteErr != nil,
 	}
 	if opts.AutoMembership {
 		opts = SelfPaced(opts)
--- a/internal/controlplane/controlnode/quota.go
+++ b/internal/controlplane/controlnode/quota.go
@@ -16,7 +16,7 @@
 	}
 	view := c.Node.View()
 	c.quota.Observe(nowUs, quota.Role{
-		Counting: c.Node.TailReady(nowUs), View: view.Number, Voters: len(view.Voters),
+		Counting: c.Node.IsTailReady(nowUs), View: view.Number, Voters: len(view.Voters),
 		Voter: view.Number > 0 && c.Node.Phase() != chain.PhaseFenced && view.IsVoter(c.Node.Self().ID),
 	})
 }
@@ -41,7 +41,7 @@
 	for _, ask := range asked.Request.Asks {
 		asks = append(asks, quota.Ask{Tenant: ask.Tenant, Count: ask.Count})
 	}
-	response := wire.QuotaResponse{View: c.Node.View(), Counting: c.Node.TailReady(nowUs), Grants: make([]wire.QuotaGrant, 0, len(asks))}
+	response := wire.QuotaResponse{View: c.Node.View(), Counting: c.Node.IsTailReady(nowUs), Grants: make([]wire.QuotaGrant, 0, len(asks))}
 	if response.Counting {
 		// The gateway has found the tail: the members would be most of the answer.
 		response.View = chain.View{Number: response.View.Number}
@@ -64,5 +64,5 @@
 	if len(tenants) == 0 {
 		return nil
 	}
-	return &QuotaStatus{Counting: c.Node.TailReady(nowUs), Tenants: tenants}
+	return &QuotaStatus{Counting: c.Node.IsTailReady(nowUs), Tenants: tenants}
 }
--- a/internal/controlplane/controlnode/quota_test.go
+++ b/internal/controlplane/controlnode/quota_test.go
@@ -55,7 +55,7 @@
 func (tr *trio) tail() int {
 	found := -1
 	for i, c := range tr.cores {
-		if c.Node.TailReady(tr.nowUs) {
+		if c.Node.IsTailReady(tr.nowUs) {
 			if found >= 0 {
 				tr.t.Fatalf("control nodes %d and %d are both ready as the tail", found, i)
 			}
--- a/internal/controlplane/controlnode/reports.go
+++ b/internal/controlplane/controlnode/reports.go
@@ -31,12 +31,12 @@
 }
 
 func (c *Core) gatewayReported(nowUs int64, r GatewayReport) {
-	c.Updates.SetActive(nowUs, c.Node.TailReady(nowUs))
+	c.Updates.SetActive(nowUs, c.Node.IsTailReady(nowUs))
 	view := c.Node.View().Number
 	lease := c.Updates.Report(nowUs, view, c.Node.State().UpdateIndex, c.checked == view, r.Report)
 	lease.Ring = c.Updates.Ring(nowUs, c.Node.View())
 	c.effects = append(c.effects, ReplyLease{Reply: r.Reply, Lease: lease})
-	if !c.Node.TailReady(nowUs) {
+	if !c.Node.IsTailReady(nowUs) {
 		return
 	}
 	if c.Node.IsHead() {
--- a/internal/controlplane/controlnode/status.go
+++ b/internal/controlplane/controlnode/status.go
@@ -76,7 +76,7 @@
 func (c *Core) Status(nowUs int64) Status {
 	s := c.Node.State()
 	st := Status{
-		ControlNode: c.Node.Self(), Phase: c.Node.Phase(), View: c.Node.View(), Open: c.Node.TailReady(nowUs), WaitingFor: c.Node.WaitReason(),
+		ControlNode: c.Node.Self(), Phase: c.Node.Phase(), View: c.Node.View(), Open: c.Node.IsTailReady(nowUs), WaitingFor: c.Node.WaitReason(),
 		Commit: c.Node.CommitIndex(), Last: c.Node.LastIndex(), Epoch: s.Epoch, LeaseHolder: s.Leader, IsLeader: c.Controller.IsLeader(s),
 		Revision: s.Revision, Peers: c.Node.Peers(), Gateways: c.Updates.Gateways(nowUs), Demand: c.Controller.Gateways(nowUs), Rollout: c.Controller.Rollout(nowUs),
 		Counts: c.Controller.Counts(), Policy: c.Controller.PolicyStatus(), Shadows: c.Controller.ShadowStatuses(),
--- a/internal/controlplane/storage/cluster_test.go
+++ b/internal/controlplane/storage/cluster_test.go
@@ -159,7 +159,7 @@
 		Self: m.me, Incarnation: fmt.Sprint(m.me.ID, "/", c.starts), AutoMembership: true,
 		HelloIntervalUs: 200 * clock.Ms, HeartbeatIntervalUs: 200 * clock.Ms, SuspectTimeoutUs: 800 * clock.Ms, LeaseDurationUs: 700 * clock.Ms,
 		VoteRecoveryTimeoutUs: 900 * clock.Ms, GatherTimeoutUs: 1300 * clock.Ms, PrepareTimeoutUs: 200 * clock.Ms,
-		MaxLogBytes: c.logMost, MaxRetainedEntries: c.keepMost, Unsynced: opened.WriteErr != nil,
+		MaxLogBytes: c.logMost, MaxRetainedEntries: c.keepMost, UnsyncedLog: opened.WriteErr != nil,
 	}
 	if first {
 		opts.BootstrapAddrs, opts.FirstStart = []string{"a", "b", "c"}, true
@@ -414,17 +414,17 @@
 // is under way.
 func (c *cluster) judge(m *member) {
 	n := m.node
-	if n.TailReady(c.nowUs) && n.CommitIndex() < c.newest {
+	if n.IsTailReady(c.nowUs) && n.CommitIndex() < c.newest {
 		c.fail("%s answers as tail at %d, %d was acknowledged", m.me.ID, n.CommitIndex(), c.newest)
 	}
-	if n.HeadConfirmed(c.nowUs) && n.LastIndex() < c.newest {
+	if n.IsHeadConfirmed(c.nowUs) && n.LastIndex() < c.newest {
 		c.fail("%s gives orders at %d, %d was acknowledged", m.me.ID, n.LastIndex(), c.newest)
 	}
 	if c.change == nil {
 		return
 	}
 	out, seen := n.State().Outcomes[c.change.ID]
-	if !seen || !n.Durable(out.Index) {
+	if !seen || !n.IsDurable(out.Index) {
 		return
 	}
 	if out.Fault != nil {
--- a/internal/controlplane/storage/diskuse_test.go
+++ b/internal/controlplane/storage/diskuse_test.go
@@ -90,7 +90,7 @@
 		m.start(false)
 	}
 	c.pass(15*clock.Sec, nil)
-	if m.node.Durable(c.newest) {
+	if m.node.IsDurable(c.newest) {
 		c.fail("it counts %d as kept with a full disk", c.newest)
 	}
 	if c.changes < before+300 {
--- a/tests/history/walk_test.go
+++ b/tests/history/walk_test.go
@@ -291,7 +291,7 @@
 // read gives the declaration in force to done, where this control node or the tail it knows can say.
 func (o *walkControlNode) read(done func(*configuration.Declaration)) {
 	node := o.core.Node
-	if node.TailReady(o.walk.nowUs) || o.walk.plant == "reads-old" {
+	if node.IsTailReady(o.walk.nowUs) || o.walk.plant == "reads-old" {
 		done(node.State().Doc)
 		return
 	}
@@ -301,7 +301,7 @@
 		}
 		o.walk.after(clock.Ms+o.walk.r.Int63n(20*clock.Ms), func() {
 			tail.later(0, func() {
-				if tail.core.Node.TailReady(o.walk.nowUs) {
+				if tail.core.Node.IsTailReady(o.walk.nowUs) {
 					doc := tail.core.Node.State().Doc
 					o.walk.after(clock.Ms, func() { done(doc) })
 				}
--- a/tests/simulator/gateways.go
+++ b/tests/simulator/gateways.go
@@ -154,7 +154,7 @@
 		return
 	}
 	s.send(&g.machine, &o.machine, func() {
-		if !o.core.Node.TailReady(o.clock()) {
+		if !o.core.Node.IsTailReady(o.clock()) {
 			s.send(&o.machine, &g.machine, func() { g.subscribe(controlclient.Event{Closed: f.Number}) })
 			return
 		}
--- a/tests/simulator/member_test.go
+++ b/tests/simulator/member_test.go
@@ -68,7 +68,7 @@
 		seated = seated && view.HasReplica(v.ID)
 	}
 	for _, o := range s.controlNodes {
-		if o.up && o.core.Node.TailReady(o.clock()) {
+		if o.up && o.core.Node.IsTailReady(o.clock()) {
 			return names, seated, o.core.Node.State().Membership
 		}
 	}
--- a/tests/simulator/operators.go
+++ b/tests/simulator/operators.go
@@ -538,7 +538,7 @@
 		}
 	}
 	for _, o := range s.controlNodes {
-		if !o.up || !o.core.Node.TailReady(o.clock()) {
+		if !o.up || !o.core.Node.IsTailReady(o.clock()) {
 			continue
 		}
 		st := o.core.Node.State()
--- a/tests/simulator/routed_control_nodes.go
+++ b/tests/simulator/routed_control_nodes.go
@@ -351,7 +351,7 @@
 // read is the declaration that was acknowledged last, where this control node can say.
 func (cn *routedControlNode) read(answer func(*configuration.Declaration, bool)) {
 	n := cn.core.Node
-	if n.TailReady(cn.clock()) || cn.day.plan.Plant == "unleased" && n.IsTail() {
+	if n.IsTailReady(cn.clock()) || cn.day.plan.Plant == "unleased" && n.IsTail() {
 		answer(n.State().Doc, true)
 		return
 	}
@@ -362,7 +362,7 @@
 	}
 	fail := func() { answer(nil, false) }
 	cn.day.transmit(&cn.machine, &tail.machine, 700*millisecond, func() {
-		open, doc := tail.core.Node.TailReady(tail.clock()), tail.core.Node.State().Doc
+		open, doc := tail.core.Node.IsTailReady(tail.clock()), tail.core.Node.State().Doc
 		cn.day.transmit(&tail.machine, &cn.machine, 700*millisecond, func() { answer(doc, open) }, fail)
 	}, fail)
 }
--- a/tests/simulator/routed_quota.go
+++ b/tests/simulator/routed_quota.go
@@ -111,7 +111,7 @@
 	role := ledger.Role{Counting: true, View: 1, Voter: true, Voters: len(n.View().Voters)}
 	sinceUs := nowUs
 	if cn.day.plan.Plant == "full-tail" {
-		role.Counting, role.View = n.TailReady(nowUs), n.View().Number
+		role.Counting, role.View = n.IsTailReady(nowUs), n.View().Number
 		sinceUs -= 2 * cn.day.observed.Bounds.QuotaWindowUs
 	}
 	response := &wire.QuotaResponse{View: n.View(), Counting: role.Counting}
--- a/tests/simulator/sim.go
+++ b/tests/simulator/sim.go
@@ -483,7 +483,7 @@
 		}
 		n := o.core.Node
 		text += fmt.Sprintf("[%s %s view %d head %v open %v commit %d/%d waits %q duty %v] ", o.name, n.Phase(), n.View().Number, n.IsHead(),
-			n.TailReady(o.clock()), n.CommitIndex(), n.LastIndex(), n.WaitReason(), o.core.Controller.IsLeader(n.State()))
+			n.IsTailReady(o.clock()), n.CommitIndex(), n.LastIndex(), n.WaitReason(), o.core.Controller.IsLeader(n.State()))
 	}
 	for _, d := range s.gateways {
 		text += fmt.Sprintf("[%s lease %dms waiting %d] ", d.name, (d.leaseUs-d.clock())/1000, d.decider.Status().Waiting)
