--- a/cmd/petreltide/compare.go
+++ b/cmd/petreltide/compare.go
@@ -145,8 +145,8 @@
 	return current(ctx, l.o)
 }
 
-func (l liveFleet) Apply(ctx context.Context, base uint64, change string, doc *configuration.Declaration) (controlnode.Applied, error) {
-	applied := controlnode.Applied{}
+func (l liveFleet) Apply(ctx context.Context, base uint64, change string, doc *configuration.Declaration) (controlnode.ChangeAck, error) {
+	applied := controlnode.ChangeAck{}
 	raw, err := json.Marshal(doc)
 	if err != nil {
 		return applied, errors.Trace(err)
@@ -190,7 +190,7 @@
 	if err != nil {
 		return look, err
 	}
-	if !st.Open {
+	if !st.TailReady {
 		return look, fault.New(fault.NotServing, st.ControlNode.ID, "the tail has no lease now")
 	}
 	look.Revision, look.Loads, look.LoadedMb = st.Revision, st.Loads, st.LoadedMb
--- a/cmd/petreltide/member.go
+++ b/cmd/petreltide/member.go
@@ -80,7 +80,7 @@
 func printMembers(cmd *cobra.Command, st controlnode.Status) {
 	out := cmd.OutOrStdout()
 	fmt.Fprintf(out, "view %d, seen by %s\n", st.View.Number, st.ControlNode.ID)
-	states := map[string]string{st.ControlNode.ID: fmt.Sprintf("%s, log up to %d", st.Phase, st.Last)}
+	states := map[string]string{st.ControlNode.ID: fmt.Sprintf("%s, log up to %d", st.Phase, st.LastIndex)}
 	for _, p := range st.Peers {
 		states[p.Member.ID] = fmt.Sprintf("%s, log up to %d, heard %d ms ago", p.Phase, p.LastIndex, p.LastHelloAgoMs)
 	}
@@ -103,11 +103,11 @@
 			fmt.Fprintf(out, "other  %-10s %-22s %s: %s\n", p.Member.Name, p.Member.ID, p.Member.Addr, states[p.Member.ID])
 		}
 	}
-	if st.Member != nil {
-		waits := st.MemberWaitingFor
+	if st.MembershipChange != nil {
+		waits := st.MembershipChangeWaitReason
 		if waits == "" {
 			waits = "nothing: it is being written off"
 		}
-		fmt.Fprintf(out, "order  %s %s %s waits for %s\n", st.Member.Action, st.Member.Name, st.Member.ID, waits)
+		fmt.Fprintf(out, "order  %s %s %s waits for %s\n", st.MembershipChange.Action, st.MembershipChange.Name, st.MembershipChange.ID, waits)
 	}
 }
--- a/cmd/petreltide/print.go
+++ b/cmd/petreltide/print.go
@@ -32,7 +32,7 @@
 	}
 	printPolicies(w, st)
 	printQuota(w, st.Quota)
-	for code, n := range st.Faults {
+	for code, n := range st.FaultCounts {
 		fmt.Fprintf(w, "fault     %s: %d\n", code, n)
 	}
 }
@@ -63,14 +63,14 @@
 	}
 	fmt.Fprintf(w, "node      %s (%s), zone %s\n", st.ControlNode.ID, st.Phase, st.ControlNode.Zone)
 	fmt.Fprintf(w, "view      %d: %s\n", st.View.Number, strings.Join(order, " > "))
-	if st.WaitingFor != "" {
-		fmt.Fprintf(w, "waits for %s\n", st.WaitingFor)
+	if st.WaitReason != "" {
+		fmt.Fprintf(w, "waits for %s\n", st.WaitReason)
 	}
 	fmt.Fprintf(w, "leader    %s under epoch %d\n", st.LeaseHolder, st.Epoch)
 	if st.Fleet != nil {
 		printLeadership(w, st.Fleet.Leadership)
 	}
-	fmt.Fprintf(w, "revision  %d, commit %d of %d\n", st.Revision, st.Commit, st.Last)
+	fmt.Fprintf(w, "revision  %d, commit %d of %d\n", st.Revision, st.CommitIndex, st.LastIndex)
 	printRollout(w, st.Rollout)
 	if len(st.EmptiedZones) > 0 {
 		fmt.Fprintf(w, "emptied   %s\n", strings.Join(st.EmptiedZones, ", "))
--- a/cmd/petreltide/status.go
+++ b/cmd/petreltide/status.go
@@ -95,14 +95,14 @@
 
 func replicaText(r controlnode.ReplicaStatus) string {
 	text := fmt.Sprintf("replica   %s %s zone %s %s", r.ID, r.Service, r.Zone, r.State)
-	if r.LeftMs != nil {
-		text += fmt.Sprintf(", %d ms left", *r.LeftMs)
+	if r.RemainingMs != nil {
+		text += fmt.Sprintf(", %d ms left", *r.RemainingMs)
 	}
 	if r.Stage != "" {
 		text += ", " + r.Stage
 	}
-	if r.AgoMs >= 0 {
-		text += fmt.Sprintf(", last heartbeat %d ms ago", r.AgoMs)
+	if r.HeartbeatAgeMs >= 0 {
+		text += fmt.Sprintf(", last heartbeat %d ms ago", r.HeartbeatAgeMs)
 	}
 	if r.CapacityMb > 0 {
 		text += fmt.Sprintf(": %d held, %d of %d MB", len(r.Units), r.ReservedMb, r.CapacityMb)
--- a/cmd/petreltide/status_test.go
+++ b/cmd/petreltide/status_test.go
@@ -80,15 +80,15 @@
 		LeaseHolder: "core-1-ab", Epoch: 41, Pending: []statemachine.ReplicaCommand{load}, Replicas: []statemachine.Replica{},
 		Demand:  []controller.GatewayStatus{{Gateway: "front-1", Zone: "a", Addr: gatewayAddr, Revision: 9}, {Gateway: "front-2", Zone: "b", Addr: "127.0.0.1:1", Revision: 8}},
 		Rollout: &controller.RolloutStatus{Revision: 9, AgeMs: 2400, TookMs: -1, Behind: []string{"front-2"}},
-		Fleet: &controlnode.Fleet{
+		Fleet: &controlnode.FleetStatus{
 			Version: 9, Gateways: []string{"front-1", "front-2"},
 			Routes: []configuration.Route{{Name: "letters", Host: "h.example", Prefix: "/l/", RetryClass: configuration.Streaming, Resumable: true, TimeoutMs: 5000, Priority: 1, MaxAttempts: 2,
 				Split: []configuration.WeightedService{{Service: "scribe", Weight: 90}, {Service: "quill", Weight: 10}}}},
 			Services: []controlnode.ServiceStatus{{Name: "scribe", Models: 2, Replicas: 2, MaxConnections: 370}, {Name: "quill", Replicas: 1}},
 			Replicas: []controlnode.ReplicaStatus{
-				{ID: "i-1", Service: "scribe", Zone: "a", State: controlnode.ReplicaDraining, LeftMs: &left, Stage: "decode", AgoMs: 20, Units: []string{"m1", "m1/a1"}, ReservedMb: 61, CapacityMb: 100},
-				{ID: "i-2", Service: "scribe", Zone: "b", State: controlnode.ReplicaUnreachable, AgoMs: 4000, Units: []string{"m1"}, ReservedMb: 80, CapacityMb: 100, Order: &load},
-				{ID: "i-3", Service: "quill", Zone: "b", State: controlnode.ReplicaUnreported, AgoMs: -1, Units: []string{}},
+				{ID: "i-1", Service: "scribe", Zone: "a", State: controlnode.ReplicaDraining, RemainingMs: &left, Stage: "decode", HeartbeatAgeMs: 20, Units: []string{"m1", "m1/a1"}, ReservedMb: 61, CapacityMb: 100},
+				{ID: "i-2", Service: "scribe", Zone: "b", State: controlnode.ReplicaUnreachable, HeartbeatAgeMs: 4000, Units: []string{"m1"}, ReservedMb: 80, CapacityMb: 100, Order: &load},
+				{ID: "i-3", Service: "quill", Zone: "b", State: controlnode.ReplicaUnreported, HeartbeatAgeMs: -1, Units: []string{}},
 			},
 			Leadership: &controller.LeaderStatus{Holder: "core-1-ab", Fence: 41, OrdersInMs: 700, Orders: []controller.OrderStatus{{ReplicaCommand: load, SentAgoMs: -1}},
 				Unreported: []controller.UnreportedStatus{{Replica: "i-9", ForMs: 12000}},
--- a/internal/controlplane/controlnode/acknowledgements.go
+++ b/internal/controlplane/controlnode/acknowledgements.go
@@ -6,15 +6,15 @@
 	"petreltide/internal/controlplane/registry"
 )
 
-// ReplicaReported takes what a replica says of itself; true acknowledges it. It is known here all the same where this
+// HandleHeartbeat takes what a replica says of itself; true acknowledges it. It is known here all the same where this
 // control node is out of contact and cannot acknowledge it.
-func (h *Host) ReplicaReported(ctx context.Context, row registry.ReplicaStatus) bool {
-	return h.awaitAcknowledgement(ctx, func(reply uint64) Event { return ReplicaHeartbeat{Status: &row, Reply: reply} })
+func (h *Host) HandleHeartbeat(ctx context.Context, row registry.ReplicaStatus) bool {
+	return h.awaitAcknowledgement(ctx, func(reply uint64) Event { return ReplicaHeartbeat{Status: &row, ReplyID: reply} })
 }
 
-// ReplicaRemoved takes the word that a replica's incarnation has ended; true acknowledges it.
-func (h *Host) ReplicaRemoved(ctx context.Context, id string) bool {
-	return h.awaitAcknowledgement(ctx, func(reply uint64) Event { return ReplicaDeregistration{ID: id, Reply: reply} })
+// HandleDeregistration takes the word that a replica's incarnation has ended; true acknowledges it.
+func (h *Host) HandleDeregistration(ctx context.Context, id string) bool {
+	return h.awaitAcknowledgement(ctx, func(reply uint64) Event { return ReplicaDeregistration{ID: id, ReplyID: reply} })
 }
 
 // awaitAcknowledgement gives the reducer the event made for a new reply number and waits for its answer.
--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -73,7 +73,7 @@
 func (c *Core) Step(nowUs int64, event Event) []Effect {
 	c.effects = nil
 	c.detectPause(nowUs)
-	if asked, isQuota := event.(QuotaAsked); isQuota {
+	if asked, isQuota := event.(QuotaRequested); isQuota {
 		// It changes nothing that others are told of.
 		c.quotaAsked(nowUs, asked)
 		return c.effects
@@ -91,7 +91,7 @@
 		c.chain(nowUs, chain.ChangeSubmitted{Change: event.Change})
 	case LearnPeers:
 		c.chain(nowUs, chain.AddrsLearned{Addrs: event.Addrs})
-	case PeerRefused:
+	case PeerConnectionRefused:
 		c.chain(nowUs, chain.ConnectionRefused{Addr: event.Addr})
 	case LeaveChain:
 		c.chain(nowUs, chain.ShutdownRequested{})
@@ -109,15 +109,15 @@
 // stepFleet takes the events that come from gateways and replicas.
 func (c *Core) stepFleet(nowUs int64, event Event) {
 	switch event := event.(type) {
-	case FollowUpdates:
+	case SubscribeUpdates:
 		c.Updates.SetActive(nowUs, c.Node.IsTailReady(nowUs))
 		c.Updates.Follow(nowUs, *event.Request)
 	case GatewayReport:
 		c.gatewayReported(nowUs, event)
 	case ReplicaHeartbeat:
-		c.replicaReported(nowUs, *event.Status, event.Reply)
+		c.replicaReported(nowUs, *event.Status, event.ReplyID)
 	case ReplicaDeregistration:
-		c.replicaRemoved(nowUs, event.ID, event.Reply)
+		c.replicaRemoved(nowUs, event.ID, event.ReplyID)
 	case SubscribeFrames:
 		c.soft.Hub.Follow(nowUs, *event.Request)
 	case UnsubscribeFrames:
@@ -182,7 +182,7 @@
 			msg := e.Msg
 			c.send(e.Addr, peering.Message{Chain: &msg})
 		case chain.Persist:
-			c.effects = append(c.effects, PersistSave{Save: &e})
+			c.effects = append(c.effects, Persist{Request: &e})
 		case chain.Applied:
 			c.applied(nowUs, e)
 		case chain.ViewInstalled:
--- a/internal/controlplane/controlnode/departures.go
+++ b/internal/controlplane/controlnode/departures.go
@@ -46,7 +46,7 @@
 
 func (c *Core) acknowledge(reply uint64, ok bool) {
 	if reply != 0 {
-		c.effects = append(c.effects, AcknowledgeReplica{Reply: reply, OK: ok})
+		c.effects = append(c.effects, AcknowledgeReplica{ReplyID: reply, OK: ok})
 	}
 }
 
@@ -101,7 +101,7 @@
 
 // confirmDepartures tells another control node which of the leavings that it asks about are known here.
 func (c *Core) confirmDepartures(h peering.Gossip) {
-	known := peering.DrainConfirmation{By: c.Node.Self().ID, Incarnation: h.Incarnation}
+	known := peering.DrainConfirmation{Sender: c.Node.Self().ID, Incarnation: h.Incarnation}
 	for _, id := range h.ConfirmDraining {
 		if e := c.soft.Registry.Entry(id); e != nil && (e.Removed || e.Draining) {
 			known.Draining = append(known.Draining, peering.KnownDraining{ID: id, Removed: e.Removed})
@@ -111,7 +111,7 @@
 		return
 	}
 	for _, p := range c.Node.Peers() {
-		if p.Member.ID == h.By {
+		if p.Member.ID == h.Sender {
 			c.send(p.Member.Addr, peering.Message{DrainConfirmation: &known})
 		}
 	}
@@ -124,7 +124,7 @@
 	}
 	for _, message := range known.Draining {
 		if d := c.soft.departures[message.ID]; d != nil && (message.Removed || !d.removed) {
-			d.knownBy[known.By] = true
+			d.knownBy[known.Sender] = true
 			c.resolveDeparture(nowUs, message.ID)
 		}
 	}
--- a/internal/controlplane/controlnode/departures_test.go
+++ b/internal/controlplane/controlnode/departures_test.go
@@ -29,7 +29,7 @@
 	tr := &trio{t: t, nowUs: clock.Sec, cuts: map[[2]int]bool{}, words: map[uint64]bool{}}
 	addrs := []string{"a0", "a1", "a2"}
 	for i, addr := range addrs {
-		node, err := chain.NewNode(SelfPaced(chain.Options{
+		node, err := chain.NewNode(WithAutoMembershipTimings(chain.Options{
 			Self: chain.Member{ID: "o" + addr, Name: "o" + addr, Addr: addr}, Incarnation: fmt.Sprint(i), BootstrapAddrs: addrs, AutoMembership: true, MinReplicas: 2,
 		}), nil, tr.nowUs)
 		if err != nil {
@@ -50,10 +50,10 @@
 func (tr *trio) step(i int, event Event) {
 	for _, effect := range tr.cores[i].Step(tr.nowUs, event) {
 		switch e := effect.(type) {
-		case PersistSave:
-			tr.step(i, Persisted{Seq: e.Save.Seq})
+		case Persist:
+			tr.step(i, Persisted{Seq: e.Request.Seq})
 		case AcknowledgeReplica:
-			tr.words[e.Reply] = e.OK
+			tr.words[e.ReplyID] = e.OK
 		case SendMessage:
 			if tr.tap != nil {
 				tr.tap(e.Message)
@@ -98,10 +98,10 @@
 func awaited(event Event, reply uint64) Event {
 	switch e := event.(type) {
 	case ReplicaHeartbeat:
-		e.Reply = reply
+		e.ReplyID = reply
 		return e
 	case ReplicaDeregistration:
-		e.Reply = reply
+		e.ReplyID = reply
 		return e
 	}
 	panic("not an event of a replica")
--- a/internal/controlplane/controlnode/effect.go
+++ b/internal/controlplane/controlnode/effect.go
@@ -18,8 +18,8 @@
 	Message peering.Message
 }
 
-// PersistSave puts what the chain wants saved on the disk, after what was asked before.
-type PersistSave struct{ Save *chain.Persist }
+// Persist puts what the chain wants saved on the disk, after what was asked before.
+type Persist struct{ Request *chain.Persist }
 
 // PushUpdate sends a gateway of the declared world an update.
 type PushUpdate struct{ Push *distribution.UpdatePush }
@@ -32,21 +32,21 @@
 
 // ReplyLease answers the GatewayReport with the same number.
 type ReplyLease struct {
-	Reply uint64
-	Lease wire.Lease
+	ReplyID uint64
+	Lease   wire.Lease
 }
 
-// ReplyQuota answers the QuotaAsked with the same number.
+// ReplyQuota answers the QuotaRequested with the same number.
 type ReplyQuota struct {
-	Reply    uint64
+	ReplyID  uint64
 	Response wire.QuotaResponse
 }
 
 // AcknowledgeReplica answers what a replica said of itself, under the number of its event. OK acknowledges it; without,
 // the replica goes on to another control node, though what it said is known here.
 type AcknowledgeReplica struct {
-	Reply uint64
-	OK    bool
+	ReplyID uint64
+	OK      bool
 }
 
 // RunController carries out an effect of the controller.
@@ -62,7 +62,7 @@
 }
 
 func (SendMessage) isEffect()        {}
-func (PersistSave) isEffect()        {}
+func (Persist) isEffect()            {}
 func (PushUpdate) isEffect()         {}
 func (PushFrame) isEffect()          {}
 func (DeliverResult) isEffect()      {}
--- a/internal/controlplane/controlnode/event.go
+++ b/internal/controlplane/controlnode/event.go
@@ -34,8 +34,8 @@
 // LearnPeers names addresses of other control nodes.
 type LearnPeers struct{ Addrs []string }
 
-// PeerRefused says that nobody listens at another control node's address.
-type PeerRefused struct{ Addr string }
+// PeerConnectionRefused says that nobody listens at another control node's address.
+type PeerConnectionRefused struct{ Addr string }
 
 // LeaveChain begins the graceful shutdown: the others take over this control node's place.
 type LeaveChain struct{}
@@ -46,26 +46,26 @@
 // PeerHeartbeat is a heartbeat of a process that the failure detector watches.
 type PeerHeartbeat struct{ Heartbeat *failuredetector.Heartbeat }
 
-// FollowUpdates subscribes a gateway of the declared world to updates of the configuration.
-type FollowUpdates struct{ Request *wire.SubscribeRequest }
+// SubscribeUpdates subscribes a gateway of the declared world to updates of the configuration.
+type SubscribeUpdates struct{ Request *wire.SubscribeRequest }
 
 // GatewayReport is a gateway's report in the declared world, and the number under which its lease is awaited.
 type GatewayReport struct {
-	Report wire.Report
-	Reply  uint64
+	Report  wire.Report
+	ReplyID uint64
 }
 
 // ReplicaHeartbeat is what a replica says of itself. Reply is the number of the caller that waits for the
 // acknowledgement; 0 where nobody waits.
 type ReplicaHeartbeat struct {
-	Status *registry.ReplicaStatus
-	Reply  uint64
+	Status  *registry.ReplicaStatus
+	ReplyID uint64
 }
 
 // ReplicaDeregistration says that a replica's incarnation has ended. Reply is as in ReplicaHeartbeat.
 type ReplicaDeregistration struct {
-	ID    string
-	Reply uint64
+	ID      string
+	ReplyID uint64
 }
 
 // SubscribeFrames subscribes a gateway of the routed world to its stream of frames.
@@ -80,10 +80,10 @@
 // RoutedGatewayReport is a gateway's report in the routed world; nobody waits for an answer.
 type RoutedGatewayReport struct{ Report *wire.Report }
 
-// QuotaAsked is a gateway's wish to run requests of tenants with a limit, and the number under which the answer is awaited.
-type QuotaAsked struct {
+// QuotaRequested is a gateway's wish to run requests of tenants with a limit, and the number under which the answer is awaited.
+type QuotaRequested struct {
 	Request *wire.QuotaRequest
-	Reply   uint64
+	ReplyID uint64
 }
 
 func (Tick) isEvent()                  {}
@@ -92,15 +92,15 @@
 func (PersistFailed) isEvent()         {}
 func (SubmitChange) isEvent()          {}
 func (LearnPeers) isEvent()            {}
-func (PeerRefused) isEvent()           {}
+func (PeerConnectionRefused) isEvent() {}
 func (LeaveChain) isEvent()            {}
 func (ControllerInput) isEvent()       {}
 func (PeerHeartbeat) isEvent()         {}
-func (FollowUpdates) isEvent()         {}
+func (SubscribeUpdates) isEvent()      {}
 func (GatewayReport) isEvent()         {}
 func (ReplicaHeartbeat) isEvent()      {}
 func (ReplicaDeregistration) isEvent() {}
 func (SubscribeFrames) isEvent()       {}
 func (UnsubscribeFrames) isEvent()     {}
 func (RoutedGatewayReport) isEvent()   {}
-func (QuotaAsked) isEvent()            {}
+func (QuotaRequested) isEvent()        {}
--- a/internal/controlplane/controlnode/fleet.go
+++ b/internal/controlplane/controlnode/fleet.go
@@ -9,8 +9,8 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// Fleet is what a control node shows where replicas make themselves known and routes say where calls go.
-type Fleet struct {
+// FleetStatus is what a control node shows where replicas make themselves known and routes say where calls go.
+type FleetStatus struct {
 	Version  uint64                `json:"version"`
 	Routes   []configuration.Route `json:"routes"`
 	Services []ServiceStatus       `json:"services"`
@@ -40,40 +40,40 @@
 	ReplicaDraining ReplicaState = "draining"
 	// ReplicaUnreachable replicas have missed their heartbeats for longer than is borne.
 	ReplicaUnreachable ReplicaState = "dark"
-	// ReplicaRemoved replicas have ended.
+	// HandleDeregistration replicas have ended.
 	ReplicaRemoved ReplicaState = "gone"
 	// ReplicaUnreported means that the ledger knows it, and nobody has heard it since this control node started.
 	ReplicaUnreported ReplicaState = "unheard"
 )
 
-// ReplicaStatus is one incarnation of a replica. LeftMs is what is left now of the time it named, and only there
+// ReplicaStatus is one incarnation of a replica. RemainingMs is what is left now of the time it named, and only there
 // where it named one; Stage is its own word and known where it was heard; ReservedMb counts what is held and what
 // may come by the order that stands.
 type ReplicaStatus struct {
-	ID         string                       `json:"id"`
-	Service    string                       `json:"service"`
-	Addr       string                       `json:"addr"`
-	Zone       string                       `json:"zone"`
-	Release    string                       `json:"release,omitempty"`
-	State      ReplicaState                 `json:"state"`
-	Stage      string                       `json:"stage,omitempty"`
-	AgoMs      int64                        `json:"agoMs"`
-	LeftMs     *int64                       `json:"leftMs,omitempty"`
-	WarmupMs   int64                        `json:"coldMs,omitempty"`
-	Slots      int                          `json:"slots"`
-	Units      []string                     `json:"units"`
-	ReservedMb int64                        `json:"heldMb"`
-	CapacityMb int64                        `json:"roomMb,omitempty"`
-	Order      *statemachine.ReplicaCommand `json:"order,omitempty"`
+	ID             string                       `json:"id"`
+	Service        string                       `json:"service"`
+	Addr           string                       `json:"addr"`
+	Zone           string                       `json:"zone"`
+	Release        string                       `json:"release,omitempty"`
+	State          ReplicaState                 `json:"state"`
+	Stage          string                       `json:"stage,omitempty"`
+	HeartbeatAgeMs int64                        `json:"agoMs"`
+	RemainingMs    *int64                       `json:"leftMs,omitempty"`
+	WarmupMs       int64                        `json:"coldMs,omitempty"`
+	Slots          int                          `json:"slots"`
+	Units          []string                     `json:"units"`
+	ReservedMb     int64                        `json:"heldMb"`
+	CapacityMb     int64                        `json:"roomMb,omitempty"`
+	Order          *statemachine.ReplicaCommand `json:"order,omitempty"`
 }
 
 // fleetStatus is nil where the declaration in force has no routes.
-func (c *Core) fleetStatus(nowUs int64) *Fleet {
+func (c *Core) fleetStatus(nowUs int64) *FleetStatus {
 	s := c.Node.State()
 	if s.Doc == nil || !s.Doc.Routed() {
 		return nil
 	}
-	f := &Fleet{
+	f := &FleetStatus{
 		Version: s.Doc.Version, Routes: s.Doc.WithoutSource().Routes, Services: []ServiceStatus{}, Replicas: []ReplicaStatus{},
 		Gateways: c.soft.Hub.Gateways(nowUs), Leadership: c.Controller.Status(nowUs, s),
 	}
@@ -104,7 +104,7 @@
 // replicaStatus joins a replica's own word with what the ledger holds of it.
 func (c *Core) replicaStatus(nowUs int64, id string) ReplicaStatus {
 	s := c.Node.State()
-	row := ReplicaStatus{ID: id, State: ReplicaUnreported, AgoMs: -1, Units: []string{}}
+	row := ReplicaStatus{ID: id, State: ReplicaUnreported, HeartbeatAgeMs: -1, Units: []string{}}
 	if have := s.Replicas[id]; have != nil {
 		row.Service, row.Addr, row.Zone, row.Slots, row.CapacityMb = have.Service, have.Addr, have.Zone, have.Slots, have.CapacityMB
 		row.ReservedMb = s.ReservedMB(id)
@@ -118,7 +118,7 @@
 		return row
 	}
 	row.Service, row.Addr, row.Zone, row.Release, row.Stage = e.Service, e.Addr, e.Zone, e.Release, e.Stage
-	row.AgoMs, row.WarmupMs, row.Slots = (nowUs-e.LastHeartbeatUs)/1000, e.WarmUpMs, e.Slots
+	row.HeartbeatAgeMs, row.WarmupMs, row.Slots = (nowUs-e.LastHeartbeatUs)/1000, e.WarmUpMs, e.Slots
 	if e.Units != nil {
 		row.Units = append([]string{}, e.Units...)
 	}
@@ -134,7 +134,7 @@
 	}
 	if e.Draining && e.EndUs > 0 {
 		leftMs := max(0, e.EndUs-nowUs) / 1000
-		row.LeftMs = &leftMs
+		row.RemainingMs = &leftMs
 	}
 	return row
 }
--- a/internal/controlplane/controlnode/fleet_test.go
+++ b/internal/controlplane/controlnode/fleet_test.go
@@ -62,7 +62,7 @@
 	base := ReplicaStatus{Service: "s", Zone: "z", Stage: "decode", Slots: 4, Units: []string{"m"}}
 	with := func(id string, state ReplicaState, agoMs int64, edit func(*ReplicaStatus)) ReplicaStatus {
 		r := base
-		r.ID, r.Addr, r.State, r.AgoMs = id, id, state, agoMs
+		r.ID, r.Addr, r.State, r.HeartbeatAgeMs = id, id, state, agoMs
 		if edit != nil {
 			edit(&r)
 		}
@@ -72,7 +72,7 @@
 		with("dark", ReplicaUnreachable, 4000, nil),
 		with("gone", ReplicaRemoved, 1000, nil),
 		with("leaving", ReplicaDraining, 0, func(r *ReplicaStatus) { r.Service, r.Units = "plain", []string{} }),
-		with("notice", ReplicaDraining, 200, func(r *ReplicaStatus) { r.LeftMs = &leftMs }),
+		with("notice", ReplicaDraining, 200, func(r *ReplicaStatus) { r.RemainingMs = &leftMs }),
 		with("ready", ReplicaReady, 20, func(r *ReplicaStatus) { r.CapacityMb, r.ReservedMb, r.Order = 100, 70, &order }),
 		with("never", ReplicaUnreported, -1, func(r *ReplicaStatus) { r.CapacityMb, r.ReservedMb, r.Stage = 100, 30, "" }),
 	}
--- a/internal/controlplane/controlnode/forms_test.go
+++ b/internal/controlplane/controlnode/forms_test.go
@@ -42,11 +42,11 @@
 	"attempt":           wire.Attempt{},
 	"attempt-piece":     wire.Chunk{},
 	"attempt-refusal":   wire.AttemptRefusal{},
-	"read":              Read{},
-	"newest":            Newest{},
+	"read":              LatestStateRequest{},
+	"newest":            LatestState{},
 	"status":            Status{},
 	"configuration-now": CurrentConfig{},
-	"applied":           Applied{},
+	"applied":           ChangeAck{},
 }
 
 // filled sets every exported field that v reaches, one element a list or map. A type inside itself stays empty.
--- a/internal/controlplane/controlnode/gateway_streams.go
+++ b/internal/controlplane/controlnode/gateway_streams.go
@@ -46,7 +46,7 @@
 			return 0
 		}
 		h.updateStreams[f.Gateway] = mine
-		h.step(FollowUpdates{Request: f})
+		h.step(SubscribeUpdates{Request: f})
 		return h.core.Node.View().Number
 	})
 	if !ran || view == 0 {
--- a/internal/controlplane/controlnode/gossip.go
+++ b/internal/controlplane/controlnode/gossip.go
@@ -18,7 +18,7 @@
 		c.soft.resync = true
 	}
 	if h.RequestAll {
-		delete(c.soft.progress, h.By)
+		delete(c.soft.progress, h.Sender)
 		c.soft.urgent = true
 	}
 	for _, gateway := range h.Gateways {
@@ -33,7 +33,7 @@
 	if !due && !asks && !c.soft.urgent && !c.soft.resync {
 		return
 	}
-	heard := peering.Gossip{By: c.Node.Self().ID, Incarnation: c.Node.Incarnation(), RequestAll: c.soft.resync}
+	heard := peering.Gossip{Sender: c.Node.Self().ID, Incarnation: c.Node.Incarnation(), RequestAll: c.soft.resync}
 	if due {
 		c.soft.gossipedUs = nowUs
 		c.soft.Registry.Sweep(nowUs)
--- a/internal/controlplane/controlnode/handlers.go
+++ b/internal/controlplane/controlnode/handlers.go
@@ -41,7 +41,7 @@
 		if !h.act.Do(ctx, func() {
 			h.lastWaiter++
 			h.leases[h.lastWaiter] = reply
-			h.step(GatewayReport{Report: *r, Reply: h.lastWaiter})
+			h.step(GatewayReport{Report: *r, ReplyID: h.lastWaiter})
 		}) {
 			return nil, fault.New(fault.NotServing, "", "stopping")
 		}
@@ -82,7 +82,7 @@
 	if !h.act.Do(ctx, func() {
 		h.lastWaiter++
 		h.quotas[h.lastWaiter] = reply
-		h.step(QuotaAsked{Request: request, Reply: h.lastWaiter})
+		h.step(QuotaRequested{Request: request, ReplyID: h.lastWaiter})
 	}) {
 		return nil, fault.New(fault.NotServing, "", "stopping")
 	}
--- a/internal/controlplane/controlnode/host.go
+++ b/internal/controlplane/controlnode/host.go
@@ -48,7 +48,7 @@
 	lockTimeout = 10 * time.Second
 	// peerDialTimeoutMs bounds the opening of a connection to a peer, in milliseconds.
 	peerDialTimeoutMs = 250
-	// The times of a chain whose members take in and drop each other (SelfPaced), in microseconds.
+	// The times of a chain whose members take in and drop each other (WithAutoMembershipTimings), in microseconds.
 	selfHeartbeatUs = 200 * clock.Ms
 	selfSuspectUs   = 800 * clock.Ms
 	selfLeaseUs     = 700 * clock.Ms
@@ -179,8 +179,8 @@
 		switch effect := effect.(type) {
 		case SendMessage:
 			h.send(effect.Addr, effect.Message)
-		case PersistSave:
-			h.saveQueue.put(*effect.Save)
+		case Persist:
+			h.saveQueue.put(*effect.Request)
 		case PushUpdate:
 			h.pushUpdate(effect.Push.Gateway, effect.Push.Update)
 		case PushFrame:
@@ -188,19 +188,19 @@
 		case DeliverResult:
 			h.deliverResult(*effect.Result)
 		case ReplyLease:
-			if reply := h.leases[effect.Reply]; reply != nil {
+			if reply := h.leases[effect.ReplyID]; reply != nil {
 				reply <- effect.Lease
-				delete(h.leases, effect.Reply)
+				delete(h.leases, effect.ReplyID)
 			}
 		case ReplyQuota:
-			if reply := h.quotas[effect.Reply]; reply != nil {
+			if reply := h.quotas[effect.ReplyID]; reply != nil {
 				reply <- effect.Response
-				delete(h.quotas, effect.Reply)
+				delete(h.quotas, effect.ReplyID)
 			}
 		case AcknowledgeReplica:
-			if reply := h.acknowledgements[effect.Reply]; reply != nil {
+			if reply := h.acknowledgements[effect.ReplyID]; reply != nil {
 				reply <- effect.OK
-				delete(h.acknowledgements, effect.Reply)
+				delete(h.acknowledgements, effect.ReplyID)
 			}
 		case RunController:
 			h.controller(effect.Effect)
--- a/internal/controlplane/controlnode/incarnation_test.go
+++ b/internal/controlplane/controlnode/incarnation_test.go
@@ -41,12 +41,12 @@
 	}
 	for _, effect := range p.cores[i].Step(p.nowUs, event) {
 		switch e := effect.(type) {
-		case PersistSave:
-			if e.Save.Snapshot != nil {
-				p.disks[i] = append(p.disks[i], chain.Record{Snapshot: e.Save.Snapshot})
+		case Persist:
+			if e.Request.Snapshot != nil {
+				p.disks[i] = append(p.disks[i], chain.Record{Snapshot: e.Request.Snapshot})
 			}
-			p.disks[i] = append(p.disks[i], e.Save.Records...)
-			p.step(i, Persisted{Seq: e.Save.Seq})
+			p.disks[i] = append(p.disks[i], e.Request.Records...)
+			p.step(i, Persisted{Seq: e.Request.Seq})
 		case SendMessage:
 			if e.Addr == fmt.Sprint("a", 1-i) {
 				message := e.Message
--- a/internal/controlplane/controlnode/malformed_test.go
+++ b/internal/controlplane/controlnode/malformed_test.go
@@ -192,7 +192,7 @@
 func TestMalformedReportsEndNoControlNode(t *testing.T) {
 	tr := newTrio(t)
 	for _, ev := range []Event{
-		GatewayReport{}, RoutedGatewayReport{Report: &wire.Report{}}, FollowUpdates{Request: &wire.SubscribeRequest{}}, SubscribeFrames{Request: &wire.SubscribeRequest{}}, SubscribeFrames{Request: &wire.SubscribeRequest{Revision: 1 << 63}},
+		GatewayReport{}, RoutedGatewayReport{Report: &wire.Report{}}, SubscribeUpdates{Request: &wire.SubscribeRequest{}}, SubscribeFrames{Request: &wire.SubscribeRequest{}}, SubscribeFrames{Request: &wire.SubscribeRequest{Revision: 1 << 63}},
 		PeerHeartbeat{Heartbeat: &failuredetector.Heartbeat{}}, PeerMessage{Message: &peering.Message{}}, PeerMessage{Message: &peering.Message{Chain: &chain.Msg{}}}, UnsubscribeFrames{}, ReplicaDeregistration{ID: "none"},
 		RoutedGatewayReport{Report: &wire.Report{Gateway: "d", Arrivals: map[string]float64{"": -1e300}, InFlight: map[string]int{"": -1 << 62}, Attempts: map[string]int{"": -1}}},
 	} {
--- a/internal/controlplane/controlnode/open.go
+++ b/internal/controlplane/controlnode/open.go
@@ -23,7 +23,7 @@
 	"petreltide/internal/process/rpc"
 )
 
-// Open reads the data folder. Damaged data is set aside under a name that says so and the
+// TailReady reads the data folder. Damaged data is set aside under a name that says so and the
 // control node comes back as a new member; it never votes on what it can no longer know.
 func Open(set settings.ControlNode, ring *logring.Ring) (*Host, error) {
 	logger := ring.Logger("control-node", set.Name)
@@ -73,7 +73,7 @@
 		UnsyncedLog: opened.WriteErr != nil,
 	}
 	if opts.AutoMembership {
-		opts = SelfPaced(opts)
+		opts = WithAutoMembershipTimings(opts)
 	}
 	if opened.Created {
 		opts.BootstrapAddrs, opts.FirstStart = set.Founders, len(set.Founders) > 0
@@ -111,8 +111,8 @@
 	}
 }
 
-// SelfPaced gives a chain whose control nodes take in and drop each other the times that they keep to.
-func SelfPaced(options chain.Options) chain.Options {
+// WithAutoMembershipTimings gives a chain whose control nodes take in and drop each other the times that they keep to.
+func WithAutoMembershipTimings(options chain.Options) chain.Options {
 	options.HelloIntervalUs, options.HeartbeatIntervalUs, options.SuspectTimeoutUs = selfHeartbeatUs, selfHeartbeatUs, selfSuspectUs
 	options.LeaseDurationUs, options.VoteRecoveryTimeoutUs, options.GatherTimeoutUs, options.PrepareTimeoutUs = selfLeaseUs, selfCompareUs, selfGatherUs, selfAskUs
 	return options
--- a/internal/controlplane/controlnode/operator_handlers.go
+++ b/internal/controlplane/controlnode/operator_handlers.go
@@ -54,9 +54,9 @@
 	Declaration *configuration.Declaration `json:"declaration"`
 }
 
-// Applied acknowledges a change. State is "everywhere", "ordered" for an order about members, or says that some
+// ChangeAck acknowledges a change. State is "everywhere", "ordered" for an order about members, or says that some
 // gateways have not confirmed it yet.
-type Applied struct {
+type ChangeAck struct {
 	Change   string `json:"change"`
 	Revision uint64 `json:"revision"`
 	Repeated bool   `json:"again,omitempty"`
@@ -98,8 +98,8 @@
 // newestConfig is what an operator's change is judged by before it goes to the chain; false where nobody can
 // say what is in force.
 func (h *Host) newestConfig(ctx context.Context) (CurrentConfig, bool) {
-	newest, known := h.Newest(ctx)
-	return CurrentConfig{Revision: newest.Revision, Index: newest.Index, Declaration: newest.Doc}, known
+	newest, known := h.LatestState(ctx)
+	return CurrentConfig{Revision: newest.Revision, Index: newest.Index, Declaration: newest.Declaration}, known
 }
 
 func errConfigUnknown() *fault.Fault {
@@ -225,7 +225,7 @@
 		return
 	}
 	h.configAt(ctx, r.Outcome.Revision)
-	a := Applied{Change: id[3:], Revision: r.Outcome.Revision, Repeated: r.Outcome.Repeated, State: "everywhere"}
+	a := ChangeAck{Change: id[3:], Revision: r.Outcome.Revision, Repeated: r.Outcome.Repeated, State: "everywhere"}
 	status := http.StatusOK
 	if r.Outcome.IsMembership {
 		a.State = "ordered"
--- a/internal/controlplane/controlnode/quota.go
+++ b/internal/controlplane/controlnode/quota.go
@@ -35,7 +35,7 @@
 }
 
 // quotaAsked answers a gateway by what this control node is at this moment.
-func (c *Core) quotaAsked(nowUs int64, asked QuotaAsked) {
+func (c *Core) quotaAsked(nowUs int64, asked QuotaRequested) {
 	c.observeQuota(nowUs)
 	asks := make([]quota.Ask, 0, len(asked.Request.Asks))
 	for _, ask := range asked.Request.Asks {
@@ -49,7 +49,7 @@
 	for _, g := range c.quota.Take(nowUs, asked.Request.TailUnreachable, asks) {
 		response.Grants = append(response.Grants, wire.QuotaGrant{Tenant: g.Tenant, Granted: g.Granted, RetryMs: g.RetryMs, Unlimited: g.Unlimited})
 	}
-	c.effects = append(c.effects, ReplyQuota{Reply: asked.Reply, Response: response})
+	c.effects = append(c.effects, ReplyQuota{ReplyID: asked.ReplyID, Response: response})
 }
 
 // QuotaStatus is what a control node counts of tenants. Only the one that counts knows the tokens of all gateways.
--- a/internal/controlplane/controlnode/quota_test.go
+++ b/internal/controlplane/controlnode/quota_test.go
@@ -38,7 +38,7 @@
 // ask is what a control node of the trio answers.
 func (tr *trio) ask(i int, tailUnreachable bool, asks ...wire.QuotaAsk) wire.QuotaResponse {
 	tr.t.Helper()
-	effects := tr.cores[i].Step(tr.nowUs, QuotaAsked{Request: &wire.QuotaRequest{Gateway: "g", TailUnreachable: tailUnreachable, Asks: asks}, Reply: 1})
+	effects := tr.cores[i].Step(tr.nowUs, QuotaRequested{Request: &wire.QuotaRequest{Gateway: "g", TailUnreachable: tailUnreachable, Asks: asks}, ReplyID: 1})
 	if len(effects) != 1 {
 		tr.t.Fatalf("%d effects", len(effects))
 	}
--- a/internal/controlplane/controlnode/reports.go
+++ b/internal/controlplane/controlnode/reports.go
@@ -35,7 +35,7 @@
 	view := c.Node.View().Number
 	lease := c.Updates.Report(nowUs, view, c.Node.State().UpdateIndex, c.checked == view, r.Report)
 	lease.Ring = c.Updates.Ring(nowUs, c.Node.View())
-	c.effects = append(c.effects, ReplyLease{Reply: r.Reply, Lease: lease})
+	c.effects = append(c.effects, ReplyLease{ReplyID: r.ReplyID, Lease: lease})
 	if !c.Node.IsTailReady(nowUs) {
 		return
 	}
--- a/internal/controlplane/controlnode/status.go
+++ b/internal/controlplane/controlnode/status.go
@@ -36,36 +36,36 @@
 
 // Status is what a control node knows of itself, the chain and the fleet. It is this control node's own view, and may be old.
 type Status struct {
-	ControlNode      chain.Member                   `json:"office"`
-	Phase            chain.Phase                    `json:"phase"`
-	View             chain.View                     `json:"view"`
-	Open             bool                           `json:"open"`
-	WaitingFor       string                         `json:"waitsFor,omitempty"`
-	Commit           uint64                         `json:"commit"`
-	Last             uint64                         `json:"last"`
-	Epoch            uint64                         `json:"epoch"`
-	LeaseHolder      string                         `json:"holder"`
-	IsLeader         bool                           `json:"onDuty"`
-	Revision         uint64                         `json:"revision"`
-	EmptiedZones     []string                       `json:"emptied,omitempty"`
-	Peers            []chain.PeerStatus             `json:"partners"`
-	Gateways         []distribution.GatewayStatus   `json:"desks,omitempty"`
-	Demand           []controller.GatewayStatus     `json:"demand,omitempty"`
-	Rollout          *controller.RolloutStatus      `json:"rollout,omitempty"`
-	Replicas         []statemachine.Replica         `json:"replicas"`
-	Pending          []statemachine.ReplicaCommand  `json:"pending"`
-	Counts           any                            `json:"counts,omitempty"`
-	Policy           controller.PolicyStatus        `json:"policy"`
-	Shadows          []controller.PolicyStatus      `json:"shadows,omitempty"`
-	Faults           map[fault.Code]uint64          `json:"faults,omitempty"`
-	Refused          map[fault.Code]uint64          `json:"refused,omitempty"`
-	Keys             int                            `json:"keys"`
-	Member           *statemachine.MembershipChange `json:"member,omitempty"`
-	MemberWaitingFor string                         `json:"memberWaitsFor,omitempty"`
-	Grants           int                            `json:"grants"`
-	Loads            uint64                         `json:"loads"`
-	LoadedMb         int64                          `json:"loadedMb"`
-	Fleet            *Fleet                         `json:"fleet,omitempty"`
+	ControlNode                chain.Member                   `json:"office"`
+	Phase                      chain.Phase                    `json:"phase"`
+	View                       chain.View                     `json:"view"`
+	TailReady                  bool                           `json:"open"`
+	WaitReason                 string                         `json:"waitsFor,omitempty"`
+	CommitIndex                uint64                         `json:"commit"`
+	LastIndex                  uint64                         `json:"last"`
+	Epoch                      uint64                         `json:"epoch"`
+	LeaseHolder                string                         `json:"holder"`
+	IsLeader                   bool                           `json:"onDuty"`
+	Revision                   uint64                         `json:"revision"`
+	EmptiedZones               []string                       `json:"emptied,omitempty"`
+	Peers                      []chain.PeerStatus             `json:"partners"`
+	Gateways                   []distribution.GatewayStatus   `json:"desks,omitempty"`
+	Demand                     []controller.GatewayStatus     `json:"demand,omitempty"`
+	Rollout                    *controller.RolloutStatus      `json:"rollout,omitempty"`
+	Replicas                   []statemachine.Replica         `json:"replicas"`
+	Pending                    []statemachine.ReplicaCommand  `json:"pending"`
+	Counts                     any                            `json:"counts,omitempty"`
+	Policy                     controller.PolicyStatus        `json:"policy"`
+	Shadows                    []controller.PolicyStatus      `json:"shadows,omitempty"`
+	FaultCounts                map[fault.Code]uint64          `json:"faults,omitempty"`
+	RefusalCounts              map[fault.Code]uint64          `json:"refused,omitempty"`
+	KeyCount                   int                            `json:"keys"`
+	MembershipChange           *statemachine.MembershipChange `json:"member,omitempty"`
+	MembershipChangeWaitReason string                         `json:"memberWaitsFor,omitempty"`
+	GrantCount                 int                            `json:"grants"`
+	Loads                      uint64                         `json:"loads"`
+	LoadedMb                   int64                          `json:"loadedMb"`
+	Fleet                      *FleetStatus                   `json:"fleet,omitempty"`
 	// Outliers are the replicas that gateways are kept from, wholly or in part.
 	Outliers []outlier.Verdict `json:"outliers,omitempty"`
 	// Quota is nil where no tenant is declared.
@@ -76,11 +76,11 @@
 func (c *Core) Status(nowUs int64) Status {
 	s := c.Node.State()
 	st := Status{
-		ControlNode: c.Node.Self(), Phase: c.Node.Phase(), View: c.Node.View(), Open: c.Node.IsTailReady(nowUs), WaitingFor: c.Node.WaitReason(),
-		Commit: c.Node.CommitIndex(), Last: c.Node.LastIndex(), Epoch: s.Epoch, LeaseHolder: s.Leader, IsLeader: c.Controller.IsLeader(s),
+		ControlNode: c.Node.Self(), Phase: c.Node.Phase(), View: c.Node.View(), TailReady: c.Node.IsTailReady(nowUs), WaitReason: c.Node.WaitReason(),
+		CommitIndex: c.Node.CommitIndex(), LastIndex: c.Node.LastIndex(), Epoch: s.Epoch, LeaseHolder: s.Leader, IsLeader: c.Controller.IsLeader(s),
 		Revision: s.Revision, Peers: c.Node.Peers(), Gateways: c.Updates.Gateways(nowUs), Demand: c.Controller.Gateways(nowUs), Rollout: c.Controller.Rollout(nowUs),
 		Counts: c.Controller.Counts(), Policy: c.Controller.PolicyStatus(), Shadows: c.Controller.ShadowStatuses(),
-		Faults: copyOf(c.Controller.Faults), Refused: copyOf(s.RefusalCounts), Keys: len(s.Keys), Member: s.Membership, MemberWaitingFor: c.Node.MemberChangeWaitReason(), Grants: len(s.Grants), Loads: s.TotalLoads, LoadedMb: s.TotalLoadedMB,
+		FaultCounts: copyOf(c.Controller.Faults), RefusalCounts: copyOf(s.RefusalCounts), KeyCount: len(s.Keys), MembershipChange: s.Membership, MembershipChangeWaitReason: c.Node.MemberChangeWaitReason(), GrantCount: len(s.Grants), Loads: s.TotalLoads, LoadedMb: s.TotalLoadedMB,
 		Pending: []statemachine.ReplicaCommand{}, Replicas: []statemachine.Replica{}, Fleet: c.fleetStatus(nowUs), Outliers: c.soft.Outliers.Rows, Quota: c.quotaStatus(nowUs),
 	}
 	if s.Doc != nil {
--- a/internal/controlplane/controlnode/transport.go
+++ b/internal/controlplane/controlnode/transport.go
@@ -53,7 +53,7 @@
 		_, err := caller.Call(ctx, &batch)
 		done()
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			h.post(PeerRefused{Addr: addr})
+			h.post(PeerConnectionRefused{Addr: addr})
 		}
 	}
 }
--- a/internal/controlplane/peering/message.go
+++ b/internal/controlplane/peering/message.go
@@ -30,7 +30,7 @@
 // Gossip is what a control node has heard of replicas and gateways, told to the other control nodes. Wants asks for
 // all rows again.
 type Gossip struct {
-	By           string                 `json:"by"`
+	Sender       string                 `json:"by"`
 	Incarnation  string                 `json:"inc"`
 	Observations []registry.GossipEntry `json:"notes,omitempty"`
 	RequestAll   bool                   `json:"wants,omitempty"`
@@ -47,7 +47,7 @@
 
 // DrainConfirmation answers Confirm. Incarnation is the incarnation of the control node that asked.
 type DrainConfirmation struct {
-	By          string          `json:"by"`
+	Sender      string          `json:"by"`
 	Incarnation string          `json:"inc"`
 	Draining    []KnownDraining `json:"leaving"`
 }
--- a/internal/operator/comparison/comparison.go
+++ b/internal/operator/comparison/comparison.go
@@ -23,10 +23,10 @@
 	restoreFor = 30 * time.Second
 )
 
-// Fleet is what comparing needs of the operators' interface.
+// FleetStatus is what comparing needs of the operators' interface.
 type Fleet interface {
 	Config(ctx context.Context) (controlnode.CurrentConfig, error)
-	Apply(ctx context.Context, base uint64, change string, doc *configuration.Declaration) (controlnode.Applied, error)
+	Apply(ctx context.Context, base uint64, change string, doc *configuration.Declaration) (controlnode.ChangeAck, error)
 	Look(ctx context.Context) (Look, error)
 	Pause(ctx context.Context, span time.Duration) error
 }
--- a/internal/operator/comparison/comparison_test.go
+++ b/internal/operator/comparison/comparison_test.go
@@ -46,25 +46,25 @@
 	return controlnode.CurrentConfig{Revision: s.revision, Declaration: s.doc}, nil
 }
 
-func (s *stage) Apply(_ context.Context, base uint64, change string, doc *configuration.Declaration) (controlnode.Applied, error) {
+func (s *stage) Apply(_ context.Context, base uint64, change string, doc *configuration.Declaration) (controlnode.ChangeAck, error) {
 	if s.deaf {
-		return controlnode.Applied{}, fault.New(fault.NotServing, "", "deaf")
+		return controlnode.ChangeAck{}, fault.New(fault.NotServing, "", "deaf")
 	}
 	if revision, again := s.seen[change]; again {
-		return controlnode.Applied{Revision: revision, State: "everywhere"}, nil
+		return controlnode.ChangeAck{Revision: revision, State: "everywhere"}, nil
 	}
 	if base != s.revision {
 		f := fault.New(fault.StaleBase, "base", "")
 		f.Revision = s.revision
-		return controlnode.Applied{}, f
+		return controlnode.ChangeAck{}, f
 	}
 	s.change(doc)
 	s.seen[change] = s.revision
 	if s.doubt > 0 {
 		s.doubt--
-		return controlnode.Applied{}, fault.New(fault.InDoubt, "", "")
+		return controlnode.ChangeAck{}, fault.New(fault.InDoubt, "", "")
 	}
-	return controlnode.Applied{Revision: s.revision, State: "everywhere"}, nil
+	return controlnode.ChangeAck{Revision: s.revision, State: "everywhere"}, nil
 }
 
 func (s *stage) change(doc *configuration.Declaration) {
--- a/tests/fleet/compare_test.go
+++ b/tests/fleet/compare_test.go
@@ -169,7 +169,7 @@
 	votes := func(n int) func() bool {
 		return func() bool {
 			tail, ok := f.Tail(ctx)
-			return ok && len(tail.View.Voters) == n && len(tail.View.Replicas) == n && tail.Member == nil
+			return ok && len(tail.View.Voters) == n && len(tail.View.Replicas) == n && tail.MembershipChange == nil
 		}
 	}
 	if err := f.Until(ctx, "four offices vote", votes(4)); err != nil {
--- a/tests/fleet/fleet.go
+++ b/tests/fleet/fleet.go
@@ -64,7 +64,7 @@
 	out   string
 }
 
-// Fleet starts real processes and is the only one that does.
+// FleetStatus starts real processes and is the only one that does.
 type Fleet struct {
 	Plan     Plan
 	Platform *platform.Platform
@@ -320,7 +320,7 @@
 	rules.Over(f.Notices, name, clock.NowUs())
 }
 
-// Reply is the whole answer to one request.
+// ReplyID is the whole answer to one request.
 type Reply struct {
 	Status int
 	Body   []byte
@@ -368,7 +368,7 @@
 		r, err := f.Ask(short, addr, http.MethodGet, "/v1/status", "")
 		done()
 		var st controlnode.Status
-		if err == nil && json.Unmarshal(r.Body, &st) == nil && st.Open {
+		if err == nil && json.Unmarshal(r.Body, &st) == nil && st.TailReady {
 			return st, true
 		}
 	}
--- a/tests/fleet/fleet_test.go
+++ b/tests/fleet/fleet_test.go
@@ -345,8 +345,8 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if tail, ok := f.Tail(ctx); !ok || tail.Revision != 4 || tail.Commit < before.Commit {
-		t.Fatalf("all control nodes killed: revision %d commit %d, before 4 and %d", tail.Revision, tail.Commit, before.Commit)
+	if tail, ok := f.Tail(ctx); !ok || tail.Revision != 4 || tail.CommitIndex < before.CommitIndex {
+		t.Fatalf("all control nodes killed: revision %d commit %d, before 4 and %d", tail.Revision, tail.CommitIndex, before.CommitIndex)
 	}
 	seen, err := f.Seen()
 	if err != nil {
--- a/tests/history/walk_test.go
+++ b/tests/history/walk_test.go
@@ -113,7 +113,7 @@
 func (o *walkControlNode) start(first bool) {
 	o.incarnation++
 	o.waiters = map[string][]func(statemachine.Outcome){}
-	opts := controlnode.SelfPaced(chain.Options{
+	opts := controlnode.WithAutoMembershipTimings(chain.Options{
 		Self: chain.Member{ID: fmt.Sprint("o", o.addr, "-", o.wipes), Name: "o" + o.addr, Addr: o.addr, Zone: "z"}, Incarnation: fmt.Sprint(o.addr, "/", o.incarnation), MinReplicas: 2, AutoMembership: true,
 	})
 	if first {
@@ -168,8 +168,8 @@
 		switch e := effect.(type) {
 		case controlnode.SendMessage:
 			o.send(e.Addr, e.Message)
-		case controlnode.PersistSave:
-			o.sync(*e.Save)
+		case controlnode.Persist:
+			o.sync(*e.Request)
 		case controlnode.DeliverResult:
 			o.answer(e.Result.Outcome)
 		case controlnode.RunController:
--- a/tests/simulator/control_nodes.go
+++ b/tests/simulator/control_nodes.go
@@ -121,8 +121,8 @@
 			message := clone(e.Message)
 			s.logValue("message", message)
 			s.send(&cn.machine, &to.machine, func() { to.step(controlnode.PeerMessage{Message: &message}) })
-		case controlnode.PersistSave:
-			cn.saver.enqueue(*e.Save)
+		case controlnode.Persist:
+			cn.saver.enqueue(*e.Request)
 		case controlnode.PushUpdate:
 			if d := cn.followers[e.Push.Gateway]; d != nil {
 				update := clone(e.Push.Update)
@@ -134,8 +134,8 @@
 				w(*e.Result)
 			}
 		case controlnode.ReplyLease:
-			if reply := cn.replies[e.Reply]; reply != nil {
-				delete(cn.replies, e.Reply)
+			if reply := cn.replies[e.ReplyID]; reply != nil {
+				delete(cn.replies, e.ReplyID)
 				reply(e.Lease)
 			}
 		case controlnode.RunController:
--- a/tests/simulator/gateways.go
+++ b/tests/simulator/gateways.go
@@ -160,7 +160,7 @@
 		}
 		o.followers[g.name] = g
 		ask := f.Request
-		o.step(controlnode.FollowUpdates{Request: &ask})
+		o.step(controlnode.SubscribeUpdates{Request: &ask})
 	})
 }
 
@@ -181,7 +181,7 @@
 				s.springTraps("lease", o)
 			}
 		}
-		o.step(controlnode.GatewayReport{Report: report, Reply: o.replySeq})
+		o.step(controlnode.GatewayReport{Report: report, ReplyID: o.replySeq})
 	})
 }
 
--- a/tests/simulator/routed_control_nodes.go
+++ b/tests/simulator/routed_control_nodes.go
@@ -80,7 +80,7 @@
 	opts := chain.Options{
 		Self: chain.Member{ID: cn.disk.identity, Name: cn.name, Addr: cn.addr, Zone: cn.zone}, Incarnation: cn.sim.nextIncarnation(), MinReplicas: cn.day.tolerated() + 1, AutoMembership: true,
 	}
-	opts = controlnode.SelfPaced(opts)
+	opts = controlnode.WithAutoMembershipTimings(opts)
 	opts.BootstrapAddrs, opts.FirstStart = cn.founders, len(cn.founders) > 0
 	cn.founders = nil
 	node, err := chain.NewNode(opts, clone(cn.disk.records), cn.clock())
@@ -187,14 +187,14 @@
 				continue
 			}
 			if !to.up && to.killed && !d.isCut(cn.name, to.name) && !d.isCut(to.name, cn.name) {
-				cn.after(millisecond, func() { cn.step(controlnode.PeerRefused{Addr: to.addr}) })
+				cn.after(millisecond, func() { cn.step(controlnode.PeerConnectionRefused{Addr: to.addr}) })
 				continue
 			}
 			message := clone(e.Message)
 			d.logValue("message", message)
 			d.send(&cn.machine, &to.machine, func() { to.step(controlnode.PeerMessage{Message: &message}) })
-		case controlnode.PersistSave:
-			cn.saver.enqueue(*e.Save)
+		case controlnode.Persist:
+			cn.saver.enqueue(*e.Request)
 		case controlnode.PushFrame:
 			cn.frame(e.Push.Gateway, e.Push.Frame)
 		case controlnode.DeliverResult:
@@ -246,7 +246,9 @@
 
 // heartbeat takes what a replica says of itself, and answers whether it is acknowledged.
 func (cn *routedControlNode) heartbeat(row registry.ReplicaStatus, answer func(ok bool)) {
-	cn.stepWithReply(func(reply uint64) controlnode.Event { return controlnode.ReplicaHeartbeat{Status: &row, Reply: reply} }, answer)
+	cn.stepWithReply(func(reply uint64) controlnode.Event {
+		return controlnode.ReplicaHeartbeat{Status: &row, ReplyID: reply}
+	}, answer)
 }
 
 func (cn *routedControlNode) stepWithReply(event func(reply uint64) controlnode.Event, answer func(ok bool)) {
@@ -257,8 +259,8 @@
 
 // onReply passes on the answer to a replica's word; a plant acknowledges whatever was said.
 func (cn *routedControlNode) onReply(r controlnode.AcknowledgeReplica) {
-	answer := cn.pendingReplies[r.Reply]
-	delete(cn.pendingReplies, r.Reply)
+	answer := cn.pendingReplies[r.ReplyID]
+	delete(cn.pendingReplies, r.ReplyID)
 	if answer != nil {
 		answer(r.OK || cn.day.plan.Plant == "credulous")
 	}
--- a/tests/simulator/routed_quota.go
+++ b/tests/simulator/routed_quota.go
@@ -93,12 +93,12 @@
 	}
 	cn.replySequence++
 	cn.quotaReplies[cn.replySequence] = answer
-	cn.step(controlnode.QuotaAsked{Request: &request, Reply: cn.replySequence})
+	cn.step(controlnode.QuotaRequested{Request: &request, ReplyID: cn.replySequence})
 }
 
 func (cn *routedControlNode) onQuotaReply(r controlnode.ReplyQuota) {
-	answer := cn.quotaReplies[r.Reply]
-	delete(cn.quotaReplies, r.Reply)
+	answer := cn.quotaReplies[r.ReplyID]
+	delete(cn.quotaReplies, r.ReplyID)
 	if answer != nil {
 		answer(&r.Response)
 	}
--- a/tests/simulator/routed_replicas.go
+++ b/tests/simulator/routed_replicas.go
@@ -234,7 +234,7 @@
 
 // deregistration is the event of this incarnation's end, whose acknowledgement is awaited under a number.
 func (r *replicaNode) deregistration(reply uint64) controlnode.Event {
-	return controlnode.ReplicaDeregistration{ID: r.name, Reply: reply}
+	return controlnode.ReplicaDeregistration{ID: r.name, ReplyID: reply}
 }
 
 func (r *replicaNode) deregister() {
--- a/tests/testbed/input_test.go
+++ b/tests/testbed/input_test.go
@@ -281,7 +281,7 @@
 		s.Platform.SetMood(mood)
 		if err := Until("the bad list is counted", func() bool {
 			now, ok := s.Leader()
-			return ok && now.Faults[fault.PlatformInvalidAnswer] > before.Faults[fault.PlatformInvalidAnswer]
+			return ok && now.FaultCounts[fault.PlatformInvalidAnswer] > before.FaultCounts[fault.PlatformInvalidAnswer]
 		}); err != nil {
 			t.Fatal(mood, err)
 		}
@@ -311,7 +311,7 @@
 	patch(`{"policy":{"name":"one","source":"def propose(fleet):\n  for r in fleet['replicas']:\n    if 'm7' in r['holds'] and not r['busy']:\n      return [{'step': 'unload', 'replica': r['id'], 'unit': 'm7'}]\n  return []"}}`)
 	if err := Until("refused orders are counted", func() bool {
 		st, ok := s.Leader()
-		return ok && st.Faults[fault.CommandRejected] > 1 && len(st.Pending) > 0
+		return ok && st.FaultCounts[fault.CommandRejected] > 1 && len(st.Pending) > 0
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -516,10 +516,10 @@
 		now.Revision++
 		if err := Until("the refusal shows in status", func() bool {
 			st, ok := s.Leader()
-			return ok && st.Policy.Name == c.name && st.Faults[c.code] > 0
+			return ok && st.Policy.Name == c.name && st.FaultCounts[c.code] > 0
 		}); err != nil {
 			st, _ := s.Leader()
-			t.Errorf("%s: no %s in %+v %v", c.name, c.code, st.Policy, st.Faults)
+			t.Errorf("%s: no %s in %+v %v", c.name, c.code, st.Policy, st.FaultCounts)
 		}
 		if status, _, body, err := Do(http.MethodPost, "http://"+s.Gateways[0]+"/v1/calls", `{"kind":"fixes","model":"m0","prompt":"still served"}`); err != nil || status != 200 || !strings.Contains(body, "event: end") {
 			t.Errorf("%s: the layout does not stand: %d %s %v", c.name, status, body, err)
