--- a/internal/dataplane/gateway/attempts.go
+++ b/internal/dataplane/gateway/attempts.go
@@ -94,7 +94,7 @@
 // newAttemptRequest makes the request of an attempt, whose body waits until the replica asks for it.
 func (h *Host) newAttemptRequest(attemptCtx context.Context, request *CallRequest, c *scheduling.Call, st scheduling.AttemptStart, received []string) (*attemptRequest, error) {
 	raw, err := json.Marshal(wire.Attempt{
-		ID: st.Attempt, Ticket: st.Ticket, Incarnation: st.Incarnation, Call: c.ID, Model: c.Model, Adapter: c.Adapter,
+		ID: st.Attempt, Ticket: st.GrantNumber, Incarnation: st.Incarnation, Call: c.ID, Model: c.Model, Adapter: c.Adapter,
 		Prefix: request.Prefix, Prompt: request.Prompt, Received: received, NextChunk: len(received) + 1, MaxOutput: request.MaxOutput,
 	})
 	if err != nil {
@@ -181,7 +181,7 @@
 		if receivedBytes += len(p.Text); receivedBytes > maxStreamBytes {
 			return scheduling.OutcomeBroken, "the replica's stream is too long"
 		}
-		ending, why := scheduling.CheckPiece(st.Attempt, len(s.chunks), p)
+		ending, why := scheduling.CheckChunk(st.Attempt, len(s.chunks), p)
 		if ending != "" {
 			if ending == scheduling.OutcomeBroken {
 				_ = h.warn.Log("msg", "stream broken", "attempt", st.Attempt, "reason", why)
--- a/internal/dataplane/gateway/calls.go
+++ b/internal/dataplane/gateway/calls.go
@@ -48,7 +48,7 @@
 	}
 	lastEventID := r.Header.Get("Last-Event-Id")
 	nonResumable := request.Resumable != nil && !*request.Resumable
-	kind, bad := s.Lookup(scheduling.Lookup{Kind: request.Kind, Model: request.Model, Adapter: request.Adapter, NonRepeatable: nonResumable, Resuming: lastEventID != ""}, clock.NowUs(), h.leaseUs.Load())
+	kind, bad := s.LookupKind(scheduling.KindLookup{Kind: request.Kind, Model: request.Model, Adapter: request.Adapter, NonRetryable: nonResumable, Resuming: lastEventID != ""}, clock.NowUs(), h.leaseUs.Load())
 	if bad == nil {
 		bad = request.check(r.Header.Get("Idempotency-Key"))
 	}
@@ -57,7 +57,7 @@
 	}
 	c = &scheduling.Call{
 		ID: h.settings.Name + "-" + randomid.New(8), Kind: kind.Name, Model: request.Model, Adapter: request.Adapter,
-		Prefix: request.Prefix, NonRepeatable: nonResumable, TimeoutMs: request.DeadlineMs, ArrivedUs: clock.NowUs(),
+		Prefix: request.Prefix, NonRetryable: nonResumable, TimeoutMs: request.DeadlineMs, ArrivedUs: clock.NowUs(),
 	}
 	if f := applyLastEventID(lastEventID, request, c); f != nil {
 		return nil, nil, false, f
--- a/internal/dataplane/scheduling/call.go
+++ b/internal/dataplane/scheduling/call.go
@@ -9,18 +9,18 @@
 // Call is what a caller asked for. Its urgency, its deadline and whether it may be resumed are its
 // kind's, as the newest news has it, until an attempt starts.
 type Call struct {
-	ID            string
-	Kind          string
-	Model         string
-	Adapter       string
-	Prefix        []string
-	NonRepeatable bool
-	TimeoutMs     int64
-	ArrivedUs     int64
-	Delivered     int
-	Progress      atomic.Int64
-	FirstByteUs   atomic.Int64
-	Routed        *RoutedCall
+	ID           string
+	Kind         string
+	Model        string
+	Adapter      string
+	Prefix       []string
+	NonRetryable bool
+	TimeoutMs    int64
+	ArrivedUs    int64
+	Delivered    int
+	Progress     atomic.Int64
+	FirstByteUs  atomic.Int64
+	Routed       *RoutedCall
 	// OutlierClass is the class of the last attempt's, an outlier.Class, where whoever ran it can tell.
 	OutlierClass atomic.Int32
 
--- a/internal/dataplane/scheduling/completion.go
+++ b/internal/dataplane/scheduling/completion.go
@@ -93,7 +93,7 @@
 		return
 	}
 	if c.attempts >= maxCallAttempts {
-		d.failCall(c, fault.Overloaded, "its legs were refused or lost too often", d.RetryMs())
+		d.failCall(c, fault.Overloaded, "its legs were refused or lost too often", d.RetryAfterMs())
 		return
 	}
 	d.logDecision(c, "waits again", on, string(ending))
--- a/internal/dataplane/scheduling/decider.go
+++ b/internal/dataplane/scheduling/decider.go
@@ -147,11 +147,11 @@
 		return
 	}
 	if d.queued >= d.opts.QueueMax && !d.evictFor(c) {
-		d.failCall(c, fault.Overloaded, "the backlog is full", d.RetryMs())
+		d.failCall(c, fault.Overloaded, "the backlog is full", d.RetryAfterMs())
 		return
 	}
 	if waitUs := d.estimatedWaitUs(c); d.nowUs+waitUs > c.deadlineUs {
-		d.failCall(c, fault.Overloaded, fmt.Sprintf("about %d ms of waiting lie before its expiry", waitUs/1000), d.RetryMs())
+		d.failCall(c, fault.Overloaded, fmt.Sprintf("about %d ms of waiting lie before its expiry", waitUs/1000), d.RetryAfterMs())
 		return
 	}
 	d.enqueue(c)
--- a/internal/dataplane/scheduling/declaration.go
+++ b/internal/dataplane/scheduling/declaration.go
@@ -70,7 +70,7 @@
 	case code != "":
 		d.failCall(c, code, "it was taken out of the declaration", 0)
 	case c.deadlineUs <= d.nowUs:
-		d.failCall(c, fault.Expired, "no replica could take it before its expiry", d.RetryMs())
+		d.failCall(c, fault.Expired, "no replica could take it before its expiry", d.RetryAfterMs())
 	default:
 		return true
 	}
@@ -90,7 +90,7 @@
 		c.repeatable = false
 		return fault.UnknownKind
 	}
-	c.urgency, c.repeatable = kind.Urgency, kind.Resumable && !c.NonRepeatable
+	c.urgency, c.repeatable = kind.Urgency, kind.Resumable && !c.NonRetryable
 	mostMs := kind.DeadlineMs
 	if c.TimeoutMs > 0 {
 		mostMs = min(mostMs, c.TimeoutMs)
--- a/internal/dataplane/scheduling/events.go
+++ b/internal/dataplane/scheduling/events.go
@@ -73,7 +73,7 @@
 type AttemptStart struct {
 	Call        *Call
 	Attempt     string
-	Ticket      uint64
+	GrantNumber uint64
 	Replica     string
 	Addr        string
 	Incarnation string
--- a/internal/dataplane/scheduling/golden_test.go
+++ b/internal/dataplane/scheduling/golden_test.go
@@ -43,7 +43,7 @@
 			if s.Route != nil {
 				route = s.Route.Name
 			}
-			fmt.Fprintln(j.sum, "start", s.Call.ID, s.Attempt, s.Ticket, s.Replica, s.Addr, s.Incarnation, s.Revision, s.DeadlineUs, route, s.Service, s.Kind, s.EstimatedFirstByteMs, s.Running)
+			fmt.Fprintln(j.sum, "start", s.Call.ID, s.Attempt, s.GrantNumber, s.Replica, s.Addr, s.Incarnation, s.Revision, s.DeadlineUs, route, s.Service, s.Kind, s.EstimatedFirstByteMs, s.Running)
 		case failed(e) != nil:
 			j.gives++
 			fmt.Fprintf(j.sum, "give %s %+v\n", failed(e).Call.ID, *failed(e).Fault)
@@ -72,7 +72,7 @@
 }
 
 func (j *journal) state(nowUs int64) {
-	for _, v := range []any{j.d.Report(nowUs), j.d.Status(), j.d.Counters(), j.d.Ready(nowUs), j.d.RetryMs(), j.d.HasUnreportedFailures(), j.d.Arrivals()} {
+	for _, v := range []any{j.d.Report(nowUs), j.d.Status(), j.d.Counters(), j.d.Ready(nowUs), j.d.RetryAfterMs(), j.d.HasUnreportedFailures(), j.d.Arrivals()} {
 		raw, err := json.Marshal(v)
 		if err != nil {
 			j.t.Fatal(err)
--- a/internal/dataplane/scheduling/granted_attempts.go
+++ b/internal/dataplane/scheduling/granted_attempts.go
@@ -78,7 +78,7 @@
 		p.cachedPrefixes[print] = d.nowUs
 	}
 	d.logDecision(c, "leg", r.ID, why)
-	d.emit(&AttemptStart{Call: c, Attempt: c.attempt, Ticket: grant.number, Replica: r.ID, Addr: r.Addr, Incarnation: r.Incarnation, Revision: d.snapshot.Revision, DeadlineUs: c.deadlineUs, Kind: c.requestKind()})
+	d.emit(&AttemptStart{Call: c, Attempt: c.attempt, GrantNumber: grant.number, Replica: r.ID, Addr: r.Addr, Incarnation: r.Incarnation, Revision: d.snapshot.Revision, DeadlineUs: c.deadlineUs, Kind: c.requestKind()})
 }
 
 func (d *Decider) forgetPrefixes(p *grantedReplica) {
--- a/internal/dataplane/scheduling/queue.go
+++ b/internal/dataplane/scheduling/queue.go
@@ -121,7 +121,7 @@
 		return false
 	}
 	last := most.calls[len(most.calls)-1]
-	d.failCall(last, fault.Overloaded, "gave way to a kind below its share of the backlog", d.RetryMs())
+	d.failCall(last, fault.Overloaded, "gave way to a kind below its share of the backlog", d.RetryAfterMs())
 	return true
 }
 
@@ -155,8 +155,8 @@
 	return true
 }
 
-// RetryMs is how long a refused caller should wait, by what waits here and how fast it is served.
-func (d *Decider) RetryMs() int64 {
+// RetryAfterMs is how long a refused caller should wait, by what waits here and how fast it is served.
+func (d *Decider) RetryAfterMs() int64 {
 	share := 0
 	if d.snapshot != nil {
 		for _, r := range d.snapshot.Replicas {
@@ -176,7 +176,7 @@
 	}
 	for _, c := range d.waitingCalls() {
 		if c.deadlineUs <= d.nowUs {
-			d.failCall(c, fault.Expired, "no replica could take it before its expiry", d.RetryMs())
+			d.failCall(c, fault.Expired, "no replica could take it before its expiry", d.RetryAfterMs())
 		}
 	}
 }
--- a/internal/dataplane/scheduling/report.go
+++ b/internal/dataplane/scheduling/report.go
@@ -140,7 +140,7 @@
 	}
 	f.RetryMs = noLeaseRetryMs
 	if f.Code == fault.Overloaded {
-		f.RetryMs = d.RetryMs()
+		f.RetryMs = d.RetryAfterMs()
 	}
 	return f
 }
--- a/internal/dataplane/scheduling/retry_decisions.go
+++ b/internal/dataplane/scheduling/retry_decisions.go
@@ -40,8 +40,8 @@
 const (
 	// NothingSent means: no connection came about, or no byte of the request was taken from this process.
 	NothingSent Observation = iota
-	// Withheld means: a connection stood, but the newest declaration no longer sends the request there.
-	Withheld
+	// RouteWithdrawn means: a connection stood, but the newest declaration no longer sends the request there.
+	RouteWithdrawn
 	// Rejected means: an answer in which the replica says that it has not run the request.
 	Rejected
 	// ModelMissing means: the incarnation that was asked says that what the request names is not there.
@@ -145,7 +145,7 @@
 // retryDecisions is the one place that says what is sent again and what a caller is told.
 var retryDecisions = [observations]decisionRow{
 	NothingSent:                  forEveryKind(RetryDecision{Outcome: OutcomeUnsent, Retry: true, Response: RespondRejected}),
-	Withheld:                     forEveryKind(RetryDecision{Outcome: OutcomeUnsent, Retry: true, Response: RespondRejected, ReuseConnection: true}),
+	RouteWithdrawn:               forEveryKind(RetryDecision{Outcome: OutcomeUnsent, Retry: true, Response: RespondRejected, ReuseConnection: true}),
 	Rejected:                     forEveryKind(RetryDecision{Outcome: OutcomeRejected, Retry: true, Response: RespondRejected, ReuseConnection: true}),
 	ModelMissing:                 forEveryKind(RetryDecision{Outcome: OutcomeModelMissing, Retry: true, Response: RespondRejected, ReuseConnection: true}),
 	OtherIncarnation:             forEveryKind(RetryDecision{Outcome: OutcomeWrongIncarnation, Retry: true, Response: RespondRejected}),
--- a/internal/dataplane/scheduling/retry_decisions_test.go
+++ b/internal/dataplane/scheduling/retry_decisions_test.go
@@ -33,7 +33,7 @@
 	want := map[Observation][requestKinds]cell{
 		// in order:           idempotent, not, stream, stream that may be resumed
 		NothingSent:                  {refuse, refuse, refuse, refuse},
-		Withheld:                     {refuse, refuse, refuse, refuse},
+		RouteWithdrawn:               {refuse, refuse, refuse, refuse},
 		Rejected:                     {refuse, refuse, refuse, refuse},
 		ModelMissing:                 {refuse, refuse, refuse, refuse},
 		OtherIncarnation:             {refuse, refuse, refuse, refuse},
--- a/internal/dataplane/scheduling/routed.go
+++ b/internal/dataplane/scheduling/routed.go
@@ -164,7 +164,7 @@
 		return
 	}
 	if d.queued >= d.opts.QueueMax && !d.evictFor(c) {
-		d.failCall(c, fault.Overloaded, "the backlog is full", d.RetryMs())
+		d.failCall(c, fault.Overloaded, "the backlog is full", d.RetryAfterMs())
 		return
 	}
 	d.enqueue(c)
--- a/internal/dataplane/scheduling/snapshot.go
+++ b/internal/dataplane/scheduling/snapshot.go
@@ -57,18 +57,18 @@
 	return isLoaded(r, model) && (adapter == "" || isLoaded(r, adapter))
 }
 
-// Lookup is what a caller of our own interface names.
-type Lookup struct {
-	Kind          string
-	Model         string
-	Adapter       string
-	NonRepeatable bool
-	Resuming      bool
+// LookupKind is what a caller of our own interface names.
+type KindLookup struct {
+	Kind         string
+	Model        string
+	Adapter      string
+	NonRetryable bool
+	Resuming     bool
 }
 
-// Lookup finds a call's kind, or the fault that refuses it. Without a lease there may be newer news
+// LookupKind finds a call's kind, or the fault that refuses it. Without a lease there may be newer news
 // that knows what this snapshot does not: then only a later try can tell.
-func (s *Snapshot) Lookup(a Lookup, nowUs, leaseUs int64) (*configuration.Kind, *fault.Fault) {
+func (s *Snapshot) LookupKind(a KindLookup, nowUs, leaseUs int64) (*configuration.Kind, *fault.Fault) {
 	kind := s.Declaration.Kind(a.Kind)
 	var bad *fault.Fault
 	switch code := s.unknownCode(a.Model, a.Adapter); {
@@ -78,7 +78,7 @@
 		bad = fault.New(code, "model", "no model %q", a.Model)
 	case code != "":
 		bad = fault.New(code, "adapter", "no adapter %q of model %q", a.Adapter, a.Model)
-	case a.Resuming && (a.NonRepeatable || !kind.Resumable):
+	case a.Resuming && (a.NonRetryable || !kind.Resumable):
 		bad = fault.New(fault.BadLastEventID, "Last-Event-Id", "calls of kind %q cannot be resumed", a.Kind)
 	default:
 		return kind, nil
@@ -116,8 +116,8 @@
 	return s != nil && nowUs < leaseUs && nowUs < st.DeadlineUs && s.Accepts(st.Replica, st.Incarnation, st.Call.Model, st.Call.Adapter) && s.Declaration.Kind(st.Call.Kind) != nil
 }
 
-// CheckPiece looks at a replica's next line; an empty ending means it is the next piece.
-func CheckPiece(attempt string, had int, p wire.Chunk) (Outcome, string) {
+// CheckChunk looks at a replica's next line; an empty ending means it is the next piece.
+func CheckChunk(attempt string, had int, p wire.Chunk) (Outcome, string) {
 	switch {
 	case p.AttemptID != attempt:
 		return OutcomeBroken, "the replica answered with another leg"
--- a/tests/simulator/gateways.go
+++ b/tests/simulator/gateways.go
@@ -347,7 +347,7 @@
 			finish(scheduling.OutcomeTimedOut, "expired while it ran")
 		}
 	})
-	attempt := wire.Attempt{ID: st.Attempt, Ticket: st.Ticket, Incarnation: st.Incarnation, Call: st.Call.ID, Model: c.request.Model, Adapter: c.request.Adapter,
+	attempt := wire.Attempt{ID: st.Attempt, Ticket: st.GrantNumber, Incarnation: st.Incarnation, Call: st.Call.ID, Model: c.request.Model, Adapter: c.request.Adapter,
 		Prefix: c.request.Prefix, Prompt: c.request.Prompt, Received: append(append([]string(nil), c.request.Received...), c.result.Chunks...), NextChunk: c.result.ReceivedChunks + len(c.result.Chunks) + 1, MaxOutput: c.request.MaxOutput}
 	boot := g.boot
 	asked := false
@@ -406,7 +406,7 @@
 			if over() {
 				return
 			}
-			ending, why := scheduling.CheckPiece(attempt.ID, c.result.ReceivedChunks+len(c.result.Chunks), chunk)
+			ending, why := scheduling.CheckChunk(attempt.ID, c.result.ReceivedChunks+len(c.result.Chunks), chunk)
 			switch {
 			case s.plan.Plant == "blind" && chunk.Number != c.result.ReceivedChunks+len(c.result.Chunks)+1 && !chunk.End:
 				ending = ""
@@ -499,7 +499,7 @@
 		refuse(&fault.Fault{Code: fault.NoLease, RetryMs: 500})
 		return
 	}
-	kind, bad := g.snapshot.Lookup(scheduling.Lookup{Kind: ask.Kind, Model: ask.Model, Adapter: ask.Adapter, Resuming: t.ReceivedChunks > 0}, g.clock(), g.leaseUs)
+	kind, bad := g.snapshot.LookupKind(scheduling.KindLookup{Kind: ask.Kind, Model: ask.Model, Adapter: ask.Adapter, Resuming: t.ReceivedChunks > 0}, g.clock(), g.leaseUs)
 	if bad != nil {
 		refuse(bad)
 		return
