--- a/cmd/petreltide/print.go
+++ b/cmd/petreltide/print.go
@@ -109,16 +109,16 @@
 // printPolicies shows the policy in force and its shadows.
 func printPolicies(w io.Writer, st controlnode.Status) {
 	if p := st.Policy; p.Name != "" {
-		fmt.Fprintf(w, "policy    %s: %d runs, %d faulted; last verdicts: %s\n", p.Name, p.Runs, p.Faulted, placement.Summary(p.Verdicts))
+		fmt.Fprintf(w, "policy    %s: %d runs, %d faulted; last verdicts: %s\n", p.Name, p.Runs, p.FaultCount, placement.Summary(p.Verdicts))
 		if p.Fault != nil {
 			fmt.Fprintf(w, "          last fault: %v\n", p.Fault)
 		}
 	}
 	for _, s := range st.Shadows {
-		fmt.Fprintf(w, "shadow    %s: %d runs, %d faulted", s.Name, s.Runs, s.Faulted)
+		fmt.Fprintf(w, "shadow    %s: %d runs, %d faulted", s.Name, s.Runs, s.FaultCount)
 		if s.Difference != nil {
 			fmt.Fprintf(w, "; parted from %s in %d of %d%s%s", st.Policy.Name, s.Difference.Runs-s.Difference.Same, s.Difference.Runs,
-				topSteps("; it alone would", s.Difference.Only), topSteps("; it would not", s.Difference.Left))
+				topSteps("; it alone would", s.Difference.ShadowOnly), topSteps("; it would not", s.Difference.LiveOnly))
 		}
 		fmt.Fprintln(w)
 	}
--- a/cmd/petreltide/status.go
+++ b/cmd/petreltide/status.go
@@ -25,15 +25,15 @@
 		return
 	}
 	wait := "orders may go out"
-	if n.OrdersInMs > 0 {
-		wait = fmt.Sprintf("orders wait %d ms more for the one before", n.OrdersInMs)
+	if n.OrderDelayMs > 0 {
+		wait = fmt.Sprintf("orders wait %d ms more for the one before", n.OrderDelayMs)
 	}
-	fmt.Fprintf(w, "orders    holder %s, fence %d: %s, %d stand\n", n.Holder, n.Fence, wait, len(n.Orders))
+	fmt.Fprintf(w, "orders    holder %s, fence %d: %s, %d stand\n", n.Leader, n.Epoch, wait, len(n.Orders))
 	for _, u := range n.Unreported {
-		fmt.Fprintf(w, "unknown   %s: its report has not come for %d ms; it gets no orders\n", u.Replica, u.ForMs)
+		fmt.Fprintf(w, "unknown   %s: its report has not come for %d ms; it gets no orders\n", u.Replica, u.MissingMs)
 	}
 	for _, s := range n.Store {
-		fmt.Fprintf(w, "store     %s: %d loads may begin now, %d of %d run, %d began within %d ms\n", s.Service, s.Left, s.Running, s.AtOnce, s.Began, s.WindowMs)
+		fmt.Fprintf(w, "store     %s: %d loads may begin now, %d of %d run, %d began within %d ms\n", s.Service, s.LoadsLeft, s.RunningLoads, s.MaxConcurrentLoads, s.RecentLoads, s.WindowMs)
 	}
 }
 
@@ -42,10 +42,10 @@
 	case r == nil:
 	case len(r.Behind) > 0:
 		fmt.Fprintf(w, "rollout   revision %d for %d ms; %d gateways are behind: %s\n", r.Revision, r.AgeMs, len(r.Behind), strings.Join(r.Behind, ", "))
-	case r.TookMs < 0:
+	case r.CompletedAfterMs < 0:
 		fmt.Fprintf(w, "rollout   revision %d for %d ms; no gateway has reported\n", r.Revision, r.AgeMs)
 	default:
-		fmt.Fprintf(w, "rollout   revision %d for %d ms; all gateways had it after %d ms\n", r.Revision, r.AgeMs, r.TookMs)
+		fmt.Fprintf(w, "rollout   revision %d for %d ms; all gateways had it after %d ms\n", r.Revision, r.AgeMs, r.CompletedAfterMs)
 	}
 }
 
@@ -84,7 +84,7 @@
 	}
 	if len(st.Gateways) == 0 {
 		for _, d := range st.Demand {
-			fmt.Fprintf(w, "gateway   %s zone %s at %s, reported %d ms ago, revision %d\n", d.Gateway, d.Zone, d.Addr, d.AgoMs, d.Revision)
+			fmt.Fprintf(w, "gateway   %s zone %s at %s, reported %d ms ago, revision %d\n", d.Gateway, d.Zone, d.Addr, d.LastReportAgoMs, d.Revision)
 		}
 	}
 	fmt.Fprintf(w, "gateways  %d live: %s\n", len(f.Gateways), strings.Join(f.Gateways, ", "))
--- a/cmd/petreltide/status_test.go
+++ b/cmd/petreltide/status_test.go
@@ -79,7 +79,7 @@
 	return controlnode.Status{
 		LeaseHolder: "core-1-ab", Epoch: 41, Pending: []statemachine.ReplicaCommand{load}, Replicas: []statemachine.Replica{},
 		Demand:  []controller.GatewayStatus{{Gateway: "front-1", Zone: "a", Addr: gatewayAddr, Revision: 9}, {Gateway: "front-2", Zone: "b", Addr: "127.0.0.1:1", Revision: 8}},
-		Rollout: &controller.RolloutStatus{Revision: 9, AgeMs: 2400, TookMs: -1, Behind: []string{"front-2"}},
+		Rollout: &controller.RolloutStatus{Revision: 9, AgeMs: 2400, CompletedAfterMs: -1, Behind: []string{"front-2"}},
 		Fleet: &controlnode.FleetStatus{
 			Version: 9, Gateways: []string{"front-1", "front-2"},
 			Routes: []configuration.Route{{Name: "letters", Host: "h.example", Prefix: "/l/", RetryClass: configuration.Streaming, Resumable: true, TimeoutMs: 5000, Priority: 1, MaxAttempts: 2,
@@ -90,9 +90,9 @@
 				{ID: "i-2", Service: "scribe", Zone: "b", State: controlnode.ReplicaUnreachable, HeartbeatAgeMs: 4000, Units: []string{"m1"}, ReservedMb: 80, CapacityMb: 100, Order: &load},
 				{ID: "i-3", Service: "quill", Zone: "b", State: controlnode.ReplicaUnreported, HeartbeatAgeMs: -1, Units: []string{}},
 			},
-			Leadership: &controller.LeaderStatus{Holder: "core-1-ab", Fence: 41, OrdersInMs: 700, Orders: []controller.OrderStatus{{ReplicaCommand: load, SentAgoMs: -1}},
-				Unreported: []controller.UnreportedStatus{{Replica: "i-9", ForMs: 12000}},
-				Store:      []controller.StoreStatus{{Service: "scribe", Left: 3, Running: 1, AtOnce: 7, Began: 4, WindowMs: 5000}},
+			Leadership: &controller.LeaderStatus{Leader: "core-1-ab", Epoch: 41, OrderDelayMs: 700, Orders: []controller.OrderStatus{{ReplicaCommand: load, SentAgoMs: -1}},
+				Unreported: []controller.UnreportedStatus{{Replica: "i-9", MissingMs: 12000}},
+				Store:      []controller.StoreStatus{{Service: "scribe", LoadsLeft: 3, RunningLoads: 1, MaxConcurrentLoads: 7, RecentLoads: 4, WindowMs: 5000}},
 				Demand:     map[string]controller.DemandStatus{"m1": {Rate: 2.5}}},
 		},
 	}
--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Counts are how many replicas of each model the scaler wanted at the last run of the policies.
-func (c *Controller) Counts() []scaler.Count { return c.policies.counts }
+// DesiredReplicas are how many replicas of each model the scaler wanted at the last run of the policies.
+func (c *Controller) DesiredReplicas() []scaler.Count { return c.policies.counts }
 
 // IsLeader says whether this controller leads, by its own claim in the replicated state.
 func (c *Controller) IsLeader(s *statemachine.State) bool { return c.leadership.holds(s) }
--- a/internal/controlplane/controller/effect.go
+++ b/internal/controlplane/controller/effect.go
@@ -55,8 +55,8 @@
 	Revision uint64
 	// Done: all live gateways work by it.
 	Done bool
-	// AfterUs is the time since this controller first saw the declaration in force, in microseconds.
-	AfterUs int64
+	// ElapsedUs is the time since this controller first saw the declaration in force, in microseconds.
+	ElapsedUs int64
 	// Gateways is the number of live gateways, and Behind are those that reported an older revision last.
 	Gateways int
 	Behind   []string
--- a/internal/controlplane/controller/note_test.go
+++ b/internal/controlplane/controller/note_test.go
@@ -16,11 +16,11 @@
 		f.demand(map[string]int{"m1": 2, "m2/a1": 1}, map[string]float64{"m1": 4, "m2": 8, "m3": 1, "m5": 2})
 		f.pass(100 * clock.Ms)
 		n := note(f.head)
-		if n == nil || n.Holder != f.s.Leader || n.Fence != f.s.Epoch || len(n.Orders) != len(f.s.Pending) || len(n.Store) != 1 {
+		if n == nil || n.Leader != f.s.Leader || n.Epoch != f.s.Epoch || len(n.Orders) != len(f.s.Pending) || len(n.Store) != 1 {
 			t.Fatalf("%+v of holder %s, epoch %d, pending %v", n, f.s.Leader, f.s.Epoch, f.s.Pending)
 		}
 		store := n.Store[0]
-		if left := f.fs[f.head].routed.store.loadsLeft(f.nowUs, f.s, f.s.Doc.Service("s")); store.Left != left || store.Left+store.Running > store.AtOnce || store.WindowMs != 5000 {
+		if left := f.fs[f.head].routed.store.loadsLeft(f.nowUs, f.s, f.s.Doc.Service("s")); store.LoadsLeft != left || store.LoadsLeft+store.RunningLoads > store.MaxConcurrentLoads || store.WindowMs != 5000 {
 			t.Fatalf("%+v, it gives %d", store, left)
 		}
 		for _, o := range n.Orders {
@@ -28,9 +28,9 @@
 				t.Fatalf("%+v was answered before it was sent", o)
 			}
 		}
-		orders, began = orders+len(n.Orders), max(began, store.Began)
+		orders, began = orders+len(n.Orders), max(began, store.RecentLoads)
 	}
-	if n := note(f.head); n.Demand["m2"].Rate <= n.Demand["m3"].Rate || n.OrdersInMs != 0 {
+	if n := note(f.head); n.Demand["m2"].Rate <= n.Demand["m3"].Rate || n.OrderDelayMs != 0 {
 		t.Errorf("%+v", n)
 	}
 	if orders == 0 || began == 0 {
@@ -40,7 +40,7 @@
 	f.pass(300 * clock.Ms)
 	f.take()
 	f.pass(500 * clock.Ms)
-	if n := note(f.head); n == nil || n.OrdersInMs < 1500 || n.OrdersInMs > (leaderFreshUs+fleetLeaseUs+leaseSlackUs)/1000 {
+	if n := note(f.head); n == nil || n.OrderDelayMs < 1500 || n.OrderDelayMs > (leaderFreshUs+fleetLeaseUs+leaseSlackUs)/1000 {
 		t.Errorf("right after a takeover: %+v", n)
 	}
 	if n := note(f.old); n != nil {
--- a/internal/controlplane/controller/predecessor.go
+++ b/internal/controlplane/controller/predecessor.go
@@ -7,13 +7,13 @@
 	"petreltide/internal/process/clock"
 )
 
-// OrderFlightUs bounds how long an order may be on its way to a replica: its sender gives it up then, and resets the
+// MaxOrderInFlightUs bounds how long an order may be on its way to a replica: its sender gives it up then, and resets the
 // connection. A successor waits so long beside the lease, as an order may arrive after the last that was heard of it.
-const OrderFlightUs = 900 * clock.Ms
+const MaxOrderInFlightUs = 900 * clock.Ms
 
 const (
 	// leaseSlackUs is how much longer than the lease a successor waits: an order's flight, and a margin.
-	leaseSlackUs = OrderFlightUs + 100*clock.Ms
+	leaseSlackUs = MaxOrderInFlightUs + 100*clock.Ms
 	// leaderFreshUs is how long after a takeover the leader before may still believe that it leads, and send again what is pending.
 	leaderFreshUs = 1100 * clock.Ms
 	// maxTrackedReplicas bounds what is remembered of replicas that are gone.
--- a/internal/controlplane/controller/rollout.go
+++ b/internal/controlplane/controller/rollout.go
@@ -20,12 +20,12 @@
 }
 
 // RolloutStatus is how far the declaration in force has come. The reports of gateways come a few times a second, so that
-// TookMs may be too high by the time between two of them.
+// CompletedAfterMs may be too high by the time between two of them.
 type RolloutStatus struct {
 	Revision uint64 `json:"revision"`
 	AgeMs    int64  `json:"ageMs"`
-	// TookMs is how long it took until all live gateways worked by it; below 0 while some do not.
-	TookMs int64 `json:"tookMs"`
+	// CompletedAfterMs is how long it took until all live gateways worked by it; below 0 while some do not.
+	CompletedAfterMs int64 `json:"tookMs"`
 	// Behind are the live gateways that reported an older revision last.
 	Behind []string `json:"behind,omitempty"`
 }
@@ -54,10 +54,10 @@
 	switch {
 	case live > 0 && len(behind) == 0:
 		r.doneUs = nowUs
-		c.emit(RolloutProgress{Revision: r.revision, Done: true, AfterUs: nowUs - r.beganUs, Gateways: live})
+		c.emit(RolloutProgress{Revision: r.revision, Done: true, ElapsedUs: nowUs - r.beganUs, Gateways: live})
 	case len(behind) > 0 && !r.late && nowUs-r.beganUs >= rolloutLateUs:
 		r.late = true
-		c.emit(RolloutProgress{Revision: r.revision, AfterUs: nowUs - r.beganUs, Gateways: live, Behind: behind})
+		c.emit(RolloutProgress{Revision: r.revision, ElapsedUs: nowUs - r.beganUs, Gateways: live, Behind: behind})
 	}
 }
 
@@ -67,9 +67,9 @@
 	if r.revision == 0 {
 		return nil
 	}
-	status := &RolloutStatus{Revision: r.revision, AgeMs: (nowUs - r.beganUs) / clock.Ms, TookMs: -1, Behind: c.gateways.behind(nowUs, r.revision)}
+	status := &RolloutStatus{Revision: r.revision, AgeMs: (nowUs - r.beganUs) / clock.Ms, CompletedAfterMs: -1, Behind: c.gateways.behind(nowUs, r.revision)}
 	if r.doneUs != 0 {
-		status.TookMs = (r.doneUs - r.beganUs) / clock.Ms
+		status.CompletedAfterMs = (r.doneUs - r.beganUs) / clock.Ms
 	}
 	return status
 }
--- a/internal/controlplane/controller/rollout_test.go
+++ b/internal/controlplane/controller/rollout_test.go
@@ -40,10 +40,10 @@
 	}
 	r.s.Revision = 2
 	told := r.follow(5*clock.Sec, map[string]uint64{"a": 2, "b": 1})
-	if want := []RolloutProgress{{Revision: 2, AfterUs: rolloutLateUs, Gateways: 2, Behind: []string{"b"}}}; !cmp.Equal(told, want) {
+	if want := []RolloutProgress{{Revision: 2, ElapsedUs: rolloutLateUs, Gateways: 2, Behind: []string{"b"}}}; !cmp.Equal(told, want) {
 		t.Fatalf("a late gateway is named once: %s", cmp.Diff(want, told))
 	}
-	if s := r.f.Rollout(r.nowUs); s.Revision != 2 || s.TookMs >= 0 || s.AgeMs != 5000 || !slices.Equal(s.Behind, []string{"b"}) {
+	if s := r.f.Rollout(r.nowUs); s.Revision != 2 || s.CompletedAfterMs >= 0 || s.AgeMs != 5000 || !slices.Equal(s.Behind, []string{"b"}) {
 		t.Errorf("%+v", s)
 	}
 	for _, g := range r.f.Gateways(r.nowUs) {
@@ -52,10 +52,10 @@
 		}
 	}
 	told = r.follow(100*clock.Ms, map[string]uint64{"a": 2, "b": 2})
-	if len(told) != 1 || !told[0].Done || told[0].AfterUs < 5*clock.Sec {
+	if len(told) != 1 || !told[0].Done || told[0].ElapsedUs < 5*clock.Sec {
 		t.Fatalf("the last one has come: %+v", told)
 	}
-	if s := r.f.Rollout(r.nowUs); s.TookMs != told[0].AfterUs/clock.Ms || len(s.Behind) > 0 {
+	if s := r.f.Rollout(r.nowUs); s.CompletedAfterMs != told[0].ElapsedUs/clock.Ms || len(s.Behind) > 0 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/controlplane/controller/shadow_difference.go
+++ b/internal/controlplane/controller/shadow_difference.go
@@ -9,10 +9,10 @@
 
 // ShadowDifference says how often a shadow's proposals were not the live policy's, and where.
 type ShadowDifference struct {
-	Runs uint64            `json:"runs"`
-	Same uint64            `json:"same"`
-	Only map[string]uint64 `json:"only"`
-	Left map[string]uint64 `json:"left"`
+	Runs       uint64            `json:"runs"`
+	Same       uint64            `json:"same"`
+	ShadowOnly map[string]uint64 `json:"only"`
+	LiveOnly   map[string]uint64 `json:"left"`
 }
 
 func proposalText(p placement.Proposal) string {
@@ -21,15 +21,15 @@
 
 func (p *ShadowDifference) add(live, shadow []placement.Proposal) *ShadowDifference {
 	if p == nil {
-		p = &ShadowDifference{Only: map[string]uint64{}, Left: map[string]uint64{}}
+		p = &ShadowDifference{ShadowOnly: map[string]uint64{}, LiveOnly: map[string]uint64{}}
 	}
 	p.Runs++
 	only, left := missingFrom(shadow, live), missingFrom(live, shadow)
 	if len(only)+len(left) == 0 {
 		p.Same++
 	}
-	countProposals(p.Only, only)
-	countProposals(p.Left, left)
+	countProposals(p.ShadowOnly, only)
+	countProposals(p.LiveOnly, left)
 	return p
 }
 
--- a/internal/controlplane/controller/status.go
+++ b/internal/controlplane/controller/status.go
@@ -9,11 +9,11 @@
 
 // GatewayStatus is what is shown of a gateway: when it last reported, and what is called for and waits there.
 type GatewayStatus struct {
-	Silent  bool   `json:"silent,omitempty"`
-	Gateway string `json:"desk"`
-	Zone    string `json:"zone"`
-	Addr    string `json:"addr"`
-	AgoMs   int64  `json:"agoMs"`
+	Silent          bool   `json:"silent,omitempty"`
+	Gateway         string `json:"desk"`
+	Zone            string `json:"zone"`
+	Addr            string `json:"addr"`
+	LastReportAgoMs int64  `json:"agoMs"`
 	// Revision is that of the declaration that it worked by at its last report.
 	Revision uint64             `json:"revision,omitempty"`
 	Arrivals map[string]float64 `json:"arrivals,omitempty"`
@@ -26,7 +26,7 @@
 	for _, id := range sortedKeys(c.gateways.byID) {
 		gateway := c.gateways.byID[id]
 		statuses = append(statuses, GatewayStatus{
-			Silent: c.gateways.isSilent(nowUs, id), Gateway: id, Zone: gateway.report.Zone, Addr: gateway.report.Addr, AgoMs: (nowUs - gateway.reportedUs) / 1000,
+			Silent: c.gateways.isSilent(nowUs, id), Gateway: id, Zone: gateway.report.Zone, Addr: gateway.report.Addr, LastReportAgoMs: (nowUs - gateway.reportedUs) / 1000,
 			Revision: gateway.report.Revision, Arrivals: gateway.report.Arrivals, Waiting: gateway.report.Queued,
 		})
 	}
@@ -39,7 +39,7 @@
 	Runs       uint64              `json:"runs"`
 	Steps      uint64              `json:"steps"`
 	Fault      *fault.Fault        `json:"fault,omitempty"`
-	Faulted    uint64              `json:"faulted"`
+	FaultCount uint64              `json:"faulted"`
 	Verdicts   []placement.Verdict `json:"verdicts,omitempty"`
 	Difference *ShadowDifference   `json:"parted,omitempty"`
 }
@@ -53,7 +53,7 @@
 	status.Steps = a.Steps
 	status.Fault = a.Fault
 	if a.Fault != nil {
-		status.Faulted++
+		status.FaultCount++
 	}
 	return status
 }
@@ -75,37 +75,37 @@
 // UnreportedStatus is a replica whose last order was settled as unknown. No order goes there before its report has come.
 type UnreportedStatus struct {
 	Replica string `json:"replica"`
-	// ForMs is how long ago its order was settled.
-	ForMs int64 `json:"forMs"`
+	// MissingMs is how long ago its order was settled.
+	MissingMs int64 `json:"forMs"`
 }
 
 // StoreStatus is what the weight store still gives a service: loads that may begin now, loads from it that
 // run, how many it bears at full speed, and loads that began within the window.
 type StoreStatus struct {
-	Service  string `json:"service"`
-	Left     int    `json:"left"`
-	Running  int    `json:"running"`
-	AtOnce   int    `json:"atOnce"`
-	Began    int    `json:"began"`
-	WindowMs int64  `json:"windowMs"`
+	Service            string `json:"service"`
+	LoadsLeft          int    `json:"left"`
+	RunningLoads       int    `json:"running"`
+	MaxConcurrentLoads int    `json:"atOnce"`
+	RecentLoads        int    `json:"began"`
+	WindowMs           int64  `json:"windowMs"`
 }
 
 // DemandStatus is how often a model or adapter is called for: calls and prompt tokens a second, smoothed.
 type DemandStatus struct {
-	Rate   float64 `json:"rate"`
-	Tokens float64 `json:"tokens"`
-	AgoMs  int64   `json:"agoMs"`
+	Rate            float64 `json:"rate"`
+	Tokens          float64 `json:"tokens"`
+	LastCalledAgoMs int64   `json:"agoMs"`
 }
 
 // LeaderStatus is what the control node that leads knows of replicas that make themselves known, beyond the
-// ledger. OrdersInMs is how long it still waits out its predecessor before it orders every replica.
+// ledger. OrderDelayMs is how long it still waits out its predecessor before it orders every replica.
 type LeaderStatus struct {
-	Holder     string                  `json:"holder"`
-	Fence      uint64                  `json:"fence"`
-	OrdersInMs int64                   `json:"ordersInMs"`
-	Orders     []OrderStatus           `json:"orders"`
-	Store      []StoreStatus           `json:"store"`
-	Demand     map[string]DemandStatus `json:"needs,omitempty"`
+	Leader       string                  `json:"holder"`
+	Epoch        uint64                  `json:"fence"`
+	OrderDelayMs int64                   `json:"ordersInMs"`
+	Orders       []OrderStatus           `json:"orders"`
+	Store        []StoreStatus           `json:"store"`
+	Demand       map[string]DemandStatus `json:"needs,omitempty"`
 	// Unreported are the replicas that get no orders until their report has come.
 	Unreported []UnreportedStatus `json:"unreported,omitempty"`
 }
@@ -115,15 +115,15 @@
 	if s.Doc == nil || !s.Doc.Routed() || !c.IsLeader(s) {
 		return nil
 	}
-	status := &LeaderStatus{Holder: s.Leader, Fence: s.Epoch, Orders: c.orderStatuses(nowUs, s), Store: c.storeStatuses(nowUs, s), Demand: map[string]DemandStatus{}}
+	status := &LeaderStatus{Leader: s.Leader, Epoch: s.Epoch, Orders: c.orderStatuses(nowUs, s), Store: c.storeStatuses(nowUs, s), Demand: map[string]DemandStatus{}}
 	if lastUs := c.routed.predecessor.longestWaitUs(nowUs, s); lastUs > 0 {
-		status.OrdersInMs = (lastUs + clock.Ms - 1) / clock.Ms
+		status.OrderDelayMs = (lastUs + clock.Ms - 1) / clock.Ms
 	}
 	for _, id := range sortedKeys(c.routed.orders.unreported) {
-		status.Unreported = append(status.Unreported, UnreportedStatus{Replica: id, ForMs: (nowUs - c.routed.orders.unreported[id].sinceUs) / clock.Ms})
+		status.Unreported = append(status.Unreported, UnreportedStatus{Replica: id, MissingMs: (nowUs - c.routed.orders.unreported[id].sinceUs) / clock.Ms})
 	}
 	for unit, estimate := range c.routed.demand.estimates {
-		status.Demand[unit] = DemandStatus{Rate: estimate.rate, Tokens: estimate.tokens, AgoMs: (nowUs - estimate.lastUs) / clock.Ms}
+		status.Demand[unit] = DemandStatus{Rate: estimate.rate, Tokens: estimate.tokens, LastCalledAgoMs: (nowUs - estimate.lastUs) / clock.Ms}
 	}
 	return status
 }
@@ -152,8 +152,8 @@
 			continue
 		}
 		statuses = append(statuses, StoreStatus{
-			Service: service.Name, Left: c.routed.store.loadsLeft(nowUs, s, service), AtOnce: service.Engine.MaxConcurrentLoads(), WindowMs: windowUs / clock.Ms,
-			Running: pendingStoreLoads(s, service), Began: began,
+			Service: service.Name, LoadsLeft: c.routed.store.loadsLeft(nowUs, s, service), MaxConcurrentLoads: service.Engine.MaxConcurrentLoads(), WindowMs: windowUs / clock.Ms,
+			RunningLoads: pendingStoreLoads(s, service), RecentLoads: began,
 		})
 	}
 	return statuses
--- a/internal/controlplane/controller/turns_test.go
+++ b/internal/controlplane/controller/turns_test.go
@@ -112,7 +112,7 @@
 func TestOrderInFlightIsWaitedOutWithinLease(t *testing.T) {
 	f := New("two", Options{LeaseUs: fleetLeaseUs})
 	f.routed.predecessor.orders.lastOrderUs = map[string]int64{"r0": 9 * clock.Sec}
-	arrivedUs := 9*clock.Sec + OrderFlightUs
+	arrivedUs := 9*clock.Sec + MaxOrderInFlightUs
 	if f.routed.predecessor.canOrder(arrivedUs+fleetLeaseUs, "r0") {
 		t.Error("ordered within a lease of an order that took its whole time")
 	}
--- a/internal/controlplane/controlnode/host.go
+++ b/internal/controlplane/controlnode/host.go
@@ -38,7 +38,7 @@
 	submitTimeout    = 2 * time.Second
 	resubmitInterval = 400 * time.Millisecond
 	// replicaTimeout bounds a call to a replica: the controller counts on its answer for no longer.
-	replicaTimeout = time.Duration(controller.OrderFlightUs) * time.Microsecond
+	replicaTimeout = time.Duration(controller.MaxOrderInFlightUs) * time.Microsecond
 	// platformTimeout bounds a call for the platform's list of replicas.
 	platformTimeout = 800 * time.Millisecond
 
@@ -205,7 +205,7 @@
 		case RunController:
 			h.controller(effect.Effect)
 		case ChangeApplied:
-			// Only the simulator follows what is applied.
+			// ShadowOnly the simulator follows what is applied.
 		case LogMessage:
 			_ = level.Info(h.log).Log("msg", effect.Message, "detail", effect.Detail, "view", h.core.Node.View().Number)
 		}
--- a/internal/controlplane/controlnode/incarnation_test.go
+++ b/internal/controlplane/controlnode/incarnation_test.go
@@ -121,7 +121,7 @@
 		t.Fatal("the first control node does not lead")
 	}
 	agoMs := (p.nowUs - bornUs) / 1000
-	if most := pairLeaseMs + controller.OrderFlightUs/1000 + 150 - agoMs; note.OrdersInMs > most || agoMs < 1500 || agoMs > pairLeaseMs {
-		t.Errorf("%d ms after its start it waits %d ms more, want %d at most", agoMs, note.OrdersInMs, most)
+	if most := pairLeaseMs + controller.MaxOrderInFlightUs/1000 + 150 - agoMs; note.OrderDelayMs > most || agoMs < 1500 || agoMs > pairLeaseMs {
+		t.Errorf("%d ms after its start it waits %d ms more, want %d at most", agoMs, note.OrderDelayMs, most)
 	}
 }
--- a/internal/controlplane/controlnode/status.go
+++ b/internal/controlplane/controlnode/status.go
@@ -27,7 +27,7 @@
 
 // rolloutMessage is a log line on the way of a declaration to the gateways.
 func rolloutMessage(p controller.RolloutProgress) LogMessage {
-	detail := fmt.Sprintf("revision %d after %d ms, %d live gateways", p.Revision, p.AfterUs/clock.Ms, p.Gateways)
+	detail := fmt.Sprintf("revision %d after %d ms, %d live gateways", p.Revision, p.ElapsedUs/clock.Ms, p.Gateways)
 	if p.Done {
 		return LogMessage{Message: "configuration at all gateways", Detail: detail}
 	}
@@ -79,7 +79,7 @@
 		ControlNode: c.Node.Self(), Phase: c.Node.Phase(), View: c.Node.View(), TailReady: c.Node.IsTailReady(nowUs), WaitReason: c.Node.WaitReason(),
 		CommitIndex: c.Node.CommitIndex(), LastIndex: c.Node.LastIndex(), Epoch: s.Epoch, LeaseHolder: s.Leader, IsLeader: c.Controller.IsLeader(s),
 		Revision: s.Revision, Peers: c.Node.Peers(), Gateways: c.Updates.Gateways(nowUs), Demand: c.Controller.Gateways(nowUs), Rollout: c.Controller.Rollout(nowUs),
-		Counts: c.Controller.Counts(), Policy: c.Controller.PolicyStatus(), Shadows: c.Controller.ShadowStatuses(),
+		Counts: c.Controller.DesiredReplicas(), Policy: c.Controller.PolicyStatus(), Shadows: c.Controller.ShadowStatuses(),
 		FaultCounts: copyOf(c.Controller.Faults), RefusalCounts: copyOf(s.RefusalCounts), KeyCount: len(s.Keys), MembershipChange: s.Membership, MembershipChangeWaitReason: c.Node.MemberChangeWaitReason(), GrantCount: len(s.Grants), Loads: s.TotalLoads, LoadedMb: s.TotalLoadedMB,
 		Pending: []statemachine.ReplicaCommand{}, Replicas: []statemachine.Replica{}, Fleet: c.fleetStatus(nowUs), Outliers: c.soft.Outliers.Rows, Quota: c.quotaStatus(nowUs),
 	}
