--- a/internal/controlplane/controller/call_load.go
+++ b/internal/controlplane/controller/call_load.go
@@ -16,8 +16,8 @@
 	runningAt, unstartedAt callCounts
 }
 
-// loadOf sums the counts of calls in the reports of gateways.
-func loadOf(reports []*wire.Report) callLoad {
+// sumCallLoad sums the counts of calls in the reports of gateways.
+func sumCallLoad(reports []*wire.Report) callLoad {
 	load := callLoad{queued: map[string]int{}, unstarted: map[string]int{}, runningAt: callCounts{}, unstartedAt: callCounts{}}
 	for _, report := range reports {
 		addTo(load.queued, report.Queued)
--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -67,12 +67,12 @@
 func (c *Controller) DesiredReplicas() []scaler.Count { return c.policies.counts }
 
 // IsLeader says whether this controller leads, by its own claim in the replicated state.
-func (c *Controller) IsLeader(s *statemachine.State) bool { return c.leadership.holds(s) }
+func (c *Controller) IsLeader(s *statemachine.State) bool { return c.leadership.isLeader(s) }
 
 // Step takes one event and returns what is to be done, in this order.
 func (c *Controller) Step(snapshot Snapshot, event Event) []Effect {
 	c.effects = nil
-	if c.mayAct(snapshot) {
+	if c.canAct(snapshot) {
 		c.mode(snapshot).beginLeadership(snapshot)
 	}
 	switch event := event.(type) {
@@ -81,14 +81,14 @@
 	case GatewayReport:
 		c.gateways.onReport(snapshot.NowUs, event.Report)
 		c.mode(snapshot).onGatewayReport(snapshot, event.Report)
-		if c.mayAct(snapshot) {
-			c.followRollout(snapshot)
+		if c.canAct(snapshot) {
+			c.trackRollout(snapshot)
 		}
 	case WatcherReport:
 		c.gateways.suspicions.Report(snapshot.NowUs, event.Report)
 	case PlatformListing:
 		if !c.declared.listing.accept(snapshot.NowUs, event.List) {
-			c.count(fault.PlatformInvalidAnswer)
+			c.countFault(fault.PlatformInvalidAnswer)
 		}
 	case ReplicaReport:
 		c.mode(snapshot).onReplicaReport(snapshot, event)
@@ -96,7 +96,7 @@
 		c.mode(snapshot).onOrderResult(snapshot, event)
 	case PolicyResult:
 		c.onPolicyResult(snapshot, event)
-		c.act(snapshot)
+		c.planAndWrite(snapshot)
 	case WriteResult:
 		c.onWriteResult(snapshot, event.Outcome)
 	}
@@ -105,7 +105,7 @@
 
 func (c *Controller) emit(e Effect) { c.effects = append(c.effects, e) }
 
-func (c *Controller) count(code fault.Code) { c.Faults[code]++ }
+func (c *Controller) countFault(code fault.Code) { c.Faults[code]++ }
 
 // tick claims leadership where this control node is the head and does not lead yet, and does what is due by time.
 func (c *Controller) tick(snapshot Snapshot) {
@@ -122,23 +122,23 @@
 		c.declared.budget.bucket.Reset()
 	}
 	if snapshot.IsFresh {
-		c.followRollout(snapshot)
+		c.trackRollout(snapshot)
 		c.mode(snapshot).tick(snapshot)
 	}
 }
 
-// mayAct says whether this controller leads and is in touch with its chain.
-func (c *Controller) mayAct(snapshot Snapshot) bool {
+// canAct says whether this controller leads and is in touch with its chain.
+func (c *Controller) canAct(snapshot Snapshot) bool {
 	return snapshot.IsHead && snapshot.IsFresh && c.IsLeader(snapshot.State)
 }
 
 // act plans and writes at once where an event has made it worthwhile, not at the next tick.
-func (c *Controller) act(snapshot Snapshot) {
-	if !c.mayAct(snapshot) {
+func (c *Controller) planAndWrite(snapshot Snapshot) {
+	if !c.canAct(snapshot) {
 		return
 	}
 	c.mode(snapshot).plan(snapshot)
-	c.writeDue(snapshot)
+	c.writeUpdate(snapshot)
 }
 
 // sortedKeys gives a map's keys in order.
--- a/internal/controlplane/controller/declared.go
+++ b/internal/controlplane/controller/declared.go
@@ -33,17 +33,17 @@
 	}
 	c.sendOrders(snapshot)
 	c.startPolicy(snapshot)
-	c.writeDue(snapshot)
+	c.writeUpdate(snapshot)
 }
 
 func (m declaredMode) onGatewayReport(Snapshot, *wire.Report) {}
 
 func (m declaredMode) onReplicaReport(snapshot Snapshot, report ReplicaReport) {
 	if !m.c.replicas.onReport(snapshot.NowUs, report) {
-		m.c.count(fault.ReplicaFailed)
+		m.c.countFault(fault.ReplicaFailed)
 	}
 	if m.c.replicas.hasOutcome(snapshot.State, report.Replica) {
-		m.c.act(snapshot)
+		m.c.planAndWrite(snapshot)
 	}
 }
 
@@ -52,7 +52,7 @@
 	switch result.State.State {
 	case wire.OrderInDoubt, wire.OrderBusy:
 	case wire.OrderFailed:
-		m.c.count(fault.CommandRejected)
+		m.c.countFault(fault.CommandRejected)
 	default:
 		m.c.replicas.onOrderResult(result)
 	}
@@ -71,12 +71,12 @@
 	if s.Doc != nil {
 		c.grantAttempts(snapshot, update)
 		c.divideSlots(snapshot, update)
-		if c.policies.takeProposals(s.Revision) {
+		if c.policies.hasCurrentProposals(s.Revision) {
 			m.issueCommands(s, update)
 		}
 	}
 	update.ForgetKeysBefore = c.declared.keyMarks.expireBefore(snapshot.NowUs, s.Index)
-	if c.declared.listing.checkView() {
+	if c.declared.listing.confirmView() {
 		update.CheckedInView = c.declared.listing.view
 	}
 }
--- a/internal/controlplane/controller/declared_orders.go
+++ b/internal/controlplane/controller/declared_orders.go
@@ -29,10 +29,10 @@
 	s := snapshot.State
 	for _, id := range sortedKeys(s.Pending) {
 		command := s.Pending[id]
-		row := c.replicas.reportedAs(command)
-		if row == nil || c.replicas.hasAcknowledged(command) || !c.declared.orders.sendDue(snapshot.NowUs, command.Number) {
+		tracked := c.replicas.stateFor(command)
+		if tracked == nil || c.replicas.hasAcknowledged(command) || !c.declared.orders.sendDue(snapshot.NowUs, command.Number) {
 			continue
 		}
-		c.emit(SendOrder{Addr: row.addr, Order: wire.Order{Command: command, Epoch: s.Epoch}})
+		c.emit(SendOrder{Addr: tracked.addr, Order: wire.Order{Command: command, Epoch: s.Epoch}})
 	}
 }
--- a/internal/controlplane/controller/demand.go
+++ b/internal/controlplane/controller/demand.go
@@ -78,9 +78,9 @@
 	if !disabled.Has(feature.DemandForecast) {
 		d.addForecast(nowUs, sums, gateways.routeDemands())
 	}
-	sums.adoptRecent()
-	d.raise(nowUs, sums)
-	d.smooth(nowUs, spanS, sums)
+	sums.applyRecentRates()
+	d.raiseEstimates(nowUs, sums)
+	d.smoothEstimates(nowUs, spanS, sums)
 }
 
 // recordWaiting counts units that calls wait for as called for now.
@@ -104,8 +104,8 @@
 	return sums
 }
 
-// adoptRecent takes the rate of the shorter time where it is well above that of the longer one.
-func (s demandSums) adoptRecent() {
+// applyRecentRates takes the rate of the shorter time where it is well above that of the longer one.
+func (s demandSums) applyRecentRates() {
 	for unit, fast := range s.recent {
 		slow := s.rates[unit]
 		if fast <= minRecentRate || fast*recentDiscount <= slow {
@@ -120,7 +120,7 @@
 }
 
 // raise takes each estimate up to what is called for now.
-func (d *demandTracker) raise(nowUs int64, sums demandSums) {
+func (d *demandTracker) raiseEstimates(nowUs int64, sums demandSums) {
 	for unit, rate := range sums.rates {
 		n := d.estimate(unit)
 		if rate > 0 {
@@ -132,7 +132,7 @@
 }
 
 // smooth lets each estimate follow what is called for now, and forgets those that nobody calls for any more.
-func (d *demandTracker) smooth(nowUs int64, spanS float64, sums demandSums) {
+func (d *demandTracker) smoothEstimates(nowUs int64, spanS float64, sums demandSums) {
 	keep := 1 - spanS/demandDecayS
 	for unit, n := range d.estimates {
 		n.rate += (sums.rates[unit] - n.rate) * (1 - keep)
--- a/internal/controlplane/controller/gateways.go
+++ b/internal/controlplane/controller/gateways.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// gatewayLiveUs is how long a gateway's report counts.
-	gatewayLiveUs = 2500 * clock.Ms
+	// gatewayTimeoutUs is how long a gateway's report counts.
+	gatewayTimeoutUs = 2500 * clock.Ms
 	// reportOverdueUs is how late a report is when suspicions of its gateway are believed.
 	reportOverdueUs = 600 * clock.Ms
 	// gatewayRemovedAfterUs is how long after its last report a gateway is forgotten.
@@ -54,7 +54,7 @@
 func (g *gatewayMembership) live(nowUs int64) []string {
 	ids := []string{}
 	for _, id := range sortedKeys(g.byID) {
-		if gateway := g.byID[id]; nowUs-gateway.reportedUs < gatewayLiveUs && !gateway.report.Draining && !g.isSilent(nowUs, id) {
+		if gateway := g.byID[id]; nowUs-gateway.reportedUs < gatewayTimeoutUs && !gateway.report.Draining && !g.isSilent(nowUs, id) {
 			ids = append(ids, id)
 		}
 	}
@@ -66,7 +66,7 @@
 func (g *gatewayMembership) recentReports(nowUs int64) []*wire.Report {
 	reports := []*wire.Report{}
 	for _, id := range sortedKeys(g.byID) {
-		if gateway := g.byID[id]; nowUs-gateway.reportedUs <= gatewayLiveUs {
+		if gateway := g.byID[id]; nowUs-gateway.reportedUs <= gatewayTimeoutUs {
 			reports = append(reports, &gateway.report)
 		}
 	}
--- a/internal/controlplane/controller/leadership.go
+++ b/internal/controlplane/controller/leadership.go
@@ -20,12 +20,12 @@
 }
 
 // holds says whether this control node leads by its own newest claim.
-func (l *leadership) holds(s *statemachine.State) bool {
+func (l *leadership) isLeader(s *statemachine.State) bool {
 	return l.epoch > 0 && s.Epoch == l.epoch && s.Leader == l.id
 }
 
-// awaitsClaim says whether a claim is under way that is not lost yet.
-func (l *leadership) awaitsClaim(nowUs int64) bool {
+// isClaimPending says whether a claim is under way that is not lost yet.
+func (l *leadership) isClaimPending(nowUs int64) bool {
 	return l.claimedUs != 0 && nowUs-l.claimedUs <= writeTimeoutUs
 }
 
@@ -38,7 +38,7 @@
 
 // claim asks the replicated state for leadership, again where the last claim may be lost.
 func (c *Controller) claim(snapshot Snapshot) {
-	if c.leadership.awaitsClaim(snapshot.NowUs) {
+	if c.leadership.isClaimPending(snapshot.NowUs) {
 		return
 	}
 	c.resign()
@@ -59,6 +59,6 @@
 	fresh.routed.predecessor = c.routed.predecessor
 	fresh.routed.predecessor.leaderSinceUs = 0
 	fresh.routed.store = c.routed.store
-	fresh.routed.registry.changedUs = c.routed.registry.changedUs
+	fresh.routed.registry.holdingsChangedUs = c.routed.registry.holdingsChangedUs
 	*c = *fresh
 }
--- a/internal/controlplane/controller/listing.go
+++ b/internal/controlplane/controller/listing.go
@@ -59,8 +59,8 @@
 	return true
 }
 
-// checkView says, once in each view, that a list which came in it has been recorded.
-func (p *platformListing) checkView() bool {
+// confirmView says, once in each view, that a list which came in it has been recorded.
+func (p *platformListing) confirmView() bool {
 	if p.viewChecked || p.list == nil || p.acceptedUs <= p.viewChangedUs {
 		return false
 	}
@@ -101,54 +101,54 @@
 // recordListedReplica compares one listed replica with the ledger, and writes down what differs. A replica whose incarnation was
 // never heard is not written down yet.
 func (c *Controller) recordListedReplica(snapshot Snapshot, listed wire.ListedReplica, update *statemachine.LeaderUpdate) {
-	row, recorded := c.replicas.byID[listed.ID], snapshot.State.Replicas[listed.ID]
+	tracked, recorded := c.replicas.byID[listed.ID], snapshot.State.Replicas[listed.ID]
 	draining := listed.State != wire.ListedReady
-	n := statemachine.ReplicaUpdate{
+	observed := statemachine.ReplicaUpdate{
 		ID: listed.ID, Addr: listed.Addr, Zone: listed.Zone, CapacityMB: listed.CapacityMB, Slots: listed.Slots, Draining: draining, RemainingMs: remainingMs(recorded, draining, listed.RemainingMs),
 	}
-	hasReported := row != nil && row.reportedUs > 0
-	n.Unreachable = hasReported && snapshot.NowUs-row.reportedUs > unreachableAfterUs
+	hasReported := tracked != nil && tracked.reportedUs > 0
+	observed.Unreachable = hasReported && snapshot.NowUs-tracked.reportedUs > unreachableAfterUs
 	switch {
-	case hasReported && !n.Unreachable:
-		n.Incarnation = row.report.Incarnation
+	case hasReported && !observed.Unreachable:
+		observed.Incarnation = tracked.report.Incarnation
 	case recorded != nil && recorded.Addr == listed.Addr:
-		n.Incarnation = recorded.Incarnation
+		observed.Incarnation = recorded.Incarnation
 	}
-	if recorded == nil && n.Incarnation == "" {
+	if recorded == nil && observed.Incarnation == "" {
 		return
 	}
-	if recorded != nil && n.Incarnation == "" {
-		n.Incarnation = recorded.Incarnation
-		n.Unreachable = true
+	if recorded != nil && observed.Incarnation == "" {
+		observed.Incarnation = recorded.Incarnation
+		observed.Unreachable = true
 	}
 	if recorded != nil && !hasReported {
-		n.Unreachable = recorded.Unreachable
+		observed.Unreachable = recorded.Unreachable
 	}
-	if hasReported && !n.Unreachable {
-		n.ResidentKnown, n.Resident = c.reportedHoldings(snapshot.State, recorded, row)
+	if hasReported && !observed.Unreachable {
+		observed.ResidentKnown, observed.Resident = c.reportedHoldings(snapshot.State, recorded, tracked)
 	}
-	if differsFrom(recorded, n) || recorded.Incarnation != n.Incarnation {
-		update.Replicas = append(update.Replicas, n)
+	if differsFrom(recorded, observed) || recorded.Incarnation != observed.Incarnation {
+		update.Replicas = append(update.Replicas, observed)
 	}
 }
 
 // reportedHoldings takes a replica's own word for its holdings, but only while no order is pending and
 // its last order is the one the ledger settled, so that an old report undoes nothing.
-func (c *Controller) reportedHoldings(s *statemachine.State, recorded *statemachine.Replica, row *replicaState) (bool, []statemachine.ResidentUnit) {
-	if recorded == nil || recorded.Incarnation != row.report.Incarnation {
-		return true, row.report.Loaded
+func (c *Controller) reportedHoldings(s *statemachine.State, recorded *statemachine.Replica, tracked *replicaState) (bool, []statemachine.ResidentUnit) {
+	if recorded == nil || recorded.Incarnation != tracked.report.Incarnation {
+		return true, tracked.report.Loaded
 	}
-	if _, pending := s.Pending[recorded.ID]; pending || row.newestRequestUs <= row.settledUs {
+	if _, pending := s.Pending[recorded.ID]; pending || tracked.newestRequestUs <= tracked.settledUs {
 		return false, nil
 	}
-	same := len(row.report.Loaded) == len(recorded.Resident)
-	for _, h := range row.report.Loaded {
+	same := len(tracked.report.Loaded) == len(recorded.Resident)
+	for _, h := range tracked.report.Loaded {
 		if recorded.Resident[h.Unit] != h.SizeMB {
 			same = false
 		}
 	}
-	if same || (row.report.LastOrder != nil && row.report.LastOrder.State == wire.OrderRunning) {
+	if same || (tracked.report.LastOrder != nil && tracked.report.LastOrder.State == wire.OrderRunning) {
 		return false, nil
 	}
-	return true, row.report.Loaded
+	return true, tracked.report.Loaded
 }
--- a/internal/controlplane/controller/order_outcomes.go
+++ b/internal/controlplane/controller/order_outcomes.go
@@ -7,17 +7,17 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// settleByTime settles a load that was taken by its stated time; what the replica shows later is held against it.
-func (c *Controller) settleByTime(snapshot Snapshot, command statemachine.ReplicaCommand, o *standingOrder) {
-	c.routed.residency.trustedUntilUs[replicaUnit{command.Replica, command.Unit}] = snapshot.NowUs + trustFactor*checkDelayUs(snapshot.State, command) + reportDelayUs
-	o.result = o.basis.after(command)
+// settleByDuration settles a load that was taken by its stated time; what the replica shows later is held against it.
+func (c *Controller) settleByDuration(snapshot Snapshot, command statemachine.ReplicaCommand, o *outstandingOrder) {
+	c.routed.residency.unconfirmedUntilUs[replicaUnit{command.Replica, command.Unit}] = snapshot.NowUs + unconfirmedLoadFactor*expectedDurationUs(snapshot.State, command) + reportDelayUs
+	o.result = o.expected.afterCommand(command)
 	c.recordOutcome(command, wire.OrderDone, "")
 	o.checkUs, o.answer = 0, wire.OrderDone
 }
 
-// judgeOrder judges an order by what the replica holds. A report lags a little, so that it ends an order only
+// evaluateOrder judges an order by what the replica holds. A report lags a little, so that it ends an order only
 // by what it shows, or by showing nothing for long enough.
-func (c *Controller) judgeOrder(snapshot Snapshot, command statemachine.ReplicaCommand, o *standingOrder, report *wire.ReplicaState) {
+func (c *Controller) evaluateOrder(snapshot Snapshot, command statemachine.ReplicaCommand, o *outstandingOrder, report *wire.ReplicaState) {
 	nowUs, recorded := snapshot.NowUs, snapshot.State.Replicas[command.Replica]
 	if recorded == nil {
 		return
@@ -27,7 +27,7 @@
 		return
 	}
 	o.outdatedUs = 0
-	reported := reportedBasis(report)
+	reported := reportedState(report)
 	accepted := o.answer == wire.OrderRunning
 	switch {
 	case showsCompletion(command, report, accepted):
@@ -38,7 +38,7 @@
 		c.concludeOrder(command, o, wire.OrderFailed, "it was taken and is not there", reported)
 	case report.Busy:
 		o.checkUs = nowUs + recheckUs
-	case !reported.admits(snapshot.State.Doc, recorded, command):
+	case !reported.canCarryOut(snapshot.State.Doc, recorded, command):
 		c.concludeOrder(command, o, wire.OrderFailed, "what the replica holds leaves no room", reported)
 	default:
 		o.sendAgain(nowUs, reported)
@@ -57,8 +57,8 @@
 
 // sendAgain has an order that the replica does not have sent on the state that it reported; one that it has only
 // just answered is asked about once more first.
-func (o *standingOrder) sendAgain(nowUs int64, reported *basis) {
-	o.checkUs, o.sentUs, o.basis = 0, 0, reported
+func (o *outstandingOrder) sendAgain(nowUs int64, reported *versionedState) {
+	o.checkUs, o.sentUs, o.expected = 0, 0, reported
 	if o.answer != "" && nowUs-o.answeredUs < orderTimeoutUs {
 		o.checkUs = nowUs + recheckUs
 	}
@@ -66,7 +66,7 @@
 
 // awaitNewerReport waits for a report that is new enough. One that never comes ends the order: its replica's count will
 // be asked for before the next one.
-func (c *Controller) awaitNewerReport(nowUs int64, command statemachine.ReplicaCommand, o *standingOrder) {
+func (c *Controller) awaitNewerReport(nowUs int64, command statemachine.ReplicaCommand, o *outstandingOrder) {
 	if o.outdatedUs == 0 {
 		o.outdatedUs = nowUs
 	}
@@ -78,7 +78,7 @@
 }
 
 // concludeOrder settles an order with what the replica holds after it, where that is known.
-func (c *Controller) concludeOrder(command statemachine.ReplicaCommand, o *standingOrder, state, reason string, result *basis) {
+func (c *Controller) concludeOrder(command statemachine.ReplicaCommand, o *outstandingOrder, state, reason string, result *versionedState) {
 	o.checkUs, o.answer, o.result = 0, state, result
 	c.recordOutcome(command, state, reason)
 }
--- a/internal/controlplane/controller/orders.go
+++ b/internal/controlplane/controller/orders.go
@@ -32,16 +32,16 @@
 	warmLoadUs    = 620 * clock.Ms
 	unloadUs      = 215 * clock.Ms
 	loadSlackUs   = 15 * clock.Ms
-	// minQuietUs is how long gateways have to learn that a unit is to go, maxQuietUs how long calls there may delay it.
-	minQuietUs = 40 * clock.Ms
-	maxQuietUs = 700 * clock.Ms
-	// trustFactor is how many times its stated duration a load that was settled by time may take to show.
-	trustFactor = 3
+	// minUnloadDelayUs is how long gateways have to learn that a unit is to go, maxUnloadDelayUs how long calls there may delay it.
+	minUnloadDelayUs = 40 * clock.Ms
+	maxUnloadDelayUs = 700 * clock.Ms
+	// unconfirmedLoadFactor is how many times its stated duration a load that was settled by time may take to show.
+	unconfirmedLoadFactor = 3
 )
 
-// standingOrder is what this controller knows of one order that stands: when it was sent, what the replica
+// outstandingOrder is what this controller knows of one order that stands: when it was sent, what the replica
 // said to it, and when to look again.
-type standingOrder struct {
+type outstandingOrder struct {
 	firstSeenUs int64
 	sentUs      int64
 	answeredUs  int64
@@ -56,12 +56,12 @@
 	// unansweredUs is since when the replica's report has been asked for and none came; 0 while it is not asked for.
 	unansweredUs int64
 	// basis is the state of the replica that the order is sent on; result is its state once the order is settled.
-	basis, result *basis
+	expected, result *versionedState
 }
 
 // orderTracker is what this controller knows of the orders that stand, by number.
 type orderTracker struct {
-	byNumber map[uint64]*standingOrder
+	byNumber map[uint64]*outstandingOrder
 	// unreported are the replicas with an order that was settled as unknown, until their report comes.
 	unreported map[string]*unreportedReplica
 }
@@ -73,8 +73,8 @@
 	requestedUs int64
 }
 
-// forgetSettled drops what is known of orders whose tickets do not stand any more.
-func (t *orderTracker) forgetSettled(s *statemachine.State) {
+// removeSettled drops what is known of orders whose tickets do not stand any more.
+func (t *orderTracker) removeSettled(s *statemachine.State) {
 	if len(t.byNumber) <= len(s.Pending) {
 		return
 	}
@@ -82,15 +82,15 @@
 	for _, command := range s.Pending {
 		stand[command.Number] = true
 	}
-	maps.DeleteFunc(t.byNumber, func(number uint64, _ *standingOrder) bool { return !stand[number] })
+	maps.DeleteFunc(t.byNumber, func(number uint64, _ *outstandingOrder) bool { return !stand[number] })
 }
 
 // standing gives what is known of a command's order. One of another leader's commands is asked about first.
-func (t *orderTracker) standing(nowUs int64, command statemachine.ReplicaCommand, epoch uint64) *standingOrder {
+func (t *orderTracker) outstanding(nowUs int64, command statemachine.ReplicaCommand, epoch uint64) *outstandingOrder {
 	if o := t.byNumber[command.Number]; o != nil {
 		return o
 	}
-	o := &standingOrder{countedUs: nowUs}
+	o := &outstandingOrder{countedUs: nowUs}
 	if command.Epoch != epoch {
 		o.checkUs, o.countedUs = nowUs, 0
 	}
@@ -98,14 +98,14 @@
 	return o
 }
 
-// pursueOrders sends what the ledger holds, looks what became of what was sent, and sends again only what
+// reconcileOrders sends what the ledger holds, looks what became of what was sent, and sends again only what
 // the replica does not have.
-func (c *Controller) pursueOrders(snapshot Snapshot) {
-	c.routed.orders.forgetSettled(snapshot.State)
+func (c *Controller) reconcileOrders(snapshot Snapshot) {
+	c.routed.orders.removeSettled(snapshot.State)
 	for _, id := range sortedKeys(snapshot.State.Pending) {
 		command := snapshot.State.Pending[id]
 		if e := snapshot.Registry.Entry(id); e != nil && !e.Removed {
-			c.pursue(snapshot, command, e, c.routed.orders.standing(snapshot.NowUs, command, c.leadership.epoch))
+			c.reconcileOrder(snapshot, command, e, c.routed.orders.outstanding(snapshot.NowUs, command, c.leadership.epoch))
 		}
 	}
 	c.requestMissingReports(snapshot)
@@ -126,18 +126,18 @@
 	}
 }
 
-// giveUp settles an order of which nothing can be learnt.
-func (c *Controller) giveUp(nowUs int64, command statemachine.ReplicaCommand, o *standingOrder) {
+// abandonOrder settles an order of which nothing can be learnt.
+func (c *Controller) abandonOrder(nowUs int64, command statemachine.ReplicaCommand, o *outstandingOrder) {
 	c.routed.orders.unreported[command.Replica] = &unreportedReplica{sinceUs: nowUs, requestedUs: nowUs}
 	c.concludeOrder(command, o, wire.OrderFailed, "unknown: its report never came", nil)
 }
 
 // pursue takes the next step that is due for a standing order.
-func (c *Controller) pursue(snapshot Snapshot, command statemachine.ReplicaCommand, e *registry.Entry, o *standingOrder) {
+func (c *Controller) reconcileOrder(snapshot Snapshot, command statemachine.ReplicaCommand, e *registry.Entry, o *outstandingOrder) {
 	nowUs := snapshot.NowUs
 	switch {
 	case o.answer == wire.OrderRunning && o.checkUs > 0 && nowUs >= o.checkUs && hasKnownDuration(snapshot.State, command):
-		c.settleByTime(snapshot, command, o)
+		c.settleByDuration(snapshot, command, o)
 	case o.checkUs > 0:
 		c.requestOutcome(nowUs, command, e, o)
 	case o.sentUs == 0 && c.routed.predecessor.canOrder(nowUs, command.Replica):
@@ -148,9 +148,9 @@
 }
 
 // requestOutcome asks a replica for its report once that is due, and again where none came.
-func (c *Controller) requestOutcome(nowUs int64, command statemachine.ReplicaCommand, e *registry.Entry, o *standingOrder) {
+func (c *Controller) requestOutcome(nowUs int64, command statemachine.ReplicaCommand, e *registry.Entry, o *outstandingOrder) {
 	if o.unansweredUs > 0 && nowUs-o.unansweredUs > maxUnansweredUs {
-		c.giveUp(nowUs, command, o)
+		c.abandonOrder(nowUs, command, o)
 	} else if nowUs >= o.checkUs && !o.requested {
 		o.requested, o.requestedUs = true, nowUs
 		if o.unansweredUs == 0 {
@@ -164,35 +164,35 @@
 
 // startOrder sends an order for the first time, or again on a new basis: an unload once its replica is quiet, and any
 // once the replica's count is known.
-func (c *Controller) startOrder(snapshot Snapshot, command statemachine.ReplicaCommand, e *registry.Entry, o *standingOrder) {
+func (c *Controller) startOrder(snapshot Snapshot, command statemachine.ReplicaCommand, e *registry.Entry, o *outstandingOrder) {
 	if o.firstSeenUs == 0 {
 		o.firstSeenUs = snapshot.NowUs
 	}
-	if command.Action == statemachine.Unload && !c.isQuiet(snapshot.NowUs, command, o.firstSeenUs) {
+	if command.Action == statemachine.Unload && !c.canUnload(snapshot.NowUs, command, o.firstSeenUs) {
 		return
 	}
-	if o.basis == nil {
-		o.basis = recordedBasis(snapshot.State.Replicas[command.Replica])
+	if o.expected == nil {
+		o.expected = recordedState(snapshot.State.Replicas[command.Replica])
 	}
-	if o.basis == nil {
+	if o.expected == nil {
 		o.checkUs = snapshot.NowUs
 		return
 	}
 	c.sendOrder(snapshot, command, e, o)
 }
 
-// isQuiet: every gateway has had time to hear that a unit is to go, and none has calls there that have not begun;
+// canUnload: every gateway has had time to hear that a unit is to go, and none has calls there that have not begun;
 // a replica would turn them away.
-func (c *Controller) isQuiet(nowUs int64, command statemachine.ReplicaCommand, sinceUs int64) bool {
-	if nowUs-sinceUs < minQuietUs {
+func (c *Controller) canUnload(nowUs int64, command statemachine.ReplicaCommand, sinceUs int64) bool {
+	if nowUs-sinceUs < minUnloadDelayUs {
 		return false
 	}
-	if nowUs-sinceUs > maxQuietUs {
+	if nowUs-sinceUs > maxUnloadDelayUs {
 		return true
 	}
 	model, _ := configuration.SplitUnit(command.Unit)
 	for _, gateway := range c.gateways.byID {
-		if nowUs-gateway.reportedUs < gatewayLiveUs && gateway.report.PendingPrefill[command.Replica+"|"+model] > 0 {
+		if nowUs-gateway.reportedUs < gatewayTimeoutUs && gateway.report.PendingPrefill[command.Replica+"|"+model] > 0 {
 			return false
 		}
 	}
@@ -201,13 +201,13 @@
 
 // sendOrder sends an order on its basis. A load that is sent again, or long after its ticket, is counted
 // against the store's window once more.
-func (c *Controller) sendOrder(snapshot Snapshot, command statemachine.ReplicaCommand, e *registry.Entry, o *standingOrder) {
+func (c *Controller) sendOrder(snapshot Snapshot, command statemachine.ReplicaCommand, e *registry.Entry, o *outstandingOrder) {
 	if o.answeredUs > 0 || snapshot.NowUs-o.countedUs > recountAfterUs {
 		c.routed.store.recordLoad(snapshot.NowUs, snapshot.State, command)
 		o.countedUs = snapshot.NowUs
 	}
 	o.sentUs, o.answer = snapshot.NowUs, ""
-	expected := o.basis.orders
+	expected := o.expected.orders
 	c.emit(SendOrder{Addr: e.Addr, Order: wire.Order{Command: command, Epoch: c.leadership.epoch, Leader: c.leadership.id, ExpectedOrders: &expected}})
 }
 
@@ -218,8 +218,8 @@
 	return command.Action == statemachine.Load && (strings.Contains(command.Unit, "/") || recorded == nil || !recorded.EverLoaded[command.Unit])
 }
 
-// checkDelayUs is how long after an order was taken its end may be seen.
-func checkDelayUs(s *statemachine.State, command statemachine.ReplicaCommand) int64 {
+// expectedDurationUs is how long after an order was taken its end may be seen.
+func expectedDurationUs(s *statemachine.State, command statemachine.ReplicaCommand) int64 {
 	recorded := s.Replicas[command.Replica]
 	switch {
 	case command.Action == statemachine.Unload:
@@ -236,6 +236,6 @@
 }
 
 // isAnsweredBy says whether an answer is to the order as it was last sent, and not to the same command on another basis.
-func (o *standingOrder) isAnsweredBy(result OrderResult) bool {
-	return result.Expected == nil || o.basis == nil || *result.Expected == o.basis.orders
+func (o *outstandingOrder) isAnsweredBy(result OrderResult) bool {
+	return result.Expected == nil || o.expected == nil || *result.Expected == o.expected.orders
 }
--- a/internal/controlplane/controller/orders_explore_test.go
+++ b/internal/controlplane/controller/orders_explore_test.go
@@ -15,66 +15,66 @@
 // modelAction is one thing that may happen next.
 type modelAction struct {
 	name string
-	act  func(m *orderModel)
+	run  func(m *orderModel)
 }
 
-// smallActions are what the exhaustive search goes through, over one replica and the two large units.
-var smallActions = []modelAction{
-	{"a moment", func(m *orderModel) { m.pass(600 * clock.Ms) }},
-	{"a while", func(m *orderModel) { m.pass(4 * clock.Sec) }},
-	{"load large1", func(m *orderModel) { m.propose(statemachine.Load, 0, "large1"); m.pass(300 * clock.Ms) }},
-	{"load large2", func(m *orderModel) { m.propose(statemachine.Load, 0, "large2"); m.pass(300 * clock.Ms) }},
-	{"unload large1", func(m *orderModel) { m.propose(statemachine.Unload, 0, "large1"); m.pass(300 * clock.Ms) }},
-	{"take over", func(m *orderModel) { m.takeOver(); m.pass(modelHeadLeaseUs) }},
-	{"cut the head", func(m *orderModel) { m.cutHead(); m.pass(modelHeadLeaseUs) }},
-	{"join again", func(m *orderModel) { m.heal(); m.pass(300 * clock.Ms) }},
-	{"cut the other", func(m *orderModel) { m.cutOther() }},
-	{"slow store", func(m *orderModel) { m.slow = !m.slow }},
-	{"orders lie in the network", func(m *orderModel) { m.holdOrders = !m.holdOrders }},
+// exploreActions are what the exhaustive search goes through, over one replica and the two large units.
+var exploreActions = []modelAction{
+	{"a moment", func(m *orderModel) { m.advance(600 * clock.Ms) }},
+	{"a while", func(m *orderModel) { m.advance(4 * clock.Sec) }},
+	{"load large1", func(m *orderModel) { m.propose(statemachine.Load, 0, "large1"); m.advance(300 * clock.Ms) }},
+	{"load large2", func(m *orderModel) { m.propose(statemachine.Load, 0, "large2"); m.advance(300 * clock.Ms) }},
+	{"unload large1", func(m *orderModel) { m.propose(statemachine.Unload, 0, "large1"); m.advance(300 * clock.Ms) }},
+	{"take over", func(m *orderModel) { m.takeOver(); m.advance(modelHeadLeaseUs) }},
+	{"cut the head", func(m *orderModel) { m.isolateHead(); m.advance(modelHeadLeaseUs) }},
+	{"join again", func(m *orderModel) { m.heal(); m.advance(300 * clock.Ms) }},
+	{"cut the other", func(m *orderModel) { m.isolateFollower() }},
+	{"slow store", func(m *orderModel) { m.slowStore = !m.slowStore }},
+	{"orders lie in the network", func(m *orderModel) { m.delayOrders = !m.delayOrders }},
 	{"answers are lost", func(m *orderModel) { m.loseAnswers = !m.loseAnswers }},
-	{"heartbeats lie in the links", func(m *orderModel) { m.controlNodes[1].holdBeat = !m.controlNodes[1].holdBeat }},
-	{"another life", func(m *orderModel) { m.replaceReplica(); m.pass(300 * clock.Ms) }},
+	{"heartbeats lie in the links", func(m *orderModel) { m.controlNodes[1].delayHeartbeats = !m.controlNodes[1].delayHeartbeats }},
+	{"another life", func(m *orderModel) { m.replaceReplica(); m.advance(300 * clock.Ms) }},
 }
 
-// smallStarts are what the exhaustive search begins from.
-var smallStarts = map[string]func(m *orderModel){
+// exploreStarts are what the exhaustive search begins from.
+var exploreStarts = map[string]func(m *orderModel){
 	"nothing": func(*orderModel) {},
 	"held": func(m *orderModel) {
 		m.propose(statemachine.Load, 0, "large1")
-		m.pass(4 * clock.Sec)
+		m.advance(4 * clock.Sec)
 	},
 	"slowly loading": func(m *orderModel) {
-		m.slow = true
+		m.slowStore = true
 		m.propose(statemachine.Load, 0, "large1")
-		m.pass(300 * clock.Ms)
+		m.advance(300 * clock.Ms)
 	},
 }
 
-// smallDepth is how many actions follow a start.
-const smallDepth = 3
+// exploreDepth is how many actions follow a start.
+const exploreDepth = 3
 
-// playSmall plays one sequence of actions after a start, and lets all settle.
-func playSmall(start func(m *orderModel), picks []int) *orderModel {
+// runSequence plays one sequence of actions after a start, and lets all settle.
+func runSequence(start func(m *orderModel), picks []int) *orderModel {
 	onlyChoice := func(int) int { return 0 }
-	m := newOrderModel(onlyChoice, modelSetting{replicas: 1, loadMs: modelLoadMs})
+	m := newOrderModel(onlyChoice, modelConfig{replicaCount: 1, loadMs: modelLoadMs})
 	start(m)
 	for _, pick := range picks {
-		if m.broken == "" {
-			m.note("-- %s", smallActions[pick].name)
-			smallActions[pick].act(m)
+		if m.violation == "" {
+			m.tracef("-- %s", exploreActions[pick].name)
+			exploreActions[pick].run(m)
 		}
 	}
-	if m.broken == "" {
-		m.note("-- calm")
-		m.calm()
+	if m.violation == "" {
+		m.tracef("-- calm")
+		m.quiesce()
 	}
 	return m
 }
 
-// nextPicks counts on to the next sequence; false after the last.
-func nextPicks(picks []int) bool {
+// nextSequence counts on to the next sequence; false after the last.
+func nextSequence(picks []int) bool {
 	for at := len(picks) - 1; at >= 0; at-- {
-		if picks[at]++; picks[at] < len(smallActions) {
+		if picks[at]++; picks[at] < len(exploreActions) {
 			return true
 		}
 		picks[at] = 0
@@ -83,16 +83,16 @@
 }
 
 // Every sequence of a few faults and orders at one replica, from each start.
-func TestOrdersExhaustivelyOnSmallModel(t *testing.T) {
-	for name, start := range smallStarts {
+func TestOrderInvariantsHoldForAllShortSequences(t *testing.T) {
+	for name, start := range exploreStarts {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			sequences, taken := 0, 0
-			picks := make([]int, smallDepth)
-			for more := true; more; more = nextPicks(picks) {
-				m := playSmall(start, picks)
-				if sequences, taken = sequences+1, taken+m.taken; m.broken != "" {
-					t.Fatalf("after %d sequences: %s\n%s", sequences, m.broken, strings.Join(m.trace, "\n"))
+			picks := make([]int, exploreDepth)
+			for more := true; more; more = nextSequence(picks) {
+				m := runSequence(start, picks)
+				if sequences, taken = sequences+1, taken+m.acceptedCount; m.violation != "" {
+					t.Fatalf("after %d sequences: %s\n%s", sequences, m.violation, strings.Join(m.trace, "\n"))
 				}
 			}
 			t.Logf("%d sequences, %d orders taken", sequences, taken)
@@ -101,40 +101,40 @@
 }
 
 // walk is one long random run over some replicas.
-func walk(seed int64, plant orderPlant) *orderModel {
+func randomWalk(seed int64, plant mutation) *orderModel {
 	const steps = 200
 	r := rand.New(rand.NewSource(seed))
-	m := newOrderModel(r.Intn, modelSetting{3 + int(seed%4), modelLoadMs, plant})
-	for n := 0; n < steps && m.broken == ""; n++ {
+	m := newOrderModel(r.Intn, modelConfig{3 + int(seed%4), modelLoadMs, plant})
+	for n := 0; n < steps && m.violation == ""; n++ {
 		m.randomOrders(4)
 		m.randomFault()
-		m.pass(int64(1+r.Intn(24)) * modelTickUs)
+		m.advance(int64(1+r.Intn(24)) * modelTickUs)
 	}
-	if m.broken == "" {
-		m.calm()
+	if m.violation == "" {
+		m.quiesce()
 	}
 	return m
 }
 
-// storeRush asks for as many loads from the store as can be: replicas come and go with empty disks, and the
+// storeLoadStress asks for as many loads from the store as can be: replicas come and go with empty disks, and the
 // leadership changes hands now and then.
-func storeRush(seed int64, plant orderPlant) *orderModel {
+func storeLoadStress(seed int64, plant mutation) *orderModel {
 	const steps = 300
 	r := rand.New(rand.NewSource(seed))
-	m := newOrderModel(r.Intn, modelSetting{8, modelRushLoadMs, plant})
-	for n := 0; n < steps && m.broken == ""; n++ {
-		for _, replica := range slices.Sorted(maps.Keys(m.lives)) {
+	m := newOrderModel(r.Intn, modelConfig{8, modelShortLoadMs, plant})
+	for n := 0; n < steps && m.violation == ""; n++ {
+		for _, replica := range slices.Sorted(maps.Keys(m.replicas)) {
 			m.proposeAt(statemachine.Load, replica, modelUnits[r.Intn(len(modelUnits))])
 		}
 		switch r.Intn(60) {
 		case 0:
 			m.takeOver()
 		case 1:
-			m.restartControlNodeUncut(r.Intn(2))
+			m.restartReachableControlNode(r.Intn(2))
 		case 2, 3, 4, 5, 6, 7, 8, 9, 10, 11:
-			m.renewReplica()
+			m.replaceReplicaGracefully()
 		}
-		m.pass(modelTickUs * 2)
+		m.advance(modelTickUs * 2)
 	}
 	return m
 }
@@ -149,7 +149,7 @@
 		if m.choose(3) == 0 {
 			step = statemachine.Unload
 		}
-		m.propose(step, m.choose(len(m.lives)), unit)
+		m.propose(step, m.choose(len(m.replicas)), unit)
 	}
 }
 
@@ -158,74 +158,74 @@
 	case 0:
 		m.takeOver()
 	case 1:
-		m.cutHead()
+		m.isolateHead()
 	case 2:
-		m.cutOther()
+		m.isolateFollower()
 	case 3, 4:
 		m.heal()
 	case 5:
-		m.restartControlNodeUncut(controlNode)
+		m.restartReachableControlNode(controlNode)
 	case 6:
-		m.holdOrders = !m.holdOrders
+		m.delayOrders = !m.delayOrders
 	case 7:
-		m.release()
+		m.releaseOrders()
 	case 8:
 		m.loseAnswers = !m.loseAnswers
 	case 9:
-		m.double = !m.double
+		m.duplicateOrders = !m.duplicateOrders
 	case 10:
-		m.slow = !m.slow
+		m.slowStore = !m.slowStore
 	case 11:
-		m.longUnload = !m.longUnload
+		m.slowUnload = !m.slowUnload
 	case 12, 13:
-		m.controlNodes[controlNode].holdBeat = !m.controlNodes[controlNode].holdBeat
+		m.controlNodes[controlNode].delayHeartbeats = !m.controlNodes[controlNode].delayHeartbeats
 	case 14:
 		m.replaceReplica()
 	case 15:
-		m.pass(unseenRemovedAfterUs + 2*clock.Sec)
+		m.advance(unseenRemovedAfterUs + 2*clock.Sec)
 	}
 }
 
-// restartControlNodeUncut restarts a control node; it begins with the ledger as it is.
-func (m *orderModel) restartControlNodeUncut(i int) {
-	if m.controlNodes[i].frozen == nil {
-		m.note("office%d restarts", i)
+// restartReachableControlNode restarts a control node; it begins with the ledger as it is.
+func (m *orderModel) restartReachableControlNode(i int) {
+	if m.controlNodes[i].frozenState == nil {
+		m.tracef("office%d restarts", i)
 		m.restartControlNode(i)
 	}
 }
 
 // replaceReplica ends an incarnation and begins another at its address.
 func (m *orderModel) replaceReplica() {
-	ids := slices.Sorted(maps.Keys(m.lives))
-	r := m.lives[ids[m.choose(len(ids))]]
-	delete(m.lives, r.id)
+	ids := slices.Sorted(maps.Keys(m.replicas))
+	r := m.replicas[ids[m.choose(len(ids))]]
+	delete(m.replicas, r.id)
 	disk := r.disk
 	if m.choose(2) == 1 {
 		disk = map[string]bool{}
 	}
-	m.birth(r.addr, disk)
-	m.note("%s ends, another life begins at %s", r.id, r.addr)
+	m.startReplica(r.addr, disk)
+	m.tracef("%s ends, another life begins at %s", r.id, r.addr)
 }
 
-// renewReplica ends an incarnation as planned, which it says, and begins another at its address with an empty disk.
-func (m *orderModel) renewReplica() {
-	ids := slices.Sorted(maps.Keys(m.lives))
-	r := m.lives[ids[m.choose(len(ids))]]
-	delete(m.lives, r.id)
-	for _, o := range m.controlNodes {
-		o.roster.Remove(m.nowUs, r.id)
+// replaceReplicaGracefully ends an incarnation as planned, which it says, and begins another at its address with an empty disk.
+func (m *orderModel) replaceReplicaGracefully() {
+	ids := slices.Sorted(maps.Keys(m.replicas))
+	r := m.replicas[ids[m.choose(len(ids))]]
+	delete(m.replicas, r.id)
+	for _, node := range m.controlNodes {
+		node.registry.Remove(m.nowUs, r.id)
 	}
-	m.birth(r.addr, map[string]bool{})
+	m.startReplica(r.addr, map[string]bool{})
 }
 
 // Long seeded walks over every fault at once.
-func TestOrdersOverLongWalks(t *testing.T) {
+func TestOrderInvariantsHoldInRandomWalks(t *testing.T) {
 	taken, settled := 0, 0
 	for seed := range int64(60) {
-		m := walk(seed, noOrderPlant)
-		taken, settled = taken+m.taken, settled+m.settled
-		if m.broken != "" {
-			t.Errorf("seed %d: %s\n%s", seed, m.broken, strings.Join(m.trace[max(0, len(m.trace)-40):], "\n"))
+		m := randomWalk(seed, noMutation)
+		taken, settled = taken+m.acceptedCount, settled+m.settledCount
+		if m.violation != "" {
+			t.Errorf("seed %d: %s\n%s", seed, m.violation, strings.Join(m.trace[max(0, len(m.trace)-40):], "\n"))
 		}
 	}
 	t.Logf("%d orders taken, %d settled", taken, settled)
@@ -235,13 +235,13 @@
 }
 
 // The store's window holds however much is asked for, and whoever leads.
-func TestStoreWindowHoldsUnderRush(t *testing.T) {
+func TestStoreWindowHoldsUnderMaximumLoad(t *testing.T) {
 	loads := 0
 	for seed := range int64(30) {
-		m := storeRush(seed, noOrderPlant)
-		loads += len(m.loadsUs)
-		if m.broken != "" {
-			t.Errorf("seed %d: %s\n%s", seed, m.broken, strings.Join(m.trace[max(0, len(m.trace)-40):], "\n"))
+		m := storeLoadStress(seed, noMutation)
+		loads += len(m.loadTimesUs)
+		if m.violation != "" {
+			t.Errorf("seed %d: %s\n%s", seed, m.violation, strings.Join(m.trace[max(0, len(m.trace)-40):], "\n"))
 		}
 	}
 	if t.Logf("%d loads from the store", loads); loads < 300 {
@@ -254,12 +254,12 @@
 func TestOrdersWithoutReportsAreSettledAsUnknown(t *testing.T) {
 	unknown := 0
 	for seed := range int64(30) {
-		m := walk(seed, missingReports)
-		if m.broken != "" {
-			t.Errorf("seed %d: %s\n%s", seed, m.broken, strings.Join(m.trace[max(0, len(m.trace)-20):], "\n"))
+		m := randomWalk(seed, faultMissingReports)
+		if m.violation != "" {
+			t.Errorf("seed %d: %s\n%s", seed, m.violation, strings.Join(m.trace[max(0, len(m.trace)-20):], "\n"))
 		}
-		for _, o := range m.controlNodes {
-			unknown += len(o.controller.routed.orders.unreported)
+		for _, node := range m.controlNodes {
+			unknown += len(node.controller.routed.orders.unreported)
 		}
 	}
 	if unknown < 10 {
@@ -268,20 +268,20 @@
 }
 
 // Each checker sees the defect that it is there for.
-func TestPlantedOrderDefectsAreCaught(t *testing.T) {
+func TestInjectedOrderMutationsAreDetected(t *testing.T) {
 	const seedsMost = 60
-	for plant, c := range map[orderPlant]struct {
+	for plant, c := range map[mutation]struct {
 		rule string
-		run  func(seed int64, plant orderPlant) *orderModel
+		run  func(seed int64, plant mutation) *orderModel
 	}{
-		plantUncounted: {"LIMIT", walk}, plantNoLease: {"ONE", walk}, plantOldFence: {"ONE", walk},
-		plantNoWindow: {"CEILING", storeRush}, plantLostResults: {"LOST", walk}, plantLateCount: {"FENCE", walk},
+		mutationNoExpectedCount: {"LIMIT", randomWalk}, mutationIgnoreLease: {"ONE", randomWalk}, mutationOldEpoch: {"ONE", randomWalk},
+		mutationIgnoreStoreWindow: {"CEILING", storeLoadStress}, mutationLostResults: {"LOST", randomWalk}, mutationDelayedWithoutCount: {"FENCE", randomWalk},
 	} {
 		t.Run(string(plant), func(t *testing.T) {
 			for seed := range int64(seedsMost) {
-				if m := c.run(seed, plant); m.broken != "" {
-					t.Logf("seed %d: %s", seed, m.broken)
-					if !strings.HasPrefix(m.broken, c.rule+":") {
+				if m := c.run(seed, plant); m.violation != "" {
+					t.Logf("seed %d: %s", seed, m.violation)
+					if !strings.HasPrefix(m.violation, c.rule+":") {
 						t.Errorf("%s was to be broken first", c.rule)
 					}
 					return
--- a/internal/controlplane/controller/orders_model_test.go
+++ b/internal/controlplane/controller/orders_model_test.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	modelTickUs       = 50 * clock.Ms
-	modelBeatUs       = 200 * clock.Ms
-	modelReportLagUs  = 250 * clock.Ms
-	modelAnswerWaitUs = 900 * clock.Ms
-	modelHeadLeaseUs  = 400 * clock.Ms
-	modelLeaseUs      = 3 * clock.Sec
-	modelWindowUs     = 5 * clock.Sec
-	modelLoadMs       = 2000
-	modelRushLoadMs   = 400
-	modelSlowFactor   = 3
-	modelUnloadUs     = 100 * clock.Ms
-	modelCalmUs       = 30 * clock.Sec
-	modelLongUnloadUs = 3 * clock.Sec
-	modelRoomMb       = 100
-	modelPlaces       = 2
-	modelLoadsPerS    = 1.0
-	modelService      = "s"
+	modelTickUs          = 50 * clock.Ms
+	modelHeartbeatUs     = 200 * clock.Ms
+	modelReportLagUs     = 250 * clock.Ms
+	modelAnswerTimeoutUs = 900 * clock.Ms
+	modelHeadLeaseUs     = 400 * clock.Ms
+	modelLeaseUs         = 3 * clock.Sec
+	modelWindowUs        = 5 * clock.Sec
+	modelLoadMs          = 2000
+	modelShortLoadMs     = 400
+	modelSlowFactor      = 3
+	modelUnloadUs        = 100 * clock.Ms
+	modelQuiesceUs       = 30 * clock.Sec
+	modelSlowUnloadUs    = 3 * clock.Sec
+	modelCapacityMb      = 100
+	modelMaxAdapters     = 2
+	modelLoadsPerSecond  = 1.0
+	modelService         = "s"
 )
 
 // modelUnits are the weights of the model's engine: two of the large ones do not fit one replica.
@@ -39,7 +39,7 @@
 
 // modelDeclaration is one service with an engine of modelUnits.
 func modelDeclaration(loadMs int64) *configuration.Declaration {
-	engine := &configuration.Engine{Slots: 8, CacheTokens: 1, CapacityMB: modelRoomMb, MaxAdapters: modelPlaces, LoadsPerSecond: modelLoadsPerS}
+	engine := &configuration.Engine{Slots: 8, CacheTokens: 1, CapacityMB: modelCapacityMb, MaxAdapters: modelMaxAdapters, LoadsPerSecond: modelLoadsPerSecond}
 	for _, unit := range modelUnits {
 		sizeMb := int64(60)
 		if strings.HasPrefix(unit, "small") {
@@ -51,45 +51,45 @@
 	return &configuration.Declaration{Version: 1, Services: []configuration.Service{{Name: modelService, Engine: engine}}, Routes: []configuration.Route{route}}
 }
 
-// orderPlant is a defect put between the controllers and the replicas, to show that a checker sees it.
-type orderPlant string
+// mutation is a defect put between the controllers and the replicas, to show that a checker sees it.
+type mutation string
 
 const (
-	noOrderPlant     orderPlant = ""
-	plantUncounted   orderPlant = "orders carry no count"
-	plantNoLease     orderPlant = "a successor does not wait for the lease"
-	plantOldFence    orderPlant = "an order carries an older fence"
-	plantNoWindow    orderPlant = "the store's window is not kept"
-	plantLateCount   orderPlant = "an order that lay in a link carries no count"
-	plantLostResults orderPlant = "no result of one replica's orders is recorded"
-	// missingReports is no defect: orders must be settled all the same.
-	missingReports orderPlant = "no report of one replica arrives"
+	noMutation                  mutation = ""
+	mutationNoExpectedCount     mutation = "orders carry no count"
+	mutationIgnoreLease         mutation = "a successor does not wait for the lease"
+	mutationOldEpoch            mutation = "an order carries an older fence"
+	mutationIgnoreStoreWindow   mutation = "the store's window is not kept"
+	mutationDelayedWithoutCount mutation = "an order that lay in a link carries no count"
+	mutationLostResults         mutation = "no result of one replica's orders is recorded"
+	// faultMissingReports is no defect: orders must be settled all the same.
+	faultMissingReports mutation = "no report of one replica arrives"
 )
 
-// modelSetting is what a run begins with: how many replicas, how long a load takes as it is stated, and a defect.
-type modelSetting struct {
-	replicas int
-	loadMs   int64
-	plant    orderPlant
+// modelConfig is what a run begins with: how many replicas, how long a load takes as it is stated, and a defect.
+type modelConfig struct {
+	replicaCount int
+	loadMs       int64
+	mutation     mutation
 }
 
 // modelReplica is one incarnation of a replica as it truly is. Its history is what its report shows a little later.
 type modelReplica struct {
-	id, addr string
-	holds    map[string]int64
-	disk     map[string]bool
-	taken    uint64
-	underway *statemachine.ReplicaCommand
-	doneUs   int64
-	beatUs   int64
-	sequence uint64
-	history  []modelReport
-	// lastHolder, lastFence and lastOrderUs are of the newest order that arrived.
-	lastHolder  string
-	lastFence   uint64
+	id, addr       string
+	resident       map[string]int64
+	disk           map[string]bool
+	ordersAccepted uint64
+	current        *statemachine.ReplicaCommand
+	doneUs         int64
+	heartbeatUs    int64
+	sequence       uint64
+	history        []modelReport
+	// lastLeader, lastEpoch and lastOrderUs are of the newest order that arrived.
+	lastLeader  string
+	lastEpoch   uint64
 	lastOrderUs int64
-	// takenFence is that of the order carried out last.
-	takenFence uint64
+	// acceptedEpoch is that of the order carried out last.
+	acceptedEpoch uint64
 }
 
 // modelReport is the state that a report of a replica shows.
@@ -101,59 +101,59 @@
 // delivery is something that arrives at a moment.
 type delivery struct {
 	atUs int64
-	act  func()
+	run  func()
 }
 
 // modelControlNode is one control node: its controller, and what it has heard of replicas.
 type modelControlNode struct {
 	controller *Controller
-	roster     *registry.Registry
+	registry   *registry.Registry
 	// frozen is the ledger as this control node had it when it was cut off from the others, nil while it is not.
-	frozen   *statemachine.State
-	cutUs    int64
-	holdBeat bool
-	beats    []registry.ReplicaStatus
+	frozenState     *statemachine.State
+	isolatedUs      int64
+	delayHeartbeats bool
+	heartbeats      []registry.ReplicaStatus
 }
 
 // orderModel runs two real controllers over one real ledger against model replicas and a model network. Every
 // choice is drawn from choose, so that a sequence of choices plays again as it was.
 type orderModel struct {
-	modelSetting
-	choose       func(n int) int
-	nowUs        int64
-	state        *statemachine.State
-	index        uint64
-	controlNodes [2]*modelControlNode
-	head         int
-	old          int
-	oldUs        int64
-	lives        map[string]*modelReplica
-	births       int
-	flights      []delivery
+	modelConfig
+	choose              func(n int) int
+	nowUs               int64
+	state               *statemachine.State
+	index               uint64
+	controlNodes        [2]*modelControlNode
+	head                int
+	previousHead        int
+	previousHeadUntilUs int64
+	replicas            map[string]*modelReplica
+	incarnations        int
+	deliveries          []delivery
 	// held are orders that lie in the network until they are released.
-	held        []func(healed bool)
-	holdOrders  bool
-	loseAnswers bool
-	double      bool
-	slow        bool
-	longUnload  bool
-	loadsUs     []int64
-	broken      string
-	trace       []string
-	taken       int
-	settled     int
-}
-
-func newOrderModel(choose func(n int) int, setting modelSetting) *orderModel {
-	m := &orderModel{modelSetting: setting, choose: choose, nowUs: clock.Sec, state: statemachine.NewState(), lives: map[string]*modelReplica{}, old: -1}
+	delayedOrders   []func(healed bool)
+	delayOrders     bool
+	loseAnswers     bool
+	duplicateOrders bool
+	slowStore       bool
+	slowUnload      bool
+	loadTimesUs     []int64
+	violation       string
+	trace           []string
+	acceptedCount   int
+	settledCount    int
+}
+
+func newOrderModel(choose func(n int) int, setting modelConfig) *orderModel {
+	m := &orderModel{modelConfig: setting, choose: choose, nowUs: clock.Sec, state: statemachine.NewState(), replicas: map[string]*modelReplica{}, previousHead: -1}
 	m.apply(statemachine.Change{ID: "configuration", Config: &statemachine.ConfigChange{Version: 1, Doc: modelDeclaration(setting.loadMs)}})
 	for i := range m.controlNodes {
 		m.restartControlNode(i)
 	}
-	for i := range setting.replicas {
-		m.birth(fmt.Sprint("address", i), map[string]bool{})
+	for i := range setting.replicaCount {
+		m.startReplica(fmt.Sprint("address", i), map[string]bool{})
 	}
-	m.pass(modelLeaseUs + clock.Sec)
+	m.advance(modelLeaseUs + clock.Sec)
 	m.trace = nil
 	return m
 }
@@ -161,35 +161,35 @@
 // restartControlNode begins a new incarnation of a control node: its controller remembers nothing.
 func (m *orderModel) restartControlNode(i int) {
 	opts := Options{LeaseUs: modelLeaseUs, StoreWindowUs: modelWindowUs, StoreOvershoot: 1}
-	switch m.plant {
-	case plantNoLease:
+	switch m.mutation {
+	case mutationIgnoreLease:
 		opts.LeaseUs = -leaseSlackUs
-	case plantNoWindow:
+	case mutationIgnoreStoreWindow:
 		opts.StoreOvershoot = 10
 	}
-	m.controlNodes[i] = &modelControlNode{controller: New(fmt.Sprint("office", i), opts), roster: registry.New(3 * clock.Sec)}
+	m.controlNodes[i] = &modelControlNode{controller: New(fmt.Sprint("office", i), opts), registry: registry.New(3 * clock.Sec)}
 }
 
 // birth begins a new incarnation of a replica, with nothing held and this disk.
-func (m *orderModel) birth(addr string, disk map[string]bool) {
-	m.births++
-	id := fmt.Sprintf("%s-life%d", addr, m.births)
-	m.lives[id] = &modelReplica{id: id, addr: addr, holds: map[string]int64{}, disk: disk}
+func (m *orderModel) startReplica(addr string, disk map[string]bool) {
+	m.incarnations++
+	id := fmt.Sprintf("%s-life%d", addr, m.incarnations)
+	m.replicas[id] = &modelReplica{id: id, addr: addr, resident: map[string]int64{}, disk: disk}
 }
 
-func (m *orderModel) note(format string, args ...any) {
+func (m *orderModel) tracef(format string, args ...any) {
 	m.trace = append(m.trace, fmt.Sprintf("%6d ms  ", m.nowUs/1000)+fmt.Sprintf(format, args...))
 }
 
-func (m *orderModel) fail(format string, args ...any) {
-	if m.broken == "" {
-		m.broken = fmt.Sprintf(format, args...)
-		m.note("BROKEN: %s", m.broken)
+func (m *orderModel) failf(format string, args ...any) {
+	if m.violation == "" {
+		m.violation = fmt.Sprintf(format, args...)
+		m.tracef("BROKEN: %s", m.violation)
 	}
 }
 
-func (m *orderModel) later(us int64, act func()) {
-	m.flights = append(m.flights, delivery{m.nowUs + us, act})
+func (m *orderModel) schedule(us int64, act func()) {
+	m.deliveries = append(m.deliveries, delivery{m.nowUs + us, act})
 }
 
 // apply brings one change to the ledger; every control node that is not cut off sees it applied.
@@ -200,48 +200,48 @@
 		return out
 	}
 	if out.Fault == nil {
-		m.settled += len(c.LeaderUpdate.Results)
+		m.settledCount += len(c.LeaderUpdate.Results)
 	}
-	for _, o := range m.controlNodes {
-		if o.frozen == nil {
-			o.controller.OnApplied(m.nowUs, c.Epoch, *c.LeaderUpdate, m.state)
+	for _, node := range m.controlNodes {
+		if node.frozenState == nil {
+			node.controller.OnApplied(m.nowUs, c.Epoch, *c.LeaderUpdate, m.state)
 		}
 	}
 	return out
 }
 
 // leads says whether a control node takes itself for the head: one that lost the place does for as long as its lease.
-func (m *orderModel) leads(i int) bool {
-	o := m.controlNodes[i]
-	if o.frozen != nil {
-		return o.cutUs > 0 && m.nowUs < o.cutUs+modelHeadLeaseUs
+func (m *orderModel) actsAsHead(i int) bool {
+	node := m.controlNodes[i]
+	if node.frozenState != nil {
+		return node.isolatedUs > 0 && m.nowUs < node.isolatedUs+modelHeadLeaseUs
 	}
-	return i == m.head || (i == m.old && m.nowUs < m.oldUs)
+	return i == m.head || (i == m.previousHead && m.nowUs < m.previousHeadUntilUs)
 }
 
 // step lets one controller take an event, and carries its effects.
 func (m *orderModel) step(i int, ev Event) {
-	o := m.controlNodes[i]
+	node := m.controlNodes[i]
 	state := m.state
-	if o.frozen != nil {
-		state = o.frozen
+	if node.frozenState != nil {
+		state = node.frozenState
 	}
-	leads := m.leads(i)
-	snapshot := Snapshot{NowUs: m.nowUs, State: state, IsHead: leads, IsFresh: leads, CanWrite: true, Registry: o.roster}
-	for _, effect := range o.controller.Step(snapshot, ev) {
+	leads := m.actsAsHead(i)
+	snapshot := Snapshot{NowUs: m.nowUs, State: state, IsHead: leads, IsFresh: leads, CanWrite: true, Registry: node.registry}
+	for _, effect := range node.controller.Step(snapshot, ev) {
 		switch effect := effect.(type) {
 		case WriteChange:
 			m.write(i, *effect.Change)
 		case ReportRequest:
-			m.ask(i, effect)
+			m.requestReport(i, effect)
 		case SendOrder:
-			m.send(i, effect)
+			m.sendOrder(i, effect)
 		}
 	}
 }
 
 // back brings an event to the controller that waits for it, unless that has restarted meanwhile.
-func (m *orderModel) back(i int, to *Controller, ev Event) {
+func (m *orderModel) reply(i int, to *Controller, ev Event) {
 	if m.controlNodes[i].controller == to {
 		m.step(i, ev)
 	}
@@ -250,16 +250,16 @@
 // write carries a change to the ledger; what a control node that is cut off writes is lost.
 func (m *orderModel) write(i int, change statemachine.Change) {
 	from := m.controlNodes[i].controller
-	m.later(modelTickUs, func() {
-		if m.controlNodes[i].frozen != nil || m.controlNodes[i].controller != from || i != m.head {
+	m.schedule(modelTickUs, func() {
+		if m.controlNodes[i].frozenState != nil || m.controlNodes[i].controller != from || i != m.head {
 			return
 		}
-		if m.plant == plantLostResults && change.LeaderUpdate != nil {
+		if m.mutation == mutationLostResults && change.LeaderUpdate != nil {
 			change.LeaderUpdate = m.withoutResultsOf(*change.LeaderUpdate, "address0")
 		}
 		out := m.apply(change)
 		if change.LeaderUpdate != nil {
-			m.back(i, from, WriteResult{Outcome: out})
+			m.reply(i, from, WriteResult{Outcome: out})
 		}
 	})
 }
@@ -278,40 +278,40 @@
 }
 
 // ask brings a replica's report: its state of a little while ago.
-func (m *orderModel) ask(i int, ask ReportRequest) {
+func (m *orderModel) requestReport(i int, ask ReportRequest) {
 	from := m.controlNodes[i].controller
-	m.later(modelTickUs, func() {
-		told := ReplicaReport{RequestedUs: ask.RequestedUs, Replica: ask.Replica, Addr: ask.Addr}
-		r := m.at(ask.Addr)
-		if lost := r != nil && m.plant == missingReports && r.addr == "address0"; r != nil && !lost {
+	m.schedule(modelTickUs, func() {
+		report := ReplicaReport{RequestedUs: ask.RequestedUs, Replica: ask.Replica, Addr: ask.Addr}
+		r := m.replicaAt(ask.Addr)
+		if lost := r != nil && m.mutation == faultMissingReports && r.addr == "address0"; r != nil && !lost {
 			state := r.report(m.nowUs - modelReportLagUs)
 			state.ID, state.Incarnation = ask.Replica, ask.Replica
-			told.State = &state
+			report.State = &state
 		}
-		m.later(modelTickUs, func() { m.back(i, from, told) })
+		m.schedule(modelTickUs, func() { m.reply(i, from, report) })
 	})
 }
 
 // at is the incarnation that answers at an address now.
-func (m *orderModel) at(addr string) *modelReplica {
-	for _, id := range slices.Sorted(maps.Keys(m.lives)) {
-		if m.lives[id].addr == addr {
-			return m.lives[id]
+func (m *orderModel) replicaAt(addr string) *modelReplica {
+	for _, id := range slices.Sorted(maps.Keys(m.replicas)) {
+		if m.replicas[id].addr == addr {
+			return m.replicas[id]
 		}
 	}
 	return nil
 }
 
 // send puts an order into the network: it may lie there, come twice, or its answer may be lost.
-func (m *orderModel) send(i int, effect SendOrder) {
+func (m *orderModel) sendOrder(i int, effect SendOrder) {
 	from, order := m.controlNodes[i].controller, effect.Order
-	if m.plant == plantUncounted {
+	if m.mutation == mutationNoExpectedCount {
 		order.ExpectedOrders = nil
 	}
-	if m.plant == plantOldFence && m.taken%3 == 2 {
+	if m.mutation == mutationOldEpoch && m.acceptedCount%3 == 2 {
 		order.Epoch--
 	}
-	m.note("office%d sends %s", i, orderText(order))
+	m.tracef("office%d sends %s", i, orderText(order))
 	answered := false
 	answer := func(state string) {
 		if answered {
@@ -319,25 +319,25 @@
 		}
 		answered = true
 		ordered := OrderResult{Replica: order.Command.Replica, Incarnation: order.Command.Incarnation, Expected: order.ExpectedOrders, State: wire.OrderState{Number: order.Command.Number, Epoch: order.Epoch, State: state}}
-		m.back(i, from, ordered)
+		m.reply(i, from, ordered)
 	}
 	arrive := func(healed bool) {
-		state := m.arrive(effect.Addr, order, healed)
+		state := m.receiveOrder(effect.Addr, order, healed)
 		if !m.loseAnswers {
-			m.later(modelTickUs, func() { answer(state) })
+			m.schedule(modelTickUs, func() { answer(state) })
 		}
 	}
-	m.later(modelAnswerWaitUs, func() { answer(wire.OrderInDoubt) })
-	if m.holdOrders || m.controlNodes[i].frozen != nil {
-		if m.plant == plantLateCount {
+	m.schedule(modelAnswerTimeoutUs, func() { answer(wire.OrderInDoubt) })
+	if m.delayOrders || m.controlNodes[i].frozenState != nil {
+		if m.mutation == mutationDelayedWithoutCount {
 			order.ExpectedOrders = nil
 		}
-		m.held = append(m.held, arrive)
+		m.delayedOrders = append(m.delayedOrders, arrive)
 		return
 	}
-	m.later(modelTickUs, func() { arrive(false) })
-	if m.double {
-		m.held = append(m.held, arrive)
+	m.schedule(modelTickUs, func() { arrive(false) })
+	if m.duplicateOrders {
+		m.delayedOrders = append(m.delayedOrders, arrive)
 	}
 }
 
@@ -350,115 +350,115 @@
 }
 
 // arrive is an order at a replica: it answers by what it holds, and the checkers judge what was asked of it.
-func (m *orderModel) arrive(addr string, order wire.Order, healed bool) string {
-	r := m.at(addr)
+func (m *orderModel) receiveOrder(addr string, order wire.Order, healed bool) string {
+	r := m.replicaAt(addr)
 	if r == nil {
 		return wire.OrderInDoubt
 	}
 	if r.id != order.Command.Incarnation {
 		return wire.OrderFailed
 	}
-	m.checkHolder(r, order, healed)
-	t := order.Command
-	_, held := r.holds[t.Unit]
+	m.checkSingleLeader(r, order, healed)
+	command := order.Command
+	_, isResident := r.resident[command.Unit]
 	switch {
-	case r.underway != nil, order.ExpectedOrders != nil && *order.ExpectedOrders != r.taken:
+	case r.current != nil, order.ExpectedOrders != nil && *order.ExpectedOrders != r.ordersAccepted:
 		return wire.OrderBusy
-	case held == (t.Action == statemachine.Load):
+	case isResident == (command.Action == statemachine.Load):
 		return wire.OrderDone
-	case t.Action == statemachine.Load && !m.checkRoom(r, t):
+	case command.Action == statemachine.Load && !m.checkCapacity(r, command):
 		return wire.OrderFailed
 	}
-	m.checkFence(r, order)
-	r.taken++
-	m.taken++
-	r.underway = &t
-	r.doneUs = m.nowUs + m.spanUs(r, t)
-	m.note("%s takes %s %s as its order %d", r.id, t.Action, t.Unit, r.taken)
+	m.checkEpoch(r, order)
+	r.ordersAccepted++
+	m.acceptedCount++
+	r.current = &command
+	r.doneUs = m.nowUs + m.durationUs(r, command)
+	m.tracef("%s takes %s %s as its order %d", r.id, command.Action, command.Unit, r.ordersAccepted)
 	return wire.OrderRunning
 }
 
-// spanUs is how long an order takes; a load from the store counts against its window.
-func (m *orderModel) spanUs(r *modelReplica, t statemachine.ReplicaCommand) int64 {
+// durationUs is how long an order takes; a load from the store counts against its window.
+func (m *orderModel) durationUs(r *modelReplica, command statemachine.ReplicaCommand) int64 {
 	switch {
-	case t.Action == statemachine.Unload && m.longUnload:
-		return modelLongUnloadUs
-	case t.Action == statemachine.Unload:
+	case command.Action == statemachine.Unload && m.slowUnload:
+		return modelSlowUnloadUs
+	case command.Action == statemachine.Unload:
 		return modelUnloadUs
-	case strings.Contains(t.Unit, "/"):
+	case strings.Contains(command.Unit, "/"):
 		return 20 * clock.Ms
-	case r.disk[t.Unit]:
+	case r.disk[command.Unit]:
 		return 300 * clock.Ms
 	}
 	m.checkStore()
-	if m.slow {
+	if m.slowStore {
 		return modelSlowFactor * m.loadMs * clock.Ms
 	}
 	return m.loadMs * clock.Ms
 }
 
-// checkHolder is ONE: fences never fall, and two holders never take turns within the lease. An order that lay
+// checkSingleLeader is ONE: fences never fall, and two holders never take turns within the lease. An order that lay
 // in a cut link is not judged.
-func (m *orderModel) checkHolder(r *modelReplica, o wire.Order, healed bool) {
+func (m *orderModel) checkSingleLeader(r *modelReplica, o wire.Order, healed bool) {
 	if healed {
 		return
 	}
-	if r.lastHolder != "" {
+	if r.lastLeader != "" {
 		switch sinceUs := m.nowUs - r.lastOrderUs; {
-		case o.Epoch < r.lastFence:
-			m.fail("ONE: fence %d after %d at %s", o.Epoch, r.lastFence, r.id)
-		case o.Leader != r.lastHolder && o.Epoch == r.lastFence:
-			m.fail("ONE: %s and %s have fence %d at %s", o.Leader, r.lastHolder, o.Epoch, r.id)
-		case o.Leader != r.lastHolder && sinceUs < modelLeaseUs:
-			m.fail("ONE: %s orders %s %d ms after %s", o.Leader, r.id, sinceUs/1000, r.lastHolder)
+		case o.Epoch < r.lastEpoch:
+			m.failf("ONE: fence %d after %d at %s", o.Epoch, r.lastEpoch, r.id)
+		case o.Leader != r.lastLeader && o.Epoch == r.lastEpoch:
+			m.failf("ONE: %s and %s have fence %d at %s", o.Leader, r.lastLeader, o.Epoch, r.id)
+		case o.Leader != r.lastLeader && sinceUs < modelLeaseUs:
+			m.failf("ONE: %s orders %s %d ms after %s", o.Leader, r.id, sinceUs/1000, r.lastLeader)
 		}
 	}
-	r.lastHolder, r.lastFence, r.lastOrderUs = o.Leader, o.Epoch, m.nowUs
+	r.lastLeader, r.lastEpoch, r.lastOrderUs = o.Leader, o.Epoch, m.nowUs
 }
 
-// checkFence is FENCE: a replica that compares no fences carries out no order of an older one after an order of a newer, also
+// checkEpoch is FENCE: a replica that compares no fences carries out no order of an older one after an order of a newer, also
 // where the older lay in a link that healed. The count alone must refuse it.
-func (m *orderModel) checkFence(r *modelReplica, o wire.Order) {
+func (m *orderModel) checkEpoch(r *modelReplica, o wire.Order) {
 	// Orders without any count break LIMIT as well, whose checker has to show that by itself.
-	if o.Epoch < r.takenFence && m.plant != plantUncounted {
-		m.fail("FENCE: %s carries out an order under fence %d after one under %d", r.id, o.Epoch, r.takenFence)
+	if o.Epoch < r.acceptedEpoch && m.mutation != mutationNoExpectedCount {
+		m.failf("FENCE: %s carries out an order under fence %d after one under %d", r.id, o.Epoch, r.acceptedEpoch)
 	}
-	r.takenFence = o.Epoch
+	r.acceptedEpoch = o.Epoch
 }
 
-// checkRoom is LIMIT: no replica is ordered to load beyond its room or its places. False where an adapter's
+// checkCapacity is LIMIT: no replica is ordered to load beyond its room or its places. False where an adapter's
 // model is not there, which a replica refuses.
-func (m *orderModel) checkRoom(r *modelReplica, t statemachine.ReplicaCommand) bool {
-	model, adapter := configuration.SplitUnit(t.Unit)
-	if _, there := r.holds[model]; adapter != "" && !there {
+func (m *orderModel) checkCapacity(r *modelReplica, command statemachine.ReplicaCommand) bool {
+	model, adapter := configuration.SplitUnit(command.Unit)
+	if _, there := r.resident[model]; adapter != "" && !there {
 		return false
 	}
-	sumMb, places := t.SizeMB, strings.Count(t.Unit, "/")
-	for unit, sizeMb := range r.holds {
+	sumMb, adapters := command.SizeMB, strings.Count(command.Unit, "/")
+	for unit, sizeMb := range r.resident {
 		sumMb += sizeMb
-		places += strings.Count(unit, "/")
+		adapters += strings.Count(unit, "/")
 	}
-	if sumMb > modelRoomMb || places > modelPlaces {
-		m.fail("LIMIT: %s holds %v and is ordered to load %s: %d of %d MB, %d of %d places", r.id, r.units(), t.Unit, sumMb, modelRoomMb, places, modelPlaces)
+	if sumMb > modelCapacityMb || adapters > modelMaxAdapters {
+		m.failf("LIMIT: %s holds %v and is ordered to load %s: %d of %d MB, %d of %d places", r.id, r.units(), command.Unit, sumMb, modelCapacityMb, adapters, modelMaxAdapters)
 	}
 	return true
 }
 
 // checkStore is CEILING: no more loads from the store begin within its window than it allows.
 func (m *orderModel) checkStore() {
-	m.loadsUs = append(m.loadsUs, m.nowUs)
+	m.loadTimesUs = append(m.loadTimesUs, m.nowUs)
 	began := 0
-	for _, atUs := range m.loadsUs {
+	for _, atUs := range m.loadTimesUs {
 		if m.nowUs-atUs < modelWindowUs {
 			began++
 		}
 	}
-	if most := modelLoadsPerS*float64(modelWindowUs)/1e6 + 3; float64(began) > most {
-		m.fail("CEILING: %d loads began within %d ms, %.1f are allowed", began, modelWindowUs/1000, most)
+	if maxLoads := modelLoadsPerSecond*float64(modelWindowUs)/1e6 + 3; float64(began) > maxLoads {
+		m.failf("CEILING: %d loads began within %d ms, %.1f are allowed", began, modelWindowUs/1000, maxLoads)
 	}
 }
 
-func (r *modelReplica) units() []string { return slices.Sorted(maps.Keys(r.holds)) }
+func (r *modelReplica) units() []string { return slices.Sorted(maps.Keys(r.resident)) }
 
 // report is the newest state that is not younger than a moment.
 func (r *modelReplica) report(atUs int64) wire.ReplicaState {
@@ -473,36 +473,38 @@
 
 // advance ends an order whose time has come, and notes what a report shows.
 func (r *modelReplica) advance(nowUs int64) {
-	if t := r.underway; t != nil && nowUs >= r.doneUs {
-		r.underway = nil
-		if t.Action == statemachine.Load {
-			r.holds[t.Unit] = t.SizeMB
-			r.disk[t.Unit] = true
+	if command := r.current; command != nil && nowUs >= r.doneUs {
+		r.current = nil
+		if command.Action == statemachine.Load {
+			r.resident[command.Unit] = command.SizeMB
+			r.disk[command.Unit] = true
 		} else {
-			maps.DeleteFunc(r.holds, func(unit string, _ int64) bool { return unit == t.Unit || strings.HasPrefix(unit, t.Unit+"/") })
+			maps.DeleteFunc(r.resident, func(unit string, _ int64) bool {
+				return unit == command.Unit || strings.HasPrefix(unit, command.Unit+"/")
+			})
 		}
 	}
-	r.history = append(r.history, modelReport{nowUs, wire.ReplicaState{Busy: r.underway != nil, Orders: r.taken, Units: r.units()}})
+	r.history = append(r.history, modelReport{nowUs, wire.ReplicaState{Busy: r.current != nil, Orders: r.ordersAccepted, Units: r.units()}})
 	if len(r.history) > 16 {
 		r.history = slices.Clone(r.history[8:])
 	}
 }
 
 // pass lets time go by: what is due arrives, replicas go on and say so, and each controller ticks.
-func (m *orderModel) pass(us int64) {
-	for endUs := m.nowUs + us; m.nowUs < endUs && m.broken == ""; {
+func (m *orderModel) advance(us int64) {
+	for endUs := m.nowUs + us; m.nowUs < endUs && m.violation == ""; {
 		m.nowUs += modelTickUs
 		m.deliver()
-		for _, id := range slices.Sorted(maps.Keys(m.lives)) {
-			r := m.lives[id]
+		for _, id := range slices.Sorted(maps.Keys(m.replicas)) {
+			r := m.replicas[id]
 			r.advance(m.nowUs)
-			if m.nowUs-r.beatUs >= modelBeatUs {
-				m.beat(r)
+			if m.nowUs-r.heartbeatUs >= modelHeartbeatUs {
+				m.sendHeartbeat(r)
 			}
 		}
 		for i := range m.controlNodes {
-			m.hear(i)
-			m.controlNodes[i].roster.Sweep(m.nowUs)
+			m.receiveHeartbeats(i)
+			m.controlNodes[i].registry.Sweep(m.nowUs)
 			m.step(i, Tick{})
 		}
 	}
@@ -510,7 +512,7 @@
 
 func (m *orderModel) deliver() {
 	due := []delivery{}
-	m.flights = slices.DeleteFunc(m.flights, func(d delivery) bool {
+	m.deliveries = slices.DeleteFunc(m.deliveries, func(d delivery) bool {
 		if d.atUs <= m.nowUs {
 			due = append(due, d)
 			return true
@@ -518,31 +520,31 @@
 		return false
 	})
 	for _, d := range due {
-		d.act()
+		d.run()
 	}
 }
 
 // beat is a heartbeat, which every control node hears or finds in its links later.
-func (m *orderModel) beat(r *modelReplica) {
-	r.beatUs = m.nowUs
+func (m *orderModel) sendHeartbeat(r *modelReplica) {
+	r.heartbeatUs = m.nowUs
 	r.sequence++
-	row := registry.ReplicaStatus{ID: r.id, Service: modelService, Addr: r.addr, Zone: "a", Slots: 8, Seq: r.sequence, Units: r.units()}
-	for _, o := range m.controlNodes {
-		o.beats = append(o.beats, row)
+	heartbeat := registry.ReplicaStatus{ID: r.id, Service: modelService, Addr: r.addr, Zone: "a", Slots: 8, Seq: r.sequence, Units: r.units()}
+	for _, node := range m.controlNodes {
+		node.heartbeats = append(node.heartbeats, heartbeat)
 	}
 }
 
 // hear gives a control node its heartbeats. What lay in its links comes a few at a time, as if it had just been said.
-func (m *orderModel) hear(i int) {
-	o := m.controlNodes[i]
-	if o.frozen != nil || o.holdBeat {
+func (m *orderModel) receiveHeartbeats(i int) {
+	node := m.controlNodes[i]
+	if node.frozenState != nil || node.delayHeartbeats {
 		return
 	}
-	n := min(len(o.beats), 2+len(m.lives))
-	for _, row := range o.beats[:n] {
-		o.roster.HandleHeartbeat(m.nowUs, row)
+	n := min(len(node.heartbeats), 2+len(m.replicas))
+	for _, heartbeat := range node.heartbeats[:n] {
+		node.registry.HandleHeartbeat(m.nowUs, heartbeat)
 	}
-	o.beats = slices.Clone(o.beats[n:])
+	node.heartbeats = slices.Clone(node.heartbeats[n:])
 }
 
 // propose asks the head for an order that the ledger takes for fitting: the policy may be any.
@@ -556,87 +558,87 @@
 
 func (m *orderModel) proposeAt(step statemachine.Action, replica, unit string) {
 	p := placement.Proposal{Step: step, Replica: replica, Unit: unit}
-	m.note("propose %s %s at %s", p.Step, p.Unit, p.Replica)
+	m.tracef("propose %s %s at %s", p.Step, p.Unit, p.Replica)
 	c := m.controlNodes[m.head].controller
 	c.policies.proposals, c.policies.revision = append(slices.Clone(c.policies.proposals), p), m.state.Revision
 }
 
 // takeOver makes the other control node the head; the old one goes on for as long as its lease.
 func (m *orderModel) takeOver() {
-	if m.controlNodes[1-m.head].frozen != nil {
+	if m.controlNodes[1-m.head].frozenState != nil {
 		m.heal()
 	}
-	m.note("office%d takes over", 1-m.head)
-	m.old, m.oldUs = m.head, m.nowUs+modelHeadLeaseUs
+	m.tracef("office%d takes over", 1-m.head)
+	m.previousHead, m.previousHeadUntilUs = m.head, m.nowUs+modelHeadLeaseUs
 	m.head = 1 - m.head
 }
 
-// cutHead cuts the head off from the other control node and from replicas; the other takes over.
-func (m *orderModel) cutHead() {
-	if m.controlNodes[1-m.head].frozen != nil {
+// isolateHead cuts the head off from the other control node and from replicas; the other takes over.
+func (m *orderModel) isolateHead() {
+	if m.controlNodes[1-m.head].frozenState != nil {
 		m.heal()
 	}
-	m.note("office%d is cut off", m.head)
-	o := m.controlNodes[m.head]
-	o.frozen, o.cutUs = m.state.Snapshot(), m.nowUs
-	m.old, m.head = -1, 1-m.head
+	m.tracef("office%d is cut off", m.head)
+	node := m.controlNodes[m.head]
+	node.frozenState, node.isolatedUs = m.state.Snapshot(), m.nowUs
+	m.previousHead, m.head = -1, 1-m.head
 }
 
-// cutOther cuts off the control node that is not the head.
-func (m *orderModel) cutOther() {
-	if o := m.controlNodes[1-m.head]; o.frozen == nil {
-		m.note("office%d is cut off", 1-m.head)
-		o.frozen, o.cutUs = m.state.Snapshot(), 0
+// isolateFollower cuts off the control node that is not the head.
+func (m *orderModel) isolateFollower() {
+	if node := m.controlNodes[1-m.head]; node.frozenState == nil {
+		m.tracef("office%d is cut off", 1-m.head)
+		node.frozenState, node.isolatedUs = m.state.Snapshot(), 0
 	}
 }
 
 // heal joins a control node that was cut off: it takes a copy of the ledger, and what lay in its links arrives.
 func (m *orderModel) heal() {
-	for i, o := range m.controlNodes {
-		if o.frozen != nil {
-			m.note("office%d is joined again", i)
-			o.frozen = nil
+	for i, node := range m.controlNodes {
+		if node.frozenState != nil {
+			m.tracef("office%d is joined again", i)
+			node.frozenState = nil
 		}
 	}
-	m.release()
+	m.releaseOrders()
 }
 
 // release lets the orders that lie in the network arrive.
-func (m *orderModel) release() {
-	held := m.held
-	m.held, m.holdOrders = nil, false
-	for _, arrive := range held {
-		m.later(modelTickUs, func() { arrive(true) })
+func (m *orderModel) releaseOrders() {
+	orders := m.delayedOrders
+	m.delayedOrders, m.delayOrders = nil, false
+	for _, arrive := range orders {
+		m.schedule(modelTickUs, func() { arrive(true) })
 	}
 }
 
 // calm ends every fault and lets all settle; then no order may stand, and the ledger shows what replicas hold.
-func (m *orderModel) calm() {
-	m.loseAnswers, m.double, m.slow, m.longUnload = false, false, false, false
-	for _, o := range m.controlNodes {
-		o.holdBeat = false
-		o.controller.policies.proposals = nil
+func (m *orderModel) quiesce() {
+	m.loseAnswers, m.duplicateOrders, m.slowStore, m.slowUnload = false, false, false, false
+	for _, node := range m.controlNodes {
+		node.delayHeartbeats = false
+		node.controller.policies.proposals = nil
 	}
 	m.heal()
-	m.pass(2 * clock.Sec)
-	for endUs := m.nowUs + modelCalmUs; m.nowUs < endUs && m.broken == "" && m.unsettled() != ""; {
-		m.pass(clock.Sec)
+	m.advance(2 * clock.Sec)
+	for endUs := m.nowUs + modelQuiesceUs; m.nowUs < endUs && m.violation == "" && m.unsettled() != ""; {
+		m.advance(clock.Sec)
 	}
-	if open := m.unsettled(); open != "" {
-		m.fail("LOST: %d s after the last fault %s", modelCalmUs/clock.Sec, open)
+	if reason := m.unsettled(); reason != "" {
+		m.failf("LOST: %d s after the last fault %s", modelQuiesceUs/clock.Sec, reason)
 	}
 }
 
 // unsettled says what stands, or in what the ledger and the replicas differ; empty where all is settled.
 func (m *orderModel) unsettled() string {
 	for _, id := range sortedKeys(m.state.Pending) {
-		t := m.state.Pending[id]
-		return fmt.Sprintf("ticket %d stands (%s %s at %s)", t.Number, t.Action, t.Unit, id)
+		command := m.state.Pending[id]
+		return fmt.Sprintf("ticket %d stands (%s %s at %s)", command.Number, command.Action, command.Unit, id)
 	}
-	for _, id := range slices.Sorted(maps.Keys(m.lives)) {
-		row, r := m.state.Replicas[id], m.lives[id]
-		if row == nil || r.underway != nil || !maps.Equal(row.Resident, r.holds) {
-			return fmt.Sprintf("the ledger has %+v of %s, which holds %v", row, id, r.holds)
+	for _, id := range slices.Sorted(maps.Keys(m.replicas)) {
+		recorded, r := m.state.Replicas[id], m.replicas[id]
+		if recorded == nil || r.current != nil || !maps.Equal(recorded.Resident, r.resident) {
+			return fmt.Sprintf("the ledger has %+v of %s, which holds %v", recorded, id, r.resident)
 		}
 	}
 	return ""
--- a/internal/controlplane/controller/late_test.go
+++ b/internal/controlplane/controller/outdated_report_test.go
@@ -33,13 +33,13 @@
 // control node, and was taken for its newest word; the controller then ordered a load beyond the replica's room.
 func TestReportOlderThanLastOrderIsIgnored(t *testing.T) {
 	s := stateWithPendingLoad(t)
-	f := New("me", Options{})
-	f.routed.predecessor.startedUs = clock.Sec
+	controller := New("me", Options{})
+	controller.routed.predecessor.startedUs = clock.Sec
 	doneUs := 60 * clock.Sec
 	done := statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: s.Pending["r1"].Number, Succeeded: true}}}
 	s.Apply(5, statemachine.Change{ID: "e", Epoch: 1, LeaderUpdate: &done})
-	f.OnApplied(doneUs, 1, done, s)
-	f.resign()
+	controller.OnApplied(doneUs, 1, done, s)
+	controller.resign()
 	for _, c := range []struct {
 		name   string
 		lateUs int64
@@ -50,11 +50,11 @@
 		{"read late by an office that woke", 5 * clock.Sec, doneUs + 4*clock.Sec, false},
 		{"said well after", 0, doneUs + 4*clock.Sec, true},
 	} {
-		soft := registry.New(3 * clock.Sec)
-		soft.ReadDelayUs = c.lateUs
-		soft.HandleHeartbeat(c.atUs, registry.ReplicaStatus{ID: "r1", Service: "s", Addr: "a", Slots: 4, Seq: 9})
+		replicas := registry.New(3 * clock.Sec)
+		replicas.ReadDelayUs = c.lateUs
+		replicas.HandleHeartbeat(c.atUs, registry.ReplicaStatus{ID: "r1", Service: "s", Addr: "a", Slots: 4, Seq: 9})
 		update := &statemachine.LeaderUpdate{}
-		f.recordRegistry(Snapshot{NowUs: c.atUs, State: s, Registry: soft}, update)
+		controller.recordRegistry(Snapshot{NowUs: c.atUs, State: s, Registry: replicas}, update)
 		if taken := len(update.Replicas) > 0; taken != c.taken {
 			t.Errorf("%s: taken %v, want %v", c.name, taken, c.taken)
 		}
@@ -63,28 +63,28 @@
 
 // A holder that took a ticket over and sent it again issued no ticket of its own. A control node that had the ticket as
 // pending, was cut off meanwhile and begins from a copy in which it is settled saw neither; it waits the lease out.
-func TestUnseenResultCountsAsForeignOrder(t *testing.T) {
+func TestUnseenResultCountsAsOrderOfAnotherLeader(t *testing.T) {
 	s := stateWithPendingLoad(t)
-	f := New("me", Options{LeaseUs: 3 * clock.Sec})
-	f.Step(Snapshot{NowUs: clock.Sec, State: s, Registry: registry.New(clock.Sec)}, Tick{})
+	controller := New("me", Options{LeaseUs: 3 * clock.Sec})
+	controller.Step(Snapshot{NowUs: clock.Sec, State: s, Registry: registry.New(clock.Sec)}, Tick{})
 
 	number := s.Pending["r1"].Number
 	s.Apply(5, statemachine.Change{ID: "before", Epoch: 2, Claim: &statemachine.Claim{Leader: "other"}})
 	s.Apply(6, statemachine.Change{ID: "settled", Epoch: 2, LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: number, Succeeded: true}}}})
 	nowUs := 60 * clock.Sec
 	head := func() {
-		f.Step(Snapshot{NowUs: nowUs, State: s, IsHead: true, IsFresh: true, CanWrite: true, Registry: registry.New(clock.Sec)}, Tick{})
+		controller.Step(Snapshot{NowUs: nowUs, State: s, IsHead: true, IsFresh: true, CanWrite: true, Registry: registry.New(clock.Sec)}, Tick{})
 	}
 	head()
 	s.Apply(7, statemachine.Change{ID: "mine", Epoch: 3, Claim: &statemachine.Claim{Leader: "me"}})
 	head()
-	if !f.IsLeader(s) {
+	if !controller.IsLeader(s) {
 		t.Fatal("it does not lead")
 	}
-	if f.routed.predecessor.canOrder(nowUs+2*clock.Sec, "r1") {
+	if controller.routed.predecessor.canOrder(nowUs+2*clock.Sec, "r1") {
 		t.Error("it orders the replica within the lease of a holder whose order it did not see")
 	}
-	if !f.routed.predecessor.canOrder(nowUs+4*clock.Sec, "r1") {
+	if !controller.routed.predecessor.canOrder(nowUs+4*clock.Sec, "r1") {
 		t.Error("it waits longer than the lease")
 	}
 }
@@ -92,43 +92,43 @@
 // Seeds 41, 22 and 31 of the days of slow stores: a new leader heard of a queue, asked for the report of a replica with an order of
 // the leader before, and settled that order, all before its first tick. What it noted then showed no order of anybody's,
 // and it ordered the replica while the other's lease still ran.
-func TestOrderSettledBeforeTheFirstTickCountsAsForeign(t *testing.T) {
+func TestOrderSettledBeforeFirstTickCountsAsOrderOfPredecessor(t *testing.T) {
 	s := stateWithPendingLoad(t)
-	f := New("me", Options{LeaseUs: 3 * clock.Sec})
+	controller := New("me", Options{LeaseUs: 3 * clock.Sec})
 	replicas := registry.New(clock.Sec)
 	nowUs := 60 * clock.Sec
 	replicas.HandleHeartbeat(nowUs, registry.ReplicaStatus{ID: "r1", Service: "s", Addr: "a", Slots: 4, Seq: 9})
 	snapshot := func() Snapshot {
 		return Snapshot{NowUs: nowUs, State: s, IsHead: true, IsFresh: true, CanWrite: true, Registry: replicas}
 	}
-	f.Step(Snapshot{NowUs: clock.Sec, State: s, Registry: replicas}, Tick{})
-	f.Step(snapshot(), Tick{})
+	controller.Step(Snapshot{NowUs: clock.Sec, State: s, Registry: replicas}, Tick{})
+	controller.Step(snapshot(), Tick{})
 	s.Apply(5, statemachine.Change{ID: "claimed", Epoch: 2, Claim: &statemachine.Claim{Leader: "me"}})
-	if !f.IsLeader(s) {
+	if !controller.IsLeader(s) {
 		t.Fatal("it does not lead")
 	}
 	apply := func(effects []Effect) {
 		for _, effect := range effects {
 			if write, ok := effect.(WriteChange); ok && write.Change.LeaderUpdate != nil {
 				s.Apply(s.Index+1, *write.Change)
-				f.OnApplied(nowUs, write.Change.Epoch, *write.Change.LeaderUpdate, s)
+				controller.OnApplied(nowUs, write.Change.Epoch, *write.Change.LeaderUpdate, s)
 			}
 		}
 	}
-	asked := false
-	for _, effect := range f.Step(snapshot(), GatewayReport{Report: &wire.Report{Gateway: "d1", Zone: "a", Queued: map[string]int{"n": 3}}}) {
+	requested := false
+	for _, effect := range controller.Step(snapshot(), GatewayReport{Report: &wire.Report{Gateway: "d1", Zone: "a", Queued: map[string]int{"n": 3}}}) {
 		_, isRequest := effect.(ReportRequest)
-		asked = asked || isRequest
+		requested = requested || isRequest
 	}
-	apply(f.effects)
+	apply(controller.effects)
 	nowUs += 10 * clock.Ms
-	apply(f.Step(snapshot(), ReplicaReport{RequestedUs: nowUs, Replica: "r1", Addr: "a", State: &wire.ReplicaState{ID: "r1", Incarnation: "r1", Orders: 1, Units: []string{"m"}}}))
-	if !asked || len(s.Pending) > 0 {
-		t.Fatalf("asked %v, pending %v: the order was not settled before the first tick", asked, s.Pending)
+	apply(controller.Step(snapshot(), ReplicaReport{RequestedUs: nowUs, Replica: "r1", Addr: "a", State: &wire.ReplicaState{ID: "r1", Incarnation: "r1", Orders: 1, Units: []string{"m"}}}))
+	if !requested || len(s.Pending) > 0 {
+		t.Fatalf("asked %v, pending %v: the order was not settled before the first tick", requested, s.Pending)
 	}
 	nowUs += 10 * clock.Ms
-	f.Step(snapshot(), Tick{})
-	if f.routed.predecessor.canOrder(nowUs+3*clock.Sec, "r1") {
+	controller.Step(snapshot(), Tick{})
+	if controller.routed.predecessor.canOrder(nowUs+3*clock.Sec, "r1") {
 		t.Error("the replica may be ordered while the lease of the leader before runs")
 	}
 }
--- a/internal/controlplane/controller/outliers.go
+++ b/internal/controlplane/controller/outliers.go
@@ -21,7 +21,7 @@
 
 // judge works out the verdicts where that is due, and says whether they have changed. A new leader goes on from those of
 // the one before.
-func (v *outlierVerdicts) judge(snapshot Snapshot, epoch uint64) (changed bool) {
+func (v *outlierVerdicts) evaluate(snapshot Snapshot, epoch uint64) (changed bool) {
 	if v.epoch != epoch {
 		v.epoch = epoch
 		v.detector.Inherit(snapshot.NowUs, epoch, snapshot.Outliers, snapshot.serviceOf)
@@ -38,9 +38,9 @@
 	return v.detector.Evaluate(snapshot.NowUs, epoch, replicas, func(id string) bool { return snapshot.serviceOf(id) != "" })
 }
 
-// judgeOutliers publishes the verdicts where they have changed.
-func (c *Controller) judgeOutliers(snapshot Snapshot) {
-	if c.outliers.judge(snapshot, c.leadership.epoch) {
+// evaluateOutliers publishes the verdicts where they have changed.
+func (c *Controller) evaluateOutliers(snapshot Snapshot) {
+	if c.outliers.evaluate(snapshot, c.leadership.epoch) {
 		c.emit(PublishVerdicts{Table: c.outliers.detector.Table()})
 	}
 }
--- a/internal/controlplane/controller/outliers_test.go
+++ b/internal/controlplane/controller/outliers_test.go
@@ -14,9 +14,9 @@
 // What gateways tell of a replica that fails becomes a verdict, and what it holds is wanted elsewhere; with the
 // detector switched off neither does.
 func TestGatewayReportsBecomeOutlierVerdicts(t *testing.T) {
-	for _, off := range []bool{false, true} {
-		f := New("me", Options{Outlier: outlier.Options{Disabled: off}})
-		f.leadership.epoch = 1
+	for _, disabled := range []bool{false, true} {
+		controller := New("me", Options{Outlier: outlier.Options{Disabled: disabled}})
+		controller.leadership.epoch = 1
 		s := statemachine.NewState()
 		s.Epoch, s.Leader, s.Doc = 1, "me", fleetDoc()
 		snapshot := Snapshot{NowUs: clock.Sec, State: s, Registry: registry.New(3 * clock.Sec)}
@@ -29,27 +29,27 @@
 		for i := range 20 {
 			snapshot.NowUs += 200 * clock.Ms
 			for _, gateway := range []string{"d1", "d2"} {
-				rep := wire.Report{Gateway: gateway, Zone: "a", Attempts: map[string]int{service: 8}}
+				report := wire.Report{Gateway: gateway, Zone: "a", Attempts: map[string]int{service: 8}}
 				if i >= 5 {
-					rep.Outcomes = []outlier.Counts{{Replica: "r0", Failures: map[string]int{outlier.ErrorResponse.String(): 1}}, {Replica: "unknown", Failures: map[string]int{"silence": 9, "nonsense": 9}}}
+					report.Outcomes = []outlier.Counts{{Replica: "r0", Failures: map[string]int{outlier.ErrorResponse.String(): 1}}, {Replica: "unknown", Failures: map[string]int{"silence": 9, "nonsense": 9}}}
 				}
-				f.Step(snapshot, GatewayReport{Report: &rep})
+				controller.Step(snapshot, GatewayReport{Report: &report})
 			}
-			f.effects = nil
-			f.judgeOutliers(snapshot)
-			for _, e := range f.effects {
+			controller.effects = nil
+			controller.evaluateOutliers(snapshot)
+			for _, e := range controller.effects {
 				if verdicts, ok := e.(PublishVerdicts); ok {
 					table = &verdicts.Table
 				}
 			}
 		}
-		held := f.candidate(snapshot, s.Replicas["r0"], nil, nil).Usable && f.isPlaced(s, "m0")
+		isUsable := controller.candidate(snapshot, s.Replicas["r0"], nil, nil).Usable && controller.isPlaced(s, "m0")
 		switch {
-		case off && (table != nil || !held):
-			t.Errorf("it is off: %v, used %t", table, held)
-		case !off && (table == nil || len(table.Rows) != 1 || table.Rows[0].Replica != "r0" || !table.Rows[0].Dead):
+		case disabled && (table != nil || !isUsable):
+			t.Errorf("it is off: %v, used %t", table, isUsable)
+		case !disabled && (table == nil || len(table.Rows) != 1 || table.Rows[0].Replica != "r0" || !table.Rows[0].Dead):
 			t.Errorf("every attempt at r0 fails: %v", table)
-		case !off && held:
+		case !disabled && isUsable:
 			t.Error("its models are not wanted elsewhere")
 		}
 	}
--- a/internal/controlplane/controller/policy_runs.go
+++ b/internal/controlplane/controller/policy_runs.go
@@ -52,8 +52,8 @@
 	p.runNumber++
 }
 
-// takeProposals says whether proposals wait that were made for this revision; older ones are dropped.
-func (p *policyRuns) takeProposals(revision uint64) bool {
+// hasCurrentProposals says whether proposals wait that were made for this revision; older ones are dropped.
+func (p *policyRuns) hasCurrentProposals(revision uint64) bool {
 	if p.revision != revision {
 		p.proposals = nil
 	}
@@ -79,11 +79,11 @@
 	usable := []scaler.Replica{}
 	fleet := placement.Fleet{Doc: s.Doc, Rates: rates, Waiting: waiting}
 	for _, id := range s.ReplicaIDs() {
-		row := c.policyReplica(s, s.Replicas[id])
-		if row.Usable {
-			usable = append(usable, scaler.Replica{ID: id, CapacityMb: row.CapacityMb})
+		replica := c.policyReplica(s, s.Replicas[id])
+		if replica.Usable {
+			usable = append(usable, scaler.Replica{ID: id, CapacityMb: replica.CapacityMb})
 		}
-		fleet.Replicas = append(fleet.Replicas, row)
+		fleet.Replicas = append(fleet.Replicas, replica)
 	}
 	fleet.Counts = scaler.Decide(scaler.Input{Doc: s.Doc, Rates: rates, Waiting: waiting, Usable: usable})
 	return fleet
@@ -91,20 +91,20 @@
 
 // policyReplica is one replica as the placement policies read it.
 func (c *Controller) policyReplica(s *statemachine.State, r *statemachine.Replica) placement.Replica {
-	row := placement.Replica{
+	replica := placement.Replica{
 		ID: r.ID, Zone: r.Zone, CapacityMb: r.CapacityMB, FreeMb: r.CapacityMB - s.ReservedMB(r.ID), Slots: r.Slots,
 		Units: sortedKeys(r.Resident), Usable: r.AcceptsLoads(s.Doc),
 	}
 	if command, pending := s.Pending[r.ID]; pending {
-		row.Busy = true
+		replica.Busy = true
 		if command.Action == statemachine.Load {
-			row.Loading = command.Unit
+			replica.Loading = command.Unit
 		}
 	}
 	for _, gateway := range c.gateways.byID {
-		row.InFlight += gateway.report.InFlight[r.ID]
+		replica.InFlight += gateway.report.InFlight[r.ID]
 	}
-	return row
+	return replica
 }
 
 // onPolicyResult takes what a run of the policies proposed.
@@ -118,13 +118,13 @@
 	}
 	c.policies.live = withRun(c.policies.live, p.Live)
 	if p.Live.Fault != nil {
-		c.count(p.Live.Fault.Code)
+		c.countFault(p.Live.Fault.Code)
 	} else if len(p.Live.Proposals) > 0 && p.Revision == snapshot.State.Revision {
 		c.policies.proposals, c.policies.revision = p.Live.Proposals, p.Revision
 	}
 	shadows := []PolicyStatus{}
-	for i, a := range p.Shadows {
-		shadows = append(shadows, c.shadowStatus(snapshot.State, i, p.Live, a))
+	for i, result := range p.Shadows {
+		shadows = append(shadows, c.shadowStatus(snapshot.State, i, p.Live, result))
 	}
 	c.policies.shadows = shadows
 }
@@ -148,7 +148,7 @@
 	c.policies.proposals, c.policies.live.Verdicts = nil, verdicts
 	for _, v := range verdicts {
 		if v.Fault != nil {
-			c.count(v.Fault.Code)
+			c.countFault(v.Fault.Code)
 		}
 	}
 }
--- a/internal/controlplane/controller/predecessor.go
+++ b/internal/controlplane/controller/predecessor.go
@@ -14,8 +14,8 @@
 const (
 	// leaseSlackUs is how much longer than the lease a successor waits: an order's flight, and a margin.
 	leaseSlackUs = MaxOrderInFlightUs + 100*clock.Ms
-	// leaderFreshUs is how long after a takeover the leader before may still believe that it leads, and send again what is pending.
-	leaderFreshUs = 1100 * clock.Ms
+	// maxStaleLeaderUs is how long after a takeover the leader before may still believe that it leads, and send again what is pending.
+	maxStaleLeaderUs = 1100 * clock.Ms
 	// maxTrackedReplicas bounds what is remembered of replicas that are gone.
 	maxTrackedReplicas = 4096
 )
@@ -29,9 +29,9 @@
 	startedUs int64
 	// leaderSinceUs is the first event as the leader; 0 while it does not lead.
 	leaderSinceUs int64
-	// foreignUs is when others may last have ordered any replica, for all that this controller did not see.
-	foreignUs int64
-	orders    predecessorOrders
+	// lastUnseenOrderUs is when others may last have ordered any replica, for all that this controller did not see.
+	lastUnseenOrderUs int64
+	orders            predecessorOrders
 }
 
 // start records the first tick.
@@ -45,7 +45,7 @@
 // onApplied takes a leader's update as it is applied; foreign says that another leader wrote it.
 func (p *predecessorWait) onApplied(nowUs int64, foreign bool, update statemachine.LeaderUpdate, s *statemachine.State) {
 	if !p.orders.onApplied(nowUs, foreign, update, s) {
-		p.foreignUs = nowUs
+		p.lastUnseenOrderUs = nowUs
 	}
 }
 
@@ -57,16 +57,16 @@
 	}
 	p.leaderSinceUs = nowUs
 	if s.NextNumber > 1 {
-		p.foreignUs = max(p.foreignUs, p.startedUs)
+		p.lastUnseenOrderUs = max(p.lastUnseenOrderUs, p.startedUs)
 	}
 	p.orders.recordUnseen(nowUs, s)
 	if p.orders.nextNumber != s.NextNumber {
 		p.orders.reset(s)
-		p.foreignUs = nowUs
+		p.lastUnseenOrderUs = nowUs
 	}
 	for id, command := range s.Pending {
 		if command.Epoch != epoch {
-			p.orders.lastOrderUs[id] = max(p.orders.lastOrderUs[id], nowUs+leaderFreshUs)
+			p.orders.lastOrderUs[id] = max(p.orders.lastOrderUs[id], nowUs+maxStaleLeaderUs)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 
 // waitUs is the time until a replica may be ordered, below 0 where it may be; "" is a replica of which nothing is known.
 func (p *predecessorWait) waitUs(nowUs int64, replica string) int64 {
-	return max(p.foreignUs, p.orders.lastOrderUs[replica]) + p.leaseUs + leaseSlackUs - nowUs
+	return max(p.lastUnseenOrderUs, p.orders.lastOrderUs[replica]) + p.leaseUs + leaseSlackUs - nowUs
 }
 
 // longestWaitUs is the time until every replica may be ordered.
--- a/internal/controlplane/controller/registry_sync.go
+++ b/internal/controlplane/controller/registry_sync.go
@@ -18,14 +18,14 @@
 
 // comparedVersion is the state of registry and replicated state at which they were last compared, and when.
 type comparedVersion struct {
-	roster, holds, index uint64
-	atUs                 int64
+	registryRevision, replicasIndex, stateRevision uint64
+	atUs                                           int64
 }
 
 // registrySync keeps the replicated state in line with what replicas say of themselves.
 type registrySync struct {
-	// changedUs is when a command that changed what a replica holds was last settled, by replica.
-	changedUs map[string]int64
+	// holdingsChangedUs is when a command that changed what a replica holds was last settled, by replica.
+	holdingsChangedUs map[string]int64
 	// unseenUs is since when the registry does not know a replica of the replicated state.
 	unseenUs map[string]int64
 	compared comparedVersion
@@ -33,14 +33,14 @@
 
 // isOutdated says whether what a replica said may be older than the last order that changed what it holds, or than this controller.
 func (r *registrySync) isOutdated(e *registry.Entry, startedUs int64) bool {
-	return e.ConfirmedUs <= max(r.changedUs[e.ID], startedUs)+reportDelayUs
+	return e.ConfirmedUs <= max(r.holdingsChangedUs[e.ID], startedUs)+reportDelayUs
 }
 
 // onApplied records which replicas hold something else after an update with results.
 func (r *registrySync) onApplied(nowUs int64, s *statemachine.State) {
 	for id, replica := range s.Replicas {
 		if replica.ModifiedIndex == s.Index {
-			r.changedUs[id] = nowUs
+			r.holdingsChangedUs[id] = nowUs
 		}
 	}
 }
@@ -69,34 +69,34 @@
 	if e.Removed || service == nil || service.Engine == nil {
 		if recorded != nil {
 			update.RemovedReplicas = append(update.RemovedReplicas, e.ID)
-			delete(c.routed.registry.changedUs, e.ID)
+			delete(c.routed.registry.holdingsChangedUs, e.ID)
 		}
 		return
 	}
-	n := statemachine.ReplicaUpdate{
+	observed := statemachine.ReplicaUpdate{
 		ID: e.ID, Incarnation: e.ID, Addr: e.Addr, Zone: e.Zone, CapacityMB: service.Engine.CapacityMB, Slots: e.Slots, Draining: e.Draining,
 		RemainingMs: remainingMs(recorded, e.Draining, e.RemainingMs), Unreachable: e.Unreachable, Service: e.Service,
 	}
-	c.recordUnits(snapshot, e, service, &n)
-	if differsFrom(recorded, n) {
-		update.Replicas = append(update.Replicas, n)
+	c.recordUnits(snapshot, e, service, &observed)
+	if differsFrom(recorded, observed) {
+		update.Replicas = append(update.Replicas, observed)
 	}
 }
 
 // recordUnits adds what a replica holds where the ledger has something else and the replica's word is new enough.
 // Where it is not, the next write compares again.
-func (c *Controller) recordUnits(snapshot Snapshot, e *registry.Entry, service *configuration.Service, n *statemachine.ReplicaUpdate) {
+func (c *Controller) recordUnits(snapshot Snapshot, e *registry.Entry, service *configuration.Service, observed *statemachine.ReplicaUpdate) {
 	recorded := snapshot.State.Replicas[e.ID]
 	_, pending := snapshot.State.Pending[e.ID]
-	units := c.routed.residency.withTrusted(snapshot.NowUs, recorded, e.Units)
+	units := c.routed.residency.withUnconfirmedLoads(snapshot.NowUs, recorded, e.Units)
 	switch {
 	case recorded == nil:
-		n.ResidentKnown, n.Resident, n.CommandsAccepted = true, holdings(snapshot.State.Doc, service, units), new(uint64)
+		observed.ResidentKnown, observed.Resident, observed.CommandsAccepted = true, holdings(snapshot.State.Doc, service, units), new(uint64)
 	case pending || holdsExactly(recorded, units):
 	case c.routed.registry.isOutdated(e, c.routed.predecessor.startedUs):
 		c.routed.registry.compared = comparedVersion{}
 	default:
-		n.ResidentKnown, n.Resident = true, holdings(snapshot.State.Doc, service, units)
+		observed.ResidentKnown, observed.Resident = true, holdings(snapshot.State.Doc, service, units)
 	}
 }
 
@@ -112,6 +112,6 @@
 	} else if snapshot.NowUs-sinceUs > unseenRemovedAfterUs {
 		update.RemovedReplicas = append(update.RemovedReplicas, id)
 		delete(r.unseenUs, id)
-		delete(r.changedUs, id)
+		delete(r.holdingsChangedUs, id)
 	}
 }
--- a/internal/controlplane/controller/replica_updates.go
+++ b/internal/controlplane/controller/replica_updates.go
@@ -7,9 +7,9 @@
 
 // differsFrom says whether the replicated state has no row of a replica, or one that says something else than the note. The incarnation is not
 // looked at.
-func differsFrom(recorded *statemachine.Replica, n statemachine.ReplicaUpdate) bool {
-	return recorded == nil || recorded.Addr != n.Addr || recorded.Zone != n.Zone || recorded.CapacityMB != n.CapacityMB ||
-		recorded.Slots != n.Slots || recorded.Draining != n.Draining || recorded.Unreachable != n.Unreachable || n.ResidentKnown
+func differsFrom(recorded *statemachine.Replica, observed statemachine.ReplicaUpdate) bool {
+	return recorded == nil || recorded.Addr != observed.Addr || recorded.Zone != observed.Zone || recorded.CapacityMB != observed.CapacityMB ||
+		recorded.Slots != observed.Slots || recorded.Draining != observed.Draining || recorded.Unreachable != observed.Unreachable || observed.ResidentKnown
 }
 
 // remainingMs is how long a replica under notice has: as was first written down, so that the row stays as it is.
--- a/internal/controlplane/controller/replicas.go
+++ b/internal/controlplane/controller/replicas.go
@@ -34,19 +34,19 @@
 	byID map[string]*replicaState
 }
 
-// reportedAs gives the state of a command's replica where it has reported as the incarnation that the command is for; else nil.
-func (t *replicaTracker) reportedAs(command statemachine.ReplicaCommand) *replicaState {
-	row := t.byID[command.Replica]
-	if row == nil || row.reportedUs == 0 || row.report.Incarnation != command.Incarnation {
+// stateFor gives the state of a command's replica where it has reported as the incarnation that the command is for; else nil.
+func (t *replicaTracker) stateFor(command statemachine.ReplicaCommand) *replicaState {
+	tracked := t.byID[command.Replica]
+	if tracked == nil || tracked.reportedUs == 0 || tracked.report.Incarnation != command.Incarnation {
 		return nil
 	}
-	return row
+	return tracked
 }
 
 // hasAcknowledged says whether a command's replica has taken it or a later one.
 func (t *replicaTracker) hasAcknowledged(command statemachine.ReplicaCommand) bool {
-	row := t.reportedAs(command)
-	return row != nil && row.report.LastOrder != nil && row.report.LastOrder.Number >= command.Number
+	tracked := t.stateFor(command)
+	return tracked != nil && tracked.report.LastOrder != nil && tracked.report.LastOrder.Number >= command.Number
 }
 
 // requestsDue gives the requests for reports of listed replicas that are due now.
@@ -56,17 +56,17 @@
 		return requests
 	}
 	for _, listed := range list.Replicas {
-		row := t.byID[listed.ID]
-		if row == nil || row.addr != listed.Addr {
-			row = &replicaState{addr: listed.Addr}
-			t.byID[listed.ID] = row
+		tracked := t.byID[listed.ID]
+		if tracked == nil || tracked.addr != listed.Addr {
+			tracked = &replicaState{addr: listed.Addr}
+			t.byID[listed.ID] = tracked
 		}
 		intervalUs := reportIntervalUs
 		if _, pending := s.Pending[listed.ID]; pending {
 			intervalUs = busyReportIntervalUs
 		}
-		if nowUs-row.requestedUs >= intervalUs {
-			row.requestedUs = nowUs
+		if nowUs-tracked.requestedUs >= intervalUs {
+			tracked.requestedUs = nowUs
 			requests = append(requests, ReportRequest{RequestedUs: nowUs, Replica: listed.ID, Addr: listed.Addr})
 		}
 	}
@@ -75,52 +75,52 @@
 
 // onReport takes a replica's report, unless a newer one came before; false where there is none or it is not valid.
 func (t *replicaTracker) onReport(nowUs int64, report ReplicaReport) bool {
-	row := t.byID[report.Replica]
-	if row == nil || row.addr != report.Addr {
-		row = &replicaState{addr: report.Addr, requestedUs: nowUs}
-		t.byID[report.Replica] = row
+	tracked := t.byID[report.Replica]
+	if tracked == nil || tracked.addr != report.Addr {
+		tracked = &replicaState{addr: report.Addr, requestedUs: nowUs}
+		t.byID[report.Replica] = tracked
 	}
 	if report.State == nil || report.State.ID != report.Replica || report.State.Incarnation == "" || !areValidHoldings(report.State.Loaded) {
 		return false
 	}
-	if report.RequestedUs < row.newestRequestUs {
+	if report.RequestedUs < tracked.newestRequestUs {
 		return true
 	}
-	row.report, row.reportedUs, row.newestRequestUs = *report.State, nowUs, report.RequestedUs
+	tracked.report, tracked.reportedUs, tracked.newestRequestUs = *report.State, nowUs, report.RequestedUs
 	return true
 }
 
 // onOrderResult takes a replica's answer to an order: that it runs or is done counts as its newest report of it.
 func (t *replicaTracker) onOrderResult(result OrderResult) {
-	row := t.byID[result.Replica]
-	if row == nil || row.report.Incarnation != result.Incarnation {
+	tracked := t.byID[result.Replica]
+	if tracked == nil || tracked.report.Incarnation != result.Incarnation {
 		return
 	}
-	if last := row.report.LastOrder; last == nil || last.Number < result.State.Number {
+	if last := tracked.report.LastOrder; last == nil || last.Number < result.State.Number {
 		state := result.State
-		row.report.LastOrder = &state
+		tracked.report.LastOrder = &state
 	}
 }
 
 // hasOutcome says whether a replica's last order ends the command that is pending there.
 func (t *replicaTracker) hasOutcome(s *statemachine.State, replica string) bool {
 	command, pending := s.Pending[replica]
-	row := t.byID[replica]
-	if !pending || row == nil || row.report.LastOrder == nil || row.report.Incarnation != command.Incarnation {
+	tracked := t.byID[replica]
+	if !pending || tracked == nil || tracked.report.LastOrder == nil || tracked.report.Incarnation != command.Incarnation {
 		return false
 	}
-	return row.report.LastOrder.Number >= command.Number && row.report.LastOrder.State != wire.OrderRunning
+	return tracked.report.LastOrder.Number >= command.Number && tracked.report.LastOrder.State != wire.OrderRunning
 }
 
 // setOutcome records what became of a command as if its replica had reported it; settleCommands reads it there.
 func (t *replicaTracker) setOutcome(command statemachine.ReplicaCommand, state, reason string) {
-	row := t.byID[command.Replica]
-	if row == nil {
-		row = &replicaState{}
-		t.byID[command.Replica] = row
+	tracked := t.byID[command.Replica]
+	if tracked == nil {
+		tracked = &replicaState{}
+		t.byID[command.Replica] = tracked
 	}
-	row.report.Incarnation, row.report.ID, row.reportedUs = command.Incarnation, command.Replica, 1
-	row.report.LastOrder = &wire.OrderState{Number: command.Number, Epoch: command.Epoch, State: state, Reason: reason}
+	tracked.report.Incarnation, tracked.report.ID, tracked.reportedUs = command.Incarnation, command.Replica, 1
+	tracked.report.LastOrder = &wire.OrderState{Number: command.Number, Epoch: command.Epoch, State: state, Reason: reason}
 }
 
 // areValidHoldings says whether units are named once each and take no less than nothing, which would make room for too much.
--- a/internal/controlplane/controller/residency.go
+++ b/internal/controlplane/controller/residency.go
@@ -30,8 +30,8 @@
 type residency struct {
 	// arrivedUs is when a unit came to a replica.
 	arrivedUs map[replicaUnit]int64
-	// trustedUntilUs is until when a load that was settled by time counts, though its replica does not show it.
-	trustedUntilUs map[replicaUnit]int64
+	// unconfirmedUntilUs is until when a load that was settled by time counts, though its replica does not show it.
+	unconfirmedUntilUs map[replicaUnit]int64
 	// reservations are by replica.
 	reservations map[string]reservation
 	// unplaced are the units that calls wait for and that the last run found no place for.
@@ -67,20 +67,20 @@
 	return ""
 }
 
-// withTrusted adds what was settled by its time alone and the replica has not yet shown: a load that takes
+// withUnconfirmedLoads adds what was settled by its time alone and the replica has not yet shown: a load that takes
 // longer than stated keeps its room until it comes, or has had three times its time.
-func (r *residency) withTrusted(nowUs int64, recorded *statemachine.Replica, units []string) []string {
-	if recorded == nil || len(r.trustedUntilUs) == 0 {
+func (r *residency) withUnconfirmedLoads(nowUs int64, recorded *statemachine.Replica, units []string) []string {
+	if recorded == nil || len(r.unconfirmedUntilUs) == 0 {
 		return units
 	}
 	for unit := range recorded.Resident {
 		key := replicaUnit{recorded.ID, unit}
-		untilUs, trusted := r.trustedUntilUs[key]
+		untilUs, trusted := r.unconfirmedUntilUs[key]
 		if !trusted {
 			continue
 		}
 		if _, shown := slices.BinarySearch(units, unit); shown || nowUs > untilUs {
-			delete(r.trustedUntilUs, key)
+			delete(r.unconfirmedUntilUs, key)
 		} else {
 			units = append(slices.Clone(units), unit)
 		}
--- a/internal/controlplane/controller/resident.go
+++ b/internal/controlplane/controller/resident.go
@@ -20,9 +20,9 @@
 	decodeMsPerCall = 25.0
 )
 
-// runResident asks the policy for each service with an engine, at once where calls wait for a model that
+// runResidentPolicy asks the policy for each service with an engine, at once where calls wait for a model that
 // nobody has.
-func (c *Controller) runResident(snapshot Snapshot) {
+func (c *Controller) runResidentPolicy(snapshot Snapshot) {
 	s := snapshot.State
 	if !c.policies.isDue(snapshot.NowUs, residentIntervalUs, minResidentIntervalUs) || !c.routed.predecessor.canPlan(snapshot.NowUs) {
 		return
@@ -32,18 +32,18 @@
 		return
 	}
 	c.policies.begin(snapshot.NowUs)
-	answer := placement.RunResult{Policy: placement.ResidentName}
+	result := placement.RunResult{Policy: placement.ResidentName}
 	clear(c.routed.residency.unplaced)
 	for _, in := range services {
 		proposals, unplaced := placement.Resident(in)
-		answer.Proposals = append(answer.Proposals, proposals...)
+		result.Proposals = append(result.Proposals, proposals...)
 		for _, unit := range unplaced {
 			c.routed.residency.unplaced[unit] = true
 		}
 	}
-	c.policies.live = withRun(c.policies.live, answer)
-	if len(answer.Proposals) > 0 {
-		c.policies.proposals, c.policies.revision = answer.Proposals, s.Revision
+	c.policies.live = withRun(c.policies.live, result)
+	if len(result.Proposals) > 0 {
+		c.policies.proposals, c.policies.revision = result.Proposals, s.Revision
 	}
 }
 
@@ -76,7 +76,7 @@
 // residentInputs gives what the placement policy reads of each service with an engine.
 func (c *Controller) residentInputs(snapshot Snapshot) []placement.Service {
 	all := []placement.Service{}
-	calls := loadOf(c.gateways.recentReports(snapshot.NowUs))
+	calls := sumCallLoad(c.gateways.recentReports(snapshot.NowUs))
 	services := snapshot.State.Doc.Services
 	for i := range services {
 		if services[i].Engine != nil {
--- a/internal/controlplane/controller/rollout.go
+++ b/internal/controlplane/controller/rollout.go
@@ -4,19 +4,19 @@
 	"petreltide/internal/process/clock"
 )
 
-// rolloutLateUs is after how long the gateways that still work by an older declaration are named in the log.
-const rolloutLateUs = 2 * clock.Sec
+// rolloutOverdueUs is after how long the gateways that still work by an older declaration are named in the log.
+const rolloutOverdueUs = 2 * clock.Sec
 
 // rollout follows the declaration in force on its way to the gateways, by the revisions in their reports. A controller
 // that begins to lead counts from the moment at which it first sees the declaration.
 type rollout struct {
 	revision uint64
-	// beganUs is when this controller first saw the revision in force, doneUs when the last live gateway had reported it;
+	// startedUs is when this controller first saw the revision in force, completedUs when the last live gateway had reported it;
 	// 0: not yet.
-	beganUs int64
-	doneUs  int64
+	startedUs   int64
+	completedUs int64
 	// late: those that are behind have been named in the log.
-	late bool
+	lateReported bool
 }
 
 // RolloutStatus is how far the declaration in force has come. The reports of gateways come a few times a second, so that
@@ -31,7 +31,7 @@
 }
 
 // behind names the live gateways whose newest reports are older than a revision, in order.
-func (g *gatewayMembership) behind(nowUs int64, revision uint64) []string {
+func (g *gatewayMembership) lagging(nowUs int64, revision uint64) []string {
 	ids := []string{}
 	for _, id := range g.live(nowUs) {
 		if g.byID[id].report.Revision < revision {
@@ -41,23 +41,23 @@
 	return ids
 }
 
-// followRollout tells when all live gateways work by the declaration in force, and once which ones are late.
-func (c *Controller) followRollout(snapshot Snapshot) {
+// trackRollout tells when all live gateways work by the declaration in force, and once which ones are late.
+func (c *Controller) trackRollout(snapshot Snapshot) {
 	r, nowUs := &c.rollout, snapshot.NowUs
 	if snapshot.State.Revision != r.revision {
-		*r = rollout{revision: snapshot.State.Revision, beganUs: nowUs}
+		*r = rollout{revision: snapshot.State.Revision, startedUs: nowUs}
 	}
-	if r.revision == 0 || r.doneUs != 0 {
+	if r.revision == 0 || r.completedUs != 0 {
 		return
 	}
-	live, behind := len(c.gateways.live(nowUs)), c.gateways.behind(nowUs, r.revision)
+	live, behind := len(c.gateways.live(nowUs)), c.gateways.lagging(nowUs, r.revision)
 	switch {
 	case live > 0 && len(behind) == 0:
-		r.doneUs = nowUs
-		c.emit(RolloutProgress{Revision: r.revision, Done: true, ElapsedUs: nowUs - r.beganUs, Gateways: live})
-	case len(behind) > 0 && !r.late && nowUs-r.beganUs >= rolloutLateUs:
-		r.late = true
-		c.emit(RolloutProgress{Revision: r.revision, ElapsedUs: nowUs - r.beganUs, Gateways: live, Behind: behind})
+		r.completedUs = nowUs
+		c.emit(RolloutProgress{Revision: r.revision, Done: true, ElapsedUs: nowUs - r.startedUs, Gateways: live})
+	case len(behind) > 0 && !r.lateReported && nowUs-r.startedUs >= rolloutOverdueUs:
+		r.lateReported = true
+		c.emit(RolloutProgress{Revision: r.revision, ElapsedUs: nowUs - r.startedUs, Gateways: live, Behind: behind})
 	}
 }
 
@@ -67,9 +67,9 @@
 	if r.revision == 0 {
 		return nil
 	}
-	status := &RolloutStatus{Revision: r.revision, AgeMs: (nowUs - r.beganUs) / clock.Ms, CompletedAfterMs: -1, Behind: c.gateways.behind(nowUs, r.revision)}
-	if r.doneUs != 0 {
-		status.CompletedAfterMs = (r.doneUs - r.beganUs) / clock.Ms
+	status := &RolloutStatus{Revision: r.revision, AgeMs: (nowUs - r.startedUs) / clock.Ms, CompletedAfterMs: -1, Behind: c.gateways.lagging(nowUs, r.revision)}
+	if r.completedUs != 0 {
+		status.CompletedAfterMs = (r.completedUs - r.startedUs) / clock.Ms
 	}
 	return status
 }
--- a/internal/controlplane/controller/routed.go
+++ b/internal/controlplane/controller/routed.go
@@ -20,13 +20,13 @@
 	return routedState{
 		predecessor: predecessorWait{leaseUs: opts.LeaseUs},
 		store:       storeWindow{lengthUs: opts.StoreWindowUs, overshoot: opts.StoreOvershoot},
-		orders:      orderTracker{byNumber: map[uint64]*standingOrder{}, unreported: map[string]*unreportedReplica{}},
+		orders:      orderTracker{byNumber: map[uint64]*outstandingOrder{}, unreported: map[string]*unreportedReplica{}},
 		demand:      demandTracker{estimates: map[string]*demandEstimate{}},
 		residency: residency{
-			arrivedUs: map[replicaUnit]int64{}, trustedUntilUs: map[replicaUnit]int64{},
+			arrivedUs: map[replicaUnit]int64{}, unconfirmedUntilUs: map[replicaUnit]int64{},
 			reservations: map[string]reservation{}, unplaced: map[string]bool{},
 		},
-		registry: registrySync{changedUs: map[string]int64{}, unseenUs: map[string]int64{}},
+		registry: registrySync{holdingsChangedUs: map[string]int64{}, unseenUs: map[string]int64{}},
 	}
 }
 
@@ -40,9 +40,9 @@
 func (m routedMode) tick(snapshot Snapshot) {
 	c := m.c
 	c.routed.demand.update(snapshot.NowUs, &c.gateways, c.opts.Disable)
-	c.judgeOutliers(snapshot)
+	c.evaluateOutliers(snapshot)
 	m.plan(snapshot)
-	c.writeDue(snapshot)
+	c.writeUpdate(snapshot)
 }
 
 // onGatewayReport takes the outcomes of calls, and acts at once where calls wait for a unit that has no place.
@@ -50,7 +50,7 @@
 	m.c.outliers.onReport(snapshot, report)
 	if m.c.hasUnplacedCalls(snapshot, report) {
 		m.c.policies.inputChanged = true
-		m.c.act(snapshot)
+		m.c.planAndWrite(snapshot)
 	}
 }
 
@@ -67,10 +67,10 @@
 			o.checkUs = snapshot.NowUs + recheckUs
 		} else {
 			o.unansweredUs = 0
-			m.c.judgeOrder(snapshot, command, o, report.State)
+			m.c.evaluateOrder(snapshot, command, o, report.State)
 		}
 	}
-	m.c.act(snapshot)
+	m.c.planAndWrite(snapshot)
 }
 
 // onOrderResult takes a replica's answer to an order; what it means in the end is seen by what the replica holds.
@@ -78,16 +78,16 @@
 	command, pending := snapshot.State.Pending[result.Replica]
 	o := m.c.routed.orders.byNumber[result.State.Number]
 	if pending && command.Number == result.State.Number && o != nil && o.isAnsweredBy(result) {
-		m.takeAnswer(snapshot, command, o, result.State)
+		m.handleAnswer(snapshot, command, o, result.State)
 	}
-	m.c.act(snapshot)
+	m.c.planAndWrite(snapshot)
 }
 
-func (m routedMode) takeAnswer(snapshot Snapshot, command statemachine.ReplicaCommand, o *standingOrder, answer wire.OrderState) {
+func (m routedMode) handleAnswer(snapshot Snapshot, command statemachine.ReplicaCommand, o *outstandingOrder, answer wire.OrderState) {
 	o.answeredUs, o.answer = snapshot.NowUs, answer.State
 	switch answer.State {
 	case wire.OrderRunning:
-		o.checkUs = snapshot.NowUs + checkDelayUs(snapshot.State, command)
+		o.checkUs = snapshot.NowUs + expectedDurationUs(snapshot.State, command)
 	case wire.OrderDone:
 		m.c.recordOutcome(command, wire.OrderDone, "")
 	case wire.OrderFailed:
@@ -98,8 +98,8 @@
 }
 
 func (m routedMode) plan(snapshot Snapshot) {
-	m.c.pursueOrders(snapshot)
-	m.c.runResident(snapshot)
+	m.c.reconcileOrders(snapshot)
+	m.c.runResidentPolicy(snapshot)
 }
 
 func (m routedMode) collect(snapshot Snapshot, update *statemachine.LeaderUpdate) {
@@ -110,7 +110,7 @@
 	if !c.routed.predecessor.canPlan(snapshot.NowUs) {
 		c.policies.proposals = nil
 	}
-	if c.policies.takeProposals(s.Revision) {
+	if c.policies.hasCurrentProposals(s.Revision) {
 		commands, verdicts := placement.CheckRouted(s, c.routed.store.totalLoadsLeft(snapshot.NowUs, s), c.policies.proposals)
 		c.onVerdicts(verdicts)
 		update.Commands = commands
--- a/internal/controlplane/controller/shares.go
+++ b/internal/controlplane/controller/shares.go
@@ -114,8 +114,8 @@
 		if !ok {
 			return true
 		}
-		row := c.gateways.byID[gateway]
-		if n > had && row != nil && row.report.InFlight[r.ID] >= had {
+		tracked := c.gateways.byID[gateway]
+		if n > had && tracked != nil && tracked.report.InFlight[r.ID] >= had {
 			return true
 		}
 		moved += max(n-had, had-n)
--- a/internal/controlplane/controller/slow_test.go
+++ b/internal/controlplane/controller/slow_load_test.go
@@ -15,47 +15,47 @@
 func TestSlowLoadKeepsCapacityUntilReported(t *testing.T) {
 	s := statemachine.NewState()
 	s.Apply(1, statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: fleetDoc()}})
-	f, ros, index := New("one", Options{}), registry.New(3*clock.Sec), uint64(1)
-	row := registry.ReplicaStatus{ID: "r", Service: "s", Addr: "r", Slots: 8, Seq: 1}
+	controller, replicas, index := New("one", Options{}), registry.New(3*clock.Sec), uint64(1)
+	heartbeat := registry.ReplicaStatus{ID: "r", Service: "s", Addr: "r", Slots: 8, Seq: 1}
 	nowUs := clock.Sec
 	var step func(ev Event)
 	step = func(ev Event) {
-		for _, e := range f.Step(Snapshot{NowUs: nowUs, State: s, IsHead: true, IsFresh: true, CanWrite: true, Registry: ros}, ev) {
+		for _, e := range controller.Step(Snapshot{NowUs: nowUs, State: s, IsHead: true, IsFresh: true, CanWrite: true, Registry: replicas}, ev) {
 			switch e := e.(type) {
 			case WriteChange:
 				index++
 				out := s.Apply(index, *e.Change)
-				f.OnApplied(nowUs, e.Change.Epoch, leaderUpdateOf(e.Change), s)
+				controller.OnApplied(nowUs, e.Change.Epoch, leaderUpdateOf(e.Change), s)
 				step(WriteResult{Outcome: out})
 			case SendOrder:
 				step(OrderResult{Replica: "r", Incarnation: "r", State: wireRunning(e.Order.Command.Number)})
 			}
 		}
 	}
-	pass := func(us int64) {
+	advance := func(us int64) {
 		for endUs := nowUs + us; nowUs < endUs; {
 			nowUs += 25 * clock.Ms
-			row.Seq++
-			ros.HandleHeartbeat(nowUs, row)
+			heartbeat.Seq++
+			replicas.HandleHeartbeat(nowUs, heartbeat)
 			step(Tick{})
 		}
 	}
-	pass(6 * clock.Sec)
+	advance(6 * clock.Sec)
 	index++
 	out := s.Apply(index, statemachine.Change{ID: "t", Epoch: s.Epoch, LeaderUpdate: &statemachine.LeaderUpdate{Commands: []statemachine.ReplicaCommand{{Replica: "r", Incarnation: "r", Revision: s.Revision, Action: statemachine.Load, Unit: "m0"}}}})
 	if len(out.Faults) > 0 {
 		t.Fatal(out.Faults)
 	}
 	_, loadMs, _ := s.Doc.EngineUnitSize("s", "m0")
-	pass(loadMs*1000 + 500*clock.Ms)
+	advance(loadMs*1000 + 500*clock.Ms)
 	if s.Replicas["r"].Resident["m0"] == 0 {
 		t.Fatal("the load was not settled by its time")
 	}
-	pass(2*loadMs*1000 + reportDelayUs/2)
+	advance(2*loadMs*1000 + reportDelayUs/2)
 	if s.Replicas["r"].Resident["m0"] == 0 {
 		t.Fatal("its room was given out again while it may still be under way")
 	}
-	pass(3*loadMs*1000 + 2*reportDelayUs + clock.Sec)
+	advance(3*loadMs*1000 + 2*reportDelayUs + clock.Sec)
 	if s.Replicas["r"].Resident["m0"] != 0 {
 		t.Fatal("a load that never came keeps its room for ever")
 	}
--- a/internal/controlplane/controller/status.go
+++ b/internal/controlplane/controller/status.go
@@ -45,14 +45,14 @@
 }
 
 // withRun adds a run to what is shown of a policy.
-func withRun(status PolicyStatus, a placement.RunResult) PolicyStatus {
-	if status.Name != a.Policy {
-		status = PolicyStatus{Name: a.Policy}
+func withRun(status PolicyStatus, result placement.RunResult) PolicyStatus {
+	if status.Name != result.Policy {
+		status = PolicyStatus{Name: result.Policy}
 	}
 	status.Runs++
-	status.Steps = a.Steps
-	status.Fault = a.Fault
-	if a.Fault != nil {
+	status.Steps = result.Steps
+	status.Fault = result.Fault
+	if result.Fault != nil {
 		status.FaultCount++
 	}
 	return status
@@ -132,11 +132,11 @@
 func (c *Controller) orderStatuses(nowUs int64, s *statemachine.State) []OrderStatus {
 	statuses := []OrderStatus{}
 	for _, id := range sortedKeys(s.Pending) {
-		row := OrderStatus{ReplicaCommand: s.Pending[id], SentAgoMs: -1}
-		if o := c.routed.orders.byNumber[row.Number]; o != nil && o.sentUs > 0 {
-			row.SentAgoMs, row.Answer = (nowUs-o.sentUs)/clock.Ms, o.answer
+		status := OrderStatus{ReplicaCommand: s.Pending[id], SentAgoMs: -1}
+		if o := c.routed.orders.byNumber[status.Number]; o != nil && o.sentUs > 0 {
+			status.SentAgoMs, status.Answer = (nowUs-o.sentUs)/clock.Ms, o.answer
 		}
-		statuses = append(statuses, row)
+		statuses = append(statuses, status)
 	}
 	return statuses
 }
@@ -144,7 +144,7 @@
 // storeStatuses shows how many loads each service's store bears, and how many run and began lately.
 func (c *Controller) storeStatuses(nowUs int64, s *statemachine.State) []StoreStatus {
 	statuses := []StoreStatus{}
-	windowUs := c.routed.store.spanUs()
+	windowUs := c.routed.store.effectiveLengthUs()
 	began := c.routed.store.loadsWithin(nowUs, windowUs)
 	for i := range s.Doc.Services {
 		service := &s.Doc.Services[i]
--- a/internal/controlplane/controller/store_window.go
+++ b/internal/controlplane/controller/store_window.go
@@ -13,9 +13,9 @@
 	defaultWindowUs = 5 * clock.Sec
 	// windowSlackUs is how much longer loads count here than in the store's own window.
 	windowSlackUs = 400 * clock.Ms
-	// storeBurst is how many loads the window allows beyond the rate, storeCut how many of them are not used.
-	storeBurst = 3
-	storeCut   = 1
+	// storeBurstLoads is how many loads the window allows beyond the rate, storeReservedLoads how many of them are not used.
+	storeBurstLoads    = 3
+	storeReservedLoads = 1
 	// maxTrackedLoads bounds how many loads are remembered.
 	maxTrackedLoads = 4096
 )
@@ -26,8 +26,8 @@
 	lengthUs int64
 	// overshoot is how far loads may go beyond the store's rate; below 1 counts as 1.
 	overshoot float64
-	// loadsUs are the times at which loads began, oldest first.
-	loadsUs []int64
+	// loadTimesUs are the times at which loads began, oldest first.
+	loadTimesUs []int64
 	// nextNumber is the number up to which every command was counted; 0 before the first.
 	nextNumber uint64
 	// unseenUs is when it last showed that commands were issued unseen; 0 for never.
@@ -51,16 +51,16 @@
 	if !readsFromStore(s.Replicas[command.Replica], command) {
 		return
 	}
-	w.loadsUs = append(w.loadsUs, nowUs)
-	if len(w.loadsUs) > maxTrackedLoads {
-		w.loadsUs = append([]int64(nil), w.loadsUs[maxTrackedLoads/2:]...)
+	w.loadTimesUs = append(w.loadTimesUs, nowUs)
+	if len(w.loadTimesUs) > maxTrackedLoads {
+		w.loadTimesUs = append([]int64(nil), w.loadTimesUs[maxTrackedLoads/2:]...)
 	}
 }
 
 // loadsWithin counts the loads from the store that began within a span up to now.
 func (w *storeWindow) loadsWithin(nowUs, spanUs int64) int {
 	n := 0
-	for _, atUs := range w.loadsUs {
+	for _, atUs := range w.loadTimesUs {
 		if nowUs-atUs < spanUs {
 			n++
 		}
@@ -85,8 +85,8 @@
 	return n
 }
 
-// spanUs is the length of the window.
-func (w *storeWindow) spanUs() int64 {
+// effectiveLengthUs is the length of the window.
+func (w *storeWindow) effectiveLengthUs() int64 {
 	if w.lengthUs == 0 {
 		return defaultWindowUs
 	}
@@ -97,9 +97,9 @@
 // more at once than the store bears at full speed.
 func (w *storeWindow) loadsLeft(nowUs int64, s *statemachine.State, service *configuration.Service) int {
 	e := service.Engine
-	windowUs := w.spanUs()
+	windowUs := w.effectiveLengthUs()
 	overshoot := max(w.overshoot, 1)
-	maxLoads := int(e.LoadsPerSecond*float64(windowUs)/float64(clock.Sec)*overshoot+storeBurst) - storeCut
+	maxLoads := int(e.LoadsPerSecond*float64(windowUs)/float64(clock.Sec)*overshoot+storeBurstLoads) - storeReservedLoads
 	spent := w.loadsWithin(nowUs, windowUs+windowSlackUs)
 	if w.detectUnseenCommands(nowUs, s, 0); w.unseenUs > 0 && nowUs-w.unseenUs < windowUs+windowSlackUs {
 		spent += maxLoads
--- a/internal/controlplane/controller/basis.go
+++ b/internal/controlplane/controller/versioned_state.go
@@ -14,29 +14,29 @@
 // just these units. A replica refuses an order whose expected count is not its own, or while another order is
 // under way. An order sent on a basis is therefore carried out in that state or not at all, however long it or
 // what the controller heard of the replica was on its way, and whoever leads by then.
-type basis struct {
+type versionedState struct {
 	orders uint64
 	units  []string
 }
 
-// recordedBasis is the basis that the ledger keeps of a replica; nil where its count is not known.
-func recordedBasis(r *statemachine.Replica) *basis {
+// recordedState is the basis that the ledger keeps of a replica; nil where its count is not known.
+func recordedState(r *statemachine.Replica) *versionedState {
 	if r == nil || r.CommandsAccepted == nil {
 		return nil
 	}
-	return &basis{orders: *r.CommandsAccepted, units: slices.Sorted(maps.Keys(r.Resident))}
+	return &versionedState{orders: *r.CommandsAccepted, units: slices.Sorted(maps.Keys(r.Resident))}
 }
 
-// reportedBasis is what a report shows; nil while an order is under way, as what is held will change.
-func reportedBasis(report *wire.ReplicaState) *basis {
+// reportedState is what a report shows; nil while an order is under way, as what is held will change.
+func reportedState(report *wire.ReplicaState) *versionedState {
 	if report.Busy {
 		return nil
 	}
-	return &basis{orders: report.Orders, units: slices.Clone(report.Units)}
+	return &versionedState{orders: report.Orders, units: slices.Clone(report.Units)}
 }
 
 // after is the state once an order that was taken on this basis is done.
-func (b *basis) after(command statemachine.ReplicaCommand) *basis {
+func (b *versionedState) afterCommand(command statemachine.ReplicaCommand) *versionedState {
 	if b == nil {
 		return nil
 	}
@@ -47,11 +47,11 @@
 		units = append(units, command.Unit)
 	}
 	slices.Sort(units)
-	return &basis{orders: b.orders + 1, units: units}
+	return &versionedState{orders: b.orders + 1, units: units}
 }
 
 // admits says whether an order may be sent on this basis: a load must find room, a place, and its model.
-func (b *basis) admits(doc *configuration.Declaration, r *statemachine.Replica, command statemachine.ReplicaCommand) bool {
+func (b *versionedState) canCarryOut(doc *configuration.Declaration, r *statemachine.Replica, command statemachine.ReplicaCommand) bool {
 	service := doc.Service(r.Service)
 	if command.Action != statemachine.Load || service == nil || service.Engine == nil {
 		return true
@@ -71,21 +71,21 @@
 }
 
 // isOutdatedReport says whether a report shows a state from before an order that the replica is known to have taken.
-func (o *standingOrder) isOutdatedReport(r *statemachine.Replica, report *wire.ReplicaState) bool {
-	if known := recordedBasis(r); known != nil && report.Orders < known.orders {
+func (o *outstandingOrder) isOutdatedReport(r *statemachine.Replica, report *wire.ReplicaState) bool {
+	if known := recordedState(r); known != nil && report.Orders < known.orders {
 		return true
 	}
-	if o.basis == nil {
+	if o.expected == nil {
 		return false
 	}
 	if o.answer == wire.OrderRunning {
-		return report.Orders <= o.basis.orders
+		return report.Orders <= o.expected.orders
 	}
-	return report.Orders < o.basis.orders
+	return report.Orders < o.expected.orders
 }
 
-// withResult adds to a settled order what the replica holds after it, where that is known.
-func (c *Controller) withResult(s *statemachine.State, command statemachine.ReplicaCommand, outcome statemachine.CommandResult) statemachine.CommandResult {
+// withResultingState adds to a settled order what the replica holds after it, where that is known.
+func (c *Controller) withResultingState(s *statemachine.State, command statemachine.ReplicaCommand, outcome statemachine.CommandResult) statemachine.CommandResult {
 	o, r := c.routed.orders.byNumber[command.Number], s.Replicas[command.Replica]
 	if o == nil || o.result == nil || r == nil {
 		return outcome
--- a/internal/controlplane/controller/writes.go
+++ b/internal/controlplane/controller/writes.go
@@ -45,8 +45,8 @@
 	return true
 }
 
-// writeDue puts into one change all that the replicated state should learn now, unless an earlier change is under way.
-func (c *Controller) writeDue(snapshot Snapshot) {
+// writeUpdate puts into one change all that the replicated state should learn now, unless an earlier change is under way.
+func (c *Controller) writeUpdate(snapshot Snapshot) {
 	if !snapshot.CanWrite || c.writes.isBusy(snapshot.NowUs) {
 		return
 	}
@@ -70,11 +70,11 @@
 	}
 	c.declared.budget.submittedMb = 0
 	for _, rejected := range outcome.Faults {
-		c.count(rejected.Code)
+		c.countFault(rejected.Code)
 	}
 	if c.IsLeader(snapshot.State) && snapshot.IsFresh {
 		c.mode(snapshot).afterWrite(snapshot)
-		c.act(snapshot)
+		c.planAndWrite(snapshot)
 	}
 }
 
@@ -82,24 +82,24 @@
 func (c *Controller) settleCommands(nowUs int64, s *statemachine.State, update *statemachine.LeaderUpdate) {
 	for _, id := range sortedKeys(s.Pending) {
 		command := s.Pending[id]
-		row := c.replicas.reportedAs(command)
-		if row == nil || row.report.LastOrder == nil {
+		tracked := c.replicas.stateFor(command)
+		if tracked == nil || tracked.report.LastOrder == nil {
 			continue
 		}
-		last := row.report.LastOrder
+		last := tracked.report.LastOrder
 		switch {
 		case last.Number == command.Number && last.State == wire.OrderDone:
-			update.Results = append(update.Results, c.withResult(s, command, statemachine.CommandResult{Number: command.Number, Succeeded: true}))
+			update.Results = append(update.Results, c.withResultingState(s, command, statemachine.CommandResult{Number: command.Number, Succeeded: true}))
 		case last.Number == command.Number && last.State == wire.OrderFailed:
-			c.count(fault.ReplicaFailed)
-			update.Results = append(update.Results, c.withResult(s, command, statemachine.CommandResult{Number: command.Number, Reason: last.Reason}))
+			c.countFault(fault.ReplicaFailed)
+			update.Results = append(update.Results, c.withResultingState(s, command, statemachine.CommandResult{Number: command.Number, Reason: last.Reason}))
 		case last.Number > command.Number:
 			update.Results = append(update.Results, statemachine.CommandResult{Number: command.Number, Reason: "voided by a newer order"})
 		default:
 			continue
 		}
 		delete(c.declared.orders.sentUs, command.Number)
-		row.settledUs = nowUs
+		tracked.settledUs = nowUs
 		c.routed.residency.recordArrival(nowUs, command)
 	}
 }
