--- a/internal/controlplane/controller/call_load.go
+++ b/internal/controlplane/controller/call_load.go
@@ -6,17 +6,17 @@
 	"petreltide/internal/api/wire"
 )
 
-// callCounts are counts of calls at replicas, by replica and unit.
+// callCounts holds numbers of calls by replica and unit.
 type callCounts map[string]map[string]int
 
-// callLoad is what gateways report of calls now: those that wait and those that have no first piece yet by unit,
-// and those that run and that have no first piece yet by replica and unit.
+// callLoad is the current load reported by the gateways: queued calls and calls without a first response chunk by unit, and
+// running calls and calls without a first response chunk by replica and unit.
 type callLoad struct {
 	queued, unstarted      map[string]int
 	runningAt, unstartedAt callCounts
 }
 
-// sumCallLoad sums the counts of calls in the reports of gateways.
+// sumCallLoad sums the call counts over all gateway reports.
 func sumCallLoad(reports []*wire.Report) callLoad {
 	load := callLoad{queued: map[string]int{}, unstarted: map[string]int{}, runningAt: callCounts{}, unstartedAt: callCounts{}}
 	for _, report := range reports {
@@ -33,7 +33,7 @@
 	return load
 }
 
-// parseReplicaUnit reads a key of a gateway's report.
+// parseReplicaUnit parses a "replica|unit" key of a gateway report.
 func parseReplicaUnit(key string) replicaUnit {
 	replica, unit, _ := strings.Cut(key, "|")
 	return replicaUnit{replica, unit}
--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -13,11 +13,11 @@
 	"petreltide/internal/process/clock"
 )
 
-// maxTickGapUs is the pause between two ticks after which the budget for loads begins anew: a process that stood still
-// does not know what was loaded meanwhile.
+// maxTickGapUs is the longest pause between two ticks that keeps the load budget. After a longer pause the budget is reset,
+// because a process that was suspended does not know what was loaded in the meantime.
 const maxTickGapUs = 500 * clock.Ms
 
-// Controller is the reducer. It is not safe for concurrent use: its control node calls it from one goroutine.
+// Controller is a reducer over events. It is not safe for concurrent use: its control node calls it from a single goroutine.
 type Controller struct {
 	opts       Options
 	leadership leadership
@@ -29,27 +29,29 @@
 	outliers   outlierVerdicts
 	declared   declaredState
 	routed     routedState
-	// Faults counts what was refused or failed, by code.
+	// Faults counts rejected and failed operations by fault code.
 	Faults  map[fault.Code]uint64
 	effects []Effect
 }
 
-// Options are the settings of a controller. The zero value serves replicas that the platform lists; LeaseUs, StoreWindowUs
-// and StoreOvershoot hold for replicas that make themselves known.
+// Options configures a Controller. The zero value is suitable for declared mode. LeaseUs, StoreWindowUs and StoreOvershoot
+// apply to routed mode only.
 type Options struct {
-	// LeaseUs is how long a replica holds to the leader that ordered it last, in microseconds; 0 for no lease.
+	// LeaseUs is how long a replica stays bound to the leader that sent it the most recent order, in microseconds; 0 means
+	// no lease.
 	LeaseUs int64
-	// StoreWindowUs is the span over which loads from the weight store are counted, in microseconds; 0 is five seconds.
+	// StoreWindowUs is the length of the sliding window over loads from the weight store, in microseconds; 0 means five
+	// seconds.
 	StoreWindowUs int64
-	// StoreOvershoot is how far loads may go beyond the store's rate within the window; below 1 counts as 1.
+	// StoreOvershoot is the factor by which loads may exceed the store's rate within the window; values below 1 count as 1.
 	StoreOvershoot float64
-	// Outlier are the settings of the outlier detector.
+	// Outlier configures the outlier detector.
 	Outlier outlier.Options
-	// Disable names mechanisms that are switched off; empty for none.
+	// Disable names the features that are switched off; empty for none.
 	Disable feature.Disabled
 }
 
-// New makes the controller of the control node with this identity; it remembers nothing yet.
+// New returns a controller without any state for the control node with the given identity.
 func New(id string, opts Options) *Controller {
 	return &Controller{
 		opts:       opts,
@@ -63,13 +65,13 @@
 	}
 }
 
-// DesiredReplicas are how many replicas of each model the scaler wanted at the last run of the policies.
+// DesiredReplicas returns the number of replicas that the scaler wanted for each model at the most recent policy run.
 func (c *Controller) DesiredReplicas() []scaler.Count { return c.policies.counts }
 
-// IsLeader says whether this controller leads, by its own claim in the replicated state.
+// IsLeader reports whether this controller leads, that is, whether its own claim is the current one in the replicated state.
 func (c *Controller) IsLeader(s *statemachine.State) bool { return c.leadership.isLeader(s) }
 
-// Step takes one event and returns what is to be done, in this order.
+// Step processes one event and returns the resulting effects, to be carried out in order.
 func (c *Controller) Step(snapshot Snapshot, event Event) []Effect {
 	c.effects = nil
 	if c.canAct(snapshot) {
@@ -107,7 +109,8 @@
 
 func (c *Controller) countFault(code fault.Code) { c.Faults[code]++ }
 
-// tick claims leadership where this control node is the head and does not lead yet, and does what is due by time.
+// tick claims leadership if this control node is the head and does not lead yet; otherwise it does the work that is due by
+// time.
 func (c *Controller) tick(snapshot Snapshot) {
 	c.routed.predecessor.start(snapshot.NowUs, snapshot.State)
 	if !snapshot.IsHead {
@@ -127,12 +130,12 @@
 	}
 }
 
-// canAct says whether this controller leads and is in touch with its chain.
+// canAct reports whether this controller leads and the head's lease in the chain is valid.
 func (c *Controller) canAct(snapshot Snapshot) bool {
 	return snapshot.IsHead && snapshot.IsFresh && c.IsLeader(snapshot.State)
 }
 
-// act plans and writes at once where an event has made it worthwhile, not at the next tick.
+// planAndWrite plans and writes immediately after an event that calls for it, rather than at the next tick.
 func (c *Controller) planAndWrite(snapshot Snapshot) {
 	if !c.canAct(snapshot) {
 		return
@@ -141,7 +144,7 @@
 	c.writeUpdate(snapshot)
 }
 
-// sortedKeys gives a map's keys in order.
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[V any](m map[string]V) []string {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/internal/controlplane/controller/declared.go
+++ b/internal/controlplane/controller/declared.go
@@ -7,7 +7,7 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// declaredState is the memory for replicas that the platform lists.
+// declaredState is the controller's state for declared mode, in which the platform lists the replicas.
 type declaredState struct {
 	listing  platformListing
 	orders   declaredOrders
@@ -16,10 +16,10 @@
 	keyMarks keyExpiry
 }
 
-// declaredMode drives replicas that the platform lists; see the package's documentation.
+// declaredMode implements mode for replicas that the platform lists; see the package documentation.
 type declaredMode struct{ c *Controller }
 
-// beginLeadership has nothing to record: declared replicas check the epoch of each order.
+// beginLeadership does nothing: replicas in declared mode check the epoch of each order themselves.
 func (m declaredMode) beginLeadership(Snapshot) {}
 
 func (m declaredMode) tick(snapshot Snapshot) {
@@ -47,7 +47,8 @@
 	}
 }
 
-// onOrderResult counts only a replica's word that it has the order; where that is in doubt its next report tells.
+// onOrderResult accepts only a replica's explicit confirmation that it has the order. If the result is in doubt, the
+// replica's next report resolves it.
 func (m declaredMode) onOrderResult(_ Snapshot, result OrderResult) {
 	switch result.State.State {
 	case wire.OrderInDoubt, wire.OrderBusy:
@@ -81,7 +82,7 @@
 	}
 }
 
-// issueCommands adds the commands that the policy proposed and the checker accepted, and spends the store's rate on them.
+// issueCommands adds the proposed commands that passed the checker to the update and charges their loads to the load budget.
 func (m declaredMode) issueCommands(s *statemachine.State, update *statemachine.LeaderUpdate) {
 	c := m.c
 	commands, verdicts := placement.Check(s, c.declared.budget.bucket.TokensMb, c.policies.proposals)
--- a/internal/controlplane/controller/declared_orders.go
+++ b/internal/controlplane/controller/declared_orders.go
@@ -5,15 +5,16 @@
 	"petreltide/internal/process/clock"
 )
 
-// orderRetryUs is how long the answer to an order is waited for before it is sent again; the replica knows it by its number.
+// orderRetryUs is the time without an answer after which an order is sent again. The replica recognizes the repeat by its
+// command number.
 const orderRetryUs = 600 * clock.Ms
 
-// declaredOrders is when each command was last sent to its replica, by number.
+// declaredOrders records by command number when each command was last sent to its replica.
 type declaredOrders struct {
 	sentUs map[uint64]int64
 }
 
-// sendDue says whether a command is to be sent now.
+// sendDue reports whether a command should be sent now, and if so records the time.
 func (o *declaredOrders) sendDue(nowUs int64, number uint64) bool {
 	sentUs, sent := o.sentUs[number]
 	if sent && nowUs-sentUs < orderRetryUs {
@@ -23,8 +24,8 @@
 	return true
 }
 
-// sendOrders sends what the replicated state holds and the replica has not taken yet. The command keeps its number, so that
-// a replica which did take it answers with its state instead of doing it again.
+// sendOrders sends the pending commands that their replicas have not acknowledged yet. A repeated command keeps its number,
+// so that a replica that already has it answers with its state instead of carrying it out again.
 func (c *Controller) sendOrders(snapshot Snapshot) {
 	s := snapshot.State
 	for _, id := range sortedKeys(s.Pending) {
--- a/internal/controlplane/controller/demand.go
+++ b/internal/controlplane/controller/demand.go
@@ -9,63 +9,66 @@
 )
 
 const (
-	// demandIntervalUs is how often the estimates follow the reports.
+	// demandIntervalUs is the interval at which the estimates are updated from the gateway reports.
 	demandIntervalUs = 200 * clock.Ms
-	// maxDemandSpanS bounds the time that one step may stand for, demandDecayS is the time over which an estimate falls; both
-	// in seconds.
+	// maxDemandSpanS bounds the time span covered by one update; demandDecayS is the time constant with which an estimate
+	// decays. Both are in seconds.
 	maxDemandSpanS = 2.0
 	demandDecayS   = 6.0
-	// minDemandRate, in calls a second, is the rate below which a unit that was not called in demandForgottenUs is forgotten.
+	// An estimate is dropped once its rate is below minDemandRate, in calls per second, and its unit has not been called for
+	// demandForgottenUs.
 	minDemandRate     = 0.01
 	demandForgottenUs = 120 * clock.Sec
-	// minSlowRate, in calls a second, is the rate from which the longer window tells how many tokens a call has.
+	// minSlowRate, in calls per second, is the minimum rate in the longer window for deriving the tokens per call from that
+	// window.
 	minSlowRate = 0.2
-	// minRecentRate, in calls a second, is the rate of the shorter window from which it counts, and recentDiscount the part
-	// of it that does, as so few calls scatter.
+	// minRecentRate, in calls per second, is the rate in the shorter window above which that window is used. Its rate is
+	// multiplied by recentDiscount, because such small samples have a high variance.
 	minRecentRate  = 3.0
 	recentDiscount = 0.85
-	// defaultTokensPerCall stands for a call's prompt tokens while too few calls were counted.
+	// defaultTokensPerCall is the assumed number of prompt tokens per call as long as too few calls were counted.
 	defaultTokensPerCall = 1500.0
-	// forecastDiscount is the part of an even share of a route that its new models are expected to get, minForecastRate the
-	// rate in calls a second from which that counts, and forecastSpanUs for how long a model is new.
+	// forecastDiscount is the fraction of an equal share of a route's calls that is forecast for a new model of the route. A
+	// forecast takes effect above minForecastRate, in calls per second. A model is new for forecastSpanUs.
 	forecastDiscount = 0.8
 	minForecastRate  = 0.5
 	forecastSpanUs   = 5 * clock.Sec
 )
 
-// demandEstimate is how often a unit was called for, smoothed, and when last.
+// demandEstimate is the smoothed demand for a unit, in calls and prompt tokens per second, and the time of its last call.
 type demandEstimate struct {
 	rate   float64
 	tokens float64
 	lastUs int64
 }
 
-// demandTracker is how often each unit is called for: a rise is believed at once, a fall over some seconds.
+// demandTracker estimates the demand for each unit. An estimate follows an increase at once and a decrease over several
+// seconds.
 type demandTracker struct {
 	estimates map[string]*demandEstimate
 	updatedUs int64
-	// firstCalledUs is since when each model is called on each route.
+	// firstCalledUs is the time at which each model was first seen on each route.
 	firstCalledUs map[routeModel]int64
 }
 
-// demandSums are sums over the reports of all gateways, by unit: calls a second, tokens a second, and calls a
-// second over a shorter time.
+// demandSums holds sums over the reports of all gateways by unit: calls per second, prompt tokens per second, and calls per
+// second over a shorter window.
 type demandSums struct {
 	rates, tokens, recent map[string]float64
 }
 
-// routeModel is a model that is called on a route.
+// routeModel identifies a model called on a route.
 type routeModel struct {
 	route, model string
 }
 
-// routeDemand is how often a route is called, in all and for each model.
+// routeDemand is the call rate of a route, in total and by model.
 type routeDemand struct {
 	rate   float64
 	models map[string]float64
 }
 
-// update follows what gateways count now, where that is due.
+// update brings the estimates up to date with the gateway reports once per interval.
 func (d *demandTracker) update(nowUs int64, gateways *gatewayMembership, disabled feature.Disabled) {
 	if nowUs-d.updatedUs < demandIntervalUs {
 		return
@@ -83,7 +86,7 @@
 	d.smoothEstimates(nowUs, spanS, sums)
 }
 
-// recordWaiting counts units that calls wait for as called for now.
+// recordWaiting counts units with queued calls as called now.
 func (d *demandTracker) recordWaiting(nowUs int64, reports []*wire.Report) {
 	for _, report := range reports {
 		for unit, n := range report.Queued {
@@ -104,7 +107,8 @@
 	return sums
 }
 
-// applyRecentRates takes the rate of the shorter time where it is well above that of the longer one.
+// applyRecentRates replaces the rate of the longer window by that of the shorter window if the latter is significantly
+// higher.
 func (s demandSums) applyRecentRates() {
 	for unit, fast := range s.recent {
 		slow := s.rates[unit]
@@ -119,7 +123,7 @@
 	}
 }
 
-// raise takes each estimate up to what is called for now.
+// raiseEstimates raises each estimate to the current demand if that is higher.
 func (d *demandTracker) raiseEstimates(nowUs int64, sums demandSums) {
 	for unit, rate := range sums.rates {
 		n := d.estimate(unit)
@@ -131,7 +135,7 @@
 	}
 }
 
-// smooth lets each estimate follow what is called for now, and forgets those that nobody calls for any more.
+// smoothEstimates moves each estimate toward the current demand and drops the estimates of units without calls.
 func (d *demandTracker) smoothEstimates(nowUs int64, spanS float64, sums demandSums) {
 	keep := 1 - spanS/demandDecayS
 	for unit, n := range d.estimates {
@@ -143,8 +147,8 @@
 	}
 }
 
-// addForecast raises a model that has only begun to be called on a route to what the other models of that route
-// are called: by the time it shows in the counts, its calls would already wait.
+// addForecast raises the demand for a model that is new on a route toward the demand for the route's other models. By the
+// time the demand showed in the counts, calls would already be waiting for the model.
 func (d *demandTracker) addForecast(nowUs int64, sums demandSums, routes map[string]*routeDemand) {
 	rates, tokens := d.forecast(nowUs, routes)
 	for model, rate := range rates {
@@ -155,7 +159,7 @@
 	}
 }
 
-// routeDemands sums what gateways report of each route and its models.
+// routeDemands sums the demand reported by the gateways by route and model.
 func (g *gatewayMembership) routeDemands() map[string]*routeDemand {
 	routes := map[string]*routeDemand{}
 	for _, id := range sortedKeys(g.byID) {
@@ -173,8 +177,8 @@
 	return routes
 }
 
-// forecast is what is missing to an even share of its routes' calls, by model, for models that have only begun to
-// be called there. It remembers since when each is called.
+// forecast returns, by model, the additional demand expected for models that are new on a route: what they lack to an equal
+// share of the route's calls. It also records when each model was first seen on each route.
 func (d *demandTracker) forecast(nowUs int64, routes map[string]*routeDemand) (rates, tokens map[string]float64) {
 	rates, tokens = map[string]float64{}, map[string]float64{}
 	begun := map[routeModel]int64{}
--- a/internal/controlplane/controller/doc.go
+++ b/internal/controlplane/controller/doc.go
@@ -1,32 +1,37 @@
-// Package controller decides what the elected controller does: it follows the replicas, turns the placement policy's
-// proposals into numbered, fenced commands, sends them as orders, and records what became of each. It is a reducer: Step
-// takes an Event and a Snapshot of what the control node knows, and returns Effects. It does no input or output, keeps no
-// clock and starts no goroutine. Package controlnode drives it on every control node, and so does the simulator.
+// Package controller implements the decisions of the elected leader: it tracks the replicas, turns the proposals of the
+// placement policy into numbered commands that carry a fencing token, sends the commands to replicas as orders, and records
+// their outcomes. The Controller is a reducer: Step takes an Event and a Snapshot of the control node's state and returns
+// Effects. It does no input or output, keeps no clock and starts no goroutine. Package controlnode and the simulator run one
+// Controller on every control node.
 //
 // # Two modes
 //
-// There are two kinds of site, and a mode (declaredMode, routedMode) for each; the declaration in force says which one
-// it is. They differ in who knows the replicas and in what a replica's answer is worth, and share leadership, the writing
-// of changes, the checker and the gateways' membership.
+// There are two kinds of deployment with one implementation of mode for each (declaredMode, routedMode); the declaration in
+// force selects it. The modes differ in how replicas become known and in how far a replica's answers can be relied on. They
+// share leadership, the writing of changes, the checker of proposals and the membership of the gateways.
 //
-//   - Declared is this project's own interface. The platform lists the replicas, and each is asked for its report. Operators
-//     declare models and write placement policies, which package placement runs; shadows run beside the live one. A replica
-//     keeps the number of its last order, so that an order may be sent again until it is acknowledged. Loads are paid from
-//     a token bucket in MB. Gateways get grants of attempt numbers and shares of each replica's slots.
-//   - Routed is the interface of the users' platform. Replicas make themselves known by heartbeats, which package registry
-//     keeps, and the declaration names services with engines, and routes to them. The built-in resident policy treats the
-//     replicas' memory as a cache. A replica does not know command numbers: it takes an order only at the order count that
-//     the order names, and holds to one leader for a lease. So an order is judged by what the replica holds (basis), a
-//     successor waits out its predecessor (predecessorWait), and loads are counted in a sliding window (storeWindow).
+//   - Declared mode uses this project's own interface. The platform lists the replicas, and each replica is asked for its
+//     report. Operators declare models and write placement policies, which package placement runs; shadow policies run beside
+//     the live one. A replica remembers the number of its last order, so that an order can be sent again until it is
+//     acknowledged. Loads are charged to a token bucket in MB. Gateways get grants of attempt numbers and shares of each
+//     replica's slots.
+//   - Routed mode uses the interface of the users' platform. Replicas register themselves by heartbeats, which package
+//     registry stores. The declaration names services with engines, and routes to them. The built-in resident policy treats
+//     the memory of the replicas as a cache. A replica does not know command numbers: it accepts an order only if its order
+//     count equals the count that the order expects, and it is bound to one leader for a lease. The outcome of an order is
+//     therefore determined from the replica's resident units (versionedState), a successor waits out the lease of its
+//     predecessor (predecessorWait), and loads are counted in a sliding window (storeWindow).
 //
 // # Invariants
 //
-//   - Only the leader acts: the head of the chain, whose claim is the newest in the replicated state (leadership). All that
-//     it orders and writes carries the epoch of that claim as a fencing token.
-//   - Nothing is ordered that the replicated state does not hold as a pending command; there is at most one a replica.
-//   - One change of the leader is under way at a time (changeWriter), so that each is made of what the one before left.
-//   - The same events and snapshots give the same effects: maps are walked in the order of their keys where that shows.
+//  1. Only the leader acts. The leader is the head of the chain, if its claim is the latest one in the replicated state
+//     (leadership). All its orders and writes carry the epoch of that claim as a fencing token.
+//  2. An order is sent only for a pending command in the replicated state. Each replica has at most one pending command.
+//  3. The leader has at most one change in progress (changeWriter), so that each change is based on the result of the
+//     previous one.
+//  4. The same events and snapshots produce the same effects. Maps are iterated in the order of their keys wherever the order
+//     has an effect.
 //
-// docs/design-control.md and docs/design-platform.md give the reasons; docs/contract.md names the rules of the users'
-// platform and the code that keeps each.
+// docs/design-control.md and docs/design-platform.md give the reasons; docs/contract.md lists the rules of the users'
+// platform and the code that implements each.
 package controller
--- a/internal/controlplane/controller/effect.go
+++ b/internal/controlplane/controller/effect.go
@@ -8,14 +8,15 @@
 	"petreltide/internal/outlier"
 )
 
-// Effect is one thing that the controller wants done. It is sealed: the types of this file are all there are. The
-// caller carries effects out in their order.
+// Effect is an action requested by the controller. The interface is sealed: all implementations are in this file. The caller
+// carries out effects in the order in which they were returned.
 type Effect interface{ isEffect() }
 
-// PollPlatform asks the platform for its list of replicas; the answer is a PlatformListing.
+// PollPlatform requests the platform's list of replicas; the response is a PlatformListing.
 type PollPlatform struct{}
 
-// ReportRequest asks one replica for its report; the answer is a ReplicaReport with the same three values.
+// ReportRequest requests a report from one replica; the response is a ReplicaReport with the same RequestedUs, Replica and
+// Addr.
 type ReportRequest struct {
 	// RequestedUs is the time of the request, in microseconds.
 	RequestedUs int64
@@ -23,41 +24,42 @@
 	Addr        string
 }
 
-// SendOrder sends one order to a replica; the answer is an OrderResult.
+// SendOrder sends one order to a replica; the response is an OrderResult.
 type SendOrder struct {
 	Addr  string
 	Order wire.Order
 }
 
-// WriteChange submits a change to the replicated state; the answer is a WriteResult once it is applied.
+// WriteChange submits a change to the replicated state; the response is a WriteResult once the change is applied.
 type WriteChange struct {
 	Change *statemachine.Change
 }
 
-// PolicyRun lets the placement policies propose for the fleet as it is; the answer is a PolicyResult.
+// PolicyRun runs the placement policies on the current fleet; the response is a PolicyResult.
 type PolicyRun struct {
-	// Number counts the runs of this controller, Revision is that of the declaration that the run reads.
+	// Number is the sequence number of the run within this controller. Revision is the revision of the declaration that the
+	// run uses.
 	Number   uint64
 	Revision uint64
 	Live     configuration.Policy
-	// Shadows run beside the live policy; their proposals are only compared with its.
+	// Shadows are run beside the live policy; their proposals are only compared with those of the live policy.
 	Shadows []configuration.Policy
 	Fleet   placement.Fleet
 }
 
-// PublishVerdicts passes on the verdicts of the outlier detector, which have changed.
+// PublishVerdicts publishes the outlier detector's verdicts after a change.
 type PublishVerdicts struct {
 	Table outlier.Table
 }
 
-// RolloutProgress tells, of the declaration in force, that all live gateways work by it, or which ones are late.
+// RolloutProgress reports that all live gateways use the declaration in force, or which of them are late.
 type RolloutProgress struct {
 	Revision uint64
-	// Done: all live gateways work by it.
+	// Done is true if all live gateways use the declaration.
 	Done bool
 	// ElapsedUs is the time since this controller first saw the declaration in force, in microseconds.
 	ElapsedUs int64
-	// Gateways is the number of live gateways, and Behind are those that reported an older revision last.
+	// Gateways is the number of live gateways. Behind names those whose latest report has an older revision.
 	Gateways int
 	Behind   []string
 }
--- a/internal/controlplane/controller/event.go
+++ b/internal/controlplane/controller/event.go
@@ -7,57 +7,58 @@
 	"petreltide/internal/failuredetector"
 )
 
-// Event is one input of the controller. It is sealed: the types of this file are all there are. An event happens at
-// the time of the snapshot that it is taken with.
+// Event is an input of the controller. The interface is sealed: all implementations are in this file. The time of an event
+// is that of the snapshot it is processed with.
 type Event interface{ isEvent() }
 
-// Tick is the passing of time; everything that is due by time is done on it.
+// Tick signals the passage of time and triggers all work that is due by time.
 type Tick struct{}
 
-// GatewayReport is a gateway's periodic report of its load.
+// GatewayReport is a gateway's periodic load report.
 type GatewayReport struct {
 	Report *wire.Report
 }
 
-// WatcherReport names the members that one watcher of the failure detector suspects.
+// WatcherReport names the members suspected by one watcher of the failure detector.
 type WatcherReport struct {
 	Report failuredetector.SuspicionReport
 }
 
-// PlatformListing is the platform's list of replicas, or why it could not be read.
+// PlatformListing is the platform's list of replicas, or the reason why it could not be read.
 type PlatformListing struct {
-	// List is nil where none could be read.
+	// List is nil if no list could be read.
 	List *wire.ReplicaList
-	// Err says why there is no list; "" where there is one.
+	// Err is the reason for a missing list; empty if there is a list.
 	Err string
 }
 
-// ReplicaReport is a replica's answer to a ReportRequest.
+// ReplicaReport is a replica's response to a ReportRequest.
 type ReplicaReport struct {
-	// RequestedUs is the time of the request, in microseconds; a report of an earlier request is not taken after a later one.
+	// RequestedUs is the time of the request, in microseconds. A report is ignored if one that was requested later has
+	// already been processed.
 	RequestedUs int64
-	// Replica and Addr are those of the request.
+	// Replica and Addr are copied from the request.
 	Replica string
 	Addr    string
-	// State is nil where no report came.
+	// State is nil if no report was received.
 	State *wire.ReplicaState
-	// Err says why no report came; "" where one did.
+	// Err is the reason for a missing report; empty if there is a report.
 	Err string
 }
 
-// OrderResult is a replica's own answer to an order. An error or a time-out is OrderInDoubt: the replica may have taken
-// the order all the same.
+// OrderResult is a replica's response to an order. After an error or a timeout the state is OrderInDoubt, because the
+// replica may have accepted the order nevertheless.
 type OrderResult struct {
 	Replica     string
 	Incarnation string
-	// Expected is the order count that the order carried; nil where it carried none.
+	// Expected is the order count that the order expected; nil if the order had no expected count.
 	Expected *uint64
 	State    wire.OrderState
 }
 
-// PolicyResult is what the live placement policy and its shadows proposed in one PolicyRun.
+// PolicyResult contains the proposals of the live placement policy and of its shadows from one PolicyRun.
 type PolicyResult struct {
-	// Number and Revision are those of the run.
+	// Number and Revision are copied from the run.
 	Number   uint64
 	Revision uint64
 	Live     placement.RunResult
--- a/internal/controlplane/controller/gateways.go
+++ b/internal/controlplane/controller/gateways.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	// gatewayTimeoutUs is how long a gateway's report counts.
+	// gatewayTimeoutUs is the age at which a gateway's latest report expires.
 	gatewayTimeoutUs = 2500 * clock.Ms
-	// reportOverdueUs is how late a report is when suspicions of its gateway are believed.
+	// reportOverdueUs is the age of a gateway's latest report above which suspicions of the gateway are acted on.
 	reportOverdueUs = 600 * clock.Ms
-	// gatewayRemovedAfterUs is how long after its last report a gateway is forgotten.
+	// gatewayRemovedAfterUs is the time after its latest report at which a gateway is removed.
 	gatewayRemovedAfterUs = 15 * clock.Sec
 )
 
-// gatewayState is a gateway's newest report, and when it came.
+// gatewayState is a gateway's latest report and the time it was received.
 type gatewayState struct {
 	report     wire.Report
 	reportedUs int64
 }
 
-// gatewayMembership is which gateways there are, by their reports and by the failure detector's suspicions.
+// gatewayMembership tracks the gateways by their reports and by the failure detector's suspicions.
 type gatewayMembership struct {
 	byID       map[string]*gatewayState
 	suspicions *failuredetector.SuspicionQuorum
 }
 
-// onReport takes a gateway's report, and whom it suspects.
+// onReport records a gateway's report and the gateway's suspicions.
 func (g *gatewayMembership) onReport(nowUs int64, report *wire.Report) {
 	g.byID[report.Gateway] = &gatewayState{report: *report, reportedUs: nowUs}
 	g.suspicions.Report(nowUs, failuredetector.SuspicionReport{Reporter: report.Gateway, Suspects: report.Suspects})
 }
 
-// removeSilent forgets the gateways that have not reported for long, and names them in order.
+// removeSilent removes the gateways whose latest report is too old, and returns their IDs in order.
 func (g *gatewayMembership) removeSilent(nowUs int64) []string {
 	removed := []string{}
 	for _, id := range sortedKeys(g.byID) {
@@ -45,12 +45,13 @@
 	return removed
 }
 
-// isSilent says whether both watchers that the ring names miss a gateway's heartbeats, and its reports have stopped too.
+// isSilent reports whether both watchers of a gateway, as assigned by the ring, miss its heartbeats and its reports have
+// stopped too.
 func (g *gatewayMembership) isSilent(nowUs int64, id string) bool {
 	return nowUs-g.byID[id].reportedUs > reportOverdueUs && g.suspicions.Suspected(nowUs, id)
 }
 
-// live names the gateways that take calls, in order.
+// live returns the IDs of the gateways that accept calls, in order.
 func (g *gatewayMembership) live(nowUs int64) []string {
 	ids := []string{}
 	for _, id := range sortedKeys(g.byID) {
@@ -61,8 +62,8 @@
 	return ids
 }
 
-// recentReports gives the newest reports of all gateways that were heard lately. They come in the order of the
-// gateways' names, so that sums of fractions come out alike each time.
+// recentReports returns the latest reports of all gateways that reported recently. They are ordered by gateway ID, so that
+// floating-point sums over them are reproducible.
 func (g *gatewayMembership) recentReports(nowUs int64) []*wire.Report {
 	reports := []*wire.Report{}
 	for _, id := range sortedKeys(g.byID) {
@@ -73,7 +74,7 @@
 	return reports
 }
 
-// demand sums calls a second and calls that wait, by unit.
+// demand returns the sums of calls per second and of waiting calls by unit.
 func (g *gatewayMembership) demand(nowUs int64) (rates map[string]float64, waiting map[string]int) {
 	rates, waiting = map[string]float64{}, map[string]int{}
 	for _, report := range g.recentReports(nowUs) {
@@ -83,7 +84,7 @@
 	return rates, waiting
 }
 
-// addTo adds each of the counts to the sum of its key.
+// addTo adds each count to the sum with the same key.
 func addTo[N int | float64](sums, counts map[string]N) {
 	for key, n := range counts {
 		sums[key] += n
--- a/internal/controlplane/controller/grants.go
+++ b/internal/controlplane/controller/grants.go
@@ -5,14 +5,14 @@
 )
 
 const (
-	// minGrantedAttempts and maxGrantedAttempts bound the attempt numbers of one grant.
+	// minGrantedAttempts and maxGrantedAttempts bound the number of attempts in one grant.
 	minGrantedAttempts = 24
 	maxGrantedAttempts = 4096
-	// attemptSeconds is the time that half a grant should last.
+	// attemptSeconds is the time that half of a grant should last.
 	attemptSeconds = 5
 )
 
-// grantAttempts hands out attempt numbers for every model at every replica, before those of a gateway run out.
+// grantAttempts grants ranges of attempt numbers for each model at each replica before a gateway runs out of them.
 func (c *Controller) grantAttempts(snapshot Snapshot, update *statemachine.LeaderUpdate) {
 	s := snapshot.State
 	gateways := c.gateways.live(snapshot.NowUs)
@@ -34,8 +34,8 @@
 	}
 }
 
-// grantRequest gives what a gateway should be granted for a model at a replica; it is needed where the gateway has no
-// grant of these lives, or less than half of one left.
+// grantRequest returns the grant that a gateway should get for a model at a replica. It is needed if the gateway has no
+// grant for the current incarnations of gateway and replica, or at most half of its grant left.
 func (c *Controller) grantRequest(s *statemachine.State, r *statemachine.Replica, model, gateway string) (request statemachine.GrantRequest, needed bool) {
 	report := c.gateways.byID[gateway].report
 	want := min(max(uint64(report.Arrivals[model]*2*attemptSeconds), minGrantedAttempts), maxGrantedAttempts)
--- a/internal/controlplane/controller/key_expiry.go
+++ b/internal/controlplane/controller/key_expiry.go
@@ -5,20 +5,21 @@
 )
 
 const (
-	// keyMarkIntervalUs is how often a position of the log is marked.
+	// keyMarkIntervalUs is the interval at which a position of the log is marked.
 	keyMarkIntervalUs = 3600 * clock.Sec
-	// maxKeyMarks is how many marks are kept: an idempotency key is kept for at least a day.
+	// maxKeyMarks is the number of marks kept; with one mark per hour, an idempotency key is kept for at least a day.
 	maxKeyMarks = 24
 )
 
-// keyExpiry marks a position of the log every hour; idempotency keys from before the oldest mark are forgotten.
+// keyExpiry marks the current position of the log once an hour; idempotency keys from before the oldest mark expire.
 type keyExpiry struct {
-	// indexes are the marks, oldest first, and markedUs when the newest was made.
+	// indexes are the marked positions, oldest first; markedUs is the time of the latest mark.
 	indexes  []uint64
 	markedUs int64
 }
 
-// expireBefore marks the position where that is due, and gives the one before which keys are forgotten; 0 for none.
+// expireBefore marks the current position if a mark is due. It returns the position before which idempotency keys expire, or
+// 0 if no keys expire now.
 func (k *keyExpiry) expireBefore(nowUs int64, index uint64) uint64 {
 	if k.markedUs == 0 {
 		k.markedUs = nowUs
--- a/internal/controlplane/controller/leadership.go
+++ b/internal/controlplane/controller/leadership.go
@@ -6,37 +6,38 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// leadership is this control node's claim to lead. Who leads is what the replicated state says: a claim counts once it
-// is applied, and for as long as no later one is.
+// leadership is this control node's claim to leadership. The replicated state determines the leader: a claim takes effect
+// once it is applied and remains in effect until a later claim is applied.
 type leadership struct {
 	// id is the identity of this control node.
 	id string
-	// epoch is that of the newest claim, the fencing token of all that this controller orders and writes; 0 without one.
+	// epoch is the epoch of the latest claim, used as the fencing token for all orders and writes of this controller; 0
+	// without a claim.
 	epoch uint64
-	// claimedUs is when the newest claim was made; 0 without one.
+	// claimedUs is the time of the latest claim; 0 without a claim.
 	claimedUs int64
-	// lastTickUs is the last tick as the leader.
+	// lastTickUs is the time of the latest tick as leader.
 	lastTickUs int64
 }
 
-// holds says whether this control node leads by its own newest claim.
+// isLeader reports whether this control node leads by its own latest claim.
 func (l *leadership) isLeader(s *statemachine.State) bool {
 	return l.epoch > 0 && s.Epoch == l.epoch && s.Leader == l.id
 }
 
-// isClaimPending says whether a claim is under way that is not lost yet.
+// isClaimPending reports whether a claim has been submitted and has not timed out yet.
 func (l *leadership) isClaimPending(nowUs int64) bool {
 	return l.claimedUs != 0 && nowUs-l.claimedUs <= writeTimeoutUs
 }
 
-// tick records a tick as the leader, and gives the time since the one before.
+// tick records a tick as leader and returns the time since the previous one.
 func (l *leadership) tick(nowUs int64) (gapUs int64) {
 	gapUs = nowUs - l.lastTickUs
 	l.lastTickUs = nowUs
 	return gapUs
 }
 
-// claim asks the replicated state for leadership, again where the last claim may be lost.
+// claim submits a claim to leadership, again if the previous claim has timed out.
 func (c *Controller) claim(snapshot Snapshot) {
 	if c.leadership.isClaimPending(snapshot.NowUs) {
 		return
@@ -49,8 +50,8 @@
 	}})
 }
 
-// resign forgets what only a leader needs. What holds for the control node as such stays: the gateways' reports, what was
-// seen of other leaders' orders and loads, and the counts that are shown.
+// resign discards the state that only a leader needs. It keeps the state that belongs to the control node itself: the
+// gateways' reports, the observed orders and loads of other leaders, and the counters shown in the status.
 func (c *Controller) resign() {
 	fresh := New(c.leadership.id, c.opts)
 	fresh.Faults, fresh.effects, fresh.gateways = c.Faults, c.effects, c.gateways
--- a/internal/controlplane/controller/listing.go
+++ b/internal/controlplane/controller/listing.go
@@ -7,28 +7,30 @@
 )
 
 const (
-	// listIntervalUs is how often the platform is asked for its list.
+	// listIntervalUs is the interval at which the platform is asked for its list.
 	listIntervalUs = 400 * clock.Ms
-	// maxBadListings is how many older or empty lists in a row are refused; after so many the platform is believed, as it
-	// may have been set up anew.
+	// maxBadListings is the number of older lists, or of empty ones, that are rejected in a row. After that the platform's
+	// answer is accepted, because the platform may have been reinstalled.
 	maxBadListings = 8
 )
 
-// platformListing is the platform's newest list of replicas that was believed.
+// platformListing is the latest accepted list of replicas from the platform.
 type platformListing struct {
-	// list is nil until one was believed.
+	// list is nil until a list was accepted.
 	list *wire.ReplicaList
-	// polledUs is when the platform was last asked, acceptedUs when the list came.
+	// polledUs is the time of the latest request to the platform, acceptedUs the time at which the list was received.
 	polledUs, acceptedUs int64
-	// emptyCount and staleCount are the empty and the older lists that were refused since.
+	// emptyCount and staleCount count the empty and the older lists rejected since the last accepted one.
 	emptyCount, staleCount int
-	// view is the chain's view, viewChangedUs since when, and viewChecked that a list of this view was recorded.
+	// view is the chain's view and viewChangedUs the time of its start. viewChecked is true once a list received in this
+	// view was recorded.
 	view          uint64
 	viewChangedUs int64
 	viewChecked   bool
 }
 
-// pollDue follows the chain's view, and says whether the platform is to be asked now: at once in a new view.
+// pollDue tracks the chain's view and reports whether the platform should be asked now; in a new view it is asked
+// immediately.
 func (p *platformListing) pollDue(nowUs int64, view uint64) bool {
 	if view != p.view {
 		p.view, p.viewChangedUs, p.viewChecked, p.polledUs = view, nowUs, false, 0
@@ -40,7 +42,8 @@
 	return true
 }
 
-// accept takes a list, unless it looks older or emptier than can be true, or is not valid; then it says false.
+// accept stores a list. It returns false and keeps the previous list if the new one is missing, invalid, older than the
+// previous one, or empty after a list with replicas.
 func (p *platformListing) accept(nowUs int64, list *wire.ReplicaList) bool {
 	switch {
 	case list == nil:
@@ -59,7 +62,7 @@
 	return true
 }
 
-// confirmView says, once in each view, that a list which came in it has been recorded.
+// confirmView reports whether a list received in the current view is being recorded; it returns true once per view.
 func (p *platformListing) confirmView() bool {
 	if p.viewChecked || p.list == nil || p.acceptedUs <= p.viewChangedUs {
 		return false
@@ -68,7 +71,8 @@
 	return true
 }
 
-// isValidListing says whether a list is without contradiction; one that is not is refused as a whole.
+// isValidListing reports whether all entries of a list are complete and unique; a list with any invalid entry is rejected as
+// a whole.
 func isValidListing(list *wire.ReplicaList) bool {
 	known := map[string]bool{}
 	for _, r := range list.Replicas {
@@ -80,7 +84,8 @@
 	return true
 }
 
-// recordListing writes down what differs between the ledger and what the platform lists and replicas report.
+// recordListing adds to the update the differences between the replicated state and what the platform lists and replicas
+// report.
 func (c *Controller) recordListing(snapshot Snapshot, update *statemachine.LeaderUpdate) {
 	if c.declared.listing.list == nil {
 		return
@@ -98,8 +103,8 @@
 	}
 }
 
-// recordListedReplica compares one listed replica with the ledger, and writes down what differs. A replica whose incarnation was
-// never heard is not written down yet.
+// recordListedReplica compares one listed replica with the replicated state and adds the difference to the update. A new
+// replica is not recorded before its incarnation is known.
 func (c *Controller) recordListedReplica(snapshot Snapshot, listed wire.ListedReplica, update *statemachine.LeaderUpdate) {
 	tracked, recorded := c.replicas.byID[listed.ID], snapshot.State.Replicas[listed.ID]
 	draining := listed.State != wire.ListedReady
@@ -132,8 +137,9 @@
 	}
 }
 
-// reportedHoldings takes a replica's own word for its holdings, but only while no order is pending and
-// its last order is the one the ledger settled, so that an old report undoes nothing.
+// reportedHoldings returns the resident units that a replica reports. They are used only while no command is pending and no
+// order is running at the replica, and only from a report requested after its last command was settled, so that an old
+// report cannot revert the replicated state.
 func (c *Controller) reportedHoldings(s *statemachine.State, recorded *statemachine.Replica, tracked *replicaState) (bool, []statemachine.ResidentUnit) {
 	if recorded == nil || recorded.Incarnation != tracked.report.Incarnation {
 		return true, tracked.report.Loaded
--- a/internal/controlplane/controller/load_budget.go
+++ b/internal/controlplane/controller/load_budget.go
@@ -5,21 +5,22 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// loadBudget is what may be loaded from the weight store now, for replicas that the platform lists.
+// loadBudget limits loads from the weight store in declared mode.
 type loadBudget struct {
 	bucket placement.Bucket
-	// submittedMb is the size in MB of the loads in the change under way.
+	// submittedMb is the total size of the loads in the pending change, in MB.
 	submittedMb int64
 }
 
-// refill brings the bucket up to now; what it may not hold any more must be gone before it is spent from.
+// refill adds tokens for the time up to now. It must run before tokens are spent, so that the bucket's limit, which is
+// reduced by the unconfirmed loads, is applied first.
 func (b *loadBudget) refill(nowUs int64, s *statemachine.State, replicas *replicaTracker) {
 	if s.Doc != nil {
 		b.bucket.Fill(nowUs, s.Doc.Store, b.unconfirmedMb(s, replicas))
 	}
 }
 
-// unconfirmedMb is the size in MB of all loads that no replica has acknowledged yet.
+// unconfirmedMb returns the total size of all loads that no replica has acknowledged yet, in MB.
 func (b *loadBudget) unconfirmedMb(s *statemachine.State, replicas *replicaTracker) int64 {
 	sumMb := b.submittedMb
 	for _, command := range s.Pending {
@@ -30,7 +31,7 @@
 	return sumMb
 }
 
-// spend takes the loads among new commands out of the budget.
+// spend charges the loads among new commands to the budget.
 func (b *loadBudget) spend(commands []statemachine.ReplicaCommand) {
 	for _, command := range commands {
 		if command.Action == statemachine.Load {
--- a/internal/controlplane/controller/mode.go
+++ b/internal/controlplane/controller/mode.go
@@ -5,28 +5,29 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// mode is how replicas become known and how orders to them are followed up. There are two, as petreltide runs in two
-// worlds; see the package's documentation. The declaration in force says which one it is.
+// mode defines how replicas become known and how orders to them are tracked. There are two implementations for the two kinds
+// of deployment, selected by the declaration in force; see the package documentation.
 type mode interface {
-	// beginLeadership records what an earlier leader may still have under way, before the first event is acted on.
+	// beginLeadership records the orders that an earlier leader may still have in flight, before the first event is
+	// processed as leader.
 	beginLeadership(snapshot Snapshot)
-	// tick does what is due by time, for the leader in touch with its chain.
+	// tick does the work that is due by time. It is called on the leader while the head's lease is valid.
 	tick(snapshot Snapshot)
-	// onGatewayReport takes what else than membership a gateway's report brings.
+	// onGatewayReport processes the parts of a gateway's report that do not concern membership.
 	onGatewayReport(snapshot Snapshot, report *wire.Report)
-	// onReplicaReport takes a replica's report that was asked for.
+	// onReplicaReport processes a requested report from a replica.
 	onReplicaReport(snapshot Snapshot, report ReplicaReport)
-	// onOrderResult takes a replica's answer to an order.
+	// onOrderResult processes a replica's response to an order.
 	onOrderResult(snapshot Snapshot, result OrderResult)
-	// plan does what may lead to new proposals or outcomes before the next change is written.
+	// plan produces new proposals and command outcomes before the next change is written.
 	plan(snapshot Snapshot)
-	// collect adds to an update all that the replicated state should learn now.
+	// collect adds everything that the replicated state should record now to the update.
 	collect(snapshot Snapshot, update *statemachine.LeaderUpdate)
-	// afterWrite goes on once the change before is applied.
+	// afterWrite continues after the previous change was applied.
 	afterWrite(snapshot Snapshot)
 }
 
-// mode gives the implementation for what is in force now.
+// mode returns the implementation for the declaration in force.
 func (c *Controller) mode(snapshot Snapshot) mode {
 	if snapshot.isRouted() {
 		return routedMode{c}
--- a/internal/controlplane/controller/order_outcomes.go
+++ b/internal/controlplane/controller/order_outcomes.go
@@ -7,7 +7,8 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// settleByDuration settles a load that was taken by its stated time; what the replica shows later is held against it.
+// settleByDuration settles an accepted load as done once its declared duration has passed. Later reports of the replica can
+// still contradict that.
 func (c *Controller) settleByDuration(snapshot Snapshot, command statemachine.ReplicaCommand, o *outstandingOrder) {
 	c.routed.residency.unconfirmedUntilUs[replicaUnit{command.Replica, command.Unit}] = snapshot.NowUs + unconfirmedLoadFactor*expectedDurationUs(snapshot.State, command) + reportDelayUs
 	o.result = o.expected.afterCommand(command)
@@ -15,8 +16,8 @@
 	o.checkUs, o.answer = 0, wire.OrderDone
 }
 
-// evaluateOrder judges an order by what the replica holds. A report lags a little, so that it ends an order only
-// by what it shows, or by showing nothing for long enough.
+// evaluateOrder determines the outcome of an order from a report of the replica's state. Reports lag slightly behind. A
+// report therefore settles an order only by what it shows, or once an accepted order has failed to show for long enough.
 func (c *Controller) evaluateOrder(snapshot Snapshot, command statemachine.ReplicaCommand, o *outstandingOrder, report *wire.ReplicaState) {
 	nowUs, recorded := snapshot.NowUs, snapshot.State.Replicas[command.Replica]
 	if recorded == nil {
@@ -45,8 +46,8 @@
 	}
 }
 
-// showsCompletion says whether a replica's report shows that an order was carried out. A busy replica that was not heard to have
-// taken an unload may hold nothing of the unit for another reason.
+// showsCompletion reports whether a replica's report shows that a command was carried out. If a busy replica has not
+// confirmed an unload, the unit may be missing for a different reason, so that this does not count as completion.
 func showsCompletion(command statemachine.ReplicaCommand, report *wire.ReplicaState, accepted bool) bool {
 	_, holds := slices.BinarySearch(report.Units, command.Unit)
 	if command.Action == statemachine.Load {
@@ -55,8 +56,8 @@
 	return command.Action == statemachine.Unload && !holds && (!report.Busy || accepted)
 }
 
-// sendAgain has an order that the replica does not have sent on the state that it reported; one that it has only
-// just answered is asked about once more first.
+// sendAgain schedules an order that the replica does not have for sending with the reported state as its precondition. If
+// the replica has answered the order only recently, its report is requested once more first.
 func (o *outstandingOrder) sendAgain(nowUs int64, reported *versionedState) {
 	o.checkUs, o.sentUs, o.expected = 0, 0, reported
 	if o.answer != "" && nowUs-o.answeredUs < orderTimeoutUs {
@@ -64,8 +65,8 @@
 	}
 }
 
-// awaitNewerReport waits for a report that is new enough. One that never comes ends the order: its replica's count will
-// be asked for before the next one.
+// awaitNewerReport waits for a report that is recent enough. If none arrives in time, the order is settled as failed and the
+// replica's order count is requested before its next order.
 func (c *Controller) awaitNewerReport(nowUs int64, command statemachine.ReplicaCommand, o *outstandingOrder) {
 	if o.outdatedUs == 0 {
 		o.outdatedUs = nowUs
@@ -77,13 +78,13 @@
 	o.checkUs = nowUs + recheckUs
 }
 
-// concludeOrder settles an order with what the replica holds after it, where that is known.
+// concludeOrder settles an order, with the replica's state after it if that is known.
 func (c *Controller) concludeOrder(command statemachine.ReplicaCommand, o *outstandingOrder, state, reason string, result *versionedState) {
 	o.checkUs, o.answer, o.result = 0, state, result
 	c.recordOutcome(command, state, reason)
 }
 
-// recordOutcome records what became of a command, for the next change to the replicated state.
+// recordOutcome records the outcome of a command for the next change to the replicated state.
 func (c *Controller) recordOutcome(command statemachine.ReplicaCommand, state, reason string) {
 	c.replicas.setOutcome(command, state, reason)
 	c.policies.inputChanged = true
--- a/internal/controlplane/controller/orders.go
+++ b/internal/controlplane/controller/orders.go
@@ -12,35 +12,40 @@
 )
 
 const (
-	// requestTimeoutUs is how long a replica's report is waited for before it is asked again, recheckUs the pause after a
-	// report that shows nothing yet, and busyCheckUs the one after an answer that does not say whether the order was taken.
+	// requestTimeoutUs is the time after which a replica's report is requested again. recheckUs is the delay after a report
+	// that is inconclusive. busyCheckUs is the delay after a response that does not say whether the order was accepted.
 	requestTimeoutUs = 1200 * clock.Ms
 	recheckUs        = 90 * clock.Ms
 	busyCheckUs      = 300 * clock.Ms
-	// orderTimeoutUs is how long the answer to an order is waited for, orderVanishedUs how long after it an order that was
-	// taken may show nothing, and maxOutdatedUs how long reports may show an older state before the order is given up.
+	// orderTimeoutUs is how long to wait for the response to an order. orderVanishedUs is the time after the response for
+	// which an accepted order may be missing from reports. maxOutdatedUs is how long reports may show an older state before
+	// the order is abandoned.
 	orderTimeoutUs  = 700 * clock.Ms
 	orderVanishedUs = 1200 * clock.Ms
 	maxOutdatedUs   = 10 * clock.Sec
-	// maxUnansweredUs is how long a replica's report may be asked for in vain before its order is settled as unknown.
+	// maxUnansweredUs is how long a replica's report may be requested without a response before its order is settled as
+	// unknown.
 	maxUnansweredUs = 10 * clock.Sec
-	// recountAfterUs is how long after its command a load is counted against the store's window once more when it is sent.
+	// recountAfterUs is the time after its command at which a load counts against the store window once more when it is
+	// sent.
 	recountAfterUs = 300 * clock.Ms
-	// adapterLoadUs, warmLoadUs and unloadUs are how long those steps take at least; loadSlackUs is added to a model's
-	// declared load time.
+	// adapterLoadUs, warmLoadUs and unloadUs are the minimum durations of these operations. loadSlackUs is added to a
+	// model's declared load time.
 	adapterLoadUs = 25 * clock.Ms
 	warmLoadUs    = 620 * clock.Ms
 	unloadUs      = 215 * clock.Ms
 	loadSlackUs   = 15 * clock.Ms
-	// minUnloadDelayUs is how long gateways have to learn that a unit is to go, maxUnloadDelayUs how long calls there may delay it.
+	// minUnloadDelayUs is the time allowed for gateways to learn of a pending unload; maxUnloadDelayUs is how long calls to
+	// the unit may delay it.
 	minUnloadDelayUs = 40 * clock.Ms
 	maxUnloadDelayUs = 700 * clock.Ms
-	// unconfirmedLoadFactor is how many times its stated duration a load that was settled by time may take to show.
+	// unconfirmedLoadFactor is the number of declared load durations within which a load that was settled by its duration
+	// has to appear in a report.
 	unconfirmedLoadFactor = 3
 )
 
-// outstandingOrder is what this controller knows of one order that stands: when it was sent, what the replica
-// said to it, and when to look again.
+// outstandingOrder tracks an order of a pending command: when it was sent, what the replica answered, and when to check
+// again.
 type outstandingOrder struct {
 	firstSeenUs int64
 	sentUs      int64
@@ -49,31 +54,33 @@
 	checkUs     int64
 	requestedUs int64
 	requested   bool
-	// countedUs is when this order was last counted against the store's window.
+	// countedUs is when this order was last counted against the store window.
 	countedUs int64
-	// outdatedUs is since when reports have shown nothing but older states; 0 while they do not.
+	// outdatedUs is the time since which all reports have shown older states; 0 if the latest report does not.
 	outdatedUs int64
-	// unansweredUs is since when the replica's report has been asked for and none came; 0 while it is not asked for.
+	// unansweredUs is the time since which the replica's report has been requested without a response; 0 if no request is
+	// open.
 	unansweredUs int64
-	// basis is the state of the replica that the order is sent on; result is its state once the order is settled.
+	// expected is the replica state that is the precondition of the order; result is the replica's state after the settled
+	// order.
 	expected, result *versionedState
 }
 
-// orderTracker is what this controller knows of the orders that stand, by number.
+// orderTracker tracks the outstanding orders by command number.
 type orderTracker struct {
 	byNumber map[uint64]*outstandingOrder
-	// unreported are the replicas with an order that was settled as unknown, until their report comes.
+	// unreported are the replicas with an order that was settled as unknown and that have not reported since.
 	unreported map[string]*unreportedReplica
 }
 
-// unreportedReplica is a replica that may or may not have carried out its last order. It gets no other before its report
-// has come: what it holds is not known, and all its capacity counts as reserved.
+// unreportedReplica is a replica that may or may not have carried out its last order. It gets no further order before it has
+// reported: its resident units are not known, and all its capacity counts as reserved.
 type unreportedReplica struct {
 	sinceUs     int64
 	requestedUs int64
 }
 
-// removeSettled drops what is known of orders whose tickets do not stand any more.
+// removeSettled drops the orders whose commands are not pending any more.
 func (t *orderTracker) removeSettled(s *statemachine.State) {
 	if len(t.byNumber) <= len(s.Pending) {
 		return
@@ -85,7 +92,8 @@
 	maps.DeleteFunc(t.byNumber, func(number uint64, _ *outstandingOrder) bool { return !stand[number] })
 }
 
-// standing gives what is known of a command's order. One of another leader's commands is asked about first.
+// outstanding returns the tracked order of a command. For a command that another leader issued, tracking starts with a
+// request for the replica's report.
 func (t *orderTracker) outstanding(nowUs int64, command statemachine.ReplicaCommand, epoch uint64) *outstandingOrder {
 	if o := t.byNumber[command.Number]; o != nil {
 		return o
@@ -98,8 +106,8 @@
 	return o
 }
 
-// reconcileOrders sends what the ledger holds, looks what became of what was sent, and sends again only what
-// the replica does not have.
+// reconcileOrders sends the orders of pending commands, checks the outcome of sent orders, and sends an order again only if
+// the replica does not have it.
 func (c *Controller) reconcileOrders(snapshot Snapshot) {
 	c.routed.orders.removeSettled(snapshot.State)
 	for _, id := range sortedKeys(snapshot.State.Pending) {
@@ -111,7 +119,7 @@
 	c.requestMissingReports(snapshot)
 }
 
-// requestMissingReports goes on asking replicas whose last order was settled as unknown.
+// requestMissingReports keeps requesting reports from replicas whose last order was settled as unknown.
 func (c *Controller) requestMissingReports(snapshot Snapshot) {
 	for _, id := range sortedKeys(c.routed.orders.unreported) {
 		replica, e := c.routed.orders.unreported[id], snapshot.Registry.Entry(id)
@@ -126,13 +134,13 @@
 	}
 }
 
-// abandonOrder settles an order of which nothing can be learnt.
+// abandonOrder settles an order whose outcome cannot be determined.
 func (c *Controller) abandonOrder(nowUs int64, command statemachine.ReplicaCommand, o *outstandingOrder) {
 	c.routed.orders.unreported[command.Replica] = &unreportedReplica{sinceUs: nowUs, requestedUs: nowUs}
 	c.concludeOrder(command, o, wire.OrderFailed, "unknown: its report never came", nil)
 }
 
-// pursue takes the next step that is due for a standing order.
+// reconcileOrder takes the next due step for an outstanding order.
 func (c *Controller) reconcileOrder(snapshot Snapshot, command statemachine.ReplicaCommand, e *registry.Entry, o *outstandingOrder) {
 	nowUs := snapshot.NowUs
 	switch {
@@ -147,7 +155,7 @@
 	}
 }
 
-// requestOutcome asks a replica for its report once that is due, and again where none came.
+// requestOutcome requests a replica's report when it is due, and again after a timeout.
 func (c *Controller) requestOutcome(nowUs int64, command statemachine.ReplicaCommand, e *registry.Entry, o *outstandingOrder) {
 	if o.unansweredUs > 0 && nowUs-o.unansweredUs > maxUnansweredUs {
 		c.abandonOrder(nowUs, command, o)
@@ -162,8 +170,8 @@
 	}
 }
 
-// startOrder sends an order for the first time, or again on a new basis: an unload once its replica is quiet, and any
-// once the replica's count is known.
+// startOrder sends an order for the first time, or again with a new precondition. An unload waits until calls at the replica
+// permit it, and any order waits until the replica's order count is known.
 func (c *Controller) startOrder(snapshot Snapshot, command statemachine.ReplicaCommand, e *registry.Entry, o *outstandingOrder) {
 	if o.firstSeenUs == 0 {
 		o.firstSeenUs = snapshot.NowUs
@@ -181,8 +189,9 @@
 	c.sendOrder(snapshot, command, e, o)
 }
 
-// canUnload: every gateway has had time to hear that a unit is to go, and none has calls there that have not begun;
-// a replica would turn them away.
+// canUnload reports whether an unload may be sent: every gateway has had time to learn of the unload, and no gateway has
+// calls at the unit that have not started, because the replica would reject them. After maxUnloadDelayUs the unload may be
+// sent in any case.
 func (c *Controller) canUnload(nowUs int64, command statemachine.ReplicaCommand, sinceUs int64) bool {
 	if nowUs-sinceUs < minUnloadDelayUs {
 		return false
@@ -199,8 +208,8 @@
 	return true
 }
 
-// sendOrder sends an order on its basis. A load that is sent again, or long after its ticket, is counted
-// against the store's window once more.
+// sendOrder sends an order with its precondition. A load that is sent again, or long after its command was issued, counts
+// against the store window once more.
 func (c *Controller) sendOrder(snapshot Snapshot, command statemachine.ReplicaCommand, e *registry.Entry, o *outstandingOrder) {
 	if o.answeredUs > 0 || snapshot.NowUs-o.countedUs > recountAfterUs {
 		c.routed.store.recordLoad(snapshot.NowUs, snapshot.State, command)
@@ -211,14 +220,14 @@
 	c.emit(SendOrder{Addr: e.Addr, Order: wire.Order{Command: command, Epoch: c.leadership.epoch, Leader: c.leadership.id, ExpectedOrders: &expected}})
 }
 
-// hasKnownDuration says whether an order that was taken ends after a time that the configuration states; what the replica says of
-// itself soon after would show it if it had not.
+// hasKnownDuration reports whether an accepted order completes after a duration that the configuration states. If it has not
+// completed by then, the replica's next reports show that.
 func hasKnownDuration(s *statemachine.State, command statemachine.ReplicaCommand) bool {
 	recorded := s.Replicas[command.Replica]
 	return command.Action == statemachine.Load && (strings.Contains(command.Unit, "/") || recorded == nil || !recorded.EverLoaded[command.Unit])
 }
 
-// expectedDurationUs is how long after an order was taken its end may be seen.
+// expectedDurationUs returns the time after acceptance of an order at which its completion can be expected.
 func expectedDurationUs(s *statemachine.State, command statemachine.ReplicaCommand) int64 {
 	recorded := s.Replicas[command.Replica]
 	switch {
@@ -235,7 +244,8 @@
 	return clock.Sec
 }
 
-// isAnsweredBy says whether an answer is to the order as it was last sent, and not to the same command on another basis.
+// isAnsweredBy reports whether a response belongs to the order as last sent, rather than to the same command with another
+// precondition.
 func (o *outstandingOrder) isAnsweredBy(result OrderResult) bool {
 	return result.Expected == nil || o.expected == nil || *result.Expected == o.expected.orders
 }
--- a/internal/controlplane/controller/policy_runs.go
+++ b/internal/controlplane/controller/policy_runs.go
@@ -8,32 +8,35 @@
 )
 
 const (
-	// policyIntervalUs is how often the policies run, minPolicyIntervalUs where what they read has changed.
+	// policyIntervalUs is the interval between policy runs, minPolicyIntervalUs the interval if the policies' input has
+	// changed.
 	policyIntervalUs    = 500 * clock.Ms
 	minPolicyIntervalUs = 60 * clock.Ms
-	// policyTimeoutUs is how long the answer of a run is waited for.
+	// policyTimeoutUs is how long to wait for the result of a run.
 	policyTimeoutUs = 5 * clock.Sec
 )
 
-// policyRuns are the runs of the placement policies and what came of them.
+// policyRuns tracks the runs of the placement policies and their results.
 type policyRuns struct {
-	// startedUs is when the last run began, runningSinceUs the same while its answer is awaited, else 0.
+	// startedUs is the start of the latest run. runningSinceUs is the same while the result is outstanding, otherwise 0.
 	startedUs, runningSinceUs int64
-	// runNumber counts the runs.
+	// runNumber is the number of runs.
 	runNumber uint64
-	// inputChanged: what the policies read has changed since the last run.
+	// inputChanged is true if the policies' input has changed since the latest run.
 	inputChanged bool
-	// proposals wait for the next change; nil where none do. They were made for this revision of the declaration.
+	// proposals are to be issued with the next change; nil if there are none. revision is the revision of the declaration
+	// for which they were made.
 	proposals []placement.Proposal
 	revision  uint64
-	// counts are how many replicas of each model the scaler wanted at the last run.
+	// counts are the numbers of replicas that the scaler wanted for each model at the latest run.
 	counts []scaler.Count
-	// live and shadows are what is shown of the policies.
+	// live and shadows are the statuses of the policies.
 	live    PolicyStatus
 	shadows []PolicyStatus
 }
 
-// isDue says whether a run is due: no proposals wait, and the interval has passed, or the shorter one where the input has changed.
+// isDue reports whether a run is due: no proposals are waiting, and the interval has passed, which is changedIntervalUs if
+// the input has changed.
 func (p *policyRuns) isDue(nowUs, intervalUs, changedIntervalUs int64) bool {
 	if p.inputChanged {
 		intervalUs = changedIntervalUs
@@ -41,18 +44,19 @@
 	return p.proposals == nil && nowUs-p.startedUs >= intervalUs
 }
 
-// isRunning says whether the answer of a run is awaited.
+// isRunning reports whether the result of a run is outstanding.
 func (p *policyRuns) isRunning(nowUs int64) bool {
 	return p.runningSinceUs != 0 && nowUs-p.runningSinceUs < policyTimeoutUs
 }
 
-// begin counts a run.
+// begin records the start of a run.
 func (p *policyRuns) begin(nowUs int64) {
 	p.startedUs, p.inputChanged = nowUs, false
 	p.runNumber++
 }
 
-// hasCurrentProposals says whether proposals wait that were made for this revision; older ones are dropped.
+// hasCurrentProposals reports whether there are proposals for this revision of the declaration. It discards proposals for
+// any other revision.
 func (p *policyRuns) hasCurrentProposals(revision uint64) bool {
 	if p.revision != revision {
 		p.proposals = nil
@@ -60,7 +64,7 @@
 	return p.proposals != nil
 }
 
-// startPolicy lets the placement policies run, more often where something has changed.
+// startPolicy starts a run of the placement policies when one is due; runs are more frequent after a change of the input.
 func (c *Controller) startPolicy(snapshot Snapshot) {
 	s := snapshot.State
 	if s.Doc == nil || c.declared.listing.list == nil || !c.policies.isDue(snapshot.NowUs, policyIntervalUs, minPolicyIntervalUs) || c.policies.isRunning(snapshot.NowUs) {
@@ -73,7 +77,7 @@
 	c.emit(PolicyRun{Number: c.policies.runNumber, Revision: s.Revision, Live: s.Doc.Policy, Shadows: s.Doc.Shadows, Fleet: fleet})
 }
 
-// policyInput is what the placement policies read.
+// policyInput returns the input of the placement policies.
 func (c *Controller) policyInput(nowUs int64, s *statemachine.State) placement.Fleet {
 	rates, waiting := c.gateways.demand(nowUs)
 	usable := []scaler.Replica{}
@@ -89,7 +93,7 @@
 	return fleet
 }
 
-// policyReplica is one replica as the placement policies read it.
+// policyReplica returns one replica as input of the placement policies.
 func (c *Controller) policyReplica(s *statemachine.State, r *statemachine.Replica) placement.Replica {
 	replica := placement.Replica{
 		ID: r.ID, Zone: r.Zone, CapacityMb: r.CapacityMB, FreeMb: r.CapacityMB - s.ReservedMB(r.ID), Slots: r.Slots,
@@ -107,29 +111,29 @@
 	return replica
 }
 
-// onPolicyResult takes what a run of the policies proposed.
-func (c *Controller) onPolicyResult(snapshot Snapshot, p PolicyResult) {
-	if p.Number != c.policies.runNumber {
+// onPolicyResult processes the result of a policy run.
+func (c *Controller) onPolicyResult(snapshot Snapshot, result PolicyResult) {
+	if result.Number != c.policies.runNumber {
 		return
 	}
 	c.policies.runningSinceUs = 0
 	if !c.IsLeader(snapshot.State) || snapshot.State.Doc == nil {
 		return
 	}
-	c.policies.live = withRun(c.policies.live, p.Live)
-	if p.Live.Fault != nil {
-		c.countFault(p.Live.Fault.Code)
-	} else if len(p.Live.Proposals) > 0 && p.Revision == snapshot.State.Revision {
-		c.policies.proposals, c.policies.revision = p.Live.Proposals, p.Revision
+	c.policies.live = withRun(c.policies.live, result.Live)
+	if result.Live.Fault != nil {
+		c.countFault(result.Live.Fault.Code)
+	} else if len(result.Live.Proposals) > 0 && result.Revision == snapshot.State.Revision {
+		c.policies.proposals, c.policies.revision = result.Live.Proposals, result.Revision
 	}
 	shadows := []PolicyStatus{}
-	for i, result := range p.Shadows {
-		shadows = append(shadows, c.shadowStatus(snapshot.State, i, p.Live, result))
+	for i, shadow := range result.Shadows {
+		shadows = append(shadows, c.shadowStatus(snapshot.State, i, result.Live, shadow))
 	}
 	c.policies.shadows = shadows
 }
 
-// shadowStatus adds a run of a shadow policy to what is shown of it, and how it differed from the live one.
+// shadowStatus adds a run of shadow policy i to its status, including the difference from the live policy.
 func (c *Controller) shadowStatus(s *statemachine.State, i int, live, shadow placement.RunResult) PolicyStatus {
 	status := PolicyStatus{}
 	if i < len(c.policies.shadows) && c.policies.shadows[i].Name == shadow.Policy {
@@ -143,7 +147,7 @@
 	return status
 }
 
-// onVerdicts notes what the checker said to the proposals, which are done with.
+// onVerdicts records the checker's verdicts on the proposals and removes the proposals.
 func (c *Controller) onVerdicts(verdicts []placement.Verdict) {
 	c.policies.proposals, c.policies.live.Verdicts = nil, verdicts
 	for _, v := range verdicts {
--- a/internal/controlplane/controller/predecessor.go
+++ b/internal/controlplane/controller/predecessor.go
@@ -7,29 +7,33 @@
 	"petreltide/internal/process/clock"
 )
 
-// MaxOrderInFlightUs bounds how long an order may be on its way to a replica: its sender gives it up then, and resets the
-// connection. A successor waits so long beside the lease, as an order may arrive after the last that was heard of it.
+// MaxOrderInFlightUs bounds the time for which an order may be in flight to a replica: after that its sender gives up and
+// resets the connection. A successor waits for this time in addition to the lease, because an order may arrive after the
+// last sign of it in the replicated state.
 const MaxOrderInFlightUs = 900 * clock.Ms
 
 const (
-	// leaseSlackUs is how much longer than the lease a successor waits: an order's flight, and a margin.
+	// leaseSlackUs is how much longer than the lease a successor waits: the maximum time of an order in flight, and a
+	// margin.
 	leaseSlackUs = MaxOrderInFlightUs + 100*clock.Ms
-	// maxStaleLeaderUs is how long after a takeover the leader before may still believe that it leads, and send again what is pending.
+	// maxStaleLeaderUs is how long after a takeover the previous leader may still believe that it leads and resend pending
+	// commands.
 	maxStaleLeaderUs = 1100 * clock.Ms
-	// maxTrackedReplicas bounds what is remembered of replicas that are gone.
+	// maxTrackedReplicas bounds the records kept of replicas that are gone.
 	maxTrackedReplicas = 4096
 )
 
-// predecessorWait is how long this controller has to wait out orders of other leaders: a replica holds for a lease to the
-// one that ordered it last.
+// predecessorWait determines how long this controller has to wait for the orders of other leaders: a replica is bound for a
+// lease to the leader that ordered it last.
 type predecessorWait struct {
-	// leaseUs is that lease, in microseconds; 0 for none.
+	// leaseUs is the length of the lease, in microseconds; 0 for no lease.
 	leaseUs int64
-	// startedUs is the first tick of this controller; 0 before.
+	// startedUs is the time of this controller's first tick; 0 before.
 	startedUs int64
-	// leaderSinceUs is the first event as the leader; 0 while it does not lead.
+	// leaderSinceUs is the time of the first event as leader; 0 while this controller does not lead.
 	leaderSinceUs int64
-	// lastUnseenOrderUs is when others may last have ordered any replica, for all that this controller did not see.
+	// lastUnseenOrderUs is the latest time at which another leader may have ordered any replica without this controller
+	// observing it.
 	lastUnseenOrderUs int64
 	orders            predecessorOrders
 }
@@ -42,15 +46,15 @@
 	}
 }
 
-// onApplied takes a leader's update as it is applied; foreign says that another leader wrote it.
+// onApplied processes a leader update when it is applied; foreign means that another leader wrote it.
 func (p *predecessorWait) onApplied(nowUs int64, foreign bool, update statemachine.LeaderUpdate, s *statemachine.State) {
 	if !p.orders.onApplied(nowUs, foreign, update, s) {
 		p.lastUnseenOrderUs = nowUs
 	}
 }
 
-// beginLeadership records, before the first event as the leader is acted on, what an earlier one may still have on its way:
-// what stands then may have been settled by the first tick.
+// beginLeadership records the orders that an earlier leader may still have in flight. It has to run before the first event
+// as leader is processed, because orders that are pending then may be settled by the first tick.
 func (p *predecessorWait) beginLeadership(nowUs int64, epoch uint64, s *statemachine.State) {
 	if p.leaderSinceUs != 0 {
 		return
@@ -71,20 +75,21 @@
 	}
 }
 
-// canPlan says whether what a predecessor may have ordered of which nothing is known lies a lease behind.
+// canPlan reports whether the lease has passed since any unobserved order of a predecessor.
 func (p *predecessorWait) canPlan(nowUs int64) bool { return p.waitUs(nowUs, "") <= 0 }
 
-// canOrder says whether what a predecessor may have ordered at this replica lies a lease behind as well.
+// canOrder reports whether the lease has also passed since a predecessor may have last ordered this replica.
 func (p *predecessorWait) canOrder(nowUs int64, replica string) bool {
 	return p.waitUs(nowUs, replica) <= 0
 }
 
-// waitUs is the time until a replica may be ordered, below 0 where it may be; "" is a replica of which nothing is known.
+// waitUs returns the time until a replica may be ordered, negative if it already may be. An empty ID stands for a replica
+// without any observed order.
 func (p *predecessorWait) waitUs(nowUs int64, replica string) int64 {
 	return max(p.lastUnseenOrderUs, p.orders.lastOrderUs[replica]) + p.leaseUs + leaseSlackUs - nowUs
 }
 
-// longestWaitUs is the time until every replica may be ordered.
+// longestWaitUs returns the time until every replica may be ordered.
 func (p *predecessorWait) longestWaitUs(nowUs int64, s *statemachine.State) int64 {
 	longestUs := p.waitUs(nowUs, "")
 	for id := range s.Replicas {
@@ -93,18 +98,18 @@
 	return longestUs
 }
 
-// predecessorOrders is when somebody else may last have ordered each replica. One that orders it next waits out the lease for
-// that replica alone: an order is sent under a ticket in the ledger only, and what the ledger shows no ticket of
-// was not ordered.
+// predecessorOrders records when another leader may last have ordered each replica, so that a successor waits out the lease
+// at that replica only. This relies on the rule that an order is sent only for a command that is pending in the replicated
+// state: without such a command there was no order.
 type predecessorOrders struct {
 	lastOrderUs map[string]int64
-	// replicaOf are those of the tickets that stand, by number.
+	// replicaOf maps the numbers of pending commands to their replicas.
 	replicaOf map[uint64]string
-	// nextNumber is the number up to which every ticket was seen.
+	// nextNumber is the lowest command number not observed yet.
 	nextNumber uint64
 }
 
-// reset begins with what the ledger holds: of what came before nothing is known but that it was before.
+// reset restarts tracking from the pending commands in the replicated state; the times of earlier orders are not known.
 func (o *predecessorOrders) reset(s *statemachine.State) {
 	o.nextNumber, o.replicaOf = s.NextNumber, map[uint64]string{}
 	for id, p := range s.Pending {
@@ -115,7 +120,8 @@
 	}
 }
 
-// onApplied notes a leader update as it is applied; false where tickets came and went before that were not seen, as in a copy.
+// onApplied records a leader update when it is applied. It returns false if commands were issued or settled earlier without
+// being observed, as happens when the state is restored from a snapshot.
 func (o *predecessorOrders) onApplied(nowUs int64, foreign bool, d statemachine.LeaderUpdate, s *statemachine.State) bool {
 	if o.replicaOf == nil {
 		o.reset(s)
@@ -153,8 +159,8 @@
 	return complete
 }
 
-// recordUnseen notes the replicas of tickets that stood when this controller last looked and do not any more, though it
-// saw none of them settled: whoever led meanwhile may have sent them again up to now.
+// recordUnseen records the replicas of commands that were pending when this controller last looked and are not pending now,
+// although it did not observe their results: the leaders in between may have resent them until now.
 func (o *predecessorOrders) recordUnseen(nowUs int64, s *statemachine.State) {
 	for number, id := range o.replicaOf {
 		if s.Pending[id].Number != number {
--- a/internal/controlplane/controller/registry_sync.go
+++ b/internal/controlplane/controller/registry_sync.go
@@ -8,35 +8,37 @@
 )
 
 const (
-	// registryIntervalUs is how often the registry is compared with the replicated state where neither has changed.
+	// registryIntervalUs is the interval at which the registry is compared with the replicated state if neither has changed.
 	registryIntervalUs = 250 * clock.Ms
-	// reportDelayUs is how old what a replica says of itself may be: it lies in sockets, links and frozen machines for a while.
+	// reportDelayUs is the maximum age of what a replica reports about itself: a report can be delayed in sockets, in
+	// network links and on suspended machines.
 	reportDelayUs = 2 * clock.Sec
-	// unseenRemovedAfterUs is how long no control node has heard of a replica when it is removed.
+	// unseenRemovedAfterUs is the time after which a replica is removed if no control node hears of it.
 	unseenRemovedAfterUs = 15 * clock.Sec
 )
 
-// comparedVersion is the state of registry and replicated state at which they were last compared, and when.
+// comparedVersion identifies the versions of the registry and the replicated state that were last compared, and the time.
 type comparedVersion struct {
 	registryRevision, replicasIndex, stateRevision uint64
 	atUs                                           int64
 }
 
-// registrySync keeps the replicated state in line with what replicas say of themselves.
+// registrySync updates the replicated state from what replicas report about themselves.
 type registrySync struct {
-	// holdingsChangedUs is when a command that changed what a replica holds was last settled, by replica.
+	// holdingsChangedUs is, by replica, when a command that changed the resident units was last settled.
 	holdingsChangedUs map[string]int64
-	// unseenUs is since when the registry does not know a replica of the replicated state.
+	// unseenUs is, by replica, the time since which a recorded replica is missing from the registry.
 	unseenUs map[string]int64
 	compared comparedVersion
 }
 
-// isOutdated says whether what a replica said may be older than the last order that changed what it holds, or than this controller.
+// isOutdated reports whether a replica's report may be older than its last order that changed the resident units, or older
+// than this controller.
 func (r *registrySync) isOutdated(e *registry.Entry, startedUs int64) bool {
 	return e.ConfirmedUs <= max(r.holdingsChangedUs[e.ID], startedUs)+reportDelayUs
 }
 
-// onApplied records which replicas hold something else after an update with results.
+// onApplied records which replicas' resident units were changed by an update with results.
 func (r *registrySync) onApplied(nowUs int64, s *statemachine.State) {
 	for id, replica := range s.Replicas {
 		if replica.ModifiedIndex == s.Index {
@@ -45,8 +47,8 @@
 	}
 }
 
-// recordRegistry writes down what tickets need to know of replicas: their incarnations, their room and what they hold.
-// It changes with notices, incarnations and loads, not with heartbeats.
+// recordRegistry adds to the update what commands depend on: incarnations, capacity and resident units of the replicas. This
+// changes with termination notices, incarnations and loads, but not with every heartbeat.
 func (c *Controller) recordRegistry(snapshot Snapshot, update *statemachine.LeaderUpdate) {
 	now := comparedVersion{snapshot.Registry.Revision, snapshot.State.ReplicasIndex, snapshot.State.Revision, c.routed.registry.compared.atUs}
 	if now == c.routed.registry.compared && snapshot.NowUs-now.atUs < registryIntervalUs {
@@ -62,7 +64,7 @@
 	}
 }
 
-// recordEntry compares one replica's own word with the ledger, and writes down what differs.
+// recordEntry compares a replica's own report with the replicated state and adds the difference to the update.
 func (c *Controller) recordEntry(snapshot Snapshot, e *registry.Entry, update *statemachine.LeaderUpdate) {
 	recorded := snapshot.State.Replicas[e.ID]
 	service := snapshot.State.Doc.Service(e.Service)
@@ -83,8 +85,8 @@
 	}
 }
 
-// recordUnits adds what a replica holds where the ledger has something else and the replica's word is new enough.
-// Where it is not, the next write compares again.
+// recordUnits adds the reported resident units if they differ from the replicated state and the report is recent enough. If
+// it is not, the next write repeats the comparison.
 func (c *Controller) recordUnits(snapshot Snapshot, e *registry.Entry, service *configuration.Service, observed *statemachine.ReplicaUpdate) {
 	recorded := snapshot.State.Replicas[e.ID]
 	_, pending := snapshot.State.Pending[e.ID]
@@ -100,7 +102,7 @@
 	}
 }
 
-// recordUnseen takes a replica out of the ledger once no control node has heard of it for long enough.
+// recordUnseen removes a replica from the replicated state once no control node has heard of it for long enough.
 func (r *registrySync) recordUnseen(snapshot Snapshot, id string, update *statemachine.LeaderUpdate) {
 	if snapshot.Registry.Entry(id) != nil {
 		delete(r.unseenUs, id)
--- a/internal/controlplane/controller/replica_updates.go
+++ b/internal/controlplane/controller/replica_updates.go
@@ -5,14 +5,15 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// differsFrom says whether the replicated state has no row of a replica, or one that says something else than the note. The incarnation is not
-// looked at.
+// differsFrom reports whether a replica is missing from the replicated state, or recorded with values other than the
+// observed ones. It ignores the incarnation.
 func differsFrom(recorded *statemachine.Replica, observed statemachine.ReplicaUpdate) bool {
 	return recorded == nil || recorded.Addr != observed.Addr || recorded.Zone != observed.Zone || recorded.CapacityMB != observed.CapacityMB ||
 		recorded.Slots != observed.Slots || recorded.Draining != observed.Draining || recorded.Unreachable != observed.Unreachable || observed.ResidentKnown
 }
 
-// remainingMs is how long a replica under notice has: as was first written down, so that the row stays as it is.
+// remainingMs returns the time left for a replica with a termination notice. Once recorded it stays the same, so that the
+// replica's record does not change with every report.
 func remainingMs(recorded *statemachine.Replica, draining bool, reportedMs int64) int64 {
 	if draining && recorded != nil && recorded.Draining {
 		return recorded.RemainingMs
@@ -20,7 +21,7 @@
 	return reportedMs
 }
 
-// holdsExactly says whether the replicated state's row holds just these units.
+// holdsExactly reports whether the recorded resident units are exactly these.
 func holdsExactly(recorded *statemachine.Replica, units []string) bool {
 	if len(recorded.Resident) != len(units) {
 		return false
@@ -33,7 +34,7 @@
 	return true
 }
 
-// holdings gives each unit its size; one that no engine names is taken to fill what is left.
+// holdings returns the units with their sizes. A unit that no engine declares is assumed to take half of the capacity.
 func holdings(doc *configuration.Declaration, service *configuration.Service, units []string) []statemachine.ResidentUnit {
 	all := []statemachine.ResidentUnit{}
 	for _, u := range units {
--- a/internal/controlplane/controller/replicas.go
+++ b/internal/controlplane/controller/replicas.go
@@ -7,34 +7,36 @@
 )
 
 const (
-	// reportIntervalUs is how often a listed replica is asked for its report, busyReportIntervalUs while a command is
-	// pending there.
+	// reportIntervalUs is the interval at which a listed replica's report is requested, busyReportIntervalUs the interval
+	// while a command is pending there.
 	reportIntervalUs     = 250 * clock.Ms
 	busyReportIntervalUs = 50 * clock.Ms
-	// unreachableAfterUs is how long after its last report a listed replica counts as unreachable.
+	// unreachableAfterUs is the time after its latest report at which a listed replica counts as unreachable.
 	unreachableAfterUs = 1500 * clock.Ms
 )
 
-// replicaState is what a replica reported of itself, or what was concluded of its last order.
+// replicaState is the latest report of a replica, with the outcome of its last order as reported or as concluded by the
+// controller.
 type replicaState struct {
-	// addr is where it was asked; a listing with another address begins anew.
+	// addr is the address the replica was contacted at; a listing with another address starts a new replicaState.
 	addr string
-	// report is its newest report.
+	// report is the replica's latest report.
 	report wire.ReplicaState
-	// reportedUs is when the report came; 0 before the first one.
+	// reportedUs is when the report was received; 0 before the first report.
 	reportedUs int64
-	// requestedUs is when it was last asked, newestRequestUs the request that the report answers.
+	// requestedUs is the time of the latest request, newestRequestUs the time of the request that the report answers.
 	requestedUs, newestRequestUs int64
-	// settledUs is when a command there was last settled; reports that were requested before it show an older state.
+	// settledUs is when a command at the replica was last settled; reports requested before that show an older state.
 	settledUs int64
 }
 
-// replicaTracker keeps the newest report of each replica.
+// replicaTracker holds the latest report of each replica.
 type replicaTracker struct {
 	byID map[string]*replicaState
 }
 
-// stateFor gives the state of a command's replica where it has reported as the incarnation that the command is for; else nil.
+// stateFor returns the state of a command's replica if the replica has reported with the command's incarnation, otherwise
+// nil.
 func (t *replicaTracker) stateFor(command statemachine.ReplicaCommand) *replicaState {
 	tracked := t.byID[command.Replica]
 	if tracked == nil || tracked.reportedUs == 0 || tracked.report.Incarnation != command.Incarnation {
@@ -43,13 +45,13 @@
 	return tracked
 }
 
-// hasAcknowledged says whether a command's replica has taken it or a later one.
+// hasAcknowledged reports whether a command's replica has accepted the command or a later one.
 func (t *replicaTracker) hasAcknowledged(command statemachine.ReplicaCommand) bool {
 	tracked := t.stateFor(command)
 	return tracked != nil && tracked.report.LastOrder != nil && tracked.report.LastOrder.Number >= command.Number
 }
 
-// requestsDue gives the requests for reports of listed replicas that are due now.
+// requestsDue returns the requests for reports of listed replicas that are due now.
 func (t *replicaTracker) requestsDue(nowUs int64, s *statemachine.State, list *wire.ReplicaList) []ReportRequest {
 	requests := []ReportRequest{}
 	if list == nil {
@@ -73,7 +75,7 @@
 	return requests
 }
 
-// onReport takes a replica's report, unless a newer one came before; false where there is none or it is not valid.
+// onReport stores a replica's report unless a newer one is stored. It returns false if the report is missing or invalid.
 func (t *replicaTracker) onReport(nowUs int64, report ReplicaReport) bool {
 	tracked := t.byID[report.Replica]
 	if tracked == nil || tracked.addr != report.Addr {
@@ -90,7 +92,7 @@
 	return true
 }
 
-// onOrderResult takes a replica's answer to an order: that it runs or is done counts as its newest report of it.
+// onOrderResult stores a replica's response to an order as its latest report of that order.
 func (t *replicaTracker) onOrderResult(result OrderResult) {
 	tracked := t.byID[result.Replica]
 	if tracked == nil || tracked.report.Incarnation != result.Incarnation {
@@ -102,7 +104,7 @@
 	}
 }
 
-// hasOutcome says whether a replica's last order ends the command that is pending there.
+// hasOutcome reports whether a replica's last order settles the command that is pending there.
 func (t *replicaTracker) hasOutcome(s *statemachine.State, replica string) bool {
 	command, pending := s.Pending[replica]
 	tracked := t.byID[replica]
@@ -112,7 +114,7 @@
 	return tracked.report.LastOrder.Number >= command.Number && tracked.report.LastOrder.State != wire.OrderRunning
 }
 
-// setOutcome records what became of a command as if its replica had reported it; settleCommands reads it there.
+// setOutcome stores the outcome of a command as if its replica had reported it, for settleCommands to record.
 func (t *replicaTracker) setOutcome(command statemachine.ReplicaCommand, state, reason string) {
 	tracked := t.byID[command.Replica]
 	if tracked == nil {
@@ -123,7 +125,8 @@
 	tracked.report.LastOrder = &wire.OrderState{Number: command.Number, Epoch: command.Epoch, State: state, Reason: reason}
 }
 
-// areValidHoldings says whether units are named once each and take no less than nothing, which would make room for too much.
+// areValidHoldings reports whether each unit is listed once and no size is negative. A negative size would make the free
+// capacity too large.
 func areValidHoldings(holds []statemachine.ResidentUnit) bool {
 	known := map[string]bool{}
 	for _, h := range holds {
--- a/internal/controlplane/controller/residency.go
+++ b/internal/controlplane/controller/residency.go
@@ -9,36 +9,37 @@
 )
 
 const (
-	// maxTrackedArrivals bounds how many units at replicas the arrival is remembered of.
+	// maxTrackedArrivals bounds the number of remembered arrival times.
 	maxTrackedArrivals = 20000
-	// reservationUs is how long capacity that was made at a replica is kept for the model that it was made for.
+	// reservationUs is how long capacity freed at a replica is reserved for the model it was freed for.
 	reservationUs = 2 * clock.Sec
 )
 
-// replicaUnit is a model or an adapter at one replica.
+// replicaUnit identifies a unit, which is a model or an adapter, at a replica.
 type replicaUnit struct {
 	replica, unit string
 }
 
-// reservation is the unit that capacity is being made for at a replica, and since when.
+// reservation is the unit for which capacity is being freed at a replica, and the start of the reservation.
 type reservation struct {
 	unit string
 	atUs int64
 }
 
-// residency is what the controller remembers of units at replicas, for the resident policy.
+// residency holds what the controller remembers of units at replicas for the resident policy.
 type residency struct {
-	// arrivedUs is when a unit came to a replica.
+	// arrivedUs is when a command for a unit at a replica was last settled.
 	arrivedUs map[replicaUnit]int64
-	// unconfirmedUntilUs is until when a load that was settled by time counts, though its replica does not show it.
+	// unconfirmedUntilUs is the time until which a load that was settled by its duration counts as resident without being
+	// reported by its replica.
 	unconfirmedUntilUs map[replicaUnit]int64
-	// reservations are by replica.
+	// reservations are the reservations by replica.
 	reservations map[string]reservation
-	// unplaced are the units that calls wait for and that the last run found no place for.
+	// unplaced are the units with waiting calls for which the latest run found no replica.
 	unplaced map[string]bool
 }
 
-// recordArrival remembers when a unit came to a replica.
+// recordArrival records the arrival time of a unit at a replica.
 func (r *residency) recordArrival(nowUs int64, command statemachine.ReplicaCommand) {
 	r.arrivedUs[replicaUnit{command.Replica, command.Unit}] = nowUs
 	if len(r.arrivedUs) > maxTrackedArrivals {
@@ -46,7 +47,8 @@
 	}
 }
 
-// reserve remembers what capacity is made for, until it has come or too long after.
+// reserve records the units for which the accepted proposals free capacity. A reservation ends when the next proposal for
+// its replica is accepted or when it expires.
 func (r *residency) reserve(nowUs int64, verdicts []placement.Verdict) {
 	for _, v := range verdicts {
 		if v.Fault != nil {
@@ -59,7 +61,7 @@
 	}
 }
 
-// reservedFor is the unit that capacity at a replica is reserved for; "" for none.
+// reservedFor returns the unit for which capacity at a replica is reserved; empty for none.
 func (r *residency) reservedFor(nowUs int64, replica string) string {
 	if reserved, ok := r.reservations[replica]; ok && nowUs-reserved.atUs < reservationUs {
 		return reserved.unit
@@ -67,8 +69,8 @@
 	return ""
 }
 
-// withUnconfirmedLoads adds what was settled by its time alone and the replica has not yet shown: a load that takes
-// longer than stated keeps its room until it comes, or has had three times its time.
+// withUnconfirmedLoads adds the loads that were settled by their duration and are not reported by the replica yet. A load
+// that takes longer than declared keeps its capacity until it is reported or three times its declared duration has passed.
 func (r *residency) withUnconfirmedLoads(nowUs int64, recorded *statemachine.Replica, units []string) []string {
 	if recorded == nil || len(r.unconfirmedUntilUs) == 0 {
 		return units
--- a/internal/controlplane/controller/resident.go
+++ b/internal/controlplane/controller/resident.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// residentIntervalUs is how often the resident policy runs, minResidentIntervalUs where what it reads has changed.
+	// residentIntervalUs is the interval between runs of the resident policy, minResidentIntervalUs the interval if its
+	// input has changed.
 	residentIntervalUs    = 500 * clock.Ms
 	minResidentIntervalUs = 30 * clock.Ms
-	// defaultSpares is how many replicas of a service keep capacity for one more model.
+	// defaultSpares is the number of replicas of a service that keep capacity free for one more model.
 	defaultSpares = 1
-	// tokensPerMs is how many prompt tokens a replica reads in a millisecond, decodeMsPerCall the time in milliseconds that
-	// the rest of a call takes of it; both are rough, and only weigh demand against capacity.
+	// tokensPerMs is the number of prompt tokens that a replica processes per millisecond; decodeMsPerCall is the replica
+	// time in milliseconds for the rest of a call. Both are rough estimates, used only to compare demand with capacity.
 	tokensPerMs     = 20.0
 	decodeMsPerCall = 25.0
 )
 
-// runResidentPolicy asks the policy for each service with an engine, at once where calls wait for a model that
-// nobody has.
+// runResidentPolicy runs the resident policy for each service with an engine. It runs without waiting for the full interval
+// if calls wait for a model that is not placed anywhere.
 func (c *Controller) runResidentPolicy(snapshot Snapshot) {
 	s := snapshot.State
 	if !c.policies.isDue(snapshot.NowUs, residentIntervalUs, minResidentIntervalUs) || !c.routed.predecessor.canPlan(snapshot.NowUs) {
@@ -47,8 +48,8 @@
 	}
 }
 
-// hasUnplacedCalls: calls wait at a gateway for a model or an adapter that no replica holds, that is on its way to
-// none, and of which the policy does not know already that it has no place now.
+// hasUnplacedCalls reports whether calls wait at a gateway for a unit that no replica holds or loads, and for which the
+// latest policy run did not already fail to find a replica.
 func (c *Controller) hasUnplacedCalls(snapshot Snapshot, r *wire.Report) bool {
 	for unit, n := range r.Queued {
 		if n > 0 && !c.routed.residency.unplaced[unit] && !c.isPlaced(snapshot.State, unit) {
@@ -58,7 +59,7 @@
 	return false
 }
 
-// isPlaced: some replica that calls may go to holds a unit or loads it.
+// isPlaced reports whether a unit is being loaded or is resident at a replica that accepts calls.
 func (c *Controller) isPlaced(s *statemachine.State, unit string) bool {
 	for _, command := range s.Pending {
 		if command.Unit == unit && command.Action == statemachine.Load {
@@ -73,7 +74,7 @@
 	return false
 }
 
-// residentInputs gives what the placement policy reads of each service with an engine.
+// residentInputs returns the input of the resident policy for each service with an engine.
 func (c *Controller) residentInputs(snapshot Snapshot) []placement.Service {
 	all := []placement.Service{}
 	calls := sumCallLoad(c.gateways.recentReports(snapshot.NowUs))
@@ -86,7 +87,7 @@
 	return all
 }
 
-// residentInput gives what the placement policy reads of one service.
+// residentInput returns the input of the resident policy for one service.
 func (c *Controller) residentInput(snapshot Snapshot, service *configuration.Service, calls callLoad) placement.Service {
 	s := snapshot.State
 	in := placement.Service{
@@ -111,7 +112,7 @@
 	return in
 }
 
-// calledUnits names the units that were called for lately or are waited for.
+// calledUnits returns the units that were called recently or that calls wait for.
 func (c *Controller) calledUnits(calls callLoad) []string {
 	units := sortedKeys(c.routed.demand.estimates)
 	for unit := range calls.queued {
@@ -122,7 +123,7 @@
 	return units
 }
 
-// unitDemand is what calls ask of a unit, as the placement policy reads it.
+// unitDemand returns the demand for a unit as input of the resident policy.
 func (c *Controller) unitDemand(nowUs int64, unit string, calls callLoad) placement.Demand {
 	n := c.routed.demand.estimates[unit]
 	if n == nil {
@@ -134,7 +135,7 @@
 	}
 }
 
-// candidate is one replica as the placement policy reads it.
+// candidate returns a replica as input of the resident policy.
 func (c *Controller) candidate(snapshot Snapshot, r *statemachine.Replica, running, unstarted map[string]int) placement.Candidate {
 	candidate := placement.Candidate{
 		ID: r.ID, Usable: !r.Draining && !r.Unreachable && !c.outliers.detector.Ejected(r.ID), FreeMb: r.CapacityMB - snapshot.State.ReservedMB(r.ID), SizeMbOf: r.Resident, WarmUnits: r.EverLoaded,
--- a/internal/controlplane/controller/rollout.go
+++ b/internal/controlplane/controller/rollout.go
@@ -4,33 +4,33 @@
 	"petreltide/internal/process/clock"
 )
 
-// rolloutOverdueUs is after how long the gateways that still work by an older declaration are named in the log.
+// rolloutOverdueUs is the time after which gateways that still use an older declaration are logged by name.
 const rolloutOverdueUs = 2 * clock.Sec
 
-// rollout follows the declaration in force on its way to the gateways, by the revisions in their reports. A controller
-// that begins to lead counts from the moment at which it first sees the declaration.
+// rollout tracks the distribution of the declaration in force to the gateways by the revisions in their reports. A new
+// leader measures from the time at which it first sees the declaration.
 type rollout struct {
 	revision uint64
-	// startedUs is when this controller first saw the revision in force, completedUs when the last live gateway had reported it;
-	// 0: not yet.
+	// startedUs is when this controller first saw the revision in force; completedUs is when the last live gateway had
+	// reported it, or 0 before that.
 	startedUs   int64
 	completedUs int64
-	// late: those that are behind have been named in the log.
+	// lateReported is true once the late gateways have been logged.
 	lateReported bool
 }
 
-// RolloutStatus is how far the declaration in force has come. The reports of gateways come a few times a second, so that
-// CompletedAfterMs may be too high by the time between two of them.
+// RolloutStatus is the progress of the distribution of the declaration in force. Gateways report a few times per second, so
+// that CompletedAfterMs can be too high by the interval between two reports.
 type RolloutStatus struct {
 	Revision uint64 `json:"revision"`
 	AgeMs    int64  `json:"ageMs"`
-	// CompletedAfterMs is how long it took until all live gateways worked by it; below 0 while some do not.
+	// CompletedAfterMs is the time until all live gateways used the declaration; negative before that.
 	CompletedAfterMs int64 `json:"tookMs"`
-	// Behind are the live gateways that reported an older revision last.
+	// Behind names the live gateways whose latest report has an older revision.
 	Behind []string `json:"behind,omitempty"`
 }
 
-// behind names the live gateways whose newest reports are older than a revision, in order.
+// lagging returns the IDs of the live gateways whose latest report has an older revision, in order.
 func (g *gatewayMembership) lagging(nowUs int64, revision uint64) []string {
 	ids := []string{}
 	for _, id := range g.live(nowUs) {
@@ -41,7 +41,7 @@
 	return ids
 }
 
-// trackRollout tells when all live gateways work by the declaration in force, and once which ones are late.
+// trackRollout reports when all live gateways use the declaration in force, and reports once which gateways are late.
 func (c *Controller) trackRollout(snapshot Snapshot) {
 	r, nowUs := &c.rollout, snapshot.NowUs
 	if snapshot.State.Revision != r.revision {
@@ -61,7 +61,8 @@
 	}
 }
 
-// Rollout is how far the declaration in force has come; nil where this controller has not led since.
+// Rollout returns the rollout status of the declaration in force; nil if this controller has not led since the declaration
+// came into force.
 func (c *Controller) Rollout(nowUs int64) *RolloutStatus {
 	r := c.rollout
 	if r.revision == 0 {
--- a/internal/controlplane/controller/routed.go
+++ b/internal/controlplane/controller/routed.go
@@ -6,7 +6,7 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// routedState is the memory for replicas that make themselves known.
+// routedState is the controller's state for routed mode, in which replicas register themselves.
 type routedState struct {
 	predecessor predecessorWait
 	store       storeWindow
@@ -30,7 +30,7 @@
 	}
 }
 
-// routedMode drives replicas that make themselves known by heartbeats; see the package's documentation.
+// routedMode implements mode for replicas that register themselves by heartbeats; see the package documentation.
 type routedMode struct{ c *Controller }
 
 func (m routedMode) beginLeadership(snapshot Snapshot) {
@@ -45,7 +45,8 @@
 	c.writeUpdate(snapshot)
 }
 
-// onGatewayReport takes the outcomes of calls, and acts at once where calls wait for a unit that has no place.
+// onGatewayReport records the outcomes of attempts. If calls wait for a unit that is not placed anywhere, it plans
+// immediately.
 func (m routedMode) onGatewayReport(snapshot Snapshot, report *wire.Report) {
 	m.c.outliers.onReport(snapshot, report)
 	if m.c.hasUnplacedCalls(snapshot, report) {
@@ -54,7 +55,8 @@
 	}
 }
 
-// onReplicaReport takes a replica's report while an order stands there, or after one was settled as unknown.
+// onReplicaReport evaluates a replica's report against its outstanding order. Any report also ends the restriction on a
+// replica whose last order was settled as unknown.
 func (m routedMode) onReplicaReport(snapshot Snapshot, report ReplicaReport) {
 	if report.State != nil {
 		delete(m.c.routed.orders.unreported, report.Replica)
@@ -73,7 +75,8 @@
 	m.c.planAndWrite(snapshot)
 }
 
-// onOrderResult takes a replica's answer to an order; what it means in the end is seen by what the replica holds.
+// onOrderResult processes a replica's response to an order; unless the response itself is final, the outcome is determined
+// from the replica's resident units.
 func (m routedMode) onOrderResult(snapshot Snapshot, result OrderResult) {
 	command, pending := snapshot.State.Pending[result.Replica]
 	o := m.c.routed.orders.byNumber[result.State.Number]
@@ -120,8 +123,9 @@
 
 func (m routedMode) afterWrite(Snapshot) {}
 
-// OnApplied takes the commands and results of whoever leads as they are applied, on each control node: a successor waits
-// out their lease, and counts their loads. epoch is that of the change, nowUs the time in microseconds.
+// OnApplied processes the commands and results of any leader as they are applied; it has to be called on each control node.
+// A successor waits out the leases of these commands and counts their loads. epoch is the epoch of the change, nowUs the
+// time in microseconds.
 func (c *Controller) OnApplied(nowUs int64, epoch uint64, update statemachine.LeaderUpdate, s *statemachine.State) {
 	if s.Doc == nil || !s.Doc.Routed() {
 		return
--- a/internal/controlplane/controller/shadow_difference.go
+++ b/internal/controlplane/controller/shadow_difference.go
@@ -7,7 +7,8 @@
 // maxDifferences bounds the proposals that are counted by name; all others are counted as "others".
 const maxDifferences = 64
 
-// ShadowDifference says how often a shadow's proposals were not the live policy's, and where.
+// ShadowDifference counts how often the proposals of a shadow policy differed from those of the live policy. ShadowOnly
+// counts the proposals made only by the shadow, LiveOnly those made only by the live policy.
 type ShadowDifference struct {
 	Runs       uint64            `json:"runs"`
 	Same       uint64            `json:"same"`
@@ -19,28 +20,28 @@
 	return string(p.Step) + " " + p.Unit + " at " + p.Replica
 }
 
-func (p *ShadowDifference) add(live, shadow []placement.Proposal) *ShadowDifference {
-	if p == nil {
-		p = &ShadowDifference{ShadowOnly: map[string]uint64{}, LiveOnly: map[string]uint64{}}
+func (d *ShadowDifference) add(live, shadow []placement.Proposal) *ShadowDifference {
+	if d == nil {
+		d = &ShadowDifference{ShadowOnly: map[string]uint64{}, LiveOnly: map[string]uint64{}}
 	}
-	p.Runs++
+	d.Runs++
 	only, left := missingFrom(shadow, live), missingFrom(live, shadow)
 	if len(only)+len(left) == 0 {
-		p.Same++
+		d.Same++
 	}
-	countProposals(p.ShadowOnly, only)
-	countProposals(p.LiveOnly, left)
-	return p
+	countProposals(d.ShadowOnly, only)
+	countProposals(d.LiveOnly, left)
+	return d
 }
 
-// missingFrom lists the steps of one list that the other does not have.
-func missingFrom(of, from []placement.Proposal) []string {
+// missingFrom returns the texts of those proposals that are missing from others.
+func missingFrom(proposals, others []placement.Proposal) []string {
 	has := map[string]bool{}
-	for _, q := range from {
+	for _, q := range others {
 		has[proposalText(q)] = true
 	}
 	steps := []string{}
-	for _, q := range of {
+	for _, q := range proposals {
 		if !has[proposalText(q)] {
 			steps = append(steps, proposalText(q))
 		}
--- a/internal/controlplane/controller/shares.go
+++ b/internal/controlplane/controller/shares.go
@@ -7,22 +7,23 @@
 	"petreltide/internal/process/clock"
 )
 
-// shareIntervalUs is how often the replicas' slots are divided among the gateways.
+// shareIntervalUs is the interval at which the replicas' slots are divided among the gateways.
 const shareIntervalUs = 400 * clock.Ms
 
-// What a gateway's calls weigh when a replica's slots are divided: one that runs there counts whole.
+// Weights of a gateway's calls when a replica's slots are divided, relative to a call that runs at the replica.
 const (
 	idleWeight    = 0.5
 	waitingWeight = 0.5
 	arrivalWeight = 0.1
 )
 
-// slotShares is when slots were last divided.
+// slotShares records when slots were last divided.
 type slotShares struct {
 	dividedUs int64
 }
 
-// divideSlots divides a replica's slots by what each gateway has there and what waits for its models.
+// divideSlots divides the slots of each replica by the gateways' running calls at the replica and the calls waiting and
+// arriving for its models.
 func (c *Controller) divideSlots(snapshot Snapshot, update *statemachine.LeaderUpdate) {
 	if snapshot.NowUs-c.declared.shares.dividedUs < shareIntervalUs {
 		return
@@ -49,7 +50,8 @@
 	}
 }
 
-// gatewayWeights are what gateways have at a replica and what waits and arrives for its models, in the gateways' order.
+// gatewayWeights returns the weights of the gateways at a replica, in the order of gateways: running calls at the replica,
+// plus waiting and arriving calls for its models.
 func (c *Controller) gatewayWeights(r *statemachine.Replica, gateways []string) []float64 {
 	weights := make([]float64, len(gateways))
 	for i, gateway := range gateways {
@@ -63,8 +65,8 @@
 	return weights
 }
 
-// divide gives each gateway one slot where there are enough, and divides the others by weight; what rounding
-// leaves over goes to the heaviest first.
+// divide gives each gateway one slot if there are enough, and divides the rest by weight; the remainder from rounding goes
+// to the gateways with the highest weights.
 func divide(slots int, gateways []string, weights []float64) map[string]int {
 	var total float64
 	for _, weight := range weights {
@@ -92,7 +94,7 @@
 	return shares
 }
 
-// heaviestFirst gives the places of weights, the heaviest first and equal ones in their order.
+// heaviestFirst returns the indexes of weights in descending order of weight; equal weights keep their order.
 func heaviestFirst(weights []float64) []int {
 	order := make([]int, len(weights))
 	for i := range order {
@@ -102,8 +104,8 @@
 	return order
 }
 
-// shouldRewriteShares says whether new shares differ enough from those in force to be written down, or give a slot to a gateway that
-// has used up what it had.
+// shouldRewriteShares reports whether new shares should replace the current ones: they differ in gateways, they give an
+// additional slot to a gateway that has used up its share, or they differ by enough slots.
 func (c *Controller) shouldRewriteShares(r *statemachine.Replica, shares map[string]int) bool {
 	if len(r.Quotas) != len(shares) {
 		return true
--- a/internal/controlplane/controller/status.go
+++ b/internal/controlplane/controller/status.go
@@ -7,20 +7,20 @@
 	"petreltide/internal/process/clock"
 )
 
-// GatewayStatus is what is shown of a gateway: when it last reported, and what is called for and waits there.
+// GatewayStatus is the status of a gateway: when it last reported, and its arriving and waiting calls.
 type GatewayStatus struct {
 	Silent          bool   `json:"silent,omitempty"`
 	Gateway         string `json:"desk"`
 	Zone            string `json:"zone"`
 	Addr            string `json:"addr"`
 	LastReportAgoMs int64  `json:"agoMs"`
-	// Revision is that of the declaration that it worked by at its last report.
+	// Revision is the revision of the declaration that the gateway used at its latest report.
 	Revision uint64             `json:"revision,omitempty"`
 	Arrivals map[string]float64 `json:"arrivals,omitempty"`
 	Waiting  map[string]int     `json:"waiting,omitempty"`
 }
 
-// Gateways shows every gateway that has reported.
+// Gateways returns the status of every gateway that has reported.
 func (c *Controller) Gateways(nowUs int64) []GatewayStatus {
 	statuses := []GatewayStatus{}
 	for _, id := range sortedKeys(c.gateways.byID) {
@@ -33,7 +33,8 @@
 	return statuses
 }
 
-// PolicyStatus is what is shown of a placement policy: how often it ran, failed, and differed from the live one.
+// PolicyStatus is the status of a placement policy: how often it ran, how often it failed, and how it differed from the live
+// policy.
 type PolicyStatus struct {
 	Name       string              `json:"name"`
 	Runs       uint64              `json:"runs"`
@@ -44,7 +45,7 @@
 	Difference *ShadowDifference   `json:"parted,omitempty"`
 }
 
-// withRun adds a run to what is shown of a policy.
+// withRun adds a run to the status of a policy.
 func withRun(status PolicyStatus, result placement.RunResult) PolicyStatus {
 	if status.Name != result.Policy {
 		status = PolicyStatus{Name: result.Policy}
@@ -58,29 +59,29 @@
 	return status
 }
 
-// PolicyStatus is what is shown of the live placement policy.
+// PolicyStatus returns the status of the live placement policy.
 func (c *Controller) PolicyStatus() PolicyStatus { return c.policies.live }
 
-// ShadowStatuses are what is shown of the shadow policies, in the declaration's order.
+// ShadowStatuses returns the statuses of the shadow policies, in the order of the declaration.
 func (c *Controller) ShadowStatuses() []PolicyStatus { return c.policies.shadows }
 
-// OrderStatus is an order that stands at a replica. SentAgoMs is below 0 while it has not been sent by this
-// holder; Answer is what the replica answered: running, done, busy, in_doubt, or nothing yet.
+// OrderStatus is the order of a pending command. SentAgoMs is negative if this leader has not sent the order. Answer is the
+// replica's answer: running, done, busy or in_doubt, or empty if there is none yet.
 type OrderStatus struct {
 	statemachine.ReplicaCommand
 	SentAgoMs int64  `json:"sentAgoMs"`
 	Answer    string `json:"said,omitempty"`
 }
 
-// UnreportedStatus is a replica whose last order was settled as unknown. No order goes there before its report has come.
+// UnreportedStatus is a replica whose last order was settled as unknown. It gets no orders before it has reported.
 type UnreportedStatus struct {
 	Replica string `json:"replica"`
-	// MissingMs is how long ago its order was settled.
+	// MissingMs is the time since the order was settled, in milliseconds.
 	MissingMs int64 `json:"forMs"`
 }
 
-// StoreStatus is what the weight store still gives a service: loads that may begin now, loads from it that
-// run, how many it bears at full speed, and loads that began within the window.
+// StoreStatus is the status of the weight store for a service: the loads that may begin now, the running loads from the
+// store, the maximum number of concurrent loads at full speed, and the loads that began within the window.
 type StoreStatus struct {
 	Service            string `json:"service"`
 	LoadsLeft          int    `json:"left"`
@@ -90,15 +91,15 @@
 	WindowMs           int64  `json:"windowMs"`
 }
 
-// DemandStatus is how often a model or adapter is called for: calls and prompt tokens a second, smoothed.
+// DemandStatus is the smoothed demand for a model or an adapter in calls and prompt tokens per second.
 type DemandStatus struct {
 	Rate            float64 `json:"rate"`
 	Tokens          float64 `json:"tokens"`
 	LastCalledAgoMs int64   `json:"agoMs"`
 }
 
-// LeaderStatus is what the control node that leads knows of replicas that make themselves known, beyond the
-// ledger. OrderDelayMs is how long it still waits out its predecessor before it orders every replica.
+// LeaderStatus is the leader's state in routed mode that is not part of the replicated state. OrderDelayMs is how long the
+// leader still waits out its predecessor before it may order every replica.
 type LeaderStatus struct {
 	Leader       string                  `json:"holder"`
 	Epoch        uint64                  `json:"fence"`
@@ -106,11 +107,11 @@
 	Orders       []OrderStatus           `json:"orders"`
 	Store        []StoreStatus           `json:"store"`
 	Demand       map[string]DemandStatus `json:"needs,omitempty"`
-	// Unreported are the replicas that get no orders until their report has come.
+	// Unreported are the replicas that get no orders before they have reported.
 	Unreported []UnreportedStatus `json:"unreported,omitempty"`
 }
 
-// Status is nil where this control node does not lead, or nothing is sent by routes.
+// Status returns the leader's status; nil if this control node does not lead or the declaration has no routes.
 func (c *Controller) Status(nowUs int64, s *statemachine.State) *LeaderStatus {
 	if s.Doc == nil || !s.Doc.Routed() || !c.IsLeader(s) {
 		return nil
@@ -128,7 +129,7 @@
 	return status
 }
 
-// orderStatuses shows the standing orders, and when each was sent.
+// orderStatuses returns the outstanding orders and when they were sent.
 func (c *Controller) orderStatuses(nowUs int64, s *statemachine.State) []OrderStatus {
 	statuses := []OrderStatus{}
 	for _, id := range sortedKeys(s.Pending) {
@@ -141,7 +142,7 @@
 	return statuses
 }
 
-// storeStatuses shows how many loads each service's store bears, and how many run and began lately.
+// storeStatuses returns the status of the weight store for each service with an engine.
 func (c *Controller) storeStatuses(nowUs int64, s *statemachine.State) []StoreStatus {
 	statuses := []StoreStatus{}
 	windowUs := c.routed.store.effectiveLengthUs()
--- a/internal/controlplane/controller/store_window.go
+++ b/internal/controlplane/controller/store_window.go
@@ -9,33 +9,34 @@
 )
 
 const (
-	// defaultWindowUs is the length of the store's window where Options name none.
+	// defaultWindowUs is the length of the store window if Options does not set it.
 	defaultWindowUs = 5 * clock.Sec
-	// windowSlackUs is how much longer loads count here than in the store's own window.
+	// windowSlackUs is how much longer a load counts here than in the store's own window.
 	windowSlackUs = 400 * clock.Ms
-	// storeBurstLoads is how many loads the window allows beyond the rate, storeReservedLoads how many of them are not used.
+	// storeBurstLoads is the number of loads that the window allows beyond the rate; storeReservedLoads is the number of
+	// them that are left unused.
 	storeBurstLoads    = 3
 	storeReservedLoads = 1
-	// maxTrackedLoads bounds how many loads are remembered.
+	// maxTrackedLoads bounds the number of remembered loads.
 	maxTrackedLoads = 4096
 )
 
-// storeWindow is a sliding window over the loads that read from the weight store, whichever leader ordered them.
+// storeWindow is a sliding window over the loads from the weight store that any leader ordered.
 type storeWindow struct {
-	// lengthUs is its length, in microseconds; 0 is defaultWindowUs.
+	// lengthUs is the length of the window, in microseconds; 0 means defaultWindowUs.
 	lengthUs int64
-	// overshoot is how far loads may go beyond the store's rate; below 1 counts as 1.
+	// overshoot is the factor by which loads may exceed the store's rate; values below 1 count as 1.
 	overshoot float64
-	// loadTimesUs are the times at which loads began, oldest first.
+	// loadTimesUs are the start times of the loads, oldest first.
 	loadTimesUs []int64
-	// nextNumber is the number up to which every command was counted; 0 before the first.
+	// nextNumber is the lowest command number not counted yet; 0 before the first.
 	nextNumber uint64
-	// unseenUs is when it last showed that commands were issued unseen; 0 for never.
+	// unseenUs is when a gap in the observed commands was last detected; 0 for never.
 	unseenUs int64
 }
 
-// detectUnseenCommands notes that tickets were issued which this controller did not see one by one: as many loads may lie
-// behind them as the store's window bears. Numbers rise by one, so that a gap shows.
+// detectUnseenCommands detects commands that were issued without being observed by this controller. Command numbers are
+// consecutive, so that a gap reveals them. They may have caused as many loads as the window allows.
 func (w *storeWindow) detectUnseenCommands(nowUs int64, s *statemachine.State, newCommands int) {
 	if w.nextNumber == 0 {
 		w.nextNumber = 1
@@ -46,7 +47,7 @@
 	w.nextNumber = s.NextNumber
 }
 
-// recordLoad counts a ticket against the store's window, if its load reads from the store.
+// recordLoad counts a command in the window if it loads from the store.
 func (w *storeWindow) recordLoad(nowUs int64, s *statemachine.State, command statemachine.ReplicaCommand) {
 	if !readsFromStore(s.Replicas[command.Replica], command) {
 		return
@@ -57,7 +58,7 @@
 	}
 }
 
-// loadsWithin counts the loads from the store that began within a span up to now.
+// loadsWithin returns the number of loads from the store that began within the last spanUs.
 func (w *storeWindow) loadsWithin(nowUs, spanUs int64) int {
 	n := 0
 	for _, atUs := range w.loadTimesUs {
@@ -68,13 +69,13 @@
 	return n
 }
 
-// readsFromStore says whether a command loads a model that its replica never had, so that the weights come from the store. Adapters,
-// and models that the replica had before, come from elsewhere.
+// readsFromStore reports whether a command loads a model that its replica never held, so that the weights are read from the
+// store. Adapters and models that the replica held before are read from elsewhere.
 func readsFromStore(recorded *statemachine.Replica, command statemachine.ReplicaCommand) bool {
 	return command.Action == statemachine.Load && !strings.Contains(command.Unit, "/") && (recorded == nil || !recorded.EverLoaded[command.Unit])
 }
 
-// pendingStoreLoads counts a service's pending loads from the store.
+// pendingStoreLoads returns the number of pending loads from the store for a service.
 func pendingStoreLoads(s *statemachine.State, service *configuration.Service) int {
 	n := 0
 	for _, command := range s.Pending {
@@ -85,7 +86,7 @@
 	return n
 }
 
-// effectiveLengthUs is the length of the window.
+// effectiveLengthUs returns the length of the window, with the default applied.
 func (w *storeWindow) effectiveLengthUs() int64 {
 	if w.lengthUs == 0 {
 		return defaultWindowUs
@@ -93,8 +94,9 @@
 	return w.lengthUs
 }
 
-// loadsLeft is how many loads from the store may begin now: what the sliding window still allows, and no
-// more at once than the store bears at full speed.
+// loadsLeft returns the number of loads from the store that may begin now: what the sliding window allows, and at most as
+// many as may run concurrently at full speed. If commands were issued unobserved within the window, the window counts as
+// used up.
 func (w *storeWindow) loadsLeft(nowUs int64, s *statemachine.State, service *configuration.Service) int {
 	e := service.Engine
 	windowUs := w.effectiveLengthUs()
@@ -107,7 +109,8 @@
 	return max(0, min(maxLoads-spent, e.MaxConcurrentLoads()-pendingStoreLoads(s, service)))
 }
 
-// totalLoadsLeft sums what the store still gives over all services; each is checked by its own account as well.
+// totalLoadsLeft returns the sum of the loads left over all services; the loads of each service are checked against its own
+// limit as well.
 func (w *storeWindow) totalLoadsLeft(nowUs int64, s *statemachine.State) int {
 	left := 0
 	for i := range s.Doc.Services {
--- a/internal/controlplane/controller/versioned_state.go
+++ b/internal/controlplane/controller/versioned_state.go
@@ -10,16 +10,18 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// basis is a state of a replica named by its order count: after so many orders, none of them under way, it holds
-// just these units. A replica refuses an order whose expected count is not its own, or while another order is
-// under way. An order sent on a basis is therefore carried out in that state or not at all, however long it or
-// what the controller heard of the replica was on its way, and whoever leads by then.
+// versionedState is the state of a replica at a given order count: once the replica has accepted that many orders and none
+// of them is running, its resident units are exactly these. A replica rejects an order whose expected count differs from its
+// own count, and any order while another one is running. An order sent with a versionedState as its precondition is
+// therefore either carried out in exactly that state or not at all. This holds regardless of how long the order, or the
+// reports that the controller acted on, were delayed, and of which control node leads by then.
 type versionedState struct {
 	orders uint64
 	units  []string
 }
 
-// recordedState is the basis that the ledger keeps of a replica; nil where its count is not known.
+// recordedState returns the state recorded for a replica in the replicated state, or nil if the replica's order count is not
+// known.
 func recordedState(r *statemachine.Replica) *versionedState {
 	if r == nil || r.CommandsAccepted == nil {
 		return nil
@@ -27,7 +29,8 @@
 	return &versionedState{orders: *r.CommandsAccepted, units: slices.Sorted(maps.Keys(r.Resident))}
 }
 
-// reportedState is what a report shows; nil while an order is under way, as what is held will change.
+// reportedState returns the state shown by a report, or nil while an order is running, because the resident units are about
+// to change.
 func reportedState(report *wire.ReplicaState) *versionedState {
 	if report.Busy {
 		return nil
@@ -35,42 +38,43 @@
 	return &versionedState{orders: report.Orders, units: slices.Clone(report.Units)}
 }
 
-// after is the state once an order that was taken on this basis is done.
-func (b *versionedState) afterCommand(command statemachine.ReplicaCommand) *versionedState {
-	if b == nil {
+// afterCommand returns the state after completion of a command that the replica accepted in state v.
+func (v *versionedState) afterCommand(command statemachine.ReplicaCommand) *versionedState {
+	if v == nil {
 		return nil
 	}
-	units := slices.DeleteFunc(slices.Clone(b.units), func(unit string) bool {
+	units := slices.DeleteFunc(slices.Clone(v.units), func(unit string) bool {
 		return unit == command.Unit || (command.Action == statemachine.Unload && strings.HasPrefix(unit, command.Unit+"/"))
 	})
 	if command.Action == statemachine.Load {
 		units = append(units, command.Unit)
 	}
 	slices.Sort(units)
-	return &versionedState{orders: b.orders + 1, units: units}
+	return &versionedState{orders: v.orders + 1, units: units}
 }
 
-// admits says whether an order may be sent on this basis: a load must find room, a place, and its model.
-func (b *versionedState) canCarryOut(doc *configuration.Declaration, r *statemachine.Replica, command statemachine.ReplicaCommand) bool {
+// canCarryOut reports whether a command may be sent to a replica in state v. A load needs free capacity; an adapter also
+// needs a free adapter slot and its model to be resident.
+func (v *versionedState) canCarryOut(doc *configuration.Declaration, r *statemachine.Replica, command statemachine.ReplicaCommand) bool {
 	service := doc.Service(r.Service)
 	if command.Action != statemachine.Load || service == nil || service.Engine == nil {
 		return true
 	}
 	model, adapter := configuration.SplitUnit(command.Unit)
 	sumMb, adapters := command.SizeMB, 0
-	for _, resident := range holdings(doc, service, b.units) {
+	for _, resident := range holdings(doc, service, v.units) {
 		sumMb += resident.SizeMB
 		if strings.Contains(resident.Unit, "/") {
 			adapters++
 		}
 	}
-	if adapter != "" && (adapters >= service.Engine.MaxAdapters || !slices.Contains(b.units, model)) {
+	if adapter != "" && (adapters >= service.Engine.MaxAdapters || !slices.Contains(v.units, model)) {
 		return false
 	}
 	return sumMb <= r.CapacityMB
 }
 
-// isOutdatedReport says whether a report shows a state from before an order that the replica is known to have taken.
+// isOutdatedReport reports whether a report shows a state from before an order that the replica is known to have accepted.
 func (o *outstandingOrder) isOutdatedReport(r *statemachine.Replica, report *wire.ReplicaState) bool {
 	if known := recordedState(r); known != nil && report.Orders < known.orders {
 		return true
@@ -84,7 +88,7 @@
 	return report.Orders < o.expected.orders
 }
 
-// withResultingState adds to a settled order what the replica holds after it, where that is known.
+// withResultingState adds the replica's state after the command to the outcome, if that state is known.
 func (c *Controller) withResultingState(s *statemachine.State, command statemachine.ReplicaCommand, outcome statemachine.CommandResult) statemachine.CommandResult {
 	o, r := c.routed.orders.byNumber[command.Number], s.Replicas[command.Replica]
 	if o == nil || o.result == nil || r == nil {
--- a/internal/controlplane/controller/writes.go
+++ b/internal/controlplane/controller/writes.go
@@ -9,26 +9,26 @@
 	"petreltide/internal/process/clock"
 )
 
-// writeTimeoutUs is how long a change to the replicated state is waited for; one that takes longer is taken for lost, and
-// the next is written without it. An epoch keeps one that comes late from doing harm.
+// writeTimeoutUs is how long to wait for a change to the replicated state. After that the change counts as lost, and the
+// next one is written without it. The epoch makes a change that arrives late harmless.
 const writeTimeoutUs = 2 * clock.Sec
 
-// changeWriter allows one change of the leader at a time, so that each is made of what the one before left.
+// changeWriter limits the leader to one change at a time, so that each change is based on the result of the previous one.
 type changeWriter struct {
-	// pendingID is the change under way; "" without one.
+	// pendingID is the ID of the change in progress; empty without one.
 	pendingID string
-	// submittedUs is when it was submitted.
+	// submittedUs is when that change was submitted.
 	submittedUs int64
-	// count is how many changes were submitted; it makes their IDs unique within an epoch.
+	// count is the number of submitted changes; it makes their IDs unique within an epoch.
 	count uint64
 }
 
-// isBusy says whether a change is under way that is not lost yet.
+// isBusy reports whether a change is in progress and has not timed out.
 func (w *changeWriter) isBusy(nowUs int64) bool {
 	return w.pendingID != "" && nowUs-w.submittedUs < writeTimeoutUs
 }
 
-// begin names the next change.
+// begin starts the next change and returns its ID.
 func (w *changeWriter) begin(nowUs int64, leader leadership) (id string) {
 	w.count++
 	w.pendingID = fmt.Sprintf("duty-%s-%d-%d", leader.id, leader.epoch, w.count)
@@ -36,7 +36,7 @@
 	return w.pendingID
 }
 
-// complete says whether an outcome is that of the change under way, which is then done.
+// complete reports whether an outcome belongs to the change in progress, and if so marks the change as completed.
 func (w *changeWriter) complete(id string) bool {
 	if id != w.pendingID {
 		return false
@@ -45,7 +45,8 @@
 	return true
 }
 
-// writeUpdate puts into one change all that the replicated state should learn now, unless an earlier change is under way.
+// writeUpdate collects everything that the replicated state should record now into one change, unless another change is in
+// progress.
 func (c *Controller) writeUpdate(snapshot Snapshot) {
 	if !snapshot.CanWrite || c.writes.isBusy(snapshot.NowUs) {
 		return
@@ -63,7 +64,7 @@
 	c.emit(WriteChange{Change: &statemachine.Change{ID: id, Epoch: c.leadership.epoch, LeaderUpdate: update}})
 }
 
-// onWriteResult takes the outcome of the change under way, and goes on at once.
+// onWriteResult processes the outcome of the change in progress and continues planning at once.
 func (c *Controller) onWriteResult(snapshot Snapshot, outcome statemachine.Outcome) {
 	if !c.writes.complete(outcome.ID) {
 		return
@@ -78,7 +79,7 @@
 	}
 }
 
-// settleCommands records the outcome of each pending command that its replica's last order shows.
+// settleCommands records the outcome of each pending command that its replica's last order determines.
 func (c *Controller) settleCommands(nowUs int64, s *statemachine.State, update *statemachine.LeaderUpdate) {
 	for _, id := range sortedKeys(s.Pending) {
 		command := s.Pending[id]
