--- a/internal/controlplane/controller/controller_test.go
+++ b/internal/controlplane/controller/controller_test.go
@@ -23,8 +23,8 @@
 	ignoreOrders bool
 }
 
-func newHarness(t *testing.T, me string, s *statemachine.State) *harness {
-	r := &harness{t: t, controller: New(me, Options{}), state: s, nowUs: clock.Sec, replicas: map[string]*wire.ReplicaState{}, list: wire.ReplicaList{Version: 1}}
+func newHarness(t *testing.T, nodeID string, s *statemachine.State) *harness {
+	r := &harness{t: t, controller: New(nodeID, Options{}), state: s, nowUs: clock.Sec, replicas: map[string]*wire.ReplicaState{}, list: wire.ReplicaList{Version: 1}}
 	for _, id := range []string{"r1", "r2"} {
 		r.list.Replicas = append(r.list.Replicas, wire.ListedReplica{ID: id, Addr: id, Zone: "a", CapacityMB: 100, Slots: 4, State: wire.ListedReady})
 		r.replicas[id] = &wire.ReplicaState{ID: id, Incarnation: "i"}
@@ -118,8 +118,8 @@
 // At each point a ticket can be at when its controller dies, the successor neither repeats it
 // under another number nor loses its room.
 func TestSuccessorSettlesPendingCommands(t *testing.T) {
-	for _, at := range []string{"written, not sent", "sent, running", "sent, done", "sent, failed", "overtaken"} {
-		t.Run(at, func(t *testing.T) {
+	for _, stage := range []string{"written, not sent", "sent, running", "sent, done", "sent, failed", "overtaken"} {
+		t.Run(stage, func(t *testing.T) {
 			predecessor := newHarness(t, "one", newTestState())
 			predecessor.ignoreOrders = true
 			predecessor.advance(2 * clock.Sec)
@@ -131,7 +131,7 @@
 			successor := newHarness(t, "two", predecessor.state)
 			successor.nowUs = predecessor.nowUs
 			last := &wire.OrderState{Number: command.Number}
-			switch at {
+			switch stage {
 			case "sent, running":
 				last.State = wire.OrderRunning
 			case "sent, done":
@@ -151,7 +151,7 @@
 			}
 			_, stillPending := successor.state.Pending["r1"]
 			_, isResident := successor.state.Replicas["r1"].Resident["m"]
-			switch at {
+			switch stage {
 			case "written, not sent":
 				if len(successor.orders) == 0 || successor.orders[0].Command.Number != command.Number || !stillPending || successor.state.ReservedMB("r1") != 60 {
 					t.Fatalf("orders %+v", successor.orders)
@@ -200,15 +200,15 @@
 func TestReplicaIsRemovedOnlyByValidListing(t *testing.T) {
 	r := newHarness(t, "one", newTestState())
 	r.advance(2 * clock.Sec)
-	good := r.list
-	for _, bad := range []*wire.ReplicaList{nil, {Version: 0}, {Version: 9}, {Version: 9, Replicas: []wire.ListedReplica{{ID: "r1"}}}} {
-		r.dispatch(PlatformListing{List: bad})
+	valid := r.list
+	for _, invalid := range []*wire.ReplicaList{nil, {Version: 0}, {Version: 9}, {Version: 9, Replicas: []wire.ListedReplica{{ID: "r1"}}}} {
+		r.dispatch(PlatformListing{List: invalid})
 		r.dispatch(Tick{})
 		if len(r.state.Replicas) != 2 {
-			t.Fatalf("%+v dropped replicas", bad)
+			t.Fatalf("%+v dropped replicas", invalid)
 		}
 	}
-	r.list = wire.ReplicaList{Version: 10, Replicas: good.Replicas[:1]}
+	r.list = wire.ReplicaList{Version: 10, Replicas: valid.Replicas[:1]}
 	r.advance(clock.Sec)
 	if len(r.state.Replicas) != 1 {
 		t.Fatal("a replica missing from a good list stays")
--- a/internal/controlplane/controller/orders_explore_test.go
+++ b/internal/controlplane/controller/orders_explore_test.go
@@ -54,14 +54,14 @@
 const exploreDepth = 3
 
 // runSequence plays one sequence of actions after a start, and lets all settle.
-func runSequence(start func(m *orderModel), picks []int) *orderModel {
+func runSequence(start func(m *orderModel), sequence []int) *orderModel {
 	onlyChoice := func(int) int { return 0 }
 	m := newOrderModel(onlyChoice, modelConfig{replicaCount: 1, loadMs: modelLoadMs})
 	start(m)
-	for _, pick := range picks {
+	for _, action := range sequence {
 		if m.violation == "" {
-			m.tracef("-- %s", exploreActions[pick].name)
-			exploreActions[pick].run(m)
+			m.tracef("-- %s", exploreActions[action].name)
+			exploreActions[action].run(m)
 		}
 	}
 	if m.violation == "" {
@@ -72,12 +72,12 @@
 }
 
 // nextSequence counts on to the next sequence; false after the last.
-func nextSequence(picks []int) bool {
-	for at := len(picks) - 1; at >= 0; at-- {
-		if picks[at]++; picks[at] < len(exploreActions) {
+func nextSequence(sequence []int) bool {
+	for position := len(sequence) - 1; position >= 0; position-- {
+		if sequence[position]++; sequence[position] < len(exploreActions) {
 			return true
 		}
-		picks[at] = 0
+		sequence[position] = 0
 	}
 	return false
 }
@@ -87,24 +87,24 @@
 	for name, start := range exploreStarts {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			sequences, taken := 0, 0
-			picks := make([]int, exploreDepth)
-			for more := true; more; more = nextSequence(picks) {
-				m := runSequence(start, picks)
-				if sequences, taken = sequences+1, taken+m.acceptedCount; m.violation != "" {
+			sequences, accepted := 0, 0
+			sequence := make([]int, exploreDepth)
+			for more := true; more; more = nextSequence(sequence) {
+				m := runSequence(start, sequence)
+				if sequences, accepted = sequences+1, accepted+m.acceptedCount; m.violation != "" {
 					t.Fatalf("after %d sequences: %s\n%s", sequences, m.violation, strings.Join(m.trace, "\n"))
 				}
 			}
-			t.Logf("%d sequences, %d orders taken", sequences, taken)
+			t.Logf("%d sequences, %d orders taken", sequences, accepted)
 		})
 	}
 }
 
 // walk is one long random run over some replicas.
-func randomWalk(seed int64, plant mutation) *orderModel {
+func randomWalk(seed int64, injected mutation) *orderModel {
 	const steps = 200
 	r := rand.New(rand.NewSource(seed))
-	m := newOrderModel(r.Intn, modelConfig{3 + int(seed%4), modelLoadMs, plant})
+	m := newOrderModel(r.Intn, modelConfig{3 + int(seed%4), modelLoadMs, injected})
 	for n := 0; n < steps && m.violation == ""; n++ {
 		m.randomOrders(4)
 		m.randomFault()
@@ -118,10 +118,10 @@
 
 // storeLoadStress asks for as many loads from the store as can be: replicas come and go with empty disks, and the
 // leadership changes hands now and then.
-func storeLoadStress(seed int64, plant mutation) *orderModel {
+func storeLoadStress(seed int64, injected mutation) *orderModel {
 	const steps = 300
 	r := rand.New(rand.NewSource(seed))
-	m := newOrderModel(r.Intn, modelConfig{8, modelShortLoadMs, plant})
+	m := newOrderModel(r.Intn, modelConfig{8, modelShortLoadMs, injected})
 	for n := 0; n < steps && m.violation == ""; n++ {
 		for _, replica := range slices.Sorted(maps.Keys(m.replicas)) {
 			m.proposeAt(statemachine.Load, replica, modelUnits[r.Intn(len(modelUnits))])
@@ -139,8 +139,8 @@
 	return m
 }
 
-func (m *orderModel) randomOrders(most int) {
-	for range m.choose(most) {
+func (m *orderModel) randomOrders(maxOrders int) {
+	for range m.choose(maxOrders) {
 		unit := modelUnits[m.choose(len(modelUnits))]
 		if m.choose(4) == 0 {
 			unit += fmt.Sprint("/a", 1+m.choose(3))
@@ -220,17 +220,17 @@
 
 // Long seeded walks over every fault at once.
 func TestOrderInvariantsHoldInRandomWalks(t *testing.T) {
-	taken, settled := 0, 0
+	accepted, settled := 0, 0
 	for seed := range int64(60) {
 		m := randomWalk(seed, noMutation)
-		taken, settled = taken+m.acceptedCount, settled+m.settledCount
+		accepted, settled = accepted+m.acceptedCount, settled+m.settledCount
 		if m.violation != "" {
 			t.Errorf("seed %d: %s\n%s", seed, m.violation, strings.Join(m.trace[max(0, len(m.trace)-40):], "\n"))
 		}
 	}
-	t.Logf("%d orders taken, %d settled", taken, settled)
-	if taken < 1000 || settled < 1000 {
-		t.Errorf("%d orders were taken and %d settled: it proves little", taken, settled)
+	t.Logf("%d orders taken, %d settled", accepted, settled)
+	if accepted < 1000 || settled < 1000 {
+		t.Errorf("%d orders were taken and %d settled: it proves little", accepted, settled)
 	}
 }
 
@@ -269,25 +269,25 @@
 
 // Each checker sees the defect that it is there for.
 func TestInjectedOrderMutationsAreDetected(t *testing.T) {
-	const seedsMost = 60
-	for plant, c := range map[mutation]struct {
+	const maxSeeds = 60
+	for injected, expected := range map[mutation]struct {
 		rule string
-		run  func(seed int64, plant mutation) *orderModel
+		run  func(seed int64, injected mutation) *orderModel
 	}{
 		mutationNoExpectedCount: {"LIMIT", randomWalk}, mutationIgnoreLease: {"ONE", randomWalk}, mutationOldEpoch: {"ONE", randomWalk},
 		mutationIgnoreStoreWindow: {"CEILING", storeLoadStress}, mutationLostResults: {"LOST", randomWalk}, mutationDelayedWithoutCount: {"FENCE", randomWalk},
 	} {
-		t.Run(string(plant), func(t *testing.T) {
-			for seed := range int64(seedsMost) {
-				if m := c.run(seed, plant); m.violation != "" {
+		t.Run(string(injected), func(t *testing.T) {
+			for seed := range int64(maxSeeds) {
+				if m := expected.run(seed, injected); m.violation != "" {
 					t.Logf("seed %d: %s", seed, m.violation)
-					if !strings.HasPrefix(m.violation, c.rule+":") {
-						t.Errorf("%s was to be broken first", c.rule)
+					if !strings.HasPrefix(m.violation, expected.rule+":") {
+						t.Errorf("%s was to be broken first", expected.rule)
 					}
 					return
 				}
 			}
-			t.Errorf("%d seeds did not show it", seedsMost)
+			t.Errorf("%d seeds did not show it", maxSeeds)
 		})
 	}
 }
--- a/internal/controlplane/controller/orders_model_test.go
+++ b/internal/controlplane/controller/orders_model_test.go
@@ -144,13 +144,13 @@
 	settledCount    int
 }
 
-func newOrderModel(choose func(n int) int, setting modelConfig) *orderModel {
-	m := &orderModel{modelConfig: setting, choose: choose, nowUs: clock.Sec, state: statemachine.NewState(), replicas: map[string]*modelReplica{}, previousHead: -1}
-	m.apply(statemachine.Change{ID: "configuration", Config: &statemachine.ConfigChange{Version: 1, Doc: modelDeclaration(setting.loadMs)}})
+func newOrderModel(choose func(n int) int, config modelConfig) *orderModel {
+	m := &orderModel{modelConfig: config, choose: choose, nowUs: clock.Sec, state: statemachine.NewState(), replicas: map[string]*modelReplica{}, previousHead: -1}
+	m.apply(statemachine.Change{ID: "configuration", Config: &statemachine.ConfigChange{Version: 1, Doc: modelDeclaration(config.loadMs)}})
 	for i := range m.controlNodes {
 		m.restartControlNode(i)
 	}
-	for i := range setting.replicaCount {
+	for i := range config.replicaCount {
 		m.startReplica(fmt.Sprint("address", i), map[string]bool{})
 	}
 	m.advance(modelLeaseUs + clock.Sec)
@@ -278,14 +278,14 @@
 }
 
 // ask brings a replica's report: its state of a little while ago.
-func (m *orderModel) requestReport(i int, ask ReportRequest) {
+func (m *orderModel) requestReport(i int, request ReportRequest) {
 	from := m.controlNodes[i].controller
 	m.schedule(modelTickUs, func() {
-		report := ReplicaReport{RequestedUs: ask.RequestedUs, Replica: ask.Replica, Addr: ask.Addr}
-		r := m.replicaAt(ask.Addr)
+		report := ReplicaReport{RequestedUs: request.RequestedUs, Replica: request.Replica, Addr: request.Addr}
+		r := m.replicaAt(request.Addr)
 		if lost := r != nil && m.mutation == faultMissingReports && r.addr == "address0"; r != nil && !lost {
 			state := r.report(m.nowUs - modelReportLagUs)
-			state.ID, state.Incarnation = ask.Replica, ask.Replica
+			state.ID, state.Incarnation = request.Replica, request.Replica
 			report.State = &state
 		}
 		m.schedule(modelTickUs, func() { m.reply(i, from, report) })
--- a/internal/controlplane/controller/routed_test.go
+++ b/internal/controlplane/controller/routed_test.go
@@ -150,13 +150,13 @@
 				}
 			})
 		case ReportRequest:
-			ask := e
+			request := e
 			f.schedule(1+f.rand.Int63n(20*clock.Ms), func() {
-				report := ReplicaReport{RequestedUs: ask.RequestedUs, Replica: ask.Replica, Addr: ask.Addr}
-				if m := f.replicas[ask.Replica]; m != nil && f.rand.Intn(100) >= f.lossPercent {
+				report := ReplicaReport{RequestedUs: request.RequestedUs, Replica: request.Replica, Addr: request.Addr}
+				if m := f.replicas[request.Replica]; m != nil && f.rand.Intn(100) >= f.lossPercent {
 					report.State = &wire.ReplicaState{ID: m.id, Incarnation: m.id, Busy: m.current.Unit != "", Orders: m.ordersAccepted, Units: m.units()}
-					for n := range f.orders[ask.Replica] {
-						f.orders[ask.Replica][n].reportRequested = true
+					for n := range f.orders[request.Replica] {
+						f.orders[request.Replica][n].reportRequested = true
 					}
 				}
 				back(report)
--- a/internal/controlplane/controller/status_test.go
+++ b/internal/controlplane/controller/status_test.go
@@ -15,20 +15,20 @@
 	for range 60 {
 		f.reportDemand(map[string]int{"m1": 2, "m2/a1": 1}, map[string]float64{"m1": 4, "m2": 8, "m3": 1, "m5": 2})
 		f.advance(100 * clock.Ms)
-		n := status(f.head)
-		if n == nil || n.Leader != f.state.Leader || n.Epoch != f.state.Epoch || len(n.Orders) != len(f.state.Pending) || len(n.Store) != 1 {
-			t.Fatalf("%+v of holder %s, epoch %d, pending %v", n, f.state.Leader, f.state.Epoch, f.state.Pending)
+		got := status(f.head)
+		if got == nil || got.Leader != f.state.Leader || got.Epoch != f.state.Epoch || len(got.Orders) != len(f.state.Pending) || len(got.Store) != 1 {
+			t.Fatalf("%+v of holder %s, epoch %d, pending %v", got, f.state.Leader, f.state.Epoch, f.state.Pending)
 		}
-		store := n.Store[0]
+		store := got.Store[0]
 		if left := f.controllers[f.head].routed.store.loadsLeft(f.nowUs, f.state, f.state.Doc.Service("s")); store.LoadsLeft != left || store.LoadsLeft+store.RunningLoads > store.MaxConcurrentLoads || store.WindowMs != 5000 {
 			t.Fatalf("%+v, it gives %d", store, left)
 		}
-		for _, o := range n.Orders {
+		for _, o := range got.Orders {
 			if o.Answer != "" && o.SentAgoMs < 0 {
 				t.Fatalf("%+v was answered before it was sent", o)
 			}
 		}
-		orders, began = orders+len(n.Orders), max(began, store.RecentLoads)
+		orders, began = orders+len(got.Orders), max(began, store.RecentLoads)
 	}
 	if n := status(f.head); n.Demand["m2"].Rate <= n.Demand["m3"].Rate || n.OrderDelayMs != 0 {
 		t.Errorf("%+v", n)
--- a/internal/controlplane/controller/takeover_test.go
+++ b/internal/controlplane/controller/takeover_test.go
@@ -11,10 +11,10 @@
 )
 
 // ordersSince counts the replicas that a holder has ordered since a moment, and says when the first was.
-func (f *fleet) ordersSince(us int64, holder string) (n int, firstUs int64) {
+func (f *fleet) ordersSince(sinceUs int64, leader string) (n int, firstUs int64) {
 	for id := range f.replicas {
 		for _, o := range f.orders["at "+id] {
-			if o.leader == holder && o.atUs >= us {
+			if o.leader == leader && o.atUs >= sinceUs {
 				n++
 				if firstUs == 0 || o.atUs < firstUs {
 					firstUs = o.atUs
