--- a/internal/dataplane/scheduling/admission_test.go
+++ b/internal/dataplane/scheduling/admission_test.go
@@ -12,25 +12,25 @@
 
 // attemptSamples are attempts for one model that started at fromUs, a hundred ms apart, of which some had a first piece after
 // firstMs, and the others none.
-func attemptSamples(fromUs int64, firstMs ...int64) []attemptSample {
-	all := []attemptSample{}
-	for i, ms := range firstMs {
+func attemptSamples(fromUs int64, firstByteMs ...int64) []attemptSample {
+	samples := []attemptSample{}
+	for i, ms := range firstByteMs {
 		atUs := fromUs + int64(i)*100*clock.Ms
 		c := &Call{ArrivedUs: atUs}
 		if ms > 0 {
 			c.FirstByteUs.Store(atUs + ms*clock.Ms)
 		}
-		all = append(all, attemptSample{call: c, startUs: atUs, targetUs: 320 * clock.Ms})
+		samples = append(samples, attemptSample{call: c, startUs: atUs, targetUs: 320 * clock.Ms})
 	}
-	return all
+	return samples
 }
 
 func TestRejectFractionFollowsLateAttempts(t *testing.T) {
 	nowUs := 10 * clock.Sec
 	startUs := nowUs - 1800*clock.Ms
-	for name, row := range map[string]struct {
-		all         []attemptSample
-		least, most float64
+	for name, c := range map[string]struct {
+		samples                  []attemptSample
+		minFraction, maxFraction float64
 	}{
 		"nothing is known":                      {nil, 0, 0},
 		"all are in time":                       {attemptSamples(startUs, 100, 200, 300, 310), 0, 0},
@@ -44,12 +44,12 @@
 		"what was late was late some while ago": {attemptSamples(nowUs-8*clock.Sec, 900, 900, 900, 900, 900), 0, 0},
 	} {
 		a := newAdmission()
-		a.recent["s|m"] = row.all
-		if part := a.rejectFraction("s|m", nowUs); part < row.least || part > row.most {
-			t.Errorf("%s: %.3f is refused, want %.2f to %.2f", name, part, row.least, row.most)
+		a.recent["s|m"] = c.samples
+		if fraction := a.rejectFraction("s|m", nowUs); fraction < c.minFraction || fraction > c.maxFraction {
+			t.Errorf("%s: %.3f is refused, want %.2f to %.2f", name, fraction, c.minFraction, c.maxFraction)
 		}
-		if part := a.rejectFraction("s|other", nowUs); part != 0 {
-			t.Errorf("%s: %.3f of another model's calls are refused", name, part)
+		if fraction := a.rejectFraction("s|other", nowUs); fraction != 0 {
+			t.Errorf("%s: %.3f of another model's calls are refused", name, fraction)
 		}
 	}
 }
@@ -57,50 +57,50 @@
 // Demand for one model rises to three times what its replicas do, for twelve seconds. With refusals what the replicas
 // do is done in time; without, nearly every call is late.
 func TestAdmissionKeepsCallsOnTimeUnderOverload(t *testing.T) {
-	inTime := map[bool]float64{}
-	for _, refuses := range []bool{true, false} {
+	onTimeFraction := map[bool]float64{}
+	for _, rejects := range []bool{true, false} {
 		a := newAdmission()
 		r := &RoutedCall{Route: &configuration.Route{LatencyTargetMs: 800}, Service: "s"}
-		served, good, offered := 0, 0, 0
+		admitted, onTime, offered := 0, 0, 0
 		freeUs := int64(0)
-		due := []*Call{}
+		pending := []*Call{}
 		for nowUs := int64(0); nowUs < 12*clock.Sec; nowUs += 10 * clock.Ms {
-			for len(due) > 0 && due[0].Progress.Load() <= nowUs {
-				due[0].FirstByteUs.Store(due[0].Progress.Load())
-				due = due[1:]
+			for len(pending) > 0 && pending[0].Progress.Load() <= nowUs {
+				pending[0].FirstByteUs.Store(pending[0].Progress.Load())
+				pending = pending[1:]
 			}
 			if nowUs%(30*clock.Ms) != 0 {
 				continue
 			}
 			offered++
 			c := &Call{Model: "m", ArrivedUs: nowUs, Routed: r}
-			if draw := float64(mixHash(uint64(offered))%hashBuckets) / hashBuckets; refuses && draw < a.rejectFraction("s|m", nowUs) {
+			if draw := float64(mixHash(uint64(offered))%hashBuckets) / hashBuckets; rejects && draw < a.rejectFraction("s|m", nowUs) {
 				continue
 			}
 			a.attemptStarted(c, nowUs)
 			freeUs = max(freeUs, nowUs) + 90*clock.Ms
 			c.Progress.Store(freeUs)
-			due = append(due, c)
-			served++
+			pending = append(pending, c)
+			admitted++
 			if freeUs-nowUs <= 800*clock.Ms {
-				good++
+				onTime++
 			}
 		}
-		inTime[refuses] = float64(good) / float64(offered)
-		t.Logf("refuses: %v; %d offered, %d let in, %d in time", refuses, offered, served, good)
+		onTimeFraction[rejects] = float64(onTime) / float64(offered)
+		t.Logf("refuses: %v; %d offered, %d let in, %d in time", rejects, offered, admitted, onTime)
 	}
-	if inTime[true] < 2*inTime[false] || inTime[true] < 0.1 {
-		t.Errorf("%.3f in time with refusals, %.3f without", inTime[true], inTime[false])
+	if onTimeFraction[true] < 2*onTimeFraction[false] || onTimeFraction[true] < 0.1 {
+		t.Errorf("%.3f in time with refusals, %.3f without", onTimeFraction[true], onTimeFraction[false])
 	}
 }
 
 // newSlowModelHarness is a gateway whose calls for a model that two replicas hold have had no first piece for 1.5 s.
 func newSlowModelHarness(disable ...feature.Gate) *harness {
-	rows := replicaUpdates("engine", "r1", "r2")
-	for i := range rows {
-		rows[i].Slots = 200
+	updates := replicaUpdates("engine", "r1", "r2")
+	for i := range updates {
+		updates[i].Slots = 200
 	}
-	h := newHarness(Options{Disable: disable}, newRoutedSnapshot(declarationWithTarget(1000, 2000), 1, rows...))
+	h := newHarness(Options{Disable: disable}, newRoutedSnapshot(declarationWithTarget(1000, 2000), 1, updates...))
 	for i := range 20 {
 		h.sendCallWithTimeout(fmt.Sprint("slow", i), "m", 5000)
 	}
@@ -110,7 +110,7 @@
 
 func TestOverloadRejectsCallsForSlowModelWithRetryAfter(t *testing.T) {
 	h := newSlowModelHarness()
-	refused := 0
+	rejected := 0
 	for i := range 100 {
 		id := fmt.Sprint("new", i)
 		h.sendCallWithTimeout(id, "m", 5000)
@@ -118,7 +118,7 @@
 		if e == nil {
 			continue
 		}
-		refused++
+		rejected++
 		if asCallFailed(e) == nil || asCallFailed(e).Fault.Run != fault.RunNone || asCallFailed(e).Fault.Code != fault.Overloaded {
 			t.Fatalf("%s: %+v", id, e)
 		}
@@ -126,8 +126,8 @@
 			t.Errorf("%s is to come back after %d ms", id, ms)
 		}
 	}
-	if refused < 60 || refused == 100 {
-		t.Errorf("%d of 100 are refused", refused)
+	if rejected < 60 || rejected == 100 {
+		t.Errorf("%d of 100 are refused", rejected)
 	}
 	for i := range 20 {
 		id := fmt.Sprint("again", i)
--- a/internal/dataplane/scheduling/deadline_test.go
+++ b/internal/dataplane/scheduling/deadline_test.go
@@ -13,9 +13,9 @@
 func TestAttemptsOfCallShareOneDeadline(t *testing.T) {
 	const timeoutMs, pauseUs = 20_000, 700 * clock.Ms
 	for _, clientMs := range []int64{0, 1500, timeoutMs - 1, timeoutMs, 90_000} {
-		for _, repeat := range []configuration.RetryClass{configuration.Idempotent, configuration.NonIdempotent, configuration.Streaming} {
-			name := fmt.Sprintf("%s, the client waits %d ms", repeat, clientMs)
-			h := newHarness(Options{}, newRoutedSnapshot(routedDeclaration(routeSpec{"r", repeat, 3, onlyService("s"), false}), 1, replicaUpdates("s", "r1", "r2", "r3")...))
+		for _, retryClass := range []configuration.RetryClass{configuration.Idempotent, configuration.NonIdempotent, configuration.Streaming} {
+			name := fmt.Sprintf("%s, the client waits %d ms", retryClass, clientMs)
+			h := newHarness(Options{}, newRoutedSnapshot(routedDeclaration(routeSpec{"r", retryClass, 3, onlyService("s"), false}), 1, replicaUpdates("s", "r1", "r2", "r3")...))
 			wantUs := h.nowUs + timeoutMs*clock.Ms
 			if clientMs > 0 {
 				wantUs = min(wantUs, h.nowUs+clientMs*clock.Ms)
@@ -41,9 +41,9 @@
 // A call that nobody takes is refused as its time is up, and no later.
 func TestQueuedCallExpiresAtRouteTimeout(t *testing.T) {
 	const timeoutMs = 20_000
-	row := replicaUpdates("s", "r1")
-	row[0].Unreachable = true
-	h := newHarness(Options{}, newRoutedSnapshot(routedDeclaration(routeSpec{"r", configuration.Streaming, 3, onlyService("s"), true}), 1, row...))
+	update := replicaUpdates("s", "r1")
+	update[0].Unreachable = true
+	h := newHarness(Options{}, newRoutedSnapshot(routedDeclaration(routeSpec{"r", configuration.Streaming, 3, onlyService("s"), true}), 1, update...))
 	h.step(CallArrived{Call: &Call{ID: "c", Kind: "r", TimeoutMs: 90_000, Routed: &RoutedCall{PromptTokens: 100}}})
 	if h.advance(timeoutMs*clock.Ms - 1); h.final["c"] != nil {
 		t.Fatalf("answered before its time: %+v", h.final["c"])
--- a/internal/dataplane/scheduling/decider_test.go
+++ b/internal/dataplane/scheduling/decider_test.go
@@ -114,35 +114,35 @@
 		st := running[0]
 		running = append(running[1:], attemptStarts(d.Step(now, AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: OutcomeDone}))...)
 	}
-	soon := declaredCall(99, "fixes")
-	soon.TimeoutMs = 1000
-	effects := d.Step(now, CallArrived{Call: soon})
+	shortTimeout := declaredCall(99, "fixes")
+	shortTimeout.TimeoutMs = 1000
+	effects := d.Step(now, CallArrived{Call: shortTimeout})
 	if len(effects) != 1 || asCallFailed(effects[0]) == nil || asCallFailed(effects[0]).Fault.Code != fault.Overloaded || asCallFailed(effects[0]).Fault.RetryMs <= 0 {
 		t.Fatalf("%+v", effects)
 	}
-	later := declaredCall(100, "fixes")
-	if effects := d.Step(now, CallArrived{Call: later}); len(effects) != 0 {
+	longTimeout := declaredCall(100, "fixes")
+	if effects := d.Step(now, CallArrived{Call: longTimeout}); len(effects) != 0 {
 		t.Fatalf("one with time was not kept waiting: %+v", effects)
 	}
 }
 
 func TestNonResumableCallIsRetriedOnlyAfterOutcomeThatRuledOutExecution(t *testing.T) {
 	for _, c := range []struct {
-		kind   string
-		ending Outcome
-		again  bool
+		kind      string
+		outcome   Outcome
+		wantRetry bool
 	}{
 		{"letters", OutcomeUnknown, false}, {"letters", OutcomeBroken, false}, {"letters", OutcomeUnsent, true}, {"letters", OutcomeRejected, true},
 		{"pages", OutcomeUnknown, true}, {"pages", OutcomeBroken, true}, {"pages", OutcomeMigrated, true}, {"pages", OutcomeTimedOut, false},
 	} {
 		d := newLeasedDecider(2, 10)
 		st := attemptStarts(d.Step(2, CallArrived{Call: declaredCall(1, c.kind)}))[0]
-		more := attemptStarts(d.Step(3, AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: c.ending}))
-		if len(more) > 0 != c.again {
-			t.Errorf("%s after %s: %d more attempts", c.kind, c.ending, len(more))
+		retries := attemptStarts(d.Step(3, AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: c.outcome}))
+		if len(retries) > 0 != c.wantRetry {
+			t.Errorf("%s after %s: %d more attempts", c.kind, c.outcome, len(retries))
 		}
-		if c.again && (more[0].Attempt == st.Attempt || more[0].Replica == st.Replica && c.ending == OutcomeRejected) {
-			t.Errorf("%s after %s went back as %s", c.kind, c.ending, more[0].Attempt)
+		if c.wantRetry && (retries[0].Attempt == st.Attempt || retries[0].Replica == st.Replica && c.outcome == OutcomeRejected) {
+			t.Errorf("%s after %s went back as %s", c.kind, c.outcome, retries[0].Attempt)
 		}
 	}
 }
@@ -191,21 +191,21 @@
 	if len(calls) < 2 {
 		t.Skip("too few went to r1")
 	}
-	n := int64(0)
-	var most string
+	progress := int64(0)
+	var wantID string
 	for id, c := range calls {
-		n += 5
-		c.Progress.Store(n)
-		most = id
+		progress += 5
+		c.Progress.Store(progress)
+		wantID = id
 	}
-	cancelled := []string{}
+	canceled := []string{}
 	for _, e := range d.Step(3, SnapshotReceived{Snapshot: declaredSnapshot(2, 3, func(n *wire.GatewayUpdate) { n.Replicas[0].Draining = true; n.Replicas[1].MaxInFlight = 1 })}) {
 		if canceledCallID(e) != "" {
-			cancelled = append(cancelled, canceledCallID(e))
+			canceled = append(canceled, canceledCallID(e))
 		}
 	}
-	if len(cancelled) != 1 || cancelled[0] != most {
-		t.Fatalf("moved %v, want just %s", cancelled, most)
+	if len(canceled) != 1 || canceled[0] != wantID {
+		t.Fatalf("moved %v, want just %s", canceled, wantID)
 	}
 }
 
@@ -234,17 +234,17 @@
 
 func TestCallsWithSharedPrefixGoToSameReplica(t *testing.T) {
 	d := newLeasedDecider(8, 100)
-	with := func(i int, prefix ...string) string {
+	replicaFor := func(i int, prefix ...string) string {
 		c := declaredCall(i, "fixes")
 		c.Prefix = prefix
 		return attemptStarts(d.Step(2, CallArrived{Call: c}))[0].Replica
 	}
-	first := with(1, "house", "school 1")
-	other := with(2, "house 2", "school 2")
+	first := replicaFor(1, "house", "school 1")
+	other := replicaFor(2, "house 2", "school 2")
 	if first == other {
 		t.Fatal("two strangers on one replica while the other is idle")
 	}
-	if got := with(3, "house", "school 1"); got != first {
+	if got := replicaFor(3, "house", "school 1"); got != first {
 		t.Fatalf("a shared prefix went to %s", got)
 	}
 }
@@ -254,7 +254,7 @@
 	adapters := []configuration.Adapter{{Name: "a", Model: "m"}}
 	for name, c := range map[string]struct {
 		edit func(*wire.GatewayUpdate)
-		code fault.Code
+		want fault.Code
 	}{
 		"kind taken out":          {func(n *wire.GatewayUpdate) { n.Declaration.Kinds = n.Declaration.Kinds[:1] }, fault.UnknownKind},
 		"model taken out":         {func(n *wire.GatewayUpdate) { n.Declaration.Models = n.Declaration.Models[1:] }, fault.UnknownModel},
@@ -263,7 +263,7 @@
 		"shorter deadline":        {func(n *wire.GatewayUpdate) { n.Declaration.Kinds[2].DeadlineMs = 100 }, fault.Expired},
 		"nothing that touches it": {func(n *wire.GatewayUpdate) { n.Declaration.Kinds[0].DeadlineMs = 100 }, ""},
 	} {
-		with := func(number uint64, edit func(*wire.GatewayUpdate)) *Snapshot {
+		withAdapters := func(number uint64, edit func(*wire.GatewayUpdate)) *Snapshot {
 			return declaredSnapshot(number, 0, func(n *wire.GatewayUpdate) {
 				n.Declaration.Adapters = append([]configuration.Adapter(nil), adapters...)
 				if edit != nil {
@@ -272,31 +272,31 @@
 			})
 		}
 		d := New(Options{Gateway: "d", QueueMax: 10})
-		d.Step(1, SnapshotReceived{Snapshot: with(1, nil)})
-		waits := declaredCall(1, "fixes")
-		waits.Adapter = "a"
-		d.Step(1, CallArrived{Call: waits})
+		d.Step(1, SnapshotReceived{Snapshot: withAdapters(1, nil)})
+		queued := declaredCall(1, "fixes")
+		queued.Adapter = "a"
+		d.Step(1, CallArrived{Call: queued})
 		var got fault.Code
-		for _, e := range d.Step(200*clock.Ms, SnapshotReceived{Snapshot: with(2, c.edit)}) {
+		for _, e := range d.Step(200*clock.Ms, SnapshotReceived{Snapshot: withAdapters(2, c.edit)}) {
 			got = asCallFailed(e).Fault.Code
 		}
-		if got != c.code {
-			t.Errorf("%s: given %q, want %q", name, got, c.code)
+		if got != c.want {
+			t.Errorf("%s: given %q, want %q", name, got, c.want)
 		}
-		late := declaredCall(2, "fixes")
-		late.Adapter, late.ArrivedUs = "a", 1
+		arriving := declaredCall(2, "fixes")
+		arriving.Adapter, arriving.ArrivedUs = "a", 1
 		got = ""
-		for _, e := range d.Step(200*clock.Ms, CallArrived{Call: late}) {
+		for _, e := range d.Step(200*clock.Ms, CallArrived{Call: arriving}) {
 			got = asCallFailed(e).Fault.Code
 		}
-		if got != c.code {
-			t.Errorf("%s: a call read under the older news and come after the newer is given %q, want %q", name, got, c.code)
+		if got != c.want {
+			t.Errorf("%s: a call read under the older news and come after the newer is given %q, want %q", name, got, c.want)
 		}
 	}
 }
 
 func TestQueuedCallsFollowChangedUrgencyOfKind(t *testing.T) {
-	swap := func(n *wire.GatewayUpdate) { n.Declaration.Kinds[1].Urgency, n.Declaration.Kinds[2].Urgency = 9, 1 }
+	swapUrgencies := func(n *wire.GatewayUpdate) { n.Declaration.Kinds[1].Urgency, n.Declaration.Kinds[2].Urgency = 9, 1 }
 	d := New(Options{Gateway: "d", Incarnation: "i", QueueMax: 100})
 	d.Step(1, SnapshotReceived{Snapshot: declaredSnapshot(1, 0, nil)})
 	d.Step(1, LeaseExtended{UntilUs: 100 * clock.Sec})
@@ -305,7 +305,7 @@
 		d.Step(2, CallArrived{Call: declaredCall(i, "letters")})
 	}
 	served := map[string]int{}
-	for _, st := range attemptStarts(d.Step(3, SnapshotReceived{Snapshot: declaredSnapshot(2, 10, swap)})) {
+	for _, st := range attemptStarts(d.Step(3, SnapshotReceived{Snapshot: declaredSnapshot(2, 10, swapUrgencies)})) {
 		served[st.Call.Kind]++
 	}
 	if served["letters"] < 4*served["fixes"] {
@@ -315,19 +315,19 @@
 
 // A kind that may no longer be resumed: what ran once does not run again, and is never called not run.
 func TestCallIsNotRetriedOnceItsKindIsNoLongerResumable(t *testing.T) {
-	never := func(n *wire.GatewayUpdate) { n.Declaration.Kinds[0].Resumable = false }
-	for name, order := range map[string][]bool{"while it runs": {true, false}, "while it waits again": {false, true}} {
+	notResumable := func(n *wire.GatewayUpdate) { n.Declaration.Kinds[0].Resumable = false }
+	for name, changes := range map[string][]bool{"while it runs": {true, false}, "while it waits again": {false, true}} {
 		d := newLeasedDecider(2, 10)
 		c := declaredCall(1, "pages")
 		st := attemptStarts(d.Step(2, CallArrived{Call: c}))[0]
 		var effects []Effect
-		for i, change := range order {
+		for i, change := range changes {
 			if change {
 				share := 2
-				effects = append(effects, d.Step(int64(3+i), SnapshotReceived{Snapshot: declaredSnapshot(9, share, never)})...)
+				effects = append(effects, d.Step(int64(3+i), SnapshotReceived{Snapshot: declaredSnapshot(9, share, notResumable)})...)
 				continue
 			}
-			if !order[0] {
+			if !changes[0] {
 				d.Step(3, SnapshotReceived{Snapshot: declaredSnapshot(2, 0, nil)})
 			}
 			effects = append(effects, d.Step(int64(3+i), AttemptEnded{Call: c.ID, Attempt: st.Attempt, Outcome: OutcomeUnknown})...)
@@ -390,12 +390,12 @@
 		d.Step(5, CallArrived{Call: declaredCall(i, "fixes")})
 	}
 	seen := map[int64]int{}
-	var leastMs, mostMs int64 = 1 << 40, 0
+	var minMs, maxMs int64 = 1 << 40, 0
 	for _, e := range d.Step(60*clock.Sec, Tick{}) {
 		seen[asCallFailed(e).Fault.RetryMs]++
-		leastMs, mostMs = min(leastMs, asCallFailed(e).Fault.RetryMs), max(mostMs, asCallFailed(e).Fault.RetryMs)
+		minMs, maxMs = min(minMs, asCallFailed(e).Fault.RetryMs), max(maxMs, asCallFailed(e).Fault.RetryMs)
 	}
-	if len(seen) < 100 || leastMs <= 0 || mostMs < 2*leastMs {
-		t.Fatalf("200 calls come back at %d times from %d to %d ms", len(seen), leastMs, mostMs)
+	if len(seen) < 100 || minMs <= 0 || maxMs < 2*minMs {
+		t.Fatalf("200 calls come back at %d times from %d to %d ms", len(seen), minMs, maxMs)
 	}
 }
--- a/internal/dataplane/scheduling/golden_test.go
+++ b/internal/dataplane/scheduling/golden_test.go
@@ -104,14 +104,14 @@
 			if r.Intn(8) == 0 {
 				continue
 			}
-			n := wire.ReplicaUpdate{ID: fmt.Sprint("r", i), Service: []string{"engine", "s"}[i%2], Zone: []string{"a", "b"}[i/2%2], Incarnation: fmt.Sprint("i", i), Addr: fmt.Sprint("addr", i), Draining: r.Intn(9) == 0, Unreachable: r.Intn(9) == 0, Slots: r.Intn(4)}
-			n.Loaded = [][]string{{"m"}, {"m", "n"}, {"m", "m/x", "n"}, {}}[r.Intn(4)]
-			n.Loading, n.Unloading = []string{"", "", "m", "n"}[r.Intn(4)], []string{"", "", "", "m", "m/x"}[r.Intn(5)]
-			s.Replicas[n.ID] = &n
-			s.IDs = append(s.IDs, n.ID)
-			s.ByService[n.Service] = append(s.ByService[n.Service], &n)
+			update := wire.ReplicaUpdate{ID: fmt.Sprint("r", i), Service: []string{"engine", "s"}[i%2], Zone: []string{"a", "b"}[i/2%2], Incarnation: fmt.Sprint("i", i), Addr: fmt.Sprint("addr", i), Draining: r.Intn(9) == 0, Unreachable: r.Intn(9) == 0, Slots: r.Intn(4)}
+			update.Loaded = [][]string{{"m"}, {"m", "n"}, {"m", "m/x", "n"}, {}}[r.Intn(4)]
+			update.Loading, update.Unloading = []string{"", "", "m", "n"}[r.Intn(4)], []string{"", "", "", "m", "m/x"}[r.Intn(5)]
+			s.Replicas[update.ID] = &update
+			s.IDs = append(s.IDs, update.ID)
+			s.ByService[update.Service] = append(s.ByService[update.Service], &update)
 			if r.Intn(7) == 0 {
-				s.Verdicts[n.ID] = outlier.Verdict{Replica: n.ID, AllowedPercent: []int{0, 12, 40}[r.Intn(3)], Dead: r.Intn(4) == 0}
+				s.Verdicts[update.ID] = outlier.Verdict{Replica: update.ID, AllowedPercent: []int{0, 12, 40}[r.Intn(3)], Dead: r.Intn(4) == 0}
 			}
 		}
 		return s
@@ -120,33 +120,33 @@
 
 func declaredSnapshotGenerator(r *rand.Rand) func() *Snapshot {
 	number := uint64(0)
-	var last *Snapshot
+	var previous *Snapshot
 	return func() *Snapshot {
 		number++
-		n := wire.GatewayUpdate{Number: number, Revision: 1 + number/8, Declaration: &configuration.Declaration{
+		update := wire.GatewayUpdate{Number: number, Revision: 1 + number/8, Declaration: &configuration.Declaration{
 			Zones:  []string{"a", "b"},
 			Kinds:  []configuration.Kind{{Name: "a", Urgency: 2, Resumable: r.Intn(5) > 0, DeadlineMs: 3000}, {Name: "b", Urgency: 5, Resumable: r.Intn(2) == 0, DeadlineMs: 6000}},
 			Models: []configuration.Model{{Name: "m"}, {Name: "n"}}, Adapters: []configuration.Adapter{{Name: "x", Model: "m"}},
 		}}
 		if r.Intn(8) > 0 {
-			n.Declaration.Kinds = append(n.Declaration.Kinds, configuration.Kind{Name: "c", Urgency: 9, DeadlineMs: 4000})
+			update.Declaration.Kinds = append(update.Declaration.Kinds, configuration.Kind{Name: "c", Urgency: 9, DeadlineMs: 4000})
 		}
-		if last != nil && r.Intn(2) == 0 {
-			n.Declaration = nil
+		if previous != nil && r.Intn(2) == 0 {
+			update.Declaration = nil
 		}
 		for i := range 5 {
 			if r.Intn(8) == 0 {
 				continue
 			}
 			id := fmt.Sprint("r", i)
-			n.Replicas = append(n.Replicas, wire.ReplicaUpdate{ID: id, Incarnation: "i", Addr: id, Zone: []string{"a", "b"}[i%2], Loaded: [][]string{{"m"}, {"m", "n", "x"}}[r.Intn(2)], MaxInFlight: 1 + r.Intn(3), Draining: r.Intn(6) == 0, Unreachable: r.Intn(9) == 0})
+			update.Replicas = append(update.Replicas, wire.ReplicaUpdate{ID: id, Incarnation: "i", Addr: id, Zone: []string{"a", "b"}[i%2], Loaded: [][]string{{"m"}, {"m", "n", "x"}}[r.Intn(2)], MaxInFlight: 1 + r.Intn(3), Draining: r.Intn(6) == 0, Unreachable: r.Intn(9) == 0})
 			for _, model := range []string{"m", "n"} {
-				ticket := 1 + number/4
-				n.Grants = append(n.Grants, wire.Grant{Number: ticket, Replica: id, Incarnation: "i", Model: model, From: ticket * 100, To: ticket*100 + 30})
+				grantNumber := 1 + number/4
+				update.Grants = append(update.Grants, wire.Grant{Number: grantNumber, Replica: id, Incarnation: "i", Model: model, From: grantNumber * 100, To: grantNumber*100 + 30})
 			}
 		}
-		last = NewSnapshot(last, n, int64(number))
-		return last
+		previous = NewSnapshot(previous, update, int64(number))
+		return previous
 	}
 }
 
--- a/internal/dataplane/scheduling/load_estimate_test.go
+++ b/internal/dataplane/scheduling/load_estimate_test.go
@@ -36,9 +36,9 @@
 }
 
 func loadingReplicas(unit string) []wire.ReplicaUpdate {
-	rows := replicaUpdates("engine", "r1")
-	rows[0].Loading = unit
-	return rows
+	updates := replicaUpdates("engine", "r1")
+	updates[0].Loading = unit
+	return updates
 }
 
 func TestEarlyRefusalRejectsFirstTryAndStillReportsItsDemand(t *testing.T) {
@@ -65,9 +65,9 @@
 	if h.final["again"] != nil {
 		t.Fatalf("a call that came back is sent back once more: %+v", asCallFailed(h.final["again"]))
 	}
-	held := replicaUpdates("engine", "r1")
-	held[0].Loaded = []string{"m", "n"}
-	h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(doc, 1, held...)})
+	loaded := replicaUpdates("engine", "r1")
+	loaded[0].Loaded = []string{"m", "n"}
+	h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(doc, 1, loaded...)})
 	if len(h.attempts["again"]) != 1 {
 		t.Error("a call that came back was not sent once its model was there")
 	}
@@ -81,9 +81,9 @@
 	if h.final["c"] != nil {
 		t.Fatalf("it is refused though its model comes in time: %+v", asCallFailed(h.final["c"]))
 	}
-	held := replicaUpdates("engine", "r1")
-	held[0].Loaded = []string{"m", "n"}
-	h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(doc, 1, held...)})
+	loaded := replicaUpdates("engine", "r1")
+	loaded[0].Loaded = []string{"m", "n"}
+	h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(doc, 1, loaded...)})
 	if len(h.attempts["c"]) != 1 {
 		t.Error("it was not sent once its model was there")
 	}
@@ -122,14 +122,14 @@
 	factors := map[float64]bool{}
 	for range 64 {
 		p := newLoadEstimates()
-		begun := replicaUpdates("engine", "r1", "r2")
-		begun[0].Loading = "m"
-		p.observe(newRoutedSnapshot(doc, 1, begun...), clock.Ms)
-		begun[1].Loading = "n"
-		p.observe(newRoutedSnapshot(doc, 2, begun...), 900*clock.Ms)
-		held := replicaUpdates("engine", "r1", "r2")
-		held[1].Loaded = []string{"n"}
-		p.observe(newRoutedSnapshot(doc, 3, held...), 1200*clock.Ms)
+		loading := replicaUpdates("engine", "r1", "r2")
+		loading[0].Loading = "m"
+		p.observe(newRoutedSnapshot(doc, 1, loading...), clock.Ms)
+		loading[1].Loading = "n"
+		p.observe(newRoutedSnapshot(doc, 2, loading...), 900*clock.Ms)
+		loaded := replicaUpdates("engine", "r1", "r2")
+		loaded[1].Loaded = []string{"n"}
+		p.observe(newRoutedSnapshot(doc, 3, loaded...), 1200*clock.Ms)
 		factors[p.loadFactor] = true
 	}
 	if len(factors) != 1 {
--- a/internal/dataplane/scheduling/outlier_reports_test.go
+++ b/internal/dataplane/scheduling/outlier_reports_test.go
@@ -8,24 +8,24 @@
 	"petreltide/internal/process/clock"
 )
 
-func verdictsByReplica(rows ...outlier.Verdict) map[string]outlier.Verdict {
-	all := map[string]outlier.Verdict{}
-	for _, r := range rows {
-		all[r.Replica] = r
+func verdictsByReplica(verdicts ...outlier.Verdict) map[string]outlier.Verdict {
+	byReplica := map[string]outlier.Verdict{}
+	for _, v := range verdicts {
+		byReplica[v.Replica] = v
 	}
-	return all
+	return byReplica
 }
 
 func TestSelectionFollowsOutlierVerdicts(t *testing.T) {
 	doc := routedDeclaration(routeSpec{"plain", configuration.Idempotent, 2, onlyService("s"), false}, routeSpec{"model", configuration.Idempotent, 2, onlyService("engine"), false})
 	for _, c := range []struct {
-		what    string
-		route   string
-		model   string
-		at      []string
-		verdict []outlier.Verdict
-		least   int
-		most    int
+		name     string
+		route    string
+		model    string
+		replicas []string
+		verdicts []outlier.Verdict
+		minCount int
+		maxCount int
 	}{
 		{"both are well", "model", "m", []string{"r1", "r2"}, nil, 30, 170},
 		{"the other is well", "model", "m", []string{"r1", "r2"}, []outlier.Verdict{{Replica: "r1"}}, 0, 0},
@@ -38,26 +38,26 @@
 		if c.route == "model" {
 			service = "engine"
 		}
-		rows := replicaUpdates(service, c.at...)
-		for i := range rows {
-			rows[i].Slots = 1000
+		updates := replicaUpdates(service, c.replicas...)
+		for i := range updates {
+			updates[i].Slots = 1000
 		}
-		s := newRoutedSnapshot(doc, 1, rows...)
-		s.Verdicts = verdictsByReplica(c.verdict...)
+		s := newRoutedSnapshot(doc, 1, updates...)
+		s.Verdicts = verdictsByReplica(c.verdicts...)
 		h := newHarness(Options{}, s)
-		got := 0
+		count := 0
 		for i := range 200 {
 			id := "c" + itoa(uint64(i))
 			h.sendCall(id, c.route, c.model)
 			if attempts := h.attempts[id]; len(attempts) > 0 {
 				if attempts[0].Replica == "r1" {
-					got++
+					count++
 				}
 				h.endAttempt(id, OutcomeDone)
 			}
 		}
-		if got < c.least || got > c.most {
-			t.Errorf("%s: %d of 200 went to r1, want %d to %d", c.what, got, c.least, c.most)
+		if count < c.minCount || count > c.maxCount {
+			t.Errorf("%s: %d of 200 went to r1, want %d to %d", c.name, count, c.minCount, c.maxCount)
 		}
 	}
 }
@@ -80,9 +80,9 @@
 func TestReportClassifiesAttemptOutcomes(t *testing.T) {
 	doc := routedDeclaration(routeSpec{"many", configuration.Idempotent, 3, onlyService("engine"), false})
 	for _, c := range []struct {
-		what   string
-		class  outlier.Class
-		ending Outcome
+		name    string
+		class   outlier.Class
+		outcome Outcome
 		firstMs,
 		endMs int64
 		want outlier.Class
@@ -107,19 +107,19 @@
 		}
 		call.OutlierClass.Store(int32(c.class))
 		h.nowUs += c.endMs * clock.Ms
-		h.endAttempt("c", c.ending)
+		h.endAttempt("c", c.outcome)
 		rep := h.d.Report(h.nowUs)
 		got := outlier.Unclassified
 		if rep.Attempts["engine"] > 0 {
 			got = outlier.Success
 		}
 		for _, o := range rep.Outcomes {
-			for name := range o.Failures {
-				got = outlier.ParseClass(name)
+			for class := range o.Failures {
+				got = outlier.ParseClass(class)
 			}
 		}
 		if got != c.want {
-			t.Errorf("%s: told as %q, want %q", c.what, got, c.want)
+			t.Errorf("%s: told as %q, want %q", c.name, got, c.want)
 		}
 	}
 }
@@ -129,19 +129,19 @@
 	h := newHarness(Options{}, newRoutedSnapshot(routedDeclaration(routeSpec{"many", configuration.Idempotent, 3, onlyService("engine"), false}), 1, replicaUpdates("engine", "r1")...))
 	h.sendCall("c", "many", "m")
 	h.advance(clock.Sec)
-	told := 0
+	reported := 0
 	for range 3 {
 		for _, o := range h.d.Report(h.nowUs).Outcomes {
-			told += o.Failures[outlier.ResponseTimeout.String()]
+			reported += o.Failures[outlier.ResponseTimeout.String()]
 		}
 		h.advance(clock.Sec)
 	}
 	h.endAttempt("c", OutcomeUnknown)
 	for _, o := range h.d.Report(h.nowUs).Outcomes {
-		told += o.Failures[outlier.ResponseTimeout.String()]
+		reported += o.Failures[outlier.ResponseTimeout.String()]
 	}
-	if told != 1 {
-		t.Errorf("told %d times", told)
+	if reported != 1 {
+		t.Errorf("told %d times", reported)
 	}
 }
 
--- a/internal/dataplane/scheduling/retry_budget_status_test.go
+++ b/internal/dataplane/scheduling/retry_budget_status_test.go
@@ -11,10 +11,10 @@
 // What the note says is what may be sent: never more, and no less where calls ask for it.
 func TestRetryBudgetStatusMatchesEnforcedBudget(t *testing.T) {
 	doc := routedDeclaration(routeSpec{"many", configuration.Idempotent, 9, onlyService("s"), false})
-	for _, c := range []struct{ gateways, share int }{{1, 3}, {3, 3}, {5, 5}} {
+	for _, c := range []struct{ gateways, divisor int }{{1, 3}, {3, 3}, {5, 5}} {
 		h := newHarness(Options{RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 30, WindowUs: 10 * clock.Sec}}, newRoutedSnapshot(doc, c.gateways, replicaUpdates("s", "r1", "r2", "r3")...))
-		if notes := h.d.Status().Budgets; len(notes) != 0 {
-			t.Errorf("before any call: %+v", notes)
+		if statuses := h.d.Status().Budgets; len(statuses) != 0 {
+			t.Errorf("before any call: %+v", statuses)
 		}
 		for i := range 20 {
 			id := fmt.Sprint("c", i)
@@ -25,14 +25,14 @@
 				}
 			}
 		}
-		notes := h.d.Status().Budgets
-		most := int(0.8*0.2*20 + 0.8*30/float64(c.share))
-		if len(notes) != 1 || notes[0] != (RetryBudgetStatus{"s", 20, most, most, c.share}) {
-			t.Errorf("%d gateways: %+v, want %d of %d", c.gateways, notes, most, most)
+		statuses := h.d.Status().Budgets
+		maxRetries := int(0.8*0.2*20 + 0.8*30/float64(c.divisor))
+		if len(statuses) != 1 || statuses[0] != (RetryBudgetStatus{"s", 20, maxRetries, maxRetries, c.divisor}) {
+			t.Errorf("%d gateways: %+v, want %d of %d", c.gateways, statuses, maxRetries, maxRetries)
 		}
 		h.advance(21 * clock.Sec)
-		if notes = h.d.Status().Budgets; notes[0].Calls != 0 || notes[0].Retries != 0 {
-			t.Errorf("after the window: %+v", notes)
+		if statuses = h.d.Status().Budgets; statuses[0].Calls != 0 || statuses[0].Retries != 0 {
+			t.Errorf("after the window: %+v", statuses)
 		}
 	}
 	h := newHarness(Options{}, newRoutedSnapshot(doc, 1, replicaUpdates("s", "r1")...))
--- a/internal/dataplane/scheduling/tenants_test.go
+++ b/internal/dataplane/scheduling/tenants_test.go
@@ -24,12 +24,12 @@
 	s := newRoutedSnapshot(declarationWithTenants(map[string]string{"school": "k1", "club": "k2"}), 1)
 	keyless := newRoutedSnapshot(routedDeclaration(routeSpec{"own", configuration.Idempotent, 3, onlyService("s"), false}), 1)
 	for _, c := range []struct {
-		what   string
-		in     *Snapshot
-		lookup RouteLookup
-		route  string
-		tenant string
-		code   fault.Code
+		name     string
+		snapshot *Snapshot
+		lookup   RouteLookup
+		route    string
+		tenant   string
+		code     fault.Code
 	}{
 		{"its key", s, RouteLookup{Host: "h", Path: "/own/x", Key: "k1"}, "own", "school", ""},
 		{"another's key", s, RouteLookup{Host: "h", Path: "/own/x", Key: "k2"}, "own", "club", ""},
@@ -44,16 +44,16 @@
 		{"no tenants are declared", keyless, RouteLookup{Host: "h", Path: "/own/x", Key: "k1"}, "own", "", ""},
 		{"the last tenant is gone", newRoutedSnapshot(declarationWithTenants(nil), 1), RouteLookup{Host: "h", Path: "/own/x", Key: "k1"}, "", "", fault.Unauthenticated},
 	} {
-		route, tenant, bad := c.in.LookupRoute(c.lookup)
-		name, code := "", fault.Code("")
+		route, tenant, failure := c.snapshot.LookupRoute(c.lookup)
+		gotRoute, code := "", fault.Code("")
 		if route != nil {
-			name = route.Name
+			gotRoute = route.Name
 		}
-		if bad != nil {
-			code = bad.Code
+		if failure != nil {
+			code = failure.Code
 		}
-		if name != c.route || tenant != c.tenant || code != c.code {
-			t.Errorf("%s: route %q of tenant %q, %v", c.what, name, tenant, bad)
+		if gotRoute != c.route || tenant != c.tenant || code != c.code {
+			t.Errorf("%s: route %q of tenant %q, %v", c.name, gotRoute, tenant, failure)
 		}
 	}
 }
@@ -61,15 +61,15 @@
 // A tenant that was removed since its call was taken: what has not run is never sent, and is refused as not run.
 func TestCallOfRemovedTenantIsNotSent(t *testing.T) {
 	before, after := declarationWithTenants(map[string]string{"school": "k1"}), declarationWithTenants(map[string]string{"club": "k2"})
-	rows := replicaUpdates("s", "r1", "r2")
-	unreachable := append([]wire.ReplicaUpdate(nil), rows...)
+	updates := replicaUpdates("s", "r1", "r2")
+	unreachable := append([]wire.ReplicaUpdate(nil), updates...)
 	for i := range unreachable {
 		unreachable[i].Unreachable = true
 	}
-	call := func(h *harness, route string) {
+	arrive := func(h *harness, route string) {
 		h.step(CallArrived{Call: &Call{ID: "c", Kind: route, Routed: &RoutedCall{Tenant: "school"}}})
 	}
-	refused := func(t *testing.T, h *harness, run string) {
+	wantRefusal := func(t *testing.T, h *harness, run string) {
 		t.Helper()
 		if f := asCallFailed(h.final["c"]); f == nil || f.Fault.Code != fault.Unauthenticated || f.Fault.Run != run {
 			t.Errorf("%+v", h.final["c"])
@@ -77,46 +77,46 @@
 	}
 	t.Run("while it waits", func(t *testing.T) {
 		h := newHarness(Options{}, newRoutedSnapshot(before, 1, unreachable...))
-		call(h, "own")
-		h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(after, 1, rows...)})
-		refused(t, h, fault.RunNone)
+		arrive(h, "own")
+		h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(after, 1, updates...)})
+		wantRefusal(t, h, fault.RunNone)
 		if n := len(h.attempts["c"]); n > 0 {
 			t.Errorf("%d attempts", n)
 		}
 	})
 	t.Run("before it comes", func(t *testing.T) {
-		h := newHarness(Options{}, newRoutedSnapshot(after, 1, rows...))
-		call(h, "own")
-		refused(t, h, fault.RunNone)
+		h := newHarness(Options{}, newRoutedSnapshot(after, 1, updates...))
+		arrive(h, "own")
+		wantRefusal(t, h, fault.RunNone)
 	})
 	t.Run("before its first byte", func(t *testing.T) {
-		h := newHarness(Options{}, newRoutedSnapshot(before, 1, rows...))
-		call(h, "own")
+		h := newHarness(Options{}, newRoutedSnapshot(before, 1, updates...))
+		arrive(h, "own")
 		start := *h.attempts["c"][0]
-		if !start.MaySend(newRoutedSnapshot(before, 1, rows...), h.nowUs, 0) {
+		if !start.MaySend(newRoutedSnapshot(before, 1, updates...), h.nowUs, 0) {
 			t.Error("it may not be sent while its tenant is known")
 		}
-		if start.MaySend(newRoutedSnapshot(after, 1, rows...), h.nowUs, 0) {
+		if start.MaySend(newRoutedSnapshot(after, 1, updates...), h.nowUs, 0) {
 			t.Error("it may be sent")
 		}
-		h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(after, 1, rows...)})
+		h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(after, 1, updates...)})
 		h.endAttempt("c", OutcomeUnsent)
-		refused(t, h, fault.RunNone)
+		wantRefusal(t, h, fault.RunNone)
 	})
 	t.Run("after it may have run", func(t *testing.T) {
-		h := newHarness(Options{}, newRoutedSnapshot(before, 1, rows...))
-		call(h, "own")
-		h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(after, 1, rows...)})
+		h := newHarness(Options{}, newRoutedSnapshot(before, 1, updates...))
+		arrive(h, "own")
+		h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(after, 1, updates...)})
 		h.endAttempt("c", OutcomeUnknown)
-		refused(t, h, fault.RunUnknown)
+		wantRefusal(t, h, fault.RunUnknown)
 		if n := len(h.attempts["c"]); n != 1 {
 			t.Errorf("%d attempts", n)
 		}
 	})
 	t.Run("on a public route", func(t *testing.T) {
 		h := newHarness(Options{}, newRoutedSnapshot(before, 1, unreachable...))
-		call(h, "open")
-		h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(after, 1, rows...)})
+		arrive(h, "open")
+		h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(after, 1, updates...)})
 		if n := len(h.attempts["c"]); n != 1 {
 			t.Errorf("%d attempts", n)
 		}
@@ -124,15 +124,15 @@
 }
 
 // declarationWithPriorities is tenanted with a priority for each tenant; its key is its name.
-func declarationWithPriorities(of map[string]int) *configuration.Declaration {
+func declarationWithPriorities(priorities map[string]int) *configuration.Declaration {
 	keys := map[string]string{}
-	for name := range of {
+	for name := range priorities {
 		keys[name] = name
 	}
 	doc := declarationWithTenants(keys)
 	doc.Index = nil
 	for i := range doc.Tenants {
-		priority := of[doc.Tenants[i].Name]
+		priority := priorities[doc.Tenants[i].Name]
 		doc.Tenants[i].Priority = &priority
 	}
 	for i := range doc.Routes {
@@ -143,9 +143,9 @@
 
 // Two tenants of different priorities on one route: the more urgent one's calls go first, the other's are not starved.
 func TestQueueFollowsTenantPriority(t *testing.T) {
-	rows := []wire.ReplicaUpdate{{ID: "r1", Service: "s", Slots: 1}}
-	crowd := func(doc *configuration.Declaration) *harness {
-		h := newHarness(Options{}, newRoutedSnapshot(doc, 1, rows...))
+	updates := []wire.ReplicaUpdate{{ID: "r1", Service: "s", Slots: 1}}
+	newBacklog := func(doc *configuration.Declaration) *harness {
+		h := newHarness(Options{}, newRoutedSnapshot(doc, 1, updates...))
 		for i := range 60 {
 			for _, name := range []string{"slow", "fast"} {
 				h.step(CallArrived{Call: &Call{ID: fmt.Sprintf("%s-%d", name, i), Kind: "own", Routed: &RoutedCall{Tenant: name}}})
@@ -174,7 +174,7 @@
 		return served
 	}
 	t.Run("the more urgent one's go first", func(t *testing.T) {
-		h := crowd(declarationWithPriorities(map[string]int{"fast": 0, "slow": 6}))
+		h := newBacklog(declarationWithPriorities(map[string]int{"fast": 0, "slow": 6}))
 		if served := serve(t, h, 50); served["slow"] < 3 || served["fast"] < 6*served["slow"] {
 			t.Errorf("%v were served", served)
 		}
@@ -185,14 +185,14 @@
 		}
 	})
 	t.Run("a change of priority reaches what waits", func(t *testing.T) {
-		h := crowd(declarationWithPriorities(map[string]int{"fast": 6, "slow": 0}))
-		h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(declarationWithPriorities(map[string]int{"fast": 0, "slow": 6}), 1, rows...)})
+		h := newBacklog(declarationWithPriorities(map[string]int{"fast": 6, "slow": 0}))
+		h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(declarationWithPriorities(map[string]int{"fast": 0, "slow": 6}), 1, updates...)})
 		if served := serve(t, h, 50); served["fast"] < 35 {
 			t.Errorf("%v were served", served)
 		}
 	})
 	t.Run("a full queue makes room for the one below its share", func(t *testing.T) {
-		h := newHarness(Options{QueueMax: 10}, newRoutedSnapshot(declarationWithPriorities(map[string]int{"fast": 0, "slow": 6}), 1, rows...))
+		h := newHarness(Options{QueueMax: 10}, newRoutedSnapshot(declarationWithPriorities(map[string]int{"fast": 0, "slow": 6}), 1, updates...))
 		for i := range 11 {
 			h.step(CallArrived{Call: &Call{ID: fmt.Sprintf("slow-%d", i), Kind: "own", Routed: &RoutedCall{Tenant: "slow"}}})
 		}
