--- a/internal/dataplane/scheduling/admission_test.go
+++ b/internal/dataplane/scheduling/admission_test.go
@@ -10,8 +10,8 @@
 	"petreltide/internal/process/clock"
 )
 
-// attemptSamples are attempts for one model that started at fromUs, a hundred ms apart, of which some had a first piece after
-// firstMs, and the others none.
+// attemptSamples returns attempts for one model that started 100 ms apart from fromUs on. Each has a first byte after the given
+// time (ms), or none if that time is 0.
 func attemptSamples(fromUs int64, firstByteMs ...int64) []attemptSample {
 	samples := []attemptSample{}
 	for i, ms := range firstByteMs {
@@ -32,30 +32,30 @@
 		samples                  []attemptSample
 		minFraction, maxFraction float64
 	}{
-		"nothing is known":                      {nil, 0, 0},
-		"all are in time":                       {attemptSamples(startUs, 100, 200, 300, 310), 0, 0},
-		"one is late":                           {attemptSamples(startUs, 100, 900, 300, 200), 0, 0},
-		"more than half are in time":            {attemptSamples(startUs, 100, 900, 300, 900, 300), 0, 0},
-		"a single one is late":                  {attemptSamples(startUs, 900), 0.3, 0.34},
-		"all of many are late":                  {attemptSamples(startUs, 900, 950, 1000, 1100, 1200, 900, 900, 900, 900, 900), 0.8, 0.85},
-		"none has come, and each should have":   {attemptSamples(startUs, 0, 0, 0, 0, 0, 0), 0.7, 0.8},
-		"none has come, and each may yet":       {attemptSamples(nowUs-300*clock.Ms, 0, 0, 0, 0, 0), 0, 0},
-		"a quarter is in time":                  {attemptSamples(startUs, 900, 900, 900, 100, 900, 900, 900, 100), 0.3, 0.4},
-		"what was late was late some while ago": {attemptSamples(nowUs-8*clock.Sec, 900, 900, 900, 900, 900), 0, 0},
+		"no samples":                           {nil, 0, 0},
+		"all on time":                          {attemptSamples(startUs, 100, 200, 300, 310), 0, 0},
+		"one of four late":                     {attemptSamples(startUs, 100, 900, 300, 200), 0, 0},
+		"three of five on time":                {attemptSamples(startUs, 100, 900, 300, 900, 300), 0, 0},
+		"single late sample":                   {attemptSamples(startUs, 900), 0.3, 0.34},
+		"ten samples, all late":                {attemptSamples(startUs, 900, 950, 1000, 1100, 1200, 900, 900, 900, 900, 900), 0.8, 0.85},
+		"no first byte, all past the target":   {attemptSamples(startUs, 0, 0, 0, 0, 0, 0), 0.7, 0.8},
+		"no first byte, all within the target": {attemptSamples(nowUs-300*clock.Ms, 0, 0, 0, 0, 0), 0, 0},
+		"a quarter on time":                    {attemptSamples(startUs, 900, 900, 900, 100, 900, 900, 900, 100), 0.3, 0.4},
+		"late samples outside the window":      {attemptSamples(nowUs-8*clock.Sec, 900, 900, 900, 900, 900), 0, 0},
 	} {
 		a := newAdmission()
 		a.recent["s|m"] = c.samples
 		if fraction := a.rejectFraction("s|m", nowUs); fraction < c.minFraction || fraction > c.maxFraction {
-			t.Errorf("%s: %.3f is refused, want %.2f to %.2f", name, fraction, c.minFraction, c.maxFraction)
+			t.Errorf("%s: got reject fraction %.3f, want %.2f to %.2f", name, fraction, c.minFraction, c.maxFraction)
 		}
 		if fraction := a.rejectFraction("s|other", nowUs); fraction != 0 {
-			t.Errorf("%s: %.3f of another model's calls are refused", name, fraction)
+			t.Errorf("%s: reject fraction of another model: got %.3f, want 0", name, fraction)
 		}
 	}
 }
 
-// Demand for one model rises to three times what its replicas do, for twelve seconds. With refusals what the replicas
-// do is done in time; without, nearly every call is late.
+// For twelve seconds, the demand for one model is three times the capacity of its replicas. With admission control the calls
+// that the replicas serve are on time; without it, nearly every call is late.
 func TestAdmissionKeepsCallsOnTimeUnderOverload(t *testing.T) {
 	onTimeFraction := map[bool]float64{}
 	for _, rejects := range []bool{true, false} {
@@ -87,14 +87,14 @@
 			}
 		}
 		onTimeFraction[rejects] = float64(onTime) / float64(offered)
-		t.Logf("refuses: %v; %d offered, %d let in, %d in time", rejects, offered, admitted, onTime)
+		t.Logf("admission control %v: %d calls offered, %d admitted, %d on time", rejects, offered, admitted, onTime)
 	}
 	if onTimeFraction[true] < 2*onTimeFraction[false] || onTimeFraction[true] < 0.1 {
-		t.Errorf("%.3f in time with refusals, %.3f without", onTimeFraction[true], onTimeFraction[false])
+		t.Errorf("fraction of calls on time: got %.3f with admission control and %.3f without, want at least twice as many and 0.1", onTimeFraction[true], onTimeFraction[false])
 	}
 }
 
-// newSlowModelHarness is a gateway whose calls for a model that two replicas hold have had no first piece for 1.5 s.
+// newSlowModelHarness returns a gateway whose 20 calls for a model, loaded at two replicas, have had no first byte for 1.5 s.
 func newSlowModelHarness(disable ...feature.Gate) *harness {
 	updates := replicaUpdates("engine", "r1", "r2")
 	for i := range updates {
@@ -120,19 +120,19 @@
 		}
 		rejected++
 		if asCallFailed(e) == nil || asCallFailed(e).Fault.Run != fault.RunNone || asCallFailed(e).Fault.Code != fault.Overloaded {
-			t.Fatalf("%s: %+v", id, e)
+			t.Fatalf("call %s: got %+v, want an overloaded fault that states that it has not run", id, e)
 		}
 		if ms := asCallFailed(e).Fault.RetryMs; ms < minRetryAfterMs/2 || ms > 5000/retryAfterDivisor {
-			t.Errorf("%s is to come back after %d ms", id, ms)
+			t.Errorf("retry delay of call %s: got %d ms, want %d to %d ms", id, ms, minRetryAfterMs/2, 5000/retryAfterDivisor)
 		}
 	}
 	if rejected < 60 || rejected == 100 {
-		t.Errorf("%d of 100 are refused", rejected)
+		t.Errorf("got %d of 100 calls rejected, want 60 to 99", rejected)
 	}
 	for i := range 20 {
 		id := fmt.Sprint("again", i)
 		if h.sendCallWithTimeout(id, "m", 3000); h.final[id] != nil {
-			t.Errorf("one that came back is refused again: %+v", h.final[id])
+			t.Errorf("client retry %s was rejected again: %+v", id, h.final[id])
 		}
 	}
 }
@@ -142,7 +142,7 @@
 	for i := range 50 {
 		id := fmt.Sprint("new", i)
 		if h.sendCallWithTimeout(id, "m", 5000); h.final[id] != nil {
-			t.Fatalf("%s: %+v", id, h.final[id])
+			t.Fatalf("call %s: got %+v, want it admitted", id, h.final[id])
 		}
 	}
 }
@@ -152,7 +152,7 @@
 	for i := range 10 {
 		id := fmt.Sprint("first", i)
 		if h.sendCallWithTimeout(id, "n", 5000); h.final[id] != nil {
-			t.Fatalf("%s: %+v", id, h.final[id])
+			t.Fatalf("call %s: got %+v, want it queued", id, h.final[id])
 		}
 	}
 }
--- a/internal/dataplane/scheduling/bench_test.go
+++ b/internal/dataplane/scheduling/bench_test.go
@@ -8,7 +8,7 @@
 	"petreltide/internal/process/clock"
 )
 
-// A call from its arrival to the end of its one attempt, on each of the two platforms.
+// The benchmarks of this file measure a call from its arrival to the end of its only attempt, on each of the two platforms.
 
 func BenchmarkRoutedCall(b *testing.B) {
 	doc := routedDeclaration(routeSpec{name: "model", retryClass: configuration.Idempotent, maxAttempts: 3, split: onlyService("engine")})
@@ -41,13 +41,13 @@
 		c := newCall(fmt.Sprintf("c%d", i%1000))
 		effects := d.Step(nowUs, CallArrived{Call: c})
 		if len(effects) != 1 || asAttemptStart(effects[0]) == nil {
-			b.Fatalf("call %d: %+v", i, effects)
+			b.Fatalf("arrival of call %d: got effects %+v, want one *AttemptStart", i, effects)
 		}
 		nowUs += 10 * clock.Ms
 		c.FirstByteUs.Store(nowUs)
 		effects = d.Step(nowUs, AttemptEnded{Call: c.ID, Attempt: asAttemptStart(effects[0]).Attempt, Outcome: OutcomeDone})
 		if len(effects) != 1 || asCallFinished(effects[0]) == nil {
-			b.Fatalf("call %d: %+v", i, effects)
+			b.Fatalf("end of call %d: got effects %+v, want one *CallFinished", i, effects)
 		}
 	}
 }
--- a/internal/dataplane/scheduling/counters_test.go
+++ b/internal/dataplane/scheduling/counters_test.go
@@ -29,16 +29,16 @@
 		got[g.Revision] = g.Kinds["fixes"]
 	}
 	if one := got[1]; one.Received != 2 || one.Completed != 1 || one.Spanned != 1 || one.Unserved != 1 || one.FirstByte.Count() != 1 {
-		t.Errorf("revision 1: %+v", one)
+		t.Errorf("counters of revision 1: got %+v, want 2 received, 1 completed, 1 spanned and unserved, 1 first byte", one)
 	}
 	if two := got[2]; two.Received != 1 || two.InFlight() != 1 {
-		t.Errorf("revision 2: %+v", two)
+		t.Errorf("counters of revision 2: got %+v, want 1 received and in flight", two)
 	}
 	for n := uint64(3); n < 30; n++ {
 		d.Step(int64(n)*10_000, SnapshotReceived{Snapshot: at(n, n, 50)})
 		d.Step(int64(n)*10_000, CallArrived{Call: declaredCall(int(n), "fixes")})
 	}
 	if n := len(d.Counters()); n != maxRevisions {
-		t.Errorf("%d gauges are kept", n)
+		t.Errorf("revisions with counters: got %d, want %d", n, maxRevisions)
 	}
 }
--- a/internal/dataplane/scheduling/decider_test.go
+++ b/internal/dataplane/scheduling/decider_test.go
@@ -10,6 +10,8 @@
 	"petreltide/internal/process/clock"
 )
 
+// declaredSnapshot returns a snapshot of the declared platform with two replicas that have model "m" loaded, changed by edit if
+// that is not nil.
 func declaredSnapshot(number uint64, maxInFlight int, edit func(*wire.GatewayUpdate)) *Snapshot {
 	n := wire.GatewayUpdate{Number: number, Revision: 1, Declaration: &configuration.Declaration{
 		Zones:  []string{"a", "b"},
@@ -26,6 +28,7 @@
 	return NewSnapshot(nil, n, 0)
 }
 
+// newLeasedDecider returns a decider with a declaredSnapshot and a lease until 100 s.
 func newLeasedDecider(maxInFlight, queueMax int) *Decider {
 	d := New(Options{Gateway: "d", Incarnation: "i", QueueMax: queueMax})
 	d.Step(1, SnapshotReceived{Snapshot: declaredSnapshot(1, maxInFlight, nil)})
@@ -51,13 +54,13 @@
 	d := New(Options{Gateway: "d", QueueMax: 10})
 	d.Step(1, SnapshotReceived{Snapshot: declaredSnapshot(1, 2, nil)})
 	if got := attemptStarts(d.Step(2, CallArrived{Call: declaredCall(1, "fixes")})); len(got) != 0 {
-		t.Fatal("sent before any lease")
+		t.Fatalf("got %d attempts before any lease, want none", len(got))
 	}
 	if got := attemptStarts(d.Step(3, LeaseExtended{UntilUs: 10})); len(got) != 1 {
-		t.Fatal("not sent with a lease")
+		t.Fatalf("got %d attempts with a lease, want 1", len(got))
 	}
 	if got := attemptStarts(d.Step(11, CallArrived{Call: declaredCall(2, "fixes")})); len(got) != 0 {
-		t.Fatal("sent after the lease ran out")
+		t.Fatalf("got %d attempts after the lease expired, want none", len(got))
 	}
 }
 
@@ -79,7 +82,7 @@
 		running = append(running[1:], attemptStarts(d.Step(now, AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: OutcomeDone}))...)
 	}
 	if served["pages"] < 4 || served["fixes"] < 3*served["pages"] {
-		t.Fatalf("served %v: want fixes first, pages not starved", served)
+		t.Fatalf("served calls by kind: got %v, want at least 4 pages and three times as many fixes", served)
 	}
 }
 
@@ -90,15 +93,15 @@
 	}
 	effects := d.Step(6, CallArrived{Call: declaredCall(9, "fixes")})
 	if len(effects) != 1 || asCallFailed(effects[0]) == nil || asCallFailed(effects[0]).Fault.Code != fault.Overloaded || asCallFailed(effects[0]).Fault.RetryMs <= 0 || asCallFailed(effects[0]).Fault.Run != fault.RunNone {
-		t.Fatalf("%+v", effects)
+		t.Fatalf("full queue: got %+v, want one overloaded fault with a retry delay that states that the call has not run", effects)
 	}
 	effects = d.Step(7, CallArrived{Call: declaredCall(1, "letters")})
 	if len(effects) != 1 || asCallFailed(effects[0]) == nil || asCallFailed(effects[0]).Call.Kind != "fixes" {
-		t.Fatalf("a kind below its share was refused instead of one above: %+v", effects)
+		t.Fatalf("arrival of a kind below its share: got %+v, want a call of kind fixes, above its share, rejected", effects)
 	}
 	effects = d.Step(60*clock.Sec, Tick{})
 	if len(effects) != 4 || asCallFailed(effects[0]).Fault.Code != fault.Expired {
-		t.Fatalf("expired calls are not given up: %+v", effects)
+		t.Fatalf("after the deadline of 4 queued calls: got %+v, want 4 expired faults", effects)
 	}
 }
 
@@ -118,11 +121,11 @@
 	shortTimeout.TimeoutMs = 1000
 	effects := d.Step(now, CallArrived{Call: shortTimeout})
 	if len(effects) != 1 || asCallFailed(effects[0]) == nil || asCallFailed(effects[0]).Fault.Code != fault.Overloaded || asCallFailed(effects[0]).Fault.RetryMs <= 0 {
-		t.Fatalf("%+v", effects)
+		t.Fatalf("call with too short a timeout: got %+v, want one overloaded fault with a retry delay", effects)
 	}
 	longTimeout := declaredCall(100, "fixes")
 	if effects := d.Step(now, CallArrived{Call: longTimeout}); len(effects) != 0 {
-		t.Fatalf("one with time was not kept waiting: %+v", effects)
+		t.Fatalf("call with enough time: got %+v, want it queued", effects)
 	}
 }
 
@@ -139,36 +142,36 @@
 		st := attemptStarts(d.Step(2, CallArrived{Call: declaredCall(1, c.kind)}))[0]
 		retries := attemptStarts(d.Step(3, AttemptEnded{Call: st.Call.ID, Attempt: st.Attempt, Outcome: c.outcome}))
 		if len(retries) > 0 != c.wantRetry {
-			t.Errorf("%s after %s: %d more attempts", c.kind, c.outcome, len(retries))
+			t.Errorf("%s after outcome %s: got %d retries, want retry %t", c.kind, c.outcome, len(retries), c.wantRetry)
 		}
 		if c.wantRetry && (retries[0].Attempt == st.Attempt || retries[0].Replica == st.Replica && c.outcome == OutcomeRejected) {
-			t.Errorf("%s after %s went back as %s", c.kind, c.outcome, retries[0].Attempt)
+			t.Errorf("%s after outcome %s: retry has the attempt ID or the rejecting replica of attempt %s: %s", c.kind, c.outcome, st.Attempt, retries[0].Attempt)
 		}
 	}
 }
 
 func TestUnavailableReplicaGetsNoAttempt(t *testing.T) {
 	for name, edit := range map[string]func(*wire.GatewayUpdate){
-		"leaving":   func(n *wire.GatewayUpdate) { n.Replicas[0].Draining = true },
-		"dark":      func(n *wire.GatewayUpdate) { n.Replicas[0].Unreachable = true },
-		"emptied":   func(n *wire.GatewayUpdate) { n.Declaration.DrainedZones = []string{"a"} },
-		"unloading": func(n *wire.GatewayUpdate) { n.Replicas[0].Unloading = "m" },
-		"new":       func(n *wire.GatewayUpdate) { n.Replicas[0].Incarnation = "j" },
+		"draining replica":    func(n *wire.GatewayUpdate) { n.Replicas[0].Draining = true },
+		"unreachable replica": func(n *wire.GatewayUpdate) { n.Replicas[0].Unreachable = true },
+		"drained zone":        func(n *wire.GatewayUpdate) { n.Declaration.DrainedZones = []string{"a"} },
+		"unloading model":     func(n *wire.GatewayUpdate) { n.Replicas[0].Unloading = "m" },
+		"new incarnation":     func(n *wire.GatewayUpdate) { n.Replicas[0].Incarnation = "j" },
 	} {
 		d := newLeasedDecider(4, 10)
 		st := attemptStarts(d.Step(2, CallArrived{Call: declaredCall(1, "letters")}))[0]
 		if st.Replica != "r1" {
-			t.Fatal("the test wants r1 first")
+			t.Fatalf("first attempt went to %s, but the test requires r1", st.Replica)
 		}
 		newer := declaredSnapshot(2, 4, edit)
 		if st.MaySend(newer, 3, 10) || !st.MaySend(d.snapshot, 3, 10) {
-			t.Errorf("%s: the body would still leave", name)
+			t.Errorf("%s: MaySend is true under the newer snapshot, or false under the older one", name)
 		}
 		d.Step(3, SnapshotReceived{Snapshot: newer})
 		for i := 2; i < 6; i++ {
 			for _, st := range attemptStarts(d.Step(4, CallArrived{Call: declaredCall(i, "letters")})) {
-				if st.Replica == "r1" && name != "new" {
-					t.Errorf("%s: an attempt went there", name)
+				if st.Replica == "r1" && name != "new incarnation" {
+					t.Errorf("%s: attempt %s was started at r1", name, st.Attempt)
 				}
 			}
 		}
@@ -189,7 +192,7 @@
 		}
 	}
 	if len(calls) < 2 {
-		t.Skip("too few went to r1")
+		t.Skip("fewer than two attempts went to r1")
 	}
 	progress := int64(0)
 	var wantID string
@@ -205,7 +208,7 @@
 		}
 	}
 	if len(canceled) != 1 || canceled[0] != wantID {
-		t.Fatalf("moved %v, want just %s", canceled, wantID)
+		t.Fatalf("migrated calls: got %v, want only %s", canceled, wantID)
 	}
 }
 
@@ -214,7 +217,7 @@
 	d.Step(2, SnapshotReceived{Snapshot: declaredSnapshot(5, 2, nil)})
 	d.Step(3, SnapshotReceived{Snapshot: declaredSnapshot(4, 0, nil)})
 	if d.Status().Number != 5 {
-		t.Fatal("older news was taken")
+		t.Fatalf("snapshot number: got %d, want 5", d.Status().Number)
 	}
 }
 
@@ -224,7 +227,7 @@
 	for i := 0; i < 60; i++ {
 		for _, st := range attemptStarts(d.Step(2, CallArrived{Call: declaredCall(i, "fixes")})) {
 			if seen[st.Attempt] {
-				t.Fatalf("%s twice", st.Attempt)
+				t.Fatalf("attempt ID %s was used twice", st.Attempt)
 			}
 			seen[st.Attempt] = true
 			d.Step(2, SnapshotReceived{Snapshot: declaredSnapshot(uint64(i+2), 50, nil)})
@@ -242,26 +245,26 @@
 	first := replicaFor(1, "house", "school 1")
 	other := replicaFor(2, "house 2", "school 2")
 	if first == other {
-		t.Fatal("two strangers on one replica while the other is idle")
+		t.Fatalf("calls with different prefixes both went to %s while the other replica was idle", first)
 	}
 	if got := replicaFor(3, "house", "school 1"); got != first {
-		t.Fatalf("a shared prefix went to %s", got)
+		t.Fatalf("call with a shared prefix went to %s, want %s", got, first)
 	}
 }
 
-// A call that waits is served by the terms of the newest declaration, whatever held when it came.
+// A queued call follows the newest declaration, not the one under which it arrived.
 func TestQueuedCallFollowsChangedKindModelAndAdapter(t *testing.T) {
 	adapters := []configuration.Adapter{{Name: "a", Model: "m"}}
 	for name, c := range map[string]struct {
 		edit func(*wire.GatewayUpdate)
 		want fault.Code
 	}{
-		"kind taken out":          {func(n *wire.GatewayUpdate) { n.Declaration.Kinds = n.Declaration.Kinds[:1] }, fault.UnknownKind},
-		"model taken out":         {func(n *wire.GatewayUpdate) { n.Declaration.Models = n.Declaration.Models[1:] }, fault.UnknownModel},
-		"adapter taken out":       {func(n *wire.GatewayUpdate) { n.Declaration.Adapters = nil }, fault.UnknownAdapter},
-		"adapter of another":      {func(n *wire.GatewayUpdate) { n.Declaration.Adapters[0].Model = "other" }, fault.UnknownAdapter},
-		"shorter deadline":        {func(n *wire.GatewayUpdate) { n.Declaration.Kinds[2].DeadlineMs = 100 }, fault.Expired},
-		"nothing that touches it": {func(n *wire.GatewayUpdate) { n.Declaration.Kinds[0].DeadlineMs = 100 }, ""},
+		"kind removed":                   {func(n *wire.GatewayUpdate) { n.Declaration.Kinds = n.Declaration.Kinds[:1] }, fault.UnknownKind},
+		"model removed":                  {func(n *wire.GatewayUpdate) { n.Declaration.Models = n.Declaration.Models[1:] }, fault.UnknownModel},
+		"adapter removed":                {func(n *wire.GatewayUpdate) { n.Declaration.Adapters = nil }, fault.UnknownAdapter},
+		"adapter moved to another model": {func(n *wire.GatewayUpdate) { n.Declaration.Adapters[0].Model = "other" }, fault.UnknownAdapter},
+		"shorter deadline":               {func(n *wire.GatewayUpdate) { n.Declaration.Kinds[2].DeadlineMs = 100 }, fault.Expired},
+		"change of another kind":         {func(n *wire.GatewayUpdate) { n.Declaration.Kinds[0].DeadlineMs = 100 }, ""},
 	} {
 		withAdapters := func(number uint64, edit func(*wire.GatewayUpdate)) *Snapshot {
 			return declaredSnapshot(number, 0, func(n *wire.GatewayUpdate) {
@@ -281,7 +284,7 @@
 			got = asCallFailed(e).Fault.Code
 		}
 		if got != c.want {
-			t.Errorf("%s: given %q, want %q", name, got, c.want)
+			t.Errorf("%s: fault of the queued call: got %q, want %q", name, got, c.want)
 		}
 		arriving := declaredCall(2, "fixes")
 		arriving.Adapter, arriving.ArrivedUs = "a", 1
@@ -290,7 +293,7 @@
 			got = asCallFailed(e).Fault.Code
 		}
 		if got != c.want {
-			t.Errorf("%s: a call read under the older news and come after the newer is given %q, want %q", name, got, c.want)
+			t.Errorf("%s: fault of a call looked up under the older snapshot and arriving after the newer: got %q, want %q", name, got, c.want)
 		}
 	}
 }
@@ -309,22 +312,22 @@
 		served[st.Call.Kind]++
 	}
 	if served["letters"] < 4*served["fixes"] {
-		t.Fatalf("served %v by the older urgency", served)
+		t.Fatalf("served calls by kind: got %v, want at least four times as many letters as fixes", served)
 	}
 }
 
-// A kind that may no longer be resumed: what ran once does not run again, and is never called not run.
+// If a kind is no longer resumable, a call that may have run is not retried, and its fault does not state that it has not run.
 func TestCallIsNotRetriedOnceItsKindIsNoLongerResumable(t *testing.T) {
 	notResumable := func(n *wire.GatewayUpdate) { n.Declaration.Kinds[0].Resumable = false }
-	for name, changes := range map[string][]bool{"while it runs": {true, false}, "while it waits again": {false, true}} {
+	for name, changes := range map[string][]bool{"while the attempt runs": {true, false}, "while the call waits for a retry": {false, true}} {
 		d := newLeasedDecider(2, 10)
 		c := declaredCall(1, "pages")
 		st := attemptStarts(d.Step(2, CallArrived{Call: c}))[0]
 		var effects []Effect
 		for i, change := range changes {
 			if change {
-				share := 2
-				effects = append(effects, d.Step(int64(3+i), SnapshotReceived{Snapshot: declaredSnapshot(9, share, notResumable)})...)
+				maxInFlight := 2
+				effects = append(effects, d.Step(int64(3+i), SnapshotReceived{Snapshot: declaredSnapshot(9, maxInFlight, notResumable)})...)
 				continue
 			}
 			if !changes[0] {
@@ -333,15 +336,15 @@
 			effects = append(effects, d.Step(int64(3+i), AttemptEnded{Call: c.ID, Attempt: st.Attempt, Outcome: OutcomeUnknown})...)
 		}
 		if n := len(attemptStarts(effects)); n != 0 {
-			t.Errorf("%s: %d more attempts", name, n)
+			t.Errorf("%s: got %d retries, want none", name, n)
 		}
 		for _, e := range effects {
 			if asCallFailed(e) != nil && asCallFailed(e).Fault.Run == fault.RunNone {
-				t.Errorf("%s: told not run", name)
+				t.Errorf("%s: fault states that the call has not run", name)
 			}
 		}
 		if len(effects) != 1 || asCallFinished(effects[0]) == nil && asCallFailed(effects[0]) == nil {
-			t.Errorf("%s: no final answer: %+v", name, effects)
+			t.Errorf("%s: got effects %+v, want one final answer", name, effects)
 		}
 	}
 }
@@ -350,7 +353,7 @@
 	code := func(d *Decider, nowUs int64) fault.Code {
 		if f := d.Ready(nowUs); f != nil {
 			if f.RetryMs <= 0 {
-				t.Errorf("%s without a time to come back", f.Code)
+				t.Errorf("fault %s has no retry delay", f.Code)
 			}
 			return f.Code
 		}
@@ -358,32 +361,32 @@
 	}
 	d := New(Options{Gateway: "d", QueueMax: 2})
 	if got := code(d, 1); got != fault.NoLease {
-		t.Errorf("without a declaration: %q", got)
+		t.Errorf("without a declaration: got fault %q, want %q", got, fault.NoLease)
 	}
 	d.Step(1, SnapshotReceived{Snapshot: declaredSnapshot(1, 0, nil)})
 	if got := code(d, 1); got != fault.NoLease {
-		t.Errorf("without a lease: %q", got)
+		t.Errorf("without a lease: got fault %q, want %q", got, fault.NoLease)
 	}
 	d.Step(1, LeaseExtended{UntilUs: 100})
 	if got := code(d, 99); got != "" {
-		t.Errorf("with all: %q", got)
+		t.Errorf("with declaration, lease and queue room: got fault %q, want none", got)
 	}
 	if got := code(d, 100); got != fault.NoLease {
-		t.Errorf("with a lapsed lease: %q", got)
+		t.Errorf("with an expired lease: got fault %q, want %q", got, fault.NoLease)
 	}
 	d.Step(2, CallArrived{Call: declaredCall(1, "fixes")})
 	d.Step(2, CallArrived{Call: declaredCall(2, "fixes")})
 	if got := code(d, 3); got != fault.Overloaded {
-		t.Errorf("with a full queue: %q", got)
+		t.Errorf("with a full queue: got fault %q, want %q", got, fault.Overloaded)
 	}
 	d.Step(3, DrainStarted{})
 	if got := code(d, 3); got != fault.Draining {
-		t.Errorf("while draining: %q", got)
+		t.Errorf("while draining: got fault %q, want %q", got, fault.Draining)
 	}
 }
 
-// Callers refused together must not come back together (seeded day 1482: a gateway woke, refused a crowd, and
-// had it before the door again 15 s later, all in the same millisecond).
+// Clients that are refused together must not retry together. In seeded day 1482 a gateway resumed after a pause and refused many
+// calls at once; all of them were retried 15 s later in the same millisecond.
 func TestRetryTimesOfCallsRejectedTogetherAreSpread(t *testing.T) {
 	d := newLeasedDecider(0, 200)
 	for i := 0; i < 200; i++ {
@@ -396,6 +399,6 @@
 		minMs, maxMs = min(minMs, asCallFailed(e).Fault.RetryMs), max(maxMs, asCallFailed(e).Fault.RetryMs)
 	}
 	if len(seen) < 100 || minMs <= 0 || maxMs < 2*minMs {
-		t.Fatalf("200 calls come back at %d times from %d to %d ms", len(seen), minMs, maxMs)
+		t.Fatalf("retry delays of 200 calls: got %d different ones from %d to %d ms, want at least 100 and a maximum of twice the minimum", len(seen), minMs, maxMs)
 	}
 }
--- a/internal/dataplane/scheduling/drain_test.go
+++ b/internal/dataplane/scheduling/drain_test.go
@@ -8,7 +8,7 @@
 	"petreltide/internal/api/wire"
 )
 
-// singleReplicaSnapshot has one service with one replica that holds model "m".
+// singleReplicaSnapshot returns a snapshot of one service with one replica that has model "m" loaded.
 func singleReplicaSnapshot() *Snapshot {
 	doc := (&configuration.Declaration{
 		Version: 1,
@@ -27,27 +27,28 @@
 	}
 }
 
+// lettersCall returns a call for a model on the route "letters".
 func lettersCall(id, model string) *Call {
 	return &Call{ID: id, Kind: "letters", Model: model, ArrivedUs: 1, Routed: &RoutedCall{PromptTokens: 100}}
 }
 
-// A call that waited for its model when its gateway was told to go down was cut with no answer at the end of
-// the grace (mix day, seed 620110391056).
+// When a gateway was shut down while a call waited for its model, the connection of the call was closed without an answer at
+// the end of the grace period (mix day, seed 620110391056).
 func TestDrainAnswersEveryQueuedCall(t *testing.T) {
 	d := New(Options{Gateway: "d1", QueueMax: 8})
 	d.Step(1, SnapshotReceived{Snapshot: singleReplicaSnapshot()})
 	if got := d.Step(2, CallArrived{Call: lettersCall("c1", "rare")}); len(got) != 1 || !isCallUnplaced(got[0]) {
-		t.Fatalf("a call for what nobody holds: %+v", got)
+		t.Fatalf("call for a model that no replica has: got %+v, want CallUnplaced", got)
 	}
 	d.Step(3, DrainStarted{})
 	if got := d.Step(4, CallArrived{Call: lettersCall("c2", "m")}); len(got) != 1 || asAttemptStart(got[0]) == nil {
-		t.Fatalf("a call that can run was not taken while draining: %+v", got)
+		t.Fatalf("call for a loaded model while draining: got %+v, want *AttemptStart", got)
 	}
 	refused := func(got []Effect, id string) {
 		t.Helper()
 		if len(got) != 1 || asCallFailed(got[0]) == nil || asCallFailed(got[0]).Call.ID != id || asCallFailed(got[0]).Fault.Code != fault.Draining ||
 			asCallFailed(got[0]).Fault.Run != fault.RunNone || asCallFailed(got[0]).Fault.RetryMs == 0 {
-			t.Fatalf("want %s refused with a time to come back, got %+v", id, got)
+			t.Fatalf("got %+v, want call %s refused as draining, with a retry delay", got, id)
 		}
 	}
 	refused(d.Step(5, CallArrived{Call: lettersCall("c3", "rare")}), "c3")
--- a/internal/dataplane/scheduling/effects_test.go
+++ b/internal/dataplane/scheduling/effects_test.go
@@ -1,6 +1,6 @@
 package scheduling
 
-// What an effect says, by its type; nil or empty where it is another one.
+// The functions of this file convert an effect to one of its types. They return nil, or "", for an effect of another type.
 
 func asAttemptStart(e Effect) *AttemptStart {
 	s, _ := e.(*AttemptStart)
@@ -17,7 +17,7 @@
 	return c
 }
 
-// canceled is the ID of the call whose attempt is to be canceled.
+// canceledCallID returns the ID of the call whose attempt is to be canceled.
 func canceledCallID(e Effect) string {
 	if c, ok := e.(CancelAttempt); ok {
 		return c.Call.ID
--- a/internal/dataplane/scheduling/golden_test.go
+++ b/internal/dataplane/scheduling/golden_test.go
@@ -19,19 +19,20 @@
 	"petreltide/internal/process/clock"
 )
 
-var writeDecisions = flag.Bool("write-decisions", false, "write testdata/decisions.txt anew; only for a decision that is meant to change")
+var writeDecisions = flag.Bool("write-decisions", false, "rewrite testdata/decisions.txt; use it only for an intended change of decisions")
 
-// journal hashes all that a decider says: its effects in order, its reports, its log and its state.
+// decisionRecorder hashes the complete output of a decider: its effects in order, its reports, its log and its state.
 type decisionRecorder struct {
 	t   *testing.T
 	d   *Decider
 	sum hash.Hash
-	// open are the attempts under way, in the order in which they began.
+	// open holds the open attempts, in the order in which they started.
 	open []*AttemptStart
-	// starts, gives, overs and cancels count effects by kind.
+	// The numbers of effects by type: AttemptStart, CallFailed, CallFinished, CancelAttempt and CallUnplaced.
 	startCount, failureCount, finishCount, cancelCount, unplacedCount int
 }
 
+// step applies an event and hashes the effects.
 func (dr *decisionRecorder) step(nowUs int64, ev Event) {
 	for _, e := range dr.d.Step(nowUs, ev) {
 		switch {
@@ -60,7 +61,7 @@
 	}
 }
 
-// take removes one attempt that is under way, or gives nil.
+// takeOpen removes and returns a random open attempt, nil if there is none.
 func (dr *decisionRecorder) takeOpen(r *rand.Rand) *AttemptStart {
 	if len(dr.open) == 0 {
 		return nil
@@ -71,6 +72,7 @@
 	return s
 }
 
+// recordState hashes the report, the status and the counters of the decider.
 func (dr *decisionRecorder) recordState(nowUs int64) {
 	for _, v := range []any{dr.d.Report(nowUs), dr.d.Status(), dr.d.Counters(), dr.d.Ready(nowUs), dr.d.RetryAfterMs(), dr.d.HasUnreportedFailures(), dr.d.Arrivals()} {
 		raw, err := json.Marshal(v)
@@ -81,6 +83,7 @@
 	}
 }
 
+// routedSnapshotGenerator returns a function that draws random snapshots of the routed platform.
 func routedSnapshotGenerator(r *rand.Rand) func() *Snapshot {
 	number := uint64(0)
 	return func() *Snapshot {
@@ -118,6 +121,7 @@
 	}
 }
 
+// declaredSnapshotGenerator returns a function that draws random snapshots of the declared platform.
 func declaredSnapshotGenerator(r *rand.Rand) func() *Snapshot {
 	number := uint64(0)
 	var previous *Snapshot
@@ -150,7 +154,8 @@
 	}
 }
 
-// seededRun plays one seeded run of events against a decider and gives the digest of all that it said.
+// seededRun applies a seeded sequence of events to a decider and returns the digest of its output. It adds the numbers of effects
+// to total.
 func seededRun(t *testing.T, seed int64, routed bool, total *decisionRecorder) string {
 	t.Helper()
 	r := rand.New(rand.NewSource(seed))
@@ -217,8 +222,8 @@
 	return hex.EncodeToString(recorder.sum.Sum(nil))
 }
 
-// What a decider says in seeded runs is what it said when testdata/decisions.txt was written, to the last byte. A change
-// that means to decide otherwise writes the file anew, by -write-decisions, and says why.
+// In seeded runs the output of a decider must be byte for byte the same as when testdata/decisions.txt was written. A change that
+// intentionally alters decisions rewrites the file with -write-decisions and states the reason.
 func TestSeededDecisionsMatchGoldenFile(t *testing.T) {
 	lines, total := []string{}, &decisionRecorder{}
 	for _, platform := range []string{"declared", "routed"} {
@@ -226,9 +231,9 @@
 			lines = append(lines, fmt.Sprintf("%s %d %s", platform, seed, seededRun(t, seed, platform == "routed", total)))
 		}
 	}
-	t.Logf("%d attempts, %d calls refused, %d ended, %d cancels, %d waits for what no replica has", total.startCount, total.failureCount, total.finishCount, total.cancelCount, total.unplacedCount)
+	t.Logf("%d attempts started, %d calls failed, %d calls finished, %d attempts canceled, %d calls unplaced", total.startCount, total.failureCount, total.finishCount, total.cancelCount, total.unplacedCount)
 	if min(total.startCount, total.failureCount, total.finishCount) < 1000 || min(total.cancelCount, total.unplacedCount) < 100 {
-		t.Error("the runs show too little")
+		t.Error("the runs cover too little: want 1000 attempts, failed and finished calls each, and 100 canceled attempts and unplaced calls each")
 	}
 	path := filepath.Join("testdata", "decisions.txt")
 	got := strings.Join(lines, "\n") + "\n"
@@ -250,8 +255,8 @@
 	wanted := strings.Split(string(want), "\n")
 	for i, line := range lines {
 		if i >= len(wanted) || line != wanted[i] {
-			t.Fatalf("first difference: %s", line)
+			t.Fatalf("first run that differs from %s: %s", path, line)
 		}
 	}
-	t.Fatal("the file has more runs")
+	t.Fatalf("%s has more runs than the %d of this test", path, len(lines))
 }
--- a/internal/dataplane/scheduling/load_estimate_test.go
+++ b/internal/dataplane/scheduling/load_estimate_test.go
@@ -9,23 +9,26 @@
 	"petreltide/internal/process/clock"
 )
 
-// aimed is a declaration whose one route aims at aimMs and whose models take loadMs to load.
-func declarationWithTarget(aimMs, loadMs int64) *configuration.Declaration {
+// declarationWithTarget returns a declaration with one route, which has the given latency target, and two models that take loadMs
+// to load.
+func declarationWithTarget(targetMs, loadMs int64) *configuration.Declaration {
 	doc := &configuration.Declaration{Version: 1, Services: []configuration.Service{{Name: "engine", Engine: &configuration.Engine{
 		Slots: 4, CapacityMB: 10, Models: []configuration.EngineModel{{Name: "m", SizeMB: 1, LoadMs: loadMs}, {Name: "n", SizeMB: 1, LoadMs: loadMs}},
 	}}}, Routes: []configuration.Route{{
-		Name: "page", Host: "h", Prefix: "/page/", RetryClass: configuration.Streaming, TimeoutMs: 20_000, LatencyTargetMs: aimMs, MaxAttempts: 1, Split: onlyService("engine"),
+		Name: "page", Host: "h", Prefix: "/page/", RetryClass: configuration.Streaming, TimeoutMs: 20_000, LatencyTargetMs: targetMs, MaxAttempts: 1, Split: onlyService("engine"),
 	}}}
 	return doc.Indexed()
 }
 
-// patient asks as a caller who has maxMs left; a route's first few callers cannot be told from ones that came back.
+// sendCallWithTimeout sends a call whose client has timeoutMs left. The first few calls of a route cannot be told from client
+// retries.
 func (h *harness) sendCallWithTimeout(id, model string, timeoutMs int64) *Call {
 	c := &Call{ID: id, Kind: "page", Model: model, TimeoutMs: timeoutMs, Routed: &RoutedCall{PromptTokens: 100}}
 	h.step(CallArrived{Call: c})
 	return c
 }
 
+// newHarnessWithTimeoutHistory returns a harness whose route has had enough calls for later ones to count as first tries.
 func newHarnessWithTimeoutHistory(s *Snapshot) *harness {
 	h := newHarness(Options{}, s)
 	for _, id := range []string{"w", "x", "y", "z"} {
@@ -35,6 +38,7 @@
 	return h
 }
 
+// loadingReplicas returns one replica that has "m" loaded and is loading unit.
 func loadingReplicas(unit string) []wire.ReplicaUpdate {
 	updates := replicaUpdates("engine", "r1")
 	updates[0].Loading = unit
@@ -47,29 +51,29 @@
 	h.sendCallWithTimeout("first", "n", 5000)
 	e := h.final["first"]
 	if e == nil || asCallFailed(e) == nil || asCallFailed(e).Fault.Run != fault.RunNone || asCallFailed(e).Fault.Code != fault.Overloaded {
-		t.Fatalf("a call whose model comes after its aim is not sent back at once: %+v", e)
+		t.Fatalf("call whose model loads after its latency target: got %+v, want an overloaded fault that states that it has not run", e)
 	}
 	retryMs := asCallFailed(e).Fault.RetryMs
 	if retryMs < 1500 || retryMs > 5000/3 {
-		t.Errorf("it is to come back after %d ms, while the load takes more than 2000 ms and it waits 1666 ms at most", retryMs)
+		t.Errorf("retry delay: got %d ms, want 1500 to 1666 ms: the load takes more than 2000 ms, and a third of the timeout is 1666 ms", retryMs)
 	}
 	if n := h.d.Report(h.nowUs).Queued["n"]; n != 1 {
-		t.Errorf("%d calls wait for the model by the report, want the one that will come back", n)
+		t.Errorf("reported queued calls for the model: got %d, want the 1 whose client will retry", n)
 	}
 	h.advance(retryMs * clock.Ms)
 	if n := h.d.Report(h.nowUs).Queued["n"]; n != 0 {
-		t.Errorf("%d calls wait for the model by the report after their time to come back", n)
+		t.Errorf("reported queued calls for the model after the retry delay: got %d, want 0", n)
 	}
 	h.sendCallWithTimeout("again", "n", 3200)
 	h.advance(900 * clock.Ms)
 	if h.final["again"] != nil {
-		t.Fatalf("a call that came back is sent back once more: %+v", asCallFailed(h.final["again"]))
+		t.Fatalf("client retry was rejected again: %+v", asCallFailed(h.final["again"]))
 	}
 	loaded := replicaUpdates("engine", "r1")
 	loaded[0].Loaded = []string{"m", "n"}
 	h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(doc, 1, loaded...)})
 	if len(h.attempts["again"]) != 1 {
-		t.Error("a call that came back was not sent once its model was there")
+		t.Errorf("attempts of the client retry after its model was loaded: got %d, want 1", len(h.attempts["again"]))
 	}
 }
 
@@ -79,13 +83,13 @@
 	h.sendCallWithTimeout("c", "n", 10_000)
 	h.advance(600 * clock.Ms)
 	if h.final["c"] != nil {
-		t.Fatalf("it is refused though its model comes in time: %+v", asCallFailed(h.final["c"]))
+		t.Fatalf("call whose model loads in time was rejected: %+v", asCallFailed(h.final["c"]))
 	}
 	loaded := replicaUpdates("engine", "r1")
 	loaded[0].Loaded = []string{"m", "n"}
 	h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(doc, 1, loaded...)})
 	if len(h.attempts["c"]) != 1 {
-		t.Error("it was not sent once its model was there")
+		t.Errorf("attempts after the model was loaded: got %d, want 1", len(h.attempts["c"]))
 	}
 }
 
@@ -94,11 +98,11 @@
 	h.sendCallWithTimeout("c", "n", 5000)
 	h.advance(100 * clock.Ms)
 	if h.final["c"] != nil {
-		t.Fatalf("it is refused before anybody could order its model: %+v", asCallFailed(h.final["c"]))
+		t.Fatalf("call was rejected after 100 ms, before a load of its model could be ordered: %+v", asCallFailed(h.final["c"]))
 	}
 	h.advance(100 * clock.Ms)
 	if h.final["c"] == nil || asCallFailed(h.final["c"]) == nil {
-		t.Error("it is held beyond a quarter of its aim with no order in sight")
+		t.Errorf("call without a load of its model after 200 ms, near the end of the time for an early refusal: got %+v, want it rejected", h.final["c"])
 	}
 }
 
@@ -110,32 +114,32 @@
 	h.advance(300 * clock.Ms)
 	for id, e := range h.final {
 		if asCallFailed(e) != nil {
-			t.Errorf("%s: %+v", id, asCallFailed(e).Fault)
+			t.Errorf("call %s for a loaded model: got fault %+v, want none", id, asCallFailed(e).Fault)
 		}
 	}
 }
 
-// Loads of different lengths that end with the same news are learned from in one order, so that the same events
-// lead to the same decisions.
+// Loads of different durations that end with the same snapshot are evaluated in a fixed order, so that the same events lead to the
+// same decisions.
 func TestLoadEstimatesDoNotDependOnOrderOfLoadsThatEndTogether(t *testing.T) {
 	doc := declarationWithTarget(1000, 500)
 	factors := map[float64]bool{}
 	for range 64 {
-		p := newLoadEstimates()
+		estimates := newLoadEstimates()
 		loading := replicaUpdates("engine", "r1", "r2")
 		loading[0].Loading = "m"
-		p.observe(newRoutedSnapshot(doc, 1, loading...), clock.Ms)
+		estimates.observe(newRoutedSnapshot(doc, 1, loading...), clock.Ms)
 		loading[1].Loading = "n"
-		p.observe(newRoutedSnapshot(doc, 2, loading...), 900*clock.Ms)
+		estimates.observe(newRoutedSnapshot(doc, 2, loading...), 900*clock.Ms)
 		loaded := replicaUpdates("engine", "r1", "r2")
 		loaded[1].Loaded = []string{"n"}
-		p.observe(newRoutedSnapshot(doc, 3, loaded...), 1200*clock.Ms)
-		factors[p.loadFactor] = true
+		estimates.observe(newRoutedSnapshot(doc, 3, loaded...), 1200*clock.Ms)
+		factors[estimates.loadFactor] = true
 	}
 	if len(factors) != 1 {
-		t.Errorf("the same loads gave the factors %v", factors)
+		t.Errorf("load factors after the same loads: got %v, want a single value", factors)
 	}
 	if factors[initialLoadFactor] {
-		t.Error("nothing was learned from the loads")
+		t.Errorf("load factor is still the initial %v after two loads", initialLoadFactor)
 	}
 }
--- a/internal/dataplane/scheduling/outlier_reports_test.go
+++ b/internal/dataplane/scheduling/outlier_reports_test.go
@@ -8,6 +8,7 @@
 	"petreltide/internal/process/clock"
 )
 
+// verdictsByReplica indexes verdicts by replica.
 func verdictsByReplica(verdicts ...outlier.Verdict) map[string]outlier.Verdict {
 	byReplica := map[string]outlier.Verdict{}
 	for _, v := range verdicts {
@@ -27,12 +28,12 @@
 		minCount int
 		maxCount int
 	}{
-		{"both are well", "model", "m", []string{"r1", "r2"}, nil, 30, 170},
-		{"the other is well", "model", "m", []string{"r1", "r2"}, []outlier.Verdict{{Replica: "r1"}}, 0, 0},
-		{"a trial", "model", "m", []string{"r1", "r2"}, []outlier.Verdict{{Replica: "r1", AllowedPercent: 12}}, 1, 40},
-		{"nobody else has it", "model", "m", []string{"r1"}, []outlier.Verdict{{Replica: "r1"}}, 200, 200},
-		{"it is dead, and can be loaded elsewhere", "model", "m", []string{"r1"}, []outlier.Verdict{{Replica: "r1", Dead: true}}, 0, 0},
-		{"it is dead, and there is no elsewhere", "plain", "", []string{"r1"}, []outlier.Verdict{{Replica: "r1", Dead: true}}, 200, 200},
+		{"no verdict", "model", "m", []string{"r1", "r2"}, nil, 30, 170},
+		{"r1 ejected, r2 healthy", "model", "m", []string{"r1", "r2"}, []outlier.Verdict{{Replica: "r1"}}, 0, 0},
+		{"r1 on probation", "model", "m", []string{"r1", "r2"}, []outlier.Verdict{{Replica: "r1", AllowedPercent: 12}}, 1, 40},
+		{"r1 ejected, no other replica", "model", "m", []string{"r1"}, []outlier.Verdict{{Replica: "r1"}}, 200, 200},
+		{"r1 dead, model can be loaded elsewhere", "model", "m", []string{"r1"}, []outlier.Verdict{{Replica: "r1", Dead: true}}, 0, 0},
+		{"r1 dead, service without an engine and without another replica", "plain", "", []string{"r1"}, []outlier.Verdict{{Replica: "r1", Dead: true}}, 200, 200},
 	} {
 		service := "s"
 		if c.route == "model" {
@@ -57,23 +58,23 @@
 			}
 		}
 		if count < c.minCount || count > c.maxCount {
-			t.Errorf("%s: %d of 200 went to r1, want %d to %d", c.name, count, c.minCount, c.maxCount)
+			t.Errorf("%s: calls sent to r1: got %d of 200, want %d to %d", c.name, count, c.minCount, c.maxCount)
 		}
 	}
 }
 
-// A call is not sent again at once to the replica that has just failed it, though nobody else has its model.
+// A call is not retried at once at the replica where its attempt has just failed, even if no other replica has its model loaded.
 func TestFailedCallIsNotRetriedAtOnceOnSameReplica(t *testing.T) {
 	h := newHarness(Options{}, newRoutedSnapshot(routedDeclaration(routeSpec{"many", configuration.Idempotent, 3, onlyService("engine"), false}), 1, replicaUpdates("engine", "r1", "r2")...))
 	h.d.snapshot.Replicas["r2"].Loaded = nil
 	h.sendCall("c", "many", "m").OutlierClass.Store(int32(outlier.ResetFresh))
 	h.endAttempt("c", OutcomeUnknown)
 	if n := len(h.attempts["c"]); n != 1 {
-		t.Errorf("%d attempts at once", n)
+		t.Errorf("attempts at once: got %d, want 1", n)
 	}
 	h.advance(clock.Sec + clock.Ms)
 	if n := len(h.attempts["c"]); n != 2 {
-		t.Errorf("%d attempts a second later", n)
+		t.Errorf("attempts a second later: got %d, want 2", n)
 	}
 }
 
@@ -87,17 +88,17 @@
 		endMs int64
 		want outlier.Class
 	}{
-		{"an answer", outlier.Unclassified, OutcomeDone, 20, 30, outlier.Success},
-		{"an answer that was long in coming", outlier.Unclassified, OutcomeDone, 900, 950, outlier.Slow},
-		{"its own error", outlier.ErrorResponse, OutcomeBroken, 20, 20, outlier.ErrorResponse},
-		{"an error in the request", outlier.Success, OutcomeFailed, 20, 20, outlier.Success},
-		{"a connection that had died", outlier.ResetReused, OutcomeUnknown, 0, 5, outlier.Unclassified},
-		{"a new one that was reset", outlier.ResetFresh, OutcomeUnknown, 0, 5, outlier.ResetFresh},
-		{"its client left at once", outlier.Unclassified, OutcomeUnknown, 0, 5, outlier.Unclassified},
-		{"its client left after a long silence", outlier.Unclassified, OutcomeUnknown, 0, 2000, outlier.ResponseTimeout},
-		{"its client left in the middle", outlier.Inconclusive, OutcomeBroken, 20, 30, outlier.Unclassified},
-		{"it ran out of time in the middle", outlier.Unclassified, OutcomeTimedOut, 20, 3000, outlier.Slow},
-		{"it was full", outlier.Unclassified, OutcomeRejected, 0, 5, outlier.Shed},
+		{"response", outlier.Unclassified, OutcomeDone, 20, 30, outlier.Success},
+		{"response with a late first byte", outlier.Unclassified, OutcomeDone, 900, 950, outlier.Slow},
+		{"error of the replica", outlier.ErrorResponse, OutcomeBroken, 20, 20, outlier.ErrorResponse},
+		{"error in the request", outlier.Success, OutcomeFailed, 20, 20, outlier.Success},
+		{"reset of a reused connection", outlier.ResetReused, OutcomeUnknown, 0, 5, outlier.Unclassified},
+		{"reset of a fresh connection", outlier.ResetFresh, OutcomeUnknown, 0, 5, outlier.ResetFresh},
+		{"client disconnected at once", outlier.Unclassified, OutcomeUnknown, 0, 5, outlier.Unclassified},
+		{"client disconnected after the attempt was late", outlier.Unclassified, OutcomeUnknown, 0, 2000, outlier.ResponseTimeout},
+		{"client disconnected during the response", outlier.Inconclusive, OutcomeBroken, 20, 30, outlier.Unclassified},
+		{"deadline passed during the response", outlier.Unclassified, OutcomeTimedOut, 20, 3000, outlier.Slow},
+		{"replica full", outlier.Unclassified, OutcomeRejected, 0, 5, outlier.Shed},
 	} {
 		h := newHarness(Options{}, newRoutedSnapshot(doc, 1, replicaUpdates("engine", "r1")...))
 		call := h.sendCall("c", "many", "m")
@@ -119,12 +120,12 @@
 			}
 		}
 		if got != c.want {
-			t.Errorf("%s: told as %q, want %q", c.name, got, c.want)
+			t.Errorf("%s: reported class: got %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
-// An attempt that shows nothing is told of while it still hangs, once.
+// An attempt without a first byte is reported once, while it still hangs.
 func TestHangingAttemptIsReportedOnceBeforeItEnds(t *testing.T) {
 	h := newHarness(Options{}, newRoutedSnapshot(routedDeclaration(routeSpec{"many", configuration.Idempotent, 3, onlyService("engine"), false}), 1, replicaUpdates("engine", "r1")...))
 	h.sendCall("c", "many", "m")
@@ -141,11 +142,11 @@
 		reported += o.Failures[outlier.ResponseTimeout.String()]
 	}
 	if reported != 1 {
-		t.Errorf("told %d times", reported)
+		t.Errorf("reports of the hanging attempt: got %d, want 1", reported)
 	}
 }
 
-// What was said of an attempt that had been told of already is not said of the call's next one.
+// The outlier class of an attempt that was already reported as late must not be recorded for the next attempt of the call.
 func TestOutlierClassOfReportedAttemptDoesNotApplyToNextAttempt(t *testing.T) {
 	h := newHarness(Options{}, newRoutedSnapshot(routedDeclaration(routeSpec{"many", configuration.Idempotent, 3, onlyService("engine"), false}), 1, replicaUpdates("engine", "r1", "r2")...))
 	c := h.sendCall("c", "many", "m")
@@ -155,6 +156,6 @@
 	h.endAttempt("c", OutcomeUnknown)
 	h.endAttempt("c", OutcomeDone)
 	if rep := h.d.Report(h.nowUs); len(rep.Outcomes) != 0 || rep.Attempts["engine"] != 1 {
-		t.Errorf("%+v of %v attempts", rep.Outcomes, rep.Attempts)
+		t.Errorf("report: got outcomes %+v of attempts %v, want no outcomes of 1 attempt", rep.Outcomes, rep.Attempts)
 	}
 }
--- a/internal/dataplane/scheduling/retry_budget_status_test.go
+++ b/internal/dataplane/scheduling/retry_budget_status_test.go
@@ -8,13 +8,13 @@
 	"petreltide/internal/process/clock"
 )
 
-// What the note says is what may be sent: never more, and no less where calls ask for it.
+// The status must show what the budget enforces: the calls of this test use it up, so that retries sent equal the maximum.
 func TestRetryBudgetStatusMatchesEnforcedBudget(t *testing.T) {
 	doc := routedDeclaration(routeSpec{"many", configuration.Idempotent, 9, onlyService("s"), false})
 	for _, c := range []struct{ gateways, divisor int }{{1, 3}, {3, 3}, {5, 5}} {
 		h := newHarness(Options{RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 30, WindowUs: 10 * clock.Sec}}, newRoutedSnapshot(doc, c.gateways, replicaUpdates("s", "r1", "r2", "r3")...))
 		if statuses := h.d.Status().Budgets; len(statuses) != 0 {
-			t.Errorf("before any call: %+v", statuses)
+			t.Errorf("budgets before any call: got %+v, want none", statuses)
 		}
 		for i := range 20 {
 			id := fmt.Sprint("c", i)
@@ -28,16 +28,16 @@
 		statuses := h.d.Status().Budgets
 		maxRetries := int(0.8*0.2*20 + 0.8*30/float64(c.divisor))
 		if len(statuses) != 1 || statuses[0] != (RetryBudgetStatus{"s", 20, maxRetries, maxRetries, c.divisor}) {
-			t.Errorf("%d gateways: %+v, want %d of %d", c.gateways, statuses, maxRetries, maxRetries)
+			t.Errorf("budgets with %d gateways: got %+v, want one with %d of %d retries sent", c.gateways, statuses, maxRetries, maxRetries)
 		}
 		h.advance(21 * clock.Sec)
 		if statuses = h.d.Status().Budgets; statuses[0].Calls != 0 || statuses[0].Retries != 0 {
-			t.Errorf("after the window: %+v", statuses)
+			t.Errorf("budgets after the window: got %+v, want no calls and no retries", statuses)
 		}
 	}
 	h := newHarness(Options{}, newRoutedSnapshot(doc, 1, replicaUpdates("s", "r1")...))
 	h.sendCall("c", "many", "")
 	if n := h.d.Status(); len(n.Budgets) != 0 || n.InFlight["r1"] != 1 {
-		t.Errorf("%+v", n)
+		t.Errorf("status without a retry budget: got %+v, want no budgets and 1 attempt in flight at r1", n)
 	}
 }
--- a/internal/dataplane/scheduling/retry_decisions_test.go
+++ b/internal/dataplane/scheduling/retry_decisions_test.go
@@ -9,29 +9,33 @@
 	"petreltide/internal/api/fault"
 )
 
-// hasNotRun are the endings of attempts that surely have not run and never will, by the users' pages.
+// hasNotRun reports whether an attempt with this outcome certainly has not run and never will, according to the user documentation.
 func hasNotRun(e Outcome) bool {
 	return e == OutcomeUnsent || e == OutcomeRejected || e == OutcomeModelMissing || e == OutcomeWrongIncarnation
 }
 
-// cell is what the users' pages ask for one kind of request: sent once more or not, may have run or not, and
-// what the caller is told where it is not sent again.
+// wantedDecision is what the user documentation requires for one kind of request: whether it is retried, whether it may have run,
+// and what the client receives if it is not retried.
 type wantedDecision struct {
 	retry, mayHaveRun bool
 	response          ClientResponse
 }
 
-// Every cell of the table, from the pages: what a replica says that it has not run may go elsewhere, whatever its
-// kind, and is refused with a promise; what was sent may have run, unless the replica says otherwise; only
-// idempotent requests and streams that may be resumed are repeatable; a begun answer goes on only where an event
-// says where; a replica's own answer is passed on whole, with its stamp, or not as a success.
+// Every entry of the decision table must match the user documentation:
+//
+//  1. A request that the replica reports as not run may be retried elsewhere, whatever its kind; otherwise it is refused
+//     with the statement that it has not run.
+//  2. A request that was sent may have run, unless the replica states otherwise.
+//  3. Of the requests that may have run, only idempotent ones and resumable streams are retried.
+//  4. A response that has begun is continued only if an event tells from where.
+//  5. A replica's own response is forwarded complete and with its stamp, or not as a success.
 func TestRetryDecisionOfEveryObservationAndRequestKind(t *testing.T) {
 	reject := wantedDecision{true, false, RespondRejected}
 	fail, retryOrFail := wantedDecision{false, true, RespondFailed}, wantedDecision{true, true, RespondFailed}
 	expire, abort, resumeOrAbort := wantedDecision{false, true, RespondExpired}, wantedDecision{false, true, AbortResponse}, wantedDecision{true, true, AbortResponse}
 	forward, disconnected := wantedDecision{false, true, ForwardResponse}, wantedDecision{false, true, NoResponse}
 	want := map[Observation][requestKinds]wantedDecision{
-		// in order:           idempotent, not, stream, stream that may be resumed
+		// Columns: Idempotent, NonIdempotent, Streaming, ResumableStreaming.
 		NothingSent:                  {reject, reject, reject, reject},
 		RouteWithdrawn:               {reject, reject, reject, reject},
 		Rejected:                     {reject, reject, reject, reject},
@@ -65,61 +69,61 @@
 		got[observed] = row
 	}
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(wantedDecision{})); diff != "" {
-		t.Error(diff)
+		t.Errorf("retry decisions (-want +got):\n%s", diff)
 	}
 }
 
-// The decider goes by endings, the sender by observations: both say the same.
+// The decider decides by outcomes and the sender by observations; both must agree.
 func TestRetryByOutcomeAgreesWithRetryDecisions(t *testing.T) {
 	for observed := range observations {
 		for k := range requestKinds {
 			d := Decide(k, observed)
 			if d.Outcome == "" {
-				t.Fatalf("observation %d has no ending", observed)
+				t.Fatalf("observation %d has no outcome", observed)
 			}
 			if mayRetry(k, d.Outcome) != d.Retry || MayHaveRun(d.Outcome) != d.MayHaveRun || hasNotRun(d.Outcome) == d.MayHaveRun {
-				t.Errorf("kind %d, observation %d: %+v, by its ending %s sent again %t, may have run %t", k, observed, d, d.Outcome, mayRetry(k, d.Outcome), MayHaveRun(d.Outcome))
+				t.Errorf("kind %d, observation %d: got decision %+v, but by its outcome %s retry %t, may have run %t", k, observed, d, d.Outcome, mayRetry(k, d.Outcome), MayHaveRun(d.Outcome))
 			}
 		}
 	}
 	for _, e := range []Outcome{OutcomeDone, OutcomeRejected, OutcomeModelMissing, OutcomeWrongIncarnation, OutcomeFailed, OutcomeUnsent, OutcomeBroken, OutcomeUnknown, OutcomeMigrated, OutcomeTimedOut, OutcomeStopped} {
 		if _, known := retryByOutcome[e]; !known {
-			t.Errorf("no observation ends as %s", e)
+			t.Errorf("no observation has the outcome %s", e)
 		}
 	}
 }
 
-// A call that was under a declaration which lets it run once only is never repeatable again.
+// Once a declaration that does not allow retries has applied to a call, the call is never retryable again.
 func TestCallOnceNonRetryableStaysNonRetryable(t *testing.T) {
 	updates := replicaUpdates("s", "r1", "r2")
 	nonRetryable, retryable := routeSpec{"r", configuration.NonIdempotent, 3, onlyService("s"), false}, routeSpec{"r", configuration.Idempotent, 3, onlyService("s"), false}
-	for name, specs := range map[string][]routeSpec{"it became repeatable": {nonRetryable, retryable}, "it was once only for a while": {retryable, nonRetryable, retryable}} {
+	for name, specs := range map[string][]routeSpec{"route becomes idempotent": {nonRetryable, retryable}, "route is non-idempotent for a while": {retryable, nonRetryable, retryable}} {
 		h := newHarness(Options{}, newRoutedSnapshot(routedDeclaration(specs[0]), 1, updates...))
 		h.sendCall("c", "r", "")
 		for _, spec := range specs[1:] {
 			h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(routedDeclaration(spec), 1, updates...)})
 		}
 		if h.endAttempt("c", OutcomeUnknown); len(h.attempts["c"]) != 1 || h.final["c"] == nil || asCallFinished(h.final["c"]) == nil {
-			t.Errorf("%s: %d attempts, %+v", name, len(h.attempts["c"]), h.final["c"])
+			t.Errorf("%s: got %d attempts and answer %+v, want 1 attempt and a finished call", name, len(h.attempts["c"]), h.final["c"])
 		}
 	}
 }
 
-// An answer that has begun on a route that is idempotent by now, but not resumable, is not begun anew.
+// A response that has begun is not restarted if its route has become idempotent but is not resumable.
 func TestStartedStreamIsNotRestartedWhenRouteBecomesIdempotent(t *testing.T) {
 	updates := replicaUpdates("s", "r1", "r2")
 	h := newHarness(Options{}, newRoutedSnapshot(routedDeclaration(routeSpec{"r", configuration.Streaming, 3, onlyService("s"), true}), 1, updates...))
 	h.sendCall("c", "r", "").Progress.Store(2)
 	h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(routedDeclaration(routeSpec{"r", configuration.Idempotent, 3, onlyService("s"), false}), 1, updates...)})
 	if h.endAttempt("c", OutcomeBroken); len(h.attempts["c"]) != 1 {
-		t.Errorf("%d attempts", len(h.attempts["c"]))
+		t.Errorf("attempts: got %d, want 1", len(h.attempts["c"]))
 	}
 	if f := h.final["c"]; f == nil || asCallFinished(f) == nil && asCallFailed(f).Fault.Run == fault.RunNone {
-		t.Errorf("%+v", f)
+		t.Errorf("answer: got %+v, want one that does not state that the call has not run", f)
 	}
 }
 
-// A call that waits for a further try, and whose route then goes to another service, draws on that service's budget.
+// A retry of a call whose route has been moved to another service is counted against the budget of that service.
 func TestRetrySpendsBudgetOfServiceItGoesTo(t *testing.T) {
 	opts := Options{RetryBudget: RetryBudgetOptions{Ratio: 0.1, Slack: 10, WindowUs: 10_000_000}}
 	updates := append(replicaUpdates("s", "r1", "r2"), replicaUpdates("other", "o1", "o2")...)
@@ -130,9 +134,9 @@
 	moved := routedDeclaration(routeSpec{"r", configuration.Idempotent, 3, onlyService("other"), false}, routeSpec{"o", configuration.Idempotent, 3, onlyService("other"), false})
 	h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(moved, 1, updates...)})
 	if h.endAttempt("c", OutcomeUnknown); len(h.attempts["c"]) != 1 {
-		t.Errorf("it was sent to %s, whose budget is spent", h.attempts["c"][1].Replica)
+		t.Errorf("retry was sent to %s, whose service has no retry budget left", h.attempts["c"][1].Replica)
 	}
 	if f := h.final["c"]; f == nil || asCallFailed(f) != nil && asCallFailed(f).Fault.Run == fault.RunNone {
-		t.Errorf("%+v", f)
+		t.Errorf("answer: got %+v, want one that does not state that the call has not run", f)
 	}
 }
--- a/internal/dataplane/scheduling/routed_test.go
+++ b/internal/dataplane/scheduling/routed_test.go
@@ -11,6 +11,7 @@
 	"petreltide/internal/process/clock"
 )
 
+// routeSpec describes a route of a test declaration.
 type routeSpec struct {
 	name        string
 	retryClass  configuration.RetryClass
@@ -19,10 +20,13 @@
 	resumable   bool
 }
 
+// onlyService returns a split that leads to one service.
 func onlyService(service string) []configuration.WeightedService {
 	return []configuration.WeightedService{{Service: service, Weight: 1}}
 }
 
+// routedDeclaration returns a declaration of the routed platform with the services "s" and "other", without engines, and
+// "engine", whose engine has the models "m" and "n".
 func routedDeclaration(routes ...routeSpec) *configuration.Declaration {
 	doc := &configuration.Declaration{Version: 1, Services: []configuration.Service{
 		{Name: "s"}, {Name: "other"},
@@ -36,8 +40,11 @@
 	return doc.Indexed()
 }
 
+// snapshotCount is the number of snapshots from newRoutedSnapshot, so that each has a higher number and revision.
 var snapshotCount uint64
 
+// newRoutedSnapshot returns a snapshot of the routed platform. The ID of each replica is also its incarnation and address, and the
+// default is 4 slots.
 func newRoutedSnapshot(doc *configuration.Declaration, gateways int, updates ...wire.ReplicaUpdate) *Snapshot {
 	snapshotCount++
 	s := &Snapshot{Number: snapshotCount, Revision: snapshotCount, Declaration: doc, Gateways: gateways, Replicas: map[string]*wire.ReplicaUpdate{}, ByService: map[string][]*wire.ReplicaUpdate{}}
@@ -53,6 +60,7 @@
 	return s
 }
 
+// replicaUpdates returns replicas of a service that have model "m" loaded.
 func replicaUpdates(service string, ids ...string) []wire.ReplicaUpdate {
 	updates := []wire.ReplicaUpdate{}
 	for _, id := range ids {
@@ -61,7 +69,8 @@
 	return updates
 }
 
-// harness drives one decider and holds what it did with each call.
+// harness drives one decider and records the attempts and the final effect (*CallFailed or *CallFinished) of each call, by call ID.
+// finalCount is the total number of final effects.
 type harness struct {
 	d          *Decider
 	nowUs      int64
@@ -70,6 +79,7 @@
 	finalCount int
 }
 
+// newHarness returns a harness with the snapshot s. The default of QueueMax is 1000.
 func newHarness(opts Options, s *Snapshot) *harness {
 	if opts.QueueMax == 0 {
 		opts.QueueMax = 1000
@@ -79,6 +89,7 @@
 	return h
 }
 
+// step applies an event at the current time and records the effects.
 func (h *harness) step(ev Event) []Effect {
 	effects := h.d.Step(h.nowUs, ev)
 	for _, e := range effects {
@@ -96,18 +107,20 @@
 	return effects
 }
 
+// sendCall lets a call with 100 prompt tokens arrive.
 func (h *harness) sendCall(id, route, model string) *Call {
 	c := &Call{ID: id, Kind: route, Model: model, Routed: &RoutedCall{PromptTokens: 100}}
 	h.step(CallArrived{Call: c})
 	return c
 }
 
-// end ends the newest attempt of a call.
+// endAttempt ends the newest attempt of a call.
 func (h *harness) endAttempt(id string, e Outcome) []Effect {
 	attempts := h.attempts[id]
 	return h.step(AttemptEnded{Call: id, Attempt: attempts[len(attempts)-1].Attempt, Outcome: e})
 }
 
+// advance moves the time on by us microseconds and applies a Tick.
 func (h *harness) advance(us int64) {
 	h.nowUs += us
 	h.step(Tick{})
@@ -123,15 +136,15 @@
 		h.endAttempt("c", c.outcome)
 		h.advance(c.backoffUs - clock.Ms)
 		if n := len(h.attempts["c"]); n != 1 {
-			t.Errorf("%s: it was sent %d times before its pause", c.outcome, n)
+			t.Errorf("%s: attempts before the backoff ended: got %d, want 1", c.outcome, n)
 		}
 		h.advance(2 * clock.Ms)
 		if n := len(h.attempts["c"]); n != 2 {
-			t.Fatalf("%s: it waits for a replica that does not come, sent %d times", c.outcome, n)
+			t.Fatalf("%s: attempts after the backoff: got %d, want 2", c.outcome, n)
 		}
 		h.endAttempt("c", OutcomeDone)
 		if f := h.final["c"]; f == nil || asCallFinished(f) == nil || asCallFinished(f).Outcome != OutcomeDone {
-			t.Errorf("%s: %+v", c.outcome, f)
+			t.Errorf("%s: answer after the retry: got %+v, want a call finished as done", c.outcome, f)
 		}
 	}
 }
@@ -141,7 +154,7 @@
 	h.sendCall("c", "once", "")
 	h.endAttempt("c", OutcomeRejected)
 	if attempts := h.attempts["c"]; len(attempts) != 2 || attempts[0].Replica == attempts[1].Replica {
-		t.Fatalf("%v", attempts)
+		t.Fatalf("attempts: got %v, want 2 at different replicas", attempts)
 	}
 }
 
@@ -163,23 +176,23 @@
 		h.sendCall("c", "r", "")
 		for i, e := range c.outcomes {
 			if len(h.attempts["c"]) != i+1 {
-				t.Fatalf("%v: %d attempts before the ending %d", c.outcomes, len(h.attempts["c"]), i)
+				t.Fatalf("%v: attempts before outcome %d: got %d, want %d", c.outcomes, i, len(h.attempts["c"]), i+1)
 			}
 			h.endAttempt("c", e)
 		}
 		f := h.final["c"]
 		switch {
 		case f == nil:
-			t.Errorf("%s %v: no answer at once", c.retryClass, c.outcomes)
+			t.Errorf("%s %v: no answer after the last attempt", c.retryClass, c.outcomes)
 		case c.wantFailed && (asCallFailed(f) == nil || asCallFailed(f).Fault.Run != c.wantRun || asCallFailed(f).Fault.RetryMs <= 0):
-			t.Errorf("%s %v: %+v", c.retryClass, c.outcomes, asCallFailed(f))
+			t.Errorf("%s %v: got %+v, want a fault with run %q and a retry delay", c.retryClass, c.outcomes, asCallFailed(f), c.wantRun)
 		case !c.wantFailed && asCallFinished(f) == nil:
-			t.Errorf("%s %v: %+v", c.retryClass, c.outcomes, asCallFailed(f).Fault)
+			t.Errorf("%s %v: got fault %+v, want a finished call", c.retryClass, c.outcomes, asCallFailed(f).Fault)
 		}
 	}
 }
 
-// What the declaration changes while a call waits or runs.
+// The declaration changes while a call is queued or running.
 func TestCallFollowsChangedRoute(t *testing.T) {
 	base := routeSpec{"r", configuration.NonIdempotent, 3, onlyService("s"), false}
 	moved := routeSpec{"r", configuration.NonIdempotent, 3, onlyService("other"), false}
@@ -193,13 +206,13 @@
 		return h
 	}
 	if h := queued(routedDeclaration()); h.final["c"] == nil || asCallFailed(h.final["c"]) == nil || asCallFailed(h.final["c"]).Fault.Code != fault.UnknownKind || asCallFailed(h.final["c"]).Fault.Run != fault.RunNone {
-		t.Errorf("dropped while it waits: %+v", h.final["c"])
+		t.Errorf("route removed while the call is queued: got %+v, want an unknown kind fault that states that the call has not run", h.final["c"])
 	}
 	if h := queued(routedDeclaration(moved)); len(h.attempts["c"]) != 1 || h.attempts["c"][0].Replica != "o1" {
-		t.Errorf("moved while it waits: %v", h.attempts["c"])
+		t.Errorf("route moved while the call is queued: got attempts %v, want 1 at o1", h.attempts["c"])
 	}
 	if h := queued(routedDeclaration(routeSpec{"r", configuration.NonIdempotent, 3, []configuration.WeightedService{{Service: "s", Weight: 0}, {Service: "other", Weight: 1}}, false})); len(h.attempts["c"]) != 1 || h.attempts["c"][0].Replica != "o1" {
-		t.Errorf("weighed down to 0 while it waits: %v", h.attempts["c"])
+		t.Errorf("weight of the service set to 0 while the call is queued: got attempts %v, want 1 at o1", h.attempts["c"])
 	}
 
 	running := func(next *configuration.Declaration, e Outcome) *harness {
@@ -210,41 +223,41 @@
 		return h
 	}
 	if h := running(routedDeclaration(), OutcomeDone); asCallFinished(h.final["c"]) == nil || asCallFinished(h.final["c"]).Outcome != OutcomeDone {
-		t.Errorf("dropped while it runs: %+v", h.final["c"])
+		t.Errorf("route removed while the attempt runs: got %+v, want a call finished as done", h.final["c"])
 	}
 	if h := running(routedDeclaration(), OutcomeRejected); h.final["c"] == nil || asCallFailed(h.final["c"]) == nil || asCallFailed(h.final["c"]).Fault.Run != fault.RunNone || len(h.attempts["c"]) != 1 {
-		t.Errorf("dropped while it runs, then refused: %+v", h.final["c"])
+		t.Errorf("route removed while the attempt runs, then rejected: got %+v, want a fault after 1 attempt that states that the call has not run", h.final["c"])
 	}
 	if h := running(routedDeclaration(moved), OutcomeRejected); len(h.attempts["c"]) != 2 || h.attempts["c"][1].Replica != "o1" {
-		t.Errorf("moved while it runs, then refused: %v", h.attempts["c"])
+		t.Errorf("route moved while the attempt runs, then rejected: got attempts %v, want the second at o1", h.attempts["c"])
 	}
 	if h := running(routedDeclaration(moved), OutcomeUnknown); len(h.attempts["c"]) != 1 || asCallFinished(h.final["c"]) == nil {
-		t.Errorf("moved while it runs, then in doubt: %v", h.attempts["c"])
+		t.Errorf("route moved while the attempt runs, then unknown outcome: got attempts %v, want 1 and a finished call", h.attempts["c"])
 	}
 	h := newHarness(Options{}, newRoutedSnapshot(routedDeclaration(routeSpec{"r", configuration.Idempotent, 3, onlyService("s"), false}), 1, updates...))
 	h.sendCall("c", "r", "")
 	h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(routedDeclaration(base), 1, updates...)})
 	if h.endAttempt("c", OutcomeUnknown); len(h.attempts["c"]) != 1 {
-		t.Errorf("no longer repeatable, then in doubt: %v", h.attempts["c"])
+		t.Errorf("route no longer idempotent, then unknown outcome: got attempts %v, want 1", h.attempts["c"])
 	}
 
 	for name, newer := range map[string]*Snapshot{
-		"a route dropped":   newRoutedSnapshot(routedDeclaration(), 1, updates...),
-		"a route moved":     newRoutedSnapshot(routedDeclaration(moved), 1, updates...),
-		"a replica gone":    newRoutedSnapshot(routedDeclaration(base), 1, updates[1:]...),
-		"a replica leaving": newRoutedSnapshot(routedDeclaration(base), 1, wire.ReplicaUpdate{ID: "r1", Service: "s", Draining: true}),
-		"another service":   newRoutedSnapshot(routedDeclaration(base), 1, replicaUpdates("other", "r1")...),
+		"route removed":              newRoutedSnapshot(routedDeclaration(), 1, updates...),
+		"route moved":                newRoutedSnapshot(routedDeclaration(moved), 1, updates...),
+		"replica removed":            newRoutedSnapshot(routedDeclaration(base), 1, updates[1:]...),
+		"replica draining":           newRoutedSnapshot(routedDeclaration(base), 1, wire.ReplicaUpdate{ID: "r1", Service: "s", Draining: true}),
+		"replica of another service": newRoutedSnapshot(routedDeclaration(base), 1, replicaUpdates("other", "r1")...),
 	} {
 		h := newHarness(Options{}, newRoutedSnapshot(routedDeclaration(base), 1, updates...))
 		h.sendCall("c", "r", "")
 		st := *h.attempts["c"][0]
 		if !st.MaySend(h.d.snapshot, h.nowUs, 0) || st.MaySend(newer, h.nowUs, 0) || st.MaySend(h.d.snapshot, st.DeadlineUs, 0) {
-			t.Errorf("%s between the decision and the first byte", name)
+			t.Errorf("%s before the first byte: MaySend must be true only under the older snapshot and before the deadline", name)
 		}
 	}
 }
 
-// How long a replica is left alone hangs on what it said.
+// The outcome of an attempt determines for how long its replica gets no further attempt, and whether this holds for other models too.
 func TestReplicaBackoffScopeDependsOnOutcome(t *testing.T) {
 	doc := routedDeclaration(routeSpec{"r", configuration.NonIdempotent, 3, onlyService("engine"), false})
 	update := wire.ReplicaUpdate{ID: "r1", Service: "engine", Loaded: []string{"m", "n"}}
@@ -259,17 +272,22 @@
 		h.sendCall("same", "r", "m")
 		h.sendCall("beside", "r", "n")
 		if sameModel, otherModel := len(h.attempts["same"]) > 0, len(h.attempts["beside"]) > 0; sameModel != c.sameModel || otherModel != c.otherModel {
-			t.Errorf("%s: the same model is sent there %v, another %v", c.outcome, sameModel, otherModel)
+			t.Errorf("%s: replica gets calls for the same model %t and for another %t, want %t and %t", c.outcome, sameModel, otherModel, c.sameModel, c.otherModel)
 		}
 		if h.advance(c.backoffUs + clock.Ms); c.backoffUs < 15*clock.Sec && len(h.attempts["same"]) == 0 {
-			t.Errorf("%s: never asked again", c.outcome)
+			t.Errorf("%s: replica gets no call for the same model after the backoff", c.outcome)
 		}
 	}
 }
 
-// Whatever comes in whatever order: a call that is not repeatable is never sent again after anything but a
-// sure word that it has not run; a refusal that says so is true; each call is answered once; attempts go only
-// where the newest declaration sends them, to replicas that are there and not leaving; attempts hold.
+// For any order of events:
+//
+//  1. A call that is not retryable is retried only if it certainly has not run.
+//  2. A fault that states that a call has not run is true.
+//  3. Each call is answered exactly once and has at most one attempt at a time.
+//  4. Attempts go only to services that the newest declaration routes the call to, at replicas that are reachable, not draining
+//     and of the incarnation in the snapshot.
+//  5. No call has more than maxCallAttempts attempts.
 func TestSeededCallInvariantsUnderChangingRoutes(t *testing.T) {
 	outcomes := []Outcome{OutcomeDone, OutcomeDone, OutcomeFailed, OutcomeRejected, OutcomeRejected, OutcomeModelMissing, OutcomeWrongIncarnation, OutcomeUnsent, OutcomeBroken, OutcomeUnknown, OutcomeTimedOut}
 	retries, failures, answered := 0, 0, 0
@@ -302,20 +320,20 @@
 				case asAttemptStart(e) != nil:
 					id, route, update := asAttemptStart(e).Call.ID, h.d.snapshot.Declaration.Route(asAttemptStart(e).Call.Kind), h.d.snapshot.Replicas[asAttemptStart(e).Replica]
 					if route == nil || update == nil || update.Draining || update.Unreachable || !route.SendsTo(update.Service) || asAttemptStart(e).Incarnation != update.Incarnation {
-						t.Fatalf("seed %d: %s goes to %+v by %+v", seed, id, update, route)
+						t.Fatalf("seed %d: attempt of call %s at replica %+v is not allowed by route %+v", seed, id, update, route)
 					}
 					if mayHaveRun[id] {
 						if retries++; !route.Retryable() {
-							t.Fatalf("seed %d: %s may have run and is sent again", seed, id)
+							t.Fatalf("seed %d: non-retryable call %s may have run and is retried", seed, id)
 						}
 					}
 					if open[id] {
-						t.Fatalf("seed %d: %s has two attempts at once", seed, id)
+						t.Fatalf("seed %d: call %s has two attempts at once", seed, id)
 					}
 					open[id] = true
 				case asCallFailed(e) != nil:
 					if failures++; asCallFailed(e).Fault.Run == fault.RunNone && mayHaveRun[asCallFailed(e).Call.ID] {
-						t.Fatalf("seed %d: %s may have run and is told that it has not: %+v", seed, asCallFailed(e).Call.ID, asCallFailed(e).Fault)
+						t.Fatalf("seed %d: call %s may have run, but its fault states that it has not: %+v", seed, asCallFailed(e).Call.ID, asCallFailed(e).Fault)
 					}
 				}
 			}
@@ -354,22 +372,23 @@
 			check(h.step(Tick{}))
 		}
 		if len(h.final) != calls || h.finalCount != calls || len(h.d.calls) != 0 || h.d.queued != 0 {
-			t.Fatalf("seed %d: %d calls, %d of them answered with %d answers, %d left over", seed, calls, len(h.final), h.finalCount, len(h.d.calls))
+			t.Fatalf("seed %d: %d calls: got %d answered with %d answers, %d left and %d queued, want each answered once and none left", seed, calls, len(h.final), h.finalCount, len(h.d.calls), h.d.queued)
 		}
 		answered += calls
 		for id, attempts := range h.attempts {
 			if len(attempts) > maxCallAttempts {
-				t.Fatalf("seed %d: %s had %d attempts", seed, id, len(attempts))
+				t.Fatalf("seed %d: attempts of call %s: got %d, want at most %d", seed, id, len(attempts), maxCallAttempts)
 			}
 		}
 	}
-	t.Logf("%d calls, %d given up on, %d repeats", answered, failures, retries)
+	t.Logf("%d calls, %d failed, %d retries", answered, failures, retries)
 	if retries < 100 || failures < 100 {
-		t.Errorf("%d repeats and %d given up on: it proves little", retries, failures)
+		t.Errorf("the runs cover too little: got %d retries and %d failed calls, want at least 100 each", retries, failures)
 	}
 }
 
-// All gateways together hold to the budget in every span, whatever fails and however long calls wait between.
+// All gateways together stay within the retry budget in every window, whatever fails and however long calls are queued between
+// attempts.
 func TestSeededRetryBudgetHoldsAcrossGateways(t *testing.T) {
 	const windowUs, ratio, slack = 10 * clock.Sec, 0.2, 58.0
 	maxUsedFraction := 0.0
@@ -447,12 +466,12 @@
 			limit := ratio*float64(maxCalls) + slack
 			maxUsedFraction = max(maxUsedFraction, float64(retries)/limit)
 			if float64(retries) > limit {
-				t.Fatalf("seed %d: %d gateways sent %d further attempts within a window of %d calls", seed, gateways, retries, maxCalls)
+				t.Fatalf("seed %d: %d gateways sent %d retries in a window of %d calls, want at most %.1f", seed, gateways, retries, maxCalls, limit)
 			}
 		}
 	}
 	t.Logf("at most %.2f of the budget was used", maxUsedFraction)
 	if maxUsedFraction < 0.5 {
-		t.Errorf("at most %.2f of the budget was used: it proves little", maxUsedFraction)
+		t.Errorf("the runs cover too little: at most %.2f of the budget was used, want at least 0.5", maxUsedFraction)
 	}
 }
--- a/internal/dataplane/scheduling/tenants_test.go
+++ b/internal/dataplane/scheduling/tenants_test.go
@@ -9,7 +9,8 @@
 	"petreltide/internal/api/wire"
 )
 
-// tenanted is a declaration whose routes "own" and "open", which is public, go to service s, with tenants by their keys.
+// declarationWithTenants returns a declaration with the given keys by tenant and two routes to service "s": "own", and "open", which
+// is public.
 func declarationWithTenants(keys map[string]string) *configuration.Declaration {
 	doc := routedDeclaration(routeSpec{"own", configuration.Idempotent, 3, onlyService("s"), false}, routeSpec{"open", configuration.Idempotent, 3, onlyService("s"), false})
 	doc.RequireKeys, doc.Index = true, nil
@@ -31,18 +32,18 @@
 		tenant   string
 		code     fault.Code
 	}{
-		{"its key", s, RouteLookup{Host: "h", Path: "/own/x", Key: "k1"}, "own", "school", ""},
-		{"another's key", s, RouteLookup{Host: "h", Path: "/own/x", Key: "k2"}, "own", "club", ""},
+		{"own key", s, RouteLookup{Host: "h", Path: "/own/x", Key: "k1"}, "own", "school", ""},
+		{"key of another tenant", s, RouteLookup{Host: "h", Path: "/own/x", Key: "k2"}, "own", "club", ""},
 		{"no key", s, RouteLookup{Host: "h", Path: "/own/x", Key: ""}, "", "", fault.Unauthenticated},
-		{"an unknown key", s, RouteLookup{Host: "h", Path: "/own/x", Key: "k3"}, "", "", fault.Unauthenticated},
-		{"a digest", s, RouteLookup{Host: "h", Path: "/own/x", Key: configuration.KeyDigest("k1")}, "", "", fault.Unauthenticated},
-		{"public, its key", s, RouteLookup{Host: "h", Path: "/open/x", Key: "k1"}, "open", "school", ""},
-		{"public, no key", s, RouteLookup{Host: "h", Path: "/open/x", Key: ""}, "open", "", ""},
-		{"public, an unknown key", s, RouteLookup{Host: "h", Path: "/open/x", Key: "k3"}, "", "", fault.Unauthenticated},
-		{"no route, its key", s, RouteLookup{Host: "h", Path: "/none/x", Key: "k1"}, "", "", fault.NotFound},
+		{"unknown key", s, RouteLookup{Host: "h", Path: "/own/x", Key: "k3"}, "", "", fault.Unauthenticated},
+		{"digest as key", s, RouteLookup{Host: "h", Path: "/own/x", Key: configuration.KeyDigest("k1")}, "", "", fault.Unauthenticated},
+		{"public route, own key", s, RouteLookup{Host: "h", Path: "/open/x", Key: "k1"}, "open", "school", ""},
+		{"public route, no key", s, RouteLookup{Host: "h", Path: "/open/x", Key: ""}, "open", "", ""},
+		{"public route, unknown key", s, RouteLookup{Host: "h", Path: "/open/x", Key: "k3"}, "", "", fault.Unauthenticated},
+		{"no route, own key", s, RouteLookup{Host: "h", Path: "/none/x", Key: "k1"}, "", "", fault.NotFound},
 		{"no route, no key", s, RouteLookup{Host: "h", Path: "/none/x", Key: ""}, "", "", fault.NotFound},
-		{"no tenants are declared", keyless, RouteLookup{Host: "h", Path: "/own/x", Key: "k1"}, "own", "", ""},
-		{"the last tenant is gone", newRoutedSnapshot(declarationWithTenants(nil), 1), RouteLookup{Host: "h", Path: "/own/x", Key: "k1"}, "", "", fault.Unauthenticated},
+		{"no tenants declared", keyless, RouteLookup{Host: "h", Path: "/own/x", Key: "k1"}, "own", "", ""},
+		{"last tenant removed", newRoutedSnapshot(declarationWithTenants(nil), 1), RouteLookup{Host: "h", Path: "/own/x", Key: "k1"}, "", "", fault.Unauthenticated},
 	} {
 		route, tenant, failure := c.snapshot.LookupRoute(c.lookup)
 		gotRoute, code := "", fault.Code("")
@@ -53,12 +54,13 @@
 			code = failure.Code
 		}
 		if gotRoute != c.route || tenant != c.tenant || code != c.code {
-			t.Errorf("%s: route %q of tenant %q, %v", c.name, gotRoute, tenant, failure)
+			t.Errorf("%s: got route %q, tenant %q and fault %v, want route %q, tenant %q and fault code %q", c.name, gotRoute, tenant, failure, c.route, c.tenant, c.code)
 		}
 	}
 }
 
-// A tenant that was removed since its call was taken: what has not run is never sent, and is refused as not run.
+// If a tenant is removed after its call has arrived, the call is never sent, and is refused with the statement that it has not run,
+// unless it may have run.
 func TestCallOfRemovedTenantIsNotSent(t *testing.T) {
 	before, after := declarationWithTenants(map[string]string{"school": "k1"}), declarationWithTenants(map[string]string{"club": "k2"})
 	updates := replicaUpdates("s", "r1", "r2")
@@ -72,45 +74,45 @@
 	wantRefusal := func(t *testing.T, h *harness, run string) {
 		t.Helper()
 		if f := asCallFailed(h.final["c"]); f == nil || f.Fault.Code != fault.Unauthenticated || f.Fault.Run != run {
-			t.Errorf("%+v", h.final["c"])
+			t.Errorf("answer: got %+v, want an unauthenticated fault with run %q", h.final["c"], run)
 		}
 	}
-	t.Run("while it waits", func(t *testing.T) {
+	t.Run("while the call is queued", func(t *testing.T) {
 		h := newHarness(Options{}, newRoutedSnapshot(before, 1, unreachable...))
 		arrive(h, "own")
 		h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(after, 1, updates...)})
 		wantRefusal(t, h, fault.RunNone)
 		if n := len(h.attempts["c"]); n > 0 {
-			t.Errorf("%d attempts", n)
+			t.Errorf("attempts: got %d, want 0", n)
 		}
 	})
-	t.Run("before it comes", func(t *testing.T) {
+	t.Run("before the call arrives", func(t *testing.T) {
 		h := newHarness(Options{}, newRoutedSnapshot(after, 1, updates...))
 		arrive(h, "own")
 		wantRefusal(t, h, fault.RunNone)
 	})
-	t.Run("before its first byte", func(t *testing.T) {
+	t.Run("before the first byte is sent", func(t *testing.T) {
 		h := newHarness(Options{}, newRoutedSnapshot(before, 1, updates...))
 		arrive(h, "own")
 		start := *h.attempts["c"][0]
 		if !start.MaySend(newRoutedSnapshot(before, 1, updates...), h.nowUs, 0) {
-			t.Error("it may not be sent while its tenant is known")
+			t.Error("MaySend with the tenant declared: got false, want true")
 		}
 		if start.MaySend(newRoutedSnapshot(after, 1, updates...), h.nowUs, 0) {
-			t.Error("it may be sent")
+			t.Error("MaySend after the tenant was removed: got true, want false")
 		}
 		h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(after, 1, updates...)})
 		h.endAttempt("c", OutcomeUnsent)
 		wantRefusal(t, h, fault.RunNone)
 	})
-	t.Run("after it may have run", func(t *testing.T) {
+	t.Run("after the call may have run", func(t *testing.T) {
 		h := newHarness(Options{}, newRoutedSnapshot(before, 1, updates...))
 		arrive(h, "own")
 		h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(after, 1, updates...)})
 		h.endAttempt("c", OutcomeUnknown)
 		wantRefusal(t, h, fault.RunUnknown)
 		if n := len(h.attempts["c"]); n != 1 {
-			t.Errorf("%d attempts", n)
+			t.Errorf("attempts: got %d, want 1", n)
 		}
 	})
 	t.Run("on a public route", func(t *testing.T) {
@@ -118,12 +120,12 @@
 		arrive(h, "open")
 		h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(after, 1, updates...)})
 		if n := len(h.attempts["c"]); n != 1 {
-			t.Errorf("%d attempts", n)
+			t.Errorf("attempts: got %d, want 1", n)
 		}
 	})
 }
 
-// declarationWithPriorities is tenanted with a priority for each tenant; its key is its name.
+// declarationWithPriorities returns a declarationWithTenants with the given priorities by tenant. The key of each tenant is its name.
 func declarationWithPriorities(priorities map[string]int) *configuration.Declaration {
 	keys := map[string]string{}
 	for name := range priorities {
@@ -141,7 +143,8 @@
 	return doc.Indexed()
 }
 
-// Two tenants of different priorities on one route: the more urgent one's calls go first, the other's are not starved.
+// Of two tenants with different priorities on one route, the calls of the more urgent one go first, and those of the other are not
+// starved.
 func TestQueueFollowsTenantPriority(t *testing.T) {
 	updates := []wire.ReplicaUpdate{{ID: "r1", Service: "s", Slots: 1}}
 	newBacklog := func(doc *configuration.Declaration) *harness {
@@ -168,40 +171,40 @@
 				}
 			}
 			if !ended {
-				t.Fatal("nothing runs though calls wait")
+				t.Fatal("no attempt is open although calls are queued")
 			}
 		}
 		return served
 	}
-	t.Run("the more urgent one's go first", func(t *testing.T) {
+	t.Run("more urgent tenant goes first", func(t *testing.T) {
 		h := newBacklog(declarationWithPriorities(map[string]int{"fast": 0, "slow": 6}))
 		if served := serve(t, h, 50); served["slow"] < 3 || served["fast"] < 6*served["slow"] {
-			t.Errorf("%v were served", served)
+			t.Errorf("served calls by tenant: got %v, want at least 3 slow ones and six times as many fast ones", served)
 		}
 		for id, attempts := range h.attempts {
 			if want := map[string]int{"fast": 0, "slow": 6}[id[:4]]; attempts[0].Priority != want {
-				t.Errorf("%s is sent with priority %d, want %d", id, attempts[0].Priority, want)
+				t.Errorf("priority of call %s: got %d, want %d", id, attempts[0].Priority, want)
 			}
 		}
 	})
-	t.Run("a change of priority reaches what waits", func(t *testing.T) {
+	t.Run("changed priority applies to queued calls", func(t *testing.T) {
 		h := newBacklog(declarationWithPriorities(map[string]int{"fast": 6, "slow": 0}))
 		h.step(SnapshotReceived{Snapshot: newRoutedSnapshot(declarationWithPriorities(map[string]int{"fast": 0, "slow": 6}), 1, updates...)})
 		if served := serve(t, h, 50); served["fast"] < 35 {
-			t.Errorf("%v were served", served)
+			t.Errorf("served calls by tenant: got %v, want at least 35 fast ones", served)
 		}
 	})
-	t.Run("a full queue makes room for the one below its share", func(t *testing.T) {
+	t.Run("full queue makes room for a tenant below its share", func(t *testing.T) {
 		h := newHarness(Options{QueueMax: 10}, newRoutedSnapshot(declarationWithPriorities(map[string]int{"fast": 0, "slow": 6}), 1, updates...))
 		for i := range 11 {
 			h.step(CallArrived{Call: &Call{ID: fmt.Sprintf("slow-%d", i), Kind: "own", Routed: &RoutedCall{Tenant: "slow"}}})
 		}
 		if h.finalCount != 0 {
-			t.Fatalf("%d were refused before the queue was full", h.finalCount)
+			t.Fatalf("calls refused before the queue was full: got %d, want 0", h.finalCount)
 		}
 		h.step(CallArrived{Call: &Call{ID: "fast", Kind: "own", Routed: &RoutedCall{Tenant: "fast"}}})
 		if h.finalCount != 1 || h.final["fast"] != nil {
-			t.Errorf("%d were refused: %v", h.finalCount, h.final)
+			t.Errorf("calls refused by the full queue: got %d (%v), want 1 of the other tenant", h.finalCount, h.final)
 		}
 	})
 }
