--- a/cmd/petreltide/print.go
+++ b/cmd/petreltide/print.go
@@ -32,7 +32,7 @@
 	}
 	printPolicies(w, st)
 	printQuota(w, st.Quota)
-	for code, n := range st.Faults {
+	for code, n := range st.FaultCounts {
 		fmt.Fprintf(w, "fault     %s: %d\n", code, n)
 	}
 }
@@ -63,14 +63,14 @@
 	}
 	fmt.Fprintf(w, "node      %s (%s), zone %s\n", st.ControlNode.ID, st.Phase, st.ControlNode.Zone)
 	fmt.Fprintf(w, "view      %d: %s\n", st.View.Number, strings.Join(order, " > "))
-	if st.WaitingFor != "" {
-		fmt.Fprintf(w, "waits for %s\n", st.WaitingFor)
+	if st.WaitReason != "" {
+		fmt.Fprintf(w, "waits for %s\n", st.WaitReason)
 	}
 	fmt.Fprintf(w, "leader    %s under epoch %d\n", st.LeaseHolder, st.Epoch)
 	if st.Fleet != nil {
 		printLeadership(w, st.Fleet.Leadership)
 	}
-	fmt.Fprintf(w, "revision  %d, commit %d of %d\n", st.Revision, st.Commit, st.Last)
+	fmt.Fprintf(w, "revision  %d, commit %d of %d\n", st.Revision, st.CommitIndex, st.LastIndex)
 	printRollout(w, st.Rollout)
 	if len(st.EmptiedZones) > 0 {
 		fmt.Fprintf(w, "emptied   %s\n", strings.Join(st.EmptiedZones, ", "))
@@ -109,16 +109,16 @@
 // printPolicies shows the policy in force and its shadows.
 func printPolicies(w io.Writer, st controlnode.Status) {
 	if p := st.Policy; p.Name != "" {
-		fmt.Fprintf(w, "policy    %s: %d runs, %d faulted; last verdicts: %s\n", p.Name, p.Runs, p.Faulted, placement.Summary(p.Verdicts))
+		fmt.Fprintf(w, "policy    %s: %d runs, %d faulted; last verdicts: %s\n", p.Name, p.Runs, p.FaultCount, placement.Summary(p.Verdicts))
 		if p.Fault != nil {
 			fmt.Fprintf(w, "          last fault: %v\n", p.Fault)
 		}
 	}
 	for _, s := range st.Shadows {
-		fmt.Fprintf(w, "shadow    %s: %d runs, %d faulted", s.Name, s.Runs, s.Faulted)
+		fmt.Fprintf(w, "shadow    %s: %d runs, %d faulted", s.Name, s.Runs, s.FaultCount)
 		if s.Difference != nil {
 			fmt.Fprintf(w, "; parted from %s in %d of %d%s%s", st.Policy.Name, s.Difference.Runs-s.Difference.Same, s.Difference.Runs,
-				topSteps("; it alone would", s.Difference.Only), topSteps("; it would not", s.Difference.Left))
+				topSteps("; it alone would", s.Difference.ShadowOnly), topSteps("; it would not", s.Difference.LiveOnly))
 		}
 		fmt.Fprintln(w)
 	}
--- a/internal/dataplane/scheduling/report.go
+++ b/internal/dataplane/scheduling/report.go
@@ -5,7 +5,7 @@
 	"petreltide/internal/api/wire"
 )
 
-// Decision is a line of the log of what was decided and why.
+// Decision is an entry of the decision log: what was decided for a call, and why.
 type Decision struct {
 	AtUs    int64  `json:"atUs"`
 	Call    string `json:"call"`
@@ -16,17 +16,18 @@
 	Reason  string `json:"why"`
 }
 
-func (d *Decider) logDecision(c *Call, what, replica, why string) {
+// logDecision appends to the decision log and drops its older half when the log is full.
+func (d *Decider) logDecision(c *Call, action, replica, reason string) {
 	if len(d.decisionLog) >= maxLoggedDecisions {
 		d.decisionLog = append(d.decisionLog[:0], d.decisionLog[maxLoggedDecisions/2:]...)
 	}
-	d.decisionLog = append(d.decisionLog, Decision{d.nowUs, c.ID, c.Kind, c.Model, what, replica, why})
+	d.decisionLog = append(d.decisionLog, Decision{d.nowUs, c.ID, c.Kind, c.Model, action, replica, reason})
 }
 
-// Arrivals are the calls per second over the last complete seconds, by model and by adapter.
+// Arrivals returns the calls per second over the last complete seconds, by model and by adapter unit.
 func (d *Decider) Arrivals() map[string]float64 { return d.arrivals.rates() }
 
-// Report is what a gateway tells the control nodes: arrivals, what waits, what runs, how attempts ended.
+// Report returns the gateway's report to the control nodes: arrival rates, queued calls, open attempts and attempt outcomes.
 func (d *Decider) Report(nowUs int64) wire.Report {
 	rep := wire.Report{
 		Gateway: d.opts.Gateway, Incarnation: d.opts.Incarnation, SentUs: nowUs, Arrivals: d.arrivals.rates(), Draining: d.draining,
@@ -45,28 +46,28 @@
 			}
 		}
 	}
-	for id, p := range d.grantedReplicas {
-		if len(p.inFlight) > 0 {
-			rep.InFlight[id] = len(p.inFlight)
+	for id, state := range d.grantedReplicas {
+		if len(state.inFlight) > 0 {
+			rep.InFlight[id] = len(state.inFlight)
 		}
 	}
 	d.reportRouted(&rep)
 	if d.routed() {
 		rep.PromptTokens, rep.RecentArrivals = d.arrivals.tokenRates(), d.arrivals.recentRates(d.nowUs)
 		rep.RouteArrivals = map[string]float64{}
-		for _, slot := range d.arrivals.paths {
+		for _, slot := range d.arrivals.routeCalls {
 			for key, n := range slot {
 				rep.RouteArrivals[key] += float64(n) / arrivalSlots
 			}
 		}
 	}
-	for key, r := range d.attemptGrants {
-		rep.UnusedGrants[key] = wire.UnusedGrant{Ticket: r.number, Remaining: r.to - r.next}
+	for key, grant := range d.attemptGrants {
+		rep.UnusedGrants[key] = wire.UnusedGrant{Ticket: grant.number, Remaining: grant.to - grant.next}
 	}
 	return rep
 }
 
-// KindStatus counts the calls of one kind since the start.
+// KindStatus holds the counts of the calls of one kind since the gateway started; Waiting is the current number of queued calls.
 type KindStatus struct {
 	Kind    string                `json:"kind"`
 	Arrived uint64                `json:"arrived"`
@@ -75,7 +76,7 @@
 	Faults  map[fault.Code]uint64 `json:"given,omitempty"`
 }
 
-// Status is the state of a decider for a person.
+// Status is the state of a Decider for display to operators.
 type Status struct {
 	Kinds    []KindStatus        `json:"kinds"`
 	Waiting  int                 `json:"waiting"`
@@ -90,11 +91,11 @@
 	Recent   []Decision          `json:"recent,omitempty"`
 }
 
-// Status copies the state for a person.
+// Status returns a copy of the state for display to operators.
 func (d *Decider) Status() Status {
-	n := Status{Waiting: d.queued, Calls: len(d.calls), InFlight: map[string]int{}, LeaseMs: max(0, d.leaseUntilUs-d.nowUs) / 1000, Draining: d.draining, Kinds: []KindStatus{}}
+	status := Status{Waiting: d.queued, Calls: len(d.calls), InFlight: map[string]int{}, LeaseMs: max(0, d.leaseUntilUs-d.nowUs) / 1000, Draining: d.draining, Kinds: []KindStatus{}}
 	if d.snapshot != nil {
-		n.Number, n.View, n.Revision = d.snapshot.Number, d.snapshot.View, d.snapshot.Revision
+		status.Number, status.View, status.Revision = d.snapshot.Number, d.snapshot.View, d.snapshot.Revision
 	}
 	waiting := map[string]int{}
 	for key, q := range d.queues {
@@ -102,26 +103,26 @@
 	}
 	for _, name := range d.kindNames() {
 		k := d.kinds[name]
-		given := map[fault.Code]uint64{}
+		faultCounts := map[fault.Code]uint64{}
 		for code, count := range k.faults {
-			given[code] = count
+			faultCounts[code] = count
 		}
-		n.Kinds = append(n.Kinds, KindStatus{name, k.arrived, waiting[name], k.done, given})
+		status.Kinds = append(status.Kinds, KindStatus{name, k.arrived, waiting[name], k.done, faultCounts})
 	}
-	for id, p := range d.grantedReplicas {
-		n.InFlight[id] = len(p.inFlight)
+	for id, state := range d.grantedReplicas {
+		status.InFlight[id] = len(state.inFlight)
 	}
-	for id, s := range d.replicaStats {
-		if len(s.openAttempts) > 0 {
-			n.InFlight[id] = len(s.openAttempts)
+	for id, stats := range d.replicaStats {
+		if len(stats.openAttempts) > 0 {
+			status.InFlight[id] = len(stats.openAttempts)
 		}
 	}
-	n.Budgets = d.retryBudgetStatuses()
-	n.Recent = append(n.Recent, d.decisionLog...)
-	return n
+	status.Budgets = d.retryBudgetStatuses()
+	status.Recent = append(status.Recent, d.decisionLog...)
+	return status
 }
 
-// Ready is nil when this gateway can take calls now, or says why it cannot.
+// Ready returns nil if this gateway can take calls at nowUs, and otherwise a fault with the reason and a retry delay.
 func (d *Decider) Ready(nowUs int64) *fault.Fault {
 	var f *fault.Fault
 	switch {
@@ -140,7 +141,7 @@
 	}
 	f.RetryMs = noLeaseRetryMs
 	if f.Code == fault.Overloaded {
-		f.RetryMs = d.RetryMs()
+		f.RetryMs = d.RetryAfterMs()
 	}
 	return f
 }
--- a/internal/dataplane/scheduling/selection.go
+++ b/internal/dataplane/scheduling/selection.go
@@ -8,6 +8,7 @@
 	"petreltide/internal/api/wire"
 )
 
+// mixHash is a 64-bit finalizer in the manner of MurmurHash3: it spreads the bits of x evenly.
 func mixHash(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -16,7 +17,7 @@
 	return x ^ x>>33
 }
 
-// acceptsRouted reports whether a replica may get a new attempt for this model and adapter by its newest status.
+// acceptsRouted reports whether the replica may get a new attempt for this model and adapter, according to the snapshot.
 func (s *Snapshot) acceptsRouted(r *wire.ReplicaUpdate, model, adapter string) bool {
 	if r.Draining || r.Unreachable {
 		return false
@@ -34,15 +35,16 @@
 	return isLoaded(r, model) && (adapter == "" || isLoaded(r, model+"/"+adapter))
 }
 
-// selectRouted takes the replica at which the call's first piece is likely to come first: what waits
-// there, what of its prompt must still be read, how fast the replica has shown to be, and its zone.
+// selectRouted returns the replica with the lowest expected time to first byte for the call, and that time in ms; nil if no
+// replica can take the call now. The estimate adds up the pending work at the replica, the uncached part of the prompt, the
+// observed speed of the replica, and a penalty for another zone.
 func (d *Decider) selectRouted(c *Call) (*wire.ReplicaUpdate, float64) {
 	var best *wire.ReplicaUpdate
 	bestMs := 0.0
 	unit := c.unit()
 	svc := d.snapshot.Declaration.Service(c.Routed.Service)
 	engine := svc != nil && svc.Engine != nil && c.Model != ""
-	others, well := d.hasUntriedReplica(c), d.hasTrustedReplica(c)
+	hasUntried, hasTrusted := d.hasUntriedReplica(c), d.hasTrustedReplica(c)
 	baseMs, perToken := 0.0, 1/initialTokensPerMs
 	if engine {
 		baseMs, perToken = d.prefillModelOf(c).coefficients()
@@ -52,10 +54,10 @@
 			continue
 		}
 		s := d.replicaStatsOf(r.ID)
-		if (well || slices.Contains(c.triedReplicas, r.ID)) && !d.trusts(c, r.ID) {
+		if (hasTrusted || slices.Contains(c.triedReplicas, r.ID)) && !d.trusts(c, r.ID) {
 			continue
 		}
-		if d.nowUs < s.avoidUntilUs || d.nowUs < s.missingUntilUs[unit] || (others && slices.Contains(c.triedReplicas, r.ID)) {
+		if d.nowUs < s.avoidUntilUs || d.nowUs < s.missingUntilUs[unit] || (hasUntried && slices.Contains(c.triedReplicas, r.ID)) {
 			continue
 		}
 		running, waitMs := d.pendingWork(r, s, perToken)
@@ -72,7 +74,7 @@
 		if r.Zone != d.opts.Zone && !d.opts.Disable.Has(feature.ZonePreference) {
 			ms += crossZoneMs
 		}
-		ms += float64(mixHash(c.Routed.sample^hashOf(r.ID))%1000) / 1000
+		ms += float64(mixHash(c.Routed.idHash^hashOf(r.ID))%1000) / 1000
 		if best == nil || ms < bestMs {
 			best, bestMs = r, ms
 		}
@@ -80,8 +82,8 @@
 	return best, bestMs
 }
 
-// hasUntriedReplica: some replica that takes this call has not had it yet. Where none is left, one that had it may
-// have it again, rather than that the call waits for nobody.
+// hasUntriedReplica reports whether some replica that accepts this call has not been tried yet. If none is left, tried
+// replicas may be used again, because otherwise the call would wait for a replica that does not exist.
 func (d *Decider) hasUntriedReplica(c *Call) bool {
 	for _, r := range d.snapshot.ByService[c.Routed.Service] {
 		if d.snapshot.acceptsRouted(r, c.Model, c.Adapter) && !slices.Contains(c.triedReplicas, r.ID) {
@@ -97,20 +99,20 @@
 	return h.Sum64()
 }
 
-// uncachedTokens are the tokens of a prompt that the replica is likely to read anew: all after the first part
-// that it has not been sent before.
+// uncachedTokens estimates how many prompt tokens the replica has to prefill: all from the first segment on that this
+// gateway has not sent to the replica before. The result is at least 1.
 func (d *Decider) uncachedTokens(c *Call, r *wire.ReplicaUpdate, s *replicaStats) int64 {
-	left := c.Routed.PromptTokens
+	tokens := c.Routed.PromptTokens
 	if d.opts.Disable.Has(feature.PrefixAffinity) {
-		return max(left, 1)
+		return max(tokens, 1)
 	}
-	for i, print := range c.prefixHashes() {
-		if _, kept := s.cachedSegments[print]; !kept {
+	for i, hash := range c.prefixHashes() {
+		if _, cached := s.cachedSegments[hash]; !cached {
 			break
 		}
 		if i < len(c.Routed.Segments) {
-			left -= c.Routed.Segments[i].Tokens
+			tokens -= c.Routed.Segments[i].Tokens
 		}
 	}
-	return max(left, 1)
+	return max(tokens, 1)
 }
--- a/internal/dataplane/scheduling/snapshot.go
+++ b/internal/dataplane/scheduling/snapshot.go
@@ -9,7 +9,8 @@
 	"petreltide/internal/outlier"
 )
 
-// Snapshot is what the newest update said; it is swapped as a whole and never changed.
+// Snapshot is the state received with the newest gateway update. It is replaced as a whole and never modified. Number and View
+// order snapshots, and Revision is the revision of the declaration. Grants are keyed by replica and model ("replica|model").
 type Snapshot struct {
 	Number      uint64
 	View        uint64
@@ -20,32 +21,34 @@
 	Grants      map[string]wire.Grant
 	ReceivedUs  int64
 
-	// Of a routed declaration: replicas by service in order of their ids, and how many gateways live.
+	// ByService holds the replicas of each service ordered by ID, and Gateways is the number of live gateways. Both are set
+	// only with a declaration of the routed platform.
 	ByService map[string][]*wire.ReplicaUpdate
 	Gateways  int
-	// Verdicts are the verdicts on replicas that are not well, as they hold for this gateway.
+	// Verdicts holds the outlier verdicts that apply to this gateway, by replica. Healthy replicas have none.
 	Verdicts map[string]outlier.Verdict
 }
 
-// NewSnapshot makes a snapshot of news, which leave out a declaration that has not changed since the prior one.
-func NewSnapshot(prior *Snapshot, n wire.GatewayUpdate, nowUs int64) *Snapshot {
-	s := &Snapshot{Number: n.Number, View: n.View, Revision: n.Revision, Declaration: n.Declaration,
+// NewSnapshot builds a snapshot from a gateway update received at nowUs. An update without a declaration keeps the declaration
+// of the previous snapshot, which may be nil.
+func NewSnapshot(previous *Snapshot, update wire.GatewayUpdate, nowUs int64) *Snapshot {
+	s := &Snapshot{Number: update.Number, View: update.View, Revision: update.Revision, Declaration: update.Declaration,
 		Replicas: map[string]*wire.ReplicaUpdate{}, Grants: map[string]wire.Grant{}, ReceivedUs: nowUs}
-	if s.Declaration == nil && prior != nil {
-		s.Declaration = prior.Declaration
+	if s.Declaration == nil && previous != nil {
+		s.Declaration = previous.Declaration
 	}
-	for i := range n.Replicas {
-		r := n.Replicas[i]
+	for i := range update.Replicas {
+		r := update.Replicas[i]
 		s.Replicas[r.ID] = &r
 		s.IDs = append(s.IDs, r.ID)
 	}
-	for _, g := range n.Grants {
+	for _, g := range update.Grants {
 		s.Grants[g.Replica+"|"+g.Model] = g
 	}
 	return s
 }
 
-// Accepts says whether a replica may get a new attempt for this model and adapter under the newest update.
+// Accepts reports whether a replica of the declared platform may get a new attempt for this model and adapter.
 func (s *Snapshot) Accepts(replica, incarnation, model, adapter string) bool {
 	r := s.Replicas[replica]
 	if r == nil || r.Incarnation != incarnation || r.Draining || r.Unreachable || s.Declaration == nil || s.Declaration.IsDrained(r.Zone) {
@@ -57,39 +60,40 @@
 	return isLoaded(r, model) && (adapter == "" || isLoaded(r, adapter))
 }
 
-// Lookup is what a caller of our own interface names.
-type Lookup struct {
-	Kind          string
-	Model         string
-	Adapter       string
-	NonRepeatable bool
-	Resuming      bool
+// KindLookup is what a request to the declared platform names. Resuming is set if the client resumes a stream.
+type KindLookup struct {
+	Kind         string
+	Model        string
+	Adapter      string
+	NonRetryable bool
+	Resuming     bool
 }
 
-// Lookup finds a call's kind, or the fault that refuses it. Without a lease there may be newer news
-// that knows what this snapshot does not: then only a later try can tell.
-func (s *Snapshot) Lookup(a Lookup, nowUs, leaseUs int64) (*configuration.Kind, *fault.Fault) {
-	kind := s.Declaration.Kind(a.Kind)
-	var bad *fault.Fault
-	switch code := s.unknownCode(a.Model, a.Adapter); {
+// LookupKind returns the kind of a call, or the fault that refuses the call. Without a valid lease a newer declaration may
+// exist that defines a name unknown to this snapshot; the fault is then NoLease, and the client should retry.
+func (s *Snapshot) LookupKind(lookup KindLookup, nowUs, leaseUs int64) (*configuration.Kind, *fault.Fault) {
+	kind := s.Declaration.Kind(lookup.Kind)
+	var failure *fault.Fault
+	switch code := s.unknownCode(lookup.Model, lookup.Adapter); {
 	case kind == nil:
-		bad = fault.New(fault.UnknownKind, "kind", "no kind %q", a.Kind)
+		failure = fault.New(fault.UnknownKind, "kind", "no kind %q", lookup.Kind)
 	case code == fault.UnknownModel:
-		bad = fault.New(code, "model", "no model %q", a.Model)
+		failure = fault.New(code, "model", "no model %q", lookup.Model)
 	case code != "":
-		bad = fault.New(code, "adapter", "no adapter %q of model %q", a.Adapter, a.Model)
-	case a.Resuming && (a.NonRepeatable || !kind.Resumable):
-		bad = fault.New(fault.BadLastEventID, "Last-Event-Id", "calls of kind %q cannot be resumed", a.Kind)
+		failure = fault.New(code, "adapter", "no adapter %q of model %q", lookup.Adapter, lookup.Model)
+	case lookup.Resuming && (lookup.NonRetryable || !kind.Resumable):
+		failure = fault.New(fault.BadLastEventID, "Last-Event-Id", "calls of kind %q cannot be resumed", lookup.Kind)
 	default:
 		return kind, nil
 	}
 	if nowUs >= leaseUs {
-		bad = fault.New(fault.NoLease, bad.Field, "%s when this gateway last heard; it is cut off from the core", bad.Detail)
-		bad.RetryMs = noLeaseRetryMs
+		failure = fault.New(fault.NoLease, failure.Field, "%s when this gateway last heard; it is cut off from the core", failure.Detail)
+		failure.RetryMs = noLeaseRetryMs
 	}
-	return nil, bad
+	return nil, failure
 }
 
+// unknownCode returns the fault code for a model or adapter that the declaration does not define, or "" if it defines both.
 func (s *Snapshot) unknownCode(model, adapter string) fault.Code {
 	if s.Declaration.Model(model) == nil {
 		return fault.UnknownModel
@@ -103,12 +107,14 @@
 	return ""
 }
 
+// isLoaded reports whether a replica has a model or adapter unit loaded. r.Loaded is sorted.
 func isLoaded(r *wire.ReplicaUpdate, unit string) bool {
 	i := sort.SearchStrings(r.Loaded, unit)
 	return i < len(r.Loaded) && r.Loaded[i] == unit
 }
 
-// MaySend is asked once more right before the first byte of an attempt leaves.
+// MaySend reports whether the attempt may still be sent under the newest snapshot. The executor checks this immediately before
+// it writes the first byte of the attempt. leaseUs is the end of the lease and is ignored on the routed platform.
 func (st AttemptStart) MaySend(s *Snapshot, nowUs, leaseUs int64) bool {
 	if st.Call.Routed != nil {
 		return s.maySendRouted(st, nowUs)
@@ -116,18 +122,19 @@
 	return s != nil && nowUs < leaseUs && nowUs < st.DeadlineUs && s.Accepts(st.Replica, st.Incarnation, st.Call.Model, st.Call.Adapter) && s.Declaration.Kind(st.Call.Kind) != nil
 }
 
-// CheckPiece looks at a replica's next line; an empty ending means it is the next piece.
-func CheckPiece(attempt string, had int, p wire.Chunk) (Outcome, string) {
+// CheckChunk validates the next line of a replica's response to an attempt of which received chunks have arrived. It returns an
+// empty Outcome for the next chunk, OutcomeDone for a valid end of the response, and OutcomeBroken with a detail otherwise.
+func CheckChunk(attempt string, received int, chunk wire.Chunk) (Outcome, string) {
 	switch {
-	case p.AttemptID != attempt:
+	case chunk.AttemptID != attempt:
 		return OutcomeBroken, "the replica answered with another leg"
-	case p.Error != "":
-		return OutcomeBroken, "the replica failed: " + p.Error
-	case p.End && p.Number != had:
+	case chunk.Error != "":
+		return OutcomeBroken, "the replica failed: " + chunk.Error
+	case chunk.End && chunk.Number != received:
 		return OutcomeBroken, "the end names a wrong number of pieces"
-	case p.End:
+	case chunk.End:
 		return OutcomeDone, ""
-	case p.Number != had+1:
+	case chunk.Number != received+1:
 		return OutcomeBroken, "a piece is missing or repeated"
 	}
 	return "", ""
--- a/tests/history/walk_test.go
+++ b/tests/history/walk_test.go
@@ -113,7 +113,7 @@
 func (o *walkControlNode) start(first bool) {
 	o.incarnation++
 	o.waiters = map[string][]func(statemachine.Outcome){}
-	opts := controlnode.SelfPaced(chain.Options{
+	opts := controlnode.WithAutoMembershipTimings(chain.Options{
 		Self: chain.Member{ID: fmt.Sprint("o", o.addr, "-", o.wipes), Name: "o" + o.addr, Addr: o.addr, Zone: "z"}, Incarnation: fmt.Sprint(o.addr, "/", o.incarnation), MinReplicas: 2, AutoMembership: true,
 	})
 	if first {
@@ -168,8 +168,8 @@
 		switch e := effect.(type) {
 		case controlnode.SendMessage:
 			o.send(e.Addr, e.Message)
-		case controlnode.PersistSave:
-			o.sync(*e.Save)
+		case controlnode.Persist:
+			o.sync(*e.Request)
 		case controlnode.DeliverResult:
 			o.answer(e.Result.Outcome)
 		case controlnode.RunController:
@@ -291,7 +291,7 @@
 // read gives the declaration in force to done, where this control node or the tail it knows can say.
 func (o *walkControlNode) read(done func(*configuration.Declaration)) {
 	node := o.core.Node
-	if node.TailReady(o.walk.nowUs) || o.walk.plant == "reads-old" {
+	if node.IsTailReady(o.walk.nowUs) || o.walk.plant == "reads-old" {
 		done(node.State().Doc)
 		return
 	}
@@ -301,7 +301,7 @@
 		}
 		o.walk.after(clock.Ms+o.walk.r.Int63n(20*clock.Ms), func() {
 			tail.later(0, func() {
-				if tail.core.Node.TailReady(o.walk.nowUs) {
+				if tail.core.Node.IsTailReady(o.walk.nowUs) {
 					doc := tail.core.Node.State().Doc
 					o.walk.after(clock.Ms, func() { done(doc) })
 				}
--- a/tests/simulator/routed_quota.go
+++ b/tests/simulator/routed_quota.go
@@ -93,12 +93,12 @@
 	}
 	cn.replySequence++
 	cn.quotaReplies[cn.replySequence] = answer
-	cn.step(controlnode.QuotaAsked{Request: &request, Reply: cn.replySequence})
+	cn.step(controlnode.QuotaRequested{Request: &request, ReplyID: cn.replySequence})
 }
 
 func (cn *routedControlNode) onQuotaReply(r controlnode.ReplyQuota) {
-	answer := cn.quotaReplies[r.Reply]
-	delete(cn.quotaReplies, r.Reply)
+	answer := cn.quotaReplies[r.ReplyID]
+	delete(cn.quotaReplies, r.ReplyID)
 	if answer != nil {
 		answer(&r.Response)
 	}
@@ -111,7 +111,7 @@
 	role := ledger.Role{Counting: true, View: 1, Voter: true, Voters: len(n.View().Voters)}
 	sinceUs := nowUs
 	if cn.day.plan.Plant == "full-tail" {
-		role.Counting, role.View = n.TailReady(nowUs), n.View().Number
+		role.Counting, role.View = n.IsTailReady(nowUs), n.View().Number
 		sinceUs -= 2 * cn.day.observed.Bounds.QuotaWindowUs
 	}
 	response := &wire.QuotaResponse{View: n.View(), Counting: role.Counting}
