--- a/internal/controlplane/controlnode/acknowledgements.go
+++ b/internal/controlplane/controlnode/acknowledgements.go
@@ -6,18 +6,18 @@
 	"petreltide/internal/controlplane/registry"
 )
 
-// HandleHeartbeat takes what a replica says of itself; true acknowledges it. It is known here all the same where this
-// control node is out of contact and cannot acknowledge it.
+// HandleHeartbeat records a replica's heartbeat and reports whether it is acknowledged. A control node without contact to a
+// quorum records the heartbeat but does not acknowledge it.
 func (h *Host) HandleHeartbeat(ctx context.Context, status registry.ReplicaStatus) bool {
 	return h.awaitAcknowledgement(ctx, func(reply uint64) Event { return ReplicaHeartbeat{Status: &status, ReplyID: reply} })
 }
 
-// HandleDeregistration takes the word that a replica's incarnation has ended; true acknowledges it.
+// HandleDeregistration records that a replica's incarnation has ended, and reports whether that is acknowledged.
 func (h *Host) HandleDeregistration(ctx context.Context, id string) bool {
 	return h.awaitAcknowledgement(ctx, func(reply uint64) Event { return ReplicaDeregistration{ID: id, ReplyID: reply} })
 }
 
-// awaitAcknowledgement gives the reducer the event made for a new reply number and waits for its answer.
+// awaitAcknowledgement passes the core the event made for a new reply ID and waits for the reply.
 func (h *Host) awaitAcknowledgement(ctx context.Context, event func(reply uint64) Event) bool {
 	reply := make(chan bool, 1)
 	var replyID uint64
--- a/internal/controlplane/controlnode/controller_effects.go
+++ b/internal/controlplane/controlnode/controller_effects.go
@@ -10,15 +10,18 @@
 	"petreltide/internal/controlplane/placement"
 )
 
-// ReplicaTransport is how the controller reaches replicas and learns which there are.
+// ReplicaTransport calls replicas, and the platform for the list of replicas, on behalf of the controller.
 type ReplicaTransport interface {
-	// List is the platform's list; nil where replicas make themselves known.
+	// List returns the platform's list of replicas; nil if replicas register by heartbeat instead.
 	List(ctx context.Context) (*wire.ReplicaList, error)
+	// State returns the state that the replica at addr reports.
 	State(ctx context.Context, replica, addr string) (*wire.ReplicaState, error)
+	// Order sends an order to the replica at addr and returns the state of its execution. An error means that it is not known
+	// whether the replica received the order.
 	Order(ctx context.Context, addr string, order wire.Order) (wire.OrderState, error)
 }
 
-// SetReplicaTransport replaces how replicas are reached, before Run.
+// SetReplicaTransport replaces the transport to replicas; it must be called before Run.
 func (h *Host) SetReplicaTransport(r ReplicaTransport) { h.replicas = r }
 
 func (h *Host) runControllerEffect(effect controller.Effect) {
@@ -73,5 +76,6 @@
 	if err != nil {
 		state = wire.OrderState{Number: order.Order.Command.Number, State: wire.OrderInDoubt, Reason: err.Error()}
 	}
-	h.post(ControllerInput{Event: controller.OrderResult{Replica: order.Order.Command.Replica, Incarnation: order.Order.Command.Incarnation, Expected: order.Order.ExpectedOrders, State: state}})
+	h.post(ControllerInput{Event: controller.OrderResult{Replica: order.Order.Command.Replica,
+		Incarnation: order.Order.Command.Incarnation, Expected: order.Order.ExpectedOrders, State: state}})
 }
--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -14,68 +14,73 @@
 	"petreltide/internal/process/clock"
 )
 
-// Core is a control node's reducer: the chain, the distribution to gateways and, at the head, the controller. It is not safe
-// for concurrent use.
+// Core is the deterministic state machine of a control node: its chain node, the distribution to gateways and, at the head,
+// the controller. It does no I/O and is not safe for concurrent use.
 type Core struct {
-	// Node is this control node's part of the chain.
+	// Node is this control node's member of the replication chain.
 	Node *chain.Node
-	// Updates publishes numbered updates with leases; it is active at the tail alone.
+	// Updates publishes numbered configuration updates and grants leases on them; it is active only at the tail.
 	Updates *distribution.UpdatePublisher
-	// Controller leads where this control node is the head.
+	// Controller acts as the leader while this control node is the head.
 	Controller *controller.Controller
-	// FailureDetector watches the gateways that the ring gives this control node.
+	// FailureDetector monitors the gateways that the ring assigns to this control node.
 	FailureDetector *failuredetector.Monitor
-	// soft is what is rebuilt after a restart: replicas by heartbeat, frames, verdicts.
-	soft    softState
+	// soft is the state that is not stored and is rebuilt after a restart: the replica registry, frame subscriptions and
+	// outlier verdicts.
+	soft softState
+	// effects collects the effects of the current Step.
 	effects []Effect
-	// quota counts the requests of tenants; quotaDoc is the declaration whose limits it has.
+	// quota counts the requests of tenants; quotaDoc is the declaration from which its limits were set.
 	quota    *quota.Ledger
 	quotaDoc *configuration.Declaration
 
-	// lastSuspicionReportUs and lastMemberDoneUs are when suspicions were last reported to the head, and when the end of a
+	// lastSuspicionReportUs is when suspicions were last reported to the head, and lastMemberDoneUs when the completion of a
 	// membership change was last submitted.
 	lastSuspicionReportUs, lastMemberDoneUs int64
-	// checked is the view in which the leader last recorded the platform's list: no lease is given in another one.
+	// checkedView is the view in which the leader last recorded the platform's list of replicas. Leases are granted only in
+	// that view.
 	checkedView uint64
-	// members are the control nodes that gateways may follow, as of membersUpdatedUs.
+	// followableMembers are the control nodes that gateways may subscribe to, as of membersUpdatedUs.
 	followableMembers []chain.Member
 	membersUpdatedUs  int64
-	// lastStepUs is the last event's time; minPauseUs and pauseEndUs are the ends of the last gap in which this process did not run.
+	// lastStepUs is the time of the last event. pauseStartUs and pauseEndUs bound the last period in which this process was
+	// not scheduled.
 	lastStepUs, pauseStartUs, pauseEndUs int64
-	// startUs and startIndex are when this incarnation began, and what its log held then: whatever is committed in there was
-	// ordered before.
+	// startUs is when this incarnation started, and startIndex the last index that its log held then. The commands in entries
+	// up to startIndex were issued before startUs.
 	startUs    int64
 	startIndex uint64
-	// lastRejectionLogUs is when a message that was not read was last logged.
+	// lastRejectionLogUs is when a rejected message was last logged.
 	lastRejectionLogUs int64
 }
 
-// CoreOptions adjust a control node's reducer; the zero value serves.
+// CoreOptions configures a Core; the zero value selects the defaults.
 type CoreOptions struct {
-	// UnreachableUs is after how long without a heartbeat, in microseconds, a replica is unreachable; 0 means 3 s.
+	// UnreachableUs is the time without a heartbeat after which a replica is unreachable, in microseconds; 0 means 3 s.
 	UnreachableUs int64
-	// Quota bounds what tenants with a limit may run beyond it.
+	// Quota bounds how far rate-limited tenants may exceed their limits.
 	Quota quota.Options
-	// Controller adjusts the controller.
+	// Controller configures the controller.
 	Controller controller.Options
 }
 
-// NewCore is a control node around its part of the chain.
+// NewCore returns the Core of the control node whose member of the chain is node.
 func NewCore(node *chain.Node, opts CoreOptions) *Core {
 	return &Core{
-		Node: node, Updates: distribution.NewUpdatePublisher(), Controller: controller.New(node.Self().ID, opts.Controller), FailureDetector: failuredetector.NewMonitor(), soft: newSoftState(opts.UnreachableUs),
+		Node: node, Updates: distribution.NewUpdatePublisher(), Controller: controller.New(node.Self().ID, opts.Controller),
+		FailureDetector: failuredetector.NewMonitor(), soft: newSoftState(opts.UnreachableUs),
 		quota:   quota.NewLedger(opts.Quota, node.NowUs()),
 		startUs: node.NowUs(), startIndex: node.LastIndex(),
 	}
 }
 
-// Step takes one event and returns what has to be done because of it, in order.
+// Step processes one event at nowUs and returns the effects to execute, in order.
 func (c *Core) Step(nowUs int64, event Event) []Effect {
 	c.effects = nil
 	c.detectPause(nowUs)
-	if asked, isQuota := event.(QuotaRequested); isQuota {
-		// It changes nothing that others are told of.
-		c.handleQuotaRequest(nowUs, asked)
+	if request, isQuota := event.(QuotaRequested); isQuota {
+		// A quota request changes nothing that is published to gateways or peers.
+		c.handleQuotaRequest(nowUs, request)
 		return c.effects
 	}
 	switch event := event.(type) {
@@ -106,7 +111,7 @@
 	return c.effects
 }
 
-// stepFleet takes the events that come from gateways and replicas.
+// stepFleet processes the events that gateways and replicas cause.
 func (c *Core) stepFleet(nowUs int64, event Event) {
 	switch event := event.(type) {
 	case SubscribeUpdates:
@@ -127,7 +132,7 @@
 	}
 }
 
-// tick does what is due by time.
+// tick runs everything that is due by time.
 func (c *Core) tick(nowUs int64) {
 	c.stepChain(nowUs, chain.Tick{})
 	c.stepController(nowUs, controller.Tick{})
@@ -136,8 +141,8 @@
 	c.resolveDepartures(nowUs)
 }
 
-// publish sends out what the step changed: snapshots and frames to gateways, results to those that wait for them,
-// gossip to the other control nodes.
+// publish emits what the step changed: updates and frames for gateways, results for the origins of changes, and gossip for the
+// other control nodes.
 func (c *Core) publish(nowUs int64) {
 	c.Updates.SetActive(nowUs, c.Node.IsTailReady(nowUs))
 	for _, p := range c.Updates.Updates(c.Node.State(), c.Node.View()) {
@@ -200,7 +205,7 @@
 	}
 }
 
-// rejectedLogIntervalUs is how often messages that are not read are told of at most: their sender goes on.
+// rejectedLogIntervalUs is the minimum interval between two log lines about rejected messages, as their sender keeps sending.
 const rejectedLogIntervalUs = 10 * clock.Sec
 
 func (c *Core) logRejectedMessage(nowUs int64, reason *fault.Fault) {
@@ -239,7 +244,8 @@
 	c.sendResult(change.Origin, wire.Result{Outcome: a.Outcome, OnAllGateways: true})
 }
 
-// Outcome is the outcome of a change that was taken before and may be acknowledged here again.
+// Outcome returns the recorded outcome of the change with this ID, marked as repeated. It reports false if the change is
+// unknown, or if its entry is not yet durable in the chain and so must not be acknowledged from here.
 func (c *Core) Outcome(id string) (statemachine.Outcome, bool) {
 	out, seen := c.Node.State().Outcomes[id]
 	out.Repeated = true
--- a/internal/controlplane/controlnode/declared_replicas.go
+++ b/internal/controlplane/controlnode/declared_replicas.go
@@ -13,7 +13,7 @@
 	"petreltide/internal/api/wire"
 )
 
-// platformReplicas is this product's own interface to the platform's list and to replicas.
+// platformReplicas is the ReplicaTransport of declared mode: petreltide's own HTTP API of the platform and of replicas.
 type platformReplicas struct{ h *Host }
 
 func (d *platformReplicas) List(ctx context.Context) (*wire.ReplicaList, error) {
--- a/internal/controlplane/controlnode/departures.go
+++ b/internal/controlplane/controlnode/departures.go
@@ -10,25 +10,30 @@
 )
 
 const (
-	// departureTimeoutUs is how long a replica's word that it leaves may wait for a quorum; the replica itself goes on
-	// to another control node after a second.
+	// departureTimeoutUs is how long a departure may wait for confirmation by a quorum; the replica itself turns to another
+	// control node after one second.
 	departureTimeoutUs = 700 * clock.Ms
-	// departureRetryIntervalUs is after how long peers that did not confirm are asked again.
+	// departureRetryIntervalUs is the interval at which peers that have not confirmed a departure are asked again.
 	departureRetryIntervalUs = 150 * clock.Ms
 )
 
-// departure is a replica's word that it leaves, or has left, until a quorum of control nodes knows of it. A replica
-// whose leaving was acknowledged soon ends, so a control node that is cut off must not acknowledge it alone.
+// departure is the report that a replica is draining or has ended, until a quorum of control nodes has confirmed that it knows
+// of it. A replica exits soon after its departure is acknowledged, so a partitioned control node must not acknowledge it alone.
 type departure struct {
-	removed       bool
+	// removed reports that the replica has ended, rather than started to drain.
+	removed bool
+	// startedUs is when the departure was last reported, and lastRequestUs when peers were last asked to confirm it; 0 means
+	// that they have not been asked yet.
 	startedUs     int64
 	lastRequestUs int64
-	replyIDs      []uint64
-	confirmedBy   map[string]bool
+	// replyIDs are the callers that wait for the acknowledgement.
+	replyIDs []uint64
+	// confirmedBy are the IDs of the other control nodes that have confirmed the departure.
+	confirmedBy map[string]bool
 }
 
-// handleReplicaHeartbeat takes what a replica says of itself. That it is there is acknowledged by a control node in contact with a
-// quorum; that it leaves, only once a quorum knows.
+// handleReplicaHeartbeat records a replica's heartbeat. The heartbeat of a replica that stays is acknowledged if this control
+// node is in contact with a quorum; that of a draining replica only once a quorum knows that it drains.
 func (c *Core) handleReplicaHeartbeat(nowUs int64, status registry.ReplicaStatus, reply uint64) {
 	c.recordHeartbeat(nowUs, status)
 	if status.Draining || status.RemainingMs > 0 {
@@ -38,7 +43,7 @@
 	c.acknowledge(reply, c.Node.HasQuorumContact(nowUs))
 }
 
-// handleReplicaDeregistration takes the word that a replica's incarnation has ended.
+// handleReplicaDeregistration records that a replica's incarnation has ended. It is acknowledged once a quorum knows.
 func (c *Core) handleReplicaDeregistration(nowUs int64, id string, reply uint64) {
 	c.recordDeregistration(nowUs, id)
 	c.startDeparture(nowUs, id, true, reply)
@@ -67,7 +72,7 @@
 	c.resolveDeparture(nowUs, id)
 }
 
-// hasDueDepartures: other control nodes must be asked, or asked again, whether they know of a leaving.
+// hasDueDepartures reports whether other control nodes have to be asked, or asked again, to confirm a departure.
 func (c *Core) hasDueDepartures(nowUs int64) bool {
 	for _, d := range c.soft.departures {
 		if nowUs-d.lastRequestUs >= departureRetryIntervalUs {
@@ -77,7 +82,8 @@
 	return false
 }
 
-// addDepartureRequests adds to a message the leavings that a peer has not confirmed.
+// addDepartureRequests adds to a message for a peer the departures that the peer has not confirmed, with the registry's entries
+// of their replicas.
 func (c *Core) addDepartureRequests(nowUs int64, peer string, message *peering.Gossip) {
 	for _, id := range slices.Sorted(maps.Keys(c.soft.departures)) {
 		d := c.soft.departures[id]
@@ -99,7 +105,7 @@
 	}
 }
 
-// confirmDepartures tells another control node which of the leavings that it asks about are known here.
+// confirmDepartures tells another control node which of the departures that it asks about are known here.
 func (c *Core) confirmDepartures(request peering.Gossip) {
 	confirmation := peering.DrainConfirmation{Sender: c.Node.Self().ID, Incarnation: request.Incarnation}
 	for _, id := range request.ConfirmDraining {
@@ -117,7 +123,8 @@
 	}
 }
 
-// handleDrainConfirmation takes another control node's word that it knows of leavings.
+// handleDrainConfirmation records that another control node knows of departures. A confirmation for an earlier incarnation of
+// this control node is ignored, and one of a drain does not confirm a removal.
 func (c *Core) handleDrainConfirmation(nowUs int64, confirmation peering.DrainConfirmation) {
 	if confirmation.Incarnation != c.Node.Incarnation() {
 		return
@@ -130,7 +137,7 @@
 	}
 }
 
-// resolveDepartures ends the waits that have lasted too long.
+// resolveDepartures resolves the departures that are confirmed by a quorum or have waited for longer than departureTimeoutUs.
 func (c *Core) resolveDepartures(nowUs int64) {
 	for _, id := range slices.Sorted(maps.Keys(c.soft.departures)) {
 		c.resolveDeparture(nowUs, id)
--- a/internal/controlplane/controlnode/discovery.go
+++ b/internal/controlplane/controlnode/discovery.go
@@ -11,22 +11,28 @@
 	"petreltide/internal/process/rpc"
 )
 
-// failWithoutPeer stops a control node that holds nothing, may found nothing, and meets no chain.
+// failWithoutPeer stops a control node that has no data and may not bootstrap a chain, unless it finds an existing chain within
+// rebuildPeerTimeout.
 func (h *Host) failWithoutPeer() {
 	select {
 	case <-h.actor.Ctx.Done():
 		return
 	case <-time.After(rebuildPeerTimeout):
 	}
-	if isBootstrapping, ran := actor.Ask(h.actor.Ctx, h.actor, func() bool { return h.core.Node.Phase() == chain.PhaseBootstrap }); ran && isBootstrapping {
+	if isBootstrapping, ran := actor.Ask(h.actor.Ctx, h.actor, func() bool {
+		return h.core.Node.Phase() == chain.PhaseBootstrap
+	}); ran && isBootstrapping {
 		select {
-		case h.fatal <- fault.New(fault.DamagedData, h.settings.DataDir, "it holds no chain, and no partner was met within %v to copy one from; kept folders are untouched", rebuildPeerTimeout):
+		case h.fatal <- fault.New(fault.DamagedData, h.settings.DataDir,
+			"no chain is stored here, and no peer to copy one from was found within %v; quarantined directories are left untouched",
+			rebuildPeerTimeout):
 		default:
 		}
 	}
 }
 
-// discoverPeers keeps asking the seeds, first contacts only, until the control nodes know each other.
+// discoverPeers queries the seeds for the addresses of control nodes: every second until the chain is known, and every
+// discoveryIntervalSettled from then on. Seeds are used for discovery only.
 func (h *Host) discoverPeers() {
 	for {
 		for _, seed := range *h.seeds.Load() {
@@ -34,7 +40,8 @@
 				continue
 			}
 			ctx, cancel := context.WithTimeout(h.actor.Ctx, 500*time.Millisecond)
-			membership, err := rpc.NewCaller[wire.MembershipRequest, wire.MembershipResponse](h.peerClient, seed, rpc.WherePath).Call(ctx, &wire.MembershipRequest{From: h.core.Node.Self()})
+			membership, err := rpc.NewCaller[wire.MembershipRequest, wire.MembershipResponse](h.peerClient, seed, rpc.WherePath).
+				Call(ctx, &wire.MembershipRequest{From: h.core.Node.Self()})
 			cancel()
 			if err != nil {
 				continue
@@ -59,6 +66,7 @@
 	}
 }
 
+// membership returns the view of this control node and the control nodes that it knows to be alive or in that view.
 func (h *Host) membership() wire.MembershipResponse {
 	response := wire.MembershipResponse{View: h.core.Node.View()}
 	seen := map[string]bool{}
--- a/internal/controlplane/controlnode/doc.go
+++ b/internal/controlplane/controlnode/doc.go
@@ -1,8 +1,8 @@
-// Package controlnode is a control node: it drives the chain, the replicated state machine, the controller and the
-// distribution to gateways with events from sockets, timers and the disk, and serves operators, gateways and the other
-// control nodes. The command line and the adapter of the users' platform open it.
+// Package controlnode implements a control node. It feeds events from sockets, timers and the disk to chain replication, the
+// replicated state machine, the controller and the distribution of state to gateways, and serves operators, gateways and the
+// other control nodes. The command line and the platform adapter open it.
 //
-// Core is its reducer, the part without sockets, which the simulator drives as well: Step takes an Event with its time and
-// returns Effects. Host carries them out on one actor. A control node never acknowledges a change that the chain has not
-// committed.
+// Core is the deterministic part, without I/O; the simulator drives it as well: Step takes an Event with its time and returns
+// Effects. Host runs a Core on one actor and executes its effects. A control node never acknowledges a change that the chain
+// has not committed.
 package controlnode
--- a/internal/controlplane/controlnode/effect.go
+++ b/internal/controlplane/controlnode/effect.go
@@ -8,8 +8,8 @@
 	"petreltide/internal/controlplane/peering"
 )
 
-// Effect is one thing that the host has to do, in the order in which effects are returned. The types of this file are
-// all there are.
+// Effect is an action for the host to execute, in the order in which Core.Step returns them. Its implementations are the types
+// of this file.
 type Effect interface{ isEffect() }
 
 // SendMessage sends a message to the control node at an address.
@@ -18,41 +18,41 @@
 	Message peering.Message
 }
 
-// Persist puts what the chain wants saved on the disk, after what was asked before.
+// Persist writes a request of the chain to the disk, after all earlier requests.
 type Persist struct{ Request *chain.Persist }
 
-// PushUpdate sends a gateway of the declared world an update.
+// PushUpdate sends a gateway in declared mode a configuration update.
 type PushUpdate struct{ Push *distribution.UpdatePush }
 
-// PushFrame sends a gateway of the routed world a frame of its stream.
+// PushFrame sends a gateway in routed mode the next frame of its stream.
 type PushFrame struct{ Push *distribution.FramePush }
 
-// DeliverResult gives the outcome of a change to those that wait for it here.
+// DeliverResult passes the result of a change to the callers that wait for it on this control node.
 type DeliverResult struct{ Result *wire.Result }
 
-// ReplyLease answers the GatewayReport with the same number.
+// ReplyLease answers the GatewayReport with the same ReplyID.
 type ReplyLease struct {
 	ReplyID uint64
 	Lease   wire.Lease
 }
 
-// ReplyQuota answers the QuotaRequested with the same number.
+// ReplyQuota answers the QuotaRequested with the same ReplyID.
 type ReplyQuota struct {
 	ReplyID  uint64
 	Response wire.QuotaResponse
 }
 
-// AcknowledgeReplica answers what a replica said of itself, under the number of its event. OK acknowledges it; without,
-// the replica goes on to another control node, though what it said is known here.
+// AcknowledgeReplica answers the ReplicaHeartbeat or ReplicaDeregistration with the same ReplyID. OK acknowledges it. Without
+// OK the replica turns to another control node, although this one has recorded what it reported.
 type AcknowledgeReplica struct {
 	ReplyID uint64
 	OK      bool
 }
 
-// RunController carries out an effect of the controller.
+// RunController executes an effect of the controller.
 type RunController struct{ Effect controller.Effect }
 
-// ChangeApplied reports a change that was applied to the state.
+// ChangeApplied reports a change that was applied to the replicated state.
 type ChangeApplied struct{ Applied *chain.Applied }
 
 // LogMessage writes a line to the log.
--- a/internal/controlplane/controlnode/event.go
+++ b/internal/controlplane/controlnode/event.go
@@ -9,78 +9,79 @@
 	"petreltide/internal/failuredetector"
 )
 
-// Event is one thing that happens to a control node. The types of this file are all there are.
+// Event is an input of Core.Step. Its implementations are the types of this file.
 type Event interface{ isEvent() }
 
-// Tick is the passing of time; everything that is due by time is done on it.
+// Tick lets time pass; every timer of a Core is checked in it.
 type Tick struct{}
 
 // PeerMessage is a message from another control node.
 type PeerMessage struct{ Message *peering.Message }
 
-// Persisted says that the save with this number, and all before it, are on the disk. LogBytes is the size of the log
-// there.
+// Persisted reports that the Persist with this sequence number and all before it are synced to the disk. LogBytes is the size
+// of the log on the disk, in bytes.
 type Persisted struct {
 	Seq      uint64
 	LogBytes int64
 }
 
-// PersistFailed says that the disk refused the save with this number; the host tries it again by itself.
+// PersistFailed reports that the disk refused the Persist with this sequence number. The host retries it on its own.
 type PersistFailed struct{ Seq uint64 }
 
-// SubmitChange asks for a change of the replicated state.
+// SubmitChange submits a change to the replicated state.
 type SubmitChange struct{ Change *statemachine.Change }
 
-// LearnPeers names addresses of other control nodes.
+// LearnPeers supplies addresses of other control nodes.
 type LearnPeers struct{ Addrs []string }
 
-// PeerConnectionRefused says that nobody listens at another control node's address.
+// PeerConnectionRefused reports that no process listens at the address of another control node.
 type PeerConnectionRefused struct{ Addr string }
 
-// LeaveChain begins the graceful shutdown: the others take over this control node's place.
+// LeaveChain starts the graceful shutdown, in which the other control nodes take over this one's position in the chain.
 type LeaveChain struct{}
 
-// ControllerInput is an event of the controller: the answer to one of its effects.
+// ControllerInput carries an event for the controller, the result of one of its effects.
 type ControllerInput struct{ Event controller.Event }
 
-// PeerHeartbeat is a heartbeat of a process that the failure detector watches.
+// PeerHeartbeat is a heartbeat of a process that the failure detector monitors.
 type PeerHeartbeat struct{ Heartbeat *failuredetector.Heartbeat }
 
-// SubscribeUpdates subscribes a gateway of the declared world to updates of the configuration.
+// SubscribeUpdates subscribes a gateway in declared mode to configuration updates. Package controller describes the modes.
 type SubscribeUpdates struct{ Request *wire.SubscribeRequest }
 
-// GatewayReport is a gateway's report in the declared world, and the number under which its lease is awaited.
+// GatewayReport is a gateway's report in declared mode. The gateway waits for a ReplyLease with the same ReplyID.
 type GatewayReport struct {
 	Report  wire.Report
 	ReplyID uint64
 }
 
-// ReplicaHeartbeat is what a replica says of itself. Reply is the number of the caller that waits for the
-// acknowledgement; 0 where nobody waits.
+// ReplicaHeartbeat is a replica's heartbeat with its status. The sender waits for an AcknowledgeReplica with the same ReplyID;
+// 0 means that nobody waits.
 type ReplicaHeartbeat struct {
 	Status  *registry.ReplicaStatus
 	ReplyID uint64
 }
 
-// ReplicaDeregistration says that a replica's incarnation has ended. Reply is as in ReplicaHeartbeat.
+// ReplicaDeregistration reports that a replica's incarnation has ended. ReplyID is as in ReplicaHeartbeat.
 type ReplicaDeregistration struct {
 	ID      string
 	ReplyID uint64
 }
 
-// SubscribeFrames subscribes a gateway of the routed world to its stream of frames.
+// SubscribeFrames subscribes a gateway in routed mode to its stream of frames.
 type SubscribeFrames struct{ Request *wire.SubscribeRequest }
 
-// UnsubscribeFrames ends a gateway's stream of frames.
+// UnsubscribeFrames ends the stream of frames of a gateway's incarnation.
 type UnsubscribeFrames struct {
 	Gateway     string
 	Incarnation string
 }
 
-// RoutedGatewayReport is a gateway's report in the routed world; nobody waits for an answer.
+// RoutedGatewayReport is a gateway's report in routed mode; it has no reply.
 type RoutedGatewayReport struct{ Report *wire.Report }
 
-// QuotaRequested is a gateway's wish to run requests of tenants with a limit, and the number under which the answer is awaited.
+// QuotaRequested is a gateway's request for permission to run requests of rate-limited tenants. The gateway waits for a
+// ReplyQuota with the same ReplyID.
 type QuotaRequested struct {
 	Request *wire.QuotaRequest
 	ReplyID uint64
--- a/internal/controlplane/controlnode/fleet.go
+++ b/internal/controlplane/controlnode/fleet.go
@@ -9,19 +9,20 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// FleetStatus is what a control node shows where replicas make themselves known and routes say where calls go.
+// FleetStatus is the part of a control node's status that exists only in routed mode, in which replicas register by heartbeat
+// and routes assign requests to services.
 type FleetStatus struct {
 	Version  uint64                `json:"version"`
 	Routes   []configuration.Route `json:"routes"`
 	Services []ServiceStatus       `json:"services"`
 	Replicas []ReplicaStatus       `json:"replicas"`
-	// Gateways are those that live, as far as this control node knows; they share the further tries.
+	// Gateways are the gateways that this control node knows to be alive; they share the budget of retries.
 	Gateways []string `json:"desks"`
-	// Leadership is known at the control node that holds it.
+	// Leadership is set only at the control node whose controller leads.
 	Leadership *controller.LeaderStatus `json:"duty,omitempty"`
 }
 
-// ServiceStatus is a service in force. Models and CapacityMb are 0 where it has no engine.
+// ServiceStatus describes a service of the declaration in force. Models and CapacityMb are 0 if it has no engine.
 type ServiceStatus struct {
 	Name           string `json:"name"`
 	MaxConnections int    `json:"connectionsMost,omitempty"`
@@ -30,25 +31,27 @@
 	Replicas       int    `json:"replicas"`
 }
 
-// ReplicaState is what a control node makes of a replica's heartbeats.
+// ReplicaState is the state of a replica as a control node derives it from heartbeats.
 type ReplicaState string
 
 const (
-	// ReplicaReady replicas take requests.
+	// ReplicaReady means that the replica accepts requests.
 	ReplicaReady ReplicaState = "ready"
-	// ReplicaDraining replicas have said that they leave.
+	// ReplicaDraining means that the replica has announced that it is leaving.
 	ReplicaDraining ReplicaState = "draining"
-	// ReplicaUnreachable replicas have missed their heartbeats for longer than is borne.
+	// ReplicaUnreachable means that no heartbeat has come for longer than CoreOptions.UnreachableUs.
 	ReplicaUnreachable ReplicaState = "dark"
-	// HandleDeregistration replicas have ended.
+	// ReplicaRemoved means that the replica has ended.
 	ReplicaRemoved ReplicaState = "gone"
-	// ReplicaUnreported means that the ledger knows it, and nobody has heard it since this control node started.
+	// ReplicaUnreported means that the replica is in the replicated state, but that no heartbeat of it has been received or
+	// learned of through gossip since this control node started.
 	ReplicaUnreported ReplicaState = "unheard"
 )
 
-// ReplicaStatus is one incarnation of a replica. RemainingMs is what is left now of the time it named, and only there
-// where it named one; Stage is its own word and known where it was heard; ReservedMb counts what is held and what
-// may come by the order that stands.
+// ReplicaStatus describes one incarnation of a replica. HeartbeatAgeMs is -1 if no heartbeat is known. RemainingMs is what is
+// left of the time until exit that a draining replica announced, and nil if it announced none. Stage is as the replica reports
+// it, and empty if no heartbeat is known. ReservedMb counts the memory of resident units and of the unit that the pending order
+// may load.
 type ReplicaStatus struct {
 	ID             string                       `json:"id"`
 	Service        string                       `json:"service"`
@@ -67,7 +70,7 @@
 	Order          *statemachine.ReplicaCommand `json:"order,omitempty"`
 }
 
-// fleetStatus is nil where the declaration in force has no routes.
+// fleetStatus returns nil unless the declaration in force is routed.
 func (c *Core) fleetStatus(nowUs int64) *FleetStatus {
 	s := c.Node.State()
 	if s.Doc == nil || !s.Doc.Routed() {
@@ -101,12 +104,13 @@
 	return f
 }
 
-// replicaStatus joins a replica's own word with what the ledger holds of it.
+// replicaStatus combines a replica's last heartbeat with its entry in the replicated state.
 func (c *Core) replicaStatus(nowUs int64, id string) ReplicaStatus {
 	s := c.Node.State()
 	row := ReplicaStatus{ID: id, State: ReplicaUnreported, HeartbeatAgeMs: -1, Units: []string{}}
 	if replica := s.Replicas[id]; replica != nil {
-		row.Service, row.Addr, row.Zone, row.Slots, row.CapacityMb = replica.Service, replica.Addr, replica.Zone, replica.Slots, replica.CapacityMB
+		row.Service, row.Addr, row.Zone, row.Slots, row.CapacityMb =
+			replica.Service, replica.Addr, replica.Zone, replica.Slots, replica.CapacityMB
 		row.ReservedMb = s.ReservedMB(id)
 		row.Units = slices.Sorted(maps.Keys(replica.Resident))
 	}
--- a/internal/controlplane/controlnode/frames.go
+++ b/internal/controlplane/controlnode/frames.go
@@ -4,7 +4,8 @@
 	"petreltide/internal/controlplane/distribution"
 )
 
-// committed: what this control node knows as committed is the chain's, not what a disk alone remembers.
+// isInitialized reports whether the committed state of this control node has been established by the chain, rather than only
+// read from its own disk.
 func (c *Core) isInitialized() bool { return c.Node.IsInitialized() }
 
 func (c *Core) pushFrames(nowUs int64) {
@@ -12,7 +13,8 @@
 		c.membersUpdatedUs, c.followableMembers = nowUs, c.listFollowableMembers(nowUs)
 	}
 	for _, p := range c.soft.FramePublisher.Frames(distribution.FrameInput{
-		NowUs: nowUs, Self: c.Node.Self().ID, State: c.Node.State(), View: c.Node.View(), ControlNodes: c.followableMembers, Committed: c.isInitialized(), Behind: !c.Node.IsUpToDate(nowUs), Registry: c.soft.Registry, Outliers: c.soft.Outliers,
+		NowUs: nowUs, Self: c.Node.Self().ID, State: c.Node.State(), View: c.Node.View(), ControlNodes: c.followableMembers,
+		Committed: c.isInitialized(), Behind: !c.Node.IsUpToDate(nowUs), Registry: c.soft.Registry, Outliers: c.soft.Outliers,
 	}) {
 		push := p
 		c.effects = append(c.effects, PushFrame{Push: &push})
--- a/internal/controlplane/controlnode/gateway_streams.go
+++ b/internal/controlplane/controlnode/gateway_streams.go
@@ -9,10 +9,14 @@
 	"petreltide/internal/process/actor"
 )
 
+// updateStream is a gateway's stream of configuration updates. An update that has not been sent yet is replaced by the next.
 type updateStream struct {
+	// latest holds the newest update that has not been sent.
 	latest chan wire.GatewayUpdate
 }
 
+// pushUpdate replaces the gateway's unsent update, if any, by update. A declaration that only the replaced update carried is
+// kept.
 func (h *Host) pushUpdate(gateway string, update wire.GatewayUpdate) {
 	stream := h.updateStreams[gateway]
 	if stream == nil {
@@ -34,6 +38,8 @@
 	}
 }
 
+// serveUpdates serves a gateway's stream of configuration updates until the gateway subscribes again or this control node is no
+// longer the tail.
 func (h *Host) serveUpdates(ctx context.Context, f *wire.SubscribeRequest, send func(*wire.GatewayUpdate) error) error {
 	stream := &updateStream{latest: make(chan wire.GatewayUpdate, 1)}
 	defer h.actor.Tell(func() {
@@ -50,7 +56,7 @@
 		return h.core.Node.View().Number
 	})
 	if !ran || view == 0 {
-		return fault.New(fault.NotServing, "", "not the open tail")
+		return fault.New(fault.NotServing, "", "not a tail that is ready to serve")
 	}
 	roleCheck := time.NewTicker(300 * time.Millisecond)
 	defer roleCheck.Stop()
@@ -76,19 +82,21 @@
 }
 
 const (
-	// frameStreamCapacity is how many frames may wait for a gateway; one that does not keep up is ended.
+	// frameStreamCapacity is the number of frames queued for a gateway; a stream whose queue overflows is closed.
 	frameStreamCapacity = 256
-	// readTimeout bounds the question to the tail for what is in force.
+	// readTimeout bounds reading the latest state from the tail.
 	readTimeout = 700 * time.Millisecond
 )
 
-// frameStream is one gateway's stream; one that does not keep up is ended, and the gateway follows anew.
+// frameStream is a gateway's stream of frames. A stream whose gateway does not keep up is closed, and the gateway subscribes
+// again.
 type frameStream struct {
 	incarnation string
 	frames      chan *wire.Frame
 	closed      chan struct{}
 }
 
+// pushFrame queues a frame for a gateway, and closes the gateway's stream if its queue is full.
 func (h *Host) pushFrame(gateway string, f *wire.Frame) {
 	stream := h.frameStreams[gateway]
 	if stream == nil {
@@ -102,6 +110,7 @@
 	}
 }
 
+// serveFrames serves a gateway's stream of frames; a new subscription of the gateway closes its earlier one.
 func (h *Host) serveFrames(ctx context.Context, f *wire.SubscribeRequest, send func(*wire.Frame) error) error {
 	stream := &frameStream{incarnation: f.Incarnation, frames: make(chan *wire.Frame, frameStreamCapacity), closed: make(chan struct{})}
 	defer h.actor.Tell(func() {
@@ -126,7 +135,7 @@
 		case <-h.actor.Ctx.Done():
 			return nil
 		case <-stream.closed:
-			return fault.New(fault.NotServing, "", "followed anew, or too slow")
+			return fault.New(fault.NotServing, "", "superseded by a new subscription, or the gateway does not keep up")
 		case frame := <-stream.frames:
 			if err := send(frame); err != nil {
 				return err
--- a/internal/controlplane/controlnode/gossip.go
+++ b/internal/controlplane/controlnode/gossip.go
@@ -4,13 +4,14 @@
 	"petreltide/internal/controlplane/peering"
 )
 
-// gossipProgress is how far another control node has been told of replicas.
+// gossipProgress is the progress of gossip to another control node: the incarnation that it was sent to, and the revision of
+// the registry up to which it was sent.
 type gossipProgress struct {
 	incarnation string
 	revision    uint64
 }
 
-// handleGossip takes what another control node has heard.
+// handleGossip merges the gossip of another control node and confirms the departures that it asks about.
 func (c *Core) handleGossip(nowUs int64, message peering.Gossip) {
 	c.soft.Registry.Merge(nowUs, message.Observations)
 	c.confirmDepartures(message)
@@ -26,7 +27,8 @@
 	}
 }
 
-// gossip sends the other control nodes what changed at once, and signs of life now and then.
+// gossip sends changes of the registry and requests to confirm departures to the other control nodes at once, and liveness of
+// replicas and gateways in periodic rounds.
 func (c *Core) gossip(nowUs int64) {
 	due := nowUs-c.soft.lastGossipUs >= gossipIntervalUs+gossipIntervalPerReplicaUs*int64(c.soft.Registry.Len())
 	departuresDue := c.hasDueDepartures(nowUs)
--- a/internal/controlplane/controlnode/handlers.go
+++ b/internal/controlplane/controlnode/handlers.go
@@ -76,7 +76,7 @@
 	return mux
 }
 
-// serveQuota answers a gateway that asks to run requests of tenants with a limit.
+// serveQuota answers a gateway's request for permission to run requests of rate-limited tenants.
 func (h *Host) serveQuota(ctx context.Context, request *wire.QuotaRequest) (*wire.QuotaResponse, error) {
 	reply := make(chan wire.QuotaResponse, 1)
 	if !h.actor.Do(ctx, func() {
--- a/internal/controlplane/controlnode/host.go
+++ b/internal/controlplane/controlnode/host.go
@@ -23,32 +23,34 @@
 )
 
 const (
-	// tickInterval is how often the reducer is told that time passes; the chain's shortest times are 200 ms.
+	// tickInterval is the interval between two Tick events; the shortest timers of the chain are 200 ms.
 	tickInterval = 25 * time.Millisecond
-	// mailboxCapacity and outboxCapacity are numbers of events and of messages to one peer. A full mailbox makes its
-	// writers wait; a full outbox drops the message, as a network may.
+	// mailboxCapacity is the number of events that the actor queues; senders block while it is full. outboxCapacity is the
+	// number of messages queued for one peer; a message to a full outbox is dropped, as a network may drop it.
 	mailboxCapacity = 8192
 	outboxCapacity  = 1024
 	// changeTimeout is how long an operator's call waits for the outcome of its change.
 	changeTimeout = 8 * time.Second
-	// rebuildPeerTimeout is how long a control node without data waits for a peer to copy the chain from before it ends.
+	// rebuildPeerTimeout is how long a control node without data waits for a peer from which to copy the chain before the
+	// process exits.
 	rebuildPeerTimeout = 15 * time.Second
-	// submitTimeout is how long a gateway's change waits, and resubmitInterval after how long without an outcome a
-	// change is sent to the head again: messages may be lost.
+	// submitTimeout is how long a gateway's call waits for the outcome of its change. A change without an outcome is sent to
+	// the head again every resubmitInterval, since messages may be lost.
 	submitTimeout    = 2 * time.Second
 	resubmitInterval = 400 * time.Millisecond
-	// replicaTimeout bounds a call to a replica: the controller counts on its answer for no longer.
+	// replicaTimeout bounds a call to a replica; the controller does not expect a response any later.
 	replicaTimeout = time.Duration(controller.MaxOrderInFlightUs) * time.Microsecond
 	// platformTimeout bounds a call for the platform's list of replicas.
 	platformTimeout = 800 * time.Millisecond
 
-	// discoveryIntervalSettled is how often the seeds are asked once the chain is known; before, each second.
+	// discoveryIntervalSettled is the interval between two queries of the seeds once the chain is known; before that it is
+	// one second.
 	discoveryIntervalSettled = 5 * time.Second
-	// lockTimeout is how long a control node waits for the process before it to let go of the data folder.
+	// lockTimeout is how long a control node waits for its predecessor process to release the lock on the data directory.
 	lockTimeout = 10 * time.Second
-	// peerDialTimeoutMs bounds the opening of a connection to a peer, in milliseconds.
+	// peerDialTimeoutMs bounds dialing a peer, in milliseconds.
 	peerDialTimeoutMs = 250
-	// The times of a chain whose members take in and drop each other (WithAutoMembershipTimings), in microseconds.
+	// The timers of a chain with automatic membership, in microseconds; see WithAutoMembershipTimings.
 	autoMembershipHeartbeatUs    = 200 * clock.Ms
 	autoMembershipSuspectUs      = 800 * clock.Ms
 	autoMembershipLeaseUs        = 700 * clock.Ms
@@ -57,68 +59,69 @@
 	autoMembershipPrepareUs      = 200 * clock.Ms
 )
 
-// Host runs a Core: it gives it events one at a time and carries out its effects on disk, network and clock. Its actor owns
-// the core and all maps; other goroutines hand it functions.
+// Host runs a Core: it passes it one event at a time and executes its effects on the disk, the network and the clock. The
+// actor owns the core and all maps; other goroutines access them through functions that they send to the actor.
 type Host struct {
 	settings settings.ControlNode
 	core     *Core
-	// fatal takes the error that ends Run.
+	// fatal receives the error that ends Run.
 	fatal chan error
 
-	// disk takes the saves of saveQueue in order, each again after retryTimer while it refuses; lock keeps other processes
-	// out of the data folder.
+	// disk stores the requests of saveQueue in order; a request that fails is retried after retryTimer. lock excludes other
+	// processes from the data directory.
 	disk       disk
 	lock       *storage.DirLock
 	saveQueue  *saveQueue
 	retryTimer func() <-chan time.Time
-	// rebuilding: this node holds nothing, may found nothing, and ends if it meets no peer in time.
+	// rebuilding reports that this node has no data and may not bootstrap a chain: it exits unless it finds a peer in time.
 	rebuilding bool
 
-	// ring keeps the newest log lines, log writes to it.
+	// ring holds the newest log lines; log writes to it.
 	ring *logring.Ring
 	log  log.Logger
 
-	// act owns everything from here to frameStreams.
+	// actor owns core and the fields from here to frameStreams.
 	actor *actor.Actor
-	// outboxes are the messages that wait for each peer, by its address; transfers the snapshots under way to one.
+	// outboxes are the messages queued for each peer, and snapshotTransfers the snapshots in transfer, both by the address of
+	// the peer.
 	outboxes          map[string]chan peering.Message
 	snapshotTransfers map[string]*snapshotTransfer
-	// waiters are the callers that wait for the outcome of a change, by its ID.
+	// waiters are the callers that wait for the outcome of a change, by the ID of the change.
 	waiters map[string][]chan wire.Result
-	// leases, quotas and acknowledgements are the callers that wait for the answer to a gateway's report, to its wish to run
-	// requests of tenants or to a replica's heartbeat, by a number of which lastReplyID was the last given.
+	// leases, quotas and acknowledgements are the callers that wait for the response to a gateway's report, a gateway's quota
+	// request, and a replica's heartbeat or deregistration, by reply ID. lastReplyID is the last reply ID assigned.
 	leases           map[uint64]chan wire.Lease
 	quotas           map[uint64]chan wire.QuotaResponse
 	acknowledgements map[uint64]chan bool
 	lastReplyID      uint64
-	// updateStreams are the streams of updates with leases, by gateway; frameStreams those of frames.
+	// updateStreams are the streams of configuration updates and frameStreams those of frames, both by gateway.
 	updateStreams map[string]*updateStream
 	frameStreams  map[string]*frameStream
 
-	// replicaClient speaks to replicas and the platform, peerClient to control nodes.
+	// replicaClient calls replicas and the platform, peerClient other control nodes.
 	replicaClient *http.Client
 	peerClient    *http.Client
-	// replicas is how the controller reaches replicas.
+	// replicas is the controller's transport to replicas and the platform.
 	replicas ReplicaTransport
-	// seeds are addresses of control nodes for first contact.
+	// seeds are the addresses of control nodes to contact for discovery.
 	seeds atomic.Pointer[[]string]
-	// listeners are those of other interfaces than this one's own; they are fixed once Run begins.
+	// listeners serve additional interfaces; they must not change once Run has started.
 	listeners []Listener
 }
 
-// Listener is a listener of another interface than this one's own.
+// Listener serves an interface of the process besides the control node's own.
 type Listener interface {
 	Serve() error
 	Shutdown(ctx context.Context) error
 }
 
-// SetSeeds replaces the addresses for first contact, where the ones in the settings have changed.
+// SetSeeds replaces the addresses used for discovery after those in the settings have changed.
 func (h *Host) SetSeeds(addrs []string) { h.seeds.Store(&addrs) }
 
-// AddListener adds a listener before Run.
+// AddListener adds a listener; it must be called before Run.
 func (h *Host) AddListener(l Listener) { h.listeners = append(h.listeners, l) }
 
-// Run serves until ctx ends. A disk that refuses or hangs does not end it.
+// Run serves until ctx ends or a fatal error occurs. A disk that refuses writes or hangs does not end it.
 func (h *Host) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", h.settings.Listen)
 	if err != nil {
@@ -126,7 +129,8 @@
 	}
 	server := &http.Server{Handler: h.handler(), ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = server.Serve(listener) }()
-	_ = level.Info(h.log).Log("msg", "started", "id", h.core.Node.Self().ID, "phase", string(h.core.Node.Phase()), "disabled", h.settings.Disable.String())
+	_ = level.Info(h.log).Log("msg", "started", "id", h.core.Node.Self().ID, "phase", string(h.core.Node.Phase()),
+		"disabled", h.settings.Disable.String())
 	h.actor.Spawn(func() { h.actor.Loop(tickInterval, func() { h.step(Tick{}) }) })
 	h.actor.Spawn(h.persistLoop)
 	h.actor.Spawn(h.discoverPeers)
@@ -173,7 +177,7 @@
 
 func (h *Host) post(event Event) { h.actor.Tell(func() { h.step(event) }) }
 
-// step gives the reducer one event and carries out its effects; it runs on the actor.
+// step passes one event to the core and executes its effects; it must be called on the actor.
 func (h *Host) step(event Event) {
 	for _, effect := range h.core.Step(clock.NowUs(), event) {
 		switch effect := effect.(type) {
@@ -205,7 +209,7 @@
 		case RunController:
 			h.runControllerEffect(effect.Effect)
 		case ChangeApplied:
-			// ShadowOnly the simulator follows what is applied.
+			// Only the simulator observes applied changes.
 		case LogMessage:
 			_ = level.Info(h.log).Log("msg", effect.Message, "detail", effect.Detail, "view", h.core.Node.View().Number)
 		}
--- a/internal/controlplane/controlnode/latest_state.go
+++ b/internal/controlplane/controlnode/latest_state.go
@@ -10,17 +10,19 @@
 	"petreltide/internal/process/rpc"
 )
 
-// LatestStateRequest is a question for the newest declaration that was acknowledged.
+// LatestStateRequest asks the tail for the latest acknowledged declaration.
 type LatestStateRequest struct{}
 
-// LatestState answers Read.
+// LatestState is the latest acknowledged declaration, with its revision and the log index of the state that it was read from.
+// Declaration is nil if none has been declared.
 type LatestState struct {
 	Declaration *configuration.Declaration `json:"doc,omitempty"`
 	Revision    uint64                     `json:"revision,omitempty"`
 	Index       uint64                     `json:"index,omitempty"`
 }
 
-// localLatestState is this control node's state where it is the open tail, whose word is the newest there is.
+// localLatestState returns this control node's own state. It reports false unless this control node is a ready tail, whose
+// state is the latest acknowledged one.
 func (h *Host) localLatestState(ctx context.Context) (LatestState, bool) {
 	type localState struct {
 		state       LatestState
@@ -33,7 +35,8 @@
 	return local.state, ran && local.isTailReady
 }
 
-// LatestState is the newest state that was acknowledged, asked of the tail; false where nobody can say.
+// LatestState returns the latest acknowledged state, which it reads from the tail. It reports false if the tail is unknown or
+// does not answer within readTimeout.
 func (h *Host) LatestState(ctx context.Context) (LatestState, bool) {
 	if own, isTailReady := h.localLatestState(ctx); isTailReady {
 		return own, true
@@ -51,7 +54,7 @@
 	return *response, true
 }
 
-// LatestDeclaration is the newest one that was acknowledged; false where nobody can say.
+// LatestDeclaration returns the declaration of LatestState, and reports false in the same cases.
 func (h *Host) LatestDeclaration(ctx context.Context) (*configuration.Declaration, bool) {
 	latest, known := h.LatestState(ctx)
 	return latest.Declaration, known
@@ -60,7 +63,7 @@
 func (h *Host) serveLatestState(ctx context.Context, _ *LatestStateRequest) (*LatestState, error) {
 	latest, isTailReady := h.localLatestState(ctx)
 	if !isTailReady {
-		return nil, fault.New(fault.NotServing, "", "not the open tail")
+		return nil, fault.New(fault.NotServing, "", "not a tail that is ready to serve")
 	}
 	return &latest, nil
 }
--- a/internal/controlplane/controlnode/leave.go
+++ b/internal/controlplane/controlnode/leave.go
@@ -9,11 +9,11 @@
 	"petreltide/internal/process/clock"
 )
 
-// leaveCheckInterval is how often a process that is to end asks whether it may.
+// leaveCheckInterval is the interval at which a process that is shutting down checks whether the handover is complete.
 const leaveCheckInterval = 25 * time.Millisecond
 
-// leave gives the other control nodes the time that the settings allow to take over this one's seat, its vote and
-// what only it holds. The control node serves on meanwhile.
+// leave hands over this control node's position in the chain, its vote and the data that only it holds to the other control
+// nodes. It waits for at most the handover timeout of the settings; the control node keeps serving meanwhile.
 func (h *Host) leave() {
 	if h.settings.HandoverTimeoutMs <= 0 {
 		return
--- a/internal/controlplane/controlnode/membership.go
+++ b/internal/controlplane/controlnode/membership.go
@@ -9,17 +9,17 @@
 	"petreltide/internal/process/clock"
 )
 
-// checkMember finds the identity that an order is about, or why it must not be taken. Only a control node whose view
-// and state are the chain's of now may refuse it.
+// checkMember sets the member ID that a membership change refers to, or returns why the change must not be accepted. Only a
+// control node whose view and state are up to date may reject the change for what it asks.
 func (c *Core) checkMember(nowUs int64, m *statemachine.MembershipChange, evenAlive bool) *fault.Fault {
 	if !c.Node.IsUpToDate(nowUs) {
-		return fault.New(fault.NotServing, "", "this control node has no word of the chain: ask another")
+		return fault.New(fault.NotServing, "", "this control node is not up to date with the chain; ask another one")
 	}
 	return c.Node.ResolveMemberChange(m, evenAlive)
 }
 
-// listFollowableMembers are the control nodes that gateways may follow: those that are heard. A control node that is behind names all members of its
-// view as well, since the ones that it does not hear may be current.
+// listFollowableMembers returns the control nodes that gateways may subscribe to: this one and those that it hears from. A
+// control node that is not up to date adds all members of its view, since those that it does not hear from may be up to date.
 func (c *Core) listFollowableMembers(nowUs int64) []chain.Member {
 	all := []chain.Member{c.Node.Self()}
 	for _, p := range c.Node.Peers() {
@@ -44,14 +44,17 @@
 	return all
 }
 
+// memberDoneRetryIntervalUs is the minimum interval between two submissions of the completion of a membership change.
 const memberDoneRetryIntervalUs = 500 * clock.Ms
 
-// completeMemberChange is the head's: it takes an order about members out of the ledger once the view has it.
+// completeMemberChange submits, at the head, the completion of a membership change once the view reflects it. The completion
+// removes the change from the replicated state.
 func (c *Core) completeMemberChange(nowUs int64) {
 	if nowUs-c.lastMemberDoneUs < memberDoneRetryIntervalUs || !c.Node.IsHead() || !c.Node.MemberChangeDone() {
 		return
 	}
 	c.lastMemberDoneUs = nowUs
 	id := c.Node.State().MembershipID
-	c.stepChain(nowUs, chain.ChangeSubmitted{Change: &statemachine.Change{ID: "done-" + id, Membership: &statemachine.MembershipChange{Action: statemachine.MembershipDone, Name: id}}})
+	c.stepChain(nowUs, chain.ChangeSubmitted{Change: &statemachine.Change{
+		ID: "done-" + id, Membership: &statemachine.MembershipChange{Action: statemachine.MembershipDone, Name: id}}})
 }
--- a/internal/controlplane/controlnode/open.go
+++ b/internal/controlplane/controlnode/open.go
@@ -52,7 +52,7 @@
 			return nil, errors.Trace(quarantineErr)
 		}
 		_ = level.Error(logger).Log("msg", "damaged data set aside", "kept", quarantined, "why", bad.Error())
-		ring.Dump("stored data is damaged (" + bad.Error() + "); it is kept in " + quarantined + " and will be copied from partners")
+		ring.Dump("stored data is damaged (" + bad.Error() + "); it is kept in " + quarantined + " and will be copied from peers")
 		opened, err = storage.Open(set.DataDir, owner)
 	}
 	if err != nil {
@@ -69,7 +69,8 @@
 		foundingSize = 0
 	}
 	opts := chain.Options{
-		Self: self, Incarnation: randomid.New(6), BootstrapCount: foundingSize, MinReplicas: set.MinReplicas, MinZones: set.MinZones, MinRegions: set.MinRegions, Regions: set.Regions, AutoMembership: set.Membership == settings.AutomaticMembership,
+		Self: self, Incarnation: randomid.New(6), BootstrapCount: foundingSize, MinReplicas: set.MinReplicas, MinZones: set.MinZones,
+		MinRegions: set.MinRegions, Regions: set.Regions, AutoMembership: set.Membership == settings.AutomaticMembership,
 		UnsyncedLog: opened.WriteErr != nil,
 	}
 	if opts.AutoMembership {
@@ -93,9 +94,13 @@
 	h := &Host{
 		settings: set, core: core, disk: opened.Store, ring: ring, log: logger,
 		replicaClient: rpc.Client(500, set.Listen), peerClient: rpc.NodeClient(peerDialTimeoutMs, set.Listen),
-		actor: actor.New(mailboxCapacity), saveQueue: newSaveQueue(), retryTimer: func() <-chan time.Time { return time.After(diskRetryInterval) },
-		outboxes: map[string]chan peering.Message{}, snapshotTransfers: map[string]*snapshotTransfer{}, waiters: map[string][]chan wire.Result{}, leases: map[uint64]chan wire.Lease{}, quotas: map[uint64]chan wire.QuotaResponse{}, acknowledgements: map[uint64]chan bool{},
-		updateStreams: map[string]*updateStream{}, rebuilding: opened.Created && foundingSize == 0 && len(set.Founders) == 0, fatal: make(chan error, 1),
+		actor: actor.New(mailboxCapacity), saveQueue: newSaveQueue(),
+		retryTimer: func() <-chan time.Time { return time.After(diskRetryInterval) },
+		outboxes:   map[string]chan peering.Message{}, snapshotTransfers: map[string]*snapshotTransfer{},
+		waiters: map[string][]chan wire.Result{}, leases: map[uint64]chan wire.Lease{}, quotas: map[uint64]chan wire.QuotaResponse{},
+		acknowledgements: map[uint64]chan bool{},
+		updateStreams:    map[string]*updateStream{}, rebuilding: opened.Created && foundingSize == 0 && len(set.Founders) == 0,
+		fatal:        make(chan error, 1),
 		frameStreams: map[string]*frameStream{},
 	}
 	h.replicas = &platformReplicas{h}
@@ -103,7 +108,8 @@
 	return h, nil
 }
 
-// quotaOptions are the bounds on tenants. As many control nodes may be lost as an acknowledgement's copies allow.
+// quotaOptions returns the options of the quota ledger. It tolerates the loss of as many control nodes as an acknowledged
+// change does: one less than its minimum number of copies.
 func quotaOptions(set settings.ControlNode) quota.Options {
 	return quota.Options{
 		WindowUs: set.Quota.WindowMs * clock.Ms, Overshoot: set.Quota.Overshoot, Slack: set.Quota.Slack,
@@ -111,9 +117,12 @@
 	}
 }
 
-// WithAutoMembershipTimings gives a chain whose control nodes take in and drop each other the times that they keep to.
+// WithAutoMembershipTimings returns options with the timers of a chain with automatic membership, whose control nodes add and
+// remove each other.
 func WithAutoMembershipTimings(options chain.Options) chain.Options {
-	options.HelloIntervalUs, options.HeartbeatIntervalUs, options.SuspectTimeoutUs = autoMembershipHeartbeatUs, autoMembershipHeartbeatUs, autoMembershipSuspectUs
-	options.LeaseDurationUs, options.VoteRecoveryTimeoutUs, options.GatherTimeoutUs, options.PrepareTimeoutUs = autoMembershipLeaseUs, autoMembershipVoteRecoveryUs, autoMembershipGatherUs, autoMembershipPrepareUs
+	options.HelloIntervalUs, options.HeartbeatIntervalUs, options.SuspectTimeoutUs =
+		autoMembershipHeartbeatUs, autoMembershipHeartbeatUs, autoMembershipSuspectUs
+	options.LeaseDurationUs, options.VoteRecoveryTimeoutUs, options.GatherTimeoutUs, options.PrepareTimeoutUs =
+		autoMembershipLeaseUs, autoMembershipVoteRecoveryUs, autoMembershipGatherUs, autoMembershipPrepareUs
 	return options
 }
--- a/internal/controlplane/controlnode/operator_handlers.go
+++ b/internal/controlplane/controlnode/operator_handlers.go
@@ -44,18 +44,19 @@
 	_, _ = w.Write(append(raw, '\n'))
 }
 
-// maxRequestBytes bounds what an operator may send, in bytes.
+// maxRequestBytes bounds the body of an operator's request, in bytes.
 const maxRequestBytes = 4 << 20
 
-// CurrentConfig is the declaration in force, with the revision that a change has to name as its base.
+// CurrentConfig is the declaration in force, with the revision that the next change has to name as its base. Declaration is nil
+// if none has been declared.
 type CurrentConfig struct {
 	Revision    uint64                     `json:"revision"`
 	Index       uint64                     `json:"index"`
 	Declaration *configuration.Declaration `json:"declaration"`
 }
 
-// ChangeAck acknowledges a change. State is "everywhere", "ordered" for an order about members, or says that some
-// gateways have not confirmed it yet.
+// ChangeAck acknowledges a change. State is "everywhere" once all gateways have confirmed the change, "ordered" for a
+// membership change, and the code fault.CommittedNotEverywhere if some gateways have not confirmed it yet.
 type ChangeAck struct {
 	Change   string `json:"change"`
 	Revision uint64 `json:"revision"`
@@ -63,7 +64,7 @@
 	State    string `json:"state"`
 }
 
-// config is what this control node itself holds, which may be old.
+// localConfig returns the configuration that this control node holds itself, which may be out of date.
 func (h *Host) localConfig(ctx context.Context) (CurrentConfig, bool) {
 	return actor.Ask(ctx, h.actor, func() CurrentConfig {
 		s := h.core.Node.State()
@@ -71,7 +72,8 @@
 	})
 }
 
-// waitForRevision waits a little for a revision the operator already knows of.
+// waitForRevision waits, for about one second at most, until this control node holds the revision base, which the operator
+// already knows of. It returns the configuration that it holds then.
 func (h *Host) waitForRevision(ctx context.Context, base uint64) CurrentConfig {
 	for attempt := 0; ; attempt++ {
 		current, ran := h.localConfig(ctx)
@@ -95,15 +97,15 @@
 	writeJSON(w, http.StatusOK, current)
 }
 
-// latestConfig is what an operator's change is judged by before it goes to the chain; false where nobody can
-// say what is in force.
+// latestConfig returns the configuration against which an operator's change is validated before it is submitted. It reports
+// false if the configuration in force cannot be determined.
 func (h *Host) latestConfig(ctx context.Context) (CurrentConfig, bool) {
 	latest, known := h.LatestState(ctx)
 	return CurrentConfig{Revision: latest.Revision, Index: latest.Index, Declaration: latest.Declaration}, known
 }
 
 func errConfigUnknown() *fault.Fault {
-	return fault.New(fault.NotServing, "", "this control node cannot say what is in force: ask another")
+	return fault.New(fault.NotServing, "", "this control node cannot determine the configuration in force; ask another one")
 }
 
 func (h *Host) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *fault.Fault) {
@@ -137,7 +139,8 @@
 	return "op-" + id, nil
 }
 
-// requestDigest tells requests under one change identifier apart by all that they ask for.
+// requestDigest returns a digest of everything that a request asks for. It distinguishes different requests that are sent with
+// the same change ID.
 func requestDigest(r *http.Request, body []byte) string {
 	hash := sha256.New()
 	query := r.URL.Query()
@@ -148,34 +151,35 @@
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// configRequest is a whole declaration, or a patch, as an operator sent it.
+// configRequest is a complete declaration, or a patch, as an operator sent it.
 type configRequest struct {
 	body []byte
-	// base is the revision that it builds on.
+	// base is the revision that the request is based on.
 	base     uint64
 	changeID string
 	digest   string
 }
 
-// change is the request without what it leads to.
+// emptyChange returns the change with the ID and the digest of the request, but without a declaration.
 func (r configRequest) emptyChange() statemachine.Change {
 	return statemachine.Change{ID: r.changeID, Digest: r.digest}
 }
 
-// declarationChange is the change that puts a declaration in force.
+// declarationChange returns the change that puts doc in force.
 func (r configRequest) declarationChange(doc *configuration.Declaration) statemachine.Change {
 	c := r.emptyChange()
 	c.Config = &statemachine.ConfigChange{Base: r.base, Doc: doc}
 	return c
 }
 
-// readConfigRequest reads what a whole declaration and a patch have in common.
+// readConfigRequest reads the body, the base revision and the change ID of a declaration or patch. On an error it writes the
+// response and reports false.
 func (h *Host) readConfigRequest(w http.ResponseWriter, r *http.Request) (configRequest, bool) {
 	raw, badBody := h.readBody(w, r)
 	base, given, badBase := baseRevision(r)
 	id, badID := changeID(r)
 	if badBase == nil && !given {
-		badBase = fault.New(fault.BadField, "base", "name the revision this is based on (0 for the first)")
+		badBase = fault.New(fault.BadField, "base", "missing; give the revision that this change is based on (0 for the first)")
 	}
 	for _, bad := range []*fault.Fault{badBody, badBase, badID} {
 		if bad != nil {
@@ -212,13 +216,14 @@
 		h.respondApplied(r.Context(), w, c.ID, wire.Result{Outcome: out})
 		return
 	}
-	inDoubt := fault.New(fault.InDoubt, "", "no answer from the chain in time; send the same change id %q again to learn what became of it", c.ID[3:])
+	inDoubt := fault.New(fault.InDoubt, "", "no response from the chain in time; send the same change id %q again to learn the outcome", c.ID[3:])
 	inDoubt.RetryMs = 2000
 	writeFault(w, inDoubt)
 }
 
-// respondApplied waits a little until this control node shows what it answers: the tail answers before the control nodes ahead of
-// it have heard that the change is committed.
+// respondApplied writes the response to a change that has an outcome. It first waits for a moment until this control node holds
+// the revision of the outcome: the tail answers before the control nodes ahead of it in the chain have learned that the change
+// is committed.
 func (h *Host) respondApplied(ctx context.Context, w http.ResponseWriter, id string, r wire.Result) {
 	if r.Outcome.Fault != nil {
 		writeFault(w, r.Outcome.Fault)
@@ -236,8 +241,8 @@
 	writeJSON(w, status, ack)
 }
 
-// handleMemberAction takes an operator's order about one control node. It is refused here where this control node can see that
-// it must not be carried out; what was taken waits until it is safe.
+// handleMemberAction submits an operator's membership change for one control node. It rejects a change that this control node
+// can tell is not allowed; an accepted change takes effect once that is safe.
 func (h *Host) handleMemberAction(w http.ResponseWriter, r *http.Request) {
 	id, bad := changeID(r)
 	c := statemachine.Change{ID: id, Digest: requestDigest(r, nil)}
--- a/internal/controlplane/controlnode/patch.go
+++ b/internal/controlplane/controlnode/patch.go
@@ -9,22 +9,23 @@
 	"petreltide/internal/api/wire"
 )
 
-// patchDecision is what becomes of a patch at this control node.
+// patchDecision is how this control node processes a patch.
 type patchDecision int
 
 const (
-	// mergeLocally: what the patch builds on is in force.
+	// mergeLocally means that the base of the patch is in force, and that the patch is merged into it here.
 	mergeLocally patchDecision = iota
-	// baseNotInForce: the base may come into force yet, and the patch be taken by another control node then.
+	// baseNotInForce means that the base is newer than the configuration in force. It may still come into force, and another
+	// control node may accept the patch then.
 	baseNotInForce
-	// deferToChain: the base has been passed. The patch can't be taken any more, but it may have been taken before,
-	// and only the chain knows for sure.
+	// deferToChain means that the base has been superseded. The patch can no longer be applied, but it may have been applied
+	// before, which only the chain can tell for sure.
 	deferToChain
-	// noDeclaration: no patch can build on the empty state.
+	// noDeclaration means that nothing has been declared, so that there is nothing to patch.
 	noDeclaration
 )
 
-// decidePatch judges a patch by the newest configuration there is.
+// decidePatch decides how to process a patch on base, given the latest configuration.
 func decidePatch(current CurrentConfig, base uint64) patchDecision {
 	switch {
 	case current.Revision < base:
@@ -37,8 +38,8 @@
 	return mergeLocally
 }
 
-// patchBase is what a patch is judged by: this control node's own declaration where that is past the patch's base
-// already, as revisions only rise, else the newest.
+// patchBase returns the configuration to decide a patch by: this control node's own if its revision is already greater than the
+// patch's base, as revisions only increase, and the latest otherwise.
 func (h *Host) patchBase(ctx context.Context, base uint64) (CurrentConfig, bool) {
 	if local, ran := h.localConfig(ctx); ran && local.Revision > base {
 		return local, true
@@ -62,7 +63,8 @@
 	}
 	switch decidePatch(current, request.base) {
 	case baseNotInForce:
-		writeFault(w, fault.New(fault.InDoubt, "base", "revision %d is not in force yet, only %d", request.base, current.Revision))
+		writeFault(w, fault.New(fault.InDoubt, "base", "revision %d is not in force yet; the revision in force is %d", request.base,
+			current.Revision))
 		return
 	case noDeclaration:
 		writeFault(w, fault.New(fault.StaleBase, "base", "there is no declaration yet"))
--- a/internal/controlplane/controlnode/persist.go
+++ b/internal/controlplane/controlnode/persist.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	// diskRetryInterval is how often a save that the disk refused is tried again.
+	// diskRetryInterval is the interval at which a request that the disk refused is retried.
 	diskRetryInterval = 250 * time.Millisecond
-	// diskRetriesPerLog is how many tries lie between two words about it in the log ring.
+	// diskRetriesPerLog is the number of attempts from one log line about a failing request to the next.
 	diskRetriesPerLog = 40
 )
 
-// disk is where the chain's records and copies are kept; after an error the same may be tried again.
+// disk stores the records and snapshots of the chain; see storage.Store. A call that returned an error may be retried with the
+// same arguments.
 type disk interface {
 	Write(records []chain.Record, fresh bool) (from uint64, err error)
 	SaveSnapshot(c chain.Snapshot, from uint64) error
@@ -27,8 +28,8 @@
 	Close() error
 }
 
-// saveQueue holds what the chain wants on the disk, in order. Whoever adds one never waits for the disk; the
-// chain bounds how many there are.
+// saveQueue is the unbounded FIFO queue of the chain's requests to the disk. put never blocks on the disk; the chain limits how
+// many requests are pending.
 type saveQueue struct {
 	mu      sync.Mutex
 	pending []chain.Persist
@@ -53,7 +54,7 @@
 	return len(q.pending)
 }
 
-// take waits for the next one; false once over is closed.
+// take waits for the next request and removes it; it reports false once stop is closed.
 func (q *saveQueue) take(stop <-chan struct{}) (chain.Persist, bool) {
 	for {
 		select {
@@ -77,8 +78,9 @@
 	}
 }
 
-// retryUntilWritten tries the same until the disk takes it. Until then the control node stands still where it needs the
-// disk, and goes on elsewhere. False means that the control node is ending.
+// retryUntilWritten repeats write until the disk accepts it. In the meantime only what depends on this write waits; the rest of
+// the control node keeps running. If seq is not 0, the first failure is reported as PersistFailed with that number. It reports
+// false if the control node is shutting down, or if the disk has lost synced data, which stops it.
 func (h *Host) retryUntilWritten(seq uint64, write func() error) bool {
 	since := time.Now()
 	for attempts := 0; ; attempts++ {
@@ -107,7 +109,7 @@
 	}
 }
 
-// write brings a save's records to the log and tells where they are.
+// writeRecords appends the records of a request to the log and returns their position in it.
 func (h *Host) writeRecords(s chain.Persist) (from uint64, written bool) {
 	written = h.retryUntilWritten(s.Seq, func() (err error) {
 		from, err = h.disk.Write(s.Records, s.Compact)
@@ -116,8 +118,8 @@
 	return from, written
 }
 
-// persistLoop brings what the chain wants on the disk there, in order. It begins with what was found there and may not
-// have been synced.
+// persistLoop executes the chain's requests to the disk, in order. It first syncs what was found on the disk at startup, which
+// may not have been synced.
 func (h *Host) persistLoop() {
 	opening := chain.Persist{Seq: chain.OpeningPersistSeq}
 	if _, written := h.writeRecords(opening); !written {
@@ -144,7 +146,8 @@
 	}
 }
 
-// persistSnapshotAfter keeps a copy beside the log, once the copy before it is kept; it gives what is closed at its end.
+// persistSnapshotAfter stores the snapshot of a request concurrently with writes to the log, once previous is closed. It
+// returns a channel that is closed when the attempt ends.
 func (h *Host) persistSnapshotAfter(previous <-chan struct{}, s chain.Persist, from uint64) <-chan struct{} {
 	saved := make(chan struct{})
 	h.actor.Spawn(func() {
@@ -155,7 +158,7 @@
 	return saved
 }
 
-// stop ends the control node for the first error that no retry mends.
+// fail stops the control node with an error that retrying cannot resolve; only the first such error counts.
 func (h *Host) fail(err error) {
 	select {
 	case h.fatal <- err:
@@ -163,9 +166,10 @@
 	}
 }
 
-// persistSnapshot writes a copy while the log goes on, and only then lets go of what it stands for. Copies are kept one
-// after another in the log's order: an older one must not take a newer one's place. Nobody waits for a copy
-// that only stands for the log; without a peer's copy, though, a control node is none.
+// persistSnapshot stores a snapshot while writes to the log continue, and only then drops the part of the log that the snapshot
+// replaces. Snapshots are stored one at a time in log order, as an older one must not replace a newer one. A failure is
+// reported to the chain only for a snapshot received from a peer, without which the control node has no state; nothing waits
+// for a snapshot that merely compacts the log.
 func (h *Host) persistSnapshot(s chain.Persist, from uint64) {
 	reportedSeq := s.Seq
 	if s.Compact {
--- a/internal/controlplane/controlnode/quota.go
+++ b/internal/controlplane/controlnode/quota.go
@@ -7,8 +7,8 @@
 	"petreltide/internal/controlplane/quota"
 )
 
-// observeQuota tells the ledger what this control node is now, and the limits where another declaration is in force. A
-// declaration is replaced as a whole and never changed in place, so its address tells.
+// observeQuota updates the quota ledger with the current role of this control node and, after another declaration has come into
+// force, with its limits. Comparing the pointers detects that, as a declaration is replaced as a whole and never modified.
 func (c *Core) observeQuota(nowUs int64) {
 	if doc := c.Node.State().Doc; doc != c.quotaDoc {
 		c.quotaDoc = doc
@@ -21,7 +21,7 @@
 	})
 }
 
-// quotaLimits are the limits of a declaration's tenants; none where there is no declaration.
+// quotaLimits returns the limits of a declaration's tenants; none if there is no declaration.
 func quotaLimits(doc *configuration.Declaration) []quota.Limit {
 	limits := []quota.Limit{}
 	if doc == nil {
@@ -34,7 +34,7 @@
 	return limits
 }
 
-// handleQuotaRequest answers a gateway by what this control node is at this moment.
+// handleQuotaRequest answers a gateway's quota request according to the current role of this control node.
 func (c *Core) handleQuotaRequest(nowUs int64, event QuotaRequested) {
 	c.observeQuota(nowUs)
 	asks := make([]quota.Ask, 0, len(event.Request.Asks))
@@ -43,22 +43,24 @@
 	}
 	response := wire.QuotaResponse{View: c.Node.View(), Counting: c.Node.IsTailReady(nowUs), Grants: make([]wire.QuotaGrant, 0, len(asks))}
 	if response.Counting {
-		// The gateway has found the tail: the members would be most of the answer.
+		// The gateway has found the tail and needs no members, which would make up most of the response.
 		response.View = chain.View{Number: response.View.Number}
 	}
 	for _, g := range c.quota.Take(nowUs, event.Request.TailUnreachable, asks) {
-		response.Grants = append(response.Grants, wire.QuotaGrant{Tenant: g.Tenant, Granted: g.Granted, RetryMs: g.RetryMs, Unlimited: g.Unlimited})
+		response.Grants = append(response.Grants, wire.QuotaGrant{Tenant: g.Tenant, Granted: g.Granted, RetryMs: g.RetryMs,
+			Unlimited: g.Unlimited})
 	}
 	c.effects = append(c.effects, ReplyQuota{ReplyID: event.ReplyID, Response: response})
 }
 
-// QuotaStatus is what a control node counts of tenants. Only the one that counts knows the tokens of all gateways.
+// QuotaStatus is a control node's view of the tenants' quotas. Only the counting control node, a ready tail, knows the tokens
+// granted to all gateways.
 type QuotaStatus struct {
 	Counting bool                 `json:"counting"`
 	Tenants  []quota.TenantStatus `json:"tenants"`
 }
 
-// quotaStatus is nil where no tenant is declared.
+// quotaStatus returns nil if no tenant is declared.
 func (c *Core) quotaStatus(nowUs int64) *QuotaStatus {
 	tenants := c.quota.Status(nowUs)
 	if len(tenants) == 0 {
--- a/internal/controlplane/controlnode/reports.go
+++ b/internal/controlplane/controlnode/reports.go
@@ -7,7 +7,8 @@
 	"petreltide/internal/failuredetector"
 )
 
-// handleRoutedGatewayReport takes a gateway's report, or passes it on to the controller where it came to another control node.
+// handleRoutedGatewayReport passes a gateway's report to the controller, or forwards it to the head, where the leading
+// controller runs.
 func (c *Core) handleRoutedGatewayReport(nowUs int64, r wire.Report) {
 	c.soft.FramePublisher.RecordGateway(nowUs, r.Gateway)
 	if c.Node.IsHead() {
@@ -17,6 +18,7 @@
 	}
 }
 
+// reportSuspects reports the gateways that the failure detector suspects to the head, once in each heartbeat interval.
 func (c *Core) reportSuspects(nowUs int64) {
 	if nowUs-c.lastSuspicionReportUs < failuredetector.HeartbeatIntervalUs {
 		return
@@ -30,6 +32,8 @@
 	}
 }
 
+// handleGatewayReport answers a gateway's report with a lease and, at a ready tail, passes the report to the controller at the
+// head.
 func (c *Core) handleGatewayReport(nowUs int64, r GatewayReport) {
 	c.Updates.SetActive(nowUs, c.Node.IsTailReady(nowUs))
 	view := c.Node.View().Number
--- a/internal/controlplane/controlnode/snapshot_transfer.go
+++ b/internal/controlplane/controlnode/snapshot_transfer.go
@@ -11,12 +11,12 @@
 	"petreltide/internal/process/rpc"
 )
 
-// snapshotTransferTimeout is how long a whole state may take to be sent and read.
+// snapshotTransferTimeout bounds sending a snapshot to a peer and its processing there.
 const snapshotTransferTimeout = 30 * time.Second
 
-// snapshotTransfer is a whole state on its way to a peer.
+// snapshotTransfer is a snapshot that is being sent to a peer.
 type snapshotTransfer struct {
-	// recipient is the incarnation or the view that it is meant for.
+	// recipient is what snapshotRecipient returned for its message.
 	recipient string
 	cancel    context.CancelFunc
 }
@@ -45,7 +45,8 @@
 	h.snapshotTransfers[addr] = transfer
 	h.actor.Spawn(func() {
 		defer cancel()
-		_, _ = rpc.NewCaller[peering.Batch, wire.Ack](h.peerClient, addr, rpc.BatchPath).Call(ctx, &peering.Batch{Messages: []peering.Message{message}})
+		_, _ = rpc.NewCaller[peering.Batch, wire.Ack](h.peerClient, addr, rpc.BatchPath).Call(ctx,
+			&peering.Batch{Messages: []peering.Message{message}})
 		h.actor.Tell(func() {
 			if h.snapshotTransfers[addr] == transfer {
 				delete(h.snapshotTransfers, addr)
--- a/internal/controlplane/controlnode/soft_state.go
+++ b/internal/controlplane/controlnode/soft_state.go
@@ -9,32 +9,36 @@
 )
 
 const (
-	// gossipIntervalUs and, more for each replica that is known, gossipIntervalPerReplicaUs are the time between two
-	// rounds of gossip; changes are sent at once.
+	// gossipIntervalUs plus gossipIntervalPerReplicaUs for each known replica is the time between two rounds of gossip;
+	// changes are sent at once.
 	gossipIntervalUs           = 250 * clock.Ms
 	gossipIntervalPerReplicaUs = 3 * clock.Ms
-	// membersIntervalUs is how often the control nodes that gateways may follow are found anew.
+	// membersIntervalUs is the interval at which the control nodes that gateways may subscribe to are recomputed.
 	membersIntervalUs = 100 * clock.Ms
-	// defaultUnreachableUs is after how long without a heartbeat a replica is unreachable, unless the options say.
+	// defaultUnreachableUs is the default of CoreOptions.UnreachableUs.
 	defaultUnreachableUs = 3000 * clock.Ms
-	// minPauseUs is a gap between two events that shows that the process was not run; for pauseEffectUs after it, what
-	// is read may be as old as the gap.
+	// minPauseUs is the shortest gap between two events that counts as a pause, in which the process was not scheduled. For
+	// pauseEffectUs after a pause, messages that are read may be as old as the pause.
 	minPauseUs    = 500 * clock.Ms
 	pauseEffectUs = 300 * clock.Ms
 )
 
-// softState is a control node's soft state: the replicas it has heard of, the gateways that follow it, and what the
-// other control nodes have been told.
+// softState is the state of a control node that is neither replicated by the chain nor stored: the replicas that it knows from
+// heartbeats and gossip, the gateways that subscribe to it, and its gossip with the other control nodes.
 type softState struct {
 	Registry       *registry.Registry
 	FramePublisher *distribution.FramePublisher
-	// Outliers are the newest verdicts on replicas, this control node's own or the head's.
-	Outliers       outlier.Table
+	// Outliers are the newest outlier verdicts on replicas, made by this control node or received from the head.
+	Outliers outlier.Table
+	// gossipProgress is the progress of gossip to each other control node, by member ID.
 	gossipProgress map[string]*gossipProgress
-	// departures are the leavings that this control node has been told of and a quorum does not know yet.
-	departures    map[string]*departure
-	lastGossipUs  int64
+	// departures are the departures reported to this control node that a quorum has not yet confirmed, by replica ID.
+	departures map[string]*departure
+	// lastGossipUs is when the last periodic round of gossip was sent.
+	lastGossipUs int64
+	// gossipPending reports that a change has to be sent without waiting for the next round.
 	gossipPending bool
+	// resyncPending reports that all entries have to be requested from the other control nodes.
 	resyncPending bool
 }
 
@@ -42,10 +46,12 @@
 	if unreachableUs == 0 {
 		unreachableUs = defaultUnreachableUs
 	}
-	return softState{Registry: registry.New(unreachableUs), FramePublisher: distribution.NewFramePublisher(), gossipProgress: map[string]*gossipProgress{}, departures: map[string]*departure{}}
+	return softState{Registry: registry.New(unreachableUs), FramePublisher: distribution.NewFramePublisher(),
+		gossipProgress: map[string]*gossipProgress{}, departures: map[string]*departure{}}
 }
 
-// detectPause notes when this control node was not run for a while: for a moment after, what it reads may be as old as that.
+// detectPause detects that this process was not scheduled for a while. For pauseEffectUs after such a pause it sets the
+// registry's ReadDelayUs, as heartbeats that are read then may have been sent before the pause.
 func (c *Core) detectPause(nowUs int64) {
 	if c.lastStepUs > 0 && nowUs-c.lastStepUs > minPauseUs {
 		c.pauseStartUs, c.pauseEndUs = c.lastStepUs, nowUs
@@ -57,20 +63,21 @@
 	}
 }
 
-// recordHeartbeat takes a replica's own word.
+// recordHeartbeat records the status that a replica reported itself.
 func (c *Core) recordHeartbeat(nowUs int64, status registry.ReplicaStatus) {
 	if c.soft.Registry.HandleHeartbeat(nowUs, status) {
 		c.soft.gossipPending = true
 	}
 }
 
+// recordDeregistration records that the replica's incarnation id has ended.
 func (c *Core) recordDeregistration(nowUs int64, id string) {
 	if c.soft.Registry.Remove(nowUs, id) {
 		c.soft.gossipPending = true
 	}
 }
 
-// publishOutliers takes this control node's own verdicts and tells them the others.
+// publishOutliers records this control node's own verdicts and sends them to the other control nodes.
 func (c *Core) publishOutliers(t outlier.Table) {
 	if !t.NewerThan(c.soft.Outliers) {
 		return
--- a/internal/controlplane/controlnode/status.go
+++ b/internal/controlplane/controlnode/status.go
@@ -14,6 +14,7 @@
 	"petreltide/internal/process/clock"
 )
 
+// formatView returns the IDs of the chain's replicas from head to tail.
 func formatView(v chain.View) string {
 	formatted := ""
 	for i, s := range v.Replicas {
@@ -25,7 +26,7 @@
 	return formatted
 }
 
-// rolloutLogMessage is a log line on the way of a declaration to the gateways.
+// rolloutLogMessage returns the log message about the progress of a declaration's rollout to the gateways.
 func rolloutLogMessage(p controller.RolloutProgress) LogMessage {
 	detail := fmt.Sprintf("revision %d after %d ms, %d live gateways", p.Revision, p.ElapsedUs/clock.Ms, p.Gateways)
 	if p.Done {
@@ -34,7 +35,7 @@
 	return LogMessage{Message: "configuration late at gateways", Detail: detail + ", behind: " + strings.Join(p.Behind, " ")}
 }
 
-// Status is what a control node knows of itself, the chain and the fleet. It is this control node's own view, and may be old.
+// Status is a control node's own view of itself, the chain and the fleet; it may be out of date.
 type Status struct {
 	ControlNode                chain.Member                   `json:"office"`
 	Phase                      chain.Phase                    `json:"phase"`
@@ -66,22 +67,28 @@
 	Loads                      uint64                         `json:"loads"`
 	LoadedMb                   int64                          `json:"loadedMb"`
 	Fleet                      *FleetStatus                   `json:"fleet,omitempty"`
-	// Outliers are the replicas that gateways are kept from, wholly or in part.
+	// Outliers are the replicas to which gateways send no requests, or fewer, because of an outlier verdict.
 	Outliers []outlier.Verdict `json:"outliers,omitempty"`
-	// Quota is nil where no tenant is declared.
+	// Quota is nil if no tenant is declared.
 	Quota *QuotaStatus `json:"quota,omitempty"`
 }
 
-// Status is this control node's own view of now.
+// Status returns this control node's view at nowUs.
 func (c *Core) Status(nowUs int64) Status {
 	s := c.Node.State()
 	st := Status{
-		ControlNode: c.Node.Self(), Phase: c.Node.Phase(), View: c.Node.View(), TailReady: c.Node.IsTailReady(nowUs), WaitReason: c.Node.WaitReason(),
-		CommitIndex: c.Node.CommitIndex(), LastIndex: c.Node.LastIndex(), Epoch: s.Epoch, LeaseHolder: s.Leader, IsLeader: c.Controller.IsLeader(s),
-		Revision: s.Revision, Peers: c.Node.Peers(), Gateways: c.Updates.Gateways(nowUs), Demand: c.Controller.Gateways(nowUs), Rollout: c.Controller.Rollout(nowUs),
-		Counts: c.Controller.DesiredReplicas(), Policy: c.Controller.PolicyStatus(), Shadows: c.Controller.ShadowStatuses(),
-		FaultCounts: copyMap(c.Controller.Faults), RefusalCounts: copyMap(s.RefusalCounts), KeyCount: len(s.Keys), MembershipChange: s.Membership, MembershipChangeWaitReason: c.Node.MemberChangeWaitReason(), GrantCount: len(s.Grants), Loads: s.TotalLoads, LoadedMb: s.TotalLoadedMB,
-		Pending: []statemachine.ReplicaCommand{}, Replicas: []statemachine.Replica{}, Fleet: c.fleetStatus(nowUs), Outliers: c.soft.Outliers.Rows, Quota: c.quotaStatus(nowUs),
+		ControlNode: c.Node.Self(), Phase: c.Node.Phase(), View: c.Node.View(), TailReady: c.Node.IsTailReady(nowUs),
+		WaitReason:  c.Node.WaitReason(),
+		CommitIndex: c.Node.CommitIndex(), LastIndex: c.Node.LastIndex(), Epoch: s.Epoch, LeaseHolder: s.Leader,
+		IsLeader: c.Controller.IsLeader(s),
+		Revision: s.Revision, Peers: c.Node.Peers(), Gateways: c.Updates.Gateways(nowUs), Demand: c.Controller.Gateways(nowUs),
+		Rollout: c.Controller.Rollout(nowUs),
+		Counts:  c.Controller.DesiredReplicas(), Policy: c.Controller.PolicyStatus(), Shadows: c.Controller.ShadowStatuses(),
+		FaultCounts: copyMap(c.Controller.Faults), RefusalCounts: copyMap(s.RefusalCounts), KeyCount: len(s.Keys),
+		MembershipChange: s.Membership, MembershipChangeWaitReason: c.Node.MemberChangeWaitReason(), GrantCount: len(s.Grants),
+		Loads: s.TotalLoads, LoadedMb: s.TotalLoadedMB,
+		Pending: []statemachine.ReplicaCommand{}, Replicas: []statemachine.Replica{}, Fleet: c.fleetStatus(nowUs),
+		Outliers: c.soft.Outliers.Rows, Quota: c.quotaStatus(nowUs),
 	}
 	if s.Doc != nil {
 		st.EmptiedZones = s.Doc.DrainedZones
--- a/internal/controlplane/controlnode/submit.go
+++ b/internal/controlplane/controlnode/submit.go
@@ -11,7 +11,8 @@
 	"petreltide/internal/process/actor"
 )
 
-// Submit carries a change to the head and waits for the tail's result.
+// Submit sends a change to the head and waits for the result from the tail, for at most timeout. It reports false if there was
+// no result; the change may be applied nevertheless.
 func (h *Host) Submit(ctx context.Context, c statemachine.Change, timeout time.Duration) (wire.Result, bool) {
 	c.Origin = h.settings.Advertise
 	waiter := make(chan wire.Result, 4)
@@ -47,7 +48,7 @@
 	}
 }
 
-// deliverResult gives a result to every caller that waits for it.
+// deliverResult passes a result to every caller that waits for its change.
 func (h *Host) deliverResult(r wire.Result) {
 	for _, waiter := range h.waiters[r.Outcome.ID] {
 		select {
@@ -57,7 +58,7 @@
 	}
 }
 
-// removeWaiter takes one caller off those that wait for a change.
+// removeWaiter removes one caller from those that wait for the change id.
 func (h *Host) removeWaiter(id string, waiter chan wire.Result) {
 	remaining := slices.DeleteFunc(h.waiters[id], func(w chan wire.Result) bool { return w == waiter })
 	if len(remaining) == 0 {
@@ -67,8 +68,9 @@
 	h.waiters[id] = remaining
 }
 
-// Configure carries an operator's numbered version to the chain. The mark is its idempotency token: the same one
-// is answered as it was the first time; no result means that it may yet be applied.
+// Configure submits an operator's configuration change, which names its version, to the chain. The token makes the call
+// idempotent: a repeated token gets the outcome of its first call. False means that there was no result in time; the change
+// may still be applied.
 func (h *Host) Configure(ctx context.Context, token string, c statemachine.ConfigChange) (statemachine.Outcome, bool) {
 	id := "op-" + token
 	if out, seen := h.priorOutcome(ctx, statemachine.Change{ID: id}); seen {
@@ -78,7 +80,8 @@
 	return result.Outcome, ok
 }
 
-// outcome is what came of a change before, as far as it may be acknowledged here again.
+// priorOutcome returns the outcome of a change that was applied before. It reports false if the change is unknown, or not yet
+// durable and so not to be acknowledged from here.
 func (h *Host) priorOutcome(ctx context.Context, c statemachine.Change) (statemachine.Outcome, bool) {
 	prior, ran := actor.Ask(ctx, h.actor, func() *statemachine.Outcome {
 		out, seen := h.core.Outcome(c.ID)
--- a/internal/controlplane/controlnode/zone_handler.go
+++ b/internal/controlplane/controlnode/zone_handler.go
@@ -9,8 +9,8 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// handleZoneAction is a read, a merge and a write; it loses to another operator's change at most a few
-// times before it says so.
+// handleZoneAction drains or restores a zone: it reads the latest declaration, changes its drained zones and submits the
+// result. If a concurrent change makes the base stale, it retries a few times before it returns that fault.
 func (h *Host) handleZoneAction(w http.ResponseWriter, r *http.Request) {
 	zone, action := r.PathValue("zone"), r.PathValue("act")
 	id, bad := changeID(r)
@@ -59,7 +59,7 @@
 				h.respondApplied(r.Context(), w, c.ID, wire.Result{Outcome: out})
 				return
 			}
-			writeFault(w, fault.New(fault.InDoubt, "", "no answer from the chain in time; ask status, or send the same change id again"))
+			writeFault(w, fault.New(fault.InDoubt, "", "no response from the chain in time; check the status, or send the same change id again"))
 			return
 		}
 		h.respondApplied(r.Context(), w, id, result)
--- a/internal/controlplane/peering/message.go
+++ b/internal/controlplane/peering/message.go
@@ -1,6 +1,6 @@
-// Package peering holds the messages that control nodes send each other as JSON: those of the replication chain, and the soft
-// state that each of them has heard of replicas and gateways. Package controlnode sends and takes them. Gateways see none of
-// them; what they are sent stands in package wire. It has no behaviour, and a field once sent keeps its name.
+// Package peering defines the messages that control nodes send each other as JSON: those of the replication chain, and gossip
+// about the replicas and gateways that each of them knows. Package controlnode sends and receives them. Messages to and from
+// gateways are defined in package wire. The package contains only types; a field that has been sent once keeps its JSON name.
 package peering
 
 import (
@@ -11,7 +11,7 @@
 	"petreltide/internal/outlier"
 )
 
-// Message is one message between control nodes; exactly one field is set.
+// Message is a message between control nodes; exactly one field is set.
 type Message struct {
 	Chain             *chain.Msg                       `json:"chain,omitempty"`
 	Result            *wire.Result                     `json:"result,omitempty"`
@@ -22,30 +22,34 @@
 	Outliers          *outlier.Table                   `json:"outlier,omitempty"`
 }
 
-// Batch is a number of one-way messages sent together from one control node to another.
+// Batch is a list of one-way messages that one control node sends to another in one call.
 type Batch struct {
 	Messages []Message `json:"letters"`
 }
 
-// Gossip is what a control node has heard of replicas and gateways, told to the other control nodes. Wants asks for
-// all rows again.
+// Gossip tells another control node what the sender knows of replicas and gateways.
 type Gossip struct {
+	// Sender and Incarnation identify the control node that sends the message.
 	Sender       string                 `json:"by"`
 	Incarnation  string                 `json:"inc"`
 	Observations []registry.GossipEntry `json:"notes,omitempty"`
-	RequestAll   bool                   `json:"wants,omitempty"`
-	Gateways     []string               `json:"desks,omitempty"`
-	// ConfirmDraining names replicas that leave: whoever knows of it says so.
+	// RequestAll asks the recipient to send all of its entries again.
+	RequestAll bool `json:"wants,omitempty"`
+	// Gateways are the gateways whose primary subscription is at the sender.
+	Gateways []string `json:"desks,omitempty"`
+	// ConfirmDraining are the IDs of replicas that are draining or have ended. The recipient answers with a DrainConfirmation of
+	// those of which it knows that.
 	ConfirmDraining []string `json:"confirm,omitempty"`
 }
 
-// KnownDraining is a replica that a control node knows to be leaving, or to be gone.
+// KnownDraining is a replica that a control node knows to be draining or, if Removed, to have ended.
 type KnownDraining struct {
 	ID      string `json:"id"`
 	Removed bool   `json:"gone,omitempty"`
 }
 
-// DrainConfirmation answers Confirm. Incarnation is the incarnation of the control node that asked.
+// DrainConfirmation answers the ConfirmDraining of a Gossip. Sender is the control node that answers; Incarnation is the
+// incarnation of the control node that asked.
 type DrainConfirmation struct {
 	Sender      string          `json:"by"`
 	Incarnation string          `json:"inc"`
