--- a/internal/dataplane/scheduling/decider_test.go
+++ b/internal/dataplane/scheduling/decider_test.go
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestNonResumableCallIsRetriedOnlyAfterOutcomeThatRuledOutExecution(t *testing.T) {
+func TestRetryDependsOnOutcomeAndResumability(t *testing.T) {
 	for _, c := range []struct {
 		kind      string
 		outcome   Outcome
