--- a/internal/controlplane/controlnode/change_id_test.go
+++ b/internal/controlplane/controlnode/change_id_test.go
@@ -12,12 +12,13 @@
 	"petreltide/internal/process/logring"
 )
 
-// An operator's change identifier names one request: another one under it is refused, also by a process that has been started
-// anew on the same folder, and whoever sends the first again is acknowledged again.
+// A change ID identifies one request of an operator. A different request with the same ID is rejected, also after a restart on
+// the same data directory, and a repetition of the first request is acknowledged again.
 func TestChangeIDIsBoundToOneRequest(t *testing.T) {
-	folder := t.TempDir()
+	dir := t.TempDir()
 	open := func() *Host {
-		h, err := Open(settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", DataDir: folder, FoundingSize: 1}, logring.NewRing(folder, io.Discard))
+		h, err := Open(settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", DataDir: dir,
+			FoundingSize: 1}, logring.NewRing(dir, io.Discard))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -41,14 +42,15 @@
 			name, query, body string
 			refused           bool
 		}{
-			{"the first", "base=0&change=x", first, false},
-			{"the first again", "base=0&change=x", first, false},
-			{"another body", "base=0&change=x", second, true},
-			{"another base", "base=1&change=x", first, true},
+			{"first request", "base=0&change=x", first, false},
+			{"repeated request", "base=0&change=x", first, false},
+			{"different body", "base=0&change=x", second, true},
+			{"different base", "base=1&change=x", first, true},
 		} {
 			status, text := put(h, c.query, c.body)
 			if refused := status >= 400 && strings.Contains(text, "foreign_change"); refused != c.refused || (!c.refused && status >= 300) {
-				t.Errorf("life %d, %s: %d %s", incarnation, c.name, status, text)
+				t.Errorf("incarnation %d, %s: got status %d, refused as a foreign change: %v, want %v: %s", incarnation, c.name,
+					status, refused, c.refused, text)
 			}
 		}
 		h.actor.End()
--- a/internal/controlplane/controlnode/fleet_test.go
+++ b/internal/controlplane/controlnode/fleet_test.go
@@ -13,32 +13,37 @@
 	"petreltide/internal/process/clock"
 )
 
-// One replica in each state that heartbeats, silence and the ledger can put it in.
+// The status lists one replica in each state that results from heartbeats, missing heartbeats and the replicated state.
 func TestStatusReportsStateOfEachReplica(t *testing.T) {
-	node, err := chain.NewNode(chain.Options{Self: chain.Member{ID: "o", Name: "o", Addr: "a"}, Incarnation: "1", BootstrapCount: 1}, nil, clock.Sec)
+	node, err := chain.NewNode(chain.Options{Self: chain.Member{ID: "o", Name: "o", Addr: "a"}, Incarnation: "1", BootstrapCount: 1},
+		nil, clock.Sec)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := NewCore(node, CoreOptions{UnreachableUs: 3 * clock.Sec})
 	if c.Status(clock.Sec).Fleet != nil {
-		t.Error("a fleet before any declaration")
+		t.Error("status before any declaration: got a fleet, want none")
 	}
 	s := c.Node.State()
 	s.Apply(1, statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 7, Doc: &configuration.Declaration{
 		Version: 7,
 		Services: []configuration.Service{{Name: "plain", MaxConnections: 9}, {Name: "s", Engine: &configuration.Engine{
-			Slots: 4, CacheTokens: 1, CapacityMB: 100, LoadsPerSecond: 1, Models: []configuration.EngineModel{{Name: "m", SizeMB: 30, LoadMs: 1000}, {Name: "n", SizeMB: 40, LoadMs: 1000}},
+			Slots: 4, CacheTokens: 1, CapacityMB: 100, LoadsPerSecond: 1,
+			Models: []configuration.EngineModel{{Name: "m", SizeMB: 30, LoadMs: 1000}, {Name: "n", SizeMB: 40, LoadMs: 1000}},
 		}}},
 		Routes: []configuration.Route{{Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Idempotent, TimeoutMs: 1, MaxAttempts: 1, Split: []configuration.WeightedService{{Service: "s", Weight: 1}}, Source: json.RawMessage(`{"long":1}`)}},
 	}}})
 	s.Apply(2, statemachine.Change{ID: "claim", Epoch: 1, Claim: &statemachine.Claim{Leader: "o"}})
 	known := func(id string) statemachine.ReplicaUpdate {
-		return statemachine.ReplicaUpdate{ID: id, Incarnation: id, Addr: id, Zone: "z", CapacityMB: 100, Slots: 4, Service: "s", ResidentKnown: true, Resident: []statemachine.ResidentUnit{{Unit: "m", SizeMB: 30}}}
+		return statemachine.ReplicaUpdate{ID: id, Incarnation: id, Addr: id, Zone: "z", CapacityMB: 100, Slots: 4, Service: "s",
+			ResidentKnown: true, Resident: []statemachine.ResidentUnit{{Unit: "m", SizeMB: 30}}}
 	}
 	s.Apply(3, statemachine.Change{ID: "fleet", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{known("ready"), known("never")}}})
-	out := s.Apply(4, statemachine.Change{ID: "ticket", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Commands: []statemachine.ReplicaCommand{{Replica: "ready", Incarnation: "ready", Revision: 1, Action: statemachine.Load, Unit: "n"}}}})
+	out := s.Apply(4, statemachine.Change{ID: "ticket", Epoch: 1,
+		LeaderUpdate: &statemachine.LeaderUpdate{Commands: []statemachine.ReplicaCommand{{Replica: "ready", Incarnation: "ready",
+			Revision: 1, Action: statemachine.Load, Unit: "n"}}}})
 	if len(out.Faults) > 0 {
-		t.Fatal(out.Faults)
+		t.Fatalf("faults of the load command: got %v, want none", out.Faults)
 	}
 	row := func(id string, seq uint64) registry.ReplicaStatus {
 		return registry.ReplicaStatus{ID: id, Service: "s", Addr: id, Zone: "z", Slots: 4, Seq: seq, Units: []string{"m"}, Stage: "decode"}
@@ -77,13 +82,14 @@
 		with("never", ReplicaUnreported, -1, func(r *ReplicaStatus) { r.CapacityMb, r.ReservedMb, r.Stage = 100, 30, "" }),
 	}
 	if diff := cmp.Diff(want, f.Replicas); diff != "" {
-		t.Error(diff)
+		t.Errorf("replicas of the fleet differ (-want +got):\n%s", diff)
 	}
 	if f.Version != 7 || len(f.Routes) != 1 || f.Routes[0].Source != nil || f.Leadership != nil {
-		t.Errorf("%+v", f)
+		t.Errorf("fleet: got %+v, want version 7, one route without its source, and no leadership", f)
 	}
-	if diff := cmp.Diff([]ServiceStatus{{Name: "plain", MaxConnections: 9, Replicas: 1}, {Name: "s", Models: 2, CapacityMb: 100, Replicas: 2}}, f.Services); diff != "" {
-		t.Error(diff)
+	if diff := cmp.Diff([]ServiceStatus{{Name: "plain", MaxConnections: 9, Replicas: 1},
+		{Name: "s", Models: 2, CapacityMb: 100, Replicas: 2}}, f.Services); diff != "" {
+		t.Errorf("services of the fleet differ (-want +got):\n%s", diff)
 	}
 	if _, err := json.Marshal(c.Status(nowUs)); err != nil {
 		t.Error(err)
--- a/internal/controlplane/controlnode/malformed_test.go
+++ b/internal/controlplane/controlnode/malformed_test.go
@@ -18,7 +18,8 @@
 	"petreltide/internal/process/clock"
 )
 
-// spoil changes one value somewhere in a message: it is left out, of nothing, negative, huge, empty or of another kind.
+// corruptValue changes one value somewhere in a decoded JSON message: it removes it, duplicates an element of a list, or replaces
+// it by null, a negative or huge number, an empty value or a value of another type.
 func corruptValue(r *rand.Rand, value any) any {
 	switch v := value.(type) {
 	case map[string]any:
@@ -48,16 +49,17 @@
 		v[at] = corruptValue(r, v[at])
 		return v
 	}
-	replacements := []any{nil, -1, json.Number("9223372036854775807"), json.Number("18446744073709551615"), "", map[string]any{}, []any{}, []any{nil}, true, 0, "oa1"}
+	replacements := []any{nil, -1, json.Number("9223372036854775807"), json.Number("18446744073709551615"), "", map[string]any{},
+		[]any{}, []any{nil}, true, 0, "oa1"}
 	return replacements[r.Intn(len(replacements))]
 }
 
-// messages are what three control nodes tell each other while they found a chain, take a configuration, hear replicas and
-// lose a member, by their kinds.
+// recordPeerMessages returns, by kind, the messages that three control nodes send each other while they accept configurations,
+// receive heartbeats of replicas, lose a member and take it back.
 func recordPeerMessages(t *testing.T) map[string][][]byte {
-	tr := newThreeNodeCluster(t)
+	tc := newThreeNodeCluster(t)
 	rawByKind := map[string][][]byte{}
-	tr.onSend = func(message peering.Message) {
+	tc.onSend = func(message peering.Message) {
 		raw, err := json.Marshal(message)
 		if err != nil {
 			t.Fatal(err)
@@ -65,14 +67,14 @@
 		rawByKind[messageKind(message)] = append(rawByKind[messageKind(message)], raw)
 	}
 	for n := range 3 {
-		tr.step(0, SubmitChange{Change: configChangeOf(n)})
-		tr.step(1, heartbeatEvent(fmt.Sprint("r", n), 1, n == 2))
-		tr.advance(400 * clock.Ms)
+		tc.step(0, SubmitChange{Change: configChangeOf(n)})
+		tc.step(1, heartbeatEvent(fmt.Sprint("r", n), 1, n == 2))
+		tc.advance(400 * clock.Ms)
 	}
-	tr.cutLinksOf(2, true, true)
-	tr.advance(3 * clock.Sec)
-	tr.cutLinks = map[[2]int]bool{}
-	tr.advance(4 * clock.Sec)
+	tc.cutLinksOf(2, true, true)
+	tc.advance(3 * clock.Sec)
+	tc.cutLinks = map[[2]int]bool{}
+	tc.advance(4 * clock.Sec)
 	return rawByKind
 }
 
@@ -80,23 +82,27 @@
 	m := message.Chain
 	switch {
 	case m == nil:
-		return fmt.Sprint(message.Result != nil, message.Report != nil, message.Suspicion != nil, message.Gossip != nil, message.DrainConfirmation != nil, message.Outliers != nil)
+		return fmt.Sprint(message.Result != nil, message.Report != nil, message.Suspicion != nil, message.Gossip != nil,
+			message.DrainConfirmation != nil, message.Outliers != nil)
 	case m.Forward != nil:
 		return fmt.Sprint("forward", len(m.Forward.Entries) > 0, m.Forward.Snapshot != nil)
 	}
-	return fmt.Sprint(m.Hello != nil, m.Prepare != nil, m.Promise != nil, m.Accept != nil, m.Accepted != nil, m.Ack != nil, m.Lease != nil, m.InstallSnapshot != nil, m.Submit != nil)
+	return fmt.Sprint(m.Hello != nil, m.Prepare != nil, m.Promise != nil, m.Accept != nil, m.Accepted != nil, m.Ack != nil,
+		m.Lease != nil, m.InstallSnapshot != nil, m.Submit != nil)
 }
 
-// numbered is an operator's order that takes version n+1.
+// configChangeOf returns an operator's change to version n+1.
 func configChangeOf(n int) *statemachine.Change {
-	doc := &configuration.Declaration{Version: uint64(n + 1), Services: []configuration.Service{{Name: "s", MaxConnections: 9}}, Routes: []configuration.Route{{
-		Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Idempotent, TimeoutMs: 1000, MaxAttempts: 1,
-		Split: []configuration.WeightedService{{Service: "s", Weight: 1}}, Source: json.RawMessage(`{}`),
-	}}}
-	return &statemachine.Change{ID: fmt.Sprint("order-", n), Config: &statemachine.ConfigChange{Base: uint64(n), Version: uint64(n + 1), Doc: doc}}
+	doc := &configuration.Declaration{Version: uint64(n + 1), Services: []configuration.Service{{Name: "s", MaxConnections: 9}},
+		Routes: []configuration.Route{{
+			Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Idempotent, TimeoutMs: 1000, MaxAttempts: 1,
+			Split: []configuration.WeightedService{{Service: "s", Weight: 1}}, Source: json.RawMessage(`{}`),
+		}}}
+	return &statemachine.Change{ID: fmt.Sprint("order-", n), Config: &statemachine.ConfigChange{Base: uint64(n),
+		Version: uint64(n + 1), Doc: doc}}
 }
 
-// malformedChanges are entries that no control node of this version writes.
+// malformedChanges returns changes that no control node of this version writes to the log.
 func malformedChanges() []statemachine.Change {
 	return []statemachine.Change{
 		{},
@@ -106,9 +112,12 @@
 		{ID: "an empty edit", Config: &statemachine.ConfigChange{Base: 3, Version: 9, Edit: &configuration.Edit{}}},
 		{ID: "claim", Epoch: 1, Claim: &statemachine.Claim{}},
 		{ID: "duty", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{
-			Replicas:        []statemachine.ReplicaUpdate{{}, {ID: "r", Incarnation: "r", CapacityMB: -1, Slots: -1, ResidentKnown: true, Resident: []statemachine.ResidentUnit{{}, {Unit: "m", SizeMB: -1}}}},
-			RemovedReplicas: []string{"", "none"}, Commands: []statemachine.ReplicaCommand{{}, {Replica: "r", Incarnation: "r", Action: statemachine.Load}}, Results: []statemachine.CommandResult{{}, {Number: 1 << 63}},
-			Grants: []statemachine.GrantRequest{{Replica: "r", Incarnation: "r", Count: 1}}, Quotas: map[string]map[string]int{"r": nil, "none": {"d": -1}}, RemovedGateways: []string{""}, ForgetKeysBefore: 1 << 63,
+			Replicas: []statemachine.ReplicaUpdate{{}, {ID: "r", Incarnation: "r", CapacityMB: -1, Slots: -1,
+				ResidentKnown: true, Resident: []statemachine.ResidentUnit{{}, {Unit: "m", SizeMB: -1}}}},
+			RemovedReplicas: []string{"", "none"}, Commands: []statemachine.ReplicaCommand{{},
+				{Replica: "r", Incarnation: "r", Action: statemachine.Load}}, Results: []statemachine.CommandResult{{}, {Number: 1 << 63}},
+			Grants: []statemachine.GrantRequest{{Replica: "r", Incarnation: "r", Count: 1}},
+			Quotas: map[string]map[string]int{"r": nil, "none": {"d": -1}}, RemovedGateways: []string{""}, ForgetKeysBefore: 1 << 63,
 		}},
 		{ID: "key", Key: &statemachine.KeyChange{}},
 		{ID: "end", Key: &statemachine.KeyChange{End: "x", Release: true}},
@@ -116,29 +125,33 @@
 	}
 }
 
-// survives gives an event to a control node; it says what broke, if anything.
-func stepRecoveringPanic(tr *threeNodeCluster, i int, ev Event) (failure string) {
+// stepRecoveringPanic passes an event to a control node and lets some time pass. It returns the panic that this caused, with its
+// stack; empty if there was none.
+func stepRecoveringPanic(tc *threeNodeCluster, i int, ev Event) (failure string) {
 	defer func() {
 		if reason := recover(); reason != nil {
 			failure = fmt.Sprintf("%v\n%s", reason, debug.Stack())
 		}
 	}()
-	tr.step(i, ev)
-	tr.advance(25 * clock.Ms)
+	tc.step(i, ev)
+	tc.advance(25 * clock.Ms)
 	return ""
 }
 
-// A change that is malformed ends no control node: what is in the log would end every control node that applies it, in every incarnation.
+// A malformed change must not make a control node panic: once it is in the log, it would stop every control node that applies
+// it, again after every restart.
 func TestMalformedChangesDoNotPanic(t *testing.T) {
 	for _, withReplica := range []bool{false, true} {
 		for _, c := range malformedChanges() {
-			tr := newThreeNodeCluster(t)
+			tc := newThreeNodeCluster(t)
 			if withReplica {
-				tr.step(0, SubmitChange{Change: &statemachine.Change{ID: "claimed", Epoch: 1, Claim: &statemachine.Claim{Leader: "oa0"}}})
-				tr.step(0, SubmitChange{Change: &statemachine.Change{ID: "fleet", Epoch: 1, LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: "q", Incarnation: "q", CapacityMB: 10, Slots: 1}}}}})
+				tc.step(0, SubmitChange{Change: &statemachine.Change{ID: "claimed", Epoch: 1, Claim: &statemachine.Claim{Leader: "oa0"}}})
+				tc.step(0, SubmitChange{Change: &statemachine.Change{ID: "fleet", Epoch: 1,
+					LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: "q", Incarnation: "q",
+						CapacityMB: 10, Slots: 1}}}}})
 			}
-			if failure := stepRecoveringPanic(tr, 0, SubmitChange{Change: &c}); failure != "" {
-				t.Errorf("%q, with a replica %v: %.900s", c.ID, withReplica, failure)
+			if failure := stepRecoveringPanic(tc, 0, SubmitChange{Change: &c}); failure != "" {
+				t.Errorf("change %q, with a leader and a replica %v: panic: %.900s", c.ID, withReplica, failure)
 			}
 		}
 	}
@@ -146,13 +159,13 @@
 
 const malformedMessageCount = 20_000
 
-// No message, however malformed, ends a control node.
+// No malformed message from another control node makes a control node panic.
 func TestMalformedPeerMessagesDoNotPanic(t *testing.T) {
 	rawByKind := recordPeerMessages(t)
 	kinds := slices.Sorted(maps.Keys(rawByKind))
 	r := rand.New(rand.NewSource(1))
 	decoded, reported := 0, map[string]bool{}
-	tr := newThreeNodeCluster(t)
+	tc := newThreeNodeCluster(t)
 	for n := range malformedMessageCount {
 		samples := rawByKind[kinds[n%len(kinds)]]
 		var tree any
@@ -172,32 +185,36 @@
 		}
 		decoded++
 		if n%25 == 0 {
-			tr = newThreeNodeCluster(t)
+			tc = newThreeNodeCluster(t)
 		}
-		if failure := stepRecoveringPanic(tr, r.Intn(3), PeerMessage{Message: &message}); failure != "" {
+		if failure := stepRecoveringPanic(tc, r.Intn(3), PeerMessage{Message: &message}); failure != "" {
 			if !reported[failure[:40]] {
-				t.Errorf("message %d, %s: %.1500s", n, raw, failure)
+				t.Errorf("message %d, %s: panic: %.1500s", n, raw, failure)
 			}
 			reported[failure[:40]] = true
-			tr = newThreeNodeCluster(t)
+			tc = newThreeNodeCluster(t)
 		}
 	}
-	t.Logf("%d messages of %d kinds were read", decoded, len(kinds))
+	t.Logf("%d corrupted messages of %d kinds could be decoded", decoded, len(kinds))
 	if decoded < malformedMessageCount/10 || len(kinds) < 10 {
-		t.Errorf("%d messages of %d kinds: it proves little", decoded, len(kinds))
+		t.Errorf("corrupted messages that could be decoded: got %d of %d kinds, want at least %d of 10 kinds for a meaningful test",
+			decoded, len(kinds), malformedMessageCount/10)
 	}
 }
 
-// Neither do the other messages that a control node takes.
+// No malformed or empty event from a gateway, a replica or a peer makes a control node panic.
 func TestMalformedReportsDoNotPanic(t *testing.T) {
-	tr := newThreeNodeCluster(t)
+	tc := newThreeNodeCluster(t)
 	for _, ev := range []Event{
-		GatewayReport{}, RoutedGatewayReport{Report: &wire.Report{}}, SubscribeUpdates{Request: &wire.SubscribeRequest{}}, SubscribeFrames{Request: &wire.SubscribeRequest{}}, SubscribeFrames{Request: &wire.SubscribeRequest{Revision: 1 << 63}},
-		PeerHeartbeat{Heartbeat: &failuredetector.Heartbeat{}}, PeerMessage{Message: &peering.Message{}}, PeerMessage{Message: &peering.Message{Chain: &chain.Msg{}}}, UnsubscribeFrames{}, ReplicaDeregistration{ID: "none"},
-		RoutedGatewayReport{Report: &wire.Report{Gateway: "d", Arrivals: map[string]float64{"": -1e300}, InFlight: map[string]int{"": -1 << 62}, Attempts: map[string]int{"": -1}}},
+		GatewayReport{}, RoutedGatewayReport{Report: &wire.Report{}}, SubscribeUpdates{Request: &wire.SubscribeRequest{}},
+		SubscribeFrames{Request: &wire.SubscribeRequest{}}, SubscribeFrames{Request: &wire.SubscribeRequest{Revision: 1 << 63}},
+		PeerHeartbeat{Heartbeat: &failuredetector.Heartbeat{}}, PeerMessage{Message: &peering.Message{}},
+		PeerMessage{Message: &peering.Message{Chain: &chain.Msg{}}}, UnsubscribeFrames{}, ReplicaDeregistration{ID: "none"},
+		RoutedGatewayReport{Report: &wire.Report{Gateway: "d", Arrivals: map[string]float64{"": -1e300},
+			InFlight: map[string]int{"": -1 << 62}, Attempts: map[string]int{"": -1}}},
 	} {
-		if failure := stepRecoveringPanic(tr, 0, ev); failure != "" {
-			t.Errorf("%+v: %.900s", ev, failure)
+		if failure := stepRecoveringPanic(tc, 0, ev); failure != "" {
+			t.Errorf("event %T %+v: panic: %.900s", ev, ev, failure)
 		}
 	}
 }
--- a/internal/controlplane/controlnode/open.go
+++ b/internal/controlplane/controlnode/open.go
@@ -23,8 +23,9 @@
 	"petreltide/internal/process/rpc"
 )
 
-// TailReady reads the data folder. Damaged data is set aside under a name that says so and the
-// control node comes back as a new member; it never votes on what it can no longer know.
+// Open locks and reads the data directory and returns a Host that is not yet running. A damaged data directory is moved aside
+// under a name that says so, and the control node starts as a new member: it never votes on the basis of state that it may
+// have lost.
 func Open(set settings.ControlNode, ring *logring.Ring) (*Host, error) {
 	logger := ring.Logger("control-node", set.Name)
 	lock, err := storage.Lock(set.DataDir, set.Name, lockTimeout)
--- a/internal/controlplane/controlnode/partitioned_host_test.go
+++ b/internal/controlplane/controlnode/partitioned_host_test.go
@@ -17,17 +17,18 @@
 	"petreltide/internal/process/logring"
 )
 
-// openPartitioned is a control node that comes back with an old state on its disk, and reaches none of the others.
+// openPartitioned returns a control node that has restarted with an old state on its disk and reaches none of the others.
 func openPartitioned(t *testing.T) *Host {
 	t.Helper()
-	folder := t.TempDir()
+	dir := t.TempDir()
 	owner := chain.Owner{MemberID: "core-1", Name: "core-1"}
-	opened, err := storage.Open(folder, owner)
+	opened, err := storage.Open(dir, owner)
 	if err != nil {
 		t.Fatal(err)
 	}
 	members := []chain.Member{
-		{ID: "core-1", Name: "core-1", Addr: "127.0.0.1:1"}, {ID: "core-2", Name: "core-2", Addr: "127.0.0.1:2"}, {ID: "core-3", Name: "core-3", Addr: "127.0.0.1:3"},
+		{ID: "core-1", Name: "core-1", Addr: "127.0.0.1:1"}, {ID: "core-2", Name: "core-2", Addr: "127.0.0.1:2"},
+		{ID: "core-3", Name: "core-3", Addr: "127.0.0.1:3"},
 	}
 	view := chain.View{Number: 4, Voters: members}
 	for _, m := range members {
@@ -46,7 +47,8 @@
 	if err := opened.Store.Close(); err != nil {
 		t.Fatal(err)
 	}
-	h, err := Open(settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", DataDir: folder}, logring.NewRing(folder, io.Discard))
+	h, err := Open(settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", DataDir: dir},
+		logring.NewRing(dir, io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,12 +60,13 @@
 		_ = h.disk.Close()
 	})
 	if h.core.Node.State().Revision != 1 {
-		t.Fatalf("it holds revision %d", h.core.Node.State().Revision)
+		t.Fatalf("revision after the restart: got %d, want 1", h.core.Node.State().Revision)
 	}
 	return h
 }
 
-// A control node that cannot know whether its state is the newest neither shows it as that nor refuses by it.
+// A control node that cannot know whether its state is the latest neither returns it as the configuration in force nor rejects
+// requests because of it.
 func TestPartitionedControlNodeDoesNotRefuseByStaleState(t *testing.T) {
 	h := openPartitioned(t)
 	handler := h.handler()
@@ -78,7 +81,7 @@
 		{http.MethodPost, "/v1/zones/a/empty", "", http.StatusServiceUnavailable},
 		{http.MethodPost, "/v1/members/core-9/remove", "", http.StatusServiceUnavailable},
 		{http.MethodPost, "/v1/members/core-2/add", "", http.StatusServiceUnavailable},
-		// What no state could make right is refused anywhere.
+		// Requests that are invalid in any state are rejected.
 		{http.MethodPut, "/v1/config?base=none", "{}", http.StatusBadRequest},
 		{http.MethodPost, "/v1/zones/a/burn", "", http.StatusNotFound},
 	} {
@@ -87,7 +90,7 @@
 		handler.ServeHTTP(w, httptest.NewRequestWithContext(ctx, c.method, c.path, strings.NewReader(c.body)))
 		cancel()
 		if w.Code != c.want {
-			t.Errorf("%s %s: %d, want %d: %s", c.method, c.path, w.Code, c.want, w.Body)
+			t.Errorf("%s %s: got status %d, want %d: %s", c.method, c.path, w.Code, c.want, w.Body)
 		}
 	}
 }
--- a/internal/controlplane/controlnode/persist_test.go
+++ b/internal/controlplane/controlnode/persist_test.go
@@ -16,11 +16,13 @@
 	"petreltide/internal/process/logring"
 )
 
-// moody is a disk that does as it is told: what is written to the log waits for one word, what has to do
-// with copies for another, and fails with it.
+// scriptedDisk is a disk whose calls block until the test sends their result: writes of records receive from logResults,
+// SaveSnapshot and Compact from snapshotResults.
 type scriptedDisk struct {
 	logResults, snapshotResults chan error
 
+	// mu guards the fields below, which are the successful calls so far.
+
 	mu            sync.Mutex
 	written       []chain.Record
 	snapshotIndex uint64
@@ -66,24 +68,25 @@
 
 func openWithScriptedDisk(t *testing.T) (*Host, *scriptedDisk) {
 	t.Helper()
-	folder := t.TempDir()
-	h, err := Open(settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", DataDir: folder, FoundingSize: 1}, logring.NewRing(folder, io.Discard))
+	dir := t.TempDir()
+	h, err := Open(settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", DataDir: dir,
+		FoundingSize: 1}, logring.NewRing(dir, io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := h.disk.Close(); err != nil {
 		t.Fatal(err)
 	}
-	d, at := &scriptedDisk{logResults: make(chan error), snapshotResults: make(chan error)}, make(chan time.Time)
-	close(at)
-	h.disk, h.retryTimer = d, func() <-chan time.Time { return at }
+	d, expired := &scriptedDisk{logResults: make(chan error), snapshotResults: make(chan error)}, make(chan time.Time)
+	close(expired)
+	h.disk, h.retryTimer = d, func() <-chan time.Time { return expired }
 	h.actor.Spawn(func() { h.actor.Loop(time.Hour, func() {}) })
 	h.actor.Spawn(h.persistLoop)
 	t.Cleanup(h.actor.End)
 	return h, d
 }
 
-// wait asks the actor until it says yes; each question is a turn of the actor's.
+// eventually evaluates condition on the actor until it holds, and fails the test after 10 s.
 func eventually(t *testing.T, h *Host, description string, condition func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -91,7 +94,7 @@
 	for {
 		ok, ran := actor.Ask(ctx, h.actor, condition)
 		if !ran {
-			t.Fatal("never: ", description)
+			t.Fatalf("condition did not become true: %s", description)
 		}
 		if ok {
 			return
@@ -101,12 +104,13 @@
 
 func recordOf(i uint64) chain.Record { return chain.Record{CaughtUpView: i} }
 
-// A disk that refuses a write again and again ends nothing: the same is tried at the control node's pace, what
-// comes after it waits behind it, and all of it is there once, in order.
+// A disk that refuses a write repeatedly does not stop the control node. The write is retried after each interval, later writes
+// wait for it, and everything is written exactly once and in order.
 func TestFailedDiskWritesAreRetriedInOrder(t *testing.T) {
 	h, d := openWithScriptedDisk(t)
 	h.saveQueue.put(chain.Persist{Seq: 1, Records: []chain.Record{recordOf(1)}})
-	h.saveQueue.put(chain.Persist{Seq: 2, Records: []chain.Record{recordOf(2)}, Snapshot: &chain.Snapshot{Index: 9, State: statemachine.NewState()}, Compact: true})
+	h.saveQueue.put(chain.Persist{Seq: 2, Records: []chain.Record{recordOf(2)},
+		Snapshot: &chain.Snapshot{Index: 9, State: statemachine.NewState()}, Compact: true})
 	h.saveQueue.put(chain.Persist{Seq: 3, Records: []chain.Record{recordOf(3)}})
 	for _, result := range []error{syscall.ENOSPC, syscall.ENOSPC, syscall.EIO, nil, syscall.ENOSPC, nil, nil} {
 		d.logResults <- result
@@ -114,7 +118,7 @@
 	for _, result := range []error{syscall.ENOSPC, syscall.EIO, nil, syscall.ENOSPC, nil} {
 		d.snapshotResults <- result
 	}
-	eventually(t, h, "all three are in the log, and what the copy stands for is out of it", func() bool {
+	eventually(t, h, "all three records are written and the log is compacted up to the snapshot", func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		return d.snapshotIndex == 9 && d.compactedTo == 7 && len(d.written) == 3
@@ -123,27 +127,27 @@
 	defer d.mu.Unlock()
 	for i, r := range d.written {
 		if r.CaughtUpView != uint64(i+1) {
-			t.Fatalf("record %d is %+v", i, r)
+			t.Fatalf("record %d: got %+v, want %+v", i, r, recordOf(uint64(i+1)))
 		}
 	}
 	select {
 	case err := <-h.fatal:
-		t.Fatalf("the control node would end: %v", err)
+		t.Fatalf("fatal error: got %v, want none", err)
 	default:
 	}
 }
 
-// Only a disk that has lost what it had synced ends the control node.
+// The loss of synced data is the only disk error that stops the control node.
 func TestLossOfSyncedDataStopsControlNode(t *testing.T) {
 	h, d := openWithScriptedDisk(t)
 	h.saveQueue.put(chain.Persist{Seq: 1, Records: []chain.Record{recordOf(1)}})
 	d.logResults <- fault.New(fault.DamagedData, "chain", "a segment held 10 synced bytes and holds 5")
 	if err := <-h.fatal; err == nil {
-		t.Fatal("it goes on")
+		t.Fatal("the control node did not stop after the loss of synced data")
 	}
 }
 
-// A sync that hangs holds up nothing but what waits for it, however much the chain wants to save.
+// A sync that hangs delays only what waits for it, however many requests the chain queues.
 func TestHangingSyncDoesNotBlockActor(t *testing.T) {
 	h, d := openWithScriptedDisk(t)
 	h.actor.Tell(func() {
@@ -151,9 +155,9 @@
 			h.saveQueue.put(chain.Persist{Seq: i, Records: []chain.Record{recordOf(i)}})
 		}
 	})
-	eventually(t, h, "the actor answers", func() bool { return h.saveQueue.len() >= 49_999 })
+	eventually(t, h, "the actor queues all requests", func() bool { return h.saveQueue.len() >= 49_999 })
 	d.logResults <- nil
-	eventually(t, h, "one is saved", func() bool {
+	eventually(t, h, "one request is written", func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		return len(d.written) == 1
--- a/internal/controlplane/controlnode/restart_lease_test.go
+++ b/internal/controlplane/controlnode/restart_lease_test.go
@@ -11,7 +11,7 @@
 	"petreltide/internal/process/clock"
 )
 
-// pair is two control nodes with disks that sync at once, and messages that arrive at once.
+// twoNodeCluster is a cluster of two control nodes whose disks sync at once and whose messages arrive at once.
 type twoNodeCluster struct {
 	t          *testing.T
 	nowUs      int64
@@ -20,18 +20,19 @@
 	startCount int
 }
 
-const pairLeaseMs = 3000
+const twoNodeLeaseMs = 3000
 
 func (p *twoNodeCluster) start(i int) {
 	p.startCount++
 	addr := fmt.Sprint("a", i)
 	node, err := chain.NewNode(chain.Options{
-		Self: chain.Member{ID: "o" + addr, Name: "o" + addr, Addr: addr}, Incarnation: fmt.Sprint(p.startCount), BootstrapAddrs: []string{"a0", "a1"}, AutoMembership: true, MinReplicas: 2,
+		Self: chain.Member{ID: "o" + addr, Name: "o" + addr, Addr: addr}, Incarnation: fmt.Sprint(p.startCount),
+		BootstrapAddrs: []string{"a0", "a1"}, AutoMembership: true, MinReplicas: 2,
 	}, p.disks[i], p.nowUs)
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	p.cores[i] = NewCore(node, CoreOptions{Controller: controller.Options{LeaseUs: pairLeaseMs * clock.Ms}})
+	p.cores[i] = NewCore(node, CoreOptions{Controller: controller.Options{LeaseUs: twoNodeLeaseMs * clock.Ms}})
 	p.step(i, LearnPeers{Addrs: []string{"a0", "a1"}})
 }
 
@@ -71,7 +72,7 @@
 			return c
 		}
 	}
-	p.t.Fatal("nobody is the head")
+	p.t.Fatal("no control node is the head")
 	return nil
 }
 
@@ -84,28 +85,31 @@
 	}
 }
 
-// After a restart of all, the log is applied anew. Orders that were settled in it went out before this incarnation began,
-// and their lease is counted from there, not from when the last control node was back.
+// After a restart of all control nodes the log is applied again. The orders completed in it were sent before this incarnation
+// started, so their lease is counted from its start, and not from when the last control node was back.
 func TestLeaseWaitAfterFullRestartIsMeasuredFromStart(t *testing.T) {
 	p := &twoNodeCluster{t: t, nowUs: clock.Sec}
 	p.start(0)
 	p.start(1)
 	p.advance(3 * clock.Sec)
 	doc := &configuration.Declaration{Version: 1,
-		Services: []configuration.Service{{Name: "s", Engine: &configuration.Engine{Slots: 4, CacheTokens: 1, CapacityMB: 100, LoadsPerSecond: 1, Models: []configuration.EngineModel{{Name: "m", SizeMB: 30, LoadMs: 1000}}}}},
-		Routes:   []configuration.Route{{Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Idempotent, TimeoutMs: 1, MaxAttempts: 1, Split: []configuration.WeightedService{{Service: "s", Weight: 1}}}},
+		Services: []configuration.Service{{Name: "s", Engine: &configuration.Engine{Slots: 4, CacheTokens: 1, CapacityMB: 100,
+			LoadsPerSecond: 1, Models: []configuration.EngineModel{{Name: "m", SizeMB: 30, LoadMs: 1000}}}}},
+		Routes: []configuration.Route{{Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Idempotent, TimeoutMs: 1,
+			MaxAttempts: 1, Split: []configuration.WeightedService{{Service: "s", Weight: 1}}}},
 	}
 	p.submit(statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: doc}})
 	p.advance(clock.Sec)
 	s := p.headCore().Node.State()
 	p.submit(statemachine.Change{ID: "d1", Epoch: s.Epoch, LeaderUpdate: &statemachine.LeaderUpdate{
 		Replicas: []statemachine.ReplicaUpdate{{ID: "r", Incarnation: "r", CapacityMB: 100, Slots: 4, Service: "s"}},
-		Commands: []statemachine.ReplicaCommand{{Replica: "r", Incarnation: "r", Revision: s.Revision, Action: statemachine.Load, Unit: "m"}},
+		Commands: []statemachine.ReplicaCommand{{Replica: "r", Incarnation: "r", Revision: s.Revision, Action: statemachine.Load,
+			Unit: "m"}},
 	}})
 	p.submit(statemachine.Change{ID: "d2", Epoch: s.Epoch, LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: s.NextNumber - 1, Succeeded: true}}}})
 	p.advance(clock.Sec)
 	if s := p.headCore().Node.State(); s.NextNumber < 2 || len(s.Pending) > 0 || s.Replicas["r"] == nil {
-		t.Fatalf("next ticket %d, pending %v", s.NextNumber, s.Pending)
+		t.Fatalf("state before the restart: got next command number %d, pending commands %v, replica %v, want a number above 1, none pending, and the replica", s.NextNumber, s.Pending, s.Replicas["r"])
 	}
 	p.cores = [2]*Core{}
 	p.advance(2 * clock.Sec)
@@ -118,10 +122,10 @@
 	}
 	leader := p.cores[0].Controller.Status(p.nowUs, p.cores[0].Node.State())
 	if leader == nil {
-		t.Fatal("the first control node does not lead")
+		t.Fatal("the control node that started first does not lead")
 	}
 	elapsedMs := (p.nowUs - startedUs) / 1000
-	if maxMs := pairLeaseMs + controller.MaxOrderInFlightUs/1000 + 150 - elapsedMs; leader.OrderDelayMs > maxMs || elapsedMs < 1500 || elapsedMs > pairLeaseMs {
-		t.Errorf("%d ms after its start it waits %d ms more, want %d at most", elapsedMs, leader.OrderDelayMs, maxMs)
+	if maxMs := twoNodeLeaseMs + controller.MaxOrderInFlightUs/1000 + 150 - elapsedMs; leader.OrderDelayMs > maxMs || elapsedMs < 1500 || elapsedMs > twoNodeLeaseMs {
+		t.Errorf("delay of orders %d ms after the start: got %d ms, want at most %d ms", elapsedMs, leader.OrderDelayMs, maxMs)
 	}
 }
--- a/internal/controlplane/controlnode/serialization_test.go
+++ b/internal/controlplane/controlnode/serialization_test.go
@@ -18,8 +18,9 @@
 
 var writeGolden = flag.Bool("write-forms", false, "write testdata/forms anew; only for a form that is meant to change")
 
-// serialized are all values that are written to the log, kept in a snapshot, sent between processes or shown to operators
-// by a core machine. Their names in testdata/forms are read by other versions: they stay when the code is renamed.
+// serializedTypes are all types that are written to the log or to snapshots, sent between processes, or shown to operators by a
+// control node, by the name of their golden file. Other versions read the field names in testdata/forms, so these must not
+// change when identifiers are renamed.
 var serializedTypes = map[string]any{
 	"log-record":        chain.Record{},
 	"snapshot":          chain.Snapshot{},
@@ -49,7 +50,8 @@
 	"applied":           ChangeAck{},
 }
 
-// filled sets every exported field that v reaches, one element a list or map. A type inside itself stays empty.
+// fillValue sets every exported field reachable from v, with one element in each list and map. A type nested in itself is left
+// empty.
 func fillValue(v reflect.Value, enclosing map[reflect.Type]bool) {
 	if v.Type() == reflect.TypeFor[json.RawMessage]() {
 		v.SetBytes([]byte(`{}`))
@@ -102,7 +104,7 @@
 	}
 }
 
-// What another version has written is read without a field that is not known, and is written again by the same names.
+// What another version has written can be read without unknown fields, and is written again with the same field names.
 func TestSerializedTypesMatchGoldenFiles(t *testing.T) {
 	for name, value := range serializedTypes {
 		path := filepath.Join("testdata", "forms", name+".json")
@@ -123,13 +125,13 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(written, golden) {
-			t.Errorf("%s is written as\n%s", name, written)
+			t.Errorf("encoding of %s differs from %s: got\n%s", name, path, written)
 		}
 		read := reflect.New(reflect.TypeOf(value))
 		strict := json.NewDecoder(bytes.NewReader(golden))
 		strict.DisallowUnknownFields()
 		if err := strict.Decode(read.Interface()); err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("decode %s: %v", path, err)
 			continue
 		}
 		again, err := json.MarshalIndent(read.Interface(), "", "  ")
@@ -137,7 +139,7 @@
 			t.Fatal(name, err)
 		}
 		if !bytes.Equal(append(again, '\n'), golden) {
-			t.Errorf("%s read and written again is\n%s", name, again)
+			t.Errorf("%s decoded and encoded again differs from %s: got\n%s", name, path, again)
 		}
 	}
 }
--- a/internal/controlplane/controlnode/snapshot_order_test.go
+++ b/internal/controlplane/controlnode/snapshot_order_test.go
@@ -13,11 +13,13 @@
 	"petreltide/internal/process/logring"
 )
 
-// A control node may be given a copy while it still keeps the one before: a joiner on a slow disk is sent
-// another. Large and small ones in turn, so that a later one would be done before an earlier one.
+// A control node may receive a snapshot while it is still storing the previous one, as a joining node with a slow disk is sent
+// another. Large and small snapshots alternate, so that a later one would be finished before an earlier one if they were stored
+// concurrently.
 func TestSnapshotsArePersistedInLogOrder(t *testing.T) {
-	folder := t.TempDir()
-	h, err := Open(settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", DataDir: folder, FoundingSize: 1}, logring.NewRing(folder, io.Discard))
+	dir := t.TempDir()
+	h, err := Open(settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", DataDir: dir,
+		FoundingSize: 1}, logring.NewRing(dir, io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,13 +43,13 @@
 	h.actor.End()
 	select {
 	case err := <-h.fatal:
-		t.Fatalf("the control node would end: %v", err)
+		t.Fatalf("fatal error: got %v, want none", err)
 	default:
 	}
 	if err := h.disk.Close(); err != nil {
 		t.Fatal(err)
 	}
-	opened, err := storage.Open(folder, chain.Owner{MemberID: "core-1-again", Name: "core-1"})
+	opened, err := storage.Open(dir, chain.Owner{MemberID: "core-1-again", Name: "core-1"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,6 +61,6 @@
 		}
 	}
 	if len(kept) != 1 || kept[0] != snapshots {
-		t.Fatalf("the copies at %v are kept, want the last alone, %d", kept, snapshots)
+		t.Fatalf("indexes of stored snapshots: got %v, want only the last, %d", kept, snapshots)
 	}
 }
--- a/internal/controlplane/controlnode/snapshot_transfer_test.go
+++ b/internal/controlplane/controlnode/snapshot_transfer_test.go
@@ -15,8 +15,8 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// A peer loses power while a copy is on its way to it, and gives no answer any more: its next incarnation gets a copy at
-// once, and not only when the first one is given up. The same copy for the same incarnation is not sent twice at a time.
+// A peer loses power during the transfer of a snapshot and no longer responds. Its next incarnation must be sent a snapshot at
+// once, rather than after the first transfer times out. The same incarnation is not sent two snapshots at a time.
 func TestSnapshotForNewIncarnationReplacesTransferInProgress(t *testing.T) {
 	h, _ := openWithScriptedDisk(t)
 	received := make(chan string, 8)
@@ -48,19 +48,19 @@
 	}
 	send("first")
 	if got := next(); got != "first" {
-		t.Fatal(got)
+		t.Fatalf("incarnation of the first snapshot: got %q, want %q", got, "first")
 	}
 	send("first")
 	send("second")
 	if got := next(); got != "second" {
-		t.Fatalf("the next incarnation was sent %s", got)
+		t.Fatalf("incarnation of the second snapshot: got %q, want %q", got, "second")
 	}
 	send("second")
 	if !h.actor.Do(ctx, func() {
 		if len(h.snapshotTransfers) != 1 || h.snapshotTransfers[addr].recipient != "b-1/second" {
-			t.Errorf("on its way: %+v", h.snapshotTransfers)
+			t.Errorf("transfers in progress: got %+v, want one to %q", h.snapshotTransfers, "b-1/second")
 		}
 	}) {
-		t.Fatal("the control node stands still")
+		t.Fatal("the actor is blocked")
 	}
 }
--- a/internal/controlplane/controlnode/submit_test.go
+++ b/internal/controlplane/controlnode/submit_test.go
@@ -18,14 +18,16 @@
 	"petreltide/internal/process/logring"
 )
 
-// alone is a control node whose peers never come: what it is given waits.
+// openIsolated returns a control node whose peers never start, so that changes submitted to it stay pending.
 func openIsolated(t *testing.T) *Host { return openControlNode(t, 3) }
 
-// openControlNode is a control node of a chain that is founded by so many. It ends with the test.
+// openControlNode returns a control node of a chain that is bootstrapped by founding control nodes. It is stopped at the end of
+// the test.
 func openControlNode(t *testing.T, founding int) *Host {
 	t.Helper()
-	folder := t.TempDir()
-	h, err := Open(settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", DataDir: folder, FoundingSize: founding}, logring.NewRing(folder, io.Discard))
+	dir := t.TempDir()
+	h, err := Open(settings.ControlNode{Name: "core-1", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", DataDir: dir,
+		FoundingSize: founding}, logring.NewRing(dir, io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,13 +41,13 @@
 	return h
 }
 
-// waiting blocks until as many callers wait for the outcome of a change.
+// awaitWaiterCount blocks until want callers wait for the outcome of a change.
 func awaitWaiterCount(t *testing.T, h *Host, id string, want int) {
 	t.Helper()
 	for {
 		n, ran := actor.Ask(t.Context(), h.actor, func() int { return len(h.waiters[id]) })
 		if !ran {
-			t.Fatal("the control node ended")
+			t.Fatalf("the actor ended before %d callers waited for change %s", want, id)
 		}
 		if n == want {
 			return
@@ -53,8 +55,8 @@
 	}
 }
 
-// Two callers wait at one control node for one order, as when an operator's first call is still held while it sends the
-// order again. Both get the outcome, and one that gives up takes nothing from the other.
+// Two callers wait at one control node for the outcome of one change, as when an operator's first call is still pending while
+// the operator sends the change again. Both get the outcome, and a caller that gives up does not affect the other.
 func TestConcurrentSubmitsOfOneChangeBothGetOutcome(t *testing.T) {
 	h := openIsolated(t)
 	const id = "op-1"
@@ -70,7 +72,7 @@
 	awaitWaiterCount(t, h, id, 2)
 	cancel()
 	if <-got {
-		t.Fatal("the one that gave up has an outcome")
+		t.Fatal("the canceled caller got an outcome, want none")
 	}
 	awaitWaiterCount(t, h, id, 1)
 	go submit(t.Context())
@@ -78,14 +80,14 @@
 	h.post(PeerMessage{Message: &peering.Message{Result: &wire.Result{Outcome: statemachine.Outcome{ID: id, Index: 7}}}})
 	for range 2 {
 		if !<-got {
-			t.Error("one of two that waited got no outcome")
+			t.Error("one of the two waiting callers got no outcome")
 		}
 	}
 	awaitWaiterCount(t, h, id, 0)
 }
 
-// A patch whose base has been passed is judged by the chain, which knows what was taken, and not by what is in force
-// alone; one whose base is still to come may be taken by another control node yet.
+// A patch whose base has been superseded is decided by the chain, which knows whether it was applied before, and not by the
+// configuration in force alone. A patch whose base is not in force yet may still be accepted by another control node.
 func TestPatchOnSupersededBaseIsDecidedByChain(t *testing.T) {
 	doc := &configuration.Declaration{Name: "d"}
 	for _, c := range []struct {
@@ -94,30 +96,32 @@
 		base    uint64
 		want    patchDecision
 	}{
-		{"on top of what is in force", CurrentConfig{Revision: 4, Declaration: doc}, 4, mergeLocally},
-		{"its base is still to come", CurrentConfig{Revision: 3, Declaration: doc}, 4, baseNotInForce},
-		{"nothing is in force yet", CurrentConfig{}, 4, baseNotInForce},
-		{"a later change is in force", CurrentConfig{Revision: 9, Declaration: doc}, 4, deferToChain},
-		{"there is nothing to patch", CurrentConfig{}, 0, noDeclaration},
+		{"base in force", CurrentConfig{Revision: 4, Declaration: doc}, 4, mergeLocally},
+		{"base not in force yet", CurrentConfig{Revision: 3, Declaration: doc}, 4, baseNotInForce},
+		{"base not in force yet and no declaration", CurrentConfig{}, 4, baseNotInForce},
+		{"base superseded", CurrentConfig{Revision: 9, Declaration: doc}, 4, deferToChain},
+		{"no declaration", CurrentConfig{}, 0, noDeclaration},
 	} {
 		if got := decidePatch(c.current, c.base); got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: got decision %v, want %v", c.name, got, c.want)
 		}
 	}
 	h := openControlNode(t, 1)
 	h.actor.Spawn(h.persistLoop)
 	for base, id := range []string{"op-mine", "op-later"} {
-		out, ok := h.Submit(t.Context(), statemachine.Change{ID: id, Config: &statemachine.ConfigChange{Base: uint64(base), Doc: doc}}, time.Minute)
+		out, ok := h.Submit(t.Context(), statemachine.Change{ID: id,
+			Config: &statemachine.ConfigChange{Base: uint64(base), Doc: doc}}, time.Minute)
 		if !ok || out.Outcome.Fault != nil {
-			t.Fatalf("%s: %+v", id, out)
+			t.Fatalf("submit %s: got %+v, ok %v, want an outcome without a fault", id, out, ok)
 		}
 	}
 	patch := func(want int) {
 		t.Helper()
 		w := httptest.NewRecorder()
-		h.handlePatchConfig(w, httptest.NewRequestWithContext(t.Context(), http.MethodPatch, "/v1/config?base=0&change=mine", strings.NewReader("{}")))
+		h.handlePatchConfig(w, httptest.NewRequestWithContext(t.Context(), http.MethodPatch, "/v1/config?base=0&change=mine",
+			strings.NewReader("{}")))
 		if w.Code != want {
-			t.Errorf("%d %s, want %d", w.Code, w.Body, want)
+			t.Errorf("patch on a superseded base: got status %d, want %d: %s", w.Code, want, w.Body)
 		}
 	}
 	patch(http.StatusOK)
