--- a/internal/operator/comparison/comparison.go
+++ b/internal/operator/comparison/comparison.go
@@ -23,7 +23,7 @@
 	restoreFor = 30 * time.Second
 )
 
-// FleetStatus is what comparing needs of the operators' interface.
+// Fleet is what comparing needs of the operators' interface.
 type Fleet interface {
 	Config(ctx context.Context) (controlnode.CurrentConfig, error)
 	Apply(ctx context.Context, base uint64, change string, doc *configuration.Declaration) (controlnode.ChangeAck, error)
--- a/tests/fleet/fleet.go
+++ b/tests/fleet/fleet.go
@@ -64,7 +64,7 @@
 	out   string
 }
 
-// FleetStatus starts real processes and is the only one that does.
+// Fleet starts real processes and is the only one that does.
 type Fleet struct {
 	Plan     Plan
 	Platform *platform.Platform
@@ -320,7 +320,7 @@
 	rules.Over(f.Notices, name, clock.NowUs())
 }
 
-// ReplyID is the whole answer to one request.
+// Reply is the whole answer to one request.
 type Reply struct {
 	Status int
 	Body   []byte
