--- a/internal/controlplane/chain/auto_membership_test.go
+++ b/internal/controlplane/chain/auto_membership_test.go
@@ -18,106 +18,106 @@
 	r        *rand.Rand
 	nowUs    int64
 	members  []*testMember
-	inFlight []message
+	inFlight []inFlightMessage
 	// refuses: the address of a process that has ended refuses connections.
-	refuses      bool
-	cuts         map[[2]string]bool
-	seeds        []string
-	views        map[uint64]View
-	acked        map[uint64]string
-	lastAcked    uint64
-	incarnations int
-	writes       int
-	broken       string
-	founderAddrs []string
-	minReplicas  int
-	paced        bool
+	refusesConnections bool
+	cutLinks           map[[2]string]bool
+	seedAddrs          []string
+	views              map[uint64]View
+	acked              map[uint64]string
+	lastAcked          uint64
+	incarnations       int
+	writes             int
+	violation          string
+	founderAddrs       []string
+	minReplicas        int
+	fleetTimings       bool
 	// idle: nobody writes.
 	idle bool
 	// lossyLinks links bring messages twice, late and out of their order.
 	lossyLinks bool
 	// tenures follows who was open as the tail.
 	tenures tailTenures
-	// slowestUs is the longest time from a successor's start until it had taken over.
-	slowestUs int64
+	// slowestTakeoverUs is the longest time from a successor's start until it had taken over.
+	slowestTakeoverUs int64
 }
 
 type testMember struct {
-	me      Member
-	node    *Node
-	disk    []Record
-	saves   []pendingSync
-	slow    bool
-	removed bool
+	member       Member
+	node         *Node
+	disk         []Record
+	pendingSyncs []pendingSync
+	syncsHeld    bool
+	removed      bool
 	// paused: its process stands still. What is sent to it waits.
 	paused bool
 	opts   Options
-	// phaseUs is by how much its ticks come before those of the others.
-	phaseUs int64
-	// bornUs is since when its disk has lasted.
-	bornUs int64
+	// tickOffsetUs is by how much its ticks come before those of the others.
+	tickOffsetUs int64
+	// diskCreatedUs is since when its disk has lasted.
+	diskCreatedUs int64
 	// refused are addresses that refused this member's connections in this step.
-	refused []string
+	refusedAddrs []string
 }
 
 type pendingSync struct {
-	atUs int64
-	save Persist
+	atUs    int64
+	persist Persist
 }
 
-type message struct {
+type inFlightMessage struct {
 	atUs     int64
 	from, to string
 	msg      Msg
 }
 
 func newTestCluster(t *testing.T, seed int64, controlNodes, founders int) *testCluster {
-	y := &testCluster{t: t, r: rand.New(rand.NewSource(seed)), nowUs: clock.Sec, cuts: map[[2]string]bool{}, views: map[uint64]View{}, acked: map[uint64]string{}, minReplicas: 2}
+	tc := &testCluster{t: t, r: rand.New(rand.NewSource(seed)), nowUs: clock.Sec, cutLinks: map[[2]string]bool{}, views: map[uint64]View{}, acked: map[uint64]string{}, minReplicas: 2}
 	for i := range controlNodes {
-		y.members = append(y.members, &testMember{me: Member{ID: fmt.Sprintf("n%d-0", i), Name: fmt.Sprint("n", i), Addr: fmt.Sprint("a", i)}})
+		tc.members = append(tc.members, &testMember{member: Member{ID: fmt.Sprintf("n%d-0", i), Name: fmt.Sprint("n", i), Addr: fmt.Sprint("a", i)}})
 	}
-	for _, s := range y.members[:founders] {
-		y.founderAddrs = append(y.founderAddrs, s.me.Addr)
+	for _, s := range tc.members[:founders] {
+		tc.founderAddrs = append(tc.founderAddrs, s.member.Addr)
 	}
-	y.seeds = y.founderAddrs
-	return y
+	tc.seedAddrs = tc.founderAddrs
+	return tc
 }
 
 func (tc *testCluster) start(s *testMember, first bool) {
 	tc.incarnations++
-	s.opts = Options{Self: s.me, Incarnation: fmt.Sprintf("%s/%d", s.me.ID, tc.incarnations), AutoMembership: true, MinReplicas: tc.minReplicas, MaxRetainedEntries: 30}
-	if tc.paced {
-		s.opts = paced(s.opts)
+	s.opts = Options{Self: s.member, Incarnation: fmt.Sprintf("%s/%d", s.member.ID, tc.incarnations), AutoMembership: true, MinReplicas: tc.minReplicas, MaxRetainedEntries: 30}
+	if tc.fleetTimings {
+		s.opts = withFleetTimings(s.opts)
 	}
 	if first {
 		s.opts.BootstrapAddrs, s.opts.FirstStart = tc.founderAddrs, true
 	}
 	if len(s.disk) == 0 {
-		s.bornUs = tc.nowUs
+		s.diskCreatedUs = tc.nowUs
 	}
 	node, err := NewNode(s.opts, s.disk, tc.nowUs)
 	if err != nil {
 		tc.t.Fatal(err)
 	}
-	s.node, s.saves = node, nil
-	if tc.seeds == nil {
+	s.node, s.pendingSyncs = node, nil
+	if tc.seedAddrs == nil {
 		// Without seeds a start is a tick.
 		tc.step(s, Tick{})
 		return
 	}
-	tc.step(s, AddrsLearned{Addrs: tc.seeds})
+	tc.step(s, AddrsLearned{Addrs: tc.seedAddrs})
 }
 
 func (tc *testCluster) stop(s *testMember) {
-	s.node, s.saves, s.slow, s.paused = nil, nil, false, false
-	tc.inFlight = slices.DeleteFunc(tc.inFlight, func(l message) bool { return l.to == s.me.Addr })
+	s.node, s.pendingSyncs, s.syncsHeld, s.paused = nil, nil, false, false
+	tc.inFlight = slices.DeleteFunc(tc.inFlight, func(l inFlightMessage) bool { return l.to == s.member.Addr })
 }
 
 // wipe takes a disk: the control node comes back under its name as another identity.
 func (tc *testCluster) wipe(s *testMember) {
 	tc.stop(s)
 	tc.incarnations++
-	s.disk, s.me.ID = nil, fmt.Sprintf("%s-%d", s.me.Name, tc.incarnations)
+	s.disk, s.member.ID = nil, fmt.Sprintf("%s-%d", s.member.Name, tc.incarnations)
 	tc.start(s, false)
 }
 
@@ -127,20 +127,20 @@
 	s.removed = true
 	tc.incarnations++
 	name := fmt.Sprint("n", 10+tc.incarnations)
-	fresh := &testMember{me: Member{ID: name + "-0", Name: name, Addr: "a" + name}}
+	fresh := &testMember{member: Member{ID: name + "-0", Name: name, Addr: "a" + name}}
 	tc.members = append(tc.members, fresh)
-	tc.seeds = nil
+	tc.seedAddrs = nil
 	for _, o := range tc.members {
-		if !o.removed && o != fresh && len(tc.seeds) < 3 {
-			tc.seeds = append(tc.seeds, o.me.Addr)
+		if !o.removed && o != fresh && len(tc.seedAddrs) < 3 {
+			tc.seedAddrs = append(tc.seedAddrs, o.member.Addr)
 		}
 	}
 	tc.start(fresh, false)
 }
 
-func (tc *testCluster) at(addr string) *testMember {
+func (tc *testCluster) memberAt(addr string) *testMember {
 	for _, s := range tc.members {
-		if s.me.Addr == addr && !s.removed {
+		if s.member.Addr == addr && !s.removed {
 			return s
 		}
 	}
@@ -154,30 +154,30 @@
 	for _, e := range s.node.Step(tc.nowUs, ev) {
 		switch e := e.(type) {
 		case Send:
-			to := tc.at(e.Addr)
+			to := tc.memberAt(e.Addr)
 			switch {
-			case to == nil || to == s || tc.partitioned(s.me.Addr, to.me.Addr):
+			case to == nil || to == s || tc.isPartitioned(s.member.Addr, to.member.Addr):
 			case to.node != nil:
-				tc.deliverLater(s.me.Addr, to.me.Addr, e.Msg)
-			case tc.refuses && !slices.Contains(s.refused, e.Addr):
-				s.refused = append(s.refused, e.Addr)
+				tc.deliverLater(s.member.Addr, to.member.Addr, e.Msg)
+			case tc.refusesConnections && !slices.Contains(s.refusedAddrs, e.Addr):
+				s.refusedAddrs = append(s.refusedAddrs, e.Addr)
 			}
 		case Persist:
 			us := tc.nowUs + tc.r.Int63n(8*clock.Ms)
-			if n := len(s.saves); n > 0 {
-				us = max(us, s.saves[n-1].atUs)
+			if n := len(s.pendingSyncs); n > 0 {
+				us = max(us, s.pendingSyncs[n-1].atUs)
 			}
-			s.saves = append(s.saves, pendingSync{us, e})
+			s.pendingSyncs = append(s.pendingSyncs, pendingSync{us, e})
 		case Applied:
-			tc.applied(s, e)
+			tc.recordApplied(s, e)
 		case ViewInstalled:
-			tc.viewed(e.View)
+			tc.recordView(e.View)
 		}
 	}
 }
 
-func (tc *testCluster) partitioned(a, b string) bool {
-	return tc.cuts[[2]string{a, b}] || tc.cuts[[2]string{b, a}]
+func (tc *testCluster) isPartitioned(a, b string) bool {
+	return tc.cutLinks[[2]string{a, b}] || tc.cutLinks[[2]string{b, a}]
 }
 
 // deliverLater keeps the order of messages between two control nodes.
@@ -190,28 +190,28 @@
 		}
 	}
 	if !tc.lossyLinks {
-		tc.inFlight = append(tc.inFlight, message{us, from, to, m})
+		tc.inFlight = append(tc.inFlight, inFlightMessage{us, from, to, m})
 		return
 	}
 	us = tc.nowUs + 1 + tc.r.Int63n(20*clock.Ms)
 	if tc.r.Intn(30) == 0 {
-		us += tc.r.Int63n(lateMostUs)
+		us += tc.r.Int63n(maxMessageDelayUs)
 	}
-	tc.inFlight = append(tc.inFlight, message{us, from, to, m})
+	tc.inFlight = append(tc.inFlight, inFlightMessage{us, from, to, m})
 	if tc.r.Intn(10) == 0 {
-		tc.inFlight = append(tc.inFlight, message{us + tc.r.Int63n(lateMostUs), from, to, m})
+		tc.inFlight = append(tc.inFlight, inFlightMessage{us + tc.r.Int63n(maxMessageDelayUs), from, to, m})
 	}
 }
 
-// lateMostUs is how late a message comes at most: whoever sends it gives it up after a second.
-const lateMostUs = clock.Sec
+// maxMessageDelayUs is how late a message comes at most: whoever sends it gives it up after a second.
+const maxMessageDelayUs = clock.Sec
 
 // viewed: a number stands for one view, which the voters of the one before decide alone; from one to the next
 // at most one vote comes and one goes.
-func (tc *testCluster) viewed(v View) {
+func (tc *testCluster) recordView(v View) {
 	if before, seen := tc.views[v.Number]; seen {
 		if fmt.Sprint(before) != fmt.Sprint(v) {
-			tc.broken = fmt.Sprintf("view %d was decided twice: %v and %v", v.Number, before, v)
+			tc.violation = fmt.Sprintf("view %d was decided twice: %v and %v", v.Number, before, v)
 		}
 		return
 	}
@@ -229,36 +229,36 @@
 			}
 		}
 		if came > 1 || went > 1 || len(v.Voters) < min(len(tc.founderAddrs), minVoters) {
-			tc.broken = fmt.Sprintf("from view %d to %d %d votes came and %d went: %v and %v", prior.Number, v.Number, came, went, prior.Voters, v.Voters)
+			tc.violation = fmt.Sprintf("from view %d to %d %d votes came and %d went: %v and %v", prior.Number, v.Number, came, went, prior.Voters, v.Voters)
 		}
 	}
 }
 
-func (tc *testCluster) applied(s *testMember, a Applied) {
+func (tc *testCluster) recordApplied(s *testMember, a Applied) {
 	id := a.Entry.Change.ID
 	if before, seen := tc.acked[a.Entry.Index]; seen && before != id {
-		tc.broken = fmt.Sprintf("%s applies %s at %d, where %s was acknowledged", s.me.ID, id, a.Entry.Index, before)
+		tc.violation = fmt.Sprintf("%s applies %s at %d, where %s was acknowledged", s.member.ID, id, a.Entry.Index, before)
 	}
 	if s.node.IsTail() && s.node.AcceptsWrites() {
 		tc.acked[a.Entry.Index], tc.lastAcked = id, max(tc.lastAcked, a.Entry.Index)
 	}
 }
 
-const yardStepUs = 5 * clock.Ms
+const stepUs = 5 * clock.Ms
 
 func (tc *testCluster) advance(us int64) {
 	for endUs := tc.nowUs + us; tc.nowUs < endUs; {
-		tc.nowUs += yardStepUs
-		due := []message{}
-		tc.inFlight = slices.DeleteFunc(tc.inFlight, func(l message) bool {
-			if to := tc.at(l.to); l.atUs <= tc.nowUs && (to == nil || !to.paused) {
+		tc.nowUs += stepUs
+		due := []inFlightMessage{}
+		tc.inFlight = slices.DeleteFunc(tc.inFlight, func(l inFlightMessage) bool {
+			if to := tc.memberAt(l.to); l.atUs <= tc.nowUs && (to == nil || !to.paused) {
 				due = append(due, l)
 				return true
 			}
 			return false
 		})
 		for _, l := range due {
-			if to := tc.at(l.to); to != nil && !tc.partitioned(l.from, l.to) {
+			if to := tc.memberAt(l.to); to != nil && !tc.isPartitioned(l.from, l.to) {
 				tc.step(to, MessageReceived{Msg: &l.msg})
 			}
 		}
@@ -266,14 +266,14 @@
 			if s.paused {
 				continue
 			}
-			refused := s.refused
-			s.refused = nil
+			refused := s.refusedAddrs
+			s.refusedAddrs = nil
 			for _, addr := range refused {
 				tc.step(s, ConnectionRefused{Addr: addr})
 			}
-			for len(s.saves) > 0 && s.saves[0].atUs <= tc.nowUs && !s.slow {
-				done := s.saves[0].save
-				s.saves = s.saves[1:]
+			for len(s.pendingSyncs) > 0 && s.pendingSyncs[0].atUs <= tc.nowUs && !s.syncsHeld {
+				done := s.pendingSyncs[0].persist
+				s.pendingSyncs = s.pendingSyncs[1:]
 				if done.Compact {
 					s.disk = nil
 				}
@@ -283,7 +283,7 @@
 				s.disk = append(slices.Clip(s.disk), done.Records...)
 				tc.step(s, Persisted{Seq: done.Seq})
 			}
-			if (tc.nowUs+s.phaseUs)%(25*clock.Ms) == 0 {
+			if (tc.nowUs+s.tickOffsetUs)%(25*clock.Ms) == 0 {
 				tc.step(s, Tick{})
 			}
 		}
@@ -299,7 +299,7 @@
 	for _, s := range tc.members {
 		if s.node != nil && s.node.IsHead() && !s.paused {
 			doc := &configuration.Declaration{Name: fmt.Sprint("w", tc.writes)}
-			tc.step(s, ChangeSubmitted{Change: &statemachine.Change{ID: fmt.Sprint(doc.Name, s.me.ID), Config: &statemachine.ConfigChange{Doc: doc}}})
+			tc.step(s, ChangeSubmitted{Change: &statemachine.Change{ID: fmt.Sprint(doc.Name, s.member.ID), Config: &statemachine.ConfigChange{Doc: doc}}})
 		}
 	}
 }
@@ -313,24 +313,24 @@
 	}
 	for _, s := range tc.members {
 		if s.node != nil && s.node.IsTailReady(tc.nowUs) {
-			open = append(open, s.me.ID)
+			open = append(open, s.member.ID)
 			if s.node.CommitIndex() < tc.lastAcked {
-				tc.broken = fmt.Sprintf("%s is open at %d, %d was acknowledged", s.me.ID, s.node.CommitIndex(), tc.lastAcked)
+				tc.violation = fmt.Sprintf("%s is open at %d, %d was acknowledged", s.member.ID, s.node.CommitIndex(), tc.lastAcked)
 			}
-			if broken := tc.tenures.check(s.node); broken != "" {
-				tc.broken = broken
+			if violation := tc.tenures.check(s.node); violation != "" {
+				tc.violation = violation
 			}
 		}
 	}
 	if len(open) > 1 {
-		tc.broken = fmt.Sprintf("two open tails: %v", open)
+		tc.violation = fmt.Sprintf("two open tails: %v", open)
 	}
-	if tc.broken != "" {
-		tc.t.Fatalf("at %d ms: %s", tc.nowUs/1000, tc.broken)
+	if tc.violation != "" {
+		tc.t.Fatalf("at %d ms: %s", tc.nowUs/1000, tc.violation)
 	}
 }
 
-func (tc *testCluster) living() []*testMember {
+func (tc *testCluster) remainingMembers() []*testMember {
 	all := []*testMember{}
 	for _, s := range tc.members {
 		if !s.removed {
@@ -343,25 +343,25 @@
 // unsettledReason: every control node that is there has a seat in one view and acknowledges; votes are theirs.
 func (tc *testCluster) unsettledReason() string {
 	var view View
-	for _, s := range tc.living() {
-		if s.node == nil || !s.node.serving() || !s.node.caughtUp {
-			return fmt.Sprintf("%s has no seat: %v", s.me.ID, s.node != nil)
+	for _, s := range tc.remainingMembers() {
+		if s.node == nil || !s.node.isServing() || !s.node.caughtUp {
+			return fmt.Sprintf("%s has no seat: %v", s.member.ID, s.node != nil)
 		}
 		if view.Number > 0 && s.node.view.Number != view.Number {
-			return fmt.Sprintf("%s is in view %d, others in %d", s.me.ID, s.node.view.Number, view.Number)
+			return fmt.Sprintf("%s is in view %d, others in %d", s.member.ID, s.node.view.Number, view.Number)
 		}
 		view = s.node.view
 	}
-	if len(view.Replicas) != len(tc.living()) {
-		return fmt.Sprintf("%d seats for %d offices", len(view.Replicas), len(tc.living()))
+	if len(view.Replicas) != len(tc.remainingMembers()) {
+		return fmt.Sprintf("%d seats for %d offices", len(view.Replicas), len(tc.remainingMembers()))
 	}
-	for _, s := range tc.living() {
-		if !view.IsVoter(s.me.ID) {
-			return fmt.Sprintf("%s has no vote in %v", s.me.ID, view.Voters)
+	for _, s := range tc.remainingMembers() {
+		if !view.IsVoter(s.member.ID) {
+			return fmt.Sprintf("%s has no vote in %v", s.member.ID, view.Voters)
 		}
 	}
-	if len(view.Voters) != len(tc.living()) {
-		return fmt.Sprintf("%d votes for %d offices: %v", len(view.Voters), len(tc.living()), view.Voters)
+	if len(view.Voters) != len(tc.remainingMembers()) {
+		return fmt.Sprintf("%d votes for %d offices: %v", len(view.Voters), len(tc.remainingMembers()), view.Voters)
 	}
 	return ""
 }
@@ -397,22 +397,22 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := int64(0); seed < 4; seed++ {
-				y := newTestCluster(t, seed, c.controlNodes, c.founders)
+				tc := newTestCluster(t, seed, c.controlNodes, c.founders)
 				for us := int64(0); us <= 7*clock.Sec; us += 10 * clock.Ms {
-					for i, s := range y.members {
+					for i, s := range tc.members {
 						if s.node == nil && us >= c.startUs(i) {
-							y.start(s, true)
+							tc.start(s, true)
 						}
 					}
-					if y.advance(10 * clock.Ms); us < c.laterUs && len(y.views) > 0 {
+					if tc.advance(10 * clock.Ms); us < c.laterUs && len(tc.views) > 0 {
 						t.Fatal("founded without a founder")
 					}
 				}
-				y.requireSettled(30*clock.Sec, "founding")
-				if v := y.views[1]; len(v.Voters) != c.founders {
+				tc.requireSettled(30*clock.Sec, "founding")
+				if v := tc.views[1]; len(v.Voters) != c.founders {
 					t.Errorf("founded by %v", v.Voters)
 				}
-				if last := y.members[0].node.view; last.ExtraVoters != 0 {
+				if last := tc.members[0].node.view; last.ExtraVoters != 0 {
 					t.Errorf("votes of a first start count as extra: %v", last)
 				}
 			}
@@ -420,29 +420,29 @@
 	}
 }
 
-func grown(t *testing.T, seed int64, controlNodes, founders int) *testCluster {
-	y := newTestCluster(t, seed, controlNodes, founders)
-	for _, s := range y.members {
-		y.start(s, true)
+func newSettledCluster(t *testing.T, seed int64, controlNodes, founders int) *testCluster {
+	tc := newTestCluster(t, seed, controlNodes, founders)
+	for _, s := range tc.members {
+		tc.start(s, true)
 	}
-	y.requireSettled(30*clock.Sec, "founding")
-	return y
+	tc.requireSettled(30*clock.Sec, "founding")
+	return tc
 }
 
 func TestNewMemberReplacesLostVoter(t *testing.T) {
 	for seed := int64(0); seed < 6; seed++ {
-		y := grown(t, seed, 3+2*int(seed%2), 3)
+		tc := newSettledCluster(t, seed, 3+2*int(seed%2), 3)
 		for n := range 4 {
-			live := y.living()
-			lost := live[y.r.Intn(len(live))]
+			live := tc.remainingMembers()
+			lost := live[tc.r.Intn(len(live))]
 			votes := len(live[0].node.view.Voters)
 			if n%2 == 0 {
-				y.replace(lost)
+				tc.replace(lost)
 			} else {
-				y.wipe(lost)
+				tc.wipe(lost)
 			}
-			y.requireSettled(40*clock.Sec, "a newcomer")
-			if now := y.living()[0].node.view; len(now.Voters) != votes || now.ExtraVoters != 0 {
+			tc.requireSettled(40*clock.Sec, "a newcomer")
+			if now := tc.remainingMembers()[0].node.view; len(now.Voters) != votes || now.ExtraVoters != 0 {
 				t.Fatalf("seed %d: %d votes became %v, extra %d", seed, votes, now.Voters, now.ExtraVoters)
 			}
 		}
@@ -452,19 +452,19 @@
 // One that comes before the one it replaces has gone gets a vote of its own, and the vote of the silent one goes.
 func TestExtraVoterIsRemoved(t *testing.T) {
 	for seed := int64(0); seed < 4; seed++ {
-		y := grown(t, seed, 3, 3)
-		leaves := y.members[int(seed)%3]
-		fresh := &testMember{me: Member{ID: "new-0", Name: "new", Addr: "anew"}}
-		y.members = append(y.members, fresh)
-		y.start(fresh, false)
-		y.requireSettled(40*clock.Sec, "one more")
+		tc := newSettledCluster(t, seed, 3, 3)
+		leaves := tc.members[int(seed)%3]
+		fresh := &testMember{member: Member{ID: "new-0", Name: "new", Addr: "anew"}}
+		tc.members = append(tc.members, fresh)
+		tc.start(fresh, false)
+		tc.requireSettled(40*clock.Sec, "one more")
 		if v := fresh.node.view; len(v.Voters) != 4 || v.ExtraVoters != 1 {
 			t.Fatalf("seed %d: %v, extra %d", seed, v.Voters, v.ExtraVoters)
 		}
-		y.stop(leaves)
+		tc.stop(leaves)
 		leaves.removed = true
-		y.requireSettled(40*clock.Sec, "one less")
-		if v := fresh.node.view; len(v.Voters) != 3 || v.ExtraVoters != 0 || v.IsVoter(leaves.me.ID) {
+		tc.requireSettled(40*clock.Sec, "one less")
+		if v := fresh.node.view; len(v.Voters) != 3 || v.ExtraVoters != 0 || v.IsVoter(leaves.member.ID) {
 			t.Fatalf("seed %d: %v, extra %d", seed, v.Voters, v.ExtraVoters)
 		}
 	}
@@ -474,14 +474,14 @@
 // the one that is gone. No vote stays with nobody.
 func TestNoVoteStaysWithLostMember(t *testing.T) {
 	for seed := int64(0); seed < 6; seed++ {
-		y := grown(t, seed, 5, 3)
-		y.cuts[[2]string{"a1", "a0"}], y.cuts[[2]string{"a1", "a2"}], y.cuts[[2]string{"a1", "a3"}], y.cuts[[2]string{"a1", "a4"}] = true, true, true, true
-		y.advance(3 * clock.Sec)
-		y.replace(y.members[2])
-		y.cuts[[2]string{"a1", y.members[5].me.Addr}] = true
-		y.advance(6 * clock.Sec)
-		clear(y.cuts)
-		y.requireSettled(40*clock.Sec, "one cut off, one replaced")
+		tc := newSettledCluster(t, seed, 5, 3)
+		tc.cutLinks[[2]string{"a1", "a0"}], tc.cutLinks[[2]string{"a1", "a2"}], tc.cutLinks[[2]string{"a1", "a3"}], tc.cutLinks[[2]string{"a1", "a4"}] = true, true, true, true
+		tc.advance(3 * clock.Sec)
+		tc.replace(tc.members[2])
+		tc.cutLinks[[2]string{"a1", tc.members[5].member.Addr}] = true
+		tc.advance(6 * clock.Sec)
+		clear(tc.cutLinks)
+		tc.requireSettled(40*clock.Sec, "one cut off, one replaced")
 	}
 }
 
@@ -489,70 +489,70 @@
 // for good at once than may be: one chain, nothing acknowledged is lost, and in the end all are in it.
 func TestSeededAutoMembership(t *testing.T) {
 	seeds := int64(60)
-	if raced {
+	if raceEnabled {
 		seeds = 6
 	}
 	for seed := int64(0); seed < seeds; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			controlNodes := []int{3, 3, 5}[seed%3]
-			y := grown(t, seed, controlNodes, 3)
-			first := len(y.views)
+			tc := newSettledCluster(t, seed, controlNodes, 3)
+			first := len(tc.views)
 			for range 14 {
-				live := y.living()
-				s := live[y.r.Intn(len(live))]
-				switch y.r.Intn(8) {
+				live := tc.remainingMembers()
+				s := live[tc.r.Intn(len(live))]
+				switch tc.r.Intn(8) {
 				case 0:
-					y.stop(s)
-					y.advance(y.r.Int63n(3 * clock.Sec))
-					y.start(s, false)
+					tc.stop(s)
+					tc.advance(tc.r.Int63n(3 * clock.Sec))
+					tc.start(s, false)
 				case 1:
 					for _, o := range live {
-						y.stop(o)
+						tc.stop(o)
 					}
-					y.advance(y.r.Int63n(clock.Sec))
+					tc.advance(tc.r.Int63n(clock.Sec))
 					for _, o := range live {
-						y.start(o, false)
-						y.advance(y.r.Int63n(200 * clock.Ms))
+						tc.start(o, false)
+						tc.advance(tc.r.Int63n(200 * clock.Ms))
 					}
 				case 2:
-					s.slow = true
-					y.advance(y.r.Int63n(4 * clock.Sec))
-					s.slow = false
+					s.syncsHeld = true
+					tc.advance(tc.r.Int63n(4 * clock.Sec))
+					s.syncsHeld = false
 				case 3, 4:
 					for _, a := range live {
 						for _, b := range live {
-							if a != b && y.r.Intn(3) == 0 {
-								y.cuts[[2]string{a.me.Addr, b.me.Addr}] = true
+							if a != b && tc.r.Intn(3) == 0 {
+								tc.cutLinks[[2]string{a.member.Addr, b.member.Addr}] = true
 							}
 						}
 					}
-					y.advance(y.r.Int63n(6 * clock.Sec))
-					if y.r.Intn(2) == 0 {
-						y.stop(s)
-						y.advance(y.r.Int63n(2 * clock.Sec))
-						y.start(s, false)
+					tc.advance(tc.r.Int63n(6 * clock.Sec))
+					if tc.r.Intn(2) == 0 {
+						tc.stop(s)
+						tc.advance(tc.r.Int63n(2 * clock.Sec))
+						tc.start(s, false)
 					}
-					clear(y.cuts)
+					clear(tc.cutLinks)
 				case 5:
-					y.requireSettled(60*clock.Sec, "before a wipe")
-					y.wipe(s)
+					tc.requireSettled(60*clock.Sec, "before a wipe")
+					tc.wipe(s)
 				case 6:
-					y.requireSettled(60*clock.Sec, "before a replacement")
-					y.replace(s)
+					tc.requireSettled(60*clock.Sec, "before a replacement")
+					tc.replace(s)
 				case 7:
-					y.requireSettled(60*clock.Sec, "before a wipe and a cut")
-					y.wipe(s)
-					o := live[y.r.Intn(len(live))]
-					y.cuts[[2]string{o.me.Addr, live[0].me.Addr}] = true
-					y.advance(y.r.Int63n(4 * clock.Sec))
-					clear(y.cuts)
+					tc.requireSettled(60*clock.Sec, "before a wipe and a cut")
+					tc.wipe(s)
+					o := live[tc.r.Intn(len(live))]
+					tc.cutLinks[[2]string{o.member.Addr, live[0].member.Addr}] = true
+					tc.advance(tc.r.Int63n(4 * clock.Sec))
+					clear(tc.cutLinks)
 				}
-				y.advance(y.r.Int63n(2 * clock.Sec))
+				tc.advance(tc.r.Int63n(2 * clock.Sec))
 			}
-			y.requireSettled(60*clock.Sec, "in the end")
-			if len(y.views) < first+3 || y.lastAcked < 100 {
-				t.Errorf("%d views, %d acknowledged: it proves little", len(y.views), y.lastAcked)
+			tc.requireSettled(60*clock.Sec, "in the end")
+			if len(tc.views) < first+3 || tc.lastAcked < 100 {
+				t.Errorf("%d views, %d acknowledged: it proves little", len(tc.views), tc.lastAcked)
 			}
 		})
 	}
--- a/internal/controlplane/chain/bootstrap.go
+++ b/internal/controlplane/chain/bootstrap.go
@@ -16,13 +16,13 @@
 }
 
 func (n *Node) maybeProposeFirstView() {
-	if !n.isFounder() || n.diskStalled() {
+	if !n.isFounder() || n.isDiskStalled() {
 		return
 	}
 	n.persistBootstrap()
-	most := n.opts.BootstrapCount
+	founderCount := n.opts.BootstrapCount
 	if len(n.opts.BootstrapAddrs) > 0 {
-		most = len(n.opts.BootstrapAddrs)
+		founderCount = len(n.opts.BootstrapAddrs)
 	}
 	founders := []Member{n.opts.Self}
 	for _, id := range n.peerIDs() {
@@ -36,7 +36,7 @@
 	}
 	sort.Slice(founders, func(i, j int) bool { return founders[i].ID < founders[j].ID })
 	n.founders = founders
-	if len(founders) != most {
+	if len(founders) != founderCount {
 		return
 	}
 	order := make([]Replica, 0, len(founders))
--- a/internal/controlplane/chain/bootstrap_test.go
+++ b/internal/controlplane/chain/bootstrap_test.go
@@ -9,34 +9,34 @@
 )
 
 // founding is a chain whose control nodes start for the first time.
-func founding(t *testing.T, seed int64, controlNodes int) *testCluster {
-	y := newTestCluster(t, seed, controlNodes, 3)
-	y.minReplicas, y.paced = controlNodes/2+1, true
-	for _, s := range y.members {
-		y.start(s, true)
+func newBootstrappingCluster(t *testing.T, seed int64, controlNodes int) *testCluster {
+	tc := newTestCluster(t, seed, controlNodes, 3)
+	tc.minReplicas, tc.fleetTimings = controlNodes/2+1, true
+	for _, s := range tc.members {
+		tc.start(s, true)
 	}
-	return y
+	return tc
 }
 
 // TestKilledFoundersStillBootstrap kills one, two or all processes at every moment of the founding from when their
 // first record is on the disk. The disks remain, and they are not told again that it is the first start.
 func TestKilledFoundersStillBootstrap(t *testing.T) {
 	for seed := range int64(360) {
-		y := founding(t, seed, 3+2*int(seed%2))
-		killed := y.members[:1+seed%3]
+		tc := newBootstrappingCluster(t, seed, 3+2*int(seed%2))
+		killed := tc.members[:1+seed%3]
 		unkept := func(s *testMember) bool { return len(s.disk) == 0 }
-		for endUs := y.nowUs + clock.Sec; slices.ContainsFunc(killed, unkept) && y.nowUs < endUs; {
-			y.advance(clock.Ms)
+		for endUs := tc.nowUs + clock.Sec; slices.ContainsFunc(killed, unkept) && tc.nowUs < endUs; {
+			tc.advance(clock.Ms)
 		}
-		y.advance(seed / 3 * 3 * clock.Ms)
+		tc.advance(seed / 3 * 3 * clock.Ms)
 		for _, s := range killed {
-			y.stop(s)
+			tc.stop(s)
 		}
-		y.advance(seed % 7 * 80 * clock.Ms)
+		tc.advance(seed % 7 * 80 * clock.Ms)
 		for _, s := range killed {
-			y.start(s, false)
+			tc.start(s, false)
 		}
-		y.requireSettled(30*clock.Sec, fmt.Sprint("founding, seed ", seed))
+		tc.requireSettled(30*clock.Sec, fmt.Sprint("founding, seed ", seed))
 	}
 }
 
@@ -44,13 +44,13 @@
 // head is gone for good before it has written anything. Those who join need an entry to have a copy of.
 func TestHeadAppendsFirstEntry(t *testing.T) {
 	for seed := range int64(40) {
-		y := founding(t, seed, 5)
-		for endUs := y.nowUs + 10*clock.Sec; len(y.views) == 0 && y.nowUs < endUs; {
-			y.advance(clock.Ms)
+		tc := newBootstrappingCluster(t, seed, 5)
+		for endUs := tc.nowUs + 10*clock.Sec; len(tc.views) == 0 && tc.nowUs < endUs; {
+			tc.advance(clock.Ms)
 		}
-		y.advance(seed % 20 * clock.Ms)
-		y.replace(y.members[0])
-		y.requireSettled(30*clock.Sec, fmt.Sprint("founding, seed ", seed))
+		tc.advance(seed % 20 * clock.Ms)
+		tc.replace(tc.members[0])
+		tc.requireSettled(30*clock.Sec, fmt.Sprint("founding, seed ", seed))
 	}
 }
 
--- a/internal/controlplane/chain/disk_refusal_test.go
+++ b/internal/controlplane/chain/disk_refusal_test.go
@@ -13,51 +13,51 @@
 func TestMemberWithRefusingDiskIsRemovedAndRejoins(t *testing.T) {
 	for i := range 3 {
 		t.Run(fmt.Sprint("member ", i), func(t *testing.T) {
-			b := newSmallChain()
-			b.write()
-			b.deliverAll()
-			if len(b.acked) != 1 {
-				t.Fatal(b.acked)
+			sc := newSmallChain()
+			sc.write()
+			sc.deliverAll()
+			if len(sc.acked) != 1 {
+				t.Fatal(sc.acked)
 			}
-			p := b.members[i]
-			id := p.me.ID
-			b.tick()
-			b.write()
-			for n := 0; n < 40 && !p.ready(); n++ {
-				b.requireProgress()
+			p := sc.members[i]
+			id := p.member.ID
+			sc.tick()
+			sc.write()
+			for n := 0; n < 40 && !p.canSync(); n++ {
+				sc.advanceOnce()
 			}
-			b.fill(i)
-			if !p.node.diskStalled() || !p.node.diskRefusing() || p.node.WaitReason() == "" {
+			sc.refuseWrite(i)
+			if !p.node.isDiskStalled() || !p.node.isDiskRefusing() || p.node.WaitReason() == "" {
 				t.Fatal("it does not say that its disk refuses")
 			}
 			kept := len(p.disk)
 			before, index := p.node.promisedBallot, p.node.commitIndex
-			b.advanceTicks(4)
-			for j, other := range b.members {
+			sc.advanceTicks(4)
+			for j, other := range sc.members {
 				if j != i && (other.node.view.HasReplica(id) || !other.node.AcceptsWrites()) {
-					t.Fatalf("%s has %+v", other.me.ID, other.node.view.Replicas)
+					t.Fatalf("%s has %+v", other.member.ID, other.node.view.Replicas)
 				}
 			}
-			b.write()
-			b.advanceTicks(2)
-			if len(b.acked) < 2 {
-				t.Fatalf("%d acknowledged while one disk of three is full", len(b.acked))
+			sc.write()
+			sc.advanceTicks(2)
+			if len(sc.acked) < 2 {
+				t.Fatalf("%d acknowledged while one disk of three is full", len(sc.acked))
 			}
 			if len(p.disk) != kept || p.node.commitIndex != index || (before != p.node.promisedBallot && p.node.promisedBallot != Ballot{}) {
 				t.Fatalf("it has gone on: %d records, commit %d, promised %+v", len(p.disk), p.node.commitIndex, p.node.promisedBallot)
 			}
-			p.full = false
-			b.advanceTicks(12)
+			p.diskFull = false
+			sc.advanceTicks(12)
 			last := uint64(0)
-			for index := range b.acked {
+			for index := range sc.acked {
 				last = max(last, index)
 			}
-			if !p.node.serving() || !p.node.caughtUp || p.node.commitIndex < last || p.node.diskStalled() {
+			if !p.node.isServing() || !p.node.caughtUp || p.node.commitIndex < last || p.node.isDiskStalled() {
 				t.Fatalf("it is %s, whole %v, at %d of %d, waits for %q", p.node.phase, p.node.caughtUp, p.node.commitIndex, last, p.node.WaitReason())
 			}
-			b.checkInvariants()
-			if b.broken != "" {
-				t.Fatal(b.broken)
+			sc.checkInvariants()
+			if sc.violation != "" {
+				t.Fatal(sc.violation)
 			}
 		})
 	}
@@ -65,69 +65,69 @@
 
 // All restart, and the disk of the one that would go first refuses: another of the same length goes first.
 func TestFullDiskDoesNotDelayRestartOfAllMembers(t *testing.T) {
-	b := newSmallChain()
-	b.write()
-	b.deliverAll()
-	for i := range b.members {
-		b.crash(i)
+	sc := newSmallChain()
+	sc.write()
+	sc.deliverAll()
+	for i := range sc.members {
+		sc.crash(i)
 	}
-	for i := range b.members {
-		b.start(i, 0)
+	for i := range sc.members {
+		sc.start(i, 0)
 	}
-	first := b.members[0]
+	first := sc.members[0]
 	first.node.persist([]Record{{PromisedBallot: &first.node.promisedBallot}}, 0, nil)
-	first.saves = append(first.saves, Persist{Seq: first.node.persistSeq, Records: []Record{{PromisedBallot: &first.node.promisedBallot}}})
-	b.fill(0)
-	b.advanceTicks(12)
-	if b.broken != "" {
-		t.Fatal(b.broken)
+	first.pendingPersists = append(first.pendingPersists, Persist{Seq: first.node.persistSeq, Records: []Record{{PromisedBallot: &first.node.promisedBallot}}})
+	sc.refuseWrite(0)
+	sc.advanceTicks(12)
+	if sc.violation != "" {
+		t.Fatal(sc.violation)
 	}
-	head := b.members[1].node.View().Head()
-	if b.members[1].node.Phase() != PhaseServing || head.ID == b.members[0].me.ID {
-		t.Fatalf("phase %s, head %s, waits for %q", b.members[1].node.Phase(), head.ID, b.members[1].node.WaitReason())
+	head := sc.members[1].node.View().Head()
+	if sc.members[1].node.Phase() != PhaseServing || head.ID == sc.members[0].member.ID {
+		t.Fatalf("phase %s, head %s, waits for %q", sc.members[1].node.Phase(), head.ID, sc.members[1].node.WaitReason())
 	}
-	b.write()
-	b.deliverAll()
-	if len(b.acked) < 2 {
+	sc.write()
+	sc.deliverAll()
+	if len(sc.acked) < 2 {
 		t.Fatal("nothing is acknowledged")
 	}
 }
 
 // What waits for a disk that hangs is bounded: a member that owes much promises no more.
 func TestMemberWithManyPendingWritesRefusesVotes(t *testing.T) {
-	b := newSmallChain()
-	p := b.members[1]
+	sc := newSmallChain()
+	p := sc.members[1]
 	for n := range 10 * maxPendingWrites {
-		b.step(1, MessageReceived{Msg: &Msg{From: b.members[0].me, Incarnation: b.members[0].node.opts.Incarnation,
-			Prepare: &Prepare{Number: p.node.view.Number + 1, Ballot: Ballot{Round: uint64(n + 10), Proposer: b.members[0].me.ID}}}})
+		sc.step(1, MessageReceived{Msg: &Msg{From: sc.members[0].member, Incarnation: sc.members[0].node.opts.Incarnation,
+			Prepare: &Prepare{Number: p.node.view.Number + 1, Ballot: Ballot{Round: uint64(n + 10), Proposer: sc.members[0].member.ID}}}})
 	}
-	if len(p.saves) == 0 || len(p.saves) > maxPendingWrites {
-		t.Fatalf("%d saves wait", len(p.saves))
+	if len(p.pendingPersists) == 0 || len(p.pendingPersists) > maxPendingWrites {
+		t.Fatalf("%d saves wait", len(p.pendingPersists))
 	}
 }
 
 // An order is large and is sent again until its outcome comes: it stands in the log once.
 func TestResentChangeIsLoggedOnce(t *testing.T) {
-	b := newSmallChain()
-	head := b.members[0]
+	sc := newSmallChain()
+	head := sc.members[0]
 	before := head.node.LastIndex()
 	for n := range 6 {
 		order := statemachine.Change{ID: fmt.Sprint("order-", n/3), Config: &statemachine.ConfigChange{Doc: &configuration.Declaration{Name: "d"}}}
-		b.step(0, ChangeSubmitted{Change: &order})
+		sc.step(0, ChangeSubmitted{Change: &order})
 	}
 	if head.node.LastIndex() != before+2 {
 		t.Fatalf("%d entries of two orders", head.node.LastIndex()-before)
 	}
 }
 
-// A log that is logTooLarge is begun anew, and only as many entries stay as are small enough for those behind.
+// A log that is isLogTooLarge is begun anew, and only as many entries stay as are small enough for those behind.
 func TestRetainedEntriesAreBoundedByBytes(t *testing.T) {
-	b := newSmallChain()
+	sc := newSmallChain()
 	for range 10 {
-		b.write()
-		b.deliverAll()
+		sc.write()
+		sc.deliverAll()
 	}
-	n := b.members[2].node
+	n := sc.members[2].node
 	n.opts.MaxLogBytes = 12 * entryOverheadBytes
 	before, last, commit := len(n.entries), n.LastIndex(), n.CommitIndex()
 	n.logBytes = n.opts.MaxLogBytes
@@ -139,8 +139,8 @@
 		t.Fatalf("it begins at %d on %+v", n.firstIndex(), n.base)
 	}
 	seq := n.persistSeq
-	n.Step(b.nowUs, Persisted{Seq: seq, LogBytes: n.opts.MaxLogBytes})
-	if n.persistingSnapshot() || n.logTooLarge() {
+	n.Step(sc.nowUs, Persisted{Seq: seq, LogBytes: n.opts.MaxLogBytes})
+	if n.isPersistingSnapshot() || n.isLogTooLarge() {
 		t.Fatal("a log that is no smaller when begun anew is begun anew again and again")
 	}
 }
--- a/internal/controlplane/chain/disk_stall_test.go
+++ b/internal/controlplane/chain/disk_stall_test.go
@@ -8,19 +8,19 @@
 	"petreltide/internal/process/clock"
 )
 
-// stallAll lets no disk come back with a sync for a while, from a moment on when each has one under way. Then they do so
+// stallAllDisks lets no disk come back with a sync for a while, from a moment on when each has one under way. Then they do so
 // one after the other, the first of them at once.
-func (tc *testCluster) stallAll(order []int, spanUs, apartUs int64) {
+func (tc *testCluster) stallAllDisks(order []int, spanUs, apartUs int64) {
 	for _, seat := range slices.Backward(tc.members[0].node.View().Replicas) {
-		s := tc.at(seat.Addr)
-		for len(s.saves) == 0 {
-			tc.advance(yardStepUs)
+		s := tc.memberAt(seat.Addr)
+		for len(s.pendingSyncs) == 0 {
+			tc.advance(stepUs)
 		}
-		s.slow = true
+		s.syncsHeld = true
 	}
 	tc.advance(spanUs)
 	for _, i := range order {
-		tc.members[i].slow = false
+		tc.members[i].syncsHeld = false
 		tc.advance(apartUs)
 	}
 }
@@ -32,16 +32,16 @@
 	for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
 		for _, apartUs := range []int64{5 * clock.Ms, 30 * clock.Ms, 150 * clock.Ms} {
 			t.Run(fmt.Sprint(order, " ", apartUs/clock.Ms, " ms apart"), func(t *testing.T) {
-				y := newPacedTestCluster(t, 1, 3)
-				number, most := y.members[0].node.View().Number, y.lastAcked
-				y.stallAll(order, 750*clock.Ms, apartUs)
-				y.advance(2 * clock.Sec)
-				for _, s := range y.members {
-					if now := s.node.View(); now.Number != number {
-						t.Fatalf("%s is in view %d of %d members, and was in view %d of three", s.me.ID, now.Number, len(now.Replicas), number)
+				tc := newFleetTimedCluster(t, 1, 3)
+				viewNumber, ackedBefore := tc.members[0].node.View().Number, tc.lastAcked
+				tc.stallAllDisks(order, 750*clock.Ms, apartUs)
+				tc.advance(2 * clock.Sec)
+				for _, s := range tc.members {
+					if now := s.node.View(); now.Number != viewNumber {
+						t.Fatalf("%s is in view %d of %d members, and was in view %d of three", s.member.ID, now.Number, len(now.Replicas), viewNumber)
 					}
 				}
-				if y.lastAcked <= most {
+				if tc.lastAcked <= ackedBefore {
 					t.Error("nothing was acknowledged after the stall")
 				}
 			})
@@ -55,13 +55,13 @@
 	for idle := range 3 {
 		for _, spanUs := range []int64{1000 * clock.Ms, 1150 * clock.Ms, 1300 * clock.Ms} {
 			t.Run(fmt.Sprintf("member %d is idle, %d ms", idle, spanUs/clock.Ms), func(t *testing.T) {
-				y := newPacedTestCluster(t, 1, 3)
-				number := y.members[0].node.View().Number
-				y.stallSome(idle, spanUs)
-				y.advance(2 * clock.Sec)
-				for _, s := range y.members {
-					if now := s.node.View(); now.Number != number {
-						t.Fatalf("%s is in view %d of %d members, and was in view %d of three", s.me.ID, now.Number, len(now.Replicas), number)
+				tc := newFleetTimedCluster(t, 1, 3)
+				viewNumber := tc.members[0].node.View().Number
+				tc.stallDisksWithOneIdle(idle, spanUs)
+				tc.advance(2 * clock.Sec)
+				for _, s := range tc.members {
+					if now := s.node.View(); now.Number != viewNumber {
+						t.Fatalf("%s is in view %d of %d members, and was in view %d of three", s.member.ID, now.Number, len(now.Replicas), viewNumber)
 					}
 				}
 			})
@@ -69,42 +69,42 @@
 	}
 }
 
-// stallSome stalls all disks while each but one has a sync under way.
-func (tc *testCluster) stallSome(idle int, spanUs int64) {
+// stallDisksWithOneIdle stalls all disks while each but one has a sync under way.
+func (tc *testCluster) stallDisksWithOneIdle(idle int, spanUs int64) {
 	for _, seat := range slices.Backward(tc.members[0].node.View().Replicas) {
-		s := tc.at(seat.Addr)
-		for (len(s.saves) > 0) == (s == tc.members[idle]) {
-			tc.advance(yardStepUs)
+		s := tc.memberAt(seat.Addr)
+		for (len(s.pendingSyncs) > 0) == (s == tc.members[idle]) {
+			tc.advance(stepUs)
 		}
-		s.slow = true
+		s.syncsHeld = true
 	}
 	tc.advance(spanUs)
 	for _, s := range tc.members {
-		s.slow = false
+		s.syncsHeld = false
 	}
 }
 
 // A member whose disk goes on standing still is put out all the same, by those that are back.
 func TestMemberStalledLongerThanOthersIsRemoved(t *testing.T) {
-	for stays := range 3 {
-		t.Run(fmt.Sprint("member ", stays), func(t *testing.T) {
-			y := newPacedTestCluster(t, 1, 3)
+	for stalled := range 3 {
+		t.Run(fmt.Sprint("member ", stalled), func(t *testing.T) {
+			tc := newFleetTimedCluster(t, 1, 3)
 			order := []int{}
-			for i := range y.members {
-				if i != stays {
+			for i := range tc.members {
+				if i != stalled {
 					order = append(order, i)
 				}
 			}
-			y.stallAll(order, 750*clock.Ms, 5*clock.Ms)
-			y.advance(2 * clock.Sec)
+			tc.stallAllDisks(order, 750*clock.Ms, 5*clock.Ms)
+			tc.advance(2 * clock.Sec)
 			for _, i := range order {
-				if now := y.members[i].node.View(); now.HasReplica(y.members[stays].me.ID) || len(now.Replicas) != 2 {
-					t.Fatalf("%s has %v", y.members[i].me.ID, now.Replicas)
+				if now := tc.members[i].node.View(); now.HasReplica(tc.members[stalled].member.ID) || len(now.Replicas) != 2 {
+					t.Fatalf("%s has %v", tc.members[i].member.ID, now.Replicas)
 				}
 			}
-			most := y.lastAcked
-			y.advance(clock.Sec)
-			if y.lastAcked <= most {
+			ackedBefore := tc.lastAcked
+			tc.advance(clock.Sec)
+			if tc.lastAcked <= ackedBefore {
 				t.Error("nothing is acknowledged without it")
 			}
 		})
--- a/internal/controlplane/chain/durable_test.go
+++ b/internal/controlplane/chain/durable_test.go
@@ -14,44 +14,44 @@
 // which commits the write. It may be acknowledged only once a second copy of it lies on a disk.
 func TestCommitsOfTooFewReplicasAreNotAcknowledged(t *testing.T) {
 	for seed := int64(0); seed < 6; seed++ {
-		y := grown(t, seed, 3, 3)
-		order := y.members[0].node.view.Replicas
-		head, middle, tail := y.at(order[0].Addr), y.at(order[1].Addr), y.at(order[2].Addr)
-		y.stop(tail)
-		y.advance(3 * clock.Sec)
-		y.cuts[[2]string{middle.me.Addr, tail.me.Addr}] = true
-		y.start(tail, false)
-		y.advance(3 * clock.Sec)
-		y.cuts[[2]string{head.me.Addr, middle.me.Addr}] = true
+		tc := newSettledCluster(t, seed, 3, 3)
+		order := tc.members[0].node.view.Replicas
+		head, middle, tail := tc.memberAt(order[0].Addr), tc.memberAt(order[1].Addr), tc.memberAt(order[2].Addr)
+		tc.stop(tail)
+		tc.advance(3 * clock.Sec)
+		tc.cutLinks[[2]string{middle.member.Addr, tail.member.Addr}] = true
+		tc.start(tail, false)
+		tc.advance(3 * clock.Sec)
+		tc.cutLinks[[2]string{head.member.Addr, middle.member.Addr}] = true
 		const id = "lone"
-		y.step(head, ChangeSubmitted{Change: &statemachine.Change{ID: id, Config: &statemachine.ConfigChange{
+		tc.step(head, ChangeSubmitted{Change: &statemachine.Change{ID: id, Config: &statemachine.ConfigChange{
 			Base: head.node.state.Revision, Doc: &configuration.Declaration{Name: id},
 		}}})
 		index := head.node.LastIndex()
-		lone := false
-		for endUs := y.nowUs + 6*clock.Sec; y.nowUs < endUs && len(head.node.view.Replicas) < 2 || !lone && y.nowUs < endUs; y.advance(25 * clock.Ms) {
+		committedAlone := false
+		for endUs := tc.nowUs + 6*clock.Sec; tc.nowUs < endUs && len(head.node.view.Replicas) < 2 || !committedAlone && tc.nowUs < endUs; tc.advance(25 * clock.Ms) {
 			if len(head.node.view.Replicas) == 1 && head.node.commitIndex >= index {
-				lone = true
+				committedAlone = true
 				if head.node.IsDurable(index) {
 					t.Fatalf("seed %d: a write on one disk counts as kept", seed)
 				}
 			}
 		}
-		if !lone {
+		if !committedAlone {
 			t.Fatalf("seed %d: the head never was alone with its write: %+v", seed, head.node.view.Replicas)
 		}
-		clear(y.cuts)
-		y.requireSettled(40*clock.Sec, "healed")
-		for _, s := range y.members {
+		clear(tc.cutLinks)
+		tc.requireSettled(40*clock.Sec, "healed")
+		for _, s := range tc.members {
 			if _, seen := s.node.state.Outcomes[id]; !seen || !s.node.IsDurable(index) {
-				t.Fatalf("seed %d: %s has it %v, kept %v", seed, s.me.ID, seen, s.node.IsDurable(index))
+				t.Fatalf("seed %d: %s has it %v, kept %v", seed, s.member.ID, seen, s.node.IsDurable(index))
 			}
 		}
 	}
 }
 
-// viewIn is a view by the zones of its voters and of its replicas.
-func viewIn(voters, seated string) View {
+// viewWithZones is a view by the zones of its voters and of its replicas.
+func viewWithZones(voters, seated string) View {
 	v := View{Number: 1}
 	for i, zone := range strings.Fields(voters) {
 		v.Voters = append(v.Voters, Member{ID: fmt.Sprint("m", i), Zone: zone})
@@ -80,7 +80,7 @@
 		{4, 1, "a b c", "a b c", false},
 		{1, 1, "a b c", "a", false},
 	} {
-		n := &Node{opts: Options{MinReplicas: c.copies, MinZones: c.zones}.withDefaults(), view: viewIn(c.voters, c.seated)}
+		n := &Node{opts: Options{MinReplicas: c.copies, MinZones: c.zones}.withDefaults(), view: viewWithZones(c.voters, c.seated)}
 		if n.AcceptsWrites() != c.taken {
 			t.Errorf("%d copies in %d zones, voters in %s, seats in %s: taken %v", c.copies, c.zones, c.voters, c.seated, !c.taken)
 		}
@@ -103,7 +103,7 @@
 		{3, "a1 b1 other", "a1 b1", false},
 		{2, "a1 a2 b1 b2 other", "a1 a2 other", true},
 	} {
-		n := &Node{opts: Options{MinReplicas: 2, MinRegions: c.regions, Regions: regions}.withDefaults(), view: viewIn(c.voters, c.seated)}
+		n := &Node{opts: Options{MinReplicas: 2, MinRegions: c.regions, Regions: regions}.withDefaults(), view: viewWithZones(c.voters, c.seated)}
 		if n.AcceptsWrites() != c.taken {
 			t.Errorf("%d regions, voters in %s, seats in %s: taken %v", c.regions, c.voters, c.seated, !c.taken)
 		}
@@ -116,30 +116,30 @@
 
 // A fleet whose core is one machine acknowledges on its one disk, also after a restart.
 func TestSingleMemberChainCommits(t *testing.T) {
-	y := newTestCluster(t, 1, 1, 1)
-	y.minReplicas = 1
-	only := y.members[0]
-	y.start(only, true)
-	y.requireSettled(20*clock.Sec, "founding")
-	before := y.lastAcked
-	y.stop(only)
-	y.advance(clock.Sec)
-	y.start(only, false)
-	y.requireSettled(20*clock.Sec, "restarted")
-	if y.lastAcked <= before {
-		t.Fatal(y.lastAcked, before)
+	tc := newTestCluster(t, 1, 1, 1)
+	tc.minReplicas = 1
+	only := tc.members[0]
+	tc.start(only, true)
+	tc.requireSettled(20*clock.Sec, "founding")
+	before := tc.lastAcked
+	tc.stop(only)
+	tc.advance(clock.Sec)
+	tc.start(only, false)
+	tc.requireSettled(20*clock.Sec, "restarted")
+	if tc.lastAcked <= before {
+		t.Fatal(tc.lastAcked, before)
 	}
 }
 
 // Three found the chain of seven whose acknowledgements need four copies.
 func TestMinReplicasAboveFounderCount(t *testing.T) {
-	y := newTestCluster(t, 3, 7, 3)
-	y.minReplicas = 4
-	for _, s := range y.members {
-		y.start(s, true)
+	tc := newTestCluster(t, 3, 7, 3)
+	tc.minReplicas = 4
+	for _, s := range tc.members {
+		tc.start(s, true)
 	}
-	y.requireSettled(30*clock.Sec, "founding")
-	for index, id := range y.acked {
+	tc.requireSettled(30*clock.Sec, "founding")
+	for index, id := range tc.acked {
 		if id == "founded" {
 			t.Errorf("what was written on three copies was acknowledged, at %d", index)
 		}
--- a/internal/controlplane/chain/explore_test.go
+++ b/internal/controlplane/chain/explore_test.go
@@ -21,44 +21,44 @@
 type smallChain struct {
 	nowUs        int64
 	members      []*smallMember
-	pipes        map[[2]int][]Msg
+	links        map[[2]int][]Msg
 	views        map[uint64]View
 	acked        map[uint64]string
 	crashes      int
 	ticks        int
 	writes       int
-	fills        int
+	diskRefusals int
 	incarnations int
-	broken       string
+	violation    string
 	// fenced counts the processes that a newer one of their member has replaced.
 	fenced int
 	// autoMembership: the members take each other in and drop each other without orders.
 	autoMembership bool
 	// minReplicas is how many synced copies an acknowledgement needs there.
 	minReplicas int
-	// tickEveryUs is how far apart ticks are; 0 stands for tickUs.
-	tickEveryUs int64
-	// hellosLost: hellos are lost on their way.
-	hellosLost bool
+	// tickIntervalUs is how far apart ticks are; 0 stands for tickUs.
+	tickIntervalUs int64
+	// dropHellos: hellos are lost on their way.
+	dropHellos bool
 	// cuts are the ways on which nothing arrives.
-	cuts map[[2]int]bool
+	cutLinks map[[2]int]bool
 	// alter changes a message on its way; nil leaves all as they are.
-	alter func(Msg) Msg
+	mutate func(Msg) Msg
 	// tenures follows who was open as the tail.
 	tenures tailTenures
 }
 
 type smallMember struct {
-	me    Member
-	node  *Node
-	disk  []Record
-	saves []Persist
-	full  bool
-	// removed: this machine never comes back. sinceTicks is how many ticks its process has run for.
-	removed    bool
-	sinceTicks int
-	// backUs is when it may start again.
-	backUs int64
+	member          Member
+	node            *Node
+	disk            []Record
+	pendingPersists []Persist
+	diskFull        bool
+	// removed: this machine never comes back. uptimeTicks is how many ticks its process has run for.
+	removed     bool
+	uptimeTicks int
+	// restartableUs is when it may start again.
+	restartableUs int64
 }
 
 func (n *Node) clone() *Node {
@@ -88,8 +88,8 @@
 }
 
 // key is everything that what comes next can hang on, with times taken from now.
-func (n *Node) key(nowUs int64) string {
-	ago := func(us int64) int64 {
+func (n *Node) stateKey(nowUs int64) string {
+	age := func(us int64) int64 {
 		if us == 0 {
 			return -1
 		}
@@ -99,50 +99,50 @@
 	for _, id := range n.peerIDs() {
 		p := n.peers[id]
 		h := p.hello
-		peers = append(peers, fmt.Sprint(id, h.Incarnation, h.Phase, h.View.Number, h.LastIndex, h.LastView, h.VotesRecovered, h.CaughtUp, h.PromisedBallot, h.AlivePeers, h.SnapshotIndex, h.AcceptedProposal != nil, h.Stalled, h.ShuttingDown, ago(p.lastHelloUs), n.awakeUs-p.lastHelloAwakeUs, ago(p.stalledSinceUs), ago(p.lastMutualUs)))
+		peers = append(peers, fmt.Sprint(id, h.Incarnation, h.Phase, h.View.Number, h.LastIndex, h.LastView, h.VotesRecovered, h.CaughtUp, h.PromisedBallot, h.AlivePeers, h.SnapshotIndex, h.AcceptedProposal != nil, h.Stalled, h.ShuttingDown, age(p.lastHelloUs), n.awakeUs-p.lastHelloAwakeUs, age(p.stalledSinceUs), age(p.lastMutualUs)))
 	}
-	saving := []string{}
+	pendingWrites := []string{}
 	for _, seq := range slices.Sorted(maps.Keys(n.pendingWrites)) {
 		s := n.pendingWrites[seq]
-		saving = append(saving, fmt.Sprint(ago(s.startedUs), s.entryIndex, s.snapshotIndex, s.reply != nil, s.refused))
+		pendingWrites = append(pendingWrites, fmt.Sprint(age(s.startedUs), s.entryIndex, s.snapshotIndex, s.reply != nil, s.refused))
 	}
 	leases := []string{}
 	for _, id := range slices.Sorted(maps.Keys(n.leaseGrants)) {
-		leases = append(leases, fmt.Sprint(id, ago(n.leaseGrants[id])))
+		leases = append(leases, fmt.Sprint(id, age(n.leaseGrants[id])))
 	}
 	proposal := ""
 	if c := n.proposal; c != nil {
-		proposal = fmt.Sprint(c.viewNumber, c.ballot, c.desired, c.chosen, slices.Sorted(maps.Keys(c.promises)), slices.Sorted(maps.Keys(c.acceptedBy)), c.preparing, c.dropIfUnneeded, ago(c.startedUs))
+		proposal = fmt.Sprint(c.viewNumber, c.ballot, c.desired, c.chosen, slices.Sorted(maps.Keys(c.promises)), slices.Sorted(maps.Keys(c.acceptedBy)), c.preparing, c.dropIfUnneeded, age(c.startedUs))
 	}
 	accepted := ""
 	if n.acceptedProposal != nil {
 		accepted = fmt.Sprint(*n.acceptedProposal)
 	}
 	return fmt.Sprint(n.opts.Incarnation, n.phase, n.view, n.promisedBallot, accepted, n.votesRecovered, n.caughtUp, n.shuttingDown, n.base.Index, n.lastIndex(), n.lastView(), n.commitIndex, n.syncedIndex, n.stagedIndex,
-		n.snapshotIndex, proposal, n.maxRound, ago(n.viewStableUs), ago(n.diskLaggedUs), n.pendingAccept != nil, ago(n.leaseGuardUs), ago(n.grantedLease.untilUs), ago(n.grantedLease.sentUs), ago(n.leaseReleasedUs), n.successorProgress.acked, n.successorProgress.sent, n.successorProgress.known, n.viewStartIndex, n.viewStartKnown,
-		leases, n.tailCommitIndex, ago(n.leaseUntilUs), ago(n.viewInstalledUs), ago(n.startedUs), peers, saving)
+		n.snapshotIndex, proposal, n.maxRound, age(n.viewStableUs), age(n.diskLaggedUs), n.pendingAccept != nil, age(n.leaseGuardUs), age(n.grantedLease.untilUs), age(n.grantedLease.sentUs), age(n.leaseReleasedUs), n.successorProgress.acked, n.successorProgress.sent, n.successorProgress.known, n.viewStartIndex, n.viewStartKnown,
+		leases, n.tailCommitIndex, age(n.leaseUntilUs), age(n.viewInstalledUs), age(n.startedUs), peers, pendingWrites)
 }
 
-func (sc *smallChain) key() string {
+func (sc *smallChain) stateKey() string {
 	var text strings.Builder
 	for _, p := range sc.members {
 		if p.node != nil {
-			text.WriteString(p.node.key(sc.nowUs))
+			text.WriteString(p.node.stateKey(sc.nowUs))
 		}
-		fmt.Fprint(&text, "|", len(p.saves), len(p.disk), p.full, ";")
+		fmt.Fprint(&text, "|", len(p.pendingPersists), len(p.disk), p.diskFull, ";")
 	}
 	for i := range sc.members {
 		for j := range sc.members {
-			for _, m := range sc.pipes[[2]int{i, j}] {
-				fmt.Fprint(&text, i, j, kindOf(m), messageSummary(m), ";")
+			for _, m := range sc.links[[2]int{i, j}] {
+				fmt.Fprint(&text, i, j, messageKind(m), messageSummary(m), ";")
 			}
 		}
 	}
-	fmt.Fprint(&text, len(sc.cuts), sc.crashes, sc.ticks, sc.writes, sc.fills, len(sc.acked))
+	fmt.Fprint(&text, len(sc.cutLinks), sc.crashes, sc.ticks, sc.writes, sc.diskRefusals, len(sc.acked))
 	return text.String()
 }
 
-func kindOf(m Msg) string {
+func messageKind(m Msg) string {
 	switch {
 	case m.Prepare != nil:
 		return "prepare"
@@ -193,16 +193,16 @@
 	c := *sc
 	c.members = nil
 	for _, p := range sc.members {
-		held := &smallMember{me: p.me, disk: slices.Clip(p.disk), saves: slices.Clone(p.saves), full: p.full, removed: p.removed, sinceTicks: p.sinceTicks, backUs: p.backUs}
+		held := &smallMember{member: p.member, disk: slices.Clip(p.disk), pendingPersists: slices.Clone(p.pendingPersists), diskFull: p.diskFull, removed: p.removed, uptimeTicks: p.uptimeTicks, restartableUs: p.restartableUs}
 		if p.node != nil {
 			held.node = p.node.clone()
 		}
 		c.members = append(c.members, held)
 	}
-	c.pipes = map[[2]int][]Msg{}
-	for way, list := range sc.pipes {
+	c.links = map[[2]int][]Msg{}
+	for link, list := range sc.links {
 		if len(list) > 0 {
-			c.pipes[way] = slices.Clone(list)
+			c.links[link] = slices.Clone(list)
 		}
 	}
 	c.views, c.acked, c.tenures = maps.Clone(sc.views), maps.Clone(sc.acked), sc.tenures.clone()
@@ -210,29 +210,29 @@
 }
 
 func newSmallChain() *smallChain {
-	b := &smallChain{nowUs: clock.Sec, pipes: map[[2]int][]Msg{}, views: map[uint64]View{}, acked: map[uint64]string{}}
+	sc := &smallChain{nowUs: clock.Sec, links: map[[2]int][]Msg{}, views: map[uint64]View{}, acked: map[uint64]string{}}
 	for i := 0; i < 3; i++ {
 		name := fmt.Sprintf("m%d", i)
-		b.members = append(b.members, &smallMember{me: Member{ID: name + "-1", Name: name, Addr: name}})
+		sc.members = append(sc.members, &smallMember{member: Member{ID: name + "-1", Name: name, Addr: name}})
 	}
-	for i := range b.members {
-		b.start(i, 3)
+	for i := range sc.members {
+		sc.start(i, 3)
 	}
 	for n := 0; n < 12; n++ {
-		b.tick()
-		b.deliverAll()
+		sc.tick()
+		sc.deliverAll()
 	}
-	b.ticks = 0
-	return b
+	sc.ticks = 0
+	return sc
 }
 
 func (sc *smallChain) start(i, founding int) {
 	sc.incarnations++
 	p := sc.members[i]
-	opts := Options{Self: p.me, Incarnation: fmt.Sprintf("%s/%d", p.me.ID, sc.incarnations), BootstrapCount: founding}
+	opts := Options{Self: p.member, Incarnation: fmt.Sprintf("%s/%d", p.member.ID, sc.incarnations), BootstrapCount: founding}
 	if sc.autoMembership {
 		opts.AutoMembership, opts.MinReplicas = true, sc.minReplicas
-		opts = paced(opts)
+		opts = withFleetTimings(opts)
 	}
 	node, err := NewNode(opts, p.disk, sc.nowUs)
 	if err != nil {
@@ -241,24 +241,24 @@
 	p.node = node
 	for j, other := range sc.members {
 		if j != i && !other.removed {
-			node.knownAddrs[other.me.Addr] = true
+			node.knownAddrs[other.member.Addr] = true
 		}
 	}
 }
 
 func (sc *smallChain) crash(i int) {
 	p := sc.members[i]
-	p.node, p.saves, p.full = nil, nil, false
-	for way := range sc.pipes {
-		if way[0] == i || way[1] == i {
-			delete(sc.pipes, way)
+	p.node, p.pendingPersists, p.diskFull = nil, nil, false
+	for link := range sc.links {
+		if link[0] == i || link[1] == i {
+			delete(sc.links, link)
 		}
 	}
 }
 
-func (sc *smallChain) at(addr string) int {
+func (sc *smallChain) indexOf(addr string) int {
 	for i, p := range sc.members {
-		if p.me.Addr == addr {
+		if p.member.Addr == addr {
 			return i
 		}
 	}
@@ -275,15 +275,15 @@
 	for _, e := range p.node.Step(sc.nowUs, ev) {
 		switch e := e.(type) {
 		case Send:
-			j := sc.at(e.Addr)
+			j := sc.indexOf(e.Addr)
 			if j < 0 || sc.members[j].node == nil {
 				continue
 			}
 			m := e.Msg
-			if sc.alter != nil {
-				m = sc.alter(m)
+			if sc.mutate != nil {
+				m = sc.mutate(m)
 			}
-			if sc.cuts[[2]int{i, j}] || (m.Hello != nil && sc.hellosLost) {
+			if sc.cutLinks[[2]int{i, j}] || (m.Hello != nil && sc.dropHellos) {
 				continue
 			}
 			if m.Hello != nil {
@@ -292,15 +292,15 @@
 			}
 			sc.enqueue(i, j, m)
 		case Persist:
-			p.saves = append(p.saves, e)
+			p.pendingPersists = append(p.pendingPersists, e)
 		case Applied:
-			sc.applied(p, e)
+			sc.recordApplied(p, e)
 		case Fenced:
 			sc.fenced++
 		case ViewInstalled:
 			if before, seen := sc.views[e.View.Number]; seen {
 				if diff := cmp.Diff(before, e.View); diff != "" {
-					sc.broken = fmt.Sprintf("view %d was decided twice: %s", e.View.Number, diff)
+					sc.violation = fmt.Sprintf("view %d was decided twice: %s", e.View.Number, diff)
 				}
 			}
 			sc.views[e.View.Number] = e.View
@@ -309,23 +309,23 @@
 }
 
 func (sc *smallChain) enqueue(i, j int, m Msg) {
-	way := [2]int{i, j}
-	kind := kindOf(m)
+	link := [2]int{i, j}
+	kind := messageKind(m)
 	if kind == "forward" || kind == "ack" || kind == "lease" || kind == "given" {
-		for at, older := range sc.pipes[way] {
-			if kindOf(older) == kind {
-				sc.pipes[way][at] = m
+		for at, older := range sc.links[link] {
+			if messageKind(older) == kind {
+				sc.links[link][at] = m
 				return
 			}
 		}
 	}
-	sc.pipes[way] = append(sc.pipes[way], m)
+	sc.links[link] = append(sc.links[link], m)
 }
 
-func (sc *smallChain) applied(p *smallMember, a Applied) {
+func (sc *smallChain) recordApplied(p *smallMember, a Applied) {
 	id := a.Entry.Change.ID
 	if before, seen := sc.acked[a.Entry.Index]; seen && before != id {
-		sc.broken = fmt.Sprintf("%s applies %s at %d, where %s was acknowledged", p.me.ID, id, a.Entry.Index, before)
+		sc.violation = fmt.Sprintf("%s applies %s at %d, where %s was acknowledged", p.member.ID, id, a.Entry.Index, before)
 	}
 	if p.node.IsTail() && p.node.AcceptsWrites() {
 		sc.acked[a.Entry.Index] = id
@@ -334,42 +334,42 @@
 
 func (sc *smallChain) checkInvariants() {
 	open := []string{}
-	most := uint64(0)
+	maxAcked := uint64(0)
 	for index := range sc.acked {
-		most = max(most, index)
+		maxAcked = max(maxAcked, index)
 	}
 	for _, p := range sc.members {
 		if p.node != nil {
-			most = max(most, p.node.durableIndex())
+			maxAcked = max(maxAcked, p.node.durableIndex())
 		}
 	}
 	for _, p := range sc.members {
 		if p.node != nil && p.node.IsTailReady(sc.nowUs) {
-			open = append(open, p.me.ID)
-			if p.node.CommitIndex() < most {
-				sc.broken = fmt.Sprintf("%s is open at %d, %d was acknowledged", p.me.ID, p.node.CommitIndex(), most)
+			open = append(open, p.member.ID)
+			if p.node.CommitIndex() < maxAcked {
+				sc.violation = fmt.Sprintf("%s is open at %d, %d was acknowledged", p.member.ID, p.node.CommitIndex(), maxAcked)
 			}
-			if broken := sc.tenures.check(p.node); broken != "" {
-				sc.broken = broken
+			if violation := sc.tenures.check(p.node); violation != "" {
+				sc.violation = violation
 			}
 		}
 	}
 	if len(open) > 1 {
-		sc.broken = fmt.Sprintf("two open tails: %v", open)
+		sc.violation = fmt.Sprintf("two open tails: %v", open)
 	}
 }
 
 const tickUs = 350 * clock.Ms
 
-func (sc *smallChain) tickLength() int64 {
-	if sc.tickEveryUs > 0 {
-		return sc.tickEveryUs
+func (sc *smallChain) tickDurationUs() int64 {
+	if sc.tickIntervalUs > 0 {
+		return sc.tickIntervalUs
 	}
 	return tickUs
 }
 
 func (sc *smallChain) tick() {
-	sc.nowUs += sc.tickLength()
+	sc.nowUs += sc.tickDurationUs()
 	sc.ticks++
 	for i := range sc.members {
 		sc.step(i, Tick{})
@@ -377,20 +377,20 @@
 }
 
 // ready: the next save of this member may be synced.
-func (p *smallMember) ready() bool { return len(p.saves) > 0 && !p.full }
+func (p *smallMember) canSync() bool { return len(p.pendingPersists) > 0 && !p.diskFull }
 
 // fill makes a disk refuse its next save, and all until it takes bytes again.
-func (sc *smallChain) fill(i int) {
-	sc.fills++
+func (sc *smallChain) refuseWrite(i int) {
+	sc.diskRefusals++
 	p := sc.members[i]
-	p.full = true
-	sc.step(i, PersistRefused{Seq: p.saves[0].Seq})
+	p.diskFull = true
+	sc.step(i, PersistRefused{Seq: p.pendingPersists[0].Seq})
 }
 
-func (sc *smallChain) synced(i int) {
+func (sc *smallChain) syncNext(i int) {
 	p := sc.members[i]
-	s := p.saves[0]
-	p.saves = p.saves[1:]
+	s := p.pendingPersists[0]
+	p.pendingPersists = p.pendingPersists[1:]
 	if s.Compact {
 		p.disk = nil
 	}
@@ -401,10 +401,10 @@
 	sc.step(i, Persisted{Seq: s.Seq})
 }
 
-func (sc *smallChain) deliver(way [2]int) {
-	m := sc.pipes[way][0]
-	sc.pipes[way] = slices.Clone(sc.pipes[way][1:])
-	sc.step(way[1], MessageReceived{Msg: &m})
+func (sc *smallChain) deliver(link [2]int) {
+	m := sc.links[link][0]
+	sc.links[link] = slices.Clone(sc.links[link][1:])
+	sc.step(link[1], MessageReceived{Msg: &m})
 }
 
 // deliverAll carries out all that is under way, in one fixed order.
@@ -412,12 +412,12 @@
 	for n := 0; n < 400; n++ {
 		moved := false
 		for i := range sc.members {
-			if sc.members[i].ready() {
-				sc.synced(i)
+			if sc.members[i].canSync() {
+				sc.syncNext(i)
 				moved = true
 			}
 			for j := range sc.members {
-				if len(sc.pipes[[2]int{i, j}]) > 0 {
+				if len(sc.links[[2]int{i, j}]) > 0 {
 					sc.deliver([2]int{i, j})
 					moved = true
 				}
@@ -440,14 +440,14 @@
 	}
 }
 
-type limits struct {
-	crashes, ticks, writes, fills int
+type exploreLimits struct {
+	crashes, ticks, writes, diskRefusals int
 	// heals: links that are cut may be whole again.
-	heals bool
+	healLinks bool
 }
 
 // next lists every state one action away.
-func (sc *smallChain) next(l limits) []*smallChain {
+func (sc *smallChain) nextStates(l exploreLimits) []*smallChain {
 	out := []*smallChain{}
 	try := func(act func(c *smallChain)) {
 		c := sc.clone()
@@ -456,31 +456,31 @@
 		out = append(out, c)
 	}
 	for i := range sc.members {
-		if sc.members[i].ready() {
-			try(func(c *smallChain) { c.synced(i) })
-			if sc.fills < l.fills && sc.crashes == 0 {
-				try(func(c *smallChain) { c.fill(i) })
+		if sc.members[i].canSync() {
+			try(func(c *smallChain) { c.syncNext(i) })
+			if sc.diskRefusals < l.diskRefusals && sc.crashes == 0 {
+				try(func(c *smallChain) { c.refuseWrite(i) })
 			}
 		}
-		if sc.members[i].full {
-			try(func(c *smallChain) { c.members[i].full = false })
+		if sc.members[i].diskFull {
+			try(func(c *smallChain) { c.members[i].diskFull = false })
 		}
 		for j := range sc.members {
-			if way := [2]int{i, j}; len(sc.pipes[way]) > 0 {
-				try(func(c *smallChain) { c.deliver(way) })
+			if link := [2]int{i, j}; len(sc.links[link]) > 0 {
+				try(func(c *smallChain) { c.deliver(link) })
 			}
 		}
 		if sc.members[i].node == nil {
 			try(func(c *smallChain) { c.start(i, 0) })
-		} else if sc.crashes < l.crashes && sc.fills == 0 {
+		} else if sc.crashes < l.crashes && sc.diskRefusals == 0 {
 			try(func(c *smallChain) {
 				c.crashes++
 				c.crash(i)
 			})
 		}
 	}
-	if l.heals && len(sc.cuts) > 0 {
-		try(func(c *smallChain) { c.cuts = nil })
+	if l.healLinks && len(sc.cutLinks) > 0 {
+		try(func(c *smallChain) { c.cutLinks = nil })
 	}
 	if sc.ticks < l.ticks {
 		try(func(c *smallChain) { c.tick() })
@@ -493,25 +493,25 @@
 
 // explore goes through every state within a depth, each once; it reports how many there are, and how
 // many views and acknowledgements they held.
-func explore(t *testing.T, from *smallChain, depth int, l limits) (states, views, acked int) {
+func explore(t *testing.T, from *smallChain, depth int, l exploreLimits) (states, views, acked int) {
 	t.Helper()
-	seen := map[string]bool{from.key(): true}
-	edge := []*smallChain{from}
+	seen := map[string]bool{from.stateKey(): true}
+	frontier := []*smallChain{from}
 	for d := 0; d < depth; d++ {
-		var beyond []*smallChain
-		for _, b := range edge {
-			for _, c := range b.next(l) {
-				if c.broken != "" {
-					t.Fatalf("depth %d: %s", d+1, c.broken)
+		var next []*smallChain
+		for _, sc := range frontier {
+			for _, c := range sc.nextStates(l) {
+				if c.violation != "" {
+					t.Fatalf("depth %d: %s", d+1, c.violation)
 				}
-				if k := c.key(); !seen[k] {
+				if k := c.stateKey(); !seen[k] {
 					seen[k] = true
-					beyond = append(beyond, c)
+					next = append(next, c)
 				}
 				views, acked = max(views, len(c.views)), max(acked, len(c.acked))
 			}
 		}
-		edge = beyond
+		frontier = next
 	}
 	return len(seen), views, acked
 }
@@ -535,12 +535,12 @@
 func scenarios() map[string]func() *smallChain {
 	down := func(i int) func() *smallChain {
 		return func() *smallChain {
-			b := newSmallChain()
-			b.write()
-			b.deliverAll()
-			b.crash(i)
-			b.advanceIsolated(3)
-			return b
+			sc := newSmallChain()
+			sc.write()
+			sc.deliverAll()
+			sc.crash(i)
+			sc.advanceIsolated(3)
+			return sc
 		}
 	}
 	return map[string]func() *smallChain{
@@ -548,69 +548,69 @@
 		"the middle is gone": down(1),
 		"the tail is gone":   down(2),
 		"a write under way as the tail goes": func() *smallChain {
-			b := newSmallChain()
-			b.write()
-			b.synced(0)
-			b.crash(2)
-			b.advanceIsolated(3)
-			return b
+			sc := newSmallChain()
+			sc.write()
+			sc.syncNext(0)
+			sc.crash(2)
+			sc.advanceIsolated(3)
+			return sc
 		},
 		"an empty one joins": func() *smallChain {
-			b := newSmallChain()
-			b.write()
-			b.deliverAll()
-			b.crash(1)
-			b.advanceTicks(8)
-			b.members[1].disk, b.members[1].me.ID = nil, "m1-2"
-			b.start(1, 0)
-			b.advanceIsolated(2)
-			return b
+			sc := newSmallChain()
+			sc.write()
+			sc.deliverAll()
+			sc.crash(1)
+			sc.advanceTicks(8)
+			sc.members[1].disk, sc.members[1].member.ID = nil, "m1-2"
+			sc.start(1, 0)
+			sc.advanceIsolated(2)
+			return sc
 		},
 		"one that lost its last records joins": func() *smallChain {
-			b := newSmallChain()
-			b.write()
-			b.deliverAll()
-			disk := b.members[2].disk
-			b.crash(2)
-			b.advanceTicks(6)
-			b.members[2].disk = disk[:len(disk)-2]
-			b.start(2, 0)
-			b.advanceIsolated(2)
-			return b
+			sc := newSmallChain()
+			sc.write()
+			sc.deliverAll()
+			disk := sc.members[2].disk
+			sc.crash(2)
+			sc.advanceTicks(6)
+			sc.members[2].disk = disk[:len(disk)-2]
+			sc.start(2, 0)
+			sc.advanceIsolated(2)
+			return sc
 		},
 		"all restart, one of them lossy": func() *smallChain {
-			b := newSmallChain()
-			b.write()
-			b.deliverAll()
-			for i := range b.members {
-				b.crash(i)
+			sc := newSmallChain()
+			sc.write()
+			sc.deliverAll()
+			for i := range sc.members {
+				sc.crash(i)
 			}
-			b.members[0].disk = b.members[0].disk[:len(b.members[0].disk)-2]
-			for i := range b.members {
-				b.start(i, 0)
+			sc.members[0].disk = sc.members[0].disk[:len(sc.members[0].disk)-2]
+			for i := range sc.members {
+				sc.start(i, 0)
 			}
-			b.advanceIsolated(1)
-			return b
+			sc.advanceIsolated(1)
+			return sc
 		},
 	}
 }
 
 const (
-	exploreDepth = 6
-	racedDepth   = 3
-	pathMost     = 84
-	pathStride   = 6
+	exploreDepth  = 6
+	raceDepth     = 3
+	maxPathLength = 84
+	pathStride    = 6
 )
 
-// requireProgress takes the one action that comes first in a fixed order, or a tick where nothing is under way.
-func (sc *smallChain) requireProgress() {
+// advanceOnce takes the one action that comes first in a fixed order, or a tick where nothing is under way.
+func (sc *smallChain) advanceOnce() {
 	for i := range sc.members {
-		if sc.members[i].ready() {
-			sc.synced(i)
+		if sc.members[i].canSync() {
+			sc.syncNext(i)
 			return
 		}
 		for j := range sc.members {
-			if len(sc.pipes[[2]int{i, j}]) > 0 {
+			if len(sc.links[[2]int{i, j}]) > 0 {
 				sc.deliver([2]int{i, j})
 				return
 			}
@@ -624,25 +624,25 @@
 // deliveries, syncs, ticks, writes, a crash and restarts up to a depth.
 func TestEveryInterleavingOfSmallChains(t *testing.T) {
 	depth, stride := exploreDepth, pathStride
-	if raced {
-		depth, stride = racedDepth, 2*pathStride
+	if raceEnabled {
+		depth, stride = raceDepth, 2*pathStride
 	}
 	all := scenarios()
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := all[name]()
-			first := len(b.views)
+			sc := all[name]()
+			first := len(sc.views)
 			states, views, acked, starts := 0, 0, 0, 0
-			for n := 0; n < pathMost; n++ {
+			for n := 0; n < maxPathLength; n++ {
 				if n%stride == 0 {
-					s, v, a := explore(t, b.clone(), depth, limits{crashes: 1, ticks: 2, writes: b.writes + 1, fills: 1})
+					s, v, a := explore(t, sc.clone(), depth, exploreLimits{crashes: 1, ticks: 2, writes: sc.writes + 1, diskRefusals: 1})
 					states, views, acked, starts = states+s, max(views, v), max(acked, a), starts+1
 				}
-				b.requireProgress()
-				b.checkInvariants()
-				if b.broken != "" {
-					t.Fatal(b.broken)
+				sc.advanceOnce()
+				sc.checkInvariants()
+				if sc.violation != "" {
+					t.Fatal(sc.violation)
 				}
 			}
 			t.Logf("%d states within %d actions of %d states on the way, %d view changes, %d acknowledged", states, depth, starts, views-first, acked)
@@ -657,7 +657,7 @@
 func TestLongWalksThroughViewChanges(t *testing.T) {
 	all := scenarios()
 	walks := 400
-	if raced {
+	if raceEnabled {
 		walks = 40
 	}
 	for _, name := range slices.Sorted(maps.Keys(all)) {
@@ -665,26 +665,26 @@
 			t.Parallel()
 			views, acked := 0, 0
 			for seed := 0; seed < walks; seed++ {
-				b := all[name]()
+				sc := all[name]()
 				r := uint64(seed)*2654435761 + 1
 				for n := 0; n < 500; n++ {
 					r ^= r << 13
 					r ^= r >> 7
 					r ^= r << 17
-					b.ticks, b.writes = 0, min(b.writes, n/40)
-					b.crashes = min(b.crashes, n/150)
-					nexts := b.choices(r)
+					sc.ticks, sc.writes = 0, min(sc.writes, n/40)
+					sc.crashes = min(sc.crashes, n/150)
+					nexts := sc.randomActions(r)
 					if len(nexts) == 0 {
-						b.tick()
+						sc.tick()
 					} else {
-						nexts[r%uint64(len(nexts))](b)
+						nexts[r%uint64(len(nexts))](sc)
 					}
-					b.checkInvariants()
-					if b.broken != "" {
-						t.Fatalf("walk %d, action %d: %s", seed, n, b.broken)
+					sc.checkInvariants()
+					if sc.violation != "" {
+						t.Fatalf("walk %d, action %d: %s", seed, n, sc.violation)
 					}
 				}
-				views, acked = max(views, len(b.views)), max(acked, len(b.acked))
+				views, acked = max(views, len(sc.views)), max(acked, len(sc.acked))
 			}
 			t.Logf("%d walks of 500 actions, up to %d views, %d acknowledged", walks, views, acked)
 			if views < 4 || acked < 2 {
@@ -694,51 +694,51 @@
 	}
 }
 
-const crashEvery = 50
+const crashInterval = 50
 
 // choices are the actions open at a moment, crashes and ticks kept rarer than deliveries.
-func (sc *smallChain) choices(r uint64) []func(*smallChain) {
-	acts := []func(*smallChain){}
+func (sc *smallChain) randomActions(r uint64) []func(*smallChain) {
+	actions := []func(*smallChain){}
 	down := 0
 	for i := range sc.members {
-		if sc.members[i].ready() {
-			acts = append(acts, func(c *smallChain) { c.synced(i) })
+		if sc.members[i].canSync() {
+			actions = append(actions, func(c *smallChain) { c.syncNext(i) })
 			if r%40 == 7 {
-				acts = append(acts, func(c *smallChain) { c.fill(i) })
+				actions = append(actions, func(c *smallChain) { c.refuseWrite(i) })
 			}
 		}
-		if sc.members[i].full && r%12 == 5 {
-			acts = append(acts, func(c *smallChain) { c.members[i].full = false })
+		if sc.members[i].diskFull && r%12 == 5 {
+			actions = append(actions, func(c *smallChain) { c.members[i].diskFull = false })
 		}
 		for j := range sc.members {
-			if way := [2]int{i, j}; len(sc.pipes[way]) > 0 {
-				acts = append(acts, func(c *smallChain) { c.deliver(way) })
+			if link := [2]int{i, j}; len(sc.links[link]) > 0 {
+				actions = append(actions, func(c *smallChain) { c.deliver(link) })
 			}
 		}
 		if sc.members[i].node == nil {
 			down++
 			if r%8 == 0 {
-				acts = append(acts, func(c *smallChain) { c.start(i, 0) })
+				actions = append(actions, func(c *smallChain) { c.start(i, 0) })
 			}
 		}
 	}
-	if r%crashEvery == 1 && down == 0 {
-		acts = append(acts, func(c *smallChain) { c.crash(int(r/64) % 3) })
+	if r%crashInterval == 1 && down == 0 {
+		actions = append(actions, func(c *smallChain) { c.crash(int(r/64) % 3) })
 	}
 	if r%20 == 3 {
-		acts = append(acts, (*smallChain).write)
+		actions = append(actions, (*smallChain).write)
 	}
 	if r%6 == 2 {
-		acts = append(acts, (*smallChain).tick)
+		actions = append(actions, (*smallChain).tick)
 	}
-	return acts
+	return actions
 }
 
 func TestRecordsRoundTripAsJSON(t *testing.T) {
-	b := newSmallChain()
-	b.write()
-	b.deliverAll()
-	raw, err := json.Marshal(b.members[0].disk)
+	sc := newSmallChain()
+	sc.write()
+	sc.deliverAll()
+	raw, err := json.Marshal(sc.members[0].disk)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -746,8 +746,8 @@
 	if err := json.Unmarshal(raw, &back); err != nil {
 		t.Fatal(err)
 	}
-	node, err := NewNode(Options{Self: b.members[0].me, Incarnation: "x"}, back, b.nowUs)
-	if err != nil || node.LastIndex() != b.members[0].node.LastIndex() || node.View().Number != b.members[0].node.View().Number {
+	node, err := NewNode(Options{Self: sc.members[0].member, Incarnation: "x"}, back, sc.nowUs)
+	if err != nil || node.LastIndex() != sc.members[0].node.LastIndex() || node.View().Number != sc.members[0].node.View().Number {
 		t.Fatal(err, node.LastIndex(), node.View())
 	}
 }
--- a/internal/controlplane/chain/hello.go
+++ b/internal/controlplane/chain/hello.go
@@ -25,7 +25,7 @@
 func (n *Node) currentHello() Hello {
 	h := Hello{
 		Member: n.opts.Self, Incarnation: n.opts.Incarnation, Phase: n.phase, View: n.view, LastIndex: n.lastIndex(), LastView: n.lastView(),
-		VotesRecovered: n.votesRecovered, CaughtUp: n.caughtUp && n.canBeSeated(), Stalled: n.diskStalled(), PromisedBallot: n.promisedBallot, AcceptedProposal: n.acceptedProposal,
+		VotesRecovered: n.votesRecovered, CaughtUp: n.caughtUp && n.canBeReplica(), Stalled: n.isDiskStalled(), PromisedBallot: n.promisedBallot, AcceptedProposal: n.acceptedProposal,
 		Founders: n.founders, SnapshotIndex: n.snapshotIndex, FirstStart: n.opts.FirstStart, ShuttingDown: n.shuttingDown,
 		Start: n.startNumber,
 	}
@@ -39,7 +39,7 @@
 
 func (n *Node) broadcastHello() {
 	h := n.currentHello()
-	reached := map[string]bool{n.opts.Self.Addr: true}
+	sentAddrs := map[string]bool{n.opts.Self.Addr: true}
 	all := n.knownMembers()
 	ids := make([]string, 0, len(all))
 	for id := range all {
@@ -47,13 +47,13 @@
 	}
 	sort.Strings(ids)
 	for _, id := range ids {
-		reached[all[id].Addr] = true
-		told := h
-		told.KnownStarts = n.startsToTell(n.peers[id])
+		sentAddrs[all[id].Addr] = true
+		hello := h
+		hello.KnownStarts = n.startsToSend(n.peers[id])
 		if p := n.peers[id]; p != nil && n.IsAlive(id) && p.hello.View.Number == n.view.Number {
-			told.View = View{Number: n.view.Number, System: n.view.System}
+			hello.View = View{Number: n.view.Number, System: n.view.System}
 		}
-		n.send(all[id], Msg{Hello: &told})
+		n.send(all[id], Msg{Hello: &hello})
 	}
 	addrs := make([]string, 0, len(n.knownAddrs))
 	for addr := range n.knownAddrs {
@@ -61,7 +61,7 @@
 	}
 	sort.Strings(addrs)
 	for _, addr := range addrs {
-		if !reached[addr] {
+		if !sentAddrs[addr] {
 			n.send(Member{Addr: addr}, Msg{Hello: &h})
 		}
 	}
@@ -82,8 +82,8 @@
 		return
 	}
 	p := n.peers[h.Member.ID]
-	startReplica := p == nil || p.hello.Incarnation != h.Incarnation
-	if startReplica {
+	isNewIncarnation := p == nil || p.hello.Incarnation != h.Incarnation
+	if isNewIncarnation {
 		p = &peer{lastMutualUs: n.nowUs, lastMutualAwakeUs: n.awakeUs}
 		n.peers[h.Member.ID] = p
 	}
@@ -111,7 +111,7 @@
 			n.persist([]Record{{AcceptedProposal: n.acceptedProposal}}, 0, nil)
 		}
 	}
-	if startReplica {
+	if isNewIncarnation {
 		n.sendHello(h.Member)
 	}
 	n.maybeRecoverVotes()
@@ -122,7 +122,7 @@
 // on, so that an answer is answered once at most.
 func (n *Node) sendHello(to Member) {
 	h := n.currentHello()
-	h.KnownStarts = n.startsToTell(n.peers[to.ID])
+	h.KnownStarts = n.startsToSend(n.peers[to.ID])
 	n.send(to, Msg{Hello: &h})
 }
 
@@ -132,18 +132,18 @@
 	if n.votesRecovered || n.phase == PhaseBootstrap {
 		return
 	}
-	heard, wanted := 0, 0
+	recovered, others := 0, 0
 	for _, v := range n.view.Voters {
 		if v.ID == n.opts.Self.ID {
 			continue
 		}
-		wanted++
+		others++
 		if n.IsAlive(v.ID) && n.hasRecordedStart(n.peers[v.ID].hello) {
-			heard++
+			recovered++
 		}
 	}
-	waited := n.nowUs-n.startedUs >= n.opts.VoteRecoveryTimeoutUs && heard+1 >= n.view.QuorumSize()
-	if heard == wanted || waited || n.view.Number == 0 {
+	waited := n.nowUs-n.startedUs >= n.opts.VoteRecoveryTimeoutUs && recovered+1 >= n.view.QuorumSize()
+	if recovered == others || waited || n.view.Number == 0 {
 		n.votesRecovered = true
 		n.handlePendingPrepare()
 	}
@@ -152,9 +152,9 @@
 // handlePendingPrepare answers the request for a vote that came before this member had compared notes, as if it had been on its
 // way until now: whoever asked would ask again only after a while.
 func (n *Node) handlePendingPrepare() {
-	asked := n.pendingPrepare
+	pending := n.pendingPrepare
 	n.pendingPrepare = nil
-	if asked != nil {
-		n.handlePrepare(*asked, *asked.Prepare)
+	if pending != nil {
+		n.handlePrepare(*pending, *pending.Prepare)
 	}
 }
--- a/internal/controlplane/chain/join.go
+++ b/internal/controlplane/chain/join.go
@@ -33,12 +33,12 @@
 }
 
 func (n *Node) reachesChain(h Hello) bool {
-	hears := map[string]bool{}
+	heard := map[string]bool{}
 	for _, id := range h.AlivePeers {
-		hears[id] = true
+		heard[id] = true
 	}
 	for _, s := range n.view.Replicas {
-		if !hears[s.ID] {
+		if !heard[s.ID] {
 			return false
 		}
 	}
@@ -101,25 +101,25 @@
 		return nil, 0, false
 	}
 	p := n.peers[m.ID]
-	first := (p != nil && p.hello.FirstStart) || (m.ID == n.opts.Self.ID && n.opts.FirstStart)
-	waits := false
+	isFirstStart := (p != nil && p.hello.FirstStart) || (m.ID == n.opts.Self.ID && n.opts.FirstStart)
+	mustWait := false
 	for i, v := range n.view.Voters {
-		if first || (n.view.HasReplica(v.ID) && !n.memberShuttingDown(v.ID)) {
+		if isFirstStart || (n.view.HasReplica(v.ID) && !n.isMemberShuttingDown(v.ID)) {
 			continue
 		}
-		if !n.memberShuttingDown(v.ID) && n.aliveWithin(v.ID, 3*n.opts.SuspectTimeoutUs) {
-			waits = waits || !n.IsAlive(v.ID)
+		if !n.isMemberShuttingDown(v.ID) && n.aliveWithin(v.ID, 3*n.opts.SuspectTimeoutUs) {
+			mustWait = mustWait || !n.IsAlive(v.ID)
 			continue
 		}
 		voters := append([]Member(nil), n.view.Voters...)
 		voters[i] = m
 		return voters, 0, true
 	}
-	if waits {
+	if mustWait {
 		return nil, 0, false
 	}
 	extra = 1
-	if first {
+	if isFirstStart {
 		extra = 0
 	}
 	return append(append([]Member(nil), n.view.Voters...), m), extra, true
@@ -148,9 +148,9 @@
 		if n.view.HasReplica(id) || !n.IsAlive(id) || p.hello.Phase == PhaseServing || p.hello.Stalled || p.hello.ShuttingDown {
 			continue
 		}
-		seated := n.canJoin(p.hello.Member)
+		eligible := n.canJoin(p.hello.Member)
 		stale := p.hello.SnapshotIndex == 0 || p.hello.SnapshotIndex+uint64(n.opts.MaxRetainedEntries)/2 < n.commitIndex
-		if !seated || !stale || p.hello.View.Number != n.view.Number {
+		if !eligible || !stale || p.hello.View.Number != n.view.Number {
 			continue
 		}
 		n.snapshotOfferedUs = n.nowUs
@@ -160,7 +160,7 @@
 
 func (n *Node) handleInstallSnapshot(m Msg, j InstallSnapshot) {
 	tail := n.view.Tail()
-	if n.serving() || j.View != n.view.Number || j.Incarnation != n.opts.Incarnation || m.From.ID != tail.ID || m.Incarnation != tail.Incarnation {
+	if n.isServing() || j.View != n.view.Number || j.Incarnation != n.opts.Incarnation || m.From.ID != tail.ID || m.Incarnation != tail.Incarnation {
 		return
 	}
 	if n.phase == PhaseRestarted {
--- a/internal/controlplane/chain/lease.go
+++ b/internal/controlplane/chain/lease.go
@@ -3,7 +3,7 @@
 import "sort"
 
 func (n *Node) retryPendingAccept() {
-	if n.pendingAccept == nil || (n.nowUs < n.leaseGuardEndUs() && !n.superseded(n.view.Tail())) {
+	if n.pendingAccept == nil || (n.nowUs < n.leaseGuardEndUs() && !n.isSuperseded(n.view.Tail())) {
 		return
 	}
 	m := *n.pendingAccept
@@ -78,7 +78,7 @@
 
 // awaitsReplacement: this tail waits to be put out. Where that does not happen it asks for its lease again.
 func (n *Node) awaitsReplacement() bool {
-	return n.diskRefusing() && n.leaseReleasedUs > 0 && n.nowUs-n.leaseReleasedUs < n.opts.SuspectTimeoutUs
+	return n.isDiskRefusing() && n.leaseReleasedUs > 0 && n.nowUs-n.leaseReleasedUs < n.opts.SuspectTimeoutUs
 }
 
 // isReplaceable says that the others can decide on a view without this member and serve in it: a quorum of voters is
@@ -112,17 +112,17 @@
 // voters of now meets every quorum of the next ones where a vote only comes or goes, not where one takes another's
 // place; the tail itself, though, gives itself no lease of the view before.
 func (n *Node) endsTailLease(next View) bool {
-	now, then := n.view.Tail(), next.Tail()
-	if now.ID != then.ID || now.Incarnation != then.Incarnation {
+	currentTail, nextTail := n.view.Tail(), next.Tail()
+	if currentTail.ID != nextTail.ID || currentTail.Incarnation != nextTail.Incarnation {
 		return true
 	}
-	return hasOtherVoter(next, n.view, then.ID) && hasOtherVoter(n.view, next, "")
+	return hasVoterNotIn(next, n.view, nextTail.ID) && hasVoterNotIn(n.view, next, "")
 }
 
-// hasOtherVoter says that somebody votes in one view who does not in another; one member does not count.
-func hasOtherVoter(in, notIn View, except string) bool {
-	for _, m := range in.Voters {
-		if m.ID != except && !notIn.IsVoter(m.ID) {
+// hasVoterNotIn says that somebody votes in one view who does not in another; one member does not count.
+func hasVoterNotIn(v, other View, except string) bool {
+	for _, m := range v.Voters {
+		if m.ID != except && !other.IsVoter(m.ID) {
 			return true
 		}
 	}
@@ -132,8 +132,8 @@
 // guardCarriedLease: a tail that stays keeps its lease as the votes change. Several such changes in a row could lead to
 // voters none of whom gave it; so whoever installs one waits as if it had given a lease then.
 func (n *Node) guardCarriedLease(next View) {
-	now, then := n.view.Tail(), next.Tail()
-	if now.ID == then.ID && now.Incarnation == then.Incarnation && n.view.Number > 0 && (hasOtherVoter(next, n.view, "") || hasOtherVoter(n.view, next, "")) {
+	currentTail, nextTail := n.view.Tail(), next.Tail()
+	if currentTail.ID == nextTail.ID && currentTail.Incarnation == nextTail.Incarnation && n.view.Number > 0 && (hasVoterNotIn(next, n.view, "") || hasVoterNotIn(n.view, next, "")) {
 		n.leaseGuardUs = max(n.leaseGuardUs, n.nowUs+n.opts.LeaseDurationUs)
 	}
 }
--- a/internal/controlplane/chain/lease_yield_test.go
+++ b/internal/controlplane/chain/lease_yield_test.go
@@ -43,33 +43,33 @@
 		}
 		n.votesRecovered = true
 		nowUs := 4 * clock.Sec
-		got := func(from string, m Msg) []Effect {
+		receive := func(from string, m Msg) []Effect {
 			m.From, m.Incarnation = seat(from).Member, seat(from).Incarnation
 			return n.Step(nowUs, MessageReceived{Msg: &m})
 		}
 		if c.next.Number > 0 {
-			got("b", Msg{Accept: &Accept{Number: 6, Ballot: Ballot{Round: 1, Proposer: "b"}, View: c.next}})
+			receive("b", Msg{Accept: &Accept{Number: 6, Ballot: Ballot{Round: 1, Proposer: "b"}, View: c.next}})
 			if n.acceptedProposal == nil {
 				t.Fatalf("%s: not accepted", name)
 			}
 		}
-		given := false
-		for _, e := range got("c", Msg{Lease: &Lease{View: 5, SentUs: 1}}) {
+		granted := false
+		for _, e := range receive("c", Msg{Lease: &Lease{View: 5, SentUs: 1}}) {
 			send, ok := e.(Send)
-			given = given || (ok && send.Msg.Lease != nil && send.Msg.Lease.Granted)
+			granted = granted || (ok && send.Msg.Lease != nil && send.Msg.Lease.Granted)
 		}
-		if given != c.lease {
-			t.Errorf("%s: a lease is given: %v", name, given)
+		if granted != c.lease {
+			t.Errorf("%s: a lease is given: %v", name, granted)
 		}
-		asked := false
+		proposed := false
 		for endUs := nowUs + 3*n.opts.SuspectTimeoutUs; nowUs < endUs && !c.lease; nowUs += 25 * clock.Ms {
 			for _, e := range n.Step(nowUs, Tick{}) {
 				send, ok := e.(Send)
-				asked = asked || (ok && send.Msg.Prepare != nil)
+				proposed = proposed || (ok && send.Msg.Prepare != nil)
 			}
 		}
-		if asked == c.lease {
-			t.Errorf("%s: it takes the next view up: %v", name, asked)
+		if proposed == c.lease {
+			t.Errorf("%s: it takes the next view up: %v", name, proposed)
 		}
 	}
 }
--- a/internal/controlplane/chain/lossy_links_test.go
+++ b/internal/controlplane/chain/lossy_links_test.go
@@ -9,7 +9,7 @@
 
 // injectFaults does one thing to a chain and takes it back.
 func (tc *testCluster) injectFaults() {
-	live := tc.living()
+	live := tc.remainingMembers()
 	s := live[tc.r.Intn(len(live))]
 	switch tc.r.Intn(7) {
 	case 0, 1:
@@ -30,21 +30,21 @@
 		tc.advance(tc.r.Int63n(3 * clock.Sec))
 		tc.start(s, false)
 	case 4:
-		s.slow = true
+		s.syncsHeld = true
 		tc.advance(tc.r.Int63n(2 * clock.Sec))
-		s.slow = false
+		s.syncsHeld = false
 	case 5:
 		for _, a := range live {
 			for _, b := range live {
 				if a != b && tc.r.Intn(3) == 0 {
-					tc.cuts[[2]string{a.me.Addr, b.me.Addr}] = true
+					tc.cutLinks[[2]string{a.member.Addr, b.member.Addr}] = true
 				}
 			}
 		}
 		s.paused = tc.r.Intn(2) == 0
 		tc.advance(tc.r.Int63n(3 * clock.Sec))
 		s.paused = false
-		clear(tc.cuts)
+		clear(tc.cutLinks)
 	case 6:
 		for _, o := range live {
 			tc.stop(o)
@@ -62,28 +62,28 @@
 // the others, may bring them; processes stand still and go on, at any moment. One chain, nothing acknowledged is lost,
 // and in the end all are in it.
 func TestSeededLossyLinksAndPauses(t *testing.T) {
-	seeds := int64(looseSeeds * exploreFactor())
-	if raced {
+	seeds := int64(lossyLinkSeeds * exploreFactor())
+	if raceEnabled {
 		seeds = 6
 	}
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			y := newTestCluster(t, seed, []int{3, 3, 5}[seed%3], 3)
-			y.paced, y.minReplicas, y.lossyLinks = seed%2 == 0, 2, true
-			for _, s := range y.members {
-				y.start(s, true)
+			tc := newTestCluster(t, seed, []int{3, 3, 5}[seed%3], 3)
+			tc.fleetTimings, tc.minReplicas, tc.lossyLinks = seed%2 == 0, 2, true
+			for _, s := range tc.members {
+				tc.start(s, true)
 			}
-			y.requireSettled(60*clock.Sec, "founding")
+			tc.requireSettled(60*clock.Sec, "founding")
 			for range 20 {
-				y.injectFaults()
+				tc.injectFaults()
 			}
-			y.requireSettled(60*clock.Sec, "in the end")
-			if len(y.views) < 4 || y.lastAcked < 50 {
-				t.Errorf("%d views, %d acknowledged: it proves little", len(y.views), y.lastAcked)
+			tc.requireSettled(60*clock.Sec, "in the end")
+			if len(tc.views) < 4 || tc.lastAcked < 50 {
+				t.Errorf("%d views, %d acknowledged: it proves little", len(tc.views), tc.lastAcked)
 			}
 		})
 	}
 }
 
-const looseSeeds = 60
+const lossyLinkSeeds = 60
--- a/internal/controlplane/chain/membership.go
+++ b/internal/controlplane/chain/membership.go
@@ -57,11 +57,11 @@
 			holders++
 		}
 	}
-	return holders >= 2 && n.caughtUpHeadWithout(o.ID)
+	return holders >= 2 && n.hasCaughtUpHeadWithout(o.ID)
 }
 
-// caughtUpHeadWithout: a member that has everything comes first also once this one is gone.
-func (n *Node) caughtUpHeadWithout(id string) bool {
+// hasCaughtUpHeadWithout: a member that has everything comes first also once this one is gone.
+func (n *Node) hasCaughtUpHeadWithout(id string) bool {
 	order := withoutReplica(n.view.Replicas, id)
 	return len(order) > 0 && n.isCaughtUp(order[0])
 }
@@ -69,16 +69,16 @@
 // MemberChangeDone says that the order about members that stands is carried out in this view.
 func (n *Node) MemberChangeDone() bool {
 	o := n.state.Membership
-	if o == nil || !n.serving() {
+	if o == nil || !n.isServing() {
 		return false
 	}
-	named := false
+	joined := false
 	for _, v := range n.view.Voters {
-		named = named || (v.Name == o.Name && v.ID != o.ID && n.view.HasReplica(v.ID))
+		joined = joined || (v.Name == o.Name && v.ID != o.ID && n.view.HasReplica(v.ID))
 	}
 	switch o.Action {
 	case statemachine.AddMember, statemachine.ReplaceMember:
-		return named && !n.view.IsVoter(o.ID)
+		return joined && !n.view.IsVoter(o.ID)
 	}
 	return !n.view.IsVoter(o.ID) && !n.view.HasReplica(o.ID)
 }
@@ -101,7 +101,7 @@
 
 // ResolveMemberChange finds the identity an order is about, or the reason for which it must not be taken.
 func (n *Node) ResolveMemberChange(m *statemachine.MembershipChange, evenAlive bool) *fault.Fault {
-	unfit := func(format string, args ...any) *fault.Fault {
+	mismatch := func(format string, args ...any) *fault.Fault {
 		return fault.New(fault.MembershipMismatch, "name", format, args...)
 	}
 	if n.view.Number == 0 || n.phase != PhaseServing {
@@ -118,15 +118,15 @@
 		return nil
 	case statemachine.AddMember:
 		if voter != nil {
-			return unfit("a control node named %q has a vote already, as %s", m.Name, voter.ID)
+			return mismatch("a control node named %q has a vote already, as %s", m.Name, voter.ID)
 		}
 		if m.Name == "" || len(m.Name) > 64 {
-			return unfit("%q is no name for a control node", m.Name)
+			return mismatch("%q is no name for a control node", m.Name)
 		}
 		return nil
 	case statemachine.ReplaceMember, statemachine.RemoveMember:
 		if voter == nil {
-			return unfit("no control node named %q has a vote", m.Name)
+			return mismatch("no control node named %q has a vote", m.Name)
 		}
 		m.ID = voter.ID
 	default:
@@ -134,12 +134,12 @@
 	}
 	if m.Action == statemachine.ReplaceMember {
 		if n.view.HasReplica(voter.ID) && !evenAlive {
-			return unfit("%s is alive and has its seat: say --even-alive to replace it all the same", voter.ID)
+			return mismatch("%s is alive and has its seat: say --even-alive to replace it all the same", voter.ID)
 		}
 		return nil
 	}
 	if len(n.view.Voters) <= minVoters {
-		return unfit("fewer than three votes would be left: add a control node first")
+		return mismatch("fewer than three votes would be left: add a control node first")
 	}
 	others := 0
 	for _, s := range n.view.Replicas {
@@ -148,7 +148,7 @@
 		}
 	}
 	if others < 2 {
-		return unfit("%s holds one of the last two safe copies", voter.ID)
+		return mismatch("%s holds one of the last two safe copies", voter.ID)
 	}
 	return nil
 }
--- a/internal/controlplane/chain/node.go
+++ b/internal/controlplane/chain/node.go
@@ -265,7 +265,7 @@
 		n.effects = append(n.effects, MessageRejected{Fault: bad})
 		return
 	}
-	if n.fromFencedProcess(m) {
+	if n.isFromFencedProcess(m) {
 		return
 	}
 	switch {
--- a/internal/controlplane/chain/options.go
+++ b/internal/controlplane/chain/options.go
@@ -60,20 +60,20 @@
 }
 
 func (o Options) withDefaults() Options {
-	set := func(v *int64, usual int64) {
+	setDefault := func(v *int64, value int64) {
 		if *v == 0 {
-			*v = usual
+			*v = value
 		}
 	}
-	set(&o.HelloIntervalUs, 100*clock.Ms)
-	set(&o.SuspectTimeoutUs, 700*clock.Ms)
-	set(&o.LeaseDurationUs, 1000*clock.Ms)
-	set(&o.LeaseMarginUs, 100*clock.Ms)
-	set(&o.StallTimeoutUs, 600*clock.Ms)
-	set(&o.VoteRecoveryTimeoutUs, 1500*clock.Ms)
-	set(&o.GatherTimeoutUs, 2000*clock.Ms)
-	set(&o.ResendTimeoutUs, 150*clock.Ms)
-	set(&o.PrepareTimeoutUs, o.SuspectTimeoutUs+o.LeaseDurationUs)
+	setDefault(&o.HelloIntervalUs, 100*clock.Ms)
+	setDefault(&o.SuspectTimeoutUs, 700*clock.Ms)
+	setDefault(&o.LeaseDurationUs, 1000*clock.Ms)
+	setDefault(&o.LeaseMarginUs, 100*clock.Ms)
+	setDefault(&o.StallTimeoutUs, 600*clock.Ms)
+	setDefault(&o.VoteRecoveryTimeoutUs, 1500*clock.Ms)
+	setDefault(&o.GatherTimeoutUs, 2000*clock.Ms)
+	setDefault(&o.ResendTimeoutUs, 150*clock.Ms)
+	setDefault(&o.PrepareTimeoutUs, o.SuspectTimeoutUs+o.LeaseDurationUs)
 	o.MinReplicas = max(o.MinReplicas, 1)
 	if o.MaxRetainedEntries == 0 {
 		o.MaxRetainedEntries = 4096
--- a/internal/controlplane/chain/partition_test.go
+++ b/internal/controlplane/chain/partition_test.go
@@ -7,42 +7,42 @@
 	"testing"
 )
 
-// cutOff takes away what a member says to the others, what they say to it, or both, with what is under way.
-func (sc *smallChain) cutOff(struck int, says, hears bool) {
-	sc.cuts = map[[2]int]bool{}
+// isolate takes away what a member says to the others, what they say to it, or both, with what is under way.
+func (sc *smallChain) isolate(isolated int, outgoing, incoming bool) {
+	sc.cutLinks = map[[2]int]bool{}
 	for other := range sc.members {
-		if other == struck {
+		if other == isolated {
 			continue
 		}
-		for way, cut := range map[[2]int]bool{{struck, other}: says, {other, struck}: hears} {
+		for link, cut := range map[[2]int]bool{{isolated, other}: outgoing, {other, isolated}: incoming} {
 			if cut {
-				sc.cuts[way] = true
-				delete(sc.pipes, way)
+				sc.cutLinks[link] = true
+				delete(sc.links, link)
 			}
 		}
 	}
 }
 
-// cutScenarios cut each member off in each way: between writes, or with one under way.
-func cutScenarios() map[string]func() *smallChain {
+// partitionScenarios cut each member off in each way: between writes, or with one under way.
+func partitionScenarios() map[string]func() *smallChain {
 	all := map[string]func() *smallChain{}
 	ways := map[string][2]bool{"both ways": {true, true}, "mute": {true, false}, "deaf": {false, true}}
-	for struck, role := range []string{"head", "middle", "tail"} {
+	for isolated, role := range []string{"head", "middle", "tail"} {
 		for name, way := range ways {
 			all[fmt.Sprintf("the %s is cut off, %s", role, name)] = func() *smallChain {
-				b := newSmallChain()
-				b.write()
-				b.deliverAll()
-				b.cutOff(struck, way[0], way[1])
-				b.advanceIsolated(2)
-				return b
+				sc := newSmallChain()
+				sc.write()
+				sc.deliverAll()
+				sc.isolate(isolated, way[0], way[1])
+				sc.advanceIsolated(2)
+				return sc
 			}
 			all[fmt.Sprintf("the %s is cut off during a write, %s", role, name)] = func() *smallChain {
-				b := newSmallChain()
-				b.write()
-				b.synced(0)
-				b.cutOff(struck, way[0], way[1])
-				return b
+				sc := newSmallChain()
+				sc.write()
+				sc.syncNext(0)
+				sc.isolate(isolated, way[0], way[1])
+				return sc
 			}
 		}
 	}
@@ -50,34 +50,34 @@
 }
 
 const (
-	cutPathMost   = 120
-	cutPathStride = 20
-	cutDepth      = 5
+	maxPartitionPathLength = 120
+	partitionPathStride    = 20
+	partitionDepth         = 5
 )
 
 // From states all along the way through each cut, every interleaving of deliveries, syncs, ticks, writes and
 // the links' healing up to a depth.
 func TestEveryInterleavingUnderPartition(t *testing.T) {
-	depth, stride := cutDepth, cutPathStride
-	if raced {
-		depth, stride = racedDepth, cutPathStride/2
+	depth, stride := partitionDepth, partitionPathStride
+	if raceEnabled {
+		depth, stride = raceDepth, partitionPathStride/2
 	}
-	all := cutScenarios()
+	all := partitionScenarios()
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := all[name]()
-			first := len(b.views)
+			sc := all[name]()
+			first := len(sc.views)
 			states, views := 0, 0
-			for n := 0; n < cutPathMost; n++ {
+			for n := 0; n < maxPartitionPathLength; n++ {
 				if n%stride == 0 {
-					s, v, _ := explore(t, b.clone(), depth, limits{ticks: 2, writes: b.writes + 1, heals: true})
+					s, v, _ := explore(t, sc.clone(), depth, exploreLimits{ticks: 2, writes: sc.writes + 1, healLinks: true})
 					states, views = states+s, max(views, v)
 				}
-				b.requireProgress()
-				b.checkInvariants()
-				if b.broken != "" {
-					t.Fatal(b.broken)
+				sc.advanceOnce()
+				sc.checkInvariants()
+				if sc.violation != "" {
+					t.Fatal(sc.violation)
 				}
 			}
 			t.Logf("%d states, %d view changes", states, views-first)
@@ -91,40 +91,40 @@
 // Long walks at random, in which one member after another is cut off and comes back.
 func TestLongWalksUnderPartitions(t *testing.T) {
 	walks := 300
-	if raced {
+	if raceEnabled {
 		walks = 30
 	}
 	views, acked, cuts := 0, 0, 0
 	for seed := 0; seed < walks; seed++ {
-		b := newSmallChain()
+		sc := newSmallChain()
 		r := uint64(seed)*2654435761 + 1
 		for n := 0; n < 600; n++ {
 			r ^= r << 13
 			r ^= r >> 7
 			r ^= r << 17
-			b.ticks, b.writes = 0, min(b.writes, n/40)
+			sc.ticks, sc.writes = 0, min(sc.writes, n/40)
 			if n%90 == 20 {
 				cuts++
-				b.cutOff(int(r/128)%3, r%3 != 0, r%3 != 1)
+				sc.isolate(int(r/128)%3, r%3 != 0, r%3 != 1)
 			}
 			if n%90 == 70 {
-				b.cuts = nil
+				sc.cutLinks = nil
 			}
-			if r%crashEvery == 1 {
+			if r%crashInterval == 1 {
 				r++
 			}
-			acts := b.choices(r)
-			if len(acts) == 0 {
-				b.tick()
+			actions := sc.randomActions(r)
+			if len(actions) == 0 {
+				sc.tick()
 			} else {
-				acts[r%uint64(len(acts))](b)
+				actions[r%uint64(len(actions))](sc)
 			}
-			b.checkInvariants()
-			if b.broken != "" {
-				t.Fatalf("walk %d, action %d: %s", seed, n, b.broken)
+			sc.checkInvariants()
+			if sc.violation != "" {
+				t.Fatalf("walk %d, action %d: %s", seed, n, sc.violation)
 			}
 		}
-		views, acked = max(views, len(b.views)), max(acked, len(b.acked))
+		views, acked = max(views, len(sc.views)), max(acked, len(sc.acked))
 	}
 	t.Logf("%d walks of 600 actions with %d cuts, up to %d views, %d acknowledged", walks, cuts, views, acked)
 	if views < 4 || acked < 2 {
--- a/internal/controlplane/chain/paxos.go
+++ b/internal/controlplane/chain/paxos.go
@@ -3,7 +3,7 @@
 // finishAcceptedProposal takes up a next view that this voter has accepted and nobody has brought to an end: until it is
 // decided, the tail of now gets no lease from here.
 func (n *Node) finishAcceptedProposal() {
-	if !n.acceptedEndsLease() || n.proposal != nil || n.diskStalled() || !n.votesRecovered || !n.view.IsVoter(n.opts.Self.ID) {
+	if !n.acceptedEndsLease() || n.proposal != nil || n.isDiskStalled() || !n.votesRecovered || !n.view.IsVoter(n.opts.Self.ID) {
 		n.undecidedSinceUs = n.nowUs
 		return
 	}
@@ -19,8 +19,8 @@
 	}
 }
 
-func (n *Node) propose(want View) {
-	if n.proposal != nil && n.proposal.viewNumber == want.Number {
+func (n *Node) propose(desired View) {
+	if n.proposal != nil && n.proposal.viewNumber == desired.Number {
 		ageUs := n.nowUs - n.proposal.startedUs
 		if ageUs < n.opts.SuspectTimeoutUs+n.opts.LeaseDurationUs && (!n.proposal.preparing || ageUs < n.opts.PrepareTimeoutUs) {
 			return
@@ -28,19 +28,19 @@
 	}
 	n.maxRound = max(n.maxRound, n.promisedBallot.Round) + 1
 	n.proposal = &proposal{
-		viewNumber: want.Number, ballot: Ballot{Round: n.maxRound, Proposer: n.opts.Self.ID}, desired: want,
+		viewNumber: desired.Number, ballot: Ballot{Round: n.maxRound, Proposer: n.opts.Self.ID}, desired: desired,
 		promises: map[string]*AcceptedProposal{}, acceptedBy: map[string]bool{}, preparing: true, startedUs: n.nowUs,
 	}
 	ballot := n.proposal.ballot
 	for _, v := range n.view.Voters {
-		n.send(v, Msg{Prepare: &Prepare{Number: want.Number, Ballot: ballot}})
+		n.send(v, Msg{Prepare: &Prepare{Number: desired.Number, Ballot: ballot}})
 	}
 }
 
 func (n *Node) handlePrepare(m Msg, p Prepare) {
 	if !n.votesRecovered && n.phase == PhaseRestarted {
-		asked := m
-		n.pendingPrepare = &asked
+		pending := m
+		n.pendingPrepare = &pending
 		return
 	}
 	if p.Number != n.view.Number+1 || !n.votesRecovered || !n.view.IsVoter(n.opts.Self.ID) || n.refusesToVote() {
@@ -103,9 +103,9 @@
 		return
 	}
 	n.promisedBallot = a.Ballot
-	if n.endsTailLease(a.View) && n.view.Number > 0 && n.nowUs < n.leaseGuardEndUs() && !n.superseded(n.view.Tail()) {
-		held := m
-		n.pendingAccept = &held
+	if n.endsTailLease(a.View) && n.view.Number > 0 && n.nowUs < n.leaseGuardEndUs() && !n.isSuperseded(n.view.Tail()) {
+		pending := m
+		n.pendingAccept = &pending
 		return
 	}
 	n.pendingAccept = nil
@@ -116,7 +116,7 @@
 // superseded: the process that held this seat is known to have gone, as its control node has come back as another
 // incarnation at the same address; no lease of its outlives it. One that does not know this view may be the incarnation
 // before; one at another address may run beside it, from a copy of its disk.
-func (n *Node) superseded(s Replica) bool {
+func (n *Node) isSuperseded(s Replica) bool {
 	if s.ID == n.opts.Self.ID {
 		return s.Incarnation != n.opts.Incarnation
 	}
@@ -144,11 +144,11 @@
 	if v.Number <= n.view.Number {
 		return
 	}
-	wasTail, wasServing := n.IsTail(), n.serving() || (n.phase == PhaseBootstrap && v.Number == 1)
-	leaseUs, openAt, openKnown := n.leaseUntilUs, n.viewStartIndex, n.viewStartKnown
+	wasTail, wasServing := n.IsTail(), n.isServing() || (n.phase == PhaseBootstrap && v.Number == 1)
+	leaseUs, startIndex, startKnown := n.leaseUntilUs, n.viewStartIndex, n.viewStartKnown
 	n.leaseGuardUs, n.grantedLease = n.leaseGuardEndUs(), leaseGrant{}
 	n.guardCarriedLease(v)
-	n.caughtUp = n.caughtUp && (n.phase != PhaseRestarted || n.keptSeat(v))
+	n.caughtUp = n.caughtUp && (n.phase != PhaseRestarted || n.isReplicaOfThisDisk(v))
 	n.view, n.promisedBallot, n.acceptedProposal, n.proposal, n.pendingAccept = v, Ballot{}, nil, nil, nil
 	n.viewInstalledUs, n.viewStableUs = n.nowUs, n.nowUs
 	n.successorProgress = progress{advancedUs: n.successorProgress.advancedUs}
@@ -156,10 +156,10 @@
 	n.headTimeUs, n.confirmedHeadTimeUs, n.confirmedUs, n.headTimes, n.tailCommitIndex = 0, 0, 0, nil, 0
 	n.votesRecovered = n.votesRecovered || n.phase != PhaseRestarted
 	n.initialIndex = n.lastIndex()
-	wasOutside := n.phase == PhaseStandby
+	wasStandby := n.phase == PhaseStandby
 	n.opts.FirstStart = n.opts.FirstStart && !v.IsVoter(n.opts.Self.ID)
-	n.phase = n.phaseIn(v)
-	if !wasOutside || n.phase != PhaseStandby {
+	n.phase = n.phaseInView(v)
+	if !wasStandby || n.phase != PhaseStandby {
 		// One that stays outside has written nothing after its copy, which holds only what was committed: it lasts
 		// from view to view.
 		n.snapshotIndex = 0
@@ -168,8 +168,8 @@
 		p := n.peers[v.Head().ID]
 		n.caughtUp = n.caughtUp && p != nil && p.hello.LastIndex == n.lastIndex() && p.hello.LastView == n.lastView()
 	}
-	held := v
-	records := []Record{{View: &held}, {Incarnation: n.opts.Incarnation}}
+	installed := v
+	records := []Record{{View: &installed}, {Incarnation: n.opts.Incarnation}}
 	n.diskIncarnations = []string{n.opts.Incarnation}
 	if n.caughtUp && n.phase != PhaseStandby {
 		records = append(records, Record{CaughtUpView: v.Number})
@@ -181,7 +181,7 @@
 	n.appendFirstEntry()
 	if n.IsTail() {
 		if wasTail {
-			n.leaseUntilUs, n.viewStartIndex, n.viewStartKnown = leaseUs, openAt, openKnown
+			n.leaseUntilUs, n.viewStartIndex, n.viewStartKnown = leaseUs, startIndex, startKnown
 		}
 		if n.IsHead() {
 			n.viewStartKnown, n.viewStartIndex = true, n.lastIndex()
@@ -189,13 +189,13 @@
 		n.commitTo(n.syncedIndex)
 		n.requestLease()
 	}
-	if n.serving() {
+	if n.isServing() {
 		n.forward(true)
 		n.sendAck()
 	}
 }
 
-func (n *Node) phaseIn(v View) Phase {
+func (n *Node) phaseInView(v View) Phase {
 	switch {
 	case n.position() >= 0:
 		return PhaseServing
--- a/internal/controlplane/chain/persist.go
+++ b/internal/controlplane/chain/persist.go
@@ -16,9 +16,9 @@
 	msg Msg
 }
 
-func (n *Node) persist(records []Record, upto uint64, then *reply) {
+func (n *Node) persist(records []Record, entryIndex uint64, onSynced *reply) {
 	n.persistSeq++
-	n.pendingWrites[n.persistSeq] = &pendingWrite{startedUs: n.nowUs, entryIndex: upto, reply: then}
+	n.pendingWrites[n.persistSeq] = &pendingWrite{startedUs: n.nowUs, entryIndex: entryIndex, reply: onSynced}
 	n.effects = append(n.effects, Persist{Seq: n.persistSeq, Records: records})
 }
 
@@ -31,12 +31,12 @@
 		n.incarnationSynced = true
 		n.broadcastHello()
 	}
-	wasStalled := n.diskStalled()
-	if n.diskLagging() {
+	wasStalled := n.isDiskStalled()
+	if n.isDiskLagging() {
 		n.diskLaggedUs = n.nowUs
 	}
 	delete(n.pendingWrites, seq)
-	if wasStalled && !n.diskStalled() {
+	if wasStalled && !n.isDiskStalled() {
 		n.broadcastHello()
 	}
 	n.logBytes = logBytes
@@ -69,7 +69,7 @@
 	n.broadcastHello()
 }
 
-func (n *Node) diskStalled() bool {
+func (n *Node) isDiskStalled() bool {
 	for _, s := range n.pendingWrites {
 		if s.refused || (!s.hasSnapshot && n.nowUs-s.startedUs > n.opts.StallTimeoutUs) {
 			return true
@@ -78,8 +78,8 @@
 	return false
 }
 
-// diskLagging: the own disk refuses, or a sync takes half as long as a stall or longer.
-func (n *Node) diskLagging() bool {
+// isDiskLagging: the own disk refuses, or a sync takes half as long as a stall or longer.
+func (n *Node) isDiskLagging() bool {
 	for _, s := range n.pendingWrites {
 		if s.refused || (!s.hasSnapshot && n.nowUs-s.startedUs > n.opts.StallTimeoutUs/2) {
 			return true
@@ -94,14 +94,14 @@
 	if !p.hello.Stalled {
 		return false
 	}
-	behindLately := n.diskLaggedUs > 0 && n.nowUs-n.diskLaggedUs < n.opts.SuspectTimeoutUs
-	return !behindLately || n.nowUs-p.stalledSinceUs >= 2*n.opts.SuspectTimeoutUs
+	laggedRecently := n.diskLaggedUs > 0 && n.nowUs-n.diskLaggedUs < n.opts.SuspectTimeoutUs
+	return !laggedRecently || n.nowUs-p.stalledSinceUs >= 2*n.opts.SuspectTimeoutUs
 }
 
 // maxPendingWrites bounds what waits for a disk that hangs.
 const maxPendingWrites = 64
 
-func (n *Node) diskRefusing() bool {
+func (n *Node) isDiskRefusing() bool {
 	for _, s := range n.pendingWrites {
 		if s.refused {
 			return true
@@ -112,5 +112,5 @@
 
 // refusesToVote: this member takes no part in a decision, as it could not keep its word.
 func (n *Node) refusesToVote() bool {
-	return n.diskRefusing() || len(n.pendingWrites) >= maxPendingWrites
+	return n.isDiskRefusing() || len(n.pendingWrites) >= maxPendingWrites
 }
--- a/internal/controlplane/chain/process_pause_test.go
+++ b/internal/controlplane/chain/process_pause_test.go
@@ -20,17 +20,17 @@
 	for member := range 3 {
 		for spanUs := 100 * clock.Ms; spanUs <= 1500*clock.Ms; spanUs += 50 * clock.Ms {
 			t.Run(fmt.Sprintf("member %d for %d ms", member, spanUs/clock.Ms), func(t *testing.T) {
-				y := newPacedTestCluster(t, 1, 3)
-				s := y.members[member]
-				y.pause(s, spanUs)
+				tc := newFleetTimedCluster(t, 1, 3)
+				s := tc.members[member]
+				tc.pause(s, spanUs)
 				if p := s.node.proposal; p != nil {
 					t.Fatalf("it wants %v", p.desired.Replicas)
 				}
-				y.advance(3 * clock.Sec)
-				for _, v := range y.views {
-					for _, other := range y.members {
-						if other != s && !v.HasReplica(other.me.ID) {
-							t.Fatalf("view %d is without %s, which never stood still", v.Number, other.me.ID)
+				tc.advance(3 * clock.Sec)
+				for _, v := range tc.views {
+					for _, other := range tc.members {
+						if other != s && !v.HasReplica(other.member.ID) {
+							t.Fatalf("view %d is without %s, which never stood still", v.Number, other.member.ID)
 						}
 					}
 				}
@@ -43,17 +43,17 @@
 func TestOftenPausedMembersRemoveLostOne(t *testing.T) {
 	for _, spanUs := range []int64{150 * clock.Ms, 300 * clock.Ms, 600 * clock.Ms} {
 		t.Run(fmt.Sprint(spanUs/clock.Ms, " ms each"), func(t *testing.T) {
-			y := newPacedTestCluster(t, 1, 3)
-			y.stop(y.members[2])
-			for endUs := y.nowUs + 5*clock.Sec; y.nowUs < endUs; {
-				y.members[0].paused, y.members[1].paused = true, true
-				y.advance(spanUs)
-				y.members[0].paused, y.members[1].paused = false, false
-				y.advance(100 * clock.Ms)
+			tc := newFleetTimedCluster(t, 1, 3)
+			tc.stop(tc.members[2])
+			for endUs := tc.nowUs + 5*clock.Sec; tc.nowUs < endUs; {
+				tc.members[0].paused, tc.members[1].paused = true, true
+				tc.advance(spanUs)
+				tc.members[0].paused, tc.members[1].paused = false, false
+				tc.advance(100 * clock.Ms)
 			}
-			for _, s := range y.members[:2] {
-				if v := s.node.View(); v.HasReplica(y.members[2].me.ID) || len(v.Replicas) != 2 {
-					t.Errorf("%s has %v", s.me.ID, v.Replicas)
+			for _, s := range tc.members[:2] {
+				if v := s.node.View(); v.HasReplica(tc.members[2].member.ID) || len(v.Replicas) != 2 {
+					t.Errorf("%s has %v", s.member.ID, v.Replicas)
 				}
 			}
 		})
--- a/internal/controlplane/chain/quorum.go
+++ b/internal/controlplane/chain/quorum.go
@@ -17,7 +17,7 @@
 // stamp of the head that went by here a moment ago has gone on to a tail with its lease and has come back.
 func (n *Node) IsUpToDate(nowUs int64) bool {
 	switch {
-	case !n.serving() || !n.caughtUp:
+	case !n.isServing() || !n.caughtUp:
 		return false
 	case n.IsTail():
 		return n.IsTailReady(nowUs)
--- a/internal/controlplane/chain/race_off_test.go
+++ b/internal/controlplane/chain/race_off_test.go
@@ -2,4 +2,4 @@
 
 package chain
 
-const raced = false
+const raceEnabled = false
--- a/internal/controlplane/chain/record_test.go
+++ b/internal/controlplane/chain/record_test.go
@@ -8,17 +8,17 @@
 
 // A record that was handed out stays as it was, whatever the member learns before the disk has it.
 func TestPersistedRecordIsImmutable(t *testing.T) {
-	y := grown(t, 1, 3, 3)
+	tc := newSettledCluster(t, 1, 3, 3)
 	for range 40 {
-		y.advance(100 * clock.Ms)
+		tc.advance(100 * clock.Ms)
 	}
-	for _, s := range y.members {
+	for _, s := range tc.members {
 		if s.node.base.Index == 0 {
 			t.Fatal("nothing was compacted")
 		}
 		for _, r := range s.disk {
 			if r.View == &s.node.view || r.PromisedBallot == &s.node.promisedBallot {
-				t.Fatalf("%s: a record on its way to the disk is what the member goes by", s.me.ID)
+				t.Fatalf("%s: a record on its way to the disk is what the member goes by", s.member.ID)
 			}
 		}
 	}
--- a/internal/controlplane/chain/refused_test.go
+++ b/internal/controlplane/chain/refused_test.go
@@ -7,23 +7,23 @@
 	"petreltide/internal/process/clock"
 )
 
-// fourVoters is a chain of three into which a fourth control node has been taken, as before a planned replacement. The
+// newFourVoterCluster is a chain of three into which a fourth control node has been taken, as before a planned replacement. The
 // member to lose is the head, or the one behind it.
-func fourVoters(t *testing.T, seed int64) (tc *testCluster, lost *testMember) {
+func newFourVoterCluster(t *testing.T, seed int64) (tc *testCluster, lost *testMember) {
 	t.Helper()
-	tc = newPacedTestCluster(t, seed, 3)
-	tc.start(tc.fresh(), false)
+	tc = newFleetTimedCluster(t, seed, 3)
+	tc.start(tc.addEmptyMember(), false)
 	tc.advance(tc.catchUpUs())
-	view := tc.living()[0].node.View()
+	view := tc.remainingMembers()[0].node.View()
 	if len(view.Voters) != 4 || len(view.Replicas) != 4 {
 		t.Fatalf("seed %d: %d votes, %d seats", seed, len(view.Voters), len(view.Replicas))
 	}
-	return tc, tc.at(view.Replicas[seed%2].Addr)
+	return tc, tc.memberAt(view.Replicas[seed%2].Addr)
 }
 
-// threeVotes says that all that run go by a view of three votes.
-func threeVotes(tc *testCluster) bool {
-	return !slices.ContainsFunc(tc.living(), func(m *testMember) bool { return m.node != nil && len(m.node.View().Voters) != 3 })
+// allSeeThreeVoters says that all that run go by a view of three votes.
+func allSeeThreeVoters(tc *testCluster) bool {
+	return !slices.ContainsFunc(tc.remainingMembers(), func(m *testMember) bool { return m.node != nil && len(m.node.View().Voters) != 3 })
 }
 
 // A killed process, unlike a lost machine or a cut link, has its connections refused: its vote goes within a few hundred
@@ -40,13 +40,13 @@
 	} {
 		took := []int64{}
 		for seed := range int64(20) {
-			tc, lost := fourVoters(t, seed)
-			tc.refuses = c.refuses
+			tc, lost := newFourVoterCluster(t, seed)
+			tc.refusesConnections = c.refuses
 			sinceUs := tc.nowUs
 			tc.stop(lost)
 			lost.removed = !c.refuses
-			for !threeVotes(tc) && tc.nowUs-sinceUs < 5*clock.Sec {
-				tc.advance(yardStepUs)
+			for !allSeeThreeVoters(tc) && tc.nowUs-sinceUs < 5*clock.Sec {
+				tc.advance(stepUs)
 			}
 			took = append(took, tc.nowUs-sinceUs)
 		}
@@ -64,27 +64,27 @@
 func TestSecondLossSoonAfterAKill(t *testing.T) {
 	const apartUs = 350 * clock.Ms
 	for _, refuses := range []bool{true, false} {
-		goesOn := 0
+		surviving := 0
 		const seeds = 20
 		for seed := range int64(seeds) {
-			tc, lost := fourVoters(t, seed)
-			tc.refuses = refuses
+			tc, lost := newFourVoterCluster(t, seed)
+			tc.refusesConnections = refuses
 			tc.stop(lost)
 			lost.removed = !refuses
 			tc.advance(apartUs)
 			lost.removed = true
-			next := tc.living()[int(seed)%3]
+			next := tc.remainingMembers()[int(seed)%3]
 			tc.stop(next)
 			next.removed = true
 			before := tc.lastAcked
 			tc.advance(4 * clock.Sec)
 			if tc.lastAcked > before+5 {
-				goesOn++
+				surviving++
 			}
 		}
-		t.Logf("refused %v: %d of %d chains go on", refuses, goesOn, seeds)
-		if refuses != (goesOn == seeds) {
-			t.Errorf("refused %v: %d of %d chains go on", refuses, goesOn, seeds)
+		t.Logf("refused %v: %d of %d chains go on", refuses, surviving, seeds)
+		if refuses != (surviving == seeds) {
+			t.Errorf("refused %v: %d of %d chains go on", refuses, surviving, seeds)
 		}
 	}
 }
--- a/internal/controlplane/chain/replicate.go
+++ b/internal/controlplane/chain/replicate.go
@@ -5,7 +5,7 @@
 )
 
 func (n *Node) persistEntries() {
-	if n.stagedIndex >= n.lastIndex() || n.persistingEntries() {
+	if n.stagedIndex >= n.lastIndex() || n.isPersistingEntries() {
 		return
 	}
 	var records []Record
@@ -19,7 +19,7 @@
 	n.persist(records, n.stagedIndex, nil)
 }
 
-func (n *Node) persistingEntries() bool {
+func (n *Node) isPersistingEntries() bool {
 	for _, s := range n.pendingWrites {
 		if s.entryIndex > 0 {
 			return true
@@ -30,7 +30,7 @@
 
 func (n *Node) handleSubmit(c statemachine.Change) {
 	switch {
-	case n.IsHead() && n.diskStalled():
+	case n.IsHead() && n.isDiskStalled():
 		n.effects = append(n.effects, ChangeRejected{ID: c.ID, Reason: "its own disk: a sync has not come back"})
 	case n.IsHead() && n.lastIndex()-n.commitIndex >= uint64(n.opts.MaxUncommittedEntries):
 		n.effects = append(n.effects, ChangeRejected{ID: c.ID, Reason: "too many writes wait to be committed"})
@@ -74,7 +74,7 @@
 }
 
 func (n *Node) propagate() {
-	if !n.serving() {
+	if !n.isServing() {
 		return
 	}
 	if n.IsTail() {
@@ -86,7 +86,7 @@
 	n.sendAck()
 }
 
-func (n *Node) forward(beat bool) {
+func (n *Node) forward(heartbeat bool) {
 	successor := &n.successorProgress
 	next, ok := n.successor()
 	if !ok {
@@ -96,7 +96,7 @@
 	if successor.snapshotIndex > successor.acked {
 		resendUs += n.snapshotTransferUs()
 	}
-	if beat && successor.known && successor.sent > successor.acked && n.nowUs-successor.advancedUs > resendUs {
+	if heartbeat && successor.known && successor.sent > successor.acked && n.nowUs-successor.advancedUs > resendUs {
 		successor.sent = successor.acked
 	}
 	f := Forward{View: n.view.Number, LastIndex: n.lastIndex(), HeadTimeUs: n.outgoingHeadTimeUs()}
@@ -110,18 +110,18 @@
 		case successor.sent < n.syncedIndex && successor.sent-successor.acked < uint64(4*n.opts.MaxBatchEntries):
 			f.PrevIndex = successor.sent
 			f.PrevView, _ = n.viewAt(successor.sent)
-			upto := min(n.syncedIndex, successor.sent+uint64(n.opts.MaxBatchEntries))
-			for i := successor.sent + 1; i <= upto; i++ {
+			lastSent := min(n.syncedIndex, successor.sent+uint64(n.opts.MaxBatchEntries))
+			for i := successor.sent + 1; i <= lastSent; i++ {
 				e, _ := n.entryAt(i)
 				f.Entries = append(f.Entries, e)
 			}
 			if successor.sent == successor.acked {
 				successor.advancedUs = n.nowUs
 			}
-			successor.sent = upto
+			successor.sent = lastSent
 		}
 	}
-	if beat || len(f.Entries) > 0 || f.Snapshot != nil {
+	if heartbeat || len(f.Entries) > 0 || f.Snapshot != nil {
 		n.send(next.Member, Msg{Forward: &f})
 	}
 }
@@ -153,7 +153,7 @@
 	if !ok || f.View != n.view.Number || m.From.ID != prev.ID || m.Incarnation != prev.Incarnation {
 		return
 	}
-	news := n.recordHeadTime(f.HeadTimeUs)
+	isNewer := n.recordHeadTime(f.HeadTimeUs)
 	if !n.viewStartKnown {
 		n.viewStartKnown, n.viewStartIndex = true, f.LastIndex
 	}
@@ -174,7 +174,7 @@
 			}
 		}
 	}
-	if news {
+	if isNewer {
 		n.relayHeartbeat()
 	}
 	n.sendAck()
@@ -201,7 +201,7 @@
 // maybeBecomeCaughtUp: this member now has all that was in its predecessor's log when the view began, and
 // with it everything that was ever acknowledged. Until then it may not speak for the chain.
 func (n *Node) maybeBecomeCaughtUp() {
-	if n.caughtUp || !n.serving() || !n.viewStartKnown || n.syncedIndex < n.viewStartIndex {
+	if n.caughtUp || !n.isServing() || !n.viewStartKnown || n.syncedIndex < n.viewStartIndex {
 		return
 	}
 	n.caughtUp = true
@@ -237,9 +237,9 @@
 		if !ok {
 			return
 		}
-		out := n.state.Apply(e.Index, e.Change)
+		outcome := n.state.Apply(e.Index, e.Change)
 		n.commitIndex = e.Index
-		n.effects = append(n.effects, Applied{Entry: e, Outcome: out})
+		n.effects = append(n.effects, Applied{Entry: e, Outcome: outcome})
 	}
 	n.compact()
 }
--- a/internal/controlplane/chain/restart.go
+++ b/internal/controlplane/chain/restart.go
@@ -8,11 +8,11 @@
 // their logs, and the longest intact one goes first.
 func (n *Node) maybeProposeAfterRestart() {
 	type candidate struct {
-		seat           Replica
+		replica        Replica
 		last, lastView uint64
 		stalled        bool
 	}
-	found := []candidate{}
+	candidates := []candidate{}
 	heardVoters := 0
 	if n.view.IsVoter(n.opts.Self.ID) {
 		heardVoters = 1
@@ -29,19 +29,19 @@
 			heardVoters++
 		}
 		if n.view.HasReplica(id) && p.hello.Phase == PhaseRestarted && p.hello.CaughtUp && p.hello.View.Number == n.view.Number {
-			found = append(found, candidate{Replica{Member: p.hello.Member, Incarnation: p.hello.Incarnation}, p.hello.LastIndex, p.hello.LastView, p.hello.Stalled})
+			candidates = append(candidates, candidate{Replica{Member: p.hello.Member, Incarnation: p.hello.Incarnation}, p.hello.LastIndex, p.hello.LastView, p.hello.Stalled})
 		}
 	}
-	if !n.view.HasReplica(n.opts.Self.ID) || n.diskStalled() || !n.caughtUp || !n.canBeSeated() {
+	if !n.view.HasReplica(n.opts.Self.ID) || n.isDiskStalled() || !n.caughtUp || !n.canBeReplica() {
 		return
 	}
-	found = append(found, candidate{Replica{Member: n.opts.Self, Incarnation: n.opts.Incarnation}, n.lastIndex(), n.lastView(), n.diskStalled()})
-	gathered := len(found) == len(n.view.Replicas)
+	candidates = append(candidates, candidate{Replica{Member: n.opts.Self, Incarnation: n.opts.Incarnation}, n.lastIndex(), n.lastView(), n.isDiskStalled()})
+	gathered := len(candidates) == len(n.view.Replicas)
 	if heardVoters < n.view.QuorumSize() || (!gathered && n.nowUs-n.startedUs < n.opts.GatherTimeoutUs) {
 		return
 	}
-	sort.Slice(found, func(i, j int) bool {
-		a, b := found[i], found[j]
+	sort.Slice(candidates, func(i, j int) bool {
+		a, b := candidates[i], candidates[j]
 		if a.lastView != b.lastView {
 			return a.lastView > b.lastView
 		}
@@ -51,14 +51,14 @@
 		if a.stalled != b.stalled {
 			return b.stalled
 		}
-		return a.seat.ID < b.seat.ID
+		return a.replica.ID < b.replica.ID
 	})
-	if found[0].seat.ID != n.opts.Self.ID {
+	if candidates[0].replica.ID != n.opts.Self.ID {
 		return
 	}
-	want := View{Number: n.view.Number + 1, Voters: n.view.Voters, ExtraVoters: n.view.ExtraVoters, System: n.view.System}
-	for _, c := range found {
-		want.Replicas = append(want.Replicas, c.seat)
+	desired := View{Number: n.view.Number + 1, Voters: n.view.Voters, ExtraVoters: n.view.ExtraVoters, System: n.view.System}
+	for _, c := range candidates {
+		desired.Replicas = append(desired.Replicas, c.replica)
 	}
-	n.propose(want)
+	n.propose(desired)
 }
--- a/internal/controlplane/chain/restart_test.go
+++ b/internal/controlplane/chain/restart_test.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// apartUs is how far apart the members of one restart come back: after a loss of power, and after a kill.
-	apartUs     = 450 * clock.Ms
-	apartKillUs = 10 * clock.Ms
-	// viewMostUs is how long after the last member's start the next view may take: hellos there and back, a tick,
+	// powerLossSpreadUs is how far apart the members of one restart come back: after a loss of power, and after a kill.
+	powerLossSpreadUs = 450 * clock.Ms
+	killSpreadUs      = 10 * clock.Ms
+	// maxViewDelayUs is how long after the last member's start the next view may take: hellos there and back, a tick,
 	// and the two syncs of a decision.
-	viewMostUs = 120 * clock.Ms
+	maxViewDelayUs = 120 * clock.Ms
 )
 
-// restartedUs loses all members, brings them back up to apartUs apart, and returns how long after the last member's
+// restartAll loses all members, brings them back up to powerLossSpreadUs apart, and returns how long after the last member's
 // start all have the next view.
-func (tc *testCluster) restartedUs(apartUs int64) int64 {
+func (tc *testCluster) restartAll(apartUs int64) int64 {
 	tc.t.Helper()
 	before := tc.members[0].node.View().Number
 	for _, s := range tc.members {
@@ -27,8 +27,8 @@
 	tc.advance(clock.Sec)
 	lastUs, startUs := int64(0), map[*testMember]int64{}
 	for _, s := range tc.members {
-		s.phaseUs = tc.r.Int63n(5) * yardStepUs
-		startUs[s] = tc.nowUs + tc.r.Int63n(apartUs/yardStepUs)*yardStepUs
+		s.tickOffsetUs = tc.r.Int63n(5) * stepUs
+		startUs[s] = tc.nowUs + tc.r.Int63n(apartUs/stepUs)*stepUs
 		lastUs = max(lastUs, startUs[s])
 	}
 	for tc.nowUs <= lastUs {
@@ -37,11 +37,11 @@
 				tc.start(s, false)
 			}
 		}
-		tc.advance(yardStepUs)
+		tc.advance(stepUs)
 	}
-	waits := func(s *testMember) bool { return s.node.View().Number <= before || !s.node.serving() }
+	waits := func(s *testMember) bool { return s.node.View().Number <= before || !s.node.isServing() }
 	for slices.ContainsFunc(tc.members, waits) {
-		if tc.advance(yardStepUs); tc.nowUs-lastUs > 2*clock.Sec {
+		if tc.advance(stepUs); tc.nowUs-lastUs > 2*clock.Sec {
 			tc.t.Fatal("no view of all 2 s after the last had started")
 		}
 	}
@@ -55,18 +55,18 @@
 	for _, c := range []struct {
 		size    int
 		apartUs int64
-	}{{3, apartUs}, {5, apartUs}, {3, apartKillUs}, {5, apartKillUs}} {
+	}{{3, powerLossSpreadUs}, {5, powerLossSpreadUs}, {3, killSpreadUs}, {5, killSpreadUs}} {
 		took := []int64{}
 		for seed := int64(1); seed <= 60; seed++ {
-			y := newPacedTestCluster(t, seed, c.size)
-			took = append(took, y.restartedUs(c.apartUs))
-			y.requireSettled(30*clock.Sec, "after the restart")
+			tc := newFleetTimedCluster(t, seed, c.size)
+			took = append(took, tc.restartAll(c.apartUs))
+			tc.requireSettled(30*clock.Sec, "after the restart")
 		}
 		slices.Sort(took)
 		median, most := took[len(took)/2], took[len(took)-1]
 		t.Logf("%d members up to %d ms apart, last start to the view: median %d ms, most %d ms", c.size, c.apartUs/1000, median/1000, most/1000)
-		if most > viewMostUs {
-			t.Errorf("%d members up to %d ms apart: %d ms from the last start to the view, at most %d", c.size, c.apartUs/1000, most/1000, viewMostUs/1000)
+		if most > maxViewDelayUs {
+			t.Errorf("%d members up to %d ms apart: %d ms from the last start to the view, at most %d", c.size, c.apartUs/1000, most/1000, maxViewDelayUs/1000)
 		}
 	}
 }
@@ -76,23 +76,23 @@
 func TestHeadIsConfirmedWhenHeartbeatsCoincide(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		for seed := int64(1); seed <= 20; seed++ {
-			y := newPacedTestCluster(t, seed, size)
-			y.restartedUs(yardStepUs)
-			for _, s := range y.members {
-				s.phaseUs = 0
+			tc := newFleetTimedCluster(t, seed, size)
+			tc.restartAll(stepUs)
+			for _, s := range tc.members {
+				s.tickOffsetUs = 0
 			}
-			y.idle = true
-			y.advance(2 * clock.Sec)
+			tc.idle = true
+			tc.advance(2 * clock.Sec)
 			stale := 0
-			for endUs := y.nowUs + 4*clock.Sec; y.nowUs < endUs; y.advance(yardStepUs) {
-				for _, s := range y.members {
-					if s.node.IsHead() && !s.node.IsHeadConfirmed(y.nowUs) {
+			for endUs := tc.nowUs + 4*clock.Sec; tc.nowUs < endUs; tc.advance(stepUs) {
+				for _, s := range tc.members {
+					if s.node.IsHead() && !s.node.IsHeadConfirmed(tc.nowUs) {
 						stale++
 					}
 				}
 			}
 			if stale > 0 {
-				t.Errorf("%d members, seed %d: for %d of 4000 ms the head was not fresh", size, seed, int64(stale)*yardStepUs/1000)
+				t.Errorf("%d members, seed %d: for %d of 4000 ms the head was not fresh", size, seed, int64(stale)*stepUs/1000)
 			}
 		}
 	}
--- a/internal/controlplane/chain/seeds_cut_test.go
+++ b/internal/controlplane/chain/seeds_cut_test.go
@@ -11,15 +11,15 @@
 func TestNewControlNodeWhoseSeedsAreAllCutOff(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		for seed := range int64(8) {
-			tc := newPacedTestCluster(t, seed, size)
+			tc := newFleetTimedCluster(t, seed, size)
 			seeds := []string{}
 			for _, s := range tc.members[:3] {
-				seeds = append(seeds, s.me.Addr)
+				seeds = append(seeds, s.member.Addr)
 			}
-			tc.seeds = seeds
-			fresh := tc.fresh()
+			tc.seedAddrs = seeds
+			fresh := tc.addEmptyMember()
 			for _, addr := range seeds {
-				tc.cuts[[2]string{fresh.me.Addr, addr}] = true
+				tc.cutLinks[[2]string{fresh.member.Addr, addr}] = true
 			}
 			tc.start(fresh, false)
 			before := tc.lastAcked
@@ -27,17 +27,17 @@
 			if fresh.node.View().Number > 0 || tc.lastAcked < before+100 {
 				t.Fatalf("%d members, seed %d: view %d, %d acknowledged meanwhile", size, seed, fresh.node.View().Number, tc.lastAcked-before)
 			}
-			delete(tc.cuts, [2]string{fresh.me.Addr, seeds[seed%3]})
+			delete(tc.cutLinks, [2]string{fresh.member.Addr, seeds[seed%3]})
 			tc.advance(clock.Sec)
 			if fresh.node.View().Number == 0 {
 				t.Fatalf("%d members, seed %d: it knows no chain a second after a seed is back", size, seed)
 			}
-			clear(tc.cuts)
+			clear(tc.cutLinks)
 			healedUs := tc.nowUs
-			for !fresh.node.serving() && tc.nowUs-healedUs < tc.catchUpUs() {
-				tc.advance(yardStepUs)
+			for !fresh.node.isServing() && tc.nowUs-healedUs < tc.catchUpUs() {
+				tc.advance(stepUs)
 			}
-			if !fresh.node.serving() {
+			if !fresh.node.isServing() {
 				t.Errorf("%d members, seed %d: no seat %d ms after the cut has healed", size, seed, (tc.nowUs-healedUs)/clock.Ms)
 			}
 			tc.requireSettled(20*clock.Sec, "healed")
--- a/internal/controlplane/chain/shutdown.go
+++ b/internal/controlplane/chain/shutdown.go
@@ -19,8 +19,8 @@
 	return p != nil && p.hello.ShuttingDown && p.hello.Incarnation == s.Incarnation
 }
 
-// memberShuttingDown says that the newest process of this member has been told to end.
-func (n *Node) memberShuttingDown(id string) bool {
+// isMemberShuttingDown says that the newest process of this member has been told to end.
+func (n *Node) isMemberShuttingDown(id string) bool {
 	if id == n.opts.Self.ID {
 		return n.shuttingDown
 	}
@@ -32,16 +32,16 @@
 // others hold the whole log without it.
 func (n *Node) withoutShuttingDown(order []Replica) []Replica {
 	for _, s := range order {
-		if rest := withoutReplica(order, s.ID); n.isShuttingDown(s) && n.enoughCaughtUp(rest) {
+		if rest := withoutReplica(order, s.ID); n.isShuttingDown(s) && n.hasEnoughCaughtUp(rest) {
 			order = rest
 		}
 	}
 	return order
 }
 
-// enoughCaughtUp says that the members of an order that hold the whole log are as many, and in as many zones, as an
+// hasEnoughCaughtUp says that the members of an order that hold the whole log are as many, and in as many zones, as an
 // acknowledgement needs.
-func (n *Node) enoughCaughtUp(order []Replica) bool {
+func (n *Node) hasEnoughCaughtUp(order []Replica) bool {
 	holders := View{Voters: n.view.Voters}
 	for _, s := range order {
 		if n.isHealthy(s) && n.isCaughtUp(s) {
@@ -57,21 +57,21 @@
 	if !n.shuttingDown {
 		return false
 	}
-	if n.phase == PhaseFenced || n.allShuttingDown() {
+	if n.phase == PhaseFenced || n.isEveryMemberShuttingDown() {
 		return true
 	}
 	me := n.opts.Self.ID
-	if n.view.HasReplica(me) || (n.view.IsVoter(me) && n.opts.AutoMembership && n.voteTransferable()) {
+	if n.view.HasReplica(me) || (n.view.IsVoter(me) && n.opts.AutoMembership && n.canTransferVote()) {
 		return false
 	}
-	return n.view.Number == 0 || n.viewKnownToQuorum()
+	return n.view.Number == 0 || n.isViewKnownToQuorum()
 }
 
-// viewKnownToQuorum: a majority of the voters, and all of them that are heard, have installed the view that this member is
+// isViewKnownToQuorum: a majority of the voters, and all of them that are heard, have installed the view that this member is
 // in. As long as only the one that decided it knows it, its loss could leave the others without a majority of the
 // view before.
-func (n *Node) viewKnownToQuorum() bool {
-	know, others := 0, 0
+func (n *Node) isViewKnownToQuorum() bool {
+	informed, others := 0, 0
 	for _, v := range n.view.Voters {
 		if v.ID == n.opts.Self.ID {
 			continue
@@ -80,36 +80,36 @@
 		p := n.peers[v.ID]
 		switch {
 		case p != nil && p.hello.View.Number >= n.view.Number:
-			know++
+			informed++
 		case n.IsAlive(v.ID):
 			return false
 		}
 	}
-	return know >= min(n.view.QuorumSize(), others)
+	return informed >= min(n.view.QuorumSize(), others)
 }
 
-// allShuttingDown: every other member of the view has said that it is about to end.
-func (n *Node) allShuttingDown() bool {
+// isEveryMemberShuttingDown: every other member of the view has said that it is about to end.
+func (n *Node) isEveryMemberShuttingDown() bool {
 	for _, s := range n.view.Replicas {
-		if !n.memberShuttingDown(s.ID) {
+		if !n.isMemberShuttingDown(s.ID) {
 			return false
 		}
 	}
 	for _, v := range n.view.Voters {
-		if !n.memberShuttingDown(v.ID) {
+		if !n.isMemberShuttingDown(v.ID) {
 			return false
 		}
 	}
 	return true
 }
 
-// voteTransferable: a control node without a vote is there that may take this member's, or votes are to spare.
-func (n *Node) voteTransferable() bool {
+// canTransferVote: a control node without a vote is there that may take this member's, or votes are to spare.
+func (n *Node) canTransferVote() bool {
 	if n.view.ExtraVoters > 0 && len(n.view.Voters) > minVoters {
 		return true
 	}
 	for _, id := range n.peerIDs() {
-		if n.IsAlive(id) && !n.view.IsVoter(id) && !n.memberShuttingDown(id) {
+		if n.IsAlive(id) && !n.view.IsVoter(id) && !n.isMemberShuttingDown(id) {
 			return true
 		}
 	}
@@ -122,9 +122,9 @@
 	if !n.opts.AutoMembership || n.view.ExtraVoters <= 0 || len(n.view.Voters) <= minVoters {
 		return ""
 	}
-	seated := View{Replicas: order}
+	remaining := View{Replicas: order}
 	for _, v := range n.view.Voters {
-		if n.view.HasReplica(v.ID) && !seated.HasReplica(v.ID) || n.memberShuttingDown(v.ID) && !seated.HasReplica(v.ID) {
+		if n.view.HasReplica(v.ID) && !remaining.HasReplica(v.ID) || n.isMemberShuttingDown(v.ID) && !remaining.HasReplica(v.ID) {
 			return v.ID
 		}
 	}
--- a/internal/controlplane/chain/shutdown_test.go
+++ b/internal/controlplane/chain/shutdown_test.go
@@ -11,41 +11,41 @@
 // serves on until enough others hold all of it.
 func TestShutdownWaitsUntilOtherReplicasHoldTheLog(t *testing.T) {
 	for _, controlNodes := range []int{3, 5} {
-		for place := range controlNodes {
-			t.Run(fmt.Sprintf("%d offices, place %d", controlNodes, place), func(t *testing.T) {
+		for position := range controlNodes {
+			t.Run(fmt.Sprintf("%d offices, place %d", controlNodes, position), func(t *testing.T) {
 				t.Parallel()
 				for seed := range int64(3) {
-					y := newPacedTestCluster(t, seed, controlNodes)
+					tc := newFleetTimedCluster(t, seed, controlNodes)
 					var holder *testMember
 					others := []*testMember{}
-					for _, s := range y.living() {
-						if s.node.position() == place {
+					for _, s := range tc.remainingMembers() {
+						if s.node.position() == position {
 							holder = s
 						} else {
 							others = append(others, s)
 						}
 					}
-					y.takeAway(others[:y.tolerated()], emptied)
-					y.step(holder, ShutdownRequested{})
+					tc.loseAndStartSuccessors(others[:tc.maxLosses()], repairEmptied)
+					tc.step(holder, ShutdownRequested{})
 					waitedUs := int64(0)
-					for ; !holder.node.ShutdownComplete(); waitedUs += yardStepUs {
-						if y.advance(yardStepUs); waitedUs > graceUs {
+					for ; !holder.node.ShutdownComplete(); waitedUs += stepUs {
+						if tc.advance(stepUs); waitedUs > terminationGraceUs {
 							t.Fatalf("seed %d: it has not left: %s", seed, holder.node.WaitReason())
 						}
 					}
 					holders := 0
 					for _, s := range others {
-						if s.node.serving() && s.node.caughtUp {
+						if s.node.isServing() && s.node.caughtUp {
 							holders++
 						}
 					}
-					if holders < y.minReplicas || waitedUs < clock.Sec/2 {
+					if holders < tc.minReplicas || waitedUs < clock.Sec/2 {
 						t.Fatalf("seed %d: it left after %d ms, when %d others held the log", seed, waitedUs/clock.Ms, holders)
 					}
-					y.stop(holder)
-					y.advance(clock.Sec)
-					y.start(holder, false)
-					y.requireSettled(20*clock.Sec, "back")
+					tc.stop(holder)
+					tc.advance(clock.Sec)
+					tc.start(holder, false)
+					tc.requireSettled(20*clock.Sec, "back")
 				}
 			})
 		}
@@ -56,26 +56,26 @@
 // when it is back.
 func TestShutdownWithoutAutoMembershipHandsOverPositionOnly(t *testing.T) {
 	for i := range 3 {
-		b := newSmallChain()
-		p := b.members[i]
-		b.step(i, ShutdownRequested{})
+		sc := newSmallChain()
+		p := sc.members[i]
+		sc.step(i, ShutdownRequested{})
 		for n := 0; n < 12 && !p.node.ShutdownComplete(); n++ {
-			b.tick()
-			b.deliverAll()
+			sc.tick()
+			sc.deliverAll()
 		}
-		if !p.node.ShutdownComplete() || p.node.view.HasReplica(p.me.ID) || !p.node.view.IsVoter(p.me.ID) {
+		if !p.node.ShutdownComplete() || p.node.view.HasReplica(p.member.ID) || !p.node.view.IsVoter(p.member.ID) {
 			t.Fatalf("member %d: left %v, %+v", i, p.node.ShutdownComplete(), p.node.view)
 		}
-		b.crash(i)
-		b.write()
-		b.deliverAll()
-		if len(b.acked) != 1 {
-			t.Fatalf("member %d: %d acknowledged without it", i, len(b.acked))
+		sc.crash(i)
+		sc.write()
+		sc.deliverAll()
+		if len(sc.acked) != 1 {
+			t.Fatalf("member %d: %d acknowledged without it", i, len(sc.acked))
 		}
-		b.start(i, 0)
-		b.advanceTicks(14)
-		if b.checkInvariants(); b.broken != "" || !p.node.serving() || len(p.node.view.Replicas) != 3 {
-			t.Fatalf("member %d: %s, back as %s in %+v", i, b.broken, p.node.phase, p.node.view)
+		sc.start(i, 0)
+		sc.advanceTicks(14)
+		if sc.checkInvariants(); sc.violation != "" || !p.node.isServing() || len(p.node.view.Replicas) != 3 {
+			t.Fatalf("member %d: %s, back as %s in %+v", i, sc.violation, p.node.phase, p.node.view)
 		}
 	}
 }
@@ -83,19 +83,19 @@
 // Where all are told to end, nobody waits for the others to take over.
 func TestShutdownOfAllMembersCompletesAtOnce(t *testing.T) {
 	for _, controlNodes := range []int{1, 3, 5} {
-		y := newTestCluster(t, 1, controlNodes, min(3, controlNodes))
-		y.paced, y.minReplicas = true, (controlNodes-1)/2+1
-		for _, s := range y.members {
-			y.start(s, true)
+		tc := newTestCluster(t, 1, controlNodes, min(3, controlNodes))
+		tc.fleetTimings, tc.minReplicas = true, (controlNodes-1)/2+1
+		for _, s := range tc.members {
+			tc.start(s, true)
 		}
-		y.requireSettled(30*clock.Sec, "founding")
-		for _, s := range y.members {
-			y.step(s, ShutdownRequested{})
+		tc.requireSettled(30*clock.Sec, "founding")
+		for _, s := range tc.members {
+			tc.step(s, ShutdownRequested{})
 		}
-		y.advance(clock.Sec / 4)
-		for _, s := range y.members {
+		tc.advance(clock.Sec / 4)
+		for _, s := range tc.members {
 			if !s.node.ShutdownComplete() {
-				t.Errorf("%d control nodes: %s waits for %s", controlNodes, s.me.ID, s.node.WaitReason())
+				t.Errorf("%d control nodes: %s waits for %s", controlNodes, s.member.ID, s.node.WaitReason())
 			}
 		}
 	}
@@ -106,38 +106,38 @@
 func TestShutdownWaitsForMemberThatIsDown(t *testing.T) {
 	for _, controlNodes := range []int{3, 5} {
 		for seed := range int64(4) {
-			y := newPacedTestCluster(t, seed, controlNodes)
-			lost := y.picks(int(seed))
+			tc := newFleetTimedCluster(t, seed, controlNodes)
+			lost := tc.membersToLose(int(seed))
 			for _, s := range lost {
-				y.stop(s)
+				tc.stop(s)
 			}
-			y.advance(2 * clock.Sec)
+			tc.advance(2 * clock.Sec)
 			var holder *testMember
-			for _, s := range y.living() {
+			for _, s := range tc.remainingMembers() {
 				if s.node != nil {
 					holder = s
 				}
 			}
-			y.step(holder, ShutdownRequested{})
-			y.advance(clock.Sec)
-			before := y.lastAcked
-			y.advance(clock.Sec)
-			if holder.node.ShutdownComplete() || holder.node.WaitReason() == "" || y.lastAcked == before {
-				t.Fatalf("%d control nodes, seed %d: left %v, %d acknowledged in a second, in %+v", controlNodes, seed, holder.node.ShutdownComplete(), y.lastAcked-before, holder.node.view)
+			tc.step(holder, ShutdownRequested{})
+			tc.advance(clock.Sec)
+			before := tc.lastAcked
+			tc.advance(clock.Sec)
+			if holder.node.ShutdownComplete() || holder.node.WaitReason() == "" || tc.lastAcked == before {
+				t.Fatalf("%d control nodes, seed %d: left %v, %d acknowledged in a second, in %+v", controlNodes, seed, holder.node.ShutdownComplete(), tc.lastAcked-before, holder.node.view)
 			}
 			for _, s := range lost {
-				y.start(s, false)
+				tc.start(s, false)
 			}
-			for endUs := y.nowUs + 4*clock.Sec; y.nowUs < endUs && !holder.node.ShutdownComplete(); {
-				y.advance(yardStepUs)
+			for endUs := tc.nowUs + 4*clock.Sec; tc.nowUs < endUs && !holder.node.ShutdownComplete(); {
+				tc.advance(stepUs)
 			}
 			if !holder.node.ShutdownComplete() {
 				t.Fatalf("%d control nodes, seed %d: it waits for %s", controlNodes, seed, holder.node.WaitReason())
 			}
-			y.terminate(holder)
-			y.advance(clock.Sec)
-			y.start(holder, false)
-			y.requireSettled(20*clock.Sec, "back")
+			tc.terminate(holder)
+			tc.advance(clock.Sec)
+			tc.start(holder, false)
+			tc.requireSettled(20*clock.Sec, "back")
 		}
 	}
 }
--- a/internal/controlplane/chain/snapshot.go
+++ b/internal/controlplane/chain/snapshot.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// persistingReceivedSnapshot: a peer's copy is on its way to the disk. Another would have to wait for it.
-func (n *Node) persistingReceivedSnapshot() bool {
+// isPersistingReceivedSnapshot: a peer's copy is on its way to the disk. Another would have to wait for it.
+func (n *Node) isPersistingReceivedSnapshot() bool {
 	for _, s := range n.pendingWrites {
 		if s.snapshotIndex > 0 {
 			return true
@@ -26,8 +26,8 @@
 	return false
 }
 
-// persistingSnapshot: a copy is on its way to the disk, beside the log.
-func (n *Node) persistingSnapshot() bool {
+// isPersistingSnapshot: a copy is on its way to the disk, beside the log.
+func (n *Node) isPersistingSnapshot() bool {
 	for _, s := range n.pendingWrites {
 		if s.hasSnapshot {
 			return true
@@ -52,7 +52,7 @@
 }
 
 func (n *Node) appendEntry(e Entry) {
-	if have, ok := n.viewAt(e.Index); ok && have != e.View && e.Index > n.commitIndex {
+	if existing, ok := n.viewAt(e.Index); ok && existing != e.View && e.Index > n.commitIndex {
 		n.truncateTo(e.Index - 1)
 	}
 	if e.Index == n.lastIndex()+1 {
@@ -68,7 +68,7 @@
 }
 
 func (n *Node) restoreSnapshot(c Snapshot) {
-	if c.State == nil || n.persistingReceivedSnapshot() {
+	if c.State == nil || n.isPersistingReceivedSnapshot() {
 		return
 	}
 	n.base, n.entries, n.state, n.commitIndex, n.caughtUp = Snapshot{Index: c.Index, View: c.View}, nil, c.State.Snapshot(), c.Index, false
@@ -78,13 +78,13 @@
 	n.effects = append(n.effects, Persist{Seq: n.persistSeq, Snapshot: &c})
 }
 
-// tooManyEntries: there are enough entries, and enough of them committed, to let go of most.
-func (n *Node) tooManyEntries() bool {
+// hasTooManyEntries: there are enough entries, and enough of them committed, to let go of most.
+func (n *Node) hasTooManyEntries() bool {
 	return len(n.entries) >= 2*n.opts.MaxRetainedEntries && n.commitIndex >= n.firstIndex()+uint64(n.opts.MaxRetainedEntries)
 }
 
-// logTooLarge: the log takes much of the disk, and much more than when it was last begun anew.
-func (n *Node) logTooLarge() bool {
+// isLogTooLarge: the log takes much of the disk, and much more than when it was last begun anew.
+func (n *Node) isLogTooLarge() bool {
 	return n.logBytes >= n.opts.MaxLogBytes && n.logBytes >= 2*n.compactedLogBytes
 }
 
@@ -121,7 +121,7 @@
 
 // compact begins the log anew on a copy of the state.
 func (n *Node) compact() {
-	if n.persistingSnapshot() || (!n.tooManyEntries() && !n.logTooLarge()) {
+	if n.isPersistingSnapshot() || (!n.hasTooManyEntries() && !n.isLogTooLarge()) {
 		return
 	}
 	c := *n.currentSnapshot()
@@ -139,8 +139,8 @@
 	}
 	for _, e := range n.entries {
 		if e.Index > c.Index && e.Index <= n.stagedIndex {
-			held := e
-			records = append(records, Record{Entry: &held})
+			entry := e
+			records = append(records, Record{Entry: &entry})
 		}
 	}
 	prior := n.firstIndex() + keptFrom - 1
--- a/internal/controlplane/chain/start.go
+++ b/internal/controlplane/chain/start.go
@@ -46,8 +46,8 @@
 	return s.Incarnation > o.Incarnation
 }
 
-// startNewsUs is for how long a change among the starts is told to everybody.
-const startNewsUs = 3 * clock.Sec
+// startBroadcastUs is for how long a change among the starts is told to everybody.
+const startBroadcastUs = 3 * clock.Sec
 
 // persistIncarnation notes on the disk that this process has run on it, before it can be seated.
 func (n *Node) persistIncarnation() {
@@ -59,12 +59,12 @@
 	n.incarnationSeq = n.persistSeq
 }
 
-// canBeSeated: a process that has restarted may speak for its log once the disk names it.
-func (n *Node) canBeSeated() bool { return n.phase != PhaseRestarted || n.incarnationSynced }
+// canBeReplica: a process that has restarted may speak for its log once the disk names it.
+func (n *Node) canBeReplica() bool { return n.phase != PhaseRestarted || n.incarnationSynced }
 
-// keptSeat: the seat of this member in a later view is that of a process that ran on this disk. One that the disk does
+// isReplicaOfThisDisk: the seat of this member in a later view is that of a process that ran on this disk. One that the disk does
 // not name ran on another copy of it, which may hold more.
-func (n *Node) keptSeat(v View) bool {
+func (n *Node) isReplicaOfThisDisk(v View) bool {
 	for _, s := range v.Replicas {
 		if s.ID == n.opts.Self.ID {
 			return n.view.Position(s.ID, s.Incarnation) >= 0 || slices.Contains(n.diskIncarnations, s.Incarnation)
@@ -81,23 +81,23 @@
 // recordStart notes the process that a hello comes from. It is false for one that a newer has taken the place of, which is
 // told so.
 func (n *Node) recordStart(h Hello) bool {
-	known, had := n.knownStarts[h.Member.ID]
-	told := Start{Number: h.Start, Incarnation: h.Incarnation}
+	known, isKnown := n.knownStarts[h.Member.ID]
+	start := Start{Number: h.Start, Incarnation: h.Incarnation}
 	switch {
-	case !had:
-	case known.Incarnation == told.Incarnation:
+	case !isKnown:
+	case known.Incarnation == start.Incarnation:
 		// A hello may be from before this process took its number.
-		told.Number = max(told.Number, known.Number)
+		start.Number = max(start.Number, known.Number)
 	case h.Start == 0:
 		// A version without numbers: whoever is heard is the newest, as it was before there were numbers.
-		told.Number = known.Number + 1
-	case known.newerThan(told):
+		start.Number = known.Number + 1
+	case known.newerThan(start):
 		hello := n.currentHello()
 		hello.KnownStarts = n.allStarts()
 		n.emitSend(h.Member.Addr, h.Member.ID, Msg{Hello: &hello})
 		return false
 	}
-	n.setStart(h.Member.ID, knownStart{Start: told, addr: h.Member.Addr, heardUs: n.nowUs})
+	n.setStart(h.Member.ID, knownStart{Start: start, addr: h.Member.Addr, heardUs: n.nowUs})
 	return true
 }
 
@@ -112,33 +112,33 @@
 // names all the others.
 func (n *Node) learnStarts(known map[string]KnownStart) {
 	for _, id := range slices.Sorted(maps.Keys(known)) {
-		told := known[id]
-		had, ok := n.knownStarts[id]
-		if id != n.opts.Self.ID && (!ok || told.newerThan(had.Start)) {
-			learned := knownStart{Start: told.Start, addr: told.Addr}
-			if told.Heard {
+		reported := known[id]
+		recorded, ok := n.knownStarts[id]
+		if id != n.opts.Self.ID && (!ok || reported.newerThan(recorded.Start)) {
+			learned := knownStart{Start: reported.Start, addr: reported.Addr}
+			if reported.Heard {
 				learned.heardUs = n.nowUs
 			}
 			n.setStart(id, learned)
 		}
 	}
-	if told, own := known[n.opts.Self.ID]; own {
-		n.learnOwnStart(told)
+	if reported, ok := known[n.opts.Self.ID]; ok {
+		n.learnOwnStart(reported)
 	}
 }
 
 // learnOwnStart is told of a process of this member that counts as newer. It has taken this one's place if somebody has
 // heard it, at another address, since this one got its vote. Else it is one that has ended, whose number somebody still
 // remembers who did not hear this one start: this one takes a number above it.
-func (n *Node) learnOwnStart(told KnownStart) {
-	if !told.newerThan(n.ownStart()) {
+func (n *Node) learnOwnStart(reported KnownStart) {
+	if !reported.newerThan(n.ownStart()) {
 		return
 	}
-	if n.votesRecovered && told.Heard && told.Addr != n.opts.Self.Addr {
-		n.becomeFenced(told.Start)
+	if n.votesRecovered && reported.Heard && reported.Addr != n.opts.Self.Addr {
+		n.becomeFenced(reported.Start)
 		return
 	}
-	n.startNumber = told.Number + 1
+	n.startNumber = reported.Number + 1
 	n.broadcastHello()
 }
 
@@ -155,20 +155,20 @@
 // stepFenced lets time pass for a process that takes no part in anything but its own end.
 func (n *Node) stepFenced(nowUs int64, ev Event) {
 	n.nowUs = nowUs
-	if _, ending := ev.(ShutdownRequested); ending {
+	if _, isShutdown := ev.(ShutdownRequested); isShutdown {
 		n.shuttingDown = true
 	}
 }
 
-// fromFencedProcess: the message comes from a process of its member that is not the newest known here.
-func (n *Node) fromFencedProcess(m Msg) bool {
-	known, had := n.knownStarts[m.From.ID]
-	return had && m.Hello == nil && m.From.ID != n.opts.Self.ID && m.Incarnation != known.Incarnation
+// isFromFencedProcess: the message comes from a process of its member that is not the newest known here.
+func (n *Node) isFromFencedProcess(m Msg) bool {
+	known, isKnown := n.knownStarts[m.From.ID]
+	return isKnown && m.Hello == nil && m.From.ID != n.opts.Self.ID && m.Incarnation != known.Incarnation
 }
 
-// startsToTell are the starts that a hello to a member names: all while it compares notes or some have changed, else none.
-func (n *Node) startsToTell(p *peer) map[string]KnownStart {
-	if p != nil && p.hello.VotesRecovered && n.nowUs-n.startsChangedUs > startNewsUs {
+// startsToSend are the starts that a hello to a member names: all while it compares notes or some have changed, else none.
+func (n *Node) startsToSend(p *peer) map[string]KnownStart {
+	if p != nil && p.hello.VotesRecovered && n.nowUs-n.startsChangedUs > startBroadcastUs {
 		return nil
 	}
 	return n.allStarts()
--- a/internal/controlplane/chain/start_order_test.go
+++ b/internal/controlplane/chain/start_order_test.go
@@ -8,27 +8,27 @@
 // A process that learned of its own older one in the midst of the others told a draw of them: in the order of a Go map. A
 // seed of the simulator was then several days.
 func TestStartsAreLearnedInOneOrder(t *testing.T) {
-	const ghosts, plays = 6, 20
-	for play := range plays {
+	const otherMembers, runs = 6, 20
+	for run := range runs {
 		n := newSmallChain().members[0].node
 		known := map[string]KnownStart{n.opts.Self.ID: {Start: Start{Number: n.startNumber + 3, Incarnation: "older"}, Addr: n.opts.Self.Addr}}
-		for i := range ghosts {
+		for i := range otherMembers {
 			known[fmt.Sprint("ghost-", i)] = KnownStart{Start: Start{Number: 1, Incarnation: "g"}, Addr: fmt.Sprint("g", i)}
 		}
 		n.effects = nil
 		n.learnStarts(known)
-		told := 0
+		sent := 0
 		for _, e := range n.effects {
 			if send, ok := e.(Send); ok && send.Msg.Hello != nil && send.Msg.Hello.KnownStarts != nil {
-				told++
-				for i := range ghosts {
+				sent++
+				for i := range otherMembers {
 					if _, names := send.Msg.Hello.KnownStarts[fmt.Sprint("ghost-", i)]; !names {
-						t.Fatalf("play %d: the hello to %s does not name ghost-%d, which came with the same message", play, send.Addr, i)
+						t.Fatalf("play %d: the hello to %s does not name ghost-%d, which came with the same message", run, send.Addr, i)
 					}
 				}
 			}
 		}
-		if told == 0 {
+		if sent == 0 {
 			t.Fatal("it told nobody")
 		}
 	}
--- a/internal/controlplane/chain/start_test.go
+++ b/internal/controlplane/chain/start_test.go
@@ -12,16 +12,16 @@
 // duplicate starts a second process of a member, at another address, from a copy of its disk.
 func (sc *smallChain) duplicate(i int) int {
 	p := sc.members[i]
-	me := p.me
-	me.Addr = p.me.Addr + "-copy"
-	sc.members = append(sc.members, &smallMember{me: me, disk: slices.Clone(p.disk)})
+	me := p.member
+	me.Addr = p.member.Addr + "-copy"
+	sc.members = append(sc.members, &smallMember{member: me, disk: slices.Clone(p.disk)})
 	copied := len(sc.members) - 1
 	sc.start(copied, 0)
 	return copied
 }
 
-// withoutStarts is a plant: no message says which process of a member is the newer.
-func withoutStarts(m Msg) Msg {
+// stripStarts is a plant: no message says which process of a member is the newer.
+func stripStarts(m Msg) Msg {
 	if m.Hello != nil {
 		h := *m.Hello
 		h.Start, h.KnownStarts = 0, nil
@@ -30,10 +30,10 @@
 	return m
 }
 
-// copiedMemberWalk goes on at random from the moment at which a member's disk is copied and started beside it.
-func copiedMemberWalk(seed uint64, acts int, plant func(Msg) Msg) (sc *smallChain, broken string) {
+// walkWithCopiedMember goes on at random from the moment at which a member's disk is copied and started beside it.
+func walkWithCopiedMember(seed uint64, actionCount int, mutate func(Msg) Msg) (sc *smallChain, violation string) {
 	sc = newSmallChain()
-	sc.alter = plant
+	sc.mutate = mutate
 	sc.write()
 	r := seed*2654435761 + 1
 	next := func(n int) int {
@@ -43,23 +43,23 @@
 		return int(r>>8) % n
 	}
 	for range next(30) {
-		sc.requireProgress()
+		sc.advanceOnce()
 	}
 	if next(2) == 0 {
 		// A view change is under way as the disk is copied: another member is silent for a while.
-		struck := next(3)
-		sc.cutOff(struck, true, true)
+		isolated := next(3)
+		sc.isolate(isolated, true, true)
 		sc.advanceIsolated(2 + next(2))
 		for range next(12) {
-			sc.requireProgress()
+			sc.advanceOnce()
 		}
-		sc.cuts = nil
+		sc.cutLinks = nil
 	}
 	original := next(3)
 	copied := sc.duplicate(original)
-	for n := range acts {
+	for n := range actionCount {
 		sc.ticks, sc.writes = 0, min(sc.writes, n/40)
-		switch flow := sc.flow(); {
+		switch flow := sc.deliveriesAndSyncs(); {
 		case n%120 == 119:
 			// Either process may be killed and come back.
 			i := []int{original, copied}[next(2)]
@@ -75,41 +75,41 @@
 		default:
 			sc.tick()
 		}
-		if sc.checkInvariants(); sc.broken != "" {
-			return sc, fmt.Sprintf("action %d: %s", n, sc.broken)
+		if sc.checkInvariants(); sc.violation != "" {
+			return sc, fmt.Sprintf("action %d: %s", n, sc.violation)
 		}
 	}
 	return sc, ""
 }
 
 // flow are the deliveries and syncs that may come next.
-func (sc *smallChain) flow() []func(*smallChain) {
-	acts := []func(*smallChain){}
+func (sc *smallChain) deliveriesAndSyncs() []func(*smallChain) {
+	actions := []func(*smallChain){}
 	for i := range sc.members {
-		if sc.members[i].ready() {
-			acts = append(acts, func(c *smallChain) { c.synced(i) })
+		if sc.members[i].canSync() {
+			actions = append(actions, func(c *smallChain) { c.syncNext(i) })
 		}
 		for j := range sc.members {
-			if way := [2]int{i, j}; len(sc.pipes[way]) > 0 {
-				acts = append(acts, func(c *smallChain) { c.deliver(way) })
+			if link := [2]int{i, j}; len(sc.links[link]) > 0 {
+				actions = append(actions, func(c *smallChain) { c.deliver(link) })
 			}
 		}
 	}
-	return acts
+	return actions
 }
 
 // A disk that was copied and started twice: two processes hold one member's vote. No view is decided twice, no two tails
 // are open, nothing that was acknowledged is lost, and one of the two is fenced.
 func TestLongWalksWithTwoProcessesOfOneMember(t *testing.T) {
 	walks := 300 * exploreFactor()
-	if raced {
+	if raceEnabled {
 		walks = 30
 	}
 	fenced, views := 0, 0
 	for seed := range uint64(walks) {
-		sc, broken := copiedMemberWalk(seed, 600, nil)
-		if broken != "" {
-			t.Fatalf("walk %d: %s", seed, broken)
+		sc, violation := walkWithCopiedMember(seed, 600, nil)
+		if violation != "" {
+			t.Fatalf("walk %d: %s", seed, violation)
 		}
 		views += len(sc.views)
 		if sc.fenced > 0 {
@@ -125,24 +125,24 @@
 // Every interleaving of deliveries, syncs, ticks and a write, from states on the way through each member's duplication.
 func TestEveryInterleavingWithTwoProcessesOfOneMember(t *testing.T) {
 	depth, stride := exploreDepth, 3
-	if raced {
-		depth, stride = racedDepth, 6
+	if raceEnabled {
+		depth, stride = raceDepth, 6
 	}
 	for original, role := range []string{"head", "middle", "tail"} {
 		t.Run(role, func(t *testing.T) {
 			t.Parallel()
 			sc := newSmallChain()
 			sc.write()
-			sc.synced(0)
+			sc.syncNext(0)
 			sc.duplicate(original)
 			states := 0
 			for n := range 24 {
 				if n%stride == 0 {
-					s, _, _ := explore(t, sc.clone(), depth, limits{ticks: 2, writes: sc.writes + 1})
+					s, _, _ := explore(t, sc.clone(), depth, exploreLimits{ticks: 2, writes: sc.writes + 1})
 					states += s
 				}
-				if sc.requireProgress(); sc.broken != "" {
-					t.Fatal(sc.broken)
+				if sc.advanceOnce(); sc.violation != "" {
+					t.Fatal(sc.violation)
 				}
 			}
 			t.Logf("%d states within %d actions", states, depth)
@@ -156,9 +156,9 @@
 // Without the numbers the two take turns in their member's name, and a walk must show it.
 func TestProcessesWithoutStartNumbersAreFound(t *testing.T) {
 	for seed := range uint64(300) {
-		sc, broken := copiedMemberWalk(seed, 600, withoutStarts)
-		if broken != "" && (strings.Contains(broken, "decided twice") || strings.Contains(broken, "two open tails") || strings.Contains(broken, "was acknowledged")) {
-			t.Logf("walk %d of %d views: %s", seed, len(sc.views), broken)
+		sc, violation := walkWithCopiedMember(seed, 600, stripStarts)
+		if violation != "" && (strings.Contains(violation, "decided twice") || strings.Contains(violation, "two open tails") || strings.Contains(violation, "was acknowledged")) {
+			t.Logf("walk %d of %d views: %s", seed, len(sc.views), violation)
 			return
 		}
 	}
@@ -198,10 +198,10 @@
 	sc := newSmallChain()
 	sc.write()
 	sc.deliverAll()
-	sc.cutOff(1, true, true)
+	sc.isolate(1, true, true)
 	copied := sc.duplicate(2)
-	sc.cuts[[2]int{0, copied}], sc.cuts[[2]int{copied, 0}] = true, true
-	sc.cuts[[2]int{2, copied}], sc.cuts[[2]int{copied, 2}] = true, true
+	sc.cutLinks[[2]int{0, copied}], sc.cutLinks[[2]int{copied, 0}] = true, true
+	sc.cutLinks[[2]int{2, copied}], sc.cutLinks[[2]int{copied, 2}] = true, true
 	sinceUs := sc.nowUs
 	for !sc.members[copied].node.votesRecovered {
 		sc.tick()
@@ -218,9 +218,9 @@
 // It remembers what they were before, and what it said of them lies in links: nobody is fenced by that.
 func TestRestartThatOneMemberDidNotHearFencesNobody(t *testing.T) {
 	for seed := range int64(40) {
-		tc := newPacedTestCluster(t, seed, 3)
-		order := tc.living()[0].node.View().Replicas
-		deaf := tc.at(order[seed%3].Addr)
+		tc := newFleetTimedCluster(t, seed, 3)
+		order := tc.remainingMembers()[0].node.View().Replicas
+		unaware := tc.memberAt(order[seed%3].Addr)
 		for turn := range 3 {
 			// Each has restarted by itself before, so that the third knows it by a number that the others forget with their own processes.
 			for _, s := range tc.members {
@@ -229,11 +229,11 @@
 				tc.requireSettled(20*clock.Sec, "restarted alone")
 			}
 			if (seed+int64(turn))%2 == 0 {
-				deaf.paused = true
+				unaware.paused = true
 			}
-			others := slices.DeleteFunc(slices.Clone(tc.members), func(s *testMember) bool { return s == deaf })
+			others := slices.DeleteFunc(slices.Clone(tc.members), func(s *testMember) bool { return s == unaware })
 			for _, s := range others {
-				tc.cuts[[2]string{s.me.Addr, deaf.me.Addr}] = !deaf.paused
+				tc.cutLinks[[2]string{s.member.Addr, unaware.member.Addr}] = !unaware.paused
 				tc.stop(s)
 			}
 			tc.advance(100 * clock.Ms)
@@ -241,12 +241,12 @@
 				tc.start(s, false)
 			}
 			tc.advance(3 * clock.Sec)
-			deaf.paused = false
-			clear(tc.cuts)
+			unaware.paused = false
+			clear(tc.cutLinks)
 			tc.advance(2 * clock.Sec)
 			for _, s := range tc.members {
 				if s.node.phase == PhaseFenced {
-					t.Fatalf("seed %d, turn %d: %s is fenced", seed, turn, s.me.ID)
+					t.Fatalf("seed %d, turn %d: %s is fenced", seed, turn, s.member.ID)
 				}
 			}
 			tc.requireSettled(20*clock.Sec, fmt.Sprintf("seed %d, turn %d", seed, turn))
--- a/internal/controlplane/chain/status.go
+++ b/internal/controlplane/chain/status.go
@@ -11,13 +11,13 @@
 
 func (n *Node) position() int { return n.view.Position(n.opts.Self.ID, n.opts.Incarnation) }
 
-func (n *Node) serving() bool { return n.phase == PhaseServing && n.position() >= 0 }
+func (n *Node) isServing() bool { return n.phase == PhaseServing && n.position() >= 0 }
 
 // IsHead says that this process has the first seat.
-func (n *Node) IsHead() bool { return n.serving() && n.position() == 0 }
+func (n *Node) IsHead() bool { return n.isServing() && n.position() == 0 }
 
 // IsTail says that this process has the last seat.
-func (n *Node) IsTail() bool { return n.serving() && n.position() == len(n.view.Replicas)-1 }
+func (n *Node) IsTail() bool { return n.isServing() && n.position() == len(n.view.Replicas)-1 }
 
 // IsTailReady says whether this control node may answer as the tail at this moment.
 func (n *Node) IsTailReady(nowUs int64) bool {
@@ -62,7 +62,7 @@
 	if n.initialized {
 		return true
 	}
-	return n.serving() && n.caughtUp && (n.viewStartKnown || n.IsHead()) && n.commitIndex >= max(n.viewStartIndex, n.initialIndex)
+	return n.isServing() && n.caughtUp && (n.viewStartKnown || n.IsHead()) && n.commitIndex >= max(n.viewStartIndex, n.initialIndex)
 }
 
 // AcceptsWrites is false in a view of too few: nothing is acknowledged on fewer copies than a loss may take.
@@ -70,8 +70,8 @@
 
 func (n *Node) viewAcceptsWrites(v View) bool {
 	return len(v.Replicas) >= n.minReplicas() &&
-		spreadsOver(v, n.opts.MinZones, func(m Member) string { return m.Zone }) &&
-		spreadsOver(v, n.opts.MinRegions, n.regionOf)
+		spansLocations(v, n.opts.MinZones, func(m Member) string { return m.Zone }) &&
+		spansLocations(v, n.opts.MinRegions, n.regionOf)
 }
 
 // regionOf is where a member's zone lies.
@@ -82,19 +82,19 @@
 	return m.Zone
 }
 
-// spreadsOver says that the replicas of a view lie in so many places, or in as many as there are voters in.
-func spreadsOver(v View, least int, place func(Member) string) bool {
-	if least < 2 {
+// spansLocations says that the replicas of a view lie in so many places, or in as many as there are voters in.
+func spansLocations(v View, minLocations int, locationOf func(Member) string) bool {
+	if minLocations < 2 {
 		return true
 	}
-	seated, wanted := map[string]bool{}, map[string]bool{}
+	occupied, available := map[string]bool{}, map[string]bool{}
 	for _, r := range v.Replicas {
-		seated[place(r.Member)] = true
+		occupied[locationOf(r.Member)] = true
 	}
 	for _, m := range v.Voters {
-		wanted[place(m)] = true
+		available[locationOf(m)] = true
 	}
-	return len(seated) >= min(least, len(wanted))
+	return len(occupied) >= min(minLocations, len(available))
 }
 
 func (n *Node) minReplicas() int { return max(n.opts.MinReplicas, min(2, len(n.view.Voters))) }
@@ -105,7 +105,7 @@
 
 func (n *Node) durableIndex() uint64 {
 	switch {
-	case !n.serving() || !n.AcceptsWrites():
+	case !n.isServing() || !n.AcceptsWrites():
 		return 0
 	case n.IsTail():
 		return min(n.commitIndex, n.syncedIndex)
@@ -131,15 +131,15 @@
 
 // Peers are all other control nodes that were heard in this incarnation.
 func (n *Node) Peers() []PeerStatus {
-	notes := []PeerStatus{}
+	statuses := []PeerStatus{}
 	for _, id := range n.peerIDs() {
 		p := n.peers[id]
-		notes = append(notes, PeerStatus{
+		statuses = append(statuses, PeerStatus{
 			Member: p.hello.Member, Phase: p.hello.Phase, Incarnation: p.hello.Incarnation, LastIndex: p.hello.LastIndex,
 			LastHelloAgoMs: (n.nowUs - p.lastHelloUs) / 1000, Alive: n.IsAlive(id),
 		})
 	}
-	return notes
+	return statuses
 }
 
 func (n *Node) peerIDs() []string {
@@ -153,9 +153,9 @@
 		return "its end: another process runs under its identity, from a copy of its disk; stop one of them for good"
 	case n.shuttingDown && !n.ShutdownComplete():
 		return "other members to take its seat and vote over before it ends"
-	case n.diskRefusing():
+	case n.isDiskRefusing():
 		return "its own disk: it takes no bytes; the same write is tried again and again"
-	case n.diskStalled():
+	case n.isDiskStalled():
 		return "its own disk: a sync has not come back"
 	case n.phase == PhaseBootstrap && n.opts.BootstrapCount > 0:
 		return "founders: it must meet " + strconv.Itoa(n.opts.BootstrapCount) + " fresh control nodes, itself included, and knows " + strconv.Itoa(len(n.founders))
@@ -169,7 +169,7 @@
 		return "the other members of view " + strconv.FormatUint(n.view.Number, 10) + ", or a copy from its tail"
 	case n.phase == PhaseStandby:
 		return "a copy from the tail and a seat in the next view"
-	case n.serving() && !n.caughtUp:
+	case n.isServing() && !n.caughtUp:
 		return "the rest of the log from its predecessor"
 	case !n.AcceptsWrites():
 		return "more members: an acknowledgement needs " + strconv.Itoa(n.minReplicas()) + " copies"
--- a/internal/controlplane/chain/superseded_test.go
+++ b/internal/controlplane/chain/superseded_test.go
@@ -28,7 +28,7 @@
 		if c.heard != "" {
 			n.peers["b"] = &peer{hello: Hello{Member: tail.Member, Incarnation: c.heard, View: View{Number: c.view}}}
 		}
-		if got := n.superseded(tail); got != c.want {
+		if got := n.isSuperseded(tail); got != c.want {
 			t.Errorf("%s: ended %v", name, got)
 		}
 	}
--- a/internal/controlplane/chain/unsynced_log_test.go
+++ b/internal/controlplane/chain/unsynced_log_test.go
@@ -25,7 +25,7 @@
 	next := View{Number: 2, Voters: voters, Replicas: seats}
 	head := Hello{Member: seats[0].Member, Incarnation: "a/2", Phase: PhaseServing, View: next, LastIndex: 1, LastView: 1, CaughtUp: true}
 	n.Step(clock.Sec+clock.Ms, MessageReceived{Msg: &Msg{From: head.Member, Incarnation: head.Incarnation, Hello: &head}})
-	if !n.serving() || n.position() != 1 {
+	if !n.isServing() || n.position() != 1 {
 		t.Fatalf("%s at place %d", n.phase, n.position())
 	}
 	return n
@@ -46,14 +46,14 @@
 func TestUnsyncedLogIsNotAcknowledged(t *testing.T) {
 	heartbeatUs := clock.Sec + 30*clock.Ms
 	heartbeat := MessageReceived{Msg: &Msg{From: Member{ID: "a", Addr: "a"}, Incarnation: "a/2", Forward: &Forward{View: 2, LastIndex: 1, HeadTimeUs: 1}}}
-	if n := restartedMember(t, false); highestAcked(n, heartbeatUs, heartbeat) != 1 || n.diskStalled() {
+	if n := restartedMember(t, false); highestAcked(n, heartbeatUs, heartbeat) != 1 || n.isDiskStalled() {
 		t.Fatal("a synced log does not count")
 	}
 	n := restartedMember(t, true)
-	if last := highestAcked(n, heartbeatUs, heartbeat); last != 0 || !n.diskStalled() || !n.refusesToVote() {
-		t.Fatalf("acknowledges %d, stalled %v, mute %v", last, n.diskStalled(), n.refusesToVote())
+	if last := highestAcked(n, heartbeatUs, heartbeat); last != 0 || !n.isDiskStalled() || !n.refusesToVote() {
+		t.Fatalf("acknowledges %d, stalled %v, mute %v", last, n.isDiskStalled(), n.refusesToVote())
 	}
-	if last := highestAcked(n, clock.Sec+40*clock.Ms, Persisted{Seq: OpeningPersistSeq}); last != 1 || n.diskStalled() {
-		t.Fatalf("synced it acknowledges %d, stalled %v", last, n.diskStalled())
+	if last := highestAcked(n, clock.Sec+40*clock.Ms, Persisted{Seq: OpeningPersistSeq}); last != 1 || n.isDiskStalled() {
+		t.Fatalf("synced it acknowledges %d, stalled %v", last, n.isDiskStalled())
 	}
 }
--- a/internal/controlplane/chain/validate_test.go
+++ b/internal/controlplane/chain/validate_test.go
@@ -10,8 +10,8 @@
 )
 
 // malformedMessages are such as no control node sends, each as if it came from the first control node to another.
-func malformedMessages(y *testCluster, n *Node) map[string]Msg {
-	from := y.members[0]
+func malformedMessages(tc *testCluster, n *Node) map[string]Msg {
+	from := tc.members[0]
 	next := n.View()
 	next.Number++
 	with := func(change func(*View)) View {
@@ -21,16 +21,16 @@
 		return v
 	}
 	hello := func(v View) *Hello {
-		return &Hello{Member: from.me, Incarnation: from.opts.Incarnation, Phase: PhaseServing, View: v, VotesRecovered: true, CaughtUp: true}
+		return &Hello{Member: from.member, Incarnation: from.opts.Incarnation, Phase: PhaseServing, View: v, VotesRecovered: true, CaughtUp: true}
 	}
-	ballot := Ballot{Round: 90, Proposer: from.me.ID}
-	high := Ballot{Round: math.MaxUint64, Proposer: from.me.ID}
+	ballot := Ballot{Round: 90, Proposer: from.member.ID}
+	high := Ballot{Round: math.MaxUint64, Proposer: from.member.ID}
 	accept := func(v View) *Accept { return &Accept{Number: next.Number, Ballot: ballot, View: v} }
 	all := map[string]Msg{
 		"a ballot that nobody can exceed":       {Prepare: &Prepare{Number: next.Number, Ballot: high}},
 		"an accept that nobody can exceed":      {Accept: &Accept{Number: next.Number, Ballot: high, View: next}},
 		"a refusal that nobody can exceed":      {Promise: &Promise{Number: next.Number, PromisedBallot: high}},
-		"a promise made that nobody can exceed": {Hello: &Hello{Member: from.me, Incarnation: from.opts.Incarnation, View: n.View(), PromisedBallot: high}},
+		"a promise made that nobody can exceed": {Hello: &Hello{Member: from.member, Incarnation: from.opts.Incarnation, View: n.View(), PromisedBallot: high}},
 		"an accept of another number":           {Accept: accept(with(func(v *View) { v.Number++ }))},
 		"an accept of a view of nobody":         {Accept: accept(View{Number: next.Number, System: next.System})},
 		"an accept without seats":               {Accept: accept(with(func(v *View) { v.Replicas = nil }))},
@@ -45,7 +45,7 @@
 		"a copy with a replica of nothing":      {Forward: &Forward{View: n.view.Number, Snapshot: &Snapshot{Index: n.LastIndex() + 9, State: malformedState()}}},
 	}
 	for name, m := range all {
-		m.From, m.Incarnation = from.me, from.opts.Incarnation
+		m.From, m.Incarnation = from.member, from.opts.Incarnation
 		all[name] = m
 	}
 	return all
@@ -59,30 +59,30 @@
 
 // None of them is read: nothing changes, each is told of, and the chain goes on.
 func TestMalformedMessagesAreRejected(t *testing.T) {
-	y := grown(t, 1, 3, 3)
-	for _, s := range y.members[1:] {
-		for name, m := range malformedMessages(y, s.node) {
+	tc := newSettledCluster(t, 1, 3, 3)
+	for _, s := range tc.members[1:] {
+		for name, m := range malformedMessages(tc, s.node) {
 			before := observedState(s.node)
-			var bad *fault.Fault
-			for _, e := range s.node.Step(y.nowUs, MessageReceived{Msg: &m}) {
+			var rejection *fault.Fault
+			for _, e := range s.node.Step(tc.nowUs, MessageReceived{Msg: &m}) {
 				if rejected, ok := e.(MessageRejected); ok {
-					bad = rejected.Fault
+					rejection = rejected.Fault
 				}
 			}
-			if bad == nil || bad.Code != fault.BadField || observedState(s.node) != before {
-				t.Errorf("%s, %s: fault %v, %v before, %v after", s.me.ID, name, bad, before, observedState(s.node))
+			if rejection == nil || rejection.Code != fault.BadField || observedState(s.node) != before {
+				t.Errorf("%s, %s: fault %v, %v before, %v after", s.member.ID, name, rejection, before, observedState(s.node))
 			}
 		}
 	}
-	y.requireSettled(5*clock.Sec, "afterwards")
-	y.replace(y.members[0])
-	y.requireSettled(20*clock.Sec, "after a loss")
+	tc.requireSettled(5*clock.Sec, "afterwards")
+	tc.replace(tc.members[0])
+	tc.requireSettled(20*clock.Sec, "after a loss")
 }
 
 // Who does not vote decides nothing, whatever it says that it has promised or accepted.
 func TestOnlyVotersDecide(t *testing.T) {
-	y := grown(t, 1, 3, 3)
-	head := byPlace(y)[0]
+	tc := newSettledCluster(t, 1, 3, 3)
+	head := membersByPosition(tc)[0]
 	n := head.node
 	want := n.View()
 	want.Number++
@@ -91,7 +91,7 @@
 	before := n.View().Number
 	for _, id := range []string{"x", "y", "z"} {
 		from := Member{ID: id, Name: id, Addr: id}
-		y.step(head, MessageReceived{Msg: &Msg{From: from, Incarnation: id, Promise: &Promise{Number: want.Number, Ballot: n.proposal.ballot, OK: true}}})
+		tc.step(head, MessageReceived{Msg: &Msg{From: from, Incarnation: id, Promise: &Promise{Number: want.Number, Ballot: n.proposal.ballot, OK: true}}})
 	}
 	if !n.proposal.preparing {
 		t.Fatal("promises of strangers count")
@@ -99,7 +99,7 @@
 	n.proposal.preparing, n.proposal.chosen = false, want
 	for _, id := range []string{"x", "y", "z"} {
 		from := Member{ID: id, Name: id, Addr: id}
-		y.step(head, MessageReceived{Msg: &Msg{From: from, Incarnation: id, Accepted: &Accepted{Number: want.Number, Ballot: Ballot{Round: n.maxRound, Proposer: head.me.ID}, OK: true}}})
+		tc.step(head, MessageReceived{Msg: &Msg{From: from, Incarnation: id, Accepted: &Accepted{Number: want.Number, Ballot: Ballot{Round: n.maxRound, Proposer: head.member.ID}, OK: true}}})
 	}
 	if n.View().Number != before {
 		t.Fatal("acceptances of strangers count")
--- a/internal/controlplane/chain/view_change.go
+++ b/internal/controlplane/chain/view_change.go
@@ -1,7 +1,7 @@
 package chain
 
 func (n *Node) tick() {
-	if n.diskLagging() {
+	if n.isDiskLagging() {
 		n.diskLaggedUs = n.nowUs
 	}
 	if n.nowUs-n.helloSentUs >= n.opts.HelloIntervalUs {
@@ -11,7 +11,7 @@
 			n.requestLease()
 		}
 	}
-	if n.serving() && n.nowUs-n.heartbeatSentUs >= n.heartbeatIntervalUs() {
+	if n.isServing() && n.nowUs-n.heartbeatSentUs >= n.heartbeatIntervalUs() {
 		n.heartbeatSentUs = n.nowUs
 		n.forward(true)
 		n.sendAck()
@@ -24,7 +24,7 @@
 
 func (n *Node) isHealthy(s Replica) bool {
 	if s.ID == n.opts.Self.ID {
-		return s.Incarnation == n.opts.Incarnation && !n.diskStalled()
+		return s.Incarnation == n.opts.Incarnation && !n.isDiskStalled()
 	}
 	p := n.peers[s.ID]
 	if p == nil {
@@ -55,7 +55,7 @@
 	switch {
 	case n.phase == PhaseBootstrap:
 		n.maybeProposeFirstView()
-	case n.serving():
+	case n.isServing():
 		n.maybeProposeNextView()
 	case n.phase == PhaseRestarted && n.votesRecovered:
 		n.maybeProposeAfterRestart()
@@ -66,10 +66,10 @@
 // maybeProposeNextView removes the seats of members that are not healthy, seats a joiner that holds a copy, and gives
 // the vote of a lost control node to the empty one that came under its name.
 func (n *Node) maybeProposeNextView() {
-	if n.diskStalled() || !n.caughtUp {
+	if n.isDiskStalled() || !n.caughtUp {
 		return
 	}
-	want, changed := n.desiredView()
+	desired, changed := n.desiredView()
 	if !changed {
 		n.viewStableUs = n.nowUs
 		return
@@ -86,45 +86,45 @@
 	if n.nowUs-n.viewStableUs < rank*proposalDelayUs {
 		return
 	}
-	n.propose(want)
+	n.propose(desired)
 	if n.proposal != nil {
 		n.proposal.dropIfUnneeded = true
 	}
 }
 
 // desiredView is the view that should follow as things stand, and whether it differs from the one of now.
-func (n *Node) desiredView() (want View, changed bool) {
-	want = View{Number: n.view.Number + 1, Voters: n.view.Voters, ExtraVoters: n.view.ExtraVoters, System: n.view.System}
+func (n *Node) desiredView() (desired View, changed bool) {
+	desired = View{Number: n.view.Number + 1, Voters: n.view.Voters, ExtraVoters: n.view.ExtraVoters, System: n.view.System}
 	for _, s := range n.view.Replicas {
-		if n.isHealthy(s) && (len(want.Replicas) > 0 || n.isCaughtUp(s)) {
-			want.Replicas = append(want.Replicas, s)
+		if n.isHealthy(s) && (len(desired.Replicas) > 0 || n.isCaughtUp(s)) {
+			desired.Replicas = append(desired.Replicas, s)
 		}
 	}
-	want.Replicas = n.withoutShuttingDown(want.Replicas)
-	changed = len(want.Replicas) != len(n.view.Replicas)
-	if id := n.departedExtraVoter(want.Replicas); id != "" {
-		want.Voters, want.ExtraVoters = withoutVoter(n.view.Voters, id), want.ExtraVoters-1
+	desired.Replicas = n.withoutShuttingDown(desired.Replicas)
+	changed = len(desired.Replicas) != len(n.view.Replicas)
+	if id := n.departedExtraVoter(desired.Replicas); id != "" {
+		desired.Voters, desired.ExtraVoters = withoutVoter(n.view.Voters, id), desired.ExtraVoters-1
 		changed = true
 	} else if !changed {
-		if seat, ok := n.nextJoiner(); ok {
-			want.Replicas = append(withoutReplica(n.view.Replicas, n.replacedVoter(seat.Member)), seat)
+		if joiner, ok := n.nextJoiner(); ok {
+			desired.Replicas = append(withoutReplica(n.view.Replicas, n.replacedVoter(joiner.Member)), joiner)
 			changed = true
 		} else if n.canRemoveMember() {
-			want.Replicas = withoutReplica(n.view.Replicas, n.state.Membership.ID)
+			desired.Replicas = withoutReplica(n.view.Replicas, n.state.Membership.ID)
 			for _, v := range n.view.Voters {
 				if v.ID == n.state.Membership.ID {
-					want.Voters = withoutVoter(n.view.Voters, v.ID)
+					desired.Voters = withoutVoter(n.view.Voters, v.ID)
 				}
 			}
 			changed = true
 		}
-		if voters, extra, ok := n.nextVoters(want.Replicas); ok {
-			want.Voters, want.ExtraVoters = voters, want.ExtraVoters+extra
+		if voters, extra, ok := n.nextVoters(desired.Replicas); ok {
+			desired.Voters, desired.ExtraVoters = voters, desired.ExtraVoters+extra
 			changed = true
 		} else if id := n.unreachableExtraVoter(); !changed && id != "" {
-			want.Voters, want.ExtraVoters = withoutVoter(n.view.Voters, id), want.ExtraVoters-1
+			desired.Voters, desired.ExtraVoters = withoutVoter(n.view.Voters, id), desired.ExtraVoters-1
 			changed = true
 		}
 	}
-	return want, changed && len(want.Replicas) > 0 && (!n.shuttingDown || want.HasReplica(n.opts.Self.ID))
+	return desired, changed && len(desired.Replicas) > 0 && (!n.shuttingDown || desired.HasReplica(n.opts.Self.ID))
 }
