--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -14,89 +14,94 @@
 	"petreltide/internal/process/clock"
 )
 
-// Core is a control node's reducer: the chain, the distribution to gateways and, at the head, the controller. It is not safe
-// for concurrent use.
+// Core is the deterministic state machine of a control node: its chain node, the distribution to gateways and, at the head,
+// the controller. It does no I/O and is not safe for concurrent use.
 type Core struct {
-	// Node is this control node's part of the chain.
+	// Node is this control node's member of the replication chain.
 	Node *chain.Node
-	// Updates publishes numbered updates with leases; it is active at the tail alone.
+	// Updates publishes numbered configuration updates and grants leases on them; it is active only at the tail.
 	Updates *distribution.UpdatePublisher
-	// Controller leads where this control node is the head.
+	// Controller acts as the leader while this control node is the head.
 	Controller *controller.Controller
-	// FailureDetector watches the gateways that the ring gives this control node.
+	// FailureDetector monitors the gateways that the ring assigns to this control node.
 	FailureDetector *failuredetector.Monitor
-	// soft is what is rebuilt after a restart: replicas by heartbeat, frames, verdicts.
-	soft    softState
+	// soft is the state that is not stored and is rebuilt after a restart: the replica registry, frame subscriptions and
+	// outlier verdicts.
+	soft softState
+	// effects collects the effects of the current Step.
 	effects []Effect
-	// quota counts the requests of tenants; quotaDoc is the declaration whose limits it has.
+	// quota counts the requests of tenants; quotaDoc is the declaration from which its limits were set.
 	quota    *quota.Ledger
 	quotaDoc *configuration.Declaration
 
-	// suspectsReportedUs and memberDoneUs are when suspicions were last reported to the head, and when the end of a
+	// lastSuspicionReportUs is when suspicions were last reported to the head, and lastMemberDoneUs when the completion of a
 	// membership change was last submitted.
-	suspectsReportedUs, memberDoneUs int64
-	// checked is the view in which the leader last recorded the platform's list: no lease is given in another one.
-	checked uint64
-	// members are the control nodes that gateways may follow, as of membersUs.
-	members   []chain.Member
-	membersUs int64
-	// stepUs is the last event's time; pausedUs and resumedUs are the ends of the last gap in which this process did not run.
-	stepUs, pausedUs, resumedUs int64
-	// startUs and startIndex are when this incarnation began, and what its log held then: whatever is committed in there was
-	// ordered before.
+	lastSuspicionReportUs, lastMemberDoneUs int64
+	// checkedView is the view in which the leader last recorded the platform's list of replicas. Leases are granted only in
+	// that view.
+	checkedView uint64
+	// followableMembers are the control nodes that gateways may subscribe to, as of membersUpdatedUs.
+	followableMembers []chain.Member
+	membersUpdatedUs  int64
+	// lastStepUs is the time of the last event. pauseStartUs and pauseEndUs bound the last period in which this process was
+	// not scheduled.
+	lastStepUs, pauseStartUs, pauseEndUs int64
+	// startUs is when this incarnation started, and startIndex the last index that its log held then. The commands in entries
+	// up to startIndex were issued before startUs.
 	startUs    int64
 	startIndex uint64
-	// rejectedUs is when a message that was not read was last logged.
-	rejectedUs int64
+	// lastRejectionLogUs is when a rejected message was last logged.
+	lastRejectionLogUs int64
 }
 
-// CoreOptions adjust a control node's reducer; the zero value serves.
+// CoreOptions configures a Core; the zero value selects the defaults.
 type CoreOptions struct {
-	// UnreachableUs is after how long without a heartbeat, in microseconds, a replica is unreachable; 0 means 3 s.
+	// UnreachableUs is the time without a heartbeat after which a replica is unreachable, in microseconds; 0 means 3 s.
 	UnreachableUs int64
-	// Quota bounds what tenants with a limit may run beyond it.
+	// Quota bounds how far rate-limited tenants may exceed their limits.
 	Quota quota.Options
-	// Controller adjusts the controller.
+	// Controller configures the controller.
 	Controller controller.Options
 }
 
-// NewCore is a control node around its part of the chain.
+// NewCore returns the Core of the control node whose member of the chain is node.
 func NewCore(node *chain.Node, opts CoreOptions) *Core {
 	return &Core{
-		Node: node, Updates: distribution.NewUpdatePublisher(), Controller: controller.New(node.Self().ID, opts.Controller), FailureDetector: failuredetector.NewMonitor(), soft: newSoftState(opts.UnreachableUs),
+		Node: node, Updates: distribution.NewUpdatePublisher(), Controller: controller.New(node.Self().ID, opts.Controller),
+		FailureDetector: failuredetector.NewMonitor(), soft: newSoftState(opts.UnreachableUs),
 		quota:   quota.NewLedger(opts.Quota, node.NowUs()),
 		startUs: node.NowUs(), startIndex: node.LastIndex(),
 	}
 }
 
-// Step takes one event and returns what has to be done because of it, in order.
+// Step processes one event at nowUs and returns the effects to execute, in order.
 func (c *Core) Step(nowUs int64, event Event) []Effect {
 	c.effects = nil
 	c.detectPause(nowUs)
-	if asked, isQuota := event.(QuotaAsked); isQuota {
-		// It changes nothing that others are told of.
-		c.quotaAsked(nowUs, asked)
+	if request, isQuota := event.(QuotaRequested); isQuota {
+		// A quota request changes nothing that is published to gateways or peers.
+		c.handleQuotaRequest(nowUs, request)
 		return c.effects
 	}
 	switch event := event.(type) {
 	case Tick:
 		c.tick(nowUs)
 	case PeerMessage:
-		c.messageReceived(nowUs, *event.Message)
+		c.handlePeerMessage(nowUs, *event.Message)
 	case Persisted:
-		c.chain(nowUs, chain.Persisted{Seq: event.Seq, LogBytes: event.LogBytes})
+		c.stepChain(nowUs, chain.Persisted{Seq: event.Seq, LogBytes: event.LogBytes})
 	case PersistFailed:
-		c.chain(nowUs, chain.PersistRefused{Seq: event.Seq})
+		c.stepChain(nowUs, chain.PersistRefused{Seq: event.Seq})
 	case SubmitChange:
-		c.chain(nowUs, chain.ChangeSubmitted{Change: event.Change})
+		c.stepChain(nowUs, chain.ChangeSubmitted{Change: event.Change})
 	case LearnPeers:
-		c.chain(nowUs, chain.AddrsLearned{Addrs: event.Addrs})
-	case PeerRefused:
-		c.chain(nowUs, chain.ConnectionRefused{Addr: event.Addr})
+		c.stepChain(nowUs, chain.AddrsLearned{Addrs: event.Addrs})
+	case PeerConnectionRefused:
+		c.stepChain(nowUs, chain.ConnectionRefused{Addr: event.Addr})
 	case LeaveChain:
-		c.chain(nowUs, chain.ShutdownRequested{})
+		c.stepChain(nowUs, chain.ShutdownRequested{})
 	case ControllerInput:
-		c.controller(nowUs, event.Event)
+		c.stepController(nowUs, event.Event)
 	case PeerHeartbeat:
 		c.FailureDetector.Receive(nowUs, *event.Heartbeat)
 	default:
@@ -106,38 +111,38 @@
 	return c.effects
 }
 
-// stepFleet takes the events that come from gateways and replicas.
+// stepFleet processes the events that gateways and replicas cause.
 func (c *Core) stepFleet(nowUs int64, event Event) {
 	switch event := event.(type) {
-	case FollowUpdates:
+	case SubscribeUpdates:
 		c.Updates.SetActive(nowUs, c.Node.IsTailReady(nowUs))
 		c.Updates.Follow(nowUs, *event.Request)
 	case GatewayReport:
-		c.gatewayReported(nowUs, event)
+		c.handleGatewayReport(nowUs, event)
 	case ReplicaHeartbeat:
-		c.replicaReported(nowUs, *event.Status, event.Reply)
+		c.handleReplicaHeartbeat(nowUs, *event.Status, event.ReplyID)
 	case ReplicaDeregistration:
-		c.replicaRemoved(nowUs, event.ID, event.Reply)
+		c.handleReplicaDeregistration(nowUs, event.ID, event.ReplyID)
 	case SubscribeFrames:
-		c.soft.Hub.Follow(nowUs, *event.Request)
+		c.soft.FramePublisher.Follow(nowUs, *event.Request)
 	case UnsubscribeFrames:
-		c.soft.Hub.Unfollow(event.Gateway, event.Incarnation)
+		c.soft.FramePublisher.Unfollow(event.Gateway, event.Incarnation)
 	case RoutedGatewayReport:
-		c.routedGatewayReported(nowUs, *event.Report)
+		c.handleRoutedGatewayReport(nowUs, *event.Report)
 	}
 }
 
-// tick does what is due by time.
+// tick runs everything that is due by time.
 func (c *Core) tick(nowUs int64) {
-	c.chain(nowUs, chain.Tick{})
-	c.controller(nowUs, controller.Tick{})
+	c.stepChain(nowUs, chain.Tick{})
+	c.stepController(nowUs, controller.Tick{})
 	c.reportSuspects(nowUs)
 	c.completeMemberChange(nowUs)
 	c.resolveDepartures(nowUs)
 }
 
-// publish sends out what the step changed: snapshots and frames to gateways, results to those that wait for them,
-// gossip to the other control nodes.
+// publish emits what the step changed: updates and frames for gateways, results for the origins of changes, and gossip for the
+// other control nodes.
 func (c *Core) publish(nowUs int64) {
 	c.Updates.SetActive(nowUs, c.Node.IsTailReady(nowUs))
 	for _, p := range c.Updates.Updates(c.Node.State(), c.Node.View()) {
@@ -145,27 +150,27 @@
 		c.effects = append(c.effects, PushUpdate{Push: &push})
 	}
 	for _, a := range c.Updates.ReleasedResults(nowUs) {
-		c.respond(a.Origin, a.Result)
+		c.sendResult(a.Origin, a.Result)
 	}
 	c.observeQuota(nowUs)
 	c.gossip(nowUs)
 	c.pushFrames(nowUs)
 }
 
-func (c *Core) messageReceived(nowUs int64, message peering.Message) {
+func (c *Core) handlePeerMessage(nowUs int64, message peering.Message) {
 	switch {
 	case message.Chain != nil:
-		c.chain(nowUs, chain.MessageReceived{Msg: message.Chain})
+		c.stepChain(nowUs, chain.MessageReceived{Msg: message.Chain})
 	case message.Result != nil:
 		c.effects = append(c.effects, DeliverResult{Result: message.Result})
 	case message.Report != nil:
-		c.controller(nowUs, controller.GatewayReport{Report: message.Report})
+		c.stepController(nowUs, controller.GatewayReport{Report: message.Report})
 	case message.Suspicion != nil:
-		c.controller(nowUs, controller.WatcherReport{Report: *message.Suspicion})
+		c.stepController(nowUs, controller.WatcherReport{Report: *message.Suspicion})
 	case message.Gossip != nil:
-		c.gossipReceived(nowUs, *message.Gossip)
+		c.handleGossip(nowUs, *message.Gossip)
 	case message.DrainConfirmation != nil:
-		c.departuresConfirmed(nowUs, *message.DrainConfirmation)
+		c.handleDrainConfirmation(nowUs, *message.DrainConfirmation)
 	case message.Outliers != nil && message.Outliers.NewerThan(c.soft.Outliers):
 		c.soft.Outliers = *message.Outliers
 	}
@@ -175,23 +180,23 @@
 	c.effects = append(c.effects, SendMessage{Addr: addr, Message: message})
 }
 
-func (c *Core) chain(nowUs int64, ev chain.Event) {
+func (c *Core) stepChain(nowUs int64, ev chain.Event) {
 	for _, e := range c.Node.Step(nowUs, ev) {
 		switch e := e.(type) {
 		case chain.Send:
 			msg := e.Msg
 			c.send(e.Addr, peering.Message{Chain: &msg})
 		case chain.Persist:
-			c.effects = append(c.effects, PersistSave{Save: &e})
+			c.effects = append(c.effects, Persist{Request: &e})
 		case chain.Applied:
-			c.applied(nowUs, e)
+			c.handleApplied(nowUs, e)
 		case chain.ViewInstalled:
 			c.Updates.SetActive(nowUs, c.Node.IsTailReady(nowUs))
-			c.effects = append(c.effects, LogMessage{Message: "view", Detail: viewText(e.View)})
+			c.effects = append(c.effects, LogMessage{Message: "view", Detail: formatView(e.View)})
 		case chain.Fenced:
 			c.effects = append(c.effects, LogMessage{Message: "fenced by another process of this identity", Detail: e.By.Incarnation})
 		case chain.MessageRejected:
-			c.rejected(nowUs, e.Fault)
+			c.logRejectedMessage(nowUs, e.Fault)
 		case chain.ChangeRejected:
 			c.effects = append(c.effects, DeliverResult{Result: &wire.Result{Outcome: statemachine.Outcome{
 				ID: e.ID, Fault: fault.New(fault.NotServing, "", "%s", e.Reason),
@@ -200,33 +205,33 @@
 	}
 }
 
-// rejectedLogIntervalUs is how often messages that are not read are told of at most: their sender goes on.
+// rejectedLogIntervalUs is the minimum interval between two log lines about rejected messages, as their sender keeps sending.
 const rejectedLogIntervalUs = 10 * clock.Sec
 
-func (c *Core) rejected(nowUs int64, why *fault.Fault) {
-	if c.rejectedUs != 0 && nowUs-c.rejectedUs < rejectedLogIntervalUs {
+func (c *Core) logRejectedMessage(nowUs int64, reason *fault.Fault) {
+	if c.lastRejectionLogUs != 0 && nowUs-c.lastRejectionLogUs < rejectedLogIntervalUs {
 		return
 	}
-	c.rejectedUs = nowUs
-	c.effects = append(c.effects, LogMessage{Message: "message not read", Detail: why.Error()})
+	c.lastRejectionLogUs = nowUs
+	c.effects = append(c.effects, LogMessage{Message: "message not read", Detail: reason.Error()})
 }
 
-func (c *Core) applied(nowUs int64, a chain.Applied) {
+func (c *Core) handleApplied(nowUs int64, a chain.Applied) {
 	change := a.Entry.Change
 	if change.LeaderUpdate != nil && change.LeaderUpdate.CheckedInView > 0 {
-		c.checked = change.LeaderUpdate.CheckedInView
+		c.checkedView = change.LeaderUpdate.CheckedInView
 	}
 	c.effects = append(c.effects, ChangeApplied{Applied: &a})
 	if change.LeaderUpdate != nil && len(change.LeaderUpdate.Commands)+len(change.LeaderUpdate.Results) > 0 {
-		sawUs := nowUs
+		observedUs := nowUs
 		if a.Entry.Index <= c.startIndex {
-			sawUs = c.startUs
+			observedUs = c.startUs
 		}
-		c.Controller.OnApplied(sawUs, change.Epoch, *change.LeaderUpdate, c.Node.State())
+		c.Controller.OnApplied(observedUs, change.Epoch, *change.LeaderUpdate, c.Node.State())
 	}
 	if change.LeaderUpdate != nil && change.Epoch == c.Node.State().Epoch {
 		out := a.Outcome
-		c.controller(nowUs, controller.WriteResult{Outcome: out})
+		c.stepController(nowUs, controller.WriteResult{Outcome: out})
 	}
 	if !c.Node.IsTail() || change.Origin == "" || !c.Node.AcceptsWrites() {
 		return
@@ -236,17 +241,18 @@
 		c.Updates.AwaitAcknowledgements(change.Origin, a.Outcome, c.Node.State().UpdateIndex)
 		return
 	}
-	c.respond(change.Origin, wire.Result{Outcome: a.Outcome, OnAllGateways: true})
+	c.sendResult(change.Origin, wire.Result{Outcome: a.Outcome, OnAllGateways: true})
 }
 
-// Outcome is the outcome of a change that was taken before and may be acknowledged here again.
+// Outcome returns the recorded outcome of the change with this ID, marked as repeated. It reports false if the change is
+// unknown, or if its entry is not yet durable in the chain and so must not be acknowledged from here.
 func (c *Core) Outcome(id string) (statemachine.Outcome, bool) {
 	out, seen := c.Node.State().Outcomes[id]
 	out.Repeated = true
 	return out, seen && c.Node.IsDurable(out.Index)
 }
 
-func (c *Core) respond(origin string, r wire.Result) {
+func (c *Core) sendResult(origin string, r wire.Result) {
 	if origin == c.Node.Self().Addr {
 		c.effects = append(c.effects, DeliverResult{Result: &r})
 		return
@@ -254,23 +260,23 @@
 	c.send(origin, peering.Message{Result: &r})
 }
 
-func (c *Core) controller(nowUs int64, event controller.Event) {
-	seen := controller.Snapshot{
+func (c *Core) stepController(nowUs int64, event controller.Event) {
+	snapshot := controller.Snapshot{
 		NowUs: nowUs, State: c.Node.State(), IsHead: c.Node.IsHead(),
 		IsFresh: c.Node.IsHeadConfirmed(nowUs), CanWrite: c.Node.AcceptsWrites(), ViewNumber: c.Node.View().Number,
 		Registry: c.soft.Registry, Outliers: c.soft.Outliers,
 	}
-	if !seen.CanWrite {
-		seen.IsFresh = false
+	if !snapshot.CanWrite {
+		snapshot.IsFresh = false
 	}
-	for _, effect := range c.Controller.Step(seen, event) {
+	for _, effect := range c.Controller.Step(snapshot, event) {
 		switch effect := effect.(type) {
 		case controller.WriteChange:
-			c.chain(nowUs, chain.ChangeSubmitted{Change: effect.Change})
+			c.stepChain(nowUs, chain.ChangeSubmitted{Change: effect.Change})
 		case controller.PublishVerdicts:
-			c.outliersJudged(effect.Table)
+			c.publishOutliers(effect.Table)
 		case controller.RolloutProgress:
-			c.effects = append(c.effects, rolloutMessage(effect))
+			c.effects = append(c.effects, rolloutLogMessage(effect))
 		default:
 			c.effects = append(c.effects, RunController{Effect: effect})
 		}
--- a/internal/controlplane/controlnode/fleet.go
+++ b/internal/controlplane/controlnode/fleet.go
@@ -9,19 +9,20 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// Fleet is what a control node shows where replicas make themselves known and routes say where calls go.
-type Fleet struct {
+// FleetStatus is the part of a control node's status that exists only in routed mode, in which replicas register by heartbeat
+// and routes assign requests to services.
+type FleetStatus struct {
 	Version  uint64                `json:"version"`
 	Routes   []configuration.Route `json:"routes"`
 	Services []ServiceStatus       `json:"services"`
 	Replicas []ReplicaStatus       `json:"replicas"`
-	// Gateways are those that live, as far as this control node knows; they share the further tries.
+	// Gateways are the gateways that this control node knows to be alive; they share the budget of retries.
 	Gateways []string `json:"desks"`
-	// Leadership is known at the control node that holds it.
+	// Leadership is set only at the control node whose controller leads.
 	Leadership *controller.LeaderStatus `json:"duty,omitempty"`
 }
 
-// ServiceStatus is a service in force. Models and CapacityMb are 0 where it has no engine.
+// ServiceStatus describes a service of the declaration in force. Models and CapacityMb are 0 if it has no engine.
 type ServiceStatus struct {
 	Name           string `json:"name"`
 	MaxConnections int    `json:"connectionsMost,omitempty"`
@@ -30,52 +31,54 @@
 	Replicas       int    `json:"replicas"`
 }
 
-// ReplicaState is what a control node makes of a replica's heartbeats.
+// ReplicaState is the state of a replica as a control node derives it from heartbeats.
 type ReplicaState string
 
 const (
-	// ReplicaReady replicas take requests.
+	// ReplicaReady means that the replica accepts requests.
 	ReplicaReady ReplicaState = "ready"
-	// ReplicaDraining replicas have said that they leave.
+	// ReplicaDraining means that the replica has announced that it is leaving.
 	ReplicaDraining ReplicaState = "draining"
-	// ReplicaUnreachable replicas have missed their heartbeats for longer than is borne.
+	// ReplicaUnreachable means that no heartbeat has come for longer than CoreOptions.UnreachableUs.
 	ReplicaUnreachable ReplicaState = "dark"
-	// ReplicaRemoved replicas have ended.
+	// ReplicaRemoved means that the replica has ended.
 	ReplicaRemoved ReplicaState = "gone"
-	// ReplicaUnreported means that the ledger knows it, and nobody has heard it since this control node started.
+	// ReplicaUnreported means that the replica is in the replicated state, but that no heartbeat of it has been received or
+	// learned of through gossip since this control node started.
 	ReplicaUnreported ReplicaState = "unheard"
 )
 
-// ReplicaStatus is one incarnation of a replica. LeftMs is what is left now of the time it named, and only there
-// where it named one; Stage is its own word and known where it was heard; ReservedMb counts what is held and what
-// may come by the order that stands.
+// ReplicaStatus describes one incarnation of a replica. HeartbeatAgeMs is -1 if no heartbeat is known. RemainingMs is what is
+// left of the time until exit that a draining replica announced, and nil if it announced none. Stage is as the replica reports
+// it, and empty if no heartbeat is known. ReservedMb counts the memory of resident units and of the unit that the pending order
+// may load.
 type ReplicaStatus struct {
-	ID         string                       `json:"id"`
-	Service    string                       `json:"service"`
-	Addr       string                       `json:"addr"`
-	Zone       string                       `json:"zone"`
-	Release    string                       `json:"release,omitempty"`
-	State      ReplicaState                 `json:"state"`
-	Stage      string                       `json:"stage,omitempty"`
-	AgoMs      int64                        `json:"agoMs"`
-	LeftMs     *int64                       `json:"leftMs,omitempty"`
-	WarmupMs   int64                        `json:"coldMs,omitempty"`
-	Slots      int                          `json:"slots"`
-	Units      []string                     `json:"units"`
-	ReservedMb int64                        `json:"heldMb"`
-	CapacityMb int64                        `json:"roomMb,omitempty"`
-	Order      *statemachine.ReplicaCommand `json:"order,omitempty"`
+	ID             string                       `json:"id"`
+	Service        string                       `json:"service"`
+	Addr           string                       `json:"addr"`
+	Zone           string                       `json:"zone"`
+	Release        string                       `json:"release,omitempty"`
+	State          ReplicaState                 `json:"state"`
+	Stage          string                       `json:"stage,omitempty"`
+	HeartbeatAgeMs int64                        `json:"agoMs"`
+	RemainingMs    *int64                       `json:"leftMs,omitempty"`
+	WarmupMs       int64                        `json:"coldMs,omitempty"`
+	Slots          int                          `json:"slots"`
+	Units          []string                     `json:"units"`
+	ReservedMb     int64                        `json:"heldMb"`
+	CapacityMb     int64                        `json:"roomMb,omitempty"`
+	Order          *statemachine.ReplicaCommand `json:"order,omitempty"`
 }
 
-// fleetStatus is nil where the declaration in force has no routes.
-func (c *Core) fleetStatus(nowUs int64) *Fleet {
+// fleetStatus returns nil unless the declaration in force is routed.
+func (c *Core) fleetStatus(nowUs int64) *FleetStatus {
 	s := c.Node.State()
 	if s.Doc == nil || !s.Doc.Routed() {
 		return nil
 	}
-	f := &Fleet{
+	f := &FleetStatus{
 		Version: s.Doc.Version, Routes: s.Doc.WithoutSource().Routes, Services: []ServiceStatus{}, Replicas: []ReplicaStatus{},
-		Gateways: c.soft.Hub.Gateways(nowUs), Leadership: c.Controller.Status(nowUs, s),
+		Gateways: c.soft.FramePublisher.Gateways(nowUs), Leadership: c.Controller.Status(nowUs, s),
 	}
 	count := map[string]int{}
 	for _, id := range c.soft.Registry.IDs() {
@@ -101,14 +104,15 @@
 	return f
 }
 
-// replicaStatus joins a replica's own word with what the ledger holds of it.
+// replicaStatus combines a replica's last heartbeat with its entry in the replicated state.
 func (c *Core) replicaStatus(nowUs int64, id string) ReplicaStatus {
 	s := c.Node.State()
-	row := ReplicaStatus{ID: id, State: ReplicaUnreported, AgoMs: -1, Units: []string{}}
-	if have := s.Replicas[id]; have != nil {
-		row.Service, row.Addr, row.Zone, row.Slots, row.CapacityMb = have.Service, have.Addr, have.Zone, have.Slots, have.CapacityMB
+	row := ReplicaStatus{ID: id, State: ReplicaUnreported, HeartbeatAgeMs: -1, Units: []string{}}
+	if replica := s.Replicas[id]; replica != nil {
+		row.Service, row.Addr, row.Zone, row.Slots, row.CapacityMb =
+			replica.Service, replica.Addr, replica.Zone, replica.Slots, replica.CapacityMB
 		row.ReservedMb = s.ReservedMB(id)
-		row.Units = slices.Sorted(maps.Keys(have.Resident))
+		row.Units = slices.Sorted(maps.Keys(replica.Resident))
 	}
 	if t, pending := s.Pending[id]; pending {
 		row.Order = &t
@@ -118,7 +122,7 @@
 		return row
 	}
 	row.Service, row.Addr, row.Zone, row.Release, row.Stage = e.Service, e.Addr, e.Zone, e.Release, e.Stage
-	row.AgoMs, row.WarmupMs, row.Slots = (nowUs-e.LastHeartbeatUs)/1000, e.WarmUpMs, e.Slots
+	row.HeartbeatAgeMs, row.WarmupMs, row.Slots = (nowUs-e.LastHeartbeatUs)/1000, e.WarmUpMs, e.Slots
 	if e.Units != nil {
 		row.Units = append([]string{}, e.Units...)
 	}
@@ -134,7 +138,7 @@
 	}
 	if e.Draining && e.EndUs > 0 {
 		leftMs := max(0, e.EndUs-nowUs) / 1000
-		row.LeftMs = &leftMs
+		row.RemainingMs = &leftMs
 	}
 	return row
 }
--- a/internal/controlplane/controlnode/gateway_streams.go
+++ b/internal/controlplane/controlnode/gateway_streams.go
@@ -9,66 +9,72 @@
 	"petreltide/internal/process/actor"
 )
 
+// updateStream is a gateway's stream of configuration updates. An update that has not been sent yet is replaced by the next.
 type updateStream struct {
+	// latest holds the newest update that has not been sent.
 	latest chan wire.GatewayUpdate
 }
 
-func (h *Host) pushUpdate(gateway string, news wire.GatewayUpdate) {
-	f := h.updateStreams[gateway]
-	if f == nil {
+// pushUpdate replaces the gateway's unsent update, if any, by update. A declaration that only the replaced update carried is
+// kept.
+func (h *Host) pushUpdate(gateway string, update wire.GatewayUpdate) {
+	stream := h.updateStreams[gateway]
+	if stream == nil {
 		return
 	}
 	for {
 		select {
-		case f.latest <- news:
+		case stream.latest <- update:
 			return
 		default:
 		}
 		select {
-		case older := <-f.latest:
-			if news.Declaration == nil {
-				news.Declaration = older.Declaration
+		case older := <-stream.latest:
+			if update.Declaration == nil {
+				update.Declaration = older.Declaration
 			}
 		default:
 		}
 	}
 }
 
-func (h *Host) follow(ctx context.Context, f *wire.SubscribeRequest, send func(*wire.GatewayUpdate) error) error {
-	mine := &updateStream{latest: make(chan wire.GatewayUpdate, 1)}
-	defer h.act.Tell(func() {
-		if h.updateStreams[f.Gateway] == mine {
+// serveUpdates serves a gateway's stream of configuration updates until the gateway subscribes again or this control node is no
+// longer the tail.
+func (h *Host) serveUpdates(ctx context.Context, f *wire.SubscribeRequest, send func(*wire.GatewayUpdate) error) error {
+	stream := &updateStream{latest: make(chan wire.GatewayUpdate, 1)}
+	defer h.actor.Tell(func() {
+		if h.updateStreams[f.Gateway] == stream {
 			delete(h.updateStreams, f.Gateway)
 		}
 	})
-	view, ran := actor.Ask(ctx, h.act, func() uint64 {
+	view, ran := actor.Ask(ctx, h.actor, func() uint64 {
 		if !h.core.Node.IsTailReady(h.core.Node.NowUs()) {
 			return 0
 		}
-		h.updateStreams[f.Gateway] = mine
-		h.step(FollowUpdates{Request: f})
+		h.updateStreams[f.Gateway] = stream
+		h.step(SubscribeUpdates{Request: f})
 		return h.core.Node.View().Number
 	})
 	if !ran || view == 0 {
-		return fault.New(fault.NotServing, "", "not the open tail")
+		return fault.New(fault.NotServing, "", "not a tail that is ready to serve")
 	}
-	still := time.NewTicker(300 * time.Millisecond)
-	defer still.Stop()
+	roleCheck := time.NewTicker(300 * time.Millisecond)
+	defer roleCheck.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-h.act.Ctx.Done():
+		case <-h.actor.Ctx.Done():
 			return nil
-		case news := <-mine.latest:
-			if err := send(&news); err != nil {
+		case update := <-stream.latest:
+			if err := send(&update); err != nil {
 				return err
 			}
-		case <-still.C:
-			gone, ran := actor.Ask(ctx, h.act, func() bool {
-				return h.updateStreams[f.Gateway] != mine || !h.core.Node.IsTail() || h.core.Node.View().Number < view
+		case <-roleCheck.C:
+			ended, ran := actor.Ask(ctx, h.actor, func() bool {
+				return h.updateStreams[f.Gateway] != stream || !h.core.Node.IsTail() || h.core.Node.View().Number < view
 			})
-			if gone || !ran {
+			if ended || !ran {
 				return fault.New(fault.NotServing, "", "no longer the tail")
 			}
 		}
@@ -76,45 +82,48 @@
 }
 
 const (
-	// frameStreamCapacity is how many frames may wait for a gateway; one that does not keep up is ended.
+	// frameStreamCapacity is the number of frames queued for a gateway; a stream whose queue overflows is closed.
 	frameStreamCapacity = 256
-	// readTimeout bounds the question to the tail for what is in force.
+	// readTimeout bounds reading the latest state from the tail.
 	readTimeout = 700 * time.Millisecond
 )
 
-// frameStream is one gateway's stream; one that does not keep up is ended, and the gateway follows anew.
+// frameStream is a gateway's stream of frames. A stream whose gateway does not keep up is closed, and the gateway subscribes
+// again.
 type frameStream struct {
 	incarnation string
 	frames      chan *wire.Frame
 	closed      chan struct{}
 }
 
+// pushFrame queues a frame for a gateway, and closes the gateway's stream if its queue is full.
 func (h *Host) pushFrame(gateway string, f *wire.Frame) {
-	s := h.frameStreams[gateway]
-	if s == nil {
+	stream := h.frameStreams[gateway]
+	if stream == nil {
 		return
 	}
 	select {
-	case s.frames <- f:
+	case stream.frames <- f:
 	default:
 		delete(h.frameStreams, gateway)
-		close(s.closed)
+		close(stream.closed)
 	}
 }
 
+// serveFrames serves a gateway's stream of frames; a new subscription of the gateway closes its earlier one.
 func (h *Host) serveFrames(ctx context.Context, f *wire.SubscribeRequest, send func(*wire.Frame) error) error {
-	mine := &frameStream{incarnation: f.Incarnation, frames: make(chan *wire.Frame, frameStreamCapacity), closed: make(chan struct{})}
-	defer h.act.Tell(func() {
-		if h.frameStreams[f.Gateway] == mine {
+	stream := &frameStream{incarnation: f.Incarnation, frames: make(chan *wire.Frame, frameStreamCapacity), closed: make(chan struct{})}
+	defer h.actor.Tell(func() {
+		if h.frameStreams[f.Gateway] == stream {
 			delete(h.frameStreams, f.Gateway)
 			h.step(UnsubscribeFrames{Gateway: f.Gateway, Incarnation: f.Incarnation})
 		}
 	})
-	if !h.act.Do(ctx, func() {
+	if !h.actor.Do(ctx, func() {
 		if prior := h.frameStreams[f.Gateway]; prior != nil {
 			close(prior.closed)
 		}
-		h.frameStreams[f.Gateway] = mine
+		h.frameStreams[f.Gateway] = stream
 		h.step(SubscribeFrames{Request: f})
 	}) {
 		return fault.New(fault.NotServing, "", "stopping")
@@ -123,11 +132,11 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-h.act.Ctx.Done():
+		case <-h.actor.Ctx.Done():
 			return nil
-		case <-mine.closed:
-			return fault.New(fault.NotServing, "", "followed anew, or too slow")
-		case frame := <-mine.frames:
+		case <-stream.closed:
+			return fault.New(fault.NotServing, "", "superseded by a new subscription, or the gateway does not keep up")
+		case frame := <-stream.frames:
 			if err := send(frame); err != nil {
 				return err
 			}
--- a/internal/controlplane/controlnode/operator_handlers.go
+++ b/internal/controlplane/controlnode/operator_handlers.go
@@ -20,8 +20,8 @@
 	"petreltide/internal/process/randomid"
 )
 
-func (h *Host) getStatus(w http.ResponseWriter, r *http.Request) {
-	raw, ran := actor.Ask(r.Context(), h.act, func() []byte {
+func (h *Host) handleGetStatus(w http.ResponseWriter, r *http.Request) {
+	raw, ran := actor.Ask(r.Context(), h.actor, func() []byte {
 		raw, _ := json.Marshal(h.core.Status(h.core.Node.NowUs()))
 		return raw
 	})
@@ -33,77 +33,79 @@
 	_, _ = w.Write(append(raw, '\n'))
 }
 
-func (h *Host) getState(w http.ResponseWriter, r *http.Request) {
-	frozen, ran := actor.Ask(r.Context(), h.act, func() *statemachine.State { return h.core.Node.State().Snapshot() })
+func (h *Host) handleGetState(w http.ResponseWriter, r *http.Request) {
+	snapshot, ran := actor.Ask(r.Context(), h.actor, func() *statemachine.State { return h.core.Node.State().Snapshot() })
 	if !ran {
 		writeFault(w, fault.New(fault.NotServing, "", "stopping"))
 		return
 	}
-	raw := frozen.WithoutSource().Encode()
+	raw := snapshot.WithoutSource().Encode()
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = w.Write(append(raw, '\n'))
 }
 
-// maxRequestBytes bounds what an operator may send, in bytes.
+// maxRequestBytes bounds the body of an operator's request, in bytes.
 const maxRequestBytes = 4 << 20
 
-// CurrentConfig is the declaration in force, with the revision that a change has to name as its base.
+// CurrentConfig is the declaration in force, with the revision that the next change has to name as its base. Declaration is nil
+// if none has been declared.
 type CurrentConfig struct {
 	Revision    uint64                     `json:"revision"`
 	Index       uint64                     `json:"index"`
 	Declaration *configuration.Declaration `json:"declaration"`
 }
 
-// Applied acknowledges a change. State is "everywhere", "ordered" for an order about members, or says that some
-// gateways have not confirmed it yet.
-type Applied struct {
+// ChangeAck acknowledges a change. State is "everywhere" once all gateways have confirmed the change, "ordered" for a
+// membership change, and the code fault.CommittedNotEverywhere if some gateways have not confirmed it yet.
+type ChangeAck struct {
 	Change   string `json:"change"`
 	Revision uint64 `json:"revision"`
 	Repeated bool   `json:"again,omitempty"`
 	State    string `json:"state"`
 }
 
-// config is what this control node itself holds, which may be old.
-func (h *Host) config(ctx context.Context) (CurrentConfig, bool) {
-	return actor.Ask(ctx, h.act, func() CurrentConfig {
+// localConfig returns the configuration that this control node holds itself, which may be out of date.
+func (h *Host) localConfig(ctx context.Context) (CurrentConfig, bool) {
+	return actor.Ask(ctx, h.actor, func() CurrentConfig {
 		s := h.core.Node.State()
 		return CurrentConfig{Revision: s.Revision, Index: s.Index, Declaration: s.Doc}
 	})
 }
 
-// configAt waits a little for a revision the operator already knows of.
-func (h *Host) configAt(ctx context.Context, base uint64) CurrentConfig {
-	for wait := 0; ; wait++ {
-		now, ran := h.config(ctx)
-		if !ran || now.Revision >= base || wait >= 20 {
-			return now
+// waitForRevision waits, for about one second at most, until this control node holds the revision base, which the operator
+// already knows of. It returns the configuration that it holds then.
+func (h *Host) waitForRevision(ctx context.Context, base uint64) CurrentConfig {
+	for attempt := 0; ; attempt++ {
+		current, ran := h.localConfig(ctx)
+		if !ran || current.Revision >= base || attempt >= 20 {
+			return current
 		}
 		select {
 		case <-time.After(50 * time.Millisecond):
 		case <-ctx.Done():
-			return now
+			return current
 		}
 	}
 }
 
-func (h *Host) getConfig(w http.ResponseWriter, r *http.Request) {
-	now, known := h.newestConfig(r.Context())
+func (h *Host) handleGetConfig(w http.ResponseWriter, r *http.Request) {
+	current, known := h.latestConfig(r.Context())
 	if !known {
 		writeFault(w, errConfigUnknown())
 		return
 	}
-	writeJSON(w, http.StatusOK, now)
+	writeJSON(w, http.StatusOK, current)
 }
 
-// newestConfig is what an operator's change is judged by before it goes to the chain; false where nobody can
-// say what is in force.
-func (h *Host) newestConfig(ctx context.Context) (CurrentConfig, bool) {
-	newest, known := h.Newest(ctx)
-	return CurrentConfig{Revision: newest.Revision, Index: newest.Index, Declaration: newest.Doc}, known
+// latestConfig returns the configuration against which an operator's change is validated before it is submitted. It reports
+// false if the configuration in force cannot be determined.
+func (h *Host) latestConfig(ctx context.Context) (CurrentConfig, bool) {
+	latest, known := h.LatestState(ctx)
+	return CurrentConfig{Revision: latest.Revision, Index: latest.Index, Declaration: latest.Declaration}, known
 }
 
 func errConfigUnknown() *fault.Fault {
-	return fault.New(fault.NotServing, "", "this control node cannot say what is in force: ask another")
+	return fault.New(fault.NotServing, "", "this control node cannot determine the configuration in force; ask another one")
 }
 
 func (h *Host) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *fault.Fault) {
@@ -137,45 +139,47 @@
 	return "op-" + id, nil
 }
 
-// requestDigest tells requests under one change identifier apart by all that they ask for.
+// requestDigest returns a digest of everything that a request asks for. It distinguishes different requests that are sent with
+// the same change ID.
 func requestDigest(r *http.Request, body []byte) string {
-	asked := sha256.New()
+	hash := sha256.New()
 	query := r.URL.Query()
 	for _, part := range []string{r.Method, r.URL.Path, query.Get("base"), query.Get("even-alive")} {
-		_, _ = fmt.Fprintf(asked, "%d:%s,", len(part), part)
+		_, _ = fmt.Fprintf(hash, "%d:%s,", len(part), part)
 	}
-	_, _ = asked.Write(body)
-	return hex.EncodeToString(asked.Sum(nil))
+	_, _ = hash.Write(body)
+	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// configRequest is a whole declaration, or a patch, as an operator sent it.
+// configRequest is a complete declaration, or a patch, as an operator sent it.
 type configRequest struct {
 	body []byte
-	// base is the revision that it builds on.
+	// base is the revision that the request is based on.
 	base     uint64
 	changeID string
 	digest   string
 }
 
-// change is the request without what it leads to.
-func (a configRequest) change() statemachine.Change {
-	return statemachine.Change{ID: a.changeID, Digest: a.digest}
+// emptyChange returns the change with the ID and the digest of the request, but without a declaration.
+func (r configRequest) emptyChange() statemachine.Change {
+	return statemachine.Change{ID: r.changeID, Digest: r.digest}
 }
 
-// changeTo is the change that puts a declaration in force.
-func (a configRequest) changeTo(doc *configuration.Declaration) statemachine.Change {
-	c := a.change()
-	c.Config = &statemachine.ConfigChange{Base: a.base, Doc: doc}
+// declarationChange returns the change that puts doc in force.
+func (r configRequest) declarationChange(doc *configuration.Declaration) statemachine.Change {
+	c := r.emptyChange()
+	c.Config = &statemachine.ConfigChange{Base: r.base, Doc: doc}
 	return c
 }
 
-// readConfigRequest reads what a whole declaration and a patch have in common.
+// readConfigRequest reads the body, the base revision and the change ID of a declaration or patch. On an error it writes the
+// response and reports false.
 func (h *Host) readConfigRequest(w http.ResponseWriter, r *http.Request) (configRequest, bool) {
 	raw, badBody := h.readBody(w, r)
 	base, given, badBase := baseRevision(r)
 	id, badID := changeID(r)
 	if badBase == nil && !given {
-		badBase = fault.New(fault.BadField, "base", "name the revision this is based on (0 for the first)")
+		badBase = fault.New(fault.BadField, "base", "missing; give the revision that this change is based on (0 for the first)")
 	}
 	for _, bad := range []*fault.Fault{badBody, badBase, badID} {
 		if bad != nil {
@@ -186,19 +190,19 @@
 	return configRequest{body: raw, base: base, changeID: id, digest: requestDigest(r, raw)}, true
 }
 
-func (h *Host) putConfig(w http.ResponseWriter, r *http.Request) {
-	if a, ok := h.readConfigRequest(w, r); ok {
-		h.submitDeclaration(w, r, a)
+func (h *Host) handlePutConfig(w http.ResponseWriter, r *http.Request) {
+	if request, ok := h.readConfigRequest(w, r); ok {
+		h.submitDeclaration(w, r, request)
 	}
 }
 
-func (h *Host) submitDeclaration(w http.ResponseWriter, r *http.Request, a configRequest) {
-	doc, bad := configuration.Parse(a.body, placement.Compile)
+func (h *Host) submitDeclaration(w http.ResponseWriter, r *http.Request, request configRequest) {
+	doc, bad := configuration.Parse(request.body, placement.Compile)
 	if bad != nil {
 		writeFault(w, bad)
 		return
 	}
-	h.submitAndRespond(w, r, a.changeTo(doc))
+	h.submitAndRespond(w, r, request.declarationChange(doc))
 }
 
 func (h *Host) submitAndRespond(w http.ResponseWriter, r *http.Request, c statemachine.Change) {
@@ -207,60 +211,61 @@
 		h.respondApplied(r.Context(), w, c.ID, result)
 		return
 	}
-	if out, seen := h.outcome(r.Context(), c); seen {
+	if out, seen := h.priorOutcome(r.Context(), c); seen {
 		out.Repeated = false
 		h.respondApplied(r.Context(), w, c.ID, wire.Result{Outcome: out})
 		return
 	}
-	doubt := fault.New(fault.InDoubt, "", "no answer from the chain in time; send the same change id %q again to learn what became of it", c.ID[3:])
-	doubt.RetryMs = 2000
-	writeFault(w, doubt)
+	inDoubt := fault.New(fault.InDoubt, "", "no response from the chain in time; send the same change id %q again to learn the outcome", c.ID[3:])
+	inDoubt.RetryMs = 2000
+	writeFault(w, inDoubt)
 }
 
-// respondApplied waits a little until this control node shows what it answers: the tail answers before the control nodes ahead of
-// it have heard that the change is committed.
+// respondApplied writes the response to a change that has an outcome. It first waits for a moment until this control node holds
+// the revision of the outcome: the tail answers before the control nodes ahead of it in the chain have learned that the change
+// is committed.
 func (h *Host) respondApplied(ctx context.Context, w http.ResponseWriter, id string, r wire.Result) {
 	if r.Outcome.Fault != nil {
 		writeFault(w, r.Outcome.Fault)
 		return
 	}
-	h.configAt(ctx, r.Outcome.Revision)
-	a := Applied{Change: id[3:], Revision: r.Outcome.Revision, Repeated: r.Outcome.Repeated, State: "everywhere"}
+	h.waitForRevision(ctx, r.Outcome.Revision)
+	ack := ChangeAck{Change: id[3:], Revision: r.Outcome.Revision, Repeated: r.Outcome.Repeated, State: "everywhere"}
 	status := http.StatusOK
 	if r.Outcome.IsMembership {
-		a.State = "ordered"
+		ack.State = "ordered"
 	} else if !r.OnAllGateways {
-		a.State = string(fault.CommittedNotEverywhere)
+		ack.State = string(fault.CommittedNotEverywhere)
 		status = http.StatusAccepted
 	}
-	writeJSON(w, status, a)
+	writeJSON(w, status, ack)
 }
 
-// postMember takes an operator's order about one control node. It is refused here where this control node can see that
-// it must not be carried out; what was taken waits until it is safe.
-func (h *Host) postMember(w http.ResponseWriter, r *http.Request) {
+// handleMemberAction submits an operator's membership change for one control node. It rejects a change that this control node
+// can tell is not allowed; an accepted change takes effect once that is safe.
+func (h *Host) handleMemberAction(w http.ResponseWriter, r *http.Request) {
 	id, bad := changeID(r)
 	c := statemachine.Change{ID: id, Digest: requestDigest(r, nil)}
 	m := statemachine.MembershipChange{Action: statemachine.MembershipAction(r.PathValue("act")), Name: r.PathValue("name")}
 	if bad == nil {
 		var seen bool
-		var first statemachine.Outcome
-		if first, seen = h.outcome(r.Context(), c); seen {
-			h.respondApplied(r.Context(), w, id, wire.Result{Outcome: first, OnAllGateways: true})
+		var prior statemachine.Outcome
+		if prior, seen = h.priorOutcome(r.Context(), c); seen {
+			h.respondApplied(r.Context(), w, id, wire.Result{Outcome: prior, OnAllGateways: true})
 			return
 		}
 		evenAlive := r.URL.Query().Get("even-alive") == "true"
-		type fit struct {
+		type validation struct {
 			change statemachine.MembershipChange
-			bad    *fault.Fault
+			fault  *fault.Fault
 		}
-		asked := m
-		got, ran := actor.Ask(r.Context(), h.act, func() fit {
-			f := fit{change: asked}
-			f.bad = h.core.checkMember(h.core.Node.NowUs(), &f.change, evenAlive)
-			return f
+		requested := m
+		got, ran := actor.Ask(r.Context(), h.actor, func() validation {
+			result := validation{change: requested}
+			result.fault = h.core.checkMember(h.core.Node.NowUs(), &result.change, evenAlive)
+			return result
 		})
-		m, bad = got.change, got.bad
+		m, bad = got.change, got.fault
 		if !ran {
 			bad = fault.New(fault.NotServing, "", "stopping")
 		}
--- a/internal/dataplane/scheduling/admission_test.go
+++ b/internal/dataplane/scheduling/admission_test.go
@@ -10,149 +10,149 @@
 	"petreltide/internal/process/clock"
 )
 
-// attemptSamples are attempts for one model that started at fromUs, a hundred ms apart, of which some had a first piece after
-// firstMs, and the others none.
-func attemptSamples(fromUs int64, firstMs ...int64) []attemptSample {
-	all := []attemptSample{}
-	for i, ms := range firstMs {
+// attemptSamples returns attempts for one model that started 100 ms apart from fromUs on. Each has a first byte after the given
+// time (ms), or none if that time is 0.
+func attemptSamples(fromUs int64, firstByteMs ...int64) []attemptSample {
+	samples := []attemptSample{}
+	for i, ms := range firstByteMs {
 		atUs := fromUs + int64(i)*100*clock.Ms
 		c := &Call{ArrivedUs: atUs}
 		if ms > 0 {
 			c.FirstByteUs.Store(atUs + ms*clock.Ms)
 		}
-		all = append(all, attemptSample{call: c, startUs: atUs, targetUs: 320 * clock.Ms})
+		samples = append(samples, attemptSample{call: c, startUs: atUs, targetUs: 320 * clock.Ms})
 	}
-	return all
+	return samples
 }
 
-func TestThePartThatIsRefusedFollowsWhatIsLate(t *testing.T) {
+func TestRejectFractionFollowsLateAttempts(t *testing.T) {
 	nowUs := 10 * clock.Sec
 	startUs := nowUs - 1800*clock.Ms
-	for name, row := range map[string]struct {
-		all         []attemptSample
-		least, most float64
+	for name, c := range map[string]struct {
+		samples                  []attemptSample
+		minFraction, maxFraction float64
 	}{
-		"nothing is known":                      {nil, 0, 0},
-		"all are in time":                       {attemptSamples(startUs, 100, 200, 300, 310), 0, 0},
-		"one is late":                           {attemptSamples(startUs, 100, 900, 300, 200), 0, 0},
-		"more than half are in time":            {attemptSamples(startUs, 100, 900, 300, 900, 300), 0, 0},
-		"a single one is late":                  {attemptSamples(startUs, 900), 0.3, 0.34},
-		"all of many are late":                  {attemptSamples(startUs, 900, 950, 1000, 1100, 1200, 900, 900, 900, 900, 900), 0.8, 0.85},
-		"none has come, and each should have":   {attemptSamples(startUs, 0, 0, 0, 0, 0, 0), 0.7, 0.8},
-		"none has come, and each may yet":       {attemptSamples(nowUs-300*clock.Ms, 0, 0, 0, 0, 0), 0, 0},
-		"a quarter is in time":                  {attemptSamples(startUs, 900, 900, 900, 100, 900, 900, 900, 100), 0.3, 0.4},
-		"what was late was late some while ago": {attemptSamples(nowUs-8*clock.Sec, 900, 900, 900, 900, 900), 0, 0},
+		"no samples":                           {nil, 0, 0},
+		"all on time":                          {attemptSamples(startUs, 100, 200, 300, 310), 0, 0},
+		"one of four late":                     {attemptSamples(startUs, 100, 900, 300, 200), 0, 0},
+		"three of five on time":                {attemptSamples(startUs, 100, 900, 300, 900, 300), 0, 0},
+		"single late sample":                   {attemptSamples(startUs, 900), 0.3, 0.34},
+		"ten samples, all late":                {attemptSamples(startUs, 900, 950, 1000, 1100, 1200, 900, 900, 900, 900, 900), 0.8, 0.85},
+		"no first byte, all past the target":   {attemptSamples(startUs, 0, 0, 0, 0, 0, 0), 0.7, 0.8},
+		"no first byte, all within the target": {attemptSamples(nowUs-300*clock.Ms, 0, 0, 0, 0, 0), 0, 0},
+		"a quarter on time":                    {attemptSamples(startUs, 900, 900, 900, 100, 900, 900, 900, 100), 0.3, 0.4},
+		"late samples outside the window":      {attemptSamples(nowUs-8*clock.Sec, 900, 900, 900, 900, 900), 0, 0},
 	} {
 		a := newAdmission()
-		a.recent["s|m"] = row.all
-		if part := a.rejectFraction("s|m", nowUs); part < row.least || part > row.most {
-			t.Errorf("%s: %.3f is refused, want %.2f to %.2f", name, part, row.least, row.most)
+		a.recent["s|m"] = c.samples
+		if fraction := a.rejectFraction("s|m", nowUs); fraction < c.minFraction || fraction > c.maxFraction {
+			t.Errorf("%s: got reject fraction %.3f, want %.2f to %.2f", name, fraction, c.minFraction, c.maxFraction)
 		}
-		if part := a.rejectFraction("s|other", nowUs); part != 0 {
-			t.Errorf("%s: %.3f of another model's calls are refused", name, part)
+		if fraction := a.rejectFraction("s|other", nowUs); fraction != 0 {
+			t.Errorf("%s: reject fraction of another model: got %.3f, want 0", name, fraction)
 		}
 	}
 }
 
-// Demand for one model rises to three times what its replicas do, for twelve seconds. With refusals what the replicas
-// do is done in time; without, nearly every call is late.
-func TestOverloadDoesNotMakeAllCallsLate(t *testing.T) {
-	inTime := map[bool]float64{}
-	for _, refuses := range []bool{true, false} {
+// For twelve seconds, the demand for one model is three times the capacity of its replicas. With admission control the calls
+// that the replicas serve are on time; without it, nearly every call is late.
+func TestAdmissionKeepsCallsOnTimeUnderOverload(t *testing.T) {
+	onTimeFraction := map[bool]float64{}
+	for _, rejects := range []bool{true, false} {
 		a := newAdmission()
 		r := &RoutedCall{Route: &configuration.Route{LatencyTargetMs: 800}, Service: "s"}
-		served, good, offered := 0, 0, 0
+		admitted, onTime, offered := 0, 0, 0
 		freeUs := int64(0)
-		due := []*Call{}
+		pending := []*Call{}
 		for nowUs := int64(0); nowUs < 12*clock.Sec; nowUs += 10 * clock.Ms {
-			for len(due) > 0 && due[0].Progress.Load() <= nowUs {
-				due[0].FirstByteUs.Store(due[0].Progress.Load())
-				due = due[1:]
+			for len(pending) > 0 && pending[0].Progress.Load() <= nowUs {
+				pending[0].FirstByteUs.Store(pending[0].Progress.Load())
+				pending = pending[1:]
 			}
 			if nowUs%(30*clock.Ms) != 0 {
 				continue
 			}
 			offered++
 			c := &Call{Model: "m", ArrivedUs: nowUs, Routed: r}
-			if draw := float64(mixHash(uint64(offered))%sampleSteps) / sampleSteps; refuses && draw < a.rejectFraction("s|m", nowUs) {
+			if draw := float64(mixHash(uint64(offered))%hashBuckets) / hashBuckets; rejects && draw < a.rejectFraction("s|m", nowUs) {
 				continue
 			}
 			a.attemptStarted(c, nowUs)
 			freeUs = max(freeUs, nowUs) + 90*clock.Ms
 			c.Progress.Store(freeUs)
-			due = append(due, c)
-			served++
+			pending = append(pending, c)
+			admitted++
 			if freeUs-nowUs <= 800*clock.Ms {
-				good++
+				onTime++
 			}
 		}
-		inTime[refuses] = float64(good) / float64(offered)
-		t.Logf("refuses: %v; %d offered, %d let in, %d in time", refuses, offered, served, good)
+		onTimeFraction[rejects] = float64(onTime) / float64(offered)
+		t.Logf("admission control %v: %d calls offered, %d admitted, %d on time", rejects, offered, admitted, onTime)
 	}
-	if inTime[true] < 2*inTime[false] || inTime[true] < 0.1 {
-		t.Errorf("%.3f in time with refusals, %.3f without", inTime[true], inTime[false])
+	if onTimeFraction[true] < 2*onTimeFraction[false] || onTimeFraction[true] < 0.1 {
+		t.Errorf("fraction of calls on time: got %.3f with admission control and %.3f without, want at least twice as many and 0.1", onTimeFraction[true], onTimeFraction[false])
 	}
 }
 
-// slowModel is a gateway whose calls for a model that two replicas hold have had no first piece for 1.5 s.
-func slowModel(disable ...feature.Gate) *harness {
-	rows := at("engine", "r1", "r2")
-	for i := range rows {
-		rows[i].Slots = 200
+// newSlowModelHarness returns a gateway whose 20 calls for a model, loaded at two replicas, have had no first byte for 1.5 s.
+func newSlowModelHarness(disable ...feature.Gate) *harness {
+	updates := replicaUpdates("engine", "r1", "r2")
+	for i := range updates {
+		updates[i].Slots = 200
 	}
-	k := newHarness(Options{Disable: disable}, stands(aimed(1000, 2000), 1, rows...))
+	h := newHarness(Options{Disable: disable}, newRoutedSnapshot(declarationWithTarget(1000, 2000), 1, updates...))
 	for i := range 20 {
-		k.patient(fmt.Sprint("slow", i), "m", 5000)
+		h.sendCallWithTimeout(fmt.Sprint("slow", i), "m", 5000)
 	}
-	k.after(1500 * clock.Ms)
-	return k
+	h.advance(1500 * clock.Ms)
+	return h
 }
 
-func TestCallsForASlowModelAreRefusedAtOnceWithATimeToComeBack(t *testing.T) {
-	k := slowModel()
-	refused := 0
+func TestOverloadRejectsCallsForSlowModelWithRetryAfter(t *testing.T) {
+	h := newSlowModelHarness()
+	rejected := 0
 	for i := range 100 {
 		id := fmt.Sprint("new", i)
-		k.patient(id, "m", 5000)
-		e := k.final[id]
+		h.sendCallWithTimeout(id, "m", 5000)
+		e := h.final[id]
 		if e == nil {
 			continue
 		}
-		refused++
-		if failed(e) == nil || failed(e).Fault.Run != fault.RunNone || failed(e).Fault.Code != fault.Overloaded {
-			t.Fatalf("%s: %+v", id, e)
+		rejected++
+		if asCallFailed(e) == nil || asCallFailed(e).Fault.Run != fault.RunNone || asCallFailed(e).Fault.Code != fault.Overloaded {
+			t.Fatalf("call %s: got %+v, want an overloaded fault that states that it has not run", id, e)
 		}
-		if ms := failed(e).Fault.RetryMs; ms < minRetryAfterMs/2 || ms > 5000/retryAfterDivisor {
-			t.Errorf("%s is to come back after %d ms", id, ms)
+		if ms := asCallFailed(e).Fault.RetryMs; ms < minRetryAfterMs/2 || ms > 5000/retryAfterDivisor {
+			t.Errorf("retry delay of call %s: got %d ms, want %d to %d ms", id, ms, minRetryAfterMs/2, 5000/retryAfterDivisor)
 		}
 	}
-	if refused < 60 || refused == 100 {
-		t.Errorf("%d of 100 are refused", refused)
+	if rejected < 60 || rejected == 100 {
+		t.Errorf("got %d of 100 calls rejected, want 60 to 99", rejected)
 	}
 	for i := range 20 {
 		id := fmt.Sprint("again", i)
-		if k.patient(id, "m", 3000); k.final[id] != nil {
-			t.Errorf("one that came back is refused again: %+v", k.final[id])
+		if h.sendCallWithTimeout(id, "m", 3000); h.final[id] != nil {
+			t.Errorf("client retry %s was rejected again: %+v", id, h.final[id])
 		}
 	}
 }
 
-func TestWithoutOverloadRefusalAllCallsAreSentOn(t *testing.T) {
-	k := slowModel(feature.OverloadRefusal)
+func TestDisabledOverloadRefusalAdmitsAllCalls(t *testing.T) {
+	h := newSlowModelHarness(feature.OverloadRefusal)
 	for i := range 50 {
 		id := fmt.Sprint("new", i)
-		if k.patient(id, "m", 5000); k.final[id] != nil {
-			t.Fatalf("%s: %+v", id, k.final[id])
+		if h.sendCallWithTimeout(id, "m", 5000); h.final[id] != nil {
+			t.Fatalf("call %s: got %+v, want it admitted", id, h.final[id])
 		}
 	}
 }
 
-func TestWithoutEarlyRefusalACallWaitsForItsModel(t *testing.T) {
-	k := newHarness(Options{Disable: feature.Disabled{feature.EarlyRefusal}}, stands(aimed(1000, 2000), 1, loading("n")...))
+func TestDisabledEarlyRefusalKeepsCallQueuedForItsModel(t *testing.T) {
+	h := newHarness(Options{Disable: feature.Disabled{feature.EarlyRefusal}}, newRoutedSnapshot(declarationWithTarget(1000, 2000), 1, loadingReplicas("n")...))
 	for i := range 10 {
 		id := fmt.Sprint("first", i)
-		if k.patient(id, "n", 5000); k.final[id] != nil {
-			t.Fatalf("%s: %+v", id, k.final[id])
+		if h.sendCallWithTimeout(id, "n", 5000); h.final[id] != nil {
+			t.Fatalf("call %s: got %+v, want it queued", id, h.final[id])
 		}
 	}
 }
--- a/internal/dataplane/scheduling/declaration.go
+++ b/internal/dataplane/scheduling/declaration.go
@@ -7,20 +7,22 @@
 	"petreltide/internal/api/fault"
 )
 
+// applySnapshot makes s the current snapshot, unless s is older than the current one. It takes over new grants, drops
+// grants and replicas that s no longer lists, and applies a changed declaration to all calls.
 func (d *Decider) applySnapshot(s *Snapshot) {
 	if d.snapshot != nil && (s.View < d.snapshot.View || s.Number < d.snapshot.Number) {
 		return
 	}
-	same := d.snapshot != nil && d.snapshot.Declaration == s.Declaration
+	unchanged := d.snapshot != nil && d.snapshot.Declaration == s.Declaration
 	d.snapshot = s
 	if d.routed() {
 		d.loadEstimates.observe(s, d.nowUs)
 	}
 	d.supersedeCounters(s.Revision)
-	for key, g := range s.Grants {
-		r := d.attemptGrants[key]
-		if r == nil || r.number < g.Number {
-			d.attemptGrants[key] = &attemptGrant{number: g.Number, next: g.From, to: g.To}
+	for key, granted := range s.Grants {
+		current := d.attemptGrants[key]
+		if current == nil || current.number < granted.Number {
+			d.attemptGrants[key] = &attemptGrant{number: granted.Number, next: granted.From, to: granted.To}
 		}
 	}
 	for key := range d.attemptGrants {
@@ -28,17 +30,18 @@
 			delete(d.attemptGrants, key)
 		}
 	}
-	for id, p := range d.grantedReplicas {
-		if _, ok := s.Replicas[id]; !ok && len(p.inFlight) == 0 {
+	for id, state := range d.grantedReplicas {
+		if _, ok := s.Replicas[id]; !ok && len(state.inFlight) == 0 {
 			delete(d.grantedReplicas, id)
 		}
 	}
-	if !same {
+	if !unchanged {
 		d.applyDeclarationToAll()
 	}
 }
 
-// applyDeclarationToAll lays a changed declaration on every call; most news changes only grants and replicas.
+// applyDeclarationToAll applies a changed declaration to every call. Most snapshots change only grants and replicas, so that
+// applySnapshot rarely needs it.
 func (d *Decider) applyDeclarationToAll() {
 	waiting := d.waitingCalls()
 	for _, c := range waiting {
@@ -56,8 +59,8 @@
 	}
 }
 
-// applyDeclarationOrFail lays the newest declaration's terms on a call that has no attempt, and gives it up where
-// they leave it no way to be served.
+// applyDeclarationOrFail applies the newest declaration to a call that has no open attempt. If the call can no longer be
+// served under that declaration, applyDeclarationOrFail fails the call and returns false.
 func (d *Decider) applyDeclarationOrFail(c *Call) bool {
 	if d.snapshot == nil || d.snapshot.Declaration == nil {
 		d.failCall(c, fault.NoLease, "this gateway has no declaration yet", noLeaseRetryMs)
@@ -65,40 +68,43 @@
 	}
 	code := d.applyDeclaration(c)
 	switch {
-	case code == "" && !c.repeatable && (c.mayHaveRun || c.Delivered > 0):
+	case code == "" && !c.retryable && (c.mayHaveRun || c.Delivered > 0):
 		d.failCall(c, fault.StreamBroken, "its kind may no longer be resumed", 0)
 	case code != "":
 		d.failCall(c, code, "it was taken out of the declaration", 0)
 	case c.deadlineUs <= d.nowUs:
-		d.failCall(c, fault.Expired, "no replica could take it before its expiry", d.RetryMs())
+		d.failCall(c, fault.Expired, "no replica could take it before its expiry", d.RetryAfterMs())
 	default:
 		return true
 	}
 	return false
 }
 
+// applyDeclaration updates the urgency, deadline and retryability of a call from the newest declaration. It returns the code
+// of the fault that refuses the call under that declaration, or "" if there is none.
 func (d *Decider) applyDeclaration(c *Call) fault.Code {
-	doc := d.snapshot.Declaration
-	if doc == nil {
+	declaration := d.snapshot.Declaration
+	if declaration == nil {
 		return ""
 	}
 	if c.Routed != nil {
 		return d.applyRoute(c)
 	}
-	kind := doc.Kind(c.Kind)
+	kind := declaration.Kind(c.Kind)
 	if kind == nil {
-		c.repeatable = false
+		c.retryable = false
 		return fault.UnknownKind
 	}
-	c.urgency, c.repeatable = kind.Urgency, kind.Resumable && !c.NonRepeatable
-	mostMs := kind.DeadlineMs
+	c.urgency, c.retryable = kind.Urgency, kind.Resumable && !c.NonRetryable
+	maxMs := kind.DeadlineMs
 	if c.TimeoutMs > 0 {
-		mostMs = min(mostMs, c.TimeoutMs)
+		maxMs = min(maxMs, c.TimeoutMs)
 	}
-	c.deadlineUs = c.ArrivedUs + mostMs*1000
+	c.deadlineUs = c.ArrivedUs + maxMs*1000
 	return d.snapshot.unknownCode(c.Model, c.Adapter)
 }
 
+// waitingCalls returns all queued calls, by queue key and within a queue in order.
 func (d *Decider) waitingCalls() []*Call {
 	calls := []*Call{}
 	for _, key := range d.waitingQueues() {
@@ -107,31 +113,31 @@
 	return calls
 }
 
-// migrateAttempts takes resumable attempts off leaving replicas and emptied zones, most progress first,
-// only while a survivor has a free slot for them.
+// migrateAttempts cancels resumable attempts at draining replicas and in drained zones, so that their calls continue
+// elsewhere. Calls with the most progress go first, and each only while another replica has a free slot for it.
 func (d *Decider) migrateAttempts() {
 	if d.snapshot == nil || d.snapshot.Declaration == nil || d.nowUs >= d.leaseUntilUs {
 		return
 	}
-	attempts := []*Call{}
+	candidates := []*Call{}
 	for _, c := range d.calls {
-		if c.attempt == "" || !c.repeatable || c.migrating || c.canceled || c.Routed != nil {
+		if c.attempt == "" || !c.retryable || c.migrating || c.canceled || c.Routed != nil {
 			continue
 		}
 		r := d.snapshot.Replicas[c.replica]
 		if r != nil && (r.Draining || d.snapshot.Declaration.IsDrained(r.Zone)) {
-			attempts = append(attempts, c)
+			candidates = append(candidates, c)
 		}
 	}
-	if len(attempts) == 0 {
+	if len(candidates) == 0 {
 		return
 	}
-	sort.Slice(attempts, func(i, j int) bool {
-		a, b := attempts[i].Progress.Load(), attempts[j].Progress.Load()
+	sort.Slice(candidates, func(i, j int) bool {
+		a, b := candidates[i].Progress.Load(), candidates[j].Progress.Load()
 		if a != b {
 			return a > b
 		}
-		return attempts[i].ID < attempts[j].ID
+		return candidates[i].ID < candidates[j].ID
 	})
 	reserved := map[string]int{}
 	for _, c := range d.calls {
@@ -139,7 +145,7 @@
 			reserved[c.Model]++
 		}
 	}
-	for _, c := range attempts {
+	for _, c := range candidates {
 		free := 0
 		for _, id := range d.snapshot.IDs {
 			r := d.snapshot.Replicas[id]
--- a/internal/dataplane/scheduling/retry_budget_status_test.go
+++ b/internal/dataplane/scheduling/retry_budget_status_test.go
@@ -8,36 +8,36 @@
 	"petreltide/internal/process/clock"
 )
 
-// What the note says is what may be sent: never more, and no less where calls ask for it.
-func TestTheNoteOfFurtherTriesIsWhatHolds(t *testing.T) {
-	doc := declaration(declared{"many", configuration.Idempotent, 9, one("s"), false})
-	for _, c := range []struct{ gateways, share int }{{1, 3}, {3, 3}, {5, 5}} {
-		k := newHarness(Options{RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 30, WindowUs: 10 * clock.Sec}}, stands(doc, c.gateways, at("s", "r1", "r2", "r3")...))
-		if notes := k.d.Status().Budgets; len(notes) != 0 {
-			t.Errorf("before any call: %+v", notes)
+// The status must show what the budget enforces: the calls of this test use it up, so that retries sent equal the maximum.
+func TestRetryBudgetStatusMatchesEnforcedBudget(t *testing.T) {
+	doc := routedDeclaration(routeSpec{"many", configuration.Idempotent, 9, onlyService("s"), false})
+	for _, c := range []struct{ gateways, divisor int }{{1, 3}, {3, 3}, {5, 5}} {
+		h := newHarness(Options{RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 30, WindowUs: 10 * clock.Sec}}, newRoutedSnapshot(doc, c.gateways, replicaUpdates("s", "r1", "r2", "r3")...))
+		if statuses := h.d.Status().Budgets; len(statuses) != 0 {
+			t.Errorf("budgets before any call: got %+v, want none", statuses)
 		}
 		for i := range 20 {
 			id := fmt.Sprint("c", i)
-			k.call(id, "many", "")
+			h.sendCall(id, "many", "")
 			for range 4 {
-				if k.final[id] == nil {
-					k.end(id, OutcomeBroken)
+				if h.final[id] == nil {
+					h.endAttempt(id, OutcomeBroken)
 				}
 			}
 		}
-		notes := k.d.Status().Budgets
-		most := int(0.8*0.2*20 + 0.8*30/float64(c.share))
-		if len(notes) != 1 || notes[0] != (RetryBudgetStatus{"s", 20, most, most, c.share}) {
-			t.Errorf("%d gateways: %+v, want %d of %d", c.gateways, notes, most, most)
+		statuses := h.d.Status().Budgets
+		maxRetries := int(0.8*0.2*20 + 0.8*30/float64(c.divisor))
+		if len(statuses) != 1 || statuses[0] != (RetryBudgetStatus{"s", 20, maxRetries, maxRetries, c.divisor}) {
+			t.Errorf("budgets with %d gateways: got %+v, want one with %d of %d retries sent", c.gateways, statuses, maxRetries, maxRetries)
 		}
-		k.after(21 * clock.Sec)
-		if notes = k.d.Status().Budgets; notes[0].Calls != 0 || notes[0].Retries != 0 {
-			t.Errorf("after the window: %+v", notes)
+		h.advance(21 * clock.Sec)
+		if statuses = h.d.Status().Budgets; statuses[0].Calls != 0 || statuses[0].Retries != 0 {
+			t.Errorf("budgets after the window: got %+v, want no calls and no retries", statuses)
 		}
 	}
-	k := newHarness(Options{}, stands(doc, 1, at("s", "r1")...))
-	k.call("c", "many", "")
-	if n := k.d.Status(); len(n.Budgets) != 0 || n.InFlight["r1"] != 1 {
-		t.Errorf("%+v", n)
+	h := newHarness(Options{}, newRoutedSnapshot(doc, 1, replicaUpdates("s", "r1")...))
+	h.sendCall("c", "many", "")
+	if n := h.d.Status(); len(n.Budgets) != 0 || n.InFlight["r1"] != 1 {
+		t.Errorf("status without a retry budget: got %+v, want no budgets and 1 attempt in flight at r1", n)
 	}
 }
