--- a/internal/controlplane/controlnode/discovery.go
+++ b/internal/controlplane/controlnode/discovery.go
@@ -11,65 +11,73 @@
 	"petreltide/internal/process/rpc"
 )
 
-// failWithoutPeer stops a control node that holds nothing, may found nothing, and meets no chain.
+// failWithoutPeer stops a control node that has no data and may not bootstrap a chain, unless it finds an existing chain within
+// rebuildPeerTimeout.
 func (h *Host) failWithoutPeer() {
 	select {
-	case <-h.act.Ctx.Done():
+	case <-h.actor.Ctx.Done():
 		return
-	case <-time.After(peerTimeout):
+	case <-time.After(rebuildPeerTimeout):
 	}
-	if alone, ran := actor.Ask(h.act.Ctx, h.act, func() bool { return h.core.Node.Phase() == chain.PhaseBootstrap }); ran && alone {
+	if isBootstrapping, ran := actor.Ask(h.actor.Ctx, h.actor, func() bool {
+		return h.core.Node.Phase() == chain.PhaseBootstrap
+	}); ran && isBootstrapping {
 		select {
-		case h.fatal <- fault.New(fault.DamagedData, h.settings.DataDir, "it holds no chain, and no partner was met within %v to copy one from; kept folders are untouched", peerTimeout):
+		case h.fatal <- fault.New(fault.DamagedData, h.settings.DataDir,
+			"no chain is stored here, and no peer to copy one from was found within %v; quarantined directories are left untouched",
+			rebuildPeerTimeout):
 		default:
 		}
 	}
 }
 
-// discoverPeers keeps asking the seeds, first contacts only, until the control nodes know each other.
+// discoverPeers queries the seeds for the addresses of control nodes: every second until the chain is known, and every
+// discoveryIntervalSettled from then on. Seeds are used for discovery only.
 func (h *Host) discoverPeers() {
 	for {
 		for _, seed := range *h.seeds.Load() {
 			if seed == h.settings.Advertise {
 				continue
 			}
-			ctx, done := context.WithTimeout(h.act.Ctx, 500*time.Millisecond)
-			where, err := rpc.NewCaller[wire.MembershipRequest, wire.MembershipResponse](h.peerClient, seed, rpc.WherePath).Call(ctx, &wire.MembershipRequest{From: h.core.Node.Self()})
-			done()
+			ctx, cancel := context.WithTimeout(h.actor.Ctx, 500*time.Millisecond)
+			membership, err := rpc.NewCaller[wire.MembershipRequest, wire.MembershipResponse](h.peerClient, seed, rpc.WherePath).
+				Call(ctx, &wire.MembershipRequest{From: h.core.Node.Self()})
+			cancel()
 			if err != nil {
 				continue
 			}
-			learned := []string{}
-			for _, m := range where.ControlNodes {
+			addrs := []string{}
+			for _, m := range membership.ControlNodes {
 				if m.Addr != h.settings.Advertise {
-					learned = append(learned, m.Addr)
+					addrs = append(addrs, m.Addr)
 				}
 			}
-			h.post(LearnPeers{Addrs: learned})
+			h.post(LearnPeers{Addrs: addrs})
 		}
-		span := time.Second
-		if settled, ran := actor.Ask(h.act.Ctx, h.act, h.core.committed); ran && settled {
-			span = discoveryIntervalSettled
+		interval := time.Second
+		if initialized, ran := actor.Ask(h.actor.Ctx, h.actor, h.core.isInitialized); ran && initialized {
+			interval = discoveryIntervalSettled
 		}
 		select {
-		case <-h.act.Ctx.Done():
+		case <-h.actor.Ctx.Done():
 			return
-		case <-time.After(span):
+		case <-time.After(interval):
 		}
 	}
 }
 
-func (h *Host) location() wire.MembershipResponse {
-	w := wire.MembershipResponse{View: h.core.Node.View()}
+// membership returns the view of this control node and the control nodes that it knows to be alive or in that view.
+func (h *Host) membership() wire.MembershipResponse {
+	response := wire.MembershipResponse{View: h.core.Node.View()}
 	seen := map[string]bool{}
 	add := func(m chain.Member) {
 		if m.Addr != "" && !seen[m.Addr] {
 			seen[m.Addr] = true
-			w.ControlNodes = append(w.ControlNodes, m)
+			response.ControlNodes = append(response.ControlNodes, m)
 		}
 	}
 	add(h.core.Node.Self())
-	for _, s := range w.View.Replicas {
+	for _, s := range response.View.Replicas {
 		add(s.Member)
 	}
 	for _, p := range h.core.Node.Peers() {
@@ -77,5 +85,5 @@
 			add(p.Member)
 		}
 	}
-	return w
+	return response
 }
--- a/internal/dataplane/scheduling/golden_test.go
+++ b/internal/dataplane/scheduling/golden_test.go
@@ -19,69 +19,72 @@
 	"petreltide/internal/process/clock"
 )
 
-var writeDecisions = flag.Bool("write-decisions", false, "write testdata/decisions.txt anew; only for a decision that is meant to change")
+var writeDecisions = flag.Bool("write-decisions", false, "rewrite testdata/decisions.txt; use it only for an intended change of decisions")
 
-// journal hashes all that a decider says: its effects in order, its reports, its log and its state.
-type journal struct {
+// decisionRecorder hashes the complete output of a decider: its effects in order, its reports, its log and its state.
+type decisionRecorder struct {
 	t   *testing.T
 	d   *Decider
 	sum hash.Hash
-	// open are the attempts under way, in the order in which they began.
+	// open holds the open attempts, in the order in which they started.
 	open []*AttemptStart
-	// starts, gives, overs and cancels count effects by kind.
-	starts, gives, overs, cancels, unplaced int
+	// The numbers of effects by type: AttemptStart, CallFailed, CallFinished, CancelAttempt and CallUnplaced.
+	startCount, failureCount, finishCount, cancelCount, unplacedCount int
 }
 
-func (j *journal) step(nowUs int64, ev Event) {
-	for _, e := range j.d.Step(nowUs, ev) {
+// step applies an event and hashes the effects.
+func (dr *decisionRecorder) step(nowUs int64, ev Event) {
+	for _, e := range dr.d.Step(nowUs, ev) {
 		switch {
-		case started(e) != nil:
-			s := started(e)
-			j.starts++
-			j.open = append(j.open, s)
+		case asAttemptStart(e) != nil:
+			s := asAttemptStart(e)
+			dr.startCount++
+			dr.open = append(dr.open, s)
 			route := ""
 			if s.Route != nil {
 				route = s.Route.Name
 			}
-			fmt.Fprintln(j.sum, "start", s.Call.ID, s.Attempt, s.GrantNumber, s.Replica, s.Addr, s.Incarnation, s.Revision, s.DeadlineUs, route, s.Service, s.Kind, s.EstimatedFirstByteMs, s.Running)
-		case failed(e) != nil:
-			j.gives++
-			fmt.Fprintf(j.sum, "give %s %+v\n", failed(e).Call.ID, *failed(e).Fault)
-		case finished(e) != nil:
-			j.overs++
-			fmt.Fprintln(j.sum, "over", finished(e).Call.ID, finished(e).Outcome)
-		case canceled(e) != "":
-			j.cancels++
-			fmt.Fprintln(j.sum, "cancel", canceled(e))
-		case unplaced(e):
-			j.unplaced++
-			fmt.Fprintln(j.sum, "unplaced")
+			fmt.Fprintln(dr.sum, "start", s.Call.ID, s.Attempt, s.GrantNumber, s.Replica, s.Addr, s.Incarnation, s.Revision, s.DeadlineUs, route, s.Service, s.Kind, s.EstimatedFirstByteMs, s.Running)
+		case asCallFailed(e) != nil:
+			dr.failureCount++
+			fmt.Fprintf(dr.sum, "give %s %+v\n", asCallFailed(e).Call.ID, *asCallFailed(e).Fault)
+		case asCallFinished(e) != nil:
+			dr.finishCount++
+			fmt.Fprintln(dr.sum, "over", asCallFinished(e).Call.ID, asCallFinished(e).Outcome)
+		case canceledCallID(e) != "":
+			dr.cancelCount++
+			fmt.Fprintln(dr.sum, "cancel", canceledCallID(e))
+		case isCallUnplaced(e):
+			dr.unplacedCount++
+			fmt.Fprintln(dr.sum, "unplaced")
 		}
 	}
 }
 
-// take removes one attempt that is under way, or gives nil.
-func (j *journal) take(r *rand.Rand) *AttemptStart {
-	if len(j.open) == 0 {
+// takeOpen removes and returns a random open attempt, nil if there is none.
+func (dr *decisionRecorder) takeOpen(r *rand.Rand) *AttemptStart {
+	if len(dr.open) == 0 {
 		return nil
 	}
-	i := r.Intn(len(j.open))
-	s := j.open[i]
-	j.open = append(j.open[:i], j.open[i+1:]...)
+	i := r.Intn(len(dr.open))
+	s := dr.open[i]
+	dr.open = append(dr.open[:i], dr.open[i+1:]...)
 	return s
 }
 
-func (j *journal) state(nowUs int64) {
-	for _, v := range []any{j.d.Report(nowUs), j.d.Status(), j.d.Counters(), j.d.Ready(nowUs), j.d.RetryAfterMs(), j.d.HasUnreportedFailures(), j.d.Arrivals()} {
+// recordState hashes the report, the status and the counters of the decider.
+func (dr *decisionRecorder) recordState(nowUs int64) {
+	for _, v := range []any{dr.d.Report(nowUs), dr.d.Status(), dr.d.Counters(), dr.d.Ready(nowUs), dr.d.RetryAfterMs(), dr.d.HasUnreportedFailures(), dr.d.Arrivals()} {
 		raw, err := json.Marshal(v)
 		if err != nil {
-			j.t.Fatal(err)
+			dr.t.Fatal(err)
 		}
-		_, _ = j.sum.Write(raw)
+		_, _ = dr.sum.Write(raw)
 	}
 }
 
-func goldenRouted(r *rand.Rand) func() *Snapshot {
+// routedSnapshotGenerator returns a function that draws random snapshots of the routed platform.
+func routedSnapshotGenerator(r *rand.Rand) func() *Snapshot {
 	number := uint64(0)
 	return func() *Snapshot {
 		doc := &configuration.Declaration{Version: 1, Services: []configuration.Service{{Name: "s"}, {Name: "engine", Engine: &configuration.Engine{Slots: 4, CapacityMB: 10, Models: []configuration.EngineModel{
@@ -91,7 +94,7 @@
 			if r.Intn(9) == 0 {
 				continue
 			}
-			split := [][]configuration.WeightedService{one("engine"), one("s"), {{Service: "engine", Weight: 2}, {Service: "s", Weight: 1}}}[r.Intn(3)]
+			split := [][]configuration.WeightedService{onlyService("engine"), onlyService("s"), {{Service: "engine", Weight: 2}, {Service: "s", Weight: 1}}}[r.Intn(3)]
 			doc.Routes = append(doc.Routes, configuration.Route{
 				Name: name, Host: "h", Prefix: "/" + name + "/", Split: split, Priority: i, MaxAttempts: 1 + r.Intn(3), TimeoutMs: 3000, LatencyTargetMs: int64(r.Intn(2)) * 700, MaxGapMs: 200, Resumable: r.Intn(2) == 0,
 				RetryClass: []configuration.RetryClass{configuration.Idempotent, configuration.NonIdempotent, configuration.Streaming}[r.Intn(3)],
@@ -104,75 +107,77 @@
 			if r.Intn(8) == 0 {
 				continue
 			}
-			n := wire.ReplicaUpdate{ID: fmt.Sprint("r", i), Service: []string{"engine", "s"}[i%2], Zone: []string{"a", "b"}[i/2%2], Incarnation: fmt.Sprint("i", i), Addr: fmt.Sprint("addr", i), Draining: r.Intn(9) == 0, Unreachable: r.Intn(9) == 0, Slots: r.Intn(4)}
-			n.Loaded = [][]string{{"m"}, {"m", "n"}, {"m", "m/x", "n"}, {}}[r.Intn(4)]
-			n.Loading, n.Unloading = []string{"", "", "m", "n"}[r.Intn(4)], []string{"", "", "", "m", "m/x"}[r.Intn(5)]
-			s.Replicas[n.ID] = &n
-			s.IDs = append(s.IDs, n.ID)
-			s.ByService[n.Service] = append(s.ByService[n.Service], &n)
+			update := wire.ReplicaUpdate{ID: fmt.Sprint("r", i), Service: []string{"engine", "s"}[i%2], Zone: []string{"a", "b"}[i/2%2], Incarnation: fmt.Sprint("i", i), Addr: fmt.Sprint("addr", i), Draining: r.Intn(9) == 0, Unreachable: r.Intn(9) == 0, Slots: r.Intn(4)}
+			update.Loaded = [][]string{{"m"}, {"m", "n"}, {"m", "m/x", "n"}, {}}[r.Intn(4)]
+			update.Loading, update.Unloading = []string{"", "", "m", "n"}[r.Intn(4)], []string{"", "", "", "m", "m/x"}[r.Intn(5)]
+			s.Replicas[update.ID] = &update
+			s.IDs = append(s.IDs, update.ID)
+			s.ByService[update.Service] = append(s.ByService[update.Service], &update)
 			if r.Intn(7) == 0 {
-				s.Verdicts[n.ID] = outlier.Verdict{Replica: n.ID, AllowedPercent: []int{0, 12, 40}[r.Intn(3)], Dead: r.Intn(4) == 0}
+				s.Verdicts[update.ID] = outlier.Verdict{Replica: update.ID, AllowedPercent: []int{0, 12, 40}[r.Intn(3)], Dead: r.Intn(4) == 0}
 			}
 		}
 		return s
 	}
 }
 
-func goldenDeclared(r *rand.Rand) func() *Snapshot {
+// declaredSnapshotGenerator returns a function that draws random snapshots of the declared platform.
+func declaredSnapshotGenerator(r *rand.Rand) func() *Snapshot {
 	number := uint64(0)
-	var last *Snapshot
+	var previous *Snapshot
 	return func() *Snapshot {
 		number++
-		n := wire.GatewayUpdate{Number: number, Revision: 1 + number/8, Declaration: &configuration.Declaration{
+		update := wire.GatewayUpdate{Number: number, Revision: 1 + number/8, Declaration: &configuration.Declaration{
 			Zones:  []string{"a", "b"},
 			Kinds:  []configuration.Kind{{Name: "a", Urgency: 2, Resumable: r.Intn(5) > 0, DeadlineMs: 3000}, {Name: "b", Urgency: 5, Resumable: r.Intn(2) == 0, DeadlineMs: 6000}},
 			Models: []configuration.Model{{Name: "m"}, {Name: "n"}}, Adapters: []configuration.Adapter{{Name: "x", Model: "m"}},
 		}}
 		if r.Intn(8) > 0 {
-			n.Declaration.Kinds = append(n.Declaration.Kinds, configuration.Kind{Name: "c", Urgency: 9, DeadlineMs: 4000})
+			update.Declaration.Kinds = append(update.Declaration.Kinds, configuration.Kind{Name: "c", Urgency: 9, DeadlineMs: 4000})
 		}
-		if last != nil && r.Intn(2) == 0 {
-			n.Declaration = nil
+		if previous != nil && r.Intn(2) == 0 {
+			update.Declaration = nil
 		}
 		for i := range 5 {
 			if r.Intn(8) == 0 {
 				continue
 			}
 			id := fmt.Sprint("r", i)
-			n.Replicas = append(n.Replicas, wire.ReplicaUpdate{ID: id, Incarnation: "i", Addr: id, Zone: []string{"a", "b"}[i%2], Loaded: [][]string{{"m"}, {"m", "n", "x"}}[r.Intn(2)], MaxInFlight: 1 + r.Intn(3), Draining: r.Intn(6) == 0, Unreachable: r.Intn(9) == 0})
+			update.Replicas = append(update.Replicas, wire.ReplicaUpdate{ID: id, Incarnation: "i", Addr: id, Zone: []string{"a", "b"}[i%2], Loaded: [][]string{{"m"}, {"m", "n", "x"}}[r.Intn(2)], MaxInFlight: 1 + r.Intn(3), Draining: r.Intn(6) == 0, Unreachable: r.Intn(9) == 0})
 			for _, model := range []string{"m", "n"} {
-				ticket := 1 + number/4
-				n.Grants = append(n.Grants, wire.Grant{Number: ticket, Replica: id, Incarnation: "i", Model: model, From: ticket * 100, To: ticket*100 + 30})
+				grantNumber := 1 + number/4
+				update.Grants = append(update.Grants, wire.Grant{Number: grantNumber, Replica: id, Incarnation: "i", Model: model, From: grantNumber * 100, To: grantNumber*100 + 30})
 			}
 		}
-		last = NewSnapshot(last, n, int64(number))
-		return last
+		previous = NewSnapshot(previous, update, int64(number))
+		return previous
 	}
 }
 
-// seededRun plays one seeded run of events against a decider and gives the digest of all that it said.
-func seededRun(t *testing.T, seed int64, routed bool, total *journal) string {
+// seededRun applies a seeded sequence of events to a decider and returns the digest of its output. It adds the numbers of effects
+// to total.
+func seededRun(t *testing.T, seed int64, routed bool, total *decisionRecorder) string {
 	t.Helper()
 	r := rand.New(rand.NewSource(seed))
 	opts := Options{Gateway: "g", Incarnation: "i", Zone: "a", QueueMax: 8, RetryBudget: RetryBudgetOptions{Ratio: 0.3, Slack: 20, WindowUs: 4 * clock.Sec}, MaxWait: MaxWaitOptions{MinMs: 500, TargetFactor: 2, GapFactor: 3}}
-	j := &journal{t: t, d: New(opts), sum: sha256.New()}
-	draw := goldenDeclared(r)
+	recorder := &decisionRecorder{t: t, d: New(opts), sum: sha256.New()}
+	nextSnapshot := declaredSnapshotGenerator(r)
 	if routed {
-		draw = goldenRouted(r)
+		nextSnapshot = routedSnapshotGenerator(r)
 	}
 	nowUs, calls := clock.Sec, 0
-	endings := []Outcome{OutcomeDone, OutcomeDone, OutcomeDone, OutcomeFailed, OutcomeRejected, OutcomeModelMissing, OutcomeWrongIncarnation, OutcomeUnsent, OutcomeBroken, OutcomeUnknown, OutcomeTimedOut, OutcomeStopped, OutcomeMigrated}
+	outcomes := []Outcome{OutcomeDone, OutcomeDone, OutcomeDone, OutcomeFailed, OutcomeRejected, OutcomeModelMissing, OutcomeWrongIncarnation, OutcomeUnsent, OutcomeBroken, OutcomeUnknown, OutcomeTimedOut, OutcomeStopped, OutcomeMigrated}
 	for n := range 700 {
 		nowUs += r.Int63n(40 * clock.Ms)
 		switch k := r.Intn(20); {
 		case n == 0 || k == 0:
-			j.step(nowUs, SnapshotReceived{Snapshot: draw()})
+			recorder.step(nowUs, SnapshotReceived{Snapshot: nextSnapshot()})
 		case k == 1:
-			j.step(nowUs, LeaseExtended{UntilUs: nowUs + r.Int63n(4*clock.Sec)})
+			recorder.step(nowUs, LeaseExtended{UntilUs: nowUs + r.Int63n(4*clock.Sec)})
 		case k == 2:
-			j.step(nowUs, Tick{})
+			recorder.step(nowUs, Tick{})
 		case k == 3 && calls > 0:
-			j.step(nowUs, CallCanceled{Call: fmt.Sprint("c", 1+r.Intn(calls))})
+			recorder.step(nowUs, CallCanceled{Call: fmt.Sprint("c", 1+r.Intn(calls))})
 		case k < 11:
 			calls++
 			c := &Call{ID: fmt.Sprint("c", calls), Kind: []string{"a", "b", "c", "unknown"}[min(r.Intn(13)/4, 3)], Model: []string{"m", "m", "n"}[r.Intn(3)], Prefix: []string{"p", fmt.Sprint(r.Intn(3))}, TimeoutMs: int64(r.Intn(3)) * 900}
@@ -186,11 +191,11 @@
 					c.Model, c.Adapter = "", ""
 				}
 			}
-			j.step(nowUs, CallArrived{Call: c})
+			recorder.step(nowUs, CallArrived{Call: c})
 		case n == 640:
-			j.step(nowUs, DrainStarted{})
+			recorder.step(nowUs, DrainStarted{})
 		default:
-			s := j.take(r)
+			s := recorder.takeOpen(r)
 			if s == nil {
 				continue
 			}
@@ -201,34 +206,35 @@
 			if r.Intn(5) == 0 {
 				s.Call.OutlierClass.Store(int32(r.Intn(int(outlier.Inconclusive) + 1)))
 			}
-			j.step(nowUs, AttemptEnded{Call: s.Call.ID, Attempt: s.Attempt, Outcome: endings[r.Intn(len(endings))]})
+			recorder.step(nowUs, AttemptEnded{Call: s.Call.ID, Attempt: s.Attempt, Outcome: outcomes[r.Intn(len(outcomes))]})
 		}
 		if n%50 == 0 {
-			j.state(nowUs)
+			recorder.recordState(nowUs)
 		}
 	}
-	j.step(nowUs, DrainEnded{})
-	j.state(nowUs)
-	total.starts += j.starts
-	total.gives += j.gives
-	total.overs += j.overs
-	total.cancels += j.cancels
-	total.unplaced += j.unplaced
-	return hex.EncodeToString(j.sum.Sum(nil))
+	recorder.step(nowUs, DrainEnded{})
+	recorder.recordState(nowUs)
+	total.startCount += recorder.startCount
+	total.failureCount += recorder.failureCount
+	total.finishCount += recorder.finishCount
+	total.cancelCount += recorder.cancelCount
+	total.unplacedCount += recorder.unplacedCount
+	return hex.EncodeToString(recorder.sum.Sum(nil))
 }
 
-// What a decider says in seeded runs is what it said when testdata/decisions.txt was written, to the last byte. A change
-// that means to decide otherwise writes the file anew, by -write-decisions, and says why.
-func TestSeededDecisionsAreUnchanged(t *testing.T) {
-	lines, total := []string{}, &journal{}
+// In seeded runs the output of a decider must be byte for byte the same as when testdata/decisions.txt was written. A change that
+// intentionally alters decisions rewrites the file with -write-decisions and states the reason.
+func TestSeededDecisionsMatchGoldenFile(t *testing.T) {
+	lines, total := []string{}, &decisionRecorder{}
 	for _, platform := range []string{"declared", "routed"} {
 		for seed := range int64(60) {
 			lines = append(lines, fmt.Sprintf("%s %d %s", platform, seed, seededRun(t, seed, platform == "routed", total)))
 		}
 	}
-	t.Logf("%d attempts, %d calls refused, %d ended, %d cancels, %d waits for what no replica has", total.starts, total.gives, total.overs, total.cancels, total.unplaced)
-	if min(total.starts, total.gives, total.overs) < 1000 || min(total.cancels, total.unplaced) < 100 {
-		t.Error("the runs show too little")
+	t.Logf("%d attempts started, %d calls failed, %d calls finished, %d attempts canceled, %d calls unplaced",
+		total.startCount, total.failureCount, total.finishCount, total.cancelCount, total.unplacedCount)
+	if min(total.startCount, total.failureCount, total.finishCount) < 1000 || min(total.cancelCount, total.unplacedCount) < 100 {
+		t.Error("the runs cover too little: want 1000 attempts, failed and finished calls each, and 100 canceled attempts and unplaced calls each")
 	}
 	path := filepath.Join("testdata", "decisions.txt")
 	got := strings.Join(lines, "\n") + "\n"
@@ -250,8 +256,8 @@
 	wanted := strings.Split(string(want), "\n")
 	for i, line := range lines {
 		if i >= len(wanted) || line != wanted[i] {
-			t.Fatalf("first difference: %s", line)
+			t.Fatalf("first run that differs from %s: %s", path, line)
 		}
 	}
-	t.Fatal("the file has more runs")
+	t.Fatalf("%s has more runs than the %d of this test", path, len(lines))
 }
