--- a/internal/controlplane/controller/orders.go
+++ b/internal/controlplane/controller/orders.go
@@ -85,11 +85,11 @@
 	if len(t.byNumber) <= len(s.Pending) {
 		return
 	}
-	stand := map[uint64]bool{}
+	pending := map[uint64]bool{}
 	for _, command := range s.Pending {
-		stand[command.Number] = true
+		pending[command.Number] = true
 	}
-	maps.DeleteFunc(t.byNumber, func(number uint64, _ *outstandingOrder) bool { return !stand[number] })
+	maps.DeleteFunc(t.byNumber, func(number uint64, _ *outstandingOrder) bool { return !pending[number] })
 }
 
 // outstanding returns the tracked order of a command. For a command that another leader issued, tracking starts with a
--- a/internal/controlplane/controller/orders_model_test.go
+++ b/internal/controlplane/controller/orders_model_test.go
@@ -189,8 +189,8 @@
 	}
 }
 
-func (m *orderModel) schedule(us int64, act func()) {
-	m.deliveries = append(m.deliveries, delivery{m.nowUs + us, act})
+func (m *orderModel) schedule(delayUs int64, run func()) {
+	m.deliveries = append(m.deliveries, delivery{m.nowUs + delayUs, run})
 }
 
 // apply applies a change to the replicated state and notifies the connected control nodes.
@@ -319,8 +319,8 @@
 			return
 		}
 		answered = true
-		ordered := OrderResult{Replica: order.Command.Replica, Incarnation: order.Command.Incarnation, Expected: order.ExpectedOrders, State: wire.OrderState{Number: order.Command.Number, Epoch: order.Epoch, State: state}}
-		m.reply(i, from, ordered)
+		result := OrderResult{Replica: order.Command.Replica, Incarnation: order.Command.Incarnation, Expected: order.ExpectedOrders, State: wire.OrderState{Number: order.Command.Number, Epoch: order.Epoch, State: state}}
+		m.reply(i, from, result)
 	}
 	arrive := func(healed bool) {
 		state := m.receiveOrder(effect.Addr, order, healed)
--- a/internal/controlplane/controller/predecessor.go
+++ b/internal/controlplane/controller/predecessor.go
@@ -54,7 +54,7 @@
 }
 
 // beginLeadership records the orders that an earlier leader may still have in flight. It has to run before the first event
-// as leader is processed, because orders that are pending then may be settled by the first tick.
+// as leader is processed, because an event before the first tick may settle a command that is pending then.
 func (p *predecessorWait) beginLeadership(nowUs int64, epoch uint64, s *statemachine.State) {
 	if p.leaderSinceUs != 0 {
 		return
@@ -112,8 +112,8 @@
 // reset restarts tracking from the pending commands in the replicated state; the times of earlier orders are not known.
 func (o *predecessorOrders) reset(s *statemachine.State) {
 	o.nextNumber, o.replicaOf = s.NextNumber, map[uint64]string{}
-	for id, p := range s.Pending {
-		o.replicaOf[p.Number] = id
+	for id, command := range s.Pending {
+		o.replicaOf[command.Number] = id
 	}
 	if o.lastOrderUs == nil {
 		o.lastOrderUs = map[string]int64{}
@@ -122,7 +122,7 @@
 
 // onApplied records a leader update when it is applied. It returns false if commands were issued or settled earlier without
 // being observed, as happens when the state is restored from a snapshot.
-func (o *predecessorOrders) onApplied(nowUs int64, foreign bool, d statemachine.LeaderUpdate, s *statemachine.State) bool {
+func (o *predecessorOrders) onApplied(nowUs int64, foreign bool, update statemachine.LeaderUpdate, s *statemachine.State) bool {
 	if o.replicaOf == nil {
 		o.reset(s)
 		return false
@@ -132,24 +132,24 @@
 		maps.DeleteFunc(o.lastOrderUs, func(id string, _ int64) bool { return s.Replicas[id] == nil })
 		maps.DeleteFunc(o.replicaOf, func(_ uint64, id string) bool { return s.Replicas[id] == nil })
 	}
-	for _, done := range d.Results {
-		id, known := o.replicaOf[done.Number]
-		delete(o.replicaOf, done.Number)
+	for _, result := range update.Results {
+		id, known := o.replicaOf[result.Number]
+		delete(o.replicaOf, result.Number)
 		complete = complete && known
 		if foreign && known {
 			o.lastOrderUs[id] = nowUs
 		}
 	}
 	issued := uint64(0)
-	for _, proposed := range d.Commands {
-		p, stands := s.Pending[proposed.Replica]
-		if !stands || p.Number < o.nextNumber {
+	for _, proposed := range update.Commands {
+		command, isPending := s.Pending[proposed.Replica]
+		if !isPending || command.Number < o.nextNumber {
 			continue
 		}
 		issued++
-		o.replicaOf[p.Number] = p.Replica
+		o.replicaOf[command.Number] = command.Replica
 		if foreign {
-			o.lastOrderUs[p.Replica] = nowUs
+			o.lastOrderUs[command.Replica] = nowUs
 		}
 	}
 	if complete = complete && s.NextNumber == o.nextNumber+issued; !complete {
--- a/internal/controlplane/controller/routed_test.go
+++ b/internal/controlplane/controller/routed_test.go
@@ -37,7 +37,7 @@
 	silent         bool
 }
 
-func (m *fakeReplica) units() []string { return slices.Sorted(maps.Keys(m.resident)) }
+func (r *fakeReplica) units() []string { return slices.Sorted(maps.Keys(r.resident)) }
 
 type scheduledAction struct {
 	atUs int64
@@ -86,13 +86,13 @@
 		Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Idempotent, TimeoutMs: 1000, MaxAttempts: 1, Split: []configuration.WeightedService{{Service: "s", Weight: 1}}}}}
 }
 
-func newFleet(t *testing.T, seed int64, machines int) *fleet {
+func newFleet(t *testing.T, seed int64, replicaCount int) *fleet {
 	f := &fleet{t: t, rand: rand.New(rand.NewSource(seed)), nowUs: clock.Sec, state: statemachine.NewState(), replicas: map[string]*fakeReplica{}, orders: map[string][]orderRecord{}, inDoubt: map[uint64]bool{}, previousHead: -1}
 	f.apply(statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: fleetDoc()}})
 	for i := range f.controllers {
 		f.restart(i)
 	}
-	for i := range machines {
+	for i := range replicaCount {
 		f.startReplica(fmt.Sprint("a", i), map[string]bool{})
 	}
 	return f
@@ -111,8 +111,8 @@
 	f.replicas[id] = &fakeReplica{id: id, addr: addr, resident: map[string]int64{}, disk: disk}
 }
 
-func (f *fleet) schedule(us int64, act func()) {
-	f.scheduled = append(f.scheduled, scheduledAction{f.nowUs + us, act})
+func (f *fleet) schedule(delayUs int64, run func()) {
+	f.scheduled = append(f.scheduled, scheduledAction{f.nowUs + delayUs, run})
 }
 
 func (f *fleet) apply(c statemachine.Change) statemachine.Outcome {
@@ -154,8 +154,8 @@
 			request := e
 			f.schedule(1+f.rand.Int63n(20*clock.Ms), func() {
 				report := ReplicaReport{RequestedUs: request.RequestedUs, Replica: request.Replica, Addr: request.Addr}
-				if m := f.replicas[request.Replica]; m != nil && f.rand.Intn(100) >= f.lossPercent {
-					report.State = &wire.ReplicaState{ID: m.id, Incarnation: m.id, Busy: m.current.Unit != "", Orders: m.ordersAccepted, Units: m.units()}
+				if replica := f.replicas[request.Replica]; replica != nil && f.rand.Intn(100) >= f.lossPercent {
+					report.State = &wire.ReplicaState{ID: replica.id, Incarnation: replica.id, Busy: replica.current.Unit != "", Orders: replica.ordersAccepted, Units: replica.units()}
 					for n := range f.orders[request.Replica] {
 						f.orders[request.Replica][n].reportRequested = true
 					}
@@ -196,42 +196,42 @@
 // receiveOrder processes an order at a replica. The replica answers according to its state, and the rules of the fleet are
 // checked.
 func (f *fleet) receiveOrder(o wire.Order) string {
-	m := f.replicas[o.Command.Replica]
-	if m == nil || m.id != o.Command.Incarnation {
+	replica := f.replicas[o.Command.Replica]
+	if replica == nil || replica.id != o.Command.Incarnation {
 		return wire.OrderFailed
 	}
-	f.checkLeader(m.id, o)
+	f.checkLeader(replica.id, o)
 	command := o.Command
 	model, adapter := configuration.SplitUnit(command.Unit)
-	_, isResident := m.resident[command.Unit]
+	_, isResident := replica.resident[command.Unit]
 	switch {
-	case m.current.Unit != "", o.ExpectedOrders != nil && *o.ExpectedOrders != m.ordersAccepted:
+	case replica.current.Unit != "", o.ExpectedOrders != nil && *o.ExpectedOrders != replica.ordersAccepted:
 		return wire.OrderBusy
 	case isResident == (command.Action == statemachine.Load):
 		return wire.OrderDone
 	case command.Action == statemachine.Unload:
-		m.ordersAccepted++
-		m.current, m.doneUs = command, f.nowUs+f.rand.Int63n(300*clock.Ms)
+		replica.ordersAccepted++
+		replica.current, replica.doneUs = command, f.nowUs+f.rand.Int63n(300*clock.Ms)
 		return wire.OrderRunning
 	}
 	sumMb, adapters := command.SizeMB, 0
-	for unit, mb := range m.resident {
+	for unit, mb := range replica.resident {
 		sumMb += mb
 		adapters += strings.Count(unit, "/")
 	}
-	if _, there := m.resident[model]; adapter != "" && !there {
+	if _, there := replica.resident[model]; adapter != "" && !there {
 		return wire.OrderFailed
 	}
 	if sumMb > fleetCapacityMb || (adapter != "" && adapters >= fleetMaxAdapters) {
-		f.violation = fmt.Sprintf("%s is ordered to hold %d MB and %d adapters after loading %s", m.id, sumMb, adapters, command.Unit)
+		f.violation = fmt.Sprintf("%s is ordered to hold %d MB and %d adapters after loading %s", replica.id, sumMb, adapters, command.Unit)
 	}
-	m.ordersAccepted++
-	m.current, m.doneUs = command, f.nowUs+1500*clock.Ms
+	replica.ordersAccepted++
+	replica.current, replica.doneUs = command, f.nowUs+1500*clock.Ms
 	switch {
 	case adapter != "":
-		m.doneUs = f.nowUs + 20*clock.Ms
-	case m.disk[command.Unit]:
-		m.doneUs = f.nowUs + 300*clock.Ms
+		replica.doneUs = f.nowUs + 20*clock.Ms
+	case replica.disk[command.Unit]:
+		replica.doneUs = f.nowUs + 300*clock.Ms
 	default:
 		f.loads++
 		f.loadTimesUs = append(f.loadTimesUs, f.nowUs)
@@ -280,25 +280,25 @@
 			q.run()
 		}
 		for _, id := range slices.Sorted(maps.Keys(f.replicas)) {
-			m := f.replicas[id]
-			if m.current.Unit != "" && f.nowUs >= m.doneUs {
-				if m.current.Action == statemachine.Load {
-					m.resident[m.current.Unit] = m.current.SizeMB
-					m.disk[m.current.Unit] = true
+			replica := f.replicas[id]
+			if replica.current.Unit != "" && f.nowUs >= replica.doneUs {
+				if replica.current.Action == statemachine.Load {
+					replica.resident[replica.current.Unit] = replica.current.SizeMB
+					replica.disk[replica.current.Unit] = true
 				} else {
-					for unit := range m.resident {
-						if unit == m.current.Unit || strings.HasPrefix(unit, m.current.Unit+"/") {
-							delete(m.resident, unit)
+					for unit := range replica.resident {
+						if unit == replica.current.Unit || strings.HasPrefix(unit, replica.current.Unit+"/") {
+							delete(replica.resident, unit)
 						}
 					}
 				}
-				m.current = statemachine.ReplicaCommand{}
+				replica.current = statemachine.ReplicaCommand{}
 			}
-			if f.nowUs-m.heartbeatUs >= 200*clock.Ms && !m.silent {
-				m.heartbeatUs = f.nowUs
-				m.seq++
+			if f.nowUs-replica.heartbeatUs >= 200*clock.Ms && !replica.silent {
+				replica.heartbeatUs = f.nowUs
+				replica.seq++
 				for _, r := range f.registries {
-					r.HandleHeartbeat(f.nowUs, registry.ReplicaStatus{ID: m.id, Service: "s", Addr: m.addr, Zone: "a", Slots: 8, Seq: m.seq, Units: m.units()})
+					r.HandleHeartbeat(f.nowUs, registry.ReplicaStatus{ID: replica.id, Service: "s", Addr: replica.addr, Zone: "a", Slots: 8, Seq: replica.seq, Units: replica.units()})
 				}
 			}
 		}
@@ -323,16 +323,16 @@
 // otherwise the new incarnation would not be accepted immediately.
 func (f *fleet) replaceReplica(disk map[string]bool) {
 	ids := slices.Sorted(maps.Keys(f.replicas))
-	m := f.replicas[ids[f.rand.Intn(len(ids))]]
-	delete(f.replicas, m.id)
+	replica := f.replicas[ids[f.rand.Intn(len(ids))]]
+	delete(f.replicas, replica.id)
 	if disk == nil {
-		f.startReplica(m.addr, m.disk)
+		f.startReplica(replica.addr, replica.disk)
 		return
 	}
 	for _, r := range f.registries {
-		r.Remove(f.nowUs, m.id)
+		r.Remove(f.nowUs, replica.id)
 	}
-	f.startReplica(m.addr, disk)
+	f.startReplica(replica.addr, disk)
 }
 
 // takeOver makes the other control node the head. The previous head continues to act for a short time, as its lease permits.
@@ -449,13 +449,13 @@
 		if len(out.Faults) > 0 {
 			t.Fatal(out.Faults)
 		}
-		begunUs := nowUs
-		for ; nowUs < begunUs+1200*clock.Ms; nowUs += 5 * clock.Ms {
-			ms := (nowUs - begunUs) / 1000
+		startUs := nowUs
+		for ; nowUs < startUs+1200*clock.Ms; nowUs += 5 * clock.Ms {
+			ms := (nowUs - startUs) / 1000
 			step(GatewayReport{Report: &wire.Report{Gateway: "d", PendingPrefill: c.unstarted(ms)}})
 			step(Tick{})
 		}
-		if waited := sentUs - begunUs; sentUs == 0 || waited < c.from || waited > c.to {
+		if waited := sentUs - startUs; sentUs == 0 || waited < c.from || waited > c.to {
 			t.Errorf("%s: delay of the unload: got %d ms, want %d to %d ms", name, waited/1000, c.from/1000, c.to/1000)
 		}
 	}
