--- a/internal/controlplane/controlnode/fleet.go
+++ b/internal/controlplane/controlnode/fleet.go
@@ -137,8 +137,8 @@
 		row.State = ReplicaReady
 	}
 	if e.Draining && e.EndUs > 0 {
-		leftMs := max(0, e.EndUs-nowUs) / 1000
-		row.RemainingMs = &leftMs
+		remainingMs := max(0, e.EndUs-nowUs) / 1000
+		row.RemainingMs = &remainingMs
 	}
 	return row
 }
--- a/internal/controlplane/controlnode/fleet_test.go
+++ b/internal/controlplane/controlnode/fleet_test.go
@@ -63,7 +63,7 @@
 
 	f := c.Status(nowUs).Fleet
 	order := s.Pending["ready"]
-	leftMs := int64(700)
+	remainingMs := int64(700)
 	base := ReplicaStatus{Service: "s", Zone: "z", Stage: "decode", Slots: 4, Units: []string{"m"}}
 	with := func(id string, state ReplicaState, agoMs int64, edit func(*ReplicaStatus)) ReplicaStatus {
 		r := base
@@ -77,7 +77,7 @@
 		with("dark", ReplicaUnreachable, 4000, nil),
 		with("gone", ReplicaRemoved, 1000, nil),
 		with("leaving", ReplicaDraining, 0, func(r *ReplicaStatus) { r.Service, r.Units = "plain", []string{} }),
-		with("notice", ReplicaDraining, 200, func(r *ReplicaStatus) { r.RemainingMs = &leftMs }),
+		with("notice", ReplicaDraining, 200, func(r *ReplicaStatus) { r.RemainingMs = &remainingMs }),
 		with("ready", ReplicaReady, 20, func(r *ReplicaStatus) { r.CapacityMb, r.ReservedMb, r.Order = 100, 70, &order }),
 		with("never", ReplicaUnreported, -1, func(r *ReplicaStatus) { r.CapacityMb, r.ReservedMb, r.Stage = 100, 30, "" }),
 	}
--- a/internal/controlplane/controlnode/frames.go
+++ b/internal/controlplane/controlnode/frames.go
@@ -9,7 +9,7 @@
 func (c *Core) isInitialized() bool { return c.Node.IsInitialized() }
 
 func (c *Core) pushFrames(nowUs int64) {
-	if nowUs-c.membersUpdatedUs >= membersIntervalUs {
+	if nowUs-c.membersUpdatedUs >= membersUpdateIntervalUs {
 		c.membersUpdatedUs, c.followableMembers = nowUs, c.listFollowableMembers(nowUs)
 	}
 	for _, p := range c.soft.FramePublisher.Frames(distribution.FrameInput{
--- a/internal/controlplane/controlnode/gateway_streams.go
+++ b/internal/controlplane/controlnode/gateway_streams.go
@@ -40,19 +40,19 @@
 
 // serveUpdates serves a gateway's stream of configuration updates until the gateway subscribes again or this control node is no
 // longer the tail.
-func (h *Host) serveUpdates(ctx context.Context, f *wire.SubscribeRequest, send func(*wire.GatewayUpdate) error) error {
+func (h *Host) serveUpdates(ctx context.Context, request *wire.SubscribeRequest, send func(*wire.GatewayUpdate) error) error {
 	stream := &updateStream{latest: make(chan wire.GatewayUpdate, 1)}
 	defer h.actor.Tell(func() {
-		if h.updateStreams[f.Gateway] == stream {
-			delete(h.updateStreams, f.Gateway)
+		if h.updateStreams[request.Gateway] == stream {
+			delete(h.updateStreams, request.Gateway)
 		}
 	})
 	view, ran := actor.Ask(ctx, h.actor, func() uint64 {
 		if !h.core.Node.IsTailReady(h.core.Node.NowUs()) {
 			return 0
 		}
-		h.updateStreams[f.Gateway] = stream
-		h.step(SubscribeUpdates{Request: f})
+		h.updateStreams[request.Gateway] = stream
+		h.step(SubscribeUpdates{Request: request})
 		return h.core.Node.View().Number
 	})
 	if !ran || view == 0 {
@@ -72,7 +72,7 @@
 			}
 		case <-roleCheck.C:
 			ended, ran := actor.Ask(ctx, h.actor, func() bool {
-				return h.updateStreams[f.Gateway] != stream || !h.core.Node.IsTail() || h.core.Node.View().Number < view
+				return h.updateStreams[request.Gateway] != stream || !h.core.Node.IsTail() || h.core.Node.View().Number < view
 			})
 			if ended || !ran {
 				return fault.New(fault.NotServing, "", "no longer the tail")
@@ -97,13 +97,13 @@
 }
 
 // pushFrame queues a frame for a gateway, and closes the gateway's stream if its queue is full.
-func (h *Host) pushFrame(gateway string, f *wire.Frame) {
+func (h *Host) pushFrame(gateway string, frame *wire.Frame) {
 	stream := h.frameStreams[gateway]
 	if stream == nil {
 		return
 	}
 	select {
-	case stream.frames <- f:
+	case stream.frames <- frame:
 	default:
 		delete(h.frameStreams, gateway)
 		close(stream.closed)
@@ -111,20 +111,20 @@
 }
 
 // serveFrames serves a gateway's stream of frames; a new subscription of the gateway closes its earlier one.
-func (h *Host) serveFrames(ctx context.Context, f *wire.SubscribeRequest, send func(*wire.Frame) error) error {
-	stream := &frameStream{incarnation: f.Incarnation, frames: make(chan *wire.Frame, frameStreamCapacity), closed: make(chan struct{})}
+func (h *Host) serveFrames(ctx context.Context, request *wire.SubscribeRequest, send func(*wire.Frame) error) error {
+	stream := &frameStream{incarnation: request.Incarnation, frames: make(chan *wire.Frame, frameStreamCapacity), closed: make(chan struct{})}
 	defer h.actor.Tell(func() {
-		if h.frameStreams[f.Gateway] == stream {
-			delete(h.frameStreams, f.Gateway)
-			h.step(UnsubscribeFrames{Gateway: f.Gateway, Incarnation: f.Incarnation})
+		if h.frameStreams[request.Gateway] == stream {
+			delete(h.frameStreams, request.Gateway)
+			h.step(UnsubscribeFrames{Gateway: request.Gateway, Incarnation: request.Incarnation})
 		}
 	})
 	if !h.actor.Do(ctx, func() {
-		if prior := h.frameStreams[f.Gateway]; prior != nil {
+		if prior := h.frameStreams[request.Gateway]; prior != nil {
 			close(prior.closed)
 		}
-		h.frameStreams[f.Gateway] = stream
-		h.step(SubscribeFrames{Request: f})
+		h.frameStreams[request.Gateway] = stream
+		h.step(SubscribeFrames{Request: request})
 	}) {
 		return fault.New(fault.NotServing, "", "stopping")
 	}
--- a/internal/controlplane/controlnode/handlers.go
+++ b/internal/controlplane/controlnode/handlers.go
@@ -22,12 +22,12 @@
 		}
 		return &wire.Ack{}, nil
 	})
-	rpc.Serve(mux, rpc.WherePath, func(ctx context.Context, ask *wire.MembershipRequest) (*wire.MembershipResponse, error) {
-		where, ran := actor.Ask(ctx, h.actor, h.membership)
+	rpc.Serve(mux, rpc.WherePath, func(ctx context.Context, request *wire.MembershipRequest) (*wire.MembershipResponse, error) {
+		membership, ran := actor.Ask(ctx, h.actor, h.membership)
 		if !ran {
 			return nil, fault.New(fault.NotServing, "", "stopping")
 		}
-		return &where, nil
+		return &membership, nil
 	})
 	rpc.Serve(mux, rpc.SubmitPath, func(ctx context.Context, c *statemachine.Change) (*wire.Result, error) {
 		result, ok := h.Submit(ctx, *c, submitTimeout)
--- a/internal/controlplane/controlnode/host.go
+++ b/internal/controlplane/controlnode/host.go
@@ -51,12 +51,12 @@
 	// peerDialTimeoutMs bounds dialing a peer, in milliseconds.
 	peerDialTimeoutMs = 250
 	// The timers of a chain with automatic membership, in microseconds; see WithAutoMembershipTimings.
-	autoMembershipHeartbeatUs    = 200 * clock.Ms
-	autoMembershipSuspectUs      = 800 * clock.Ms
-	autoMembershipLeaseUs        = 700 * clock.Ms
-	autoMembershipVoteRecoveryUs = 900 * clock.Ms
-	autoMembershipGatherUs       = 1300 * clock.Ms
-	autoMembershipPrepareUs      = 200 * clock.Ms
+	autoMembershipHeartbeatIntervalUs   = 200 * clock.Ms
+	autoMembershipSuspectTimeoutUs      = 800 * clock.Ms
+	autoMembershipLeaseDurationUs       = 700 * clock.Ms
+	autoMembershipVoteRecoveryTimeoutUs = 900 * clock.Ms
+	autoMembershipGatherTimeoutUs       = 1300 * clock.Ms
+	autoMembershipPrepareTimeoutUs      = 200 * clock.Ms
 )
 
 // Host runs a Core: it passes it one event at a time and executes its effects on the disk, the network and the clock. The
@@ -67,12 +67,12 @@
 	// fatal receives the error that ends Run.
 	fatal chan error
 
-	// disk stores the requests of saveQueue in order; a request that fails is retried after retryTimer. lock excludes other
+	// disk stores the requests of persistQueue in order; a request that fails is retried after retryTimer. lock excludes other
 	// processes from the data directory.
-	disk       disk
-	lock       *storage.DirLock
-	saveQueue  *saveQueue
-	retryTimer func() <-chan time.Time
+	disk         disk
+	lock         *storage.DirLock
+	persistQueue *persistQueue
+	retryTimer   func() <-chan time.Time
 	// rebuilding reports that this node has no data and may not bootstrap a chain: it exits unless it finds a peer in time.
 	rebuilding bool
 
@@ -184,7 +184,7 @@
 		case SendMessage:
 			h.send(effect.Addr, effect.Message)
 		case Persist:
-			h.saveQueue.put(*effect.Request)
+			h.persistQueue.put(*effect.Request)
 		case PushUpdate:
 			h.pushUpdate(effect.Push.Gateway, effect.Push.Update)
 		case PushFrame:
--- a/internal/controlplane/controlnode/open.go
+++ b/internal/controlplane/controlnode/open.go
@@ -95,7 +95,7 @@
 	h := &Host{
 		settings: set, core: core, disk: opened.Store, ring: ring, log: logger,
 		replicaClient: rpc.Client(500, set.Listen), peerClient: rpc.NodeClient(peerDialTimeoutMs, set.Listen),
-		actor: actor.New(mailboxCapacity), saveQueue: newSaveQueue(),
+		actor: actor.New(mailboxCapacity), persistQueue: newPersistQueue(),
 		retryTimer: func() <-chan time.Time { return time.After(diskRetryInterval) },
 		outboxes:   map[string]chan peering.Message{}, snapshotTransfers: map[string]*snapshotTransfer{},
 		waiters: map[string][]chan wire.Result{}, leases: map[uint64]chan wire.Lease{}, quotas: map[uint64]chan wire.QuotaResponse{},
@@ -122,8 +122,8 @@
 // remove each other.
 func WithAutoMembershipTimings(options chain.Options) chain.Options {
 	options.HelloIntervalUs, options.HeartbeatIntervalUs, options.SuspectTimeoutUs =
-		autoMembershipHeartbeatUs, autoMembershipHeartbeatUs, autoMembershipSuspectUs
+		autoMembershipHeartbeatIntervalUs, autoMembershipHeartbeatIntervalUs, autoMembershipSuspectTimeoutUs
 	options.LeaseDurationUs, options.VoteRecoveryTimeoutUs, options.GatherTimeoutUs, options.PrepareTimeoutUs =
-		autoMembershipLeaseUs, autoMembershipVoteRecoveryUs, autoMembershipGatherUs, autoMembershipPrepareUs
+		autoMembershipLeaseDurationUs, autoMembershipVoteRecoveryTimeoutUs, autoMembershipGatherTimeoutUs, autoMembershipPrepareTimeoutUs
 	return options
 }
--- a/internal/controlplane/controlnode/operator_handlers.go
+++ b/internal/controlplane/controlnode/operator_handlers.go
@@ -91,7 +91,7 @@
 func (h *Host) handleGetConfig(w http.ResponseWriter, r *http.Request) {
 	current, known := h.latestConfig(r.Context())
 	if !known {
-		writeFault(w, errConfigUnknown())
+		writeFault(w, configUnknownFault())
 		return
 	}
 	writeJSON(w, http.StatusOK, current)
@@ -104,7 +104,7 @@
 	return CurrentConfig{Revision: latest.Revision, Index: latest.Index, Declaration: latest.Declaration}, known
 }
 
-func errConfigUnknown() *fault.Fault {
+func configUnknownFault() *fault.Fault {
 	return fault.New(fault.NotServing, "", "this control node cannot determine the configuration in force; ask another one")
 }
 
--- a/internal/controlplane/controlnode/patch.go
+++ b/internal/controlplane/controlnode/patch.go
@@ -58,7 +58,7 @@
 	}
 	current, known := h.patchBase(r.Context(), request.base)
 	if !known {
-		writeFault(w, errConfigUnknown())
+		writeFault(w, configUnknownFault())
 		return
 	}
 	switch decidePatch(current, request.base) {
--- a/internal/controlplane/controlnode/persist.go
+++ b/internal/controlplane/controlnode/persist.go
@@ -28,17 +28,17 @@
 	Close() error
 }
 
-// saveQueue is the unbounded FIFO queue of the chain's requests to the disk. put never blocks on the disk; the chain limits how
+// persistQueue is the unbounded FIFO queue of the chain's requests to the disk. put never blocks on the disk; the chain limits how
 // many requests are pending.
-type saveQueue struct {
+type persistQueue struct {
 	mu      sync.Mutex
 	pending []chain.Persist
 	added   chan struct{}
 }
 
-func newSaveQueue() *saveQueue { return &saveQueue{added: make(chan struct{}, 1)} }
+func newPersistQueue() *persistQueue { return &persistQueue{added: make(chan struct{}, 1)} }
 
-func (q *saveQueue) put(s chain.Persist) {
+func (q *persistQueue) put(s chain.Persist) {
 	q.mu.Lock()
 	q.pending = append(q.pending, s)
 	q.mu.Unlock()
@@ -48,14 +48,14 @@
 	}
 }
 
-func (q *saveQueue) len() int {
+func (q *persistQueue) len() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.pending)
 }
 
 // take waits for the next request and removes it; it reports false once stop is closed.
-func (q *saveQueue) take(stop <-chan struct{}) (chain.Persist, bool) {
+func (q *persistQueue) take(stop <-chan struct{}) (chain.Persist, bool) {
 	for {
 		select {
 		case <-stop:
@@ -130,7 +130,7 @@
 	close(noPrevious)
 	var previous <-chan struct{} = noPrevious
 	for {
-		s, ok := h.saveQueue.take(h.actor.Ctx.Done())
+		s, ok := h.persistQueue.take(h.actor.Ctx.Done())
 		if !ok {
 			return
 		}
--- a/internal/controlplane/controlnode/save_queue_test.go
+++ b/internal/controlplane/controlnode/persist_queue_test.go
@@ -27,7 +27,7 @@
 	const saves = uint64(3 * 1024)
 	h.actor.Tell(func() {
 		for i := uint64(1); i <= saves; i++ {
-			h.saveQueue.put(chain.Persist{Seq: 1 << 40, Records: []chain.Record{{Entry: &chain.Entry{Index: i, View: 1,
+			h.persistQueue.put(chain.Persist{Seq: 1 << 40, Records: []chain.Record{{Entry: &chain.Entry{Index: i, View: 1,
 				Change: statemachine.Change{ID: "c"}}}}})
 		}
 	})
@@ -38,7 +38,7 @@
 	}
 	h.actor.Spawn(h.persistLoop)
 	for pending, ran := 1, true; pending > 0; {
-		if pending, ran = actor.Ask(t.Context(), h.actor, h.saveQueue.len); !ran {
+		if pending, ran = actor.Ask(t.Context(), h.actor, h.persistQueue.len); !ran {
 			t.Fatal("the actor ended before the queue was empty")
 		}
 	}
--- a/internal/controlplane/controlnode/persist_test.go
+++ b/internal/controlplane/controlnode/persist_test.go
@@ -108,10 +108,10 @@
 // wait for it, and everything is written exactly once and in order.
 func TestFailedDiskWritesAreRetriedInOrder(t *testing.T) {
 	h, d := openWithScriptedDisk(t)
-	h.saveQueue.put(chain.Persist{Seq: 1, Records: []chain.Record{recordOf(1)}})
-	h.saveQueue.put(chain.Persist{Seq: 2, Records: []chain.Record{recordOf(2)},
+	h.persistQueue.put(chain.Persist{Seq: 1, Records: []chain.Record{recordOf(1)}})
+	h.persistQueue.put(chain.Persist{Seq: 2, Records: []chain.Record{recordOf(2)},
 		Snapshot: &chain.Snapshot{Index: 9, State: statemachine.NewState()}, Compact: true})
-	h.saveQueue.put(chain.Persist{Seq: 3, Records: []chain.Record{recordOf(3)}})
+	h.persistQueue.put(chain.Persist{Seq: 3, Records: []chain.Record{recordOf(3)}})
 	for _, result := range []error{syscall.ENOSPC, syscall.ENOSPC, syscall.EIO, nil, syscall.ENOSPC, nil, nil} {
 		d.logResults <- result
 	}
@@ -140,7 +140,7 @@
 // The loss of synced data is the only disk error that stops the control node.
 func TestLossOfSyncedDataStopsControlNode(t *testing.T) {
 	h, d := openWithScriptedDisk(t)
-	h.saveQueue.put(chain.Persist{Seq: 1, Records: []chain.Record{recordOf(1)}})
+	h.persistQueue.put(chain.Persist{Seq: 1, Records: []chain.Record{recordOf(1)}})
 	d.logResults <- fault.New(fault.DamagedData, "chain", "a segment held 10 synced bytes and holds 5")
 	if err := <-h.fatal; err == nil {
 		t.Fatal("the control node did not stop after the loss of synced data")
@@ -152,10 +152,10 @@
 	h, d := openWithScriptedDisk(t)
 	h.actor.Tell(func() {
 		for i := uint64(1); i <= 50_000; i++ {
-			h.saveQueue.put(chain.Persist{Seq: i, Records: []chain.Record{recordOf(i)}})
+			h.persistQueue.put(chain.Persist{Seq: i, Records: []chain.Record{recordOf(i)}})
 		}
 	})
-	eventually(t, h, "the actor queues all requests", func() bool { return h.saveQueue.len() >= 49_999 })
+	eventually(t, h, "the actor queues all requests", func() bool { return h.persistQueue.len() >= 49_999 })
 	d.logResults <- nil
 	eventually(t, h, "one request is written", func() bool {
 		d.mu.Lock()
--- a/internal/controlplane/controlnode/snapshot_order_test.go
+++ b/internal/controlplane/controlnode/snapshot_order_test.go
@@ -34,10 +34,10 @@
 		if i%2 == 1 {
 			state = large
 		}
-		h.saveQueue.put(chain.Persist{Seq: i, Snapshot: &chain.Snapshot{Index: i, View: 1, State: state}})
+		h.persistQueue.put(chain.Persist{Seq: i, Snapshot: &chain.Snapshot{Index: i, View: 1, State: state}})
 	}
-	h.saveQueue.put(chain.Persist{Seq: snapshots + 1})
-	for h.saveQueue.len() > 0 {
+	h.persistQueue.put(chain.Persist{Seq: snapshots + 1})
+	for h.persistQueue.len() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	h.actor.End()
--- a/internal/controlplane/controlnode/soft_state.go
+++ b/internal/controlplane/controlnode/soft_state.go
@@ -13,8 +13,8 @@
 	// changes are sent at once.
 	gossipIntervalUs           = 250 * clock.Ms
 	gossipIntervalPerReplicaUs = 3 * clock.Ms
-	// membersIntervalUs is the interval at which the control nodes that gateways may subscribe to are recomputed.
-	membersIntervalUs = 100 * clock.Ms
+	// membersUpdateIntervalUs is the interval at which the control nodes that gateways may subscribe to are recomputed.
+	membersUpdateIntervalUs = 100 * clock.Ms
 	// defaultUnreachableUs is the default of CoreOptions.UnreachableUs.
 	defaultUnreachableUs = 3000 * clock.Ms
 	// minPauseUs is the shortest gap between two events that counts as a pause, in which the process was not scheduled. For
--- a/internal/controlplane/controlnode/zone_handler.go
+++ b/internal/controlplane/controlnode/zone_handler.go
@@ -25,7 +25,7 @@
 	for attempt := 0; ; attempt++ {
 		current, known := h.latestConfig(r.Context())
 		if !known {
-			writeFault(w, errConfigUnknown())
+			writeFault(w, configUnknownFault())
 			return
 		}
 		if current.Declaration == nil {
