--- a/internal/controlplane/controlnode/controller_effects.go
+++ b/internal/controlplane/controlnode/controller_effects.go
@@ -24,6 +24,7 @@
 // SetReplicaTransport replaces the transport to replicas; it must be called before Run.
 func (h *Host) SetReplicaTransport(r ReplicaTransport) { h.replicas = r }
 
+// runControllerEffect executes an effect of the controller outside the actor. Its result is posted as a ControllerInput.
 func (h *Host) runControllerEffect(effect controller.Effect) {
 	switch effect := effect.(type) {
 	case controller.PollPlatform:
--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -157,6 +157,7 @@
 	c.pushFrames(nowUs)
 }
 
+// handlePeerMessage processes the one part of a message that is set.
 func (c *Core) handlePeerMessage(nowUs int64, message peering.Message) {
 	switch {
 	case message.Chain != nil:
@@ -180,6 +181,7 @@
 	c.effects = append(c.effects, SendMessage{Addr: addr, Message: message})
 }
 
+// stepChain passes an event to the chain node and processes its effects.
 func (c *Core) stepChain(nowUs int64, ev chain.Event) {
 	for _, e := range c.Node.Step(nowUs, ev) {
 		switch e := e.(type) {
@@ -216,6 +218,9 @@
 	c.effects = append(c.effects, LogMessage{Message: "message not read", Detail: reason.Error()})
 }
 
+// handleApplied processes a change that was applied to the replicated state: it passes a leader's update to the controller and,
+// at a tail that accepts writes, sends the result to the origin of the change. The result of a configuration change without a
+// version is held back until the gateways have acknowledged the update.
 func (c *Core) handleApplied(nowUs int64, a chain.Applied) {
 	change := a.Entry.Change
 	if change.LeaderUpdate != nil && change.LeaderUpdate.CheckedInView > 0 {
@@ -252,6 +257,7 @@
 	return out, seen && c.Node.IsDurable(out.Index)
 }
 
+// sendResult sends the result of a change to the control node at which it was submitted.
 func (c *Core) sendResult(origin string, r wire.Result) {
 	if origin == c.Node.Self().Addr {
 		c.effects = append(c.effects, DeliverResult{Result: &r})
@@ -260,6 +266,7 @@
 	c.send(origin, peering.Message{Result: &r})
 }
 
+// stepController passes an event to the controller and processes its effects.
 func (c *Core) stepController(nowUs int64, event controller.Event) {
 	snapshot := controller.Snapshot{
 		NowUs: nowUs, State: c.Node.State(), IsHead: c.Node.IsHead(),
--- a/internal/controlplane/controlnode/departures.go
+++ b/internal/controlplane/controlnode/departures.go
@@ -49,12 +49,15 @@
 	c.startDeparture(nowUs, id, true, reply)
 }
 
+// acknowledge answers the caller with this reply ID, if any.
 func (c *Core) acknowledge(reply uint64, ok bool) {
 	if reply != 0 {
 		c.effects = append(c.effects, AcknowledgeReplica{ReplyID: reply, OK: ok})
 	}
 }
 
+// startDeparture adds a caller to the departure of a replica, which it starts if necessary. Confirmations that the replica drains
+// are discarded once it has ended, as they do not cover that. Without a caller to answer there is nothing to confirm.
 func (c *Core) startDeparture(nowUs int64, id string, removed bool, reply uint64) {
 	if reply == 0 {
 		return
@@ -97,6 +100,7 @@
 	}
 }
 
+// recordDepartureRequests records that the requests for all due departures have been sent.
 func (c *Core) recordDepartureRequests(nowUs int64) {
 	for _, d := range c.soft.departures {
 		if nowUs-d.lastRequestUs >= departureRetryIntervalUs {
@@ -144,6 +148,7 @@
 	}
 }
 
+// resolveDeparture answers the callers of a departure that a quorum has confirmed, or that has timed out, and forgets it.
 func (c *Core) resolveDeparture(nowUs int64, id string) {
 	d := c.soft.departures[id]
 	known := c.Node.HasQuorum(func(voter string) bool { return d.confirmedBy[voter] })
--- a/internal/controlplane/controlnode/departures_test.go
+++ b/internal/controlplane/controlnode/departures_test.go
@@ -53,6 +53,7 @@
 	return tc
 }
 
+// step passes an event to control node i, executes its effects and, recursively, delivers the messages that it sends.
 func (tc *threeNodeCluster) step(i int, event Event) {
 	for _, effect := range tc.cores[i].Step(tc.nowUs, event) {
 		switch e := effect.(type) {
@@ -73,6 +74,7 @@
 	}
 }
 
+// advance lets time pass in steps of 25 ms, with a Tick to every control node in each.
 func (tc *threeNodeCluster) advance(us int64) {
 	for endUs := tc.nowUs + us; tc.nowUs < endUs; {
 		tc.nowUs += 25 * clock.Ms
--- a/internal/controlplane/controlnode/frames.go
+++ b/internal/controlplane/controlnode/frames.go
@@ -8,6 +8,7 @@
 // read from its own disk.
 func (c *Core) isInitialized() bool { return c.Node.IsInitialized() }
 
+// pushFrames emits the frames that are due for the subscribed gateways.
 func (c *Core) pushFrames(nowUs int64) {
 	if nowUs-c.membersUpdatedUs >= membersUpdateIntervalUs {
 		c.membersUpdatedUs, c.followableMembers = nowUs, c.listFollowableMembers(nowUs)
--- a/internal/controlplane/controlnode/handlers.go
+++ b/internal/controlplane/controlnode/handlers.go
@@ -14,6 +14,7 @@
 	"petreltide/internal/process/rpc"
 )
 
+// handler returns the handler of the RPCs of gateways and control nodes and of the operators' HTTP API.
 func (h *Host) handler() http.Handler {
 	mux := http.NewServeMux()
 	rpc.Serve(mux, rpc.BatchPath, func(_ context.Context, p *peering.Batch) (*wire.Ack, error) {
@@ -103,6 +104,7 @@
 	_ = enc.Encode(v)
 }
 
+// writeFault writes a fault as JSON, with the HTTP status of its code.
 func writeFault(w http.ResponseWriter, f *fault.Fault) {
 	status := http.StatusUnprocessableEntity
 	switch f.Code {
--- a/internal/controlplane/controlnode/host.go
+++ b/internal/controlplane/controlnode/host.go
@@ -175,6 +175,7 @@
 	return nil
 }
 
+// post sends an event to the actor, which steps the core with it.
 func (h *Host) post(event Event) { h.actor.Tell(func() { h.step(event) }) }
 
 // step passes one event to the core and executes its effects; it must be called on the actor.
--- a/internal/controlplane/controlnode/latest_state.go
+++ b/internal/controlplane/controlnode/latest_state.go
@@ -60,6 +60,7 @@
 	return latest.Declaration, known
 }
 
+// serveLatestState answers a LatestStateRequest, and fails unless this control node is a ready tail.
 func (h *Host) serveLatestState(ctx context.Context, _ *LatestStateRequest) (*LatestState, error) {
 	latest, isTailReady := h.localLatestState(ctx)
 	if !isTailReady {
--- a/internal/controlplane/controlnode/membership_test.go
+++ b/internal/controlplane/controlnode/membership_test.go
@@ -6,6 +6,7 @@
 	"petreltide/internal/process/clock"
 )
 
+// followableAddrs returns the addresses of the control nodes that control node i lists for gateways.
 func (tc *threeNodeCluster) followableAddrs(i int) map[string]bool {
 	listed := map[string]bool{}
 	for _, m := range tc.cores[i].listFollowableMembers(tc.nowUs) {
--- a/internal/controlplane/controlnode/open.go
+++ b/internal/controlplane/controlnode/open.go
@@ -23,9 +23,8 @@
 	"petreltide/internal/process/rpc"
 )
 
-// Open locks and reads the data directory and returns a Host that is not yet running. A damaged data directory is moved aside
-// under a name that says so, and the control node starts as a new member: it never votes on the basis of state that it may
-// have lost.
+// Open locks and reads the data directory and returns a Host that is not yet running. Damaged data is moved aside under a name
+// that says so, and the control node starts as a new member: it never votes on the basis of state that it may have lost.
 func Open(set settings.ControlNode, ring *logring.Ring) (*Host, error) {
 	logger := ring.Logger("control-node", set.Name)
 	lock, err := storage.Lock(set.DataDir, set.Name, lockTimeout)
@@ -42,6 +41,7 @@
 	return h, nil
 }
 
+// openLocked is Open after the data directory has been locked.
 func openLocked(set settings.ControlNode, ring *logring.Ring, logger log.Logger) (*Host, error) {
 	owner := chain.Owner{MemberID: set.Name + "-" + randomid.New(4), Name: set.Name}
 	opened, err := storage.Open(set.DataDir, owner)
--- a/internal/controlplane/controlnode/operator_handlers.go
+++ b/internal/controlplane/controlnode/operator_handlers.go
@@ -104,6 +104,7 @@
 	return CurrentConfig{Revision: latest.Revision, Index: latest.Index, Declaration: latest.Declaration}, known
 }
 
+// configUnknownFault is the fault for requests that need the configuration in force when it cannot be determined.
 func configUnknownFault() *fault.Fault {
 	return fault.New(fault.NotServing, "", "this control node cannot determine the configuration in force; ask another one")
 }
@@ -116,6 +117,7 @@
 	return raw, nil
 }
 
+// baseRevision returns the revision that a request names as its base, and whether it names one.
 func baseRevision(r *http.Request) (uint64, bool, *fault.Fault) {
 	text := r.URL.Query().Get("base")
 	if text == "" {
@@ -128,6 +130,7 @@
 	return base, true, nil
 }
 
+// changeID returns the change ID that a request names, or a random one if it names none, with the prefix of operators' changes.
 func changeID(r *http.Request) (string, *fault.Fault) {
 	id := r.URL.Query().Get("change")
 	if id == "" {
@@ -205,6 +208,8 @@
 	h.submitAndRespond(w, r, request.declarationChange(doc))
 }
 
+// submitAndRespond submits a change and writes the response. If there is no result in time, the response is the recorded outcome
+// of the change or, if there is none, a fault that says that the outcome is in doubt.
 func (h *Host) submitAndRespond(w http.ResponseWriter, r *http.Request, c statemachine.Change) {
 	result, ok := h.Submit(r.Context(), c, changeTimeout)
 	if ok {
--- a/internal/controlplane/controlnode/persist_test.go
+++ b/internal/controlplane/controlnode/persist_test.go
@@ -66,6 +66,7 @@
 
 func (d *scriptedDisk) Close() error { return nil }
 
+// openWithScriptedDisk returns a control node on a scriptedDisk, which retries failed requests at once.
 func openWithScriptedDisk(t *testing.T) (*Host, *scriptedDisk) {
 	t.Helper()
 	dir := t.TempDir()
--- a/internal/controlplane/controlnode/quota.go
+++ b/internal/controlplane/controlnode/quota.go
@@ -54,7 +54,7 @@
 }
 
 // QuotaStatus is a control node's view of the tenants' quotas. Only the counting control node, a ready tail, knows the tokens
-// granted to all gateways.
+// that all gateways together may use.
 type QuotaStatus struct {
 	Counting bool                 `json:"counting"`
 	Tenants  []quota.TenantStatus `json:"tenants"`
--- a/internal/controlplane/controlnode/snapshot_transfer.go
+++ b/internal/controlplane/controlnode/snapshot_transfer.go
@@ -21,8 +21,8 @@
 	cancel    context.CancelFunc
 }
 
-// snapshotRecipient names the one that a whole state is meant for: another incarnation of the same peer, or the same in another
-// view, needs another.
+// snapshotRecipient identifies the recipient of the snapshot that a message carries: a peer in one incarnation, or in one view.
+// Another incarnation of the peer, or the same one in another view, needs another snapshot.
 func snapshotRecipient(m *chain.Msg) string {
 	if m.InstallSnapshot != nil {
 		return m.ToID + "/" + m.InstallSnapshot.Incarnation
@@ -30,8 +30,9 @@
 	return m.ToID + "/" + strconv.FormatUint(m.Forward.View, 10)
 }
 
-// sendSnapshot sends a whole state beside the other messages, one at a time to each peer. One that is on its way to an
-// incarnation that has ended hangs for as long as nothing answers: the next incarnation does not wait for it.
+// sendSnapshot sends a message that carries a snapshot, concurrently with other messages and one at a time to each peer. A
+// message for the recipient of the transfer in progress is dropped. One for another recipient cancels that transfer, which may
+// hang until its timeout if its recipient has ended.
 func (h *Host) sendSnapshot(addr string, message peering.Message) {
 	recipient := snapshotRecipient(message.Chain)
 	if running := h.snapshotTransfers[addr]; running != nil {
--- a/internal/controlplane/controlnode/transport.go
+++ b/internal/controlplane/controlnode/transport.go
@@ -11,6 +11,8 @@
 	"petreltide/internal/process/rpc"
 )
 
+// send queues a message for the control node at addr, and drops it if the outbox is full. A message that carries a snapshot is
+// sent separately. Messages to this control node itself are ignored.
 func (h *Host) send(addr string, message peering.Message) {
 	if addr == "" || addr == h.settings.Advertise {
 		return
@@ -31,6 +33,7 @@
 	}
 }
 
+// sendBatches sends the messages of an outbox in batches, in order, until the host stops. A batch that fails is not repeated.
 func (h *Host) sendBatches(addr string, outbox chan peering.Message) {
 	caller := rpc.NewCaller[peering.Batch, wire.Ack](h.peerClient, addr, rpc.BatchPath)
 	for {
