--- a/internal/dataplane/scheduling/bench_test.go
+++ b/internal/dataplane/scheduling/bench_test.go
@@ -11,7 +11,7 @@
 // The benchmarks of this file measure a call from its arrival to the end of its only attempt, on each of the two platforms.
 
 func BenchmarkRoutedCall(b *testing.B) {
-	doc := routedDeclaration(routeSpec{name: "model", retryClass: configuration.Idempotent, maxAttempts: 3, split: onlyService("engine")})
+	doc := routedDeclaration(routeSpec{name: "model", retryClass: configuration.Idempotent, attemptLimit: 3, split: onlyService("engine")})
 	ids := []string{}
 	for i := range 24 {
 		ids = append(ids, fmt.Sprintf("r%02d", i))
--- a/internal/dataplane/scheduling/routed_test.go
+++ b/internal/dataplane/scheduling/routed_test.go
@@ -13,11 +13,11 @@
 
 // routeSpec describes a route of a test declaration.
 type routeSpec struct {
-	name        string
-	retryClass  configuration.RetryClass
-	maxAttempts int
-	split       []configuration.WeightedService
-	resumable   bool
+	name         string
+	retryClass   configuration.RetryClass
+	attemptLimit int
+	split        []configuration.WeightedService
+	resumable    bool
 }
 
 // onlyService returns a split that leads to one service.
@@ -34,7 +34,7 @@
 	}}
 	for _, r := range routes {
 		doc.Routes = append(doc.Routes, configuration.Route{
-			Name: r.name, Host: "h", Prefix: "/" + r.name + "/", RetryClass: r.retryClass, Resumable: r.resumable, TimeoutMs: 20_000, MaxAttempts: r.maxAttempts, Split: r.split,
+			Name: r.name, Host: "h", Prefix: "/" + r.name + "/", RetryClass: r.retryClass, Resumable: r.resumable, TimeoutMs: 20_000, MaxAttempts: r.attemptLimit, Split: r.split,
 		})
 	}
 	return doc.Indexed()
