--- a/internal/controlplane/controller/orders.go
+++ b/internal/controlplane/controller/orders.go
@@ -12,36 +12,41 @@
 )
 
 const (
-	// requestTimeoutUs is how long a replica's report is waited for before it is asked again, recheckUs the pause after a
-	// report that shows nothing yet, and busyCheckUs the one after an answer that does not say whether the order was taken.
+	// requestTimeoutUs is the time after which a replica's report is requested again. recheckUs is the delay after a report
+	// that is inconclusive. busyCheckUs is the delay after a response that does not say whether the order was accepted.
 	requestTimeoutUs = 1200 * clock.Ms
 	recheckUs        = 90 * clock.Ms
 	busyCheckUs      = 300 * clock.Ms
-	// orderTimeoutUs is how long the answer to an order is waited for, orderVanishedUs how long after it an order that was
-	// taken may show nothing, and maxOutdatedUs how long reports may show an older state before the order is given up.
+	// orderTimeoutUs is how long to wait for the response to an order. orderVanishedUs is the time after the response for
+	// which an accepted order may be missing from reports. maxOutdatedUs is how long reports may show an older state before
+	// the order is abandoned.
 	orderTimeoutUs  = 700 * clock.Ms
 	orderVanishedUs = 1200 * clock.Ms
 	maxOutdatedUs   = 10 * clock.Sec
-	// maxUnansweredUs is how long a replica's report may be asked for in vain before its order is settled as unknown.
+	// maxUnansweredUs is how long a replica's report may be requested without a response before its order is settled as
+	// unknown.
 	maxUnansweredUs = 10 * clock.Sec
-	// recountAfterUs is how long after its command a load is counted against the store's window once more when it is sent.
+	// recountAfterUs is the time after its command at which a load counts against the store window once more when it is
+	// sent.
 	recountAfterUs = 300 * clock.Ms
-	// adapterLoadUs, warmLoadUs and unloadUs are how long those steps take at least; loadSlackUs is added to a model's
-	// declared load time.
+	// adapterLoadUs, warmLoadUs and unloadUs are the minimum durations of these operations. loadSlackUs is added to a
+	// model's declared load time.
 	adapterLoadUs = 25 * clock.Ms
 	warmLoadUs    = 620 * clock.Ms
 	unloadUs      = 215 * clock.Ms
 	loadSlackUs   = 15 * clock.Ms
-	// minQuietUs is how long gateways have to learn that a unit is to go, maxQuietUs how long calls there may delay it.
-	minQuietUs = 40 * clock.Ms
-	maxQuietUs = 700 * clock.Ms
-	// trustFactor is how many times its stated duration a load that was settled by time may take to show.
-	trustFactor = 3
+	// minUnloadDelayUs is the time allowed for gateways to learn of a pending unload; maxUnloadDelayUs is how long calls to
+	// the unit may delay it.
+	minUnloadDelayUs = 40 * clock.Ms
+	maxUnloadDelayUs = 700 * clock.Ms
+	// unconfirmedLoadFactor is the number of declared load durations within which a load that was settled by its duration
+	// has to appear in a report.
+	unconfirmedLoadFactor = 3
 )
 
-// standingOrder is what this controller knows of one order that stands: when it was sent, what the replica
-// said to it, and when to look again.
-type standingOrder struct {
+// outstandingOrder tracks an order of a pending command: when it was sent, what the replica answered, and when to check
+// again.
+type outstandingOrder struct {
 	firstSeenUs int64
 	sentUs      int64
 	answeredUs  int64
@@ -49,32 +54,34 @@
 	checkUs     int64
 	requestedUs int64
 	requested   bool
-	// countedUs is when this order was last counted against the store's window.
+	// countedUs is when this order was last counted against the store window.
 	countedUs int64
-	// outdatedUs is since when reports have shown nothing but older states; 0 while they do not.
+	// outdatedUs is the time since which all reports have shown older states; 0 if the latest report does not.
 	outdatedUs int64
-	// unansweredUs is since when the replica's report has been asked for and none came; 0 while it is not asked for.
+	// unansweredUs is the time since which the replica's report has been requested without a response; 0 if no request is
+	// open.
 	unansweredUs int64
-	// basis is the state of the replica that the order is sent on; result is its state once the order is settled.
-	basis, result *basis
+	// expected is the replica state that is the precondition of the order; result is the replica's state after the settled
+	// order.
+	expected, result *versionedState
 }
 
-// orderTracker is what this controller knows of the orders that stand, by number.
+// orderTracker tracks the outstanding orders by command number.
 type orderTracker struct {
-	byNumber map[uint64]*standingOrder
-	// unreported are the replicas with an order that was settled as unknown, until their report comes.
+	byNumber map[uint64]*outstandingOrder
+	// unreported are the replicas with an order that was settled as unknown and that have not reported since.
 	unreported map[string]*unreportedReplica
 }
 
-// unreportedReplica is a replica that may or may not have carried out its last order. It gets no other before its report
-// has come: what it holds is not known, and all its capacity counts as reserved.
+// unreportedReplica is a replica that may or may not have carried out its last order. It gets no further order before it has
+// reported: its resident units are not known, and all its capacity counts as reserved.
 type unreportedReplica struct {
 	sinceUs     int64
 	requestedUs int64
 }
 
-// forgetSettled drops what is known of orders whose tickets do not stand any more.
-func (t *orderTracker) forgetSettled(s *statemachine.State) {
+// removeSettled drops the orders whose commands are not pending any more.
+func (t *orderTracker) removeSettled(s *statemachine.State) {
 	if len(t.byNumber) <= len(s.Pending) {
 		return
 	}
@@ -82,15 +89,16 @@
 	for _, command := range s.Pending {
 		stand[command.Number] = true
 	}
-	maps.DeleteFunc(t.byNumber, func(number uint64, _ *standingOrder) bool { return !stand[number] })
+	maps.DeleteFunc(t.byNumber, func(number uint64, _ *outstandingOrder) bool { return !stand[number] })
 }
 
-// standing gives what is known of a command's order. One of another leader's commands is asked about first.
-func (t *orderTracker) standing(nowUs int64, command statemachine.ReplicaCommand, epoch uint64) *standingOrder {
+// outstanding returns the tracked order of a command. For a command that another leader issued, tracking starts with a
+// request for the replica's report.
+func (t *orderTracker) outstanding(nowUs int64, command statemachine.ReplicaCommand, epoch uint64) *outstandingOrder {
 	if o := t.byNumber[command.Number]; o != nil {
 		return o
 	}
-	o := &standingOrder{countedUs: nowUs}
+	o := &outstandingOrder{countedUs: nowUs}
 	if command.Epoch != epoch {
 		o.checkUs, o.countedUs = nowUs, 0
 	}
@@ -98,20 +106,20 @@
 	return o
 }
 
-// pursueOrders sends what the ledger holds, looks what became of what was sent, and sends again only what
-// the replica does not have.
-func (c *Controller) pursueOrders(snapshot Snapshot) {
-	c.routed.orders.forgetSettled(snapshot.State)
+// reconcileOrders sends the orders of pending commands, checks the outcome of sent orders, and sends an order again only if
+// the replica does not have it.
+func (c *Controller) reconcileOrders(snapshot Snapshot) {
+	c.routed.orders.removeSettled(snapshot.State)
 	for _, id := range sortedKeys(snapshot.State.Pending) {
 		command := snapshot.State.Pending[id]
 		if e := snapshot.Registry.Entry(id); e != nil && !e.Removed {
-			c.pursue(snapshot, command, e, c.routed.orders.standing(snapshot.NowUs, command, c.leadership.epoch))
+			c.reconcileOrder(snapshot, command, e, c.routed.orders.outstanding(snapshot.NowUs, command, c.leadership.epoch))
 		}
 	}
 	c.requestMissingReports(snapshot)
 }
 
-// requestMissingReports goes on asking replicas whose last order was settled as unknown.
+// requestMissingReports keeps requesting reports from replicas whose last order was settled as unknown.
 func (c *Controller) requestMissingReports(snapshot Snapshot) {
 	for _, id := range sortedKeys(c.routed.orders.unreported) {
 		replica, e := c.routed.orders.unreported[id], snapshot.Registry.Entry(id)
@@ -126,18 +134,18 @@
 	}
 }
 
-// giveUp settles an order of which nothing can be learnt.
-func (c *Controller) giveUp(nowUs int64, command statemachine.ReplicaCommand, o *standingOrder) {
+// abandonOrder settles an order whose outcome cannot be determined.
+func (c *Controller) abandonOrder(nowUs int64, command statemachine.ReplicaCommand, o *outstandingOrder) {
 	c.routed.orders.unreported[command.Replica] = &unreportedReplica{sinceUs: nowUs, requestedUs: nowUs}
 	c.concludeOrder(command, o, wire.OrderFailed, "unknown: its report never came", nil)
 }
 
-// pursue takes the next step that is due for a standing order.
-func (c *Controller) pursue(snapshot Snapshot, command statemachine.ReplicaCommand, e *registry.Entry, o *standingOrder) {
+// reconcileOrder takes the next due step for an outstanding order.
+func (c *Controller) reconcileOrder(snapshot Snapshot, command statemachine.ReplicaCommand, e *registry.Entry, o *outstandingOrder) {
 	nowUs := snapshot.NowUs
 	switch {
 	case o.answer == wire.OrderRunning && o.checkUs > 0 && nowUs >= o.checkUs && hasKnownDuration(snapshot.State, command):
-		c.settleByTime(snapshot, command, o)
+		c.settleByDuration(snapshot, command, o)
 	case o.checkUs > 0:
 		c.requestOutcome(nowUs, command, e, o)
 	case o.sentUs == 0 && c.routed.predecessor.canOrder(nowUs, command.Replica):
@@ -147,10 +155,10 @@
 	}
 }
 
-// requestOutcome asks a replica for its report once that is due, and again where none came.
-func (c *Controller) requestOutcome(nowUs int64, command statemachine.ReplicaCommand, e *registry.Entry, o *standingOrder) {
+// requestOutcome requests a replica's report when it is due, and again after a timeout.
+func (c *Controller) requestOutcome(nowUs int64, command statemachine.ReplicaCommand, e *registry.Entry, o *outstandingOrder) {
 	if o.unansweredUs > 0 && nowUs-o.unansweredUs > maxUnansweredUs {
-		c.giveUp(nowUs, command, o)
+		c.abandonOrder(nowUs, command, o)
 	} else if nowUs >= o.checkUs && !o.requested {
 		o.requested, o.requestedUs = true, nowUs
 		if o.unansweredUs == 0 {
@@ -162,64 +170,65 @@
 	}
 }
 
-// startOrder sends an order for the first time, or again on a new basis: an unload once its replica is quiet, and any
-// once the replica's count is known.
-func (c *Controller) startOrder(snapshot Snapshot, command statemachine.ReplicaCommand, e *registry.Entry, o *standingOrder) {
+// startOrder sends an order for the first time, or again with a new precondition. An unload waits until calls at the replica
+// permit it, and any order waits until the replica's order count is known.
+func (c *Controller) startOrder(snapshot Snapshot, command statemachine.ReplicaCommand, e *registry.Entry, o *outstandingOrder) {
 	if o.firstSeenUs == 0 {
 		o.firstSeenUs = snapshot.NowUs
 	}
-	if command.Action == statemachine.Unload && !c.isQuiet(snapshot.NowUs, command, o.firstSeenUs) {
+	if command.Action == statemachine.Unload && !c.canUnload(snapshot.NowUs, command, o.firstSeenUs) {
 		return
 	}
-	if o.basis == nil {
-		o.basis = recordedBasis(snapshot.State.Replicas[command.Replica])
+	if o.expected == nil {
+		o.expected = recordedState(snapshot.State.Replicas[command.Replica])
 	}
-	if o.basis == nil {
+	if o.expected == nil {
 		o.checkUs = snapshot.NowUs
 		return
 	}
 	c.sendOrder(snapshot, command, e, o)
 }
 
-// isQuiet: every gateway has had time to hear that a unit is to go, and none has calls there that have not begun;
-// a replica would turn them away.
-func (c *Controller) isQuiet(nowUs int64, command statemachine.ReplicaCommand, sinceUs int64) bool {
-	if nowUs-sinceUs < minQuietUs {
+// canUnload reports whether an unload may be sent: every gateway has had time to learn of the unload, and no gateway has
+// calls at the unit that have not started, because the replica would reject them. After maxUnloadDelayUs the unload may be
+// sent in any case.
+func (c *Controller) canUnload(nowUs int64, command statemachine.ReplicaCommand, sinceUs int64) bool {
+	if nowUs-sinceUs < minUnloadDelayUs {
 		return false
 	}
-	if nowUs-sinceUs > maxQuietUs {
+	if nowUs-sinceUs > maxUnloadDelayUs {
 		return true
 	}
 	model, _ := configuration.SplitUnit(command.Unit)
 	for _, gateway := range c.gateways.byID {
-		if nowUs-gateway.reportedUs < gatewayLiveUs && gateway.report.PendingPrefill[command.Replica+"|"+model] > 0 {
+		if nowUs-gateway.reportedUs < gatewayTimeoutUs && gateway.report.PendingPrefill[command.Replica+"|"+model] > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// sendOrder sends an order on its basis. A load that is sent again, or long after its ticket, is counted
-// against the store's window once more.
-func (c *Controller) sendOrder(snapshot Snapshot, command statemachine.ReplicaCommand, e *registry.Entry, o *standingOrder) {
+// sendOrder sends an order with its precondition. A load that is sent again, or long after its command was issued, counts
+// against the store window once more.
+func (c *Controller) sendOrder(snapshot Snapshot, command statemachine.ReplicaCommand, e *registry.Entry, o *outstandingOrder) {
 	if o.answeredUs > 0 || snapshot.NowUs-o.countedUs > recountAfterUs {
 		c.routed.store.recordLoad(snapshot.NowUs, snapshot.State, command)
 		o.countedUs = snapshot.NowUs
 	}
 	o.sentUs, o.answer = snapshot.NowUs, ""
-	expected := o.basis.orders
+	expected := o.expected.orders
 	c.emit(SendOrder{Addr: e.Addr, Order: wire.Order{Command: command, Epoch: c.leadership.epoch, Leader: c.leadership.id, ExpectedOrders: &expected}})
 }
 
-// hasKnownDuration says whether an order that was taken ends after a time that the configuration states; what the replica says of
-// itself soon after would show it if it had not.
+// hasKnownDuration reports whether an accepted order completes after a duration that the configuration states. If it has not
+// completed by then, the replica's next reports show that.
 func hasKnownDuration(s *statemachine.State, command statemachine.ReplicaCommand) bool {
 	recorded := s.Replicas[command.Replica]
 	return command.Action == statemachine.Load && (strings.Contains(command.Unit, "/") || recorded == nil || !recorded.EverLoaded[command.Unit])
 }
 
-// checkDelayUs is how long after an order was taken its end may be seen.
-func checkDelayUs(s *statemachine.State, command statemachine.ReplicaCommand) int64 {
+// expectedDurationUs returns the time after acceptance of an order at which its completion can be expected.
+func expectedDurationUs(s *statemachine.State, command statemachine.ReplicaCommand) int64 {
 	recorded := s.Replicas[command.Replica]
 	switch {
 	case command.Action == statemachine.Unload:
@@ -235,7 +244,8 @@
 	return clock.Sec
 }
 
-// isAnsweredBy says whether an answer is to the order as it was last sent, and not to the same command on another basis.
-func (o *standingOrder) isAnsweredBy(result OrderResult) bool {
-	return result.Expected == nil || o.basis == nil || *result.Expected == o.basis.orders
+// isAnsweredBy reports whether a response belongs to the order as last sent, rather than to the same command with another
+// precondition.
+func (o *outstandingOrder) isAnsweredBy(result OrderResult) bool {
+	return result.Expected == nil || o.expected == nil || *result.Expected == o.expected.orders
 }
--- a/internal/controlplane/controller/routed.go
+++ b/internal/controlplane/controller/routed.go
@@ -6,7 +6,7 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// routedState is the memory for replicas that make themselves known.
+// routedState is the controller's state for routed mode, in which replicas register themselves.
 type routedState struct {
 	predecessor predecessorWait
 	store       storeWindow
@@ -20,17 +20,17 @@
 	return routedState{
 		predecessor: predecessorWait{leaseUs: opts.LeaseUs},
 		store:       storeWindow{lengthUs: opts.StoreWindowUs, overshoot: opts.StoreOvershoot},
-		orders:      orderTracker{byNumber: map[uint64]*standingOrder{}, unreported: map[string]*unreportedReplica{}},
+		orders:      orderTracker{byNumber: map[uint64]*outstandingOrder{}, unreported: map[string]*unreportedReplica{}},
 		demand:      demandTracker{estimates: map[string]*demandEstimate{}},
 		residency: residency{
-			arrivedUs: map[replicaUnit]int64{}, trustedUntilUs: map[replicaUnit]int64{},
+			arrivedUs: map[replicaUnit]int64{}, unconfirmedUntilUs: map[replicaUnit]int64{},
 			reservations: map[string]reservation{}, unplaced: map[string]bool{},
 		},
-		registry: registrySync{changedUs: map[string]int64{}, unseenUs: map[string]int64{}},
+		registry: registrySync{holdingsChangedUs: map[string]int64{}, unseenUs: map[string]int64{}},
 	}
 }
 
-// routedMode drives replicas that make themselves known by heartbeats; see the package's documentation.
+// routedMode implements mode for replicas that register themselves by heartbeats; see the package documentation.
 type routedMode struct{ c *Controller }
 
 func (m routedMode) beginLeadership(snapshot Snapshot) {
@@ -40,21 +40,23 @@
 func (m routedMode) tick(snapshot Snapshot) {
 	c := m.c
 	c.routed.demand.update(snapshot.NowUs, &c.gateways, c.opts.Disable)
-	c.judgeOutliers(snapshot)
+	c.evaluateOutliers(snapshot)
 	m.plan(snapshot)
-	c.writeDue(snapshot)
+	c.writeUpdate(snapshot)
 }
 
-// onGatewayReport takes the outcomes of calls, and acts at once where calls wait for a unit that has no place.
+// onGatewayReport records the outcomes of attempts. If calls wait for a unit that is not placed anywhere, it plans
+// immediately.
 func (m routedMode) onGatewayReport(snapshot Snapshot, report *wire.Report) {
 	m.c.outliers.onReport(snapshot, report)
 	if m.c.hasUnplacedCalls(snapshot, report) {
 		m.c.policies.inputChanged = true
-		m.c.act(snapshot)
+		m.c.planAndWrite(snapshot)
 	}
 }
 
-// onReplicaReport takes a replica's report while an order stands there, or after one was settled as unknown.
+// onReplicaReport evaluates a replica's report against its outstanding order. Any report also ends the restriction on a
+// replica whose last order was settled as unknown.
 func (m routedMode) onReplicaReport(snapshot Snapshot, report ReplicaReport) {
 	if report.State != nil {
 		delete(m.c.routed.orders.unreported, report.Replica)
@@ -67,27 +69,28 @@
 			o.checkUs = snapshot.NowUs + recheckUs
 		} else {
 			o.unansweredUs = 0
-			m.c.judgeOrder(snapshot, command, o, report.State)
+			m.c.evaluateOrder(snapshot, command, o, report.State)
 		}
 	}
-	m.c.act(snapshot)
+	m.c.planAndWrite(snapshot)
 }
 
-// onOrderResult takes a replica's answer to an order; what it means in the end is seen by what the replica holds.
+// onOrderResult processes a replica's response to an order; unless the response itself is final, the outcome is determined
+// from the replica's resident units.
 func (m routedMode) onOrderResult(snapshot Snapshot, result OrderResult) {
 	command, pending := snapshot.State.Pending[result.Replica]
 	o := m.c.routed.orders.byNumber[result.State.Number]
 	if pending && command.Number == result.State.Number && o != nil && o.isAnsweredBy(result) {
-		m.takeAnswer(snapshot, command, o, result.State)
+		m.handleAnswer(snapshot, command, o, result.State)
 	}
-	m.c.act(snapshot)
+	m.c.planAndWrite(snapshot)
 }
 
-func (m routedMode) takeAnswer(snapshot Snapshot, command statemachine.ReplicaCommand, o *standingOrder, answer wire.OrderState) {
+func (m routedMode) handleAnswer(snapshot Snapshot, command statemachine.ReplicaCommand, o *outstandingOrder, answer wire.OrderState) {
 	o.answeredUs, o.answer = snapshot.NowUs, answer.State
 	switch answer.State {
 	case wire.OrderRunning:
-		o.checkUs = snapshot.NowUs + checkDelayUs(snapshot.State, command)
+		o.checkUs = snapshot.NowUs + expectedDurationUs(snapshot.State, command)
 	case wire.OrderDone:
 		m.c.recordOutcome(command, wire.OrderDone, "")
 	case wire.OrderFailed:
@@ -98,8 +101,8 @@
 }
 
 func (m routedMode) plan(snapshot Snapshot) {
-	m.c.pursueOrders(snapshot)
-	m.c.runResident(snapshot)
+	m.c.reconcileOrders(snapshot)
+	m.c.runResidentPolicy(snapshot)
 }
 
 func (m routedMode) collect(snapshot Snapshot, update *statemachine.LeaderUpdate) {
@@ -110,7 +113,7 @@
 	if !c.routed.predecessor.canPlan(snapshot.NowUs) {
 		c.policies.proposals = nil
 	}
-	if c.policies.takeProposals(s.Revision) {
+	if c.policies.hasCurrentProposals(s.Revision) {
 		commands, verdicts := placement.CheckRouted(s, c.routed.store.totalLoadsLeft(snapshot.NowUs, s), c.policies.proposals)
 		c.onVerdicts(verdicts)
 		update.Commands = commands
@@ -120,8 +123,9 @@
 
 func (m routedMode) afterWrite(Snapshot) {}
 
-// OnApplied takes the commands and results of whoever leads as they are applied, on each control node: a successor waits
-// out their lease, and counts their loads. epoch is that of the change, nowUs the time in microseconds.
+// OnApplied processes the commands and results of any leader as they are applied; it has to be called on each control node.
+// A successor waits out the leases of these commands and counts their loads. epoch is the epoch of the change, nowUs the
+// time in microseconds.
 func (c *Controller) OnApplied(nowUs int64, epoch uint64, update statemachine.LeaderUpdate, s *statemachine.State) {
 	if s.Doc == nil || !s.Doc.Routed() {
 		return
