--- a/internal/controlplane/controlnode/open.go
+++ b/internal/controlplane/controlnode/open.go
@@ -23,9 +23,8 @@
 	"petreltide/internal/process/rpc"
 )
 
-// Open locks and reads the data directory and returns a Host that is not yet running. A damaged data directory is moved aside
-// under a name that says so, and the control node starts as a new member: it never votes on the basis of state that it may
-// have lost.
+// Open locks and reads the data directory and returns a Host that is not yet running. Damaged data is moved aside under a name
+// that says so, and the control node starts as a new member: it never votes on the basis of state that it may have lost.
 func Open(set settings.ControlNode, ring *logring.Ring) (*Host, error) {
 	logger := ring.Logger("control-node", set.Name)
 	lock, err := storage.Lock(set.DataDir, set.Name, lockTimeout)
@@ -42,6 +41,7 @@
 	return h, nil
 }
 
+// openLocked is Open after the data directory has been locked.
 func openLocked(set settings.ControlNode, ring *logring.Ring, logger log.Logger) (*Host, error) {
 	owner := chain.Owner{MemberID: set.Name + "-" + randomid.New(4), Name: set.Name}
 	opened, err := storage.Open(set.DataDir, owner)
@@ -95,7 +95,7 @@
 	h := &Host{
 		settings: set, core: core, disk: opened.Store, ring: ring, log: logger,
 		replicaClient: rpc.Client(500, set.Listen), peerClient: rpc.NodeClient(peerDialTimeoutMs, set.Listen),
-		actor: actor.New(mailboxCapacity), saveQueue: newSaveQueue(),
+		actor: actor.New(mailboxCapacity), persistQueue: newPersistQueue(),
 		retryTimer: func() <-chan time.Time { return time.After(diskRetryInterval) },
 		outboxes:   map[string]chan peering.Message{}, snapshotTransfers: map[string]*snapshotTransfer{},
 		waiters: map[string][]chan wire.Result{}, leases: map[uint64]chan wire.Lease{}, quotas: map[uint64]chan wire.QuotaResponse{},
@@ -122,8 +122,8 @@
 // remove each other.
 func WithAutoMembershipTimings(options chain.Options) chain.Options {
 	options.HelloIntervalUs, options.HeartbeatIntervalUs, options.SuspectTimeoutUs =
-		autoMembershipHeartbeatUs, autoMembershipHeartbeatUs, autoMembershipSuspectUs
+		autoMembershipHeartbeatIntervalUs, autoMembershipHeartbeatIntervalUs, autoMembershipSuspectTimeoutUs
 	options.LeaseDurationUs, options.VoteRecoveryTimeoutUs, options.GatherTimeoutUs, options.PrepareTimeoutUs =
-		autoMembershipLeaseUs, autoMembershipVoteRecoveryUs, autoMembershipGatherUs, autoMembershipPrepareUs
+		autoMembershipLeaseDurationUs, autoMembershipVoteRecoveryTimeoutUs, autoMembershipGatherTimeoutUs, autoMembershipPrepareTimeoutUs
 	return options
 }
