--- a/internal/controlplane/statemachine/bounds_test.go
+++ b/internal/controlplane/statemachine/bounds_test.go
@@ -34,9 +34,9 @@
 		t.Fatalf("%+v", out)
 	}
 	for _, i := range []int{0, 1, MaxKeys / 2, MaxKeys - 1} {
-		again := keyClaim(i)
-		again.Key.Call = "another"
-		if out := s.Apply(s.Index+1, again); !out.Repeated || out.Key == nil {
+		resent := keyClaim(i)
+		resent.Key.Call = "another"
+		if out := s.Apply(s.Index+1, resent); !out.Repeated || out.Key == nil {
 			t.Fatalf("key %d: %+v", i, out)
 		}
 	}
@@ -75,8 +75,8 @@
 	mustApply(t, s, loadCommand("r0", "a"))
 	mustApply(t, s, keyClaim(1))
 	before := string(s.Encode())
-	frozen := s.Snapshot()
-	if diff := cmp.Diff(before, string(frozen.Encode())); diff != "" {
+	snapshot := s.Snapshot()
+	if diff := cmp.Diff(before, string(snapshot.Encode())); diff != "" {
 		t.Fatal(diff)
 	}
 	mustApply(t, s, Change{ID: "s", Epoch: 1, LeaderUpdate: &LeaderUpdate{Results: []CommandResult{{Number: 1, Succeeded: true}}, Quotas: map[string]map[string]int{"r1": {"d": 2}},
@@ -87,7 +87,7 @@
 	mustApply(t, s, Change{ID: "end", Key: &KeyChange{Key: keyClaim(1).Key.Key, Gateway: "front-3", GatewayIncarnation: "0123456789ab", Call: keyClaim(1).Key.Call, End: "yes"}})
 	mustApply(t, s, Change{ID: "f", Epoch: 1, LeaderUpdate: &LeaderUpdate{ForgetKeysBefore: s.Index}})
 	mustApply(t, s, Change{ID: "c2", Config: &ConfigChange{Base: 1, Doc: &configuration.Declaration{Name: "next"}}})
-	if diff := cmp.Diff(before, string(frozen.Encode())); diff != "" {
+	if diff := cmp.Diff(before, string(snapshot.Encode())); diff != "" {
 		t.Fatalf("what went on changed the frozen one: %s", diff)
 	}
 }
--- a/internal/controlplane/statemachine/configuration_test.go
+++ b/internal/controlplane/statemachine/configuration_test.go
@@ -37,15 +37,15 @@
 	a, b := versionRoute("a", 100, "s"), versionRoute("b", 200, "s")
 	first := versionChange(0, 5, versionDoc(5, a), nil)
 	second := versionChange(5, 8, nil, &configuration.Edit{Version: 8, Routes: []configuration.Route{b}})
-	type act struct {
-		name    string
-		c       Change
-		code    fault.Code
-		again   bool
-		version uint64
+	type testCase struct {
+		name         string
+		change       Change
+		wantCode     fault.Code
+		wantRepeated bool
+		wantVersion  uint64
 	}
 	s := NewState()
-	for i, c := range []act{
+	for i, c := range []testCase{
 		{"an edit of nothing", versionChange(0, 4, nil, &configuration.Edit{Version: 4}), fault.InvalidConfig, false, 0},
 		{"the first", first, "", false, 5},
 		{"the first again", first, "", true, 5},
@@ -65,28 +65,28 @@
 		{"a third", versionChange(8, 20, versionDoc(20, b), nil), "", false, 20},
 		{"the second again, later", second, "", true, 20},
 	} {
-		before, taken := s.Encode(), s.Revision
-		out := s.Apply(uint64(i+1), c.c)
+		before, revisionBefore := s.Encode(), s.Revision
+		out := s.Apply(uint64(i+1), c.change)
 		code := fault.Code("")
 		if out.Fault != nil {
 			code = out.Fault.Code
 		}
-		if code != c.code || out.Repeated != c.again || s.Version() != c.version {
+		if code != c.wantCode || out.Repeated != c.wantRepeated || s.Version() != c.wantVersion {
 			t.Errorf("%s: %q %v, again %v, version %d in force", c.name, code, out.Fault, out.Repeated, s.Version())
 		}
-		if changed := s.Revision > taken; changed != (c.code == "" && !c.again) {
+		if changed := s.Revision > revisionBefore; changed != (c.wantCode == "" && !c.wantRepeated) {
 			t.Errorf("%s: it changed what is in force: %v", c.name, changed)
 		}
-		if c.code != "" {
-			was, err := Decode(before)
+		if c.wantCode != "" {
+			stateBefore, err := Decode(before)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if diff := cmp.Diff(was.Doc, s.Doc, cmpopts.IgnoreFields(configuration.Declaration{}, "Index")); diff != "" {
+			if diff := cmp.Diff(stateBefore.Doc, s.Doc, cmpopts.IgnoreFields(configuration.Declaration{}, "Index")); diff != "" {
 				t.Errorf("%s: refused, and yet %s", c.name, diff)
 			}
 		}
-		if c.again && out.Revision == 0 {
+		if c.wantRepeated && out.Revision == 0 {
 			t.Errorf("%s: it is not said which version it was", c.name)
 		}
 	}
@@ -100,8 +100,8 @@
 	for seed := int64(0); seed < 12; seed++ {
 		r := rand.New(rand.NewSource(seed))
 		s, index := NewState(), uint64(0)
-		was := map[uint64]*configuration.Declaration{}
-		draw := func(base uint64) Change {
+		docByRevision := map[uint64]*configuration.Declaration{}
+		randomChange := func(base uint64) Change {
 			version := base + 1 + uint64(r.Intn(4))
 			routes := []configuration.Route{}
 			for _, name := range []string{"a", "b", "c", "d", "e"} {
@@ -124,43 +124,43 @@
 			return versionChange(base, version, nil, e)
 		}
 		for n := 0; n < 60; n++ {
-			base, taken := s.Version(), 0
-			rivals := []Change{draw(base), draw(base), draw(base)}
-			back, err := Decode(s.Encode())
+			base, applied := s.Version(), 0
+			competing := []Change{randomChange(base), randomChange(base), randomChange(base)}
+			decoded, err := Decode(s.Encode())
 			if err != nil {
 				t.Fatal(err)
 			}
 			seen := map[string]bool{}
-			for _, c := range rivals {
+			for _, c := range competing {
 				index++
-				out, other := s.Apply(index, c), back.Apply(index, c)
+				out, other := s.Apply(index, c), decoded.Apply(index, c)
 				if diff := cmp.Diff(out, other); diff != "" {
 					t.Fatalf("seed %d: a state that was read back judges otherwise: %s", seed, diff)
 				}
 				if out.Fault == nil && !seen[c.ID] {
-					taken++
+					applied++
 				}
 				seen[c.ID] = true
 			}
 			if n%10 == 0 {
-				if diff := cmp.Diff(s, back, ignored...); diff != "" {
+				if diff := cmp.Diff(s, decoded, ignored...); diff != "" {
 					t.Fatalf("seed %d: a state that was read back differs: %s", seed, diff)
 				}
 			}
-			if races++; taken != 1 {
-				t.Fatalf("seed %d: %d of three on top of version %d were taken", seed, taken, base)
+			if races++; applied != 1 {
+				t.Fatalf("seed %d: %d of three on top of version %d were taken", seed, applied, base)
 			}
-			was[s.Revision] = s.Doc
-			for from := range was {
+			docByRevision[s.Revision] = s.Doc
+			for from := range docByRevision {
 				edits, ok := s.EditsSince(from)
 				if !ok || (from+s.Revision)%5 > 0 {
 					continue
 				}
-				doc := was[from]
+				doc := docByRevision[from]
 				for _, e := range edits {
-					next, bad := doc.Apply(e)
-					if bad != nil {
-						t.Fatal(bad)
+					next, invalid := doc.Apply(e)
+					if invalid != nil {
+						t.Fatal(invalid)
 					}
 					doc = next
 				}
@@ -183,7 +183,7 @@
 // with it, and what an incarnation has held once comes back from its own disk.
 func TestServiceCommandsRespectCapacityAndAdapters(t *testing.T) {
 	s, index := NewState(), uint64(0)
-	do := func(d LeaderUpdate) []fault.Fault {
+	applyUpdate := func(d LeaderUpdate) []fault.Fault {
 		index++
 		return s.Apply(index, Change{LeaderUpdate: &d}).Faults
 	}
@@ -194,51 +194,51 @@
 	if out := s.Apply(index, versionChange(0, 1, doc, nil)); out.Fault != nil {
 		t.Fatal(out.Fault)
 	}
-	do(LeaderUpdate{Replicas: []ReplicaUpdate{{ID: "r", Incarnation: "r", CapacityMB: 100, Slots: 1, Service: "s", ResidentKnown: true}}})
-	ticket := func(step Action, unit string) ReplicaCommand {
+	applyUpdate(LeaderUpdate{Replicas: []ReplicaUpdate{{ID: "r", Incarnation: "r", CapacityMB: 100, Slots: 1, Service: "s", ResidentKnown: true}}})
+	command := func(step Action, unit string) ReplicaCommand {
 		return ReplicaCommand{Replica: "r", Incarnation: "r", Revision: s.Revision, Action: step, Unit: unit}
 	}
 	for _, c := range []struct {
-		step Action
-		unit string
-		code fault.Code
-		done bool
+		action    Action
+		unit      string
+		wantCode  fault.Code
+		succeeded bool
 	}{
 		{Load, "m/a1", fault.UnitNotLoaded, false}, {Load, "m", "", true}, {Load, "m", fault.UnitAlreadyLoaded, false}, {Load, "what", fault.PolicyInvalidResult, false},
 		{Load, "m/a9", fault.PolicyInvalidResult, false}, {Load, "m/a1", "", true}, {Load, "n", "", false}, {Load, "n", "", true}, {Load, "m/a2", fault.InsufficientCapacity, false},
 		{Unload, "n", "", true}, {Load, "m/a2", "", true}, {Load, "m/a3", fault.InsufficientCapacity, false}, {Unload, "m/a1", "", true}, {Load, "m/a3", "", true},
 		{Unload, "m", "", true}, {Unload, "m/a3", fault.UnitNotLoaded, false}, {Load, "o", "", true},
 	} {
-		faults := do(LeaderUpdate{Commands: []ReplicaCommand{ticket(c.step, c.unit)}})
+		faults := applyUpdate(LeaderUpdate{Commands: []ReplicaCommand{command(c.action, c.unit)}})
 		code := fault.Code("")
 		if len(faults) > 0 {
 			code = faults[0].Code
 		}
-		if code != c.code {
-			t.Fatalf("%s %s: %v, want %q", c.step, c.unit, faults, c.code)
+		if code != c.wantCode {
+			t.Fatalf("%s %s: %v, want %q", c.action, c.unit, faults, c.wantCode)
 		}
 		if code != "" {
 			continue
 		}
-		stands := s.Pending["r"]
-		if c.step == Load && s.ReservedMB("r") < s.Replicas["r"].Resident["m"]+stands.SizeMB {
+		pending := s.Pending["r"]
+		if c.action == Load && s.ReservedMB("r") < s.Replicas["r"].Resident["m"]+pending.SizeMB {
 			t.Errorf("%s in doubt has lost its room", c.unit)
 		}
-		if busy := do(LeaderUpdate{Commands: []ReplicaCommand{ticket(Load, "o")}}); len(busy) != 1 || busy[0].Code != fault.ReplicaBusy {
+		if busy := applyUpdate(LeaderUpdate{Commands: []ReplicaCommand{command(Load, "o")}}); len(busy) != 1 || busy[0].Code != fault.ReplicaBusy {
 			t.Errorf("two orders at once: %v", busy)
 		}
-		do(LeaderUpdate{Results: []CommandResult{{Number: stands.Number, Succeeded: c.done}}})
+		applyUpdate(LeaderUpdate{Results: []CommandResult{{Number: pending.Number, Succeeded: c.succeeded}}})
 	}
 	want := &Replica{ID: "r", Incarnation: "r", CapacityMB: 100, Slots: 1, Service: "s", Resident: map[string]int64{"o": 30}, EverLoaded: map[string]bool{"m": true, "n": true, "o": true}, NextAttempt: 1}
 	if diff := cmp.Diff(want, s.Replicas["r"], cmpopts.IgnoreFields(Replica{}, "ModifiedIndex")); diff != "" {
 		t.Error(diff)
 	}
-	stale := ticket(Load, "n")
+	stale := command(Load, "n")
 	stale.Revision--
-	if faults := do(LeaderUpdate{Commands: []ReplicaCommand{stale}}); len(faults) != 1 || faults[0].Code != fault.StaleBase {
+	if faults := applyUpdate(LeaderUpdate{Commands: []ReplicaCommand{stale}}); len(faults) != 1 || faults[0].Code != fault.StaleBase {
 		t.Errorf("proposed under an older revision: %v", faults)
 	}
-	if faults := do(LeaderUpdate{Replicas: []ReplicaUpdate{{ID: "r", Incarnation: "r2", CapacityMB: 100, Slots: 1, Service: "s"}}, Commands: []ReplicaCommand{ticket(Load, "n")}}); len(faults) != 1 || faults[0].Code != fault.ReplicaUnknown || len(s.Replicas["r"].EverLoaded) != 0 {
+	if faults := applyUpdate(LeaderUpdate{Replicas: []ReplicaUpdate{{ID: "r", Incarnation: "r2", CapacityMB: 100, Slots: 1, Service: "s"}}, Commands: []ReplicaCommand{command(Load, "n")}}); len(faults) != 1 || faults[0].Code != fault.ReplicaUnknown || len(s.Replicas["r"].EverLoaded) != 0 {
 		t.Errorf("for an incarnation that has ended: %v", faults)
 	}
 }
@@ -246,10 +246,10 @@
 // What is in force without a number was not checked as routes are: an edit on top of it has all of it checked.
 func TestEditOfUncheckedDeclarationIsCheckedInFull(t *testing.T) {
 	s := NewState()
-	bad := &configuration.Declaration{Services: []configuration.Service{{Name: "s"}}, Routes: []configuration.Route{{
+	unchecked := &configuration.Declaration{Services: []configuration.Service{{Name: "s"}}, Routes: []configuration.Route{{
 		Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Streaming, MaxAttempts: 1, Split: []configuration.WeightedService{{Service: "s", Weight: 1}},
 	}}}
-	if out := s.Apply(1, Change{ID: "a", Config: &ConfigChange{Doc: bad}}); out.Fault != nil {
+	if out := s.Apply(1, Change{ID: "a", Config: &ConfigChange{Doc: unchecked}}); out.Fault != nil {
 		t.Fatal(out.Fault)
 	}
 	out := s.Apply(2, Change{ID: "b", Config: &ConfigChange{Version: 1, Edit: &configuration.Edit{Version: 1, Services: []configuration.Service{{Name: "s2"}}}}})
--- a/internal/controlplane/statemachine/outcomes_test.go
+++ b/internal/controlplane/statemachine/outcomes_test.go
@@ -14,17 +14,17 @@
 func apply(s *State, c Change) Outcome { return s.Apply(s.Index+1, c) }
 
 // applyVersions takes versions up to a number, one on top of the other, and returns the orders.
-func applyVersions(t *testing.T, s *State, upto uint64) []Change {
+func applyVersions(t *testing.T, s *State, lastVersion uint64) []Change {
 	t.Helper()
-	orders := []Change{}
-	for version := s.Version() + 1; version <= upto; version++ {
+	changes := []Change{}
+	for version := s.Version() + 1; version <= lastVersion; version++ {
 		c := versionChange(version-1, version, versionDoc(version, versionRoute("a", int64(version), "s")), nil)
 		if out := apply(s, c); out.Fault != nil {
 			t.Fatal(out.Fault)
 		}
-		orders = append(orders, c)
+		changes = append(changes, c)
 	}
-	return orders
+	return changes
 }
 
 // An order that was taken and is sent again is acknowledged again, or left without a clear answer where it is older
@@ -32,39 +32,39 @@
 // reaches back to its number.
 func TestAppliedVersionIsNeverRefusedWhenSentAgain(t *testing.T) {
 	s := NewState()
-	const forgotten = 100
-	orders := applyVersions(t, s, MaxOutcomes+forgotten)
+	const forgottenCount = 100
+	changes := applyVersions(t, s, MaxOutcomes+forgottenCount)
 	version := s.Version()
-	for i, c := range orders {
+	for i, c := range changes {
 		want := fault.Code("")
-		if i < forgotten {
+		if i < forgottenCount {
 			want = fault.InDoubt
 		}
 		out := apply(s, c)
 		if code(out) != want || out.Repeated != (want == "") {
-			t.Fatalf("order %d of %d sent again: %+v", i+1, len(orders), out)
+			t.Fatalf("order %d of %d sent again: %+v", i+1, len(changes), out)
 		}
 	}
-	for _, rival := range []struct {
+	for _, other := range []struct {
 		version uint64
 		want    fault.Code
-	}{{1, fault.InDoubt}, {forgotten, fault.InDoubt}, {forgotten + 1, fault.StaleBase}, {version, fault.StaleBase}, {version + 1, fault.StaleBase}} {
-		c := versionChange(rival.version-1, rival.version, versionDoc(rival.version, versionRoute("b", 1, "t")), nil)
-		if rival.version == version+1 {
-			c = versionChange(version-1, rival.version, versionDoc(rival.version, versionRoute("b", 1, "t")), nil)
+	}{{1, fault.InDoubt}, {forgottenCount, fault.InDoubt}, {forgottenCount + 1, fault.StaleBase}, {version, fault.StaleBase}, {version + 1, fault.StaleBase}} {
+		c := versionChange(other.version-1, other.version, versionDoc(other.version, versionRoute("b", 1, "t")), nil)
+		if other.version == version+1 {
+			c = versionChange(version-1, other.version, versionDoc(other.version, versionRoute("b", 1, "t")), nil)
 		}
-		if out := apply(s, c); code(out) != rival.want {
-			t.Errorf("another order under number %d: %+v, want %q", rival.version, out, rival.want)
+		if out := apply(s, c); code(out) != other.want {
+			t.Errorf("another order under number %d: %+v, want %q", other.version, out, other.want)
 		}
 	}
 	if s.Version() != version || len(s.Outcomes) > MaxOutcomes {
 		t.Errorf("version %d, %d outcomes", s.Version(), len(s.Outcomes))
 	}
-	back, err := Decode(s.Encode())
+	decoded, err := Decode(s.Encode())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if out := apply(back, orders[0]); code(out) != fault.InDoubt {
+	if out := apply(decoded, changes[0]); code(out) != fault.InDoubt {
 		t.Errorf("after it was read back: %+v", out)
 	}
 }
@@ -79,17 +79,17 @@
 		t.Fatalf("ahead of its base: %+v", out)
 	}
 	applyVersions(t, s, 6)
-	back, err := Decode(s.Encode())
+	decoded, err := Decode(s.Encode())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, state := range map[string]*State{"the state": s, "the state read back": back} {
+	for name, state := range map[string]*State{"the state": s, "the state read back": decoded} {
 		if out := apply(state, early); code(out) != fault.StaleBase || state.Version() != 6 {
 			t.Errorf("%s: refused before, and now %+v, version %d in force", name, out, state.Version())
 		}
 	}
-	anew := versionChange(6, 8, versionDoc(8, versionRoute("b", 1, "s")), nil)
-	if out := apply(s, anew); out.Fault != nil {
+	renumbered := versionChange(6, 8, versionDoc(8, versionRoute("b", 1, "s")), nil)
+	if out := apply(s, renumbered); out.Fault != nil {
 		t.Errorf("the same under another number: %+v", out)
 	}
 }
@@ -108,15 +108,15 @@
 			t.Fatalf("refusal %d: %+v", n, out)
 		}
 	}
-	frozen := s.Snapshot()
+	snapshot := s.Snapshot()
 	if out := apply(s, early(MaxEarlyRefusals)); code(out) != fault.InDoubt {
 		t.Fatalf("beyond the bound: %+v", out)
 	}
 	if out := apply(s, early(0)); code(out) != fault.StaleBase || !out.Repeated {
 		t.Fatalf("refused again: %+v", out)
 	}
-	senseless := versionChange(9, 9, versionDoc(9, versionRoute("b", 1, "s")), nil)
-	if out := apply(s, senseless); code(out) != fault.StaleBase {
+	notAboveBase := versionChange(9, 9, versionDoc(9, versionRoute("b", 1, "s")), nil)
+	if out := apply(s, notAboveBase); code(out) != fault.StaleBase {
 		t.Fatalf("a number that is not above its base can never be taken: %+v", out)
 	}
 	applyVersions(t, s, 2)
@@ -131,20 +131,20 @@
 	if diff := cmp.Diff(0, len(s.EarlyRefusals)); diff != "" {
 		t.Errorf("refusals that stand for themselves are kept: %s", diff)
 	}
-	if len(frozen.EarlyRefusals) != MaxEarlyRefusals || frozen.EarlyRefusals[0].Base != 2 {
-		t.Errorf("a frozen state has changed: %d refusals", len(frozen.EarlyRefusals))
+	if len(snapshot.EarlyRefusals) != MaxEarlyRefusals || snapshot.EarlyRefusals[0].Base != 2 {
+		t.Errorf("a frozen state has changed: %d refusals", len(snapshot.EarlyRefusals))
 	}
 }
 
 // Once numbered versions are in force, a declaration without a number would set the numbers back.
 func TestUnnumberedDeclarationDoesNotReplaceNumberedOne(t *testing.T) {
 	s := NewState()
-	orders := applyVersions(t, s, 3)
+	changes := applyVersions(t, s, 3)
 	out := apply(s, Change{ID: "op-whole", Config: &ConfigChange{Base: s.Revision, Doc: versionDoc(0)}})
 	if code(out) != fault.InvalidConfig || s.Version() != 3 {
 		t.Fatalf("%+v, version %d in force", out, s.Version())
 	}
-	for i, c := range orders {
+	for i, c := range changes {
 		if out := apply(s, c); out.Fault != nil || !out.Repeated {
 			t.Errorf("order %s sent again: %+v", fmt.Sprint(i+1), out)
 		}
@@ -155,7 +155,7 @@
 // number: only numbered versions never change.
 func TestRefusalWithoutVersionInForceIsRemembered(t *testing.T) {
 	edit := versionChange(0, 5, nil, &configuration.Edit{Version: 5, Routes: []configuration.Route{versionRoute("b", 1, "s")}})
-	clash := versionChange(0, 6, nil, &configuration.Edit{Version: 6, RemoveServices: []string{"s"}})
+	removesUsedService := versionChange(0, 6, nil, &configuration.Edit{Version: 6, RemoveServices: []string{"s"}})
 	s := NewState()
 	if out := apply(s, edit); code(out) != fault.InvalidConfig {
 		t.Fatalf("an edit of nothing: %+v", out)
@@ -164,13 +164,13 @@
 	if out := apply(s, Change{ID: "op-whole", Config: &ConfigChange{Doc: whole}}); out.Fault != nil {
 		t.Fatalf("%+v", out)
 	}
-	if out := apply(s, clash); code(out) != fault.InvalidConfig {
+	if out := apply(s, removesUsedService); code(out) != fault.InvalidConfig {
 		t.Fatalf("an edit that takes away what is in use: %+v", out)
 	}
 	if out := apply(s, Change{ID: "op-bare", Config: &ConfigChange{Base: s.Revision, Doc: versionDoc(0)}}); out.Fault != nil {
 		t.Fatalf("%+v", out)
 	}
-	for _, c := range []Change{edit, clash} {
+	for _, c := range []Change{edit, removesUsedService} {
 		if out := apply(s, c); code(out) != fault.InvalidConfig || s.Version() != 0 {
 			t.Errorf("%s was refused, and now %+v, version %d in force", c.ID, out, s.Version())
 		}
@@ -194,10 +194,10 @@
 	check := func(s *State) []string {
 		wrong := []string{}
 		for _, c := range []struct {
-			what   string
-			change Change
-			want   fault.Code
-			again  bool
+			name         string
+			change       Change
+			want         fault.Code
+			wantRepeated bool
 		}{
 			{"the same again", declared("op-1", "d1", 0, "first"), "", true},
 			{"another content", declared("op-1", "d2", 1, "second"), fault.ForeignChange, false},
@@ -207,8 +207,8 @@
 			{"a change of members, the same", membership("m1", "core-4"), "", true},
 			{"a change of members, another", membership("m2", "core-5"), fault.ForeignChange, false},
 		} {
-			if out := apply(s, c.change); code(out) != c.want || out.Repeated != c.again {
-				wrong = append(wrong, fmt.Sprintf("%s: %+v", c.what, out))
+			if out := apply(s, c.change); code(out) != c.want || out.Repeated != c.wantRepeated {
+				wrong = append(wrong, fmt.Sprintf("%s: %+v", c.name, out))
 			}
 		}
 		if s.Doc.Name != "first" || s.Membership.Name != "core-4" {
@@ -232,12 +232,12 @@
 			t.Errorf("%s: %s", name, wrong)
 		}
 	}
-	forgetful := replayed()
-	for id, out := range forgetful.Outcomes {
+	withoutDigests := replayed()
+	for id, out := range withoutDigests.Outcomes {
 		out.Digest = ""
-		forgetful.Outcomes[id] = out
+		withoutDigests.Outcomes[id] = out
 	}
-	if len(check(forgetful)) < 2 {
+	if len(check(withoutDigests)) < 2 {
 		t.Error("a state that forgets the digests passes the check")
 	}
 }
--- a/internal/controlplane/statemachine/state_test.go
+++ b/internal/controlplane/statemachine/state_test.go
@@ -16,11 +16,11 @@
 	doc := &configuration.Declaration{Store: configuration.Store{Loads: 2}, Models: []configuration.Model{{Name: "a", SizeMB: 60}, {Name: "b", SizeMB: 50}}}
 	mustApply(t, s, Change{ID: "c1", Config: &ConfigChange{Doc: doc}})
 	mustApply(t, s, Change{ID: "claim", Epoch: 1, Claim: &Claim{Leader: "one"}})
-	notes := []ReplicaUpdate{}
+	updates := []ReplicaUpdate{}
 	for i := 0; i < 4; i++ {
-		notes = append(notes, ReplicaUpdate{ID: fmt.Sprintf("r%d", i), Incarnation: "i", CapacityMB: 100, Slots: 4})
+		updates = append(updates, ReplicaUpdate{ID: fmt.Sprintf("r%d", i), Incarnation: "i", CapacityMB: 100, Slots: 4})
 	}
-	mustApply(t, s, Change{ID: "n", Epoch: 1, LeaderUpdate: &LeaderUpdate{Replicas: notes}})
+	mustApply(t, s, Change{ID: "n", Epoch: 1, LeaderUpdate: &LeaderUpdate{Replicas: updates}})
 	return s
 }
 
@@ -89,12 +89,12 @@
 
 func TestGrantsNeverOverlap(t *testing.T) {
 	s := newReadyState(t)
-	ask := func(gateway string, n uint64) GrantRequest {
+	request := func(gateway string, n uint64) GrantRequest {
 		return GrantRequest{Gateway: gateway, GatewayIncarnation: "d", Replica: "r0", Incarnation: "i", Model: "a", Count: n}
 	}
-	mustApply(t, s, Change{ID: "g1", Epoch: 1, LeaderUpdate: &LeaderUpdate{Grants: []GrantRequest{ask("x", 10), ask("y", 5)}}})
+	mustApply(t, s, Change{ID: "g1", Epoch: 1, LeaderUpdate: &LeaderUpdate{Grants: []GrantRequest{request("x", 10), request("y", 5)}}})
 	first := s.Grants[Grant{Gateway: "x", Replica: "r0", Model: "a"}.Key()]
-	mustApply(t, s, Change{ID: "g2", Epoch: 1, LeaderUpdate: &LeaderUpdate{Grants: []GrantRequest{ask("x", 10)}, RemovedGateways: []string{"y"}}})
+	mustApply(t, s, Change{ID: "g2", Epoch: 1, LeaderUpdate: &LeaderUpdate{Grants: []GrantRequest{request("x", 10)}, RemovedGateways: []string{"y"}}})
 	second := s.Grants[Grant{Gateway: "x", Replica: "r0", Model: "a"}.Key()]
 	if first.To > second.From || second.From < 16 || first.Number == second.Number {
 		t.Fatalf("%+v then %+v", first, second)
@@ -116,9 +116,9 @@
 	if code(lost) != fault.StaleBase || lost.Fault.Revision != 2 || s.Revision != 2 {
 		t.Fatalf("%+v", lost)
 	}
-	again := s.Apply(s.Index+1, Change{ID: "x", Config: &ConfigChange{Base: 1, Doc: doc}})
-	if !again.Repeated || again.Revision != won.Revision || s.Revision != 2 {
-		t.Fatalf("the same change again: %+v", again)
+	resent := s.Apply(s.Index+1, Change{ID: "x", Config: &ConfigChange{Base: 1, Doc: doc}})
+	if !resent.Repeated || resent.Revision != won.Revision || s.Revision != 2 {
+		t.Fatalf("the same change again: %+v", resent)
 	}
 }
 
@@ -152,11 +152,11 @@
 func TestStateRoundTripsThroughEncoding(t *testing.T) {
 	s := newReadyState(t)
 	mustApply(t, s, loadCommand("r0", "a"))
-	back, err := Decode(s.Encode())
+	decoded, err := Decode(s.Encode())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(s, back); diff != "" {
+	if diff := cmp.Diff(s, decoded); diff != "" {
 		t.Fatal(diff)
 	}
 }
--- a/internal/controlplane/statemachine/tenants_test.go
+++ b/internal/controlplane/statemachine/tenants_test.go
@@ -74,11 +74,11 @@
 				if out.Fault == nil || out.Fault.Code != c.code {
 					t.Errorf("%v, want %s", out.Fault, c.code)
 				}
-				back, err := Decode(s.Encode())
+				decoded, err := Decode(s.Encode())
 				if err != nil {
 					t.Fatal(err)
 				}
-				for _, s := range []*State{s, back} {
+				for _, s := range []*State{s, decoded} {
 					if diff := cmp.Diff([]configuration.Tenant{one, two}, s.Doc.Tenants); diff != "" || s.Version() != 5 || s.Revision != 1 {
 						t.Errorf("version %d, revision %d: %s", s.Version(), s.Revision, diff)
 					}
@@ -93,15 +93,15 @@
 func TestSeededChangesOfTenantsFoldSurviveAndShareNoKey(t *testing.T) {
 	ignored := cmp.Options{cmpopts.IgnoreFields(configuration.Declaration{}, "Index"), cmpopts.EquateEmpty()}
 	names, keys := []string{"t1", "t2", "t3", "t4", "t5"}, []string{"k1", "k2", "k3", "k4", "k5", "k6", "k7", "k8", "k9"}
-	taken, refused, moved, folds := 0, 0, 0, 0
+	applied, refused, editedTenants, folds := 0, 0, 0, 0
 	for seed := int64(0); seed < 20; seed++ {
 		r := rand.New(rand.NewSource(seed))
 		s := NewState()
 		s.Apply(1, versionChange(0, 1, tenantsDoc(1), nil))
-		held := map[string][]string{}
-		was := map[uint64]*configuration.Declaration{}
+		keysByTenant := map[string][]string{}
+		docByRevision := map[uint64]*configuration.Declaration{}
 		for range 60 {
-			want := maps.Clone(held)
+			want := maps.Clone(keysByTenant)
 			edit := &configuration.Edit{Version: s.Version() + 1 + uint64(r.Intn(3))}
 			for _, at := range r.Perm(len(names))[:1+r.Intn(2)] {
 				switch name := names[at]; r.Intn(4) {
@@ -131,11 +131,11 @@
 					holders[key] = name
 				}
 			}
-			back, err := Decode(s.Encode())
+			decoded, err := Decode(s.Encode())
 			if err != nil {
 				t.Fatal(err)
 			}
-			out, other := s.Apply(s.Index+1, change), back.Apply(s.Index, change)
+			out, other := s.Apply(s.Index+1, change), decoded.Apply(s.Index, change)
 			if diff := cmp.Diff(out, other); diff != "" {
 				t.Fatalf("seed %d: a state that was read back judges otherwise: %s", seed, diff)
 			}
@@ -145,14 +145,14 @@
 			if shared {
 				refused++
 			} else {
-				taken++
-				held = want
+				applied++
+				keysByTenant = want
 			}
-			back, err = Decode(s.Encode())
+			decoded, err = Decode(s.Encode())
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, s := range []*State{s, back} {
+			for _, s := range []*State{s, decoded} {
 				got := map[string][]string{}
 				for _, tenant := range s.Doc.Tenants {
 					source := struct{ Keys []string }{}
@@ -161,7 +161,7 @@
 					}
 					got[tenant.Name] = source.Keys
 				}
-				if diff := cmp.Diff(held, got, ignored...); diff != "" {
+				if diff := cmp.Diff(keysByTenant, got, ignored...); diff != "" {
 					t.Fatalf("seed %d, version %d: %s", seed, s.Version(), diff)
 				}
 				doc := s.Doc.Indexed()
@@ -170,13 +170,13 @@
 					if tenant := doc.TenantOfKey(key); tenant != nil {
 						holder = tenant.Name
 					}
-					if holder != holderOf(held, key) {
-						t.Fatalf("seed %d, version %d: %s is held by %q, want %q", seed, s.Version(), key, holder, holderOf(held, key))
+					if holder != tenantWithKey(keysByTenant, key) {
+						t.Fatalf("seed %d, version %d: %s is held by %q, want %q", seed, s.Version(), key, holder, tenantWithKey(keysByTenant, key))
 					}
 				}
 			}
-			was[s.Revision] = s.Doc.WithoutSource()
-			for from, doc := range was {
+			docByRevision[s.Revision] = s.Doc.WithoutSource()
+			for from, doc := range docByRevision {
 				edits, ok := s.EditsSince(from)
 				if !ok || (from+s.Revision)%4 > 0 {
 					continue
@@ -186,11 +186,11 @@
 					if raw, _ := json.Marshal(bare); slices.ContainsFunc(keys, func(key string) bool { return strings.Contains(string(raw), `"`+key+`"`) }) {
 						t.Fatalf("seed %d: a key goes to gateways: %s", seed, raw)
 					}
-					next, bad := doc.Apply(bare)
-					if bad != nil {
-						t.Fatal(bad)
+					next, invalid := doc.Apply(bare)
+					if invalid != nil {
+						t.Fatal(invalid)
 					}
-					moved += len(bare.Tenants)
+					editedTenants += len(bare.Tenants)
 					doc = next
 				}
 				folds++
@@ -200,14 +200,14 @@
 			}
 		}
 	}
-	t.Logf("%d taken, %d refused, %d folds of %d tenants", taken, refused, folds, moved)
-	if taken < 300 || refused < 100 || folds < 500 {
-		t.Errorf("%d taken, %d refused, %d folds: it proves little", taken, refused, folds)
+	t.Logf("%d taken, %d refused, %d folds of %d tenants", applied, refused, folds, editedTenants)
+	if applied < 300 || refused < 100 || folds < 500 {
+		t.Errorf("%d taken, %d refused, %d folds: it proves little", applied, refused, folds)
 	}
 }
 
-func holderOf(held map[string][]string, key string) string {
-	for name, keys := range held {
+func tenantWithKey(keysByTenant map[string][]string, key string) string {
+	for name, keys := range keysByTenant {
 		if slices.Contains(keys, key) {
 			return name
 		}
