--- a/internal/controlplane/statemachine/bounds_test.go
+++ b/internal/controlplane/statemachine/bounds_test.go
@@ -16,7 +16,7 @@
 	return Change{ID: fmt.Sprint("key-", i), Key: &KeyChange{Key: fmt.Sprintf("family-%032d", i), Gateway: "front-3", GatewayIncarnation: "0123456789ab", Call: fmt.Sprintf("front-3-%016d", i)}}
 }
 
-// Full is a ledger with every key it may keep.
+// newFullKeyTable returns a state in which the given number of idempotency keys are claimed.
 func newFullKeyTable(t testing.TB, keys int) *State {
 	s := NewState()
 	for i := 0; i < keys; i++ {
@@ -27,34 +27,35 @@
 	return s
 }
 
-// A full table refuses; it never forgets a key before its time, and an old key still answers.
+// A full key table refuses new keys and evicts none: a claim of an old key still returns its record. Keys leave the table
+// only when the leader asks to forget them.
 func TestFullKeyTableRefusesAndEvictsNothing(t *testing.T) {
 	s := newFullKeyTable(t, MaxKeys)
 	if out := s.Apply(s.Index+1, keyClaim(MaxKeys)); out.Fault == nil || out.Fault.Code != fault.KeysFull {
-		t.Fatalf("%+v", out)
+		t.Fatalf("claim on a full key table: got %+v, want fault %s", out, fault.KeysFull)
 	}
 	for _, i := range []int{0, 1, MaxKeys / 2, MaxKeys - 1} {
 		resent := keyClaim(i)
 		resent.Key.Call = "another"
 		if out := s.Apply(s.Index+1, resent); !out.Repeated || out.Key == nil {
-			t.Fatalf("key %d: %+v", i, out)
+			t.Fatalf("second claim of key %d: got %+v, want a repeated outcome with the key's record", i, out)
 		}
 	}
 	if len(s.Keys) != MaxKeys || len(s.KeyOrder) != MaxKeys {
-		t.Fatalf("%d keys, %d in order", len(s.Keys), len(s.KeyOrder))
+		t.Fatalf("got %d keys, %d of them in order, want %d", len(s.Keys), len(s.KeyOrder), MaxKeys)
 	}
 	s.Apply(s.Index+1, Change{ID: "claim", Epoch: 1, Claim: &Claim{Leader: "one"}})
 	s.Apply(s.Index+1, Change{ID: "forget", Epoch: 1, LeaderUpdate: &LeaderUpdate{ForgetKeysBefore: s.Keys[s.KeyOrder[100]].Index}})
 	if len(s.Keys) != MaxKeys-100 {
-		t.Fatalf("%d keys after 100 were forgotten", len(s.Keys))
+		t.Fatalf("after forgetting 100 keys: got %d keys, want %d", len(s.Keys), MaxKeys-100)
 	}
 	if out := s.Apply(s.Index+1, keyClaim(MaxKeys)); out.Fault != nil {
 		t.Fatal(out.Fault)
 	}
 }
 
-// The history of changes answers for the last MaxOutcomes; an older change sent again gets no clear answer, as it may
-// have been taken, and is never taken a second time.
+// Outcomes are remembered for the last MaxOutcomes changes. An older change that is resent is answered as in doubt, as it
+// may have been applied, and is never applied a second time.
 func TestChangeOlderThanRememberedOutcomesIsNotAppliedTwice(t *testing.T) {
 	s := NewState()
 	doc := &configuration.Declaration{}
@@ -63,10 +64,11 @@
 		s.Apply(s.Index+1, Change{ID: fmt.Sprint("c", i), Config: &ConfigChange{Base: uint64(i), Doc: doc}})
 	}
 	if len(s.Outcomes) != MaxOutcomes || s.Revision != MaxOutcomes+1 {
-		t.Fatalf("%d changes kept at revision %d", len(s.Outcomes), s.Revision)
+		t.Fatalf("got %d outcomes at revision %d, want %d at revision %d", len(s.Outcomes), s.Revision, MaxOutcomes, MaxOutcomes+1)
 	}
 	if out := s.Apply(s.Index+1, first); out.Fault == nil || out.Fault.Code != fault.InDoubt || s.Revision != MaxOutcomes+1 {
-		t.Fatalf("%+v at revision %d", out, s.Revision)
+		t.Fatalf("forgotten change resent: got %+v at revision %d, want fault %s at revision %d",
+			out, s.Revision, fault.InDoubt, MaxOutcomes+1)
 	}
 }
 
@@ -77,7 +79,7 @@
 	before := string(s.Encode())
 	snapshot := s.Snapshot()
 	if diff := cmp.Diff(before, string(snapshot.Encode())); diff != "" {
-		t.Fatal(diff)
+		t.Fatalf("snapshot differs from the state (-state +snapshot):\n%s", diff)
 	}
 	mustApply(t, s, Change{ID: "s", Epoch: 1, LeaderUpdate: &LeaderUpdate{Results: []CommandResult{{Number: 1, Succeeded: true}}, Quotas: map[string]map[string]int{"r1": {"d": 2}},
 		Grants: []GrantRequest{{Gateway: "d", GatewayIncarnation: "i", Replica: "r1", Incarnation: "i", Model: "a", Count: 9}}, RemovedReplicas: []string{"r2"}}})
@@ -88,7 +90,7 @@
 	mustApply(t, s, Change{ID: "f", Epoch: 1, LeaderUpdate: &LeaderUpdate{ForgetKeysBefore: s.Index}})
 	mustApply(t, s, Change{ID: "c2", Config: &ConfigChange{Base: 1, Doc: &configuration.Declaration{Name: "next"}}})
 	if diff := cmp.Diff(before, string(snapshot.Encode())); diff != "" {
-		t.Fatalf("what went on changed the frozen one: %s", diff)
+		t.Fatalf("later changes modified the snapshot (-before +after):\n%s", diff)
 	}
 }
 
@@ -106,7 +108,8 @@
 	}
 }
 
-// The edits kept for those that are behind are bounded by bytes too: who is further behind gets the whole.
+// The edits retained for gateways that are behind are bounded by their size too. An edit larger than the bound leaves none
+// retained, so every gateway that is behind gets the complete declaration.
 func TestRetainedEditsAreBoundedByBytes(t *testing.T) {
 	route := func(i int) []configuration.Route {
 		return []configuration.Route{{Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Idempotent, TimeoutMs: 1000, MaxAttempts: 1,
@@ -122,23 +125,23 @@
 			t.Fatal(out.Fault)
 		}
 		if raw := len(s.Encode()); raw > maxEditBytes+300<<10 {
-			t.Fatalf("%d bytes after %d edits", raw, i)
+			t.Fatalf("size of the state after %d edits: got %d bytes, want at most %d", i, raw, maxEditBytes+300<<10)
 		}
 	}
 	if edits, ok := s.EditsSince(s.Revision - 3); !ok || len(edits) != 3 || edits[2].Version != 41 {
-		t.Fatalf("%d edits since three revisions ago, %v", len(edits), ok)
+		t.Fatalf("edits of the last three revisions: got %d, %v, want 3 that end at version 41", len(edits), ok)
 	}
 	if _, ok := s.EditsSince(s.Revision - 20); ok {
-		t.Fatal("edits that are not kept are given out")
+		t.Fatal("EditsSince reports edits that are no longer retained")
 	}
 	s.Apply(50, Change{ID: "e50", Config: &ConfigChange{Base: 41, Version: 42, Edit: &configuration.Edit{Version: 42, Routes: []configuration.Route{{Name: "r", Host: "h", Prefix: "/", RetryClass: configuration.Idempotent,
 		TimeoutMs: 1000, MaxAttempts: 1, Split: []configuration.WeightedService{{Service: "s", Weight: 1}}, Source: json.RawMessage(`"` + strings.Repeat("x", 2<<20) + `"`)}}}}})
 	if _, ok := s.EditsSince(s.Revision - 1); ok || len(s.Edits) != 0 || s.Version() != 42 {
-		t.Fatalf("%d edits kept at version %d", len(s.Edits), s.Version())
+		t.Fatalf("after an edit beyond the bound: got %d edits at version %d, want none at version 42", len(s.Edits), s.Version())
 	}
 }
 
-func TestRememberedOutcomesNameOnlyTheirFirstFaults(t *testing.T) {
+func TestRememberedRefusalKeepsBoundedFaults(t *testing.T) {
 	s := newReadyState(t)
 	doc := &configuration.Declaration{}
 	for i := range 10 * maxRememberedFaults {
@@ -146,9 +149,9 @@
 	}
 	change := Change{ID: "large", Config: &ConfigChange{Base: s.Revision, Doc: doc}}
 	if out := s.Apply(s.Index+1, change); out.Fault == nil || len(out.Fault.Faults) != 10*maxRememberedFaults {
-		t.Fatalf("%+v", out.Fault)
+		t.Fatalf("first refusal: got %+v, want %d faults", out.Fault, 10*maxRememberedFaults)
 	}
 	if out := s.Apply(s.Index+1, change); out.Fault == nil || !out.Repeated || len(out.Fault.Faults) != maxRememberedFaults {
-		t.Fatalf("%+v", out.Fault)
+		t.Fatalf("remembered refusal: got %+v, want %d faults", out.Fault, maxRememberedFaults)
 	}
 }
--- a/internal/controlplane/statemachine/change.go
+++ b/internal/controlplane/statemachine/change.go
@@ -1,14 +1,15 @@
 package statemachine
 
-// Change is one entry of the log. At most one of its pointers is set; an entry without any changes nothing but the index.
+// Change is the payload of one log entry. At most one of its pointers is set; a change with none set advances only the
+// state's index.
 type Change struct {
-	// ID names the change for whoever waits for its outcome; a configuration or membership change that is sent again has
-	// the same one.
+	// ID identifies the change to the caller that waits for its outcome. A configuration or membership change that is
+	// resent keeps its ID.
 	ID string `json:"id"`
-	// Digest is that of the request that the change came with, so that another one under the same ID is refused; empty where
-	// the ID names the content already.
+	// Digest is the digest of the request that carried the change, so that a different request with the same ID is refused.
+	// It is empty where the ID itself is derived from the content.
 	Digest string `json:"digest,omitempty"`
-	// Origin is the address of the control node that took the change and answers for it; empty where nobody waits.
+	// Origin is the address of the control node that accepted the change and answers its sender; empty where no sender waits.
 	Origin string `json:"origin,omitempty"`
 	// Epoch is the fencing token of a Claim or a LeaderUpdate; 0 in all other changes.
 	Epoch uint64 `json:"epoch,omitempty"`
@@ -20,7 +21,8 @@
 	Membership   *MembershipChange `json:"member,omitempty"`
 }
 
-// Apply applies the log entry with an index and returns its outcome. The caller applies every entry once, in order.
+// Apply applies the change in the log entry at index and returns its outcome. The caller applies every entry exactly
+// once, in log order.
 func (s *State) Apply(index uint64, c Change) Outcome {
 	s.Index = index
 	out := Outcome{ID: c.ID, Index: index, Digest: c.Digest}
--- a/internal/controlplane/statemachine/commands.go
+++ b/internal/controlplane/statemachine/commands.go
@@ -7,19 +7,19 @@
 	"petreltide/internal/api/fault"
 )
 
-// CommandResult resolves a pending command. With CommandsAccepted, Resident is all that the replica holds once it has taken
-// that many commands; without, nothing is known but whether the command succeeded.
+// CommandResult resolves a pending command. Where CommandsAccepted is set, Resident lists everything that is loaded at the
+// replica after it accepted that many commands; where it is nil, only Succeeded is known.
 type CommandResult struct {
-	// Number is the command's.
+	// Number is the number of the command.
 	Number    uint64 `json:"number"`
 	Succeeded bool   `json:"done"`
-	// Reason is why it did not succeed, for people.
+	// Reason describes, for operators, why the command did not succeed.
 	Reason           string         `json:"why,omitempty"`
 	CommandsAccepted *uint64        `json:"orders,omitempty"`
 	Resident         []ResidentUnit `json:"holds,omitempty"`
 }
 
-// PendingLoads returns how many loads are pending.
+// PendingLoads returns the number of pending load commands.
 func (s *State) PendingLoads() int {
 	loads := 0
 	for _, command := range s.Pending {
@@ -30,8 +30,8 @@
 	return loads
 }
 
-// resolveCommand ends a pending command and reports whether gateways must learn of it. The result of a command that is
-// not pending, or of a former incarnation, changes no replica.
+// resolveCommand removes the pending command that a result belongs to and reports whether gateways must be updated. The
+// result of a command that is not pending, or that was issued to a former incarnation, changes no replica.
 func (s *State) resolveCommand(result CommandResult) bool {
 	for id, command := range s.Pending {
 		if command.Number != result.Number {
@@ -59,7 +59,8 @@
 	return false
 }
 
-// applyCommand records what a command that succeeded did; a model that is unloaded takes its adapters with it.
+// applyCommand records the effect of a successful command on the resident units. Unloading a model unloads its adapters
+// too.
 func (s *State) applyCommand(replica *Replica, command ReplicaCommand) {
 	if command.Action == Load {
 		replica.Resident[command.Unit] = command.SizeMB
@@ -76,7 +77,8 @@
 	}
 }
 
-// issueCommand numbers a command and makes it pending, or says why it can't be.
+// issueCommand validates a command, assigns its number and epoch and makes it pending. It returns the reason where the
+// command is rejected.
 func (s *State) issueCommand(epoch uint64, command ReplicaCommand) *fault.Fault {
 	r := s.Replicas[command.Replica]
 	if r == nil || r.Incarnation != command.Incarnation {
@@ -110,14 +112,15 @@
 	s.Pending[command.Replica] = command
 	s.CommandsIndex = s.Index
 	if command.Action == Unload {
-		// Gateways stop sending requests for a unit before it goes.
+		// Gateways must stop sending requests for the unit before the replica unloads it.
 		s.UpdateIndex = s.Index
 	}
 	return nil
 }
 
-// checkLoad returns the size of a unit that a replica may load: it is declared, fits beside all that is reserved, and
-// the weight store has a load to spare.
+// checkLoad returns the size in MB of a unit that a replica may load, or a fault. A load is allowed where the unit is
+// declared, fits into the memory that is not reserved, and, for a declaration without routes, fewer loads are pending
+// than the weight store serves at once.
 func (s *State) checkLoad(r *Replica, unit string) (int64, *fault.Fault) {
 	if s.Doc == nil {
 		return 0, fault.New(fault.PolicyInvalidResult, unit, "no declaration yet")
@@ -138,7 +141,7 @@
 	return sizeMB, nil
 }
 
-// unitSize returns the declared size of a unit in MB; false where the declaration does not know it.
+// unitSize returns the declared size of a unit in MB, or false where the unit is not declared.
 func (s *State) unitSize(r *Replica, unit string) (int64, bool) {
 	if r.Service != "" {
 		sizeMB, _, known := s.Doc.EngineUnitSize(r.Service, unit)
@@ -148,7 +151,8 @@
 	return sizeMB, known
 }
 
-// checkAdapter refuses an adapter whose model is not resident, or for which the replica has no place left. Models pass.
+// checkAdapter refuses an adapter whose model is not resident, or that would exceed the replica's maximum number of
+// adapters. It returns nil for models.
 func (s *State) checkAdapter(r *Replica, unit string) *fault.Fault {
 	model, adapter := configuration.SplitUnit(unit)
 	if r.Service == "" || adapter == "" {
--- a/internal/controlplane/statemachine/configuration.go
+++ b/internal/controlplane/statemachine/configuration.go
@@ -5,20 +5,20 @@
 	"petreltide/internal/api/fault"
 )
 
-// ConfigChange is a complete declaration, or an edit of the one in force. A change that is sent again is known by the ID
-// of its Change.
+// ConfigChange is a complete declaration, or an edit of the one in force. A resent change is recognized by the ID of its
+// Change.
 type ConfigChange struct {
-	// Base is what the change builds on: the version in force where Version is set, else the revision.
+	// Base is the version that the change builds on where Version is set, and the revision otherwise.
 	Base uint64 `json:"base"`
-	// Version is the operators' own number of what the change leads to; 0 where they don't number declarations.
+	// Version is the operator-assigned version of the resulting declaration; 0 where operators don't number declarations.
 	Version uint64 `json:"version,omitempty"`
 	// Doc is the complete declaration; nil beside an edit.
 	Doc *configuration.Declaration `json:"doc,omitempty"`
-	// Edit changes the declaration in force. It needs a Version, and wins over Doc.
+	// Edit changes the declaration in force. It requires a Version and takes precedence over Doc.
 	Edit *configuration.Edit `json:"edit,omitempty"`
 }
 
-// Version returns the operators' own number of the declaration in force; 0 where it has none.
+// Version returns the operator-assigned version of the declaration in force; 0 where it has none.
 func (s *State) Version() uint64 {
 	if s.Doc == nil {
 		return 0
@@ -26,7 +26,8 @@
 	return s.Doc.Version
 }
 
-// applyConfig puts a declaration in force, or answers as before where the change was sent before.
+// applyConfig puts a declaration in force, or returns the remembered outcome where the change was applied or refused
+// before.
 func (s *State) applyConfig(out Outcome, c Change) Outcome {
 	if first, seen := s.rememberedOutcome(c); seen {
 		return first
@@ -37,8 +38,8 @@
 	return s.applyUnnumbered(out, c.Config)
 }
 
-// applyUnnumbered takes a complete declaration without a version. Each outcome is remembered but one in doubt, which is
-// judged anew when the change is sent again.
+// applyUnnumbered applies a complete declaration without a version. Every outcome is remembered except an in-doubt one,
+// which is evaluated again when the change is resent.
 func (s *State) applyUnnumbered(out Outcome, change *ConfigChange) Outcome {
 	switch {
 	case s.Version() > 0:
@@ -64,10 +65,11 @@
 	return out
 }
 
-// applyVersion takes an operator's numbered version. What was applied is remembered, and so is a refusal that would not
-// be given again (see refuseStaleBase). Any other refusal is judged anew, and found again: versions only rise, and what
-// is invalid on top of one version stays invalid on top of it. Only what is in force without a number may change and
-// leave the version as it is: a refusal on top of that is remembered too.
+// applyVersion applies a change with an operator-assigned version. It remembers an applied change, and a refusal that a
+// later evaluation might not repeat (see refuseStaleBase). Every other refusal is evaluated again when the change is
+// resent, with the same result: versions only increase, and a change that is invalid on top of a version stays invalid
+// on top of it. Only while no numbered version is in force can the declaration change without the version changing, so
+// a refusal in that state is remembered too.
 func (s *State) applyVersion(out Outcome, change *ConfigChange) Outcome {
 	out.Revision = s.Version()
 	if change.Base != s.Version() {
@@ -95,7 +97,8 @@
 	return out
 }
 
-// declarationAfter returns what a numbered change on top of what is in force leads to, checked.
+// declarationAfter returns the declaration that results from applying a numbered change to the one in force, or a fault
+// where the result is invalid.
 func (s *State) declarationAfter(change *ConfigChange) (*configuration.Declaration, *fault.Fault) {
 	if change.Version <= s.Version() {
 		return nil, fault.New(fault.InvalidConfig, "version", "%d is not above %d", change.Version, s.Version())
@@ -114,13 +117,14 @@
 		return nil, invalid
 	}
 	if s.Version() == 0 {
-		// What is in force without a number was never checked as routes are: the edit alone is not enough.
+		// The routes of a declaration without a version were never checked, so checking the edit alone is not enough.
 		return edited, edited.CheckRoutes()
 	}
 	return edited, edited.CheckEdited(change.Edit)
 }
 
-// checkModelSizes refuses a declaration with a model that fits no known replica. Without known replicas all pass.
+// checkModelSizes refuses a declaration with a model that is larger than the largest known replica. It accepts every
+// declaration while no replica is known.
 func (s *State) checkModelSizes(declaration *configuration.Declaration) *fault.Fault {
 	var largestMB int64
 	for _, r := range s.Replicas {
--- a/internal/controlplane/statemachine/configuration_test.go
+++ b/internal/controlplane/statemachine/configuration_test.go
@@ -24,7 +24,7 @@
 	return &configuration.Declaration{Version: version, Routes: routes, Services: []configuration.Service{{Name: "s"}, {Name: "t"}}}
 }
 
-// versionChange is an operator's: its id stands for all that it says.
+// versionChange returns an operator's change whose ID is derived from its content.
 func versionChange(base, version uint64, doc *configuration.Declaration, edit *configuration.Edit) Change {
 	raw, err := json.Marshal([]any{base, version, doc, edit})
 	if err != nil {
@@ -33,7 +33,7 @@
 	return Change{ID: "op-" + configuration.Digest(raw), Config: &ConfigChange{Base: base, Version: version, Doc: doc, Edit: edit}}
 }
 
-func TestStateAppliesNumberedVersions(t *testing.T) {
+func TestStateAppliesOnlyRisingVersionsOnCurrentBase(t *testing.T) {
 	a, b := versionRoute("a", 100, "s"), versionRoute("b", 200, "s")
 	first := versionChange(0, 5, versionDoc(5, a), nil)
 	second := versionChange(5, 8, nil, &configuration.Edit{Version: 8, Routes: []configuration.Route{b}})
@@ -46,24 +46,24 @@
 	}
 	s := NewState()
 	for i, c := range []testCase{
-		{"an edit of nothing", versionChange(0, 4, nil, &configuration.Edit{Version: 4}), fault.InvalidConfig, false, 0},
-		{"the first", first, "", false, 5},
-		{"the first again", first, "", true, 5},
-		{"another with its number", versionChange(0, 5, versionDoc(5, b), nil), fault.StaleBase, false, 5},
-		{"the same number on top", versionChange(5, 5, versionDoc(5, b), nil), fault.InvalidConfig, false, 5},
-		{"a lower number on top", versionChange(5, 4, versionDoc(4, b), nil), fault.InvalidConfig, false, 5},
-		{"a base that never was", versionChange(6, 9, versionDoc(9, b), nil), fault.StaleBase, false, 5},
-		{"an edit that names a service that is not there", versionChange(5, 8, nil, &configuration.Edit{Version: 8, Routes: []configuration.Route{versionRoute("b", 1, "none")}}), fault.InvalidConfig, false, 5},
-		{"an edit that takes a service in use", versionChange(5, 8, nil, &configuration.Edit{Version: 8, RemoveServices: []string{"s"}}), fault.InvalidConfig, false, 5},
-		{"an edit that names one route twice", versionChange(5, 8, nil, &configuration.Edit{Version: 8, Routes: []configuration.Route{b, b}}), fault.InvalidConfig, false, 5},
-		{"neither a whole one nor an edit", versionChange(5, 8, nil, nil), fault.InvalidConfig, false, 5},
-		{"the second", second, "", false, 8},
-		{"its rival", versionChange(5, 8, nil, &configuration.Edit{Version: 8, RemoveRoutes: []string{"a"}}), fault.StaleBase, false, 8},
-		{"its rival with a higher number", versionChange(5, 9, nil, &configuration.Edit{Version: 9, RemoveRoutes: []string{"a"}}), fault.StaleBase, false, 8},
-		{"the first again, two versions later", first, "", true, 8},
-		{"the second again", second, "", true, 8},
-		{"a third", versionChange(8, 20, versionDoc(20, b), nil), "", false, 20},
-		{"the second again, later", second, "", true, 20},
+		{"edit without a declaration in force", versionChange(0, 4, nil, &configuration.Edit{Version: 4}), fault.InvalidConfig, false, 0},
+		{"first version", first, "", false, 5},
+		{"first version resent", first, "", true, 5},
+		{"other declaration with the first version's base and number", versionChange(0, 5, versionDoc(5, b), nil), fault.StaleBase, false, 5},
+		{"number equal to the one in force", versionChange(5, 5, versionDoc(5, b), nil), fault.InvalidConfig, false, 5},
+		{"number below the one in force", versionChange(5, 4, versionDoc(4, b), nil), fault.InvalidConfig, false, 5},
+		{"base that was never in force", versionChange(6, 9, versionDoc(9, b), nil), fault.StaleBase, false, 5},
+		{"edit that refers to an undeclared service", versionChange(5, 8, nil, &configuration.Edit{Version: 8, Routes: []configuration.Route{versionRoute("b", 1, "none")}}), fault.InvalidConfig, false, 5},
+		{"edit that removes a service in use", versionChange(5, 8, nil, &configuration.Edit{Version: 8, RemoveServices: []string{"s"}}), fault.InvalidConfig, false, 5},
+		{"edit that names a route twice", versionChange(5, 8, nil, &configuration.Edit{Version: 8, Routes: []configuration.Route{b, b}}), fault.InvalidConfig, false, 5},
+		{"neither declaration nor edit", versionChange(5, 8, nil, nil), fault.InvalidConfig, false, 5},
+		{"second version", second, "", false, 8},
+		{"competing edit with the same number", versionChange(5, 8, nil, &configuration.Edit{Version: 8, RemoveRoutes: []string{"a"}}), fault.StaleBase, false, 8},
+		{"competing edit with a higher number", versionChange(5, 9, nil, &configuration.Edit{Version: 9, RemoveRoutes: []string{"a"}}), fault.StaleBase, false, 8},
+		{"first version resent after the second", first, "", true, 8},
+		{"second version resent", second, "", true, 8},
+		{"third version", versionChange(8, 20, versionDoc(20, b), nil), "", false, 20},
+		{"second version resent after the third", second, "", true, 20},
 	} {
 		before, revisionBefore := s.Encode(), s.Revision
 		out := s.Apply(uint64(i+1), c.change)
@@ -72,10 +72,11 @@
 			code = out.Fault.Code
 		}
 		if code != c.wantCode || out.Repeated != c.wantRepeated || s.Version() != c.wantVersion {
-			t.Errorf("%s: %q %v, again %v, version %d in force", c.name, code, out.Fault, out.Repeated, s.Version())
+			t.Errorf("%s: got code %q (%v), repeated %v, version %d in force; want code %q, repeated %v, version %d",
+				c.name, code, out.Fault, out.Repeated, s.Version(), c.wantCode, c.wantRepeated, c.wantVersion)
 		}
 		if changed := s.Revision > revisionBefore; changed != (c.wantCode == "" && !c.wantRepeated) {
-			t.Errorf("%s: it changed what is in force: %v", c.name, changed)
+			t.Errorf("%s: declaration in force replaced: got %v, want %v", c.name, changed, !changed)
 		}
 		if c.wantCode != "" {
 			stateBefore, err := Decode(before)
@@ -83,18 +84,20 @@
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(stateBefore.Doc, s.Doc, cmpopts.IgnoreFields(configuration.Declaration{}, "Index")); diff != "" {
-				t.Errorf("%s: refused, and yet %s", c.name, diff)
+				t.Errorf("%s: refused change modified the declaration (-before +after):\n%s", c.name, diff)
 			}
 		}
 		if c.wantRepeated && out.Revision == 0 {
-			t.Errorf("%s: it is not said which version it was", c.name)
+			t.Errorf("%s: repeated outcome has revision 0, want the version that was applied", c.name)
 		}
 	}
 }
 
-// Any edits that are kept lead from their revision to what is in force, a state read back goes on as the one that
-// was written, and of all that build on one version one is taken.
-func TestSeededVersionsFoldAndOneOfEachRaceIsApplied(t *testing.T) {
+// Random versions check three properties:
+//  1. The retained edits lead from their revision to the declaration in force.
+//  2. A decoded state applies changes exactly as the state that was encoded.
+//  3. Of the changes that compete on one base version, exactly one is applied.
+func TestSeededRetainedEditsReproduceDeclarationAndOneCompetingChangeIsApplied(t *testing.T) {
 	ignored := cmp.Options{cmpopts.IgnoreFields(configuration.Declaration{}, "Index"), cmpopts.EquateEmpty()}
 	folds, races := 0, 0
 	for seed := int64(0); seed < 12; seed++ {
@@ -135,7 +138,7 @@
 				index++
 				out, other := s.Apply(index, c), decoded.Apply(index, c)
 				if diff := cmp.Diff(out, other); diff != "" {
-					t.Fatalf("seed %d: a state that was read back judges otherwise: %s", seed, diff)
+					t.Fatalf("seed %d: outcomes of the state and of the decoded state differ (-state +decoded):\n%s", seed, diff)
 				}
 				if out.Fault == nil && !seen[c.ID] {
 					applied++
@@ -144,11 +147,11 @@
 			}
 			if n%10 == 0 {
 				if diff := cmp.Diff(s, decoded, ignored...); diff != "" {
-					t.Fatalf("seed %d: a state that was read back differs: %s", seed, diff)
+					t.Fatalf("seed %d: decoded state differs after the same changes (-state +decoded):\n%s", seed, diff)
 				}
 			}
 			if races++; applied != 1 {
-				t.Fatalf("seed %d: %d of three on top of version %d were taken", seed, applied, base)
+				t.Fatalf("seed %d: changes applied of three based on version %d: got %d, want 1", seed, base, applied)
 			}
 			docByRevision[s.Revision] = s.Doc
 			for from := range docByRevision {
@@ -165,22 +168,23 @@
 					doc = next
 				}
 				if folds++; len(edits) > maxEdits {
-					t.Fatalf("seed %d: %d edits are kept", seed, len(edits))
+					t.Fatalf("seed %d: retained edits: got %d, want at most %d", seed, len(edits), maxEdits)
 				}
 				if diff := cmp.Diff(s.Doc, doc, ignored...); diff != "" {
-					t.Fatalf("seed %d: the edits since revision %d lead elsewhere: %s", seed, from, diff)
+					t.Fatalf("seed %d: edits since revision %d do not lead to the declaration in force (-in force +edited):\n%s",
+						seed, from, diff)
 				}
 			}
 		}
 	}
-	t.Logf("%d races, %d folds", races, folds)
+	t.Logf("%d rounds of competing changes, %d edit sequences checked", races, folds)
 	if folds < 500 {
-		t.Errorf("%d folds: it proves little", folds)
+		t.Errorf("edit sequences checked: got %d, want at least 500", folds)
 	}
 }
 
-// Orders at replicas of a service: room and places count what stands, a unit that goes takes its adapters
-// with it, and what an incarnation has held once comes back from its own disk.
+// For replicas of a service, capacity and the adapter limit count pending commands, unloading a model unloads its adapters,
+// and a model that an incarnation has loaded once is recorded in EverLoaded, as it reloads from the replica's own disk.
 func TestServiceCommandsRespectCapacityAndAdapters(t *testing.T) {
 	s, index := NewState(), uint64(0)
 	applyUpdate := func(d LeaderUpdate) []fault.Fault {
@@ -215,35 +219,38 @@
 			code = faults[0].Code
 		}
 		if code != c.wantCode {
-			t.Fatalf("%s %s: %v, want %q", c.action, c.unit, faults, c.wantCode)
+			t.Fatalf("%s %s: got faults %v, want code %q", c.action, c.unit, faults, c.wantCode)
 		}
 		if code != "" {
 			continue
 		}
 		pending := s.Pending["r"]
 		if c.action == Load && s.ReservedMB("r") < s.Replicas["r"].Resident["m"]+pending.SizeMB {
-			t.Errorf("%s in doubt has lost its room", c.unit)
+			t.Errorf("reserved memory while the load of %s is pending: got %d MB, want at least %d MB",
+				c.unit, s.ReservedMB("r"), s.Replicas["r"].Resident["m"]+pending.SizeMB)
 		}
 		if busy := applyUpdate(LeaderUpdate{Commands: []ReplicaCommand{command(Load, "o")}}); len(busy) != 1 || busy[0].Code != fault.ReplicaBusy {
-			t.Errorf("two orders at once: %v", busy)
+			t.Errorf("second command while one is pending: got faults %v, want code %s", busy, fault.ReplicaBusy)
 		}
 		applyUpdate(LeaderUpdate{Results: []CommandResult{{Number: pending.Number, Succeeded: c.succeeded}}})
 	}
 	want := &Replica{ID: "r", Incarnation: "r", CapacityMB: 100, Slots: 1, Service: "s", Resident: map[string]int64{"o": 30}, EverLoaded: map[string]bool{"m": true, "n": true, "o": true}, NextAttempt: 1}
 	if diff := cmp.Diff(want, s.Replicas["r"], cmpopts.IgnoreFields(Replica{}, "ModifiedIndex")); diff != "" {
-		t.Error(diff)
+		t.Errorf("replica after all commands (-want +got):\n%s", diff)
 	}
 	stale := command(Load, "n")
 	stale.Revision--
 	if faults := applyUpdate(LeaderUpdate{Commands: []ReplicaCommand{stale}}); len(faults) != 1 || faults[0].Code != fault.StaleBase {
-		t.Errorf("proposed under an older revision: %v", faults)
+		t.Errorf("command proposed under an older revision: got faults %v, want code %s", faults, fault.StaleBase)
 	}
 	if faults := applyUpdate(LeaderUpdate{Replicas: []ReplicaUpdate{{ID: "r", Incarnation: "r2", CapacityMB: 100, Slots: 1, Service: "s"}}, Commands: []ReplicaCommand{command(Load, "n")}}); len(faults) != 1 || faults[0].Code != fault.ReplicaUnknown || len(s.Replicas["r"].EverLoaded) != 0 {
-		t.Errorf("for an incarnation that has ended: %v", faults)
+		t.Errorf("command for a former incarnation: got faults %v, models ever loaded %v; want code %s, none",
+			faults, s.Replicas["r"].EverLoaded, fault.ReplicaUnknown)
 	}
 }
 
-// What is in force without a number was not checked as routes are: an edit on top of it has all of it checked.
+// The routes of a declaration without a version are not checked when it comes into force, so an edit of it has the whole
+// result checked.
 func TestEditOfUncheckedDeclarationIsCheckedInFull(t *testing.T) {
 	s := NewState()
 	unchecked := &configuration.Declaration{Services: []configuration.Service{{Name: "s"}}, Routes: []configuration.Route{{
@@ -254,6 +261,6 @@
 	}
 	out := s.Apply(2, Change{ID: "b", Config: &ConfigChange{Version: 1, Edit: &configuration.Edit{Version: 1, Services: []configuration.Service{{Name: "s2"}}}}})
 	if out.Fault == nil {
-		t.Error("a route without a time limit came into force")
+		t.Error("edit of a declaration with a route without a timeout: got no fault, want a refusal")
 	}
 }
--- a/internal/controlplane/statemachine/edits.go
+++ b/internal/controlplane/statemachine/edits.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// maxEdits bounds the retained edits: a gateway that is further behind gets the complete declaration.
+	// maxEdits bounds the number of retained edits. A gateway that is further behind gets the complete declaration.
 	maxEdits = 32
-	// maxEditBytes bounds their size as JSON, so that a snapshot stays small.
+	// maxEditBytes bounds the total size of the retained edits as JSON, which keeps snapshots small.
 	maxEditBytes = 1 << 20
 )
 
@@ -23,7 +23,8 @@
 	Bytes int `json:"bytes"`
 }
 
-// retainEdit adds an edit and drops the oldest beyond the bounds; an edit that is too large itself leaves none.
+// retainEdit appends an edit and drops the oldest ones beyond maxEdits and maxEditBytes. An edit larger than
+// maxEditBytes leaves no edits retained.
 func (s *State) retainEdit(e AppliedEdit) {
 	raw, err := json.Marshal(e.Edit)
 	if err != nil {
@@ -39,7 +40,8 @@
 	s.Edits = slices.Clone(all[from:])
 }
 
-// EditsSince returns the edits that lead from a revision to the one in force; false where not all are retained.
+// EditsSince returns the edits that lead from a revision to the one in force, or false where some of them are no longer
+// retained.
 func (s *State) EditsSince(revision uint64) ([]*configuration.Edit, bool) {
 	edits := []*configuration.Edit{}
 	for _, e := range s.Edits {
--- a/internal/controlplane/statemachine/grants.go
+++ b/internal/controlplane/statemachine/grants.go
@@ -2,7 +2,7 @@
 
 import "petreltide/internal/api/fault"
 
-// maxGrantCount bounds the attempt numbers of one grant, so that a nonsensical request can't use up a replica's.
+// maxGrantCount bounds the attempt numbers in one grant, so that an invalid request can't exhaust a replica's numbers.
 const maxGrantCount = 1 << 20
 
 // GrantRequest asks for the next Count attempt numbers of a replica.
@@ -16,7 +16,8 @@
 	Count uint64 `json:"count"`
 }
 
-// issueGrant replaces the gateway's grant for a model at a replica by the replica's next numbers.
+// issueGrant grants the replica's next attempt numbers, replacing the gateway's previous grant for the model at the
+// replica.
 func (s *State) issueGrant(epoch uint64, request GrantRequest) *fault.Fault {
 	replica := s.Replicas[request.Replica]
 	if replica == nil || replica.Incarnation != request.Incarnation {
@@ -35,7 +36,7 @@
 	return nil
 }
 
-// removeGrants drops all grants at a replica.
+// removeGrants drops all grants for a replica.
 func (s *State) removeGrants(replica string) {
 	for key, g := range s.Grants {
 		if g.Replica == replica {
@@ -44,7 +45,7 @@
 	}
 }
 
-// removeGateway drops the grants and quotas of a gateway that is gone for good.
+// removeGateway drops the grants and quotas of a gateway that was removed.
 func (s *State) removeGateway(id string) {
 	for key, g := range s.Grants {
 		if g.Gateway == id {
--- a/internal/controlplane/statemachine/idempotency_keys.go
+++ b/internal/controlplane/statemachine/idempotency_keys.go
@@ -2,11 +2,11 @@
 
 import "petreltide/internal/api/fault"
 
-// MaxKeys bounds the idempotency keys that are remembered. A full table refuses new keys; it never evicts one early.
+// MaxKeys bounds the number of remembered idempotency keys. A full table refuses new keys and never evicts one early.
 const MaxKeys = 200_000
 
-// applyKey claims, ends or releases a key. A claim's outcome holds the record of whoever has the key, and is Repeated
-// where that is another call.
+// applyKey claims, ends or releases a key. The outcome of a claim holds the record of the call that owns the key, and is
+// Repeated where that is a different call.
 func (s *State) applyKey(out *Outcome, change *KeyChange) {
 	record, claimed := s.Keys[change.Key]
 	own := claimed && record.GatewayIncarnation == change.GatewayIncarnation && record.Call == change.Call
--- a/internal/controlplane/statemachine/leader_update.go
+++ b/internal/controlplane/statemachine/leader_update.go
@@ -2,36 +2,36 @@
 
 import "petreltide/internal/api/fault"
 
-// Claim takes the leadership of the controller under the epoch that follows the state's. Of several claims of one epoch
-// the first in the log wins.
+// Claim claims controller leadership for the epoch that follows the state's. Where several control nodes claim the same
+// epoch, the first claim in the log wins.
 type Claim struct {
-	// Leader is the control node that claims.
+	// Leader is the control node that claims leadership.
 	Leader string `json:"holder"`
 }
 
-// LeaderUpdate is one write of the leading controller: what it knows of replicas, the commands it issues and the
-// results it learnt. Its parts are applied in the order of the code, not of the fields; a part that is refused leaves
-// the others in effect.
+// LeaderUpdate is one write by the leading controller: the replicas it has observed, the commands it issues and the
+// command results it has received. Its parts are applied in the order given by applyLeaderUpdate, not in the order of
+// the fields. A part that is refused does not affect the others.
 type LeaderUpdate struct {
-	// Replicas are those that are new or have changed.
+	// Replicas lists the replicas that are new or have changed.
 	Replicas []ReplicaUpdate `json:"fleet,omitempty"`
-	// RemovedReplicas are the IDs of those that have ended.
+	// RemovedReplicas are the IDs of the replicas that have ended.
 	RemovedReplicas []string `json:"gone,omitempty"`
-	// Commands are to be issued; Number and Epoch are given by the state.
+	// Commands are the commands to issue; the state assigns their Number and Epoch.
 	Commands []ReplicaCommand `json:"tickets,omitempty"`
 	// Results resolve pending commands.
 	Results []CommandResult `json:"settled,omitempty"`
-	// Grants are the attempt numbers that gateways need.
+	// Grants are requests for attempt numbers by gateways.
 	Grants []GrantRequest `json:"grants,omitempty"`
-	// Quotas are the concurrent requests of each gateway, by replica and gateway. They replace those of the replica, unless
-	// their sum exceeds its slots.
+	// Quotas are the numbers of concurrent requests allowed, by replica and gateway. They replace the replica's quotas
+	// unless their sum exceeds its slots.
 	Quotas map[string]map[string]int `json:"shares,omitempty"`
 	// RemovedGateways lose their grants and quotas.
 	RemovedGateways []string `json:"goneDesks,omitempty"`
 	// ForgetKeysBefore is the log index before which idempotency keys are forgotten; 0 forgets none.
 	ForgetKeysBefore uint64 `json:"forgetKeysBefore,omitempty"`
-	// CheckedInView is the view in which the controller has read the platform's list of replicas; 0 says nothing of it.
-	// The state does not keep it: the chain's tail reads it as the entry is applied.
+	// CheckedInView is the view in which the controller read the platform's list of replicas; 0 where it has not read it.
+	// The state does not store it: the chain's tail reads it when it applies the entry.
 	CheckedInView uint64 `json:"checkedInView,omitempty"`
 }
 
@@ -90,7 +90,7 @@
 	out.Faults = rejected.Faults
 }
 
-// setQuotas sets the quotas of known replicas where they fit their slots, and reports whether any did.
+// setQuotas replaces the quotas of each known replica whose slots cover their sum, and reports whether it replaced any.
 func (s *State) setQuotas(byReplica map[string]map[string]int) (changed bool) {
 	for id, quotas := range byReplica {
 		total := 0
--- a/internal/controlplane/statemachine/membership.go
+++ b/internal/controlplane/statemachine/membership.go
@@ -5,7 +5,8 @@
 // MembershipAction is what a MembershipChange does to a control node.
 type MembershipAction string
 
-// The actions of a MembershipChange. MembershipDone is the system's own: the view has carried the change out.
+// The actions of a MembershipChange. MembershipDone is issued by the system itself once the chain's view reflects the
+// change.
 const (
 	AddMember        MembershipAction = "add"
 	ReplaceMember    MembershipAction = "replace"
@@ -14,17 +15,18 @@
 	MembershipDone   MembershipAction = "done"
 )
 
-// MembershipChange is an operator's change of one control node. One at a time is in the state, until the chain's view
-// has carried it out.
+// MembershipChange is an operator's change of one control node. The state holds at most one, until the chain's view
+// reflects it.
 type MembershipChange struct {
 	Action MembershipAction `json:"act"`
-	// Name is the control node; in MembershipDone it is the ID of the change that is done.
+	// Name is the name of the control node; for MembershipDone, the ID of the change that is complete.
 	Name string `json:"name"`
-	// ID is the identity that has to go; empty where none has.
+	// ID is the member ID to remove; empty where the change removes none.
 	ID string `json:"id,omitempty"`
 }
 
-// applyMembership takes one change of members at a time, and remembers each outcome as a configuration's.
+// applyMembership accepts a membership change while no other is in progress. It remembers every outcome, as for
+// configuration changes, except that of MembershipDone.
 func (s *State) applyMembership(out Outcome, c Change) Outcome {
 	change := *c.Membership
 	if change.Action == MembershipDone {
--- a/internal/controlplane/statemachine/outcomes.go
+++ b/internal/controlplane/statemachine/outcomes.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// MaxOutcomes bounds the remembered outcomes of configuration and membership changes. Operators resend within
-	// minutes; a day has hundreds of changes.
+	// MaxOutcomes bounds the remembered outcomes of configuration and membership changes. Operators resend a change within
+	// minutes, and there are hundreds of changes a day.
 	MaxOutcomes = 2_048
-	// MaxEarlyRefusals bounds the refusals that are remembered because the version they build on may still come.
+	// MaxEarlyRefusals bounds the refusals that are remembered because their base version may still come into force.
 	MaxEarlyRefusals = 64
-	// maxRememberedFaults bounds the single faults that a remembered refusal names.
+	// maxRememberedFaults bounds the individual faults listed in a remembered refusal.
 	maxRememberedFaults = 16
 )
 
-// EarlyRefusal is a change that was refused because the version it builds on was not in force yet. A copy of it may
-// still be under way, and must stay refused once that version is in force.
+// EarlyRefusal is the refusal of a change whose base version was not in force yet. A copy of the change may still be in
+// flight, and must also be refused once the base version is in force.
 type EarlyRefusal struct {
 	// Base is the version that the change builds on.
 	Base uint64 `json:"base"`
-	// Outcome is what the change was answered.
+	// Outcome is the outcome that was returned for the change.
 	Outcome Outcome `json:"outcome"`
 }
 
-// rememberedOutcome returns the outcome that a change with this ID had before, or the refusal of one that had it with
-// another content; false where none is remembered.
+// rememberedOutcome returns the remembered outcome of a change with the ID of c, or a refusal where that change had
+// different content. It returns false where no outcome is remembered.
 func (s *State) rememberedOutcome(c Change) (Outcome, bool) {
 	out, seen := s.Outcomes[c.ID]
 	for _, r := range s.EarlyRefusals {
@@ -38,7 +38,7 @@
 	return out.ForContent(c.Digest), seen
 }
 
-// remember keeps an outcome for the same change sent again, with the first of its faults.
+// remember stores an outcome, with at most maxRememberedFaults faults, so that a resent change gets the same answer.
 func (s *State) remember(out Outcome) {
 	if f := out.Fault; f != nil && len(f.Faults) > maxRememberedFaults {
 		short := *f
@@ -50,8 +50,8 @@
 	s.evictOldestOutcome()
 }
 
-// evictOldestOutcome drops the oldest remembered outcome beyond the bound, and keeps the number of a change that was
-// applied in ForgottenVersion.
+// evictOldestOutcome drops the oldest outcome where more than MaxOutcomes are remembered. If that outcome is of an
+// applied configuration change, ForgottenVersion is raised to the change's version or revision.
 func (s *State) evictOldestOutcome() {
 	if len(s.OutcomeIDs) <= MaxOutcomes {
 		return
@@ -64,13 +64,15 @@
 	s.OutcomeIDs = s.OutcomeIDs[1:]
 }
 
-// refuseStaleBase returns the outcome of a change that does not build on what is in force. number is what the change's
-// version would be, had it been applied.
+// refuseStaleBase returns the outcome of a change whose base is not the version or revision in force. number is the
+// version or revision that the change would have produced.
 //
-// The refusal must hold for good, though copies of the change may have come before or may come later. A change that
-// builds on an older version can't be applied any more, as versions only rise. Whether it was applied once is known as
-// long as the remembered outcomes reach back to its number, and is left in doubt otherwise. A change that builds on a
-// version that is still to come is remembered as refused.
+// The refusal must be final, although copies of the change may have arrived before or may arrive later:
+//   - A change with an older base can't be applied any more, as versions only increase. Whether it was applied before is
+//     known as long as the remembered outcomes reach back to number; beyond that the outcome is in doubt.
+//   - A change whose base is not in force yet is remembered as refused. Where MaxEarlyRefusals are remembered already,
+//     the outcome is in doubt.
+//   - A change whose number is not above its base can never be applied, so its refusal needs no record.
 func (s *State) refuseStaleBase(out Outcome, base, current, number uint64) Outcome {
 	out.Fault = fault.New(fault.StaleBase, "base", "based on %d, current is %d", base, current)
 	out.Fault.Revision = current
@@ -87,7 +89,8 @@
 	return out
 }
 
-// dropPassedRefusals forgets the early refusals whose base has been passed: their changes can't be applied any more.
+// dropPassedRefusals drops the early refusals whose base is below the current version or revision: their changes can't
+// be applied any more.
 func (s *State) dropPassedRefusals(current uint64) {
 	if len(s.EarlyRefusals) == 0 {
 		return
--- a/internal/controlplane/statemachine/replicas.go
+++ b/internal/controlplane/statemachine/replicas.go
@@ -8,50 +8,51 @@
 	"petreltide/internal/api/configuration"
 )
 
-// Replica is the record of one incarnation of a replica: where it is, what it can hold, and what it holds.
+// Replica is the record of one incarnation of a replica: its address, its capacity and its resident units.
 type Replica struct {
 	ID string `json:"id"`
-	// Incarnation tells processes apart that followed each other under one ID.
+	// Incarnation distinguishes successive processes with the same ID.
 	Incarnation string `json:"inc"`
 	Addr        string `json:"addr"`
 	Zone        string `json:"zone"`
-	// CapacityMB is the memory for models and adapters.
+	// CapacityMB is the memory for models and adapters, in MB.
 	CapacityMB int64 `json:"roomMb"`
-	// Slots is how many requests it serves at once.
+	// Slots is the maximum number of concurrent requests.
 	Slots int `json:"slots"`
-	// Draining says that it has had notice of its end: it gets no more to load.
+	// Draining reports that the replica was notified of its shutdown; it gets no further loads.
 	Draining bool `json:"leaving,omitempty"`
-	// RemainingMs is how long a draining replica stays, in ms from when that was written; 0 where it is not known.
+	// RemainingMs is the time in ms, from when the record was written, until a draining replica ends; 0 where unknown.
 	RemainingMs int64 `json:"leftMs,omitempty"`
-	// Unreachable says that the controller has not heard from it for too long.
+	// Unreachable reports that the replica's heartbeats to the controller are overdue.
 	Unreachable bool `json:"dark,omitempty"`
-	// Service is the service it belongs to; empty for replicas of the platform's list, which belong to none.
+	// Service is the service that the replica belongs to; empty for replicas from the platform's list, which belong to none.
 	Service string `json:"service,omitempty"`
-	// Resident are the models, and adapters as "model/adapter", that it holds, with their size in MB.
+	// Resident maps each loaded model, and each loaded adapter as "model/adapter", to its size in MB.
 	Resident map[string]int64 `json:"holds"`
-	// ModifiedIndex is the entry that last changed this record.
+	// ModifiedIndex is the log index of the entry that last changed this record.
 	ModifiedIndex uint64 `json:"index,omitempty"`
-	// CommandsAccepted is how many commands this incarnation had taken when it held just Resident; nil where that is not known.
+	// CommandsAccepted is the number of commands this incarnation had accepted when Resident was current; nil where unknown.
 	CommandsAccepted *uint64 `json:"orders,omitempty"`
-	// EverLoaded are the models that this incarnation has held at some time: they come back from its own disk.
+	// EverLoaded are the models that this incarnation has loaded before; it reloads them from its own disk.
 	EverLoaded map[string]bool `json:"had,omitempty"`
-	// NextAttempt is the first attempt number that is not granted yet.
+	// NextAttempt is the lowest attempt number that is not granted yet.
 	NextAttempt uint64 `json:"nextLeg"`
-	// Quotas are the concurrent requests that each gateway may have here. Their sum is at most Slots.
+	// Quotas maps each gateway to the concurrent requests it may have at this replica. Their sum was at most Slots when they
+	// were set.
 	Quotas map[string]int `json:"shares,omitempty"`
 }
 
-// newReplica returns the record of an incarnation of which nothing else is known.
+// newReplica returns the initial record of an incarnation.
 func newReplica(id, incarnation string) *Replica {
 	return &Replica{ID: id, Incarnation: incarnation, Resident: map[string]int64{}, NextAttempt: 1}
 }
 
-// AcceptsLoads reports whether a replica may be given more to load under a declaration, which may be nil.
+// AcceptsLoads reports whether load commands may be issued to the replica under a declaration, which may be nil.
 func (r *Replica) AcceptsLoads(declaration *configuration.Declaration) bool {
 	return !r.Draining && !r.Unreachable && r.Incarnation != "" && (declaration == nil || !declaration.IsDrained(r.Zone))
 }
 
-// ReplicaUpdate is what the leader has learnt of a replica. An incarnation that is not the known one replaces its record.
+// ReplicaUpdate is the leader's observation of a replica. An update with a new incarnation replaces the replica's record.
 type ReplicaUpdate struct {
 	ID          string `json:"id"`
 	Incarnation string `json:"inc"`
@@ -63,20 +64,20 @@
 	RemainingMs int64  `json:"leftMs,omitempty"`
 	Unreachable bool   `json:"dark,omitempty"`
 	Service     string `json:"service,omitempty"`
-	// ResidentKnown says that Resident and CommandsAccepted count; without it what the replica holds stays as it is recorded.
+	// ResidentKnown reports that Resident and CommandsAccepted are valid; otherwise the recorded ones are kept.
 	ResidentKnown bool           `json:"told,omitempty"`
 	Resident      []ResidentUnit `json:"holds,omitempty"`
-	// CommandsAccepted is how many commands it had taken when it held just Resident; nil where that is not known.
+	// CommandsAccepted is the number of commands accepted when Resident was current; nil where unknown.
 	CommandsAccepted *uint64 `json:"orders,omitempty"`
 }
 
-// ReplicaIDs returns the IDs of all replicas in order.
+// ReplicaIDs returns the sorted IDs of all replicas.
 func (s *State) ReplicaIDs() []string {
 	return slices.Sorted(maps.Keys(s.Replicas))
 }
 
-// ReservedMB returns the memory of a replica that is used or may be used: a load in doubt keeps its memory, and an
-// unload gives its memory back only once its result is known.
+// ReservedMB returns the memory of a replica, in MB, that is or may be in use. A pending load reserves its memory, and an
+// unload frees its memory only once its result is known.
 func (s *State) ReservedMB(replica string) int64 {
 	r := s.Replicas[replica]
 	if r == nil {
@@ -94,7 +95,7 @@
 	return sumMB
 }
 
-// upsertReplica writes down what the leader has learnt of a replica.
+// upsertReplica creates or updates the record of a replica from the leader's observation.
 func (s *State) upsertReplica(update ReplicaUpdate) {
 	r := s.Replicas[update.ID]
 	if r == nil {
@@ -114,7 +115,7 @@
 	}
 }
 
-// removeReplica drops a replica with its pending command and its grants.
+// removeReplica drops a replica, its pending command and its grants.
 func (s *State) removeReplica(id string) {
 	delete(s.Replicas, id)
 	if _, pending := s.Pending[id]; pending {
@@ -124,7 +125,7 @@
 	s.removeGrants(id)
 }
 
-// setResident replaces what a replica holds, and after how many commands, where that is known.
+// setResident replaces the resident units and the number of commands accepted, which is nil where unknown.
 func (r *Replica) setResident(units []ResidentUnit, commandsAccepted *uint64) {
 	r.Resident, r.CommandsAccepted = map[string]int64{}, commandsAccepted
 	for _, unit := range units {
@@ -133,7 +134,7 @@
 	}
 }
 
-// recordLoaded remembers that a replica of a service has held a model; adapters are not remembered.
+// recordLoaded adds a model to EverLoaded for a replica of a service. Adapters are not recorded.
 func (r *Replica) recordLoaded(unit string) {
 	if r.Service == "" || strings.Contains(unit, "/") {
 		return
--- a/internal/controlplane/statemachine/state_test.go
+++ b/internal/controlplane/statemachine/state_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	out := s.Apply(s.Index+1, c)
 	if out.Fault != nil || len(out.Faults) > 0 {
-		t.Fatalf("%s: %v %v", c.ID, out.Fault, out.Faults)
+		t.Fatalf("change %s: got fault %v, part faults %v; want none", c.ID, out.Fault, out.Faults)
 	}
 	return out
 }
@@ -51,25 +51,25 @@
 	s := newReadyState(t)
 	mustApply(t, s, loadCommand("r0", "a"))
 	if got := code(s.Apply(s.Index+1, loadCommand("r0", "b"))); got != fault.ReplicaBusy {
-		t.Fatalf("a second order got %q", got)
+		t.Fatalf("second command at a replica: got code %q, want %q", got, fault.ReplicaBusy)
 	}
 	mustApply(t, s, loadCommand("r1", "a"))
 	if got := code(s.Apply(s.Index+1, loadCommand("r2", "a"))); got != fault.StoreRateLimited {
-		t.Fatalf("a third load got %q", got)
+		t.Fatalf("third load with a store that serves two: got code %q, want %q", got, fault.StoreRateLimited)
 	}
 	mustApply(t, s, Change{ID: "d", Epoch: 1, LeaderUpdate: &LeaderUpdate{Results: []CommandResult{{Number: 1, Succeeded: true}, {Number: 2}}}})
 	if diff := cmp.Diff(map[string]int64{"a": 60}, s.Replicas["r0"].Resident); diff != "" {
-		t.Fatal(diff)
+		t.Fatalf("units at r0 after its load (-want +got):\n%s", diff)
 	}
 	if got := code(s.Apply(s.Index+1, loadCommand("r0", "b"))); got != fault.InsufficientCapacity {
-		t.Fatalf("beyond room got %q", got)
+		t.Fatalf("load beyond the capacity: got code %q, want %q", got, fault.InsufficientCapacity)
 	}
 	mustApply(t, s, Change{ID: "u", Epoch: 1, LeaderUpdate: &LeaderUpdate{Commands: []ReplicaCommand{{Replica: "r0", Incarnation: "i", Revision: 1, Action: Unload, Unit: "a"}}}})
 	if s.ReservedMB("r0") != 60 {
-		t.Fatal("an unconfirmed unload gave its room back")
+		t.Fatalf("reserved memory while an unload is pending: got %d MB, want 60 MB", s.ReservedMB("r0"))
 	}
 	if len(s.Replicas["r1"].Resident) != 0 {
-		t.Fatal("a failed load is held")
+		t.Fatalf("units at r1 after a failed load: got %v, want none", s.Replicas["r1"].Resident)
 	}
 }
 
@@ -77,13 +77,13 @@
 	s := newReadyState(t)
 	mustApply(t, s, Change{ID: "claim2", Epoch: 2, Claim: &Claim{Leader: "two"}})
 	if got := code(s.Apply(s.Index+1, loadCommand("r0", "a"))); got != fault.StaleEpoch {
-		t.Fatalf("a frozen controller's ticket got %q", got)
+		t.Fatalf("command of a former leader: got code %q, want %q", got, fault.StaleEpoch)
 	}
 	if got := code(s.Apply(s.Index+1, Change{ID: "claim2b", Epoch: 2, Claim: &Claim{Leader: "one"}})); got != fault.StaleEpoch {
-		t.Fatalf("a second claim of one epoch got %q", got)
+		t.Fatalf("second claim of an epoch: got code %q, want %q", got, fault.StaleEpoch)
 	}
 	if s.Leader != "two" || len(s.Pending) != 0 {
-		t.Fatal("a refused write took effect")
+		t.Fatalf("after refused changes: got leader %q, %d pending commands; want two, none", s.Leader, len(s.Pending))
 	}
 }
 
@@ -97,14 +97,14 @@
 	mustApply(t, s, Change{ID: "g2", Epoch: 1, LeaderUpdate: &LeaderUpdate{Grants: []GrantRequest{request("x", 10)}, RemovedGateways: []string{"y"}}})
 	second := s.Grants[Grant{Gateway: "x", Replica: "r0", Model: "a"}.Key()]
 	if first.To > second.From || second.From < 16 || first.Number == second.Number {
-		t.Fatalf("%+v then %+v", first, second)
+		t.Fatalf("grants overlap or share a number: got %+v, then %+v", first, second)
 	}
 	if _, kept := s.Grants[Grant{Gateway: "y", Replica: "r0", Model: "a"}.Key()]; kept {
-		t.Fatal("a gone gateway keeps its grant")
+		t.Fatal("removed gateway y still has a grant")
 	}
 	mustApply(t, s, Change{ID: "n2", Epoch: 1, LeaderUpdate: &LeaderUpdate{Replicas: []ReplicaUpdate{{ID: "r0", Incarnation: "new", CapacityMB: 100, Slots: 4}}}})
 	if len(s.Grants) != 0 {
-		t.Fatal("grants outlive the replica they were for")
+		t.Fatalf("grants after the incarnation of r0 was replaced: got %v, want none", s.Grants)
 	}
 }
 
@@ -114,11 +114,12 @@
 	won := mustApply(t, s, Change{ID: "x", Config: &ConfigChange{Base: 1, Doc: doc}})
 	lost := s.Apply(s.Index+1, Change{ID: "y", Config: &ConfigChange{Base: 1, Doc: doc}})
 	if code(lost) != fault.StaleBase || lost.Fault.Revision != 2 || s.Revision != 2 {
-		t.Fatalf("%+v", lost)
+		t.Fatalf("second change on one base: got %+v at revision %d, want code %q at revision 2", lost, s.Revision, fault.StaleBase)
 	}
 	resent := s.Apply(s.Index+1, Change{ID: "x", Config: &ConfigChange{Base: 1, Doc: doc}})
 	if !resent.Repeated || resent.Revision != won.Revision || s.Revision != 2 {
-		t.Fatalf("the same change again: %+v", resent)
+		t.Fatalf("applied change resent: got %+v at revision %d, want a repeated outcome with revision %d",
+			resent, s.Revision, won.Revision)
 	}
 }
 
@@ -128,24 +129,24 @@
 		return s.Apply(s.Index+1, Change{ID: call, Key: &KeyChange{Key: key, Gateway: "d", GatewayIncarnation: "i", Call: call}})
 	}
 	if out := claim("k", "one"); out.Repeated || out.Key == nil {
-		t.Fatalf("%+v", out)
+		t.Fatalf("first claim: got %+v, want a new key record", out)
 	}
 	if out := claim("k", "one"); out.Repeated {
-		t.Fatal("a gateway's own claim, sent again, must not look like another's")
+		t.Fatalf("call's own claim resent: got %+v, want an outcome that is not repeated", out)
 	}
 	if out := claim("k", "two"); !out.Repeated || out.Key.Call != "one" {
-		t.Fatalf("%+v", out)
+		t.Fatalf("claim by another call: got %+v, want a repeated outcome with the record of call one", out)
 	}
 	s.Apply(s.Index+1, Change{ID: "e", Key: &KeyChange{Key: "k", Gateway: "d", GatewayIncarnation: "i", Call: "one", End: "yes"}})
 	s.Apply(s.Index+1, Change{ID: "f", Key: &KeyChange{Key: "k", Gateway: "d", GatewayIncarnation: "i", Call: "one", Release: true}})
 	if out := claim("k", "three"); !out.Repeated || out.Key.Ended != "yes" {
-		t.Fatal("an ended key was freed")
+		t.Fatalf("claim of an ended key after its release: got %+v, want a repeated outcome, ended \"yes\"", out)
 	}
 	for i := len(s.Keys); i < MaxKeys; i++ {
 		s.Keys[fmt.Sprint("x", i)] = KeyRecord{}
 	}
 	if out := claim("new", "four"); code(out) != fault.KeysFull {
-		t.Fatalf("a full table took a key: %+v", out)
+		t.Fatalf("claim on a full key table: got %+v, want code %q", out, fault.KeysFull)
 	}
 }
 
@@ -157,7 +158,7 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(s, decoded); diff != "" {
-		t.Fatal(diff)
+		t.Fatalf("decoded state differs (-state +decoded):\n%s", diff)
 	}
 }
 
@@ -166,7 +167,8 @@
 	for _, revision := range []uint64{0, 2} {
 		out := s.Apply(s.Index+1, Change{ID: "t", Epoch: 1, LeaderUpdate: &LeaderUpdate{Commands: []ReplicaCommand{{Replica: "r0", Incarnation: "i", Revision: revision, Action: Load, Unit: "a"}}}})
 		if len(out.Faults) != 1 || out.Faults[0].Code != fault.StaleBase || len(s.Pending) != 0 {
-			t.Fatalf("revision %d: %+v, pending %v", revision, out.Faults, s.Pending)
+			t.Fatalf("command under revision %d: got faults %+v, pending %v; want one fault with code %s, none pending",
+				revision, out.Faults, s.Pending, fault.StaleBase)
 		}
 	}
 }
--- a/internal/controlplane/statemachine/tenants_test.go
+++ b/internal/controlplane/statemachine/tenants_test.go
@@ -16,7 +16,7 @@
 	"petreltide/internal/api/fault"
 )
 
-// versionTenant is a tenant with the operator's own text of it, as it is to be read back.
+// versionTenant returns a tenant whose Source is the operator's source text, including the keys.
 func versionTenant(name string, keys ...string) configuration.Tenant {
 	source, err := json.Marshal(map[string]any{"name": name, "keys": keys})
 	if err != nil {
@@ -39,9 +39,9 @@
 	return &configuration.Edit{Version: version, Tenants: tenants}
 }
 
-// A configuration whose tenants are invalid, that names an old version or lost its race leaves the tenants as they are,
-// however it comes and however often.
-func TestRefusedTenantsAreNeverInForce(t *testing.T) {
+// A refused configuration leaves the tenants in force unchanged, whether its tenants are invalid, its number is old or its
+// base is stale, for complete declarations and for edits, and also when it is resent.
+func TestRefusedConfigurationLeavesTenantsUnchanged(t *testing.T) {
 	one, two := versionTenant("one", "k1", "k2"), versionTenant("two", "k3")
 	negative := versionTenant("one", "k1")
 	negative.RatePerSecond = -1
@@ -53,26 +53,26 @@
 		change Change
 		code   fault.Code
 	}{
-		"whole, two tenants share a key":            {versionChange(5, 8, tenantsDoc(8, one, versionTenant("two", "k3", "k1")), nil), fault.InvalidConfig},
-		"whole, a tenant is named twice":            {versionChange(5, 8, tenantsDoc(8, one, versionTenant("one", "k9")), nil), fault.InvalidConfig},
-		"whole, a rate below 0":                     {versionChange(5, 8, tenantsDoc(8, negative, two), nil), fault.InvalidConfig},
-		"whole, under the number in force":          {versionChange(5, 5, tenantsDoc(5, two), nil), fault.InvalidConfig},
-		"whole, under an older number":              {versionChange(5, 4, tenantsDoc(4, two), nil), fault.InvalidConfig},
-		"whole, on top of another version":          {versionChange(3, 8, tenantsDoc(8, two), nil), fault.StaleBase},
-		"edit, a key that another tenant holds":     {versionChange(5, 8, nil, tenantsEdit(8, versionTenant("two", "k2"))), fault.InvalidConfig},
-		"edit, two new tenants share a key":         {versionChange(5, 8, nil, tenantsEdit(8, versionTenant("x", "k9"), versionTenant("y", "k9"))), fault.InvalidConfig},
-		"edit, a tenant is named twice":             {versionChange(5, 8, nil, tenantsEdit(8, versionTenant("x", "k8"), versionTenant("x", "k9"))), fault.InvalidConfig},
-		"edit, a tenant without a name":             {versionChange(5, 8, nil, tenantsEdit(8, versionTenant("", "k9"))), fault.InvalidConfig},
-		"edit, under the number in force":           {versionChange(5, 5, nil, tenantsEdit(5, versionTenant("one"))), fault.InvalidConfig},
-		"edit, under an older number":               {versionChange(5, 2, nil, tenantsEdit(2, versionTenant("one"))), fault.InvalidConfig},
-		"edit, on top of another version":           {versionChange(4, 8, nil, tenantsEdit(8, versionTenant("one"))), fault.StaleBase},
-		"edit, a sound tenant beside a wrong route": {versionChange(5, 8, nil, &configuration.Edit{Version: 8, Tenants: []configuration.Tenant{versionTenant("one")}, Routes: []configuration.Route{versionRoute("b", 1, "none")}}), fault.InvalidConfig},
+		"declaration, two tenants share a key": {versionChange(5, 8, tenantsDoc(8, one, versionTenant("two", "k3", "k1")), nil), fault.InvalidConfig},
+		"declaration, duplicate tenant name":   {versionChange(5, 8, tenantsDoc(8, one, versionTenant("one", "k9")), nil), fault.InvalidConfig},
+		"declaration, negative rate":           {versionChange(5, 8, tenantsDoc(8, negative, two), nil), fault.InvalidConfig},
+		"declaration, number in force":         {versionChange(5, 5, tenantsDoc(5, two), nil), fault.InvalidConfig},
+		"declaration, older number":            {versionChange(5, 4, tenantsDoc(4, two), nil), fault.InvalidConfig},
+		"declaration, stale base":              {versionChange(3, 8, tenantsDoc(8, two), nil), fault.StaleBase},
+		"edit, key of another tenant":          {versionChange(5, 8, nil, tenantsEdit(8, versionTenant("two", "k2"))), fault.InvalidConfig},
+		"edit, two new tenants share a key":    {versionChange(5, 8, nil, tenantsEdit(8, versionTenant("x", "k9"), versionTenant("y", "k9"))), fault.InvalidConfig},
+		"edit, duplicate tenant name":          {versionChange(5, 8, nil, tenantsEdit(8, versionTenant("x", "k8"), versionTenant("x", "k9"))), fault.InvalidConfig},
+		"edit, tenant without a name":          {versionChange(5, 8, nil, tenantsEdit(8, versionTenant("", "k9"))), fault.InvalidConfig},
+		"edit, number in force":                {versionChange(5, 5, nil, tenantsEdit(5, versionTenant("one"))), fault.InvalidConfig},
+		"edit, older number":                   {versionChange(5, 2, nil, tenantsEdit(2, versionTenant("one"))), fault.InvalidConfig},
+		"edit, stale base":                     {versionChange(4, 8, nil, tenantsEdit(8, versionTenant("one"))), fault.StaleBase},
+		"edit, valid tenant and invalid route": {versionChange(5, 8, nil, &configuration.Edit{Version: 8, Tenants: []configuration.Tenant{versionTenant("one")}, Routes: []configuration.Route{versionRoute("b", 1, "none")}}), fault.InvalidConfig},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for range 2 {
 				out := s.Apply(s.Index+1, c.change)
 				if out.Fault == nil || out.Fault.Code != c.code {
-					t.Errorf("%v, want %s", out.Fault, c.code)
+					t.Errorf("got fault %v, want code %s", out.Fault, c.code)
 				}
 				decoded, err := Decode(s.Encode())
 				if err != nil {
@@ -80,7 +80,8 @@
 				}
 				for _, s := range []*State{s, decoded} {
 					if diff := cmp.Diff([]configuration.Tenant{one, two}, s.Doc.Tenants); diff != "" || s.Version() != 5 || s.Revision != 1 {
-						t.Errorf("version %d, revision %d: %s", s.Version(), s.Revision, diff)
+						t.Errorf("after the refusal: got version %d, revision %d, want version 5, revision 1; tenants (-want +got):\n%s",
+							s.Version(), s.Revision, diff)
 					}
 				}
 			}
@@ -88,9 +89,12 @@
 	}
 }
 
-// Any changes of tenants lead to what their operators mean, are refused where two tenants would share a key, and are the
-// same for a state that was read back and for a gateway that has only the edits, without any key.
-func TestSeededChangesOfTenantsFoldSurviveAndShareNoKey(t *testing.T) {
+// Random changes of tenants check four properties:
+//  1. An applied change leads to the tenants and keys that it describes.
+//  2. A change is refused exactly where two tenants would share a key.
+//  3. A decoded state gives the same result.
+//  4. A gateway that applies only the edits gets the same tenants, and no edit sent to gateways contains a key.
+func TestSeededTenantChangesSurviveEditsAndDecodingAndShareNoKey(t *testing.T) {
 	ignored := cmp.Options{cmpopts.IgnoreFields(configuration.Declaration{}, "Index"), cmpopts.EquateEmpty()}
 	names, keys := []string{"t1", "t2", "t3", "t4", "t5"}, []string{"k1", "k2", "k3", "k4", "k5", "k6", "k7", "k8", "k9"}
 	applied, refused, editedTenants, folds := 0, 0, 0, 0
@@ -137,10 +141,10 @@
 			}
 			out, other := s.Apply(s.Index+1, change), decoded.Apply(s.Index, change)
 			if diff := cmp.Diff(out, other); diff != "" {
-				t.Fatalf("seed %d: a state that was read back judges otherwise: %s", seed, diff)
+				t.Fatalf("seed %d: outcomes of the state and of the decoded state differ (-state +decoded):\n%s", seed, diff)
 			}
 			if (out.Fault != nil) != shared {
-				t.Fatalf("seed %d: %v, two tenants share a key: %v in %v", seed, out.Fault, shared, want)
+				t.Fatalf("seed %d: got fault %v, want a refusal: %v, for keys %v", seed, out.Fault, shared, want)
 			}
 			if shared {
 				refused++
@@ -162,7 +166,7 @@
 					got[tenant.Name] = source.Keys
 				}
 				if diff := cmp.Diff(keysByTenant, got, ignored...); diff != "" {
-					t.Fatalf("seed %d, version %d: %s", seed, s.Version(), diff)
+					t.Fatalf("seed %d, version %d: keys by tenant (-want +got):\n%s", seed, s.Version(), diff)
 				}
 				doc := s.Doc.Indexed()
 				for _, key := range keys {
@@ -171,7 +175,8 @@
 						holder = tenant.Name
 					}
 					if holder != tenantWithKey(keysByTenant, key) {
-						t.Fatalf("seed %d, version %d: %s is held by %q, want %q", seed, s.Version(), key, holder, tenantWithKey(keysByTenant, key))
+						t.Fatalf("seed %d, version %d: tenant of key %s: got %q, want %q",
+							seed, s.Version(), key, holder, tenantWithKey(keysByTenant, key))
 					}
 				}
 			}
@@ -184,7 +189,7 @@
 				for _, e := range edits {
 					bare := e.WithoutSource()
 					if raw, _ := json.Marshal(bare); slices.ContainsFunc(keys, func(key string) bool { return strings.Contains(string(raw), `"`+key+`"`) }) {
-						t.Fatalf("seed %d: a key goes to gateways: %s", seed, raw)
+						t.Fatalf("seed %d: edit for gateways contains a key: %s", seed, raw)
 					}
 					next, invalid := doc.Apply(bare)
 					if invalid != nil {
@@ -195,14 +200,15 @@
 				}
 				folds++
 				if diff := cmp.Diff(s.Doc.WithoutSource(), doc, ignored...); diff != "" {
-					t.Fatalf("seed %d: the edits since revision %d lead elsewhere: %s", seed, from, diff)
+					t.Fatalf("seed %d: edits since revision %d do not lead to the declaration in force (-in force +edited):\n%s",
+						seed, from, diff)
 				}
 			}
 		}
 	}
-	t.Logf("%d taken, %d refused, %d folds of %d tenants", applied, refused, folds, editedTenants)
+	t.Logf("%d changes applied, %d refused, %d edit sequences with %d tenants checked", applied, refused, folds, editedTenants)
 	if applied < 300 || refused < 100 || folds < 500 {
-		t.Errorf("%d taken, %d refused, %d folds: it proves little", applied, refused, folds)
+		t.Errorf("got %d changes applied, %d refused, %d edit sequences checked; want at least 300, 100, 500", applied, refused, folds)
 	}
 }
 
@@ -215,15 +221,15 @@
 	return ""
 }
 
-// The outcome of a change of tenants names no key, so that no answer, log line or snapshot repeats one.
-func TestRefusalsOfTenantsNameNoKey(t *testing.T) {
+// The outcome of a change of tenants contains no key, so no response, log line or snapshot of it discloses one.
+func TestTenantRefusalContainsNoKey(t *testing.T) {
 	s := NewState()
 	s.Apply(1, versionChange(0, 1, tenantsDoc(1, versionTenant("one", "secret-1")), nil))
 	out := s.Apply(2, versionChange(1, 2, nil, tenantsEdit(2, versionTenant("two", "secret-1"))))
 	if out.Fault == nil {
-		t.Fatal("a shared key was taken")
+		t.Fatal("edit with a key of another tenant: got no fault, want a refusal")
 	}
 	if text := fmt.Sprint(out.Fault, out); strings.Contains(text, "secret") || strings.Contains(text, configuration.KeyDigest("secret-1")) {
-		t.Errorf("%s", text)
+		t.Errorf("outcome contains a key or its digest: %s", text)
 	}
 }
