--- a/internal/controlplane/controlnode/handlers.go
+++ b/internal/controlplane/controlnode/handlers.go
@@ -14,6 +14,7 @@
 	"petreltide/internal/process/rpc"
 )
 
+// handler returns the handler of the RPCs of gateways and control nodes and of the operators' HTTP API.
 func (h *Host) handler() http.Handler {
 	mux := http.NewServeMux()
 	rpc.Serve(mux, rpc.BatchPath, func(_ context.Context, p *peering.Batch) (*wire.Ack, error) {
@@ -22,12 +23,12 @@
 		}
 		return &wire.Ack{}, nil
 	})
-	rpc.Serve(mux, rpc.WherePath, func(ctx context.Context, ask *wire.MembershipRequest) (*wire.MembershipResponse, error) {
-		where, ran := actor.Ask(ctx, h.actor, h.membership)
+	rpc.Serve(mux, rpc.WherePath, func(ctx context.Context, request *wire.MembershipRequest) (*wire.MembershipResponse, error) {
+		membership, ran := actor.Ask(ctx, h.actor, h.membership)
 		if !ran {
 			return nil, fault.New(fault.NotServing, "", "stopping")
 		}
-		return &where, nil
+		return &membership, nil
 	})
 	rpc.Serve(mux, rpc.SubmitPath, func(ctx context.Context, c *statemachine.Change) (*wire.Result, error) {
 		result, ok := h.Submit(ctx, *c, submitTimeout)
@@ -103,6 +104,7 @@
 	_ = enc.Encode(v)
 }
 
+// writeFault writes a fault as JSON, with the HTTP status of its code.
 func writeFault(w http.ResponseWriter, f *fault.Fault) {
 	status := http.StatusUnprocessableEntity
 	switch f.Code {
--- a/internal/dataplane/scheduling/routed.go
+++ b/internal/dataplane/scheduling/routed.go
@@ -60,8 +60,7 @@
 	crossZoneMs = 1.5
 	// initialServiceMs is the time to first byte (ms) assumed for a replica without an engine before any was observed.
 	initialServiceMs = 30.0
-	// maxAffinity is not used.
-	maxAffinity = 0.6
+	maxAffinity      = 0.6 // not used
 	// maxCachedSegments bounds the segment hashes kept for one replica; when it is exceeded, all are dropped.
 	maxCachedSegments = 4096
 )
@@ -215,12 +214,13 @@
 		return false
 	}
 	route, r := s.Declaration.Route(st.Call.Kind), s.Replicas[st.Replica]
-	return route != nil && r != nil && r.Incarnation == st.Incarnation && !r.Draining && route.SendsTo(r.Service) && s.Declaration.Allows(route, st.Call.Routed.Tenant)
+	return route != nil && r != nil && r.Incarnation == st.Incarnation && !r.Draining && route.SendsTo(r.Service) &&
+		s.Declaration.Allows(route, st.Call.Routed.Tenant)
 }
 
 // reportRouted adds this gateway's state on the routed platform to a report: rejected calls that will be retried, attempt
 // outcomes, and for each replica the open attempts and those of them that still wait for a first byte. It also drops
-// expired admission samples and the statistics of replicas that are gone.
+// expired admission samples and the statistics of replicas that are no longer in the snapshot.
 func (d *Decider) reportRouted(rep *wire.Report) {
 	d.reportReturning(rep)
 	d.admission.prune(d.nowUs)
