--- a/internal/controlplane/controlnode/core.go
+++ b/internal/controlplane/controlnode/core.go
@@ -116,7 +116,7 @@
 	switch event := event.(type) {
 	case SubscribeUpdates:
 		c.Updates.SetActive(nowUs, c.Node.IsTailReady(nowUs))
-		c.Updates.Follow(nowUs, *event.Request)
+		c.Updates.Subscribe(nowUs, *event.Request)
 	case GatewayReport:
 		c.handleGatewayReport(nowUs, event)
 	case ReplicaHeartbeat:
@@ -124,9 +124,9 @@
 	case ReplicaDeregistration:
 		c.handleReplicaDeregistration(nowUs, event.ID, event.ReplyID)
 	case SubscribeFrames:
-		c.soft.FramePublisher.Follow(nowUs, *event.Request)
+		c.soft.FramePublisher.Subscribe(nowUs, *event.Request)
 	case UnsubscribeFrames:
-		c.soft.FramePublisher.Unfollow(event.Gateway, event.Incarnation)
+		c.soft.FramePublisher.Unsubscribe(event.Gateway, event.Incarnation)
 	case RoutedGatewayReport:
 		c.handleRoutedGatewayReport(nowUs, *event.Report)
 	}
--- a/internal/controlplane/controlnode/frames.go
+++ b/internal/controlplane/controlnode/frames.go
@@ -15,7 +15,7 @@
 	}
 	for _, p := range c.soft.FramePublisher.Frames(distribution.FrameInput{
 		NowUs: nowUs, Self: c.Node.Self().ID, State: c.Node.State(), View: c.Node.View(), ControlNodes: c.followableMembers,
-		Committed: c.isInitialized(), Behind: !c.Node.IsUpToDate(nowUs), Registry: c.soft.Registry, Outliers: c.soft.Outliers,
+		Committed: c.isInitialized(), PossiblyStale: !c.Node.IsUpToDate(nowUs), Registry: c.soft.Registry, Outliers: c.soft.Outliers,
 	}) {
 		push := p
 		c.effects = append(c.effects, PushFrame{Push: &push})
--- a/internal/controlplane/controlnode/quota.go
+++ b/internal/controlplane/controlnode/quota.go
@@ -15,7 +15,7 @@
 		c.quota.SetLimits(nowUs, quotaLimits(doc))
 	}
 	view := c.Node.View()
-	c.quota.Observe(nowUs, quota.Role{
+	c.quota.SetRole(nowUs, quota.Role{
 		Counting: c.Node.IsTailReady(nowUs), View: view.Number, Voters: len(view.Voters),
 		Voter: view.Number > 0 && c.Node.Phase() != chain.PhaseFenced && view.IsVoter(c.Node.Self().ID),
 	})
@@ -37,9 +37,9 @@
 // handleQuotaRequest answers a gateway's quota request according to the current role of this control node.
 func (c *Core) handleQuotaRequest(nowUs int64, event QuotaRequested) {
 	c.observeQuota(nowUs)
-	asks := make([]quota.Ask, 0, len(event.Request.Asks))
+	asks := make([]quota.TokenRequest, 0, len(event.Request.Asks))
 	for _, ask := range event.Request.Asks {
-		asks = append(asks, quota.Ask{Tenant: ask.Tenant, Count: ask.Count})
+		asks = append(asks, quota.TokenRequest{Tenant: ask.Tenant, Count: ask.Count})
 	}
 	response := wire.QuotaResponse{View: c.Node.View(), Counting: c.Node.IsTailReady(nowUs), Grants: make([]wire.QuotaGrant, 0, len(asks))}
 	if response.Counting {
--- a/internal/controlplane/distribution/frame_publisher.go
+++ b/internal/controlplane/distribution/frame_publisher.go
@@ -41,8 +41,8 @@
 	// Committed says that State is known to be committed. Before, no declaration and no command is sent.
 	Committed bool
 	// Behind says that newer state may have been committed, as nothing comes from the chain.
-	Behind   bool
-	Registry *registry.Registry
+	PossiblyStale bool
+	Registry      *registry.Registry
 	// Outliers are the newest ejections that this control node knows.
 	Outliers outlier.Table
 }
@@ -89,7 +89,7 @@
 
 // Follow begins a stream, in place of the gateway's last; false where there are too many. A declaration that the gateway
 // already has is not sent again.
-func (p *FramePublisher) Follow(nowUs int64, f wire.SubscribeRequest) bool {
+func (p *FramePublisher) Subscribe(nowUs int64, f wire.SubscribeRequest) bool {
 	if len(p.subscribers) >= maxSubscribers && p.subscribers[f.Gateway] == nil {
 		return false
 	}
@@ -99,7 +99,7 @@
 }
 
 // Unfollow ends the stream of a gateway's process. That of a newer process stays.
-func (p *FramePublisher) Unfollow(gateway, incarnation string) {
+func (p *FramePublisher) Unsubscribe(gateway, incarnation string) {
 	if s := p.subscribers[gateway]; s != nil && s.incarnation == incarnation {
 		delete(p.subscribers, gateway)
 	}
@@ -193,9 +193,9 @@
 
 // delta returns the frame from what was last sent to what is known now; false where it says nothing new.
 func (p *FramePublisher) delta(in FrameInput, stream *streamState) (*wire.Frame, bool) {
-	frame := &wire.Frame{ControlNode: in.Self, CaughtUp: in.Committed, PossiblyStale: in.Behind, GatewayCount: p.liveGateways}
-	changed := stream.committed != in.Committed || stream.behind != in.Behind || stream.liveGateways != p.liveGateways
-	stream.committed, stream.behind, stream.liveGateways = in.Committed, in.Behind, p.liveGateways
+	frame := &wire.Frame{ControlNode: in.Self, CaughtUp: in.Committed, PossiblyStale: in.PossiblyStale, GatewayCount: p.liveGateways}
+	changed := stream.committed != in.Committed || stream.behind != in.PossiblyStale || stream.liveGateways != p.liveGateways
+	stream.committed, stream.behind, stream.liveGateways = in.Committed, in.PossiblyStale, p.liveGateways
 	if in.Committed && in.State.Doc != nil && in.State.Revision > stream.revision {
 		p.addConfiguration(frame, in.State, stream.revision)
 		stream.revision = frame.Revision
@@ -222,7 +222,7 @@
 // fullFrame returns all that this control node knows, as of the delta that the others have just had.
 func (p *FramePublisher) fullFrame(in FrameInput, stream *streamState, subscriber *frameSubscriber) *wire.Frame {
 	view := in.View
-	frame := &wire.Frame{ControlNode: in.Self, Complete: true, CaughtUp: in.Committed, PossiblyStale: in.Behind, View: &view, ControlNodes: slices.Clone(in.ControlNodes), GatewayCount: len(p.Gateways(in.NowUs))}
+	frame := &wire.Frame{ControlNode: in.Self, Complete: true, CaughtUp: in.Committed, PossiblyStale: in.PossiblyStale, View: &view, ControlNodes: slices.Clone(in.ControlNodes), GatewayCount: len(p.Gateways(in.NowUs))}
 	if in.Committed && in.State.Doc != nil && in.State.Revision > subscriber.revision {
 		p.addConfiguration(frame, in.State, subscriber.revision)
 		subscriber.revision = frame.Revision
--- a/internal/controlplane/distribution/frame_publisher_test.go
+++ b/internal/controlplane/distribution/frame_publisher_test.go
@@ -53,8 +53,8 @@
 	for i := range 3 {
 		hear(fmt.Sprint("r", i+1), 1, "m1")
 	}
-	h.Follow(nowUs, wire.SubscribeRequest{Gateway: "main", Incarnation: "i"})
-	h.Follow(nowUs, wire.SubscribeRequest{Gateway: "spare", Incarnation: "i", Standby: true})
+	h.Subscribe(nowUs, wire.SubscribeRequest{Gateway: "main", Incarnation: "i"})
+	h.Subscribe(nowUs, wire.SubscribeRequest{Gateway: "spare", Incarnation: "i", Standby: true})
 	first := frames(0)
 	if len(first) != 2 || !first["main"].Complete || len(first["spare"].Replicas) != 3 || len(first["spare"].Orders.Rows) != 3 {
 		t.Fatal("the first frames are not whole")
@@ -79,7 +79,7 @@
 	if late := frames(400 * clock.Ms); late["spare"] == nil || len(late["spare"].Replicas) != 1 || len(late["spare"].Orders.Rows) != 1 {
 		t.Error("the spare stream was not brought on in its time")
 	}
-	h.Follow(nowUs, wire.SubscribeRequest{Gateway: "late", Incarnation: "i"})
+	h.Subscribe(nowUs, wire.SubscribeRequest{Gateway: "late", Incarnation: "i"})
 	s.Apply(4, statemachine.Change{ID: "f", LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: s.Pending["r1"].Number, Succeeded: true}}}})
 	joined := frames(clock.Ms)
 	if joined["main"] == nil || joined["main"].Orders == nil || joined["main"].Orders.Number != joined["late"].Orders.Number {
@@ -105,7 +105,7 @@
 		return nil
 	}
 	soft.HandleHeartbeat(nowUs, registry.ReplicaStatus{ID: "r2", Service: "s", Addr: "r2", Slots: 4, Seq: 1, Units: []string{"m1"}})
-	h.Follow(nowUs, wire.SubscribeRequest{Gateway: "d", Incarnation: "i"})
+	h.Subscribe(nowUs, wire.SubscribeRequest{Gateway: "d", Incarnation: "i"})
 	if first := frame(0); first == nil || !first.Complete || len(first.Replicas) != 1 || first.Revision != 0 {
 		t.Fatal("the first frame is not what a control node knows that has just started")
 	}
@@ -155,7 +155,7 @@
 		return nil
 	}
 	soft.HandleHeartbeat(nowUs, registry.ReplicaStatus{ID: "r1", Service: "s", Addr: "r1", Slots: 4, Seq: 1, Units: []string{"m1"}})
-	h.Follow(nowUs, wire.SubscribeRequest{Gateway: "d", Incarnation: "i"})
+	h.Subscribe(nowUs, wire.SubscribeRequest{Gateway: "d", Incarnation: "i"})
 	frame(0)
 	soft.Remove(nowUs, "r1")
 	if f := frame(20 * clock.Ms); f == nil || len(f.Replicas) != 1 || !f.Replicas[0].Removed {
--- a/internal/controlplane/distribution/tenants_test.go
+++ b/internal/controlplane/distribution/tenants_test.go
@@ -69,7 +69,7 @@
 		return pushes
 	}
 	for i := range largeGateways {
-		h.Follow(nowUs, wire.SubscribeRequest{Gateway: fmt.Sprint("g", i), Incarnation: "i", Standby: i%2 == 1})
+		h.Subscribe(nowUs, wire.SubscribeRequest{Gateway: fmt.Sprint("g", i), Incarnation: "i", Standby: i%2 == 1})
 	}
 	first := frames()
 	if len(first) != largeGateways {
--- a/internal/controlplane/distribution/update_publisher.go
+++ b/internal/controlplane/distribution/update_publisher.go
@@ -82,7 +82,7 @@
 
 // Follow begins a gateway's stream; false where this control node is not the tail. A process that it does not know may
 // hold a lease of the former tail, which runs for another GatewayLeaseUs at most.
-func (p *UpdatePublisher) Follow(nowUs int64, follow wire.SubscribeRequest) bool {
+func (p *UpdatePublisher) Subscribe(nowUs int64, follow wire.SubscribeRequest) bool {
 	if !p.active {
 		return false
 	}
@@ -163,10 +163,10 @@
 
 // GatewayStatus is one gateway as the status page shows it.
 type GatewayStatus struct {
-	Gateway   string `json:"desk"`
-	Zone      string `json:"zone"`
-	Addr      string `json:"addr"`
-	Following bool   `json:"following"`
+	Gateway    string `json:"desk"`
+	Zone       string `json:"zone"`
+	Addr       string `json:"addr"`
+	Subscribed bool   `json:"following"`
 	// Acked is the number of the newest update that it acknowledged.
 	Acked uint64 `json:"acked"`
 	// LeaseMs is how long its lease still runs, in ms; 0 where it has none.
--- a/internal/controlplane/distribution/update_publisher_test.go
+++ b/internal/controlplane/distribution/update_publisher_test.go
@@ -12,7 +12,7 @@
 func newActivePublisher(s *statemachine.State) *UpdatePublisher {
 	r := NewUpdatePublisher()
 	r.SetActive(1, true)
-	r.Follow(2, wire.SubscribeRequest{Gateway: "front", Incarnation: "i1"})
+	r.Subscribe(2, wire.SubscribeRequest{Gateway: "front", Incarnation: "i1"})
 	return r
 }
 
--- a/internal/controlplane/quota/ledger.go
+++ b/internal/controlplane/quota/ledger.go
@@ -27,7 +27,7 @@
 }
 
 // Ask is a gateway's wish for tokens: one for each request.
-type Ask struct {
+type TokenRequest struct {
 	Tenant string
 	Count  int
 }
@@ -111,7 +111,7 @@
 }
 
 // Observe takes what this control node is now. It is called at every step, so that books that begin anew refill from then on.
-func (l *Ledger) Observe(nowUs int64, role Role) {
+func (l *Ledger) SetRole(nowUs int64, role Role) {
 	l.advance(nowUs)
 	l.role = role
 	l.maxVoters = max(l.maxVoters, role.Voters)
@@ -126,7 +126,7 @@
 
 // Take answers asks by what was observed at this moment. tailUnreachable says that the gateway gets no answer from the tail;
 // without it only the tail grants.
-func (l *Ledger) Take(nowUs int64, tailUnreachable bool, asks []Ask) []Grant {
+func (l *Ledger) Take(nowUs int64, tailUnreachable bool, asks []TokenRequest) []Grant {
 	l.advance(nowUs)
 	grants := make([]Grant, 0, len(asks))
 	for _, ask := range asks {
@@ -135,7 +135,7 @@
 	return grants
 }
 
-func (l *Ledger) take(ask Ask, tailUnreachable bool) Grant {
+func (l *Ledger) take(ask TokenRequest, tailUnreachable bool) Grant {
 	b := l.books[ask.Tenant]
 	count := int64(max(0, ask.Count))
 	if b == nil || !b.declared {
--- a/internal/controlplane/quota/ledger_test.go
+++ b/internal/controlplane/quota/ledger_test.go
@@ -26,7 +26,7 @@
 
 // grantedOf asks for a tenant's tokens alone.
 func grantedOf(l *Ledger, nowUs int64, tailUnreachable bool, count int) int {
-	return l.Take(nowUs, tailUnreachable, []Ask{{Tenant: "t", Count: count}})[0].Granted
+	return l.Take(nowUs, tailUnreachable, []TokenRequest{{Tenant: "t", Count: count}})[0].Granted
 }
 
 func TestOptionsCheckListsAllFaults(t *testing.T) {
@@ -84,24 +84,24 @@
 		startedUs       int64
 		role            Role
 		tailUnreachable bool
-		asks            []Ask
+		asks            []TokenRequest
 		want            []Grant
 	}{
-		{"the tail's young books hold the reserve alone", 0, tail(3), false, []Ask{{"t", 10}}, []Grant{{"t", 6, 10, false}}},
-		{"a young process has none", nowUs - clock.Sec, tail(3), false, []Ask{{"t", 10}}, []Grant{{"t", 0, 10, false}}},
-		{"another member sends it on", 0, member(3), false, []Ask{{"t", 10}}, []Grant{{"t", 0, minRetryMs, false}}},
-		{"another member grants its reserve where the tail is cut off", 0, member(3), true, []Ask{{"t", 4}, {"t", 10}}, []Grant{{"t", 4, 0, false}, {"t", 2, 5100, false}}},
-		{"nothing in the first window of a process", nowUs - 2*clock.Sec, member(3), true, []Ask{{"t", 10}}, []Grant{{"t", 0, 3000, false}}},
-		{"nothing from one without a vote", 0, Role{View: 3, Voters: 5}, true, []Ask{{"t", 10}}, []Grant{{"t", 0, 5000, false}}},
-		{"nothing for a tenant that is not declared", 0, tail(3), false, []Ask{{"u", 1}}, []Grant{{"u", 0, 5000, false}}},
-		{"all for one without a limit at the tail", 0, tail(3), false, []Ask{{"free", 1000}}, []Grant{{"free", 1000, 0, true}}},
-		{"nothing for one without a limit beside the tail, which may know of one", 0, member(3), true, []Ask{{"free", 1000}}, []Grant{{"free", 0, minRetryMs, false}}},
-		{"nothing below nothing", 0, tail(3), true, []Ask{{"t", -3}, {"free", -3}}, []Grant{{"t", 0, 0, false}, {"free", 0, 0, true}}},
+		{"the tail's young books hold the reserve alone", 0, tail(3), false, []TokenRequest{{"t", 10}}, []Grant{{"t", 6, 10, false}}},
+		{"a young process has none", nowUs - clock.Sec, tail(3), false, []TokenRequest{{"t", 10}}, []Grant{{"t", 0, 10, false}}},
+		{"another member sends it on", 0, member(3), false, []TokenRequest{{"t", 10}}, []Grant{{"t", 0, minRetryMs, false}}},
+		{"another member grants its reserve where the tail is cut off", 0, member(3), true, []TokenRequest{{"t", 4}, {"t", 10}}, []Grant{{"t", 4, 0, false}, {"t", 2, 5100, false}}},
+		{"nothing in the first window of a process", nowUs - 2*clock.Sec, member(3), true, []TokenRequest{{"t", 10}}, []Grant{{"t", 0, 3000, false}}},
+		{"nothing from one without a vote", 0, Role{View: 3, Voters: 5}, true, []TokenRequest{{"t", 10}}, []Grant{{"t", 0, 5000, false}}},
+		{"nothing for a tenant that is not declared", 0, tail(3), false, []TokenRequest{{"u", 1}}, []Grant{{"u", 0, 5000, false}}},
+		{"all for one without a limit at the tail", 0, tail(3), false, []TokenRequest{{"free", 1000}}, []Grant{{"free", 1000, 0, true}}},
+		{"nothing for one without a limit beside the tail, which may know of one", 0, member(3), true, []TokenRequest{{"free", 1000}}, []Grant{{"free", 0, minRetryMs, false}}},
+		{"nothing below nothing", 0, tail(3), true, []TokenRequest{{"t", -3}, {"free", -3}}, []Grant{{"t", 0, 0, false}, {"free", 0, 0, true}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := NewLedger(testOptions(), c.startedUs)
 			l.SetLimits(nowUs, limits)
-			l.Observe(nowUs, c.role)
+			l.SetRole(nowUs, c.role)
 			got := l.Take(nowUs, c.tailUnreachable, c.asks)
 			for i := range got {
 				// The slot of the sliding window is up to a sixteenth of the window.
@@ -120,7 +120,7 @@
 func TestLedgerMainBookIsBucket(t *testing.T) {
 	l := NewLedger(testOptions(), 0)
 	l.SetLimits(0, []Limit{{"t", 10, 5}})
-	l.Observe(0, tail(1))
+	l.SetRole(0, tail(1))
 	depth := int(testOptions().depth(Limit{"t", 10, 5}))
 	for _, step := range []struct {
 		nowUs int64
@@ -151,10 +151,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			l := NewLedger(testOptions(), 0)
 			l.SetLimits(0, []Limit{{"t", 10, 5}})
-			l.Observe(0, tail(3))
+			l.SetRole(0, tail(3))
 			nowUs := 3 * testWindowUs
 			for _, role := range c.then {
-				l.Observe(nowUs, role)
+				l.SetRole(nowUs, role)
 			}
 			// Without the reserve of a tail whose books are young.
 			l.role.Voter = false
@@ -209,7 +209,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			l := NewLedger(testOptions(), 0)
 			l.SetLimits(0, []Limit{old})
-			l.Observe(0, tail(3))
+			l.SetRole(0, tail(3))
 			c.play(l)
 			if got := grantedOf(l, nowUs, false, 1000); got != c.want {
 				t.Errorf("%d granted at once, want %d", got, c.want)
@@ -228,7 +228,7 @@
 		limit := Limit{"t", 0.5 + r.Float64()*50, r.Float64() * 60}
 		l := NewLedger(testOptions(), 0)
 		l.SetLimits(0, []Limit{limit})
-		l.Observe(0, tail(1))
+		l.SetRole(0, tail(1))
 		// conforming is a bucket of just the limit; the books are young up to the first window.
 		conforming, nowUs := limit.Burst, testWindowUs+1
 		for range 2000 {
@@ -250,9 +250,9 @@
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			l := NewLedger(testOptions(), 0)
 			l.SetLimits(0, []Limit{{"t", rate, 0}})
-			l.Observe(0, tail(1))
+			l.SetRole(0, tail(1))
 			nowUs := 2 * testWindowUs
-			g := l.Take(nowUs, false, []Ask{{"t", 1000000}})[0]
+			g := l.Take(nowUs, false, []TokenRequest{{"t", 1000000}})[0]
 			if g.RetryMs < minRetryMs || g.RetryMs > testWindowUs/clock.Ms {
 				t.Fatalf("%+v", g)
 			}
@@ -269,19 +269,19 @@
 	most := 0
 	for n := range int64(200) {
 		l.SetLimits(n*clock.Sec, []Limit{{fmt.Sprint("t", n), 1, 1}})
-		l.Observe(n*clock.Sec, tail(1))
+		l.SetRole(n*clock.Sec, tail(1))
 		most = max(most, len(l.books))
 	}
 	if kept := int(forgetWindows*testWindowUs/clock.Sec) + 1; most > kept {
 		t.Errorf("%d books, at most %d tenants were removed within the time", most, kept)
 	}
 	l.SetLimits(200*clock.Sec, nil)
-	l.Observe(200*clock.Sec+forgetWindows*testWindowUs, tail(1))
+	l.SetRole(200*clock.Sec+forgetWindows*testWindowUs, tail(1))
 	if len(l.books) != 0 {
 		t.Errorf("%d books are left", len(l.books))
 	}
 	for n := range 1000 {
-		l.Take(300*clock.Sec, true, []Ask{{fmt.Sprint("unknown", n), 1}})
+		l.Take(300*clock.Sec, true, []TokenRequest{{fmt.Sprint("unknown", n), 1}})
 	}
 	if len(l.books) != 0 {
 		t.Errorf("%d books of tenants that were never declared", len(l.books))
@@ -292,9 +292,9 @@
 	l := NewLedger(testOptions(), 0)
 	l.SetLimits(0, []Limit{{"t", 10, 5}, {"free", 0, 0}, {"gone", 1, 1}})
 	l.SetLimits(0, []Limit{{"t", 10, 5}, {"free", 0, 0}})
-	l.Observe(0, tail(1))
+	l.SetRole(0, tail(1))
 	nowUs := 2 * testWindowUs
-	l.Take(nowUs, false, []Ask{{"t", 20}, {"free", 7}})
+	l.Take(nowUs, false, []TokenRequest{{"t", 20}, {"free", 7}})
 	want := []TenantStatus{
 		{Tenant: "free", Granted: 7},
 		{Tenant: "t", RatePerSecond: 10, Burst: 5, Tokens: 0.65, Granted: 12, Refused: 8, Reserve: 2},
@@ -418,7 +418,7 @@
 				declare(nowUs)
 				trace = append(trace, fmt.Sprintf("%d: %+v", nowUs, s.limits[len(s.limits)-1].limit))
 			}
-			l.Observe(nowUs, tail(1))
+			l.SetRole(nowUs, tail(1))
 			n := grantedOf(l, nowUs, r.Intn(2) == 0, r.Intn(200))
 			s.grant(nowUs, n)
 			trace, granted = append(trace, fmt.Sprintf("%d: %d granted", nowUs, n)), granted+n
--- a/internal/controlplane/quota/model_test.go
+++ b/internal/controlplane/quota/model_test.go
@@ -222,7 +222,7 @@
 		l.countedView = member.view.number
 	}
 	had := l.booksSinceUs
-	l.Observe(m.nowUs, Role{Counting: counting, View: member.view.number, Voter: slices.Contains(member.view.voters, member.id), Voters: len(member.view.voters)})
+	l.SetRole(m.nowUs, Role{Counting: counting, View: member.view.number, Voter: slices.Contains(member.view.voters, member.id), Voters: len(member.view.voters)})
 	if m.plant == plantFullStart && l.booksSinceUs != had {
 		l.booksSinceUs = m.nowUs - 2*m.opts.WindowUs
 	}
--- a/internal/dataplane/controlclient/informer_test.go
+++ b/internal/dataplane/controlclient/informer_test.go
@@ -40,7 +40,7 @@
 }
 
 func (c *core) seen(nowUs int64) distribution.FrameInput {
-	return distribution.FrameInput{NowUs: nowUs, State: c.state, View: membership.View{Number: c.view}, Committed: c.settled, Behind: c.behind, Registry: c.roster, Outliers: c.outliers,
+	return distribution.FrameInput{NowUs: nowUs, State: c.state, View: membership.View{Number: c.view}, Committed: c.settled, PossiblyStale: c.behind, Registry: c.roster, Outliers: c.outliers,
 		ControlNodes: []membership.Member{{ID: "one", Addr: "one"}, {ID: "two", Addr: "two"}}}
 }
 
@@ -91,7 +91,7 @@
 			s.opened++
 			s.asked = e.Open.Request.Revision
 			if c := s.cores[e.Open.Addr]; c != nil && !s.down[e.Open.Addr] {
-				c.hub.Follow(nowUs, e.Open.Request)
+				c.hub.Subscribe(nowUs, e.Open.Request)
 				s.streams[e.Open.Number] = c
 			} else {
 				s.step(nowUs, InformerEvent{Closed: e.Open.Number})
@@ -109,7 +109,7 @@
 
 func (s *screen) hangUp(stream uint64) {
 	if c := s.streams[stream]; c != nil {
-		c.hub.Unfollow(s.m.opts.Gateway, "i")
+		c.hub.Unsubscribe(s.m.opts.Gateway, "i")
 		delete(s.streams, stream)
 	}
 }
--- a/internal/dataplane/gateway/host.go
+++ b/internal/dataplane/gateway/host.go
@@ -146,7 +146,7 @@
 			Outlier:     set.Outlier.Options(), Disable: set.Disable,
 		}),
 		act: actor.New(mailboxCapacity), callers: map[string]*caller{},
-		quota: quota.New(set.Name), admissions: map[string]chan<- quota.Decision{},
+		quota: quota.NewClient(set.Name), admissions: map[string]chan<- quota.Decision{},
 		streams: map[uint64]context.CancelFunc{}, declared: make(chan struct{}), news: newBroadcast(), maxLookupHoldUs: maxLookupHoldUs, Memory: &MemoryLimit{MaxBytes: int64(set.MemoryMB) << 20 / memoryDivisor},
 	}
 	opts := controlclient.Options{Gateway: set.Name, Incarnation: incarnation, Addr: set.Advertise, Zone: set.Zone, Seeds: set.Seeds}
--- a/internal/dataplane/gateway/quota.go
+++ b/internal/dataplane/gateway/quota.go
@@ -37,7 +37,7 @@
 	decided := make(chan quota.Decision, 1)
 	h.act.Tell(func() {
 		h.admissions[c.ID] = decided
-		h.stepQuota(quota.Requested{ID: c.ID, Tenant: c.Routed.Tenant, Limit: limit, MaxWaitUs: remainingUs(c) / quotaWaitDivisor})
+		h.stepQuota(quota.RequestArrived{ID: c.ID, Tenant: c.Routed.Tenant, Limit: limit, MaxWaitUs: remainingUs(c) / quotaWaitDivisor})
 	})
 	select {
 	case d := <-decided:
@@ -45,7 +45,7 @@
 	case <-ctx.Done():
 		h.act.Tell(func() {
 			delete(h.admissions, c.ID)
-			h.stepQuota(quota.Canceled{ID: c.ID})
+			h.stepQuota(quota.RequestCanceled{ID: c.ID})
 		})
 		return nil, false
 	case <-h.act.Ctx.Done():
@@ -77,7 +77,7 @@
 func (h *Host) stepQuota(ev quota.Event) {
 	for _, e := range h.quota.Step(clock.NowUs(), ev) {
 		switch e := e.(type) {
-		case quota.Ask:
+		case quota.Query:
 			h.act.Spawn(func() { h.sendQuotaAsk(e) })
 		case quota.Decision:
 			if decided := h.admissions[e.ID]; decided != nil {
@@ -89,13 +89,13 @@
 }
 
 // sendQuotaAsk asks one control node, once.
-func (h *Host) sendQuotaAsk(a quota.Ask) {
+func (h *Host) sendQuotaAsk(a quota.Query) {
 	ctx, done := context.WithTimeout(h.act.Ctx, time.Duration(a.TimeoutUs)*time.Microsecond)
 	defer done()
 	response, err := rpc.NewCaller[wire.QuotaRequest, wire.QuotaResponse](h.nodeClient, a.Addr, rpc.QuotaPath).Call(ctx, a.Request)
 	if err != nil {
-		h.act.Tell(func() { h.stepQuota(quota.Failed{Ask: a.Number}) })
+		h.act.Tell(func() { h.stepQuota(quota.QueryFailed{Query: a.Number}) })
 		return
 	}
-	h.act.Tell(func() { h.stepQuota(quota.Answered{Ask: a.Number, Response: response}) })
+	h.act.Tell(func() { h.stepQuota(quota.ResponseReceived{Query: a.Number, Response: response}) })
 }
--- a/internal/dataplane/quota/client.go
+++ b/internal/dataplane/quota/client.go
@@ -87,7 +87,7 @@
 }
 
 // New is a client that knows no control node yet.
-func New(gateway string) *Client {
+func NewClient(gateway string) *Client {
 	return &Client{
 		gateway: gateway, requests: map[string]*request{}, asks: map[uint64]*ask{}, asking: map[string]bool{},
 		downUntilUs: map[string]int64{}, refusals: map[string]refusal{}, tenants: map[string]*TenantCounters{},
@@ -98,16 +98,16 @@
 func (c *Client) Step(nowUs int64, ev Event) []Effect {
 	c.nowUs, c.effects = nowUs, nil
 	switch ev := ev.(type) {
-	case Requested:
+	case RequestArrived:
 		c.requested(ev)
-	case Canceled:
+	case RequestCanceled:
 		if r := c.requests[ev.ID]; r != nil {
 			c.drop(r)
 		}
-	case Answered:
+	case ResponseReceived:
 		c.answered(ev)
-	case Failed:
-		c.failed(ev.Ask)
+	case QueryFailed:
+		c.failed(ev.Query)
 	case ViewReceived:
 		c.adopt(ev.View)
 	case Tick:
@@ -120,7 +120,7 @@
 
 func (c *Client) emit(e Effect) { c.effects = append(c.effects, e) }
 
-func (c *Client) requested(ev Requested) {
+func (c *Client) requested(ev RequestArrived) {
 	r := &request{id: ev.ID, tenant: ev.Tenant, limit: ev.Limit, untilUs: c.nowUs + min(maxDecisionUs, max(0, ev.MaxWaitUs))}
 	if m, known := c.refusals[r.tenant]; known && m.limit == r.limit && c.nowUs < m.untilUs && (m.verdict == OverLimit || !c.tailAnswers()) {
 		c.counters.FromMemory++
@@ -258,8 +258,8 @@
 	}
 	c.asks[a.number], c.asking[addr] = a, true
 	c.expireBy(a.untilUs)
-	c.counters.Asks++
-	c.emit(Ask{Number: a.number, Addr: addr, TimeoutUs: timeoutUs, Request: &wire.QuotaRequest{Gateway: c.gateway, TailUnreachable: !tail, Asks: countByTenant(requests)}})
+	c.counters.Queries++
+	c.emit(Query{Number: a.number, Addr: addr, TimeoutUs: timeoutUs, Request: &wire.QuotaRequest{Gateway: c.gateway, TailUnreachable: !tail, Asks: countByTenant(requests)}})
 }
 
 // countByTenant sums requests up, in the order of their tenants.
@@ -285,8 +285,8 @@
 	return a
 }
 
-func (c *Client) answered(ev Answered) {
-	a := c.end(ev.Ask)
+func (c *Client) answered(ev ResponseReceived) {
+	a := c.end(ev.Query)
 	if a == nil {
 		// Its time was over, and its requests have gone on: what it grants now is nobody's.
 		return
@@ -340,7 +340,7 @@
 	if a == nil {
 		return
 	}
-	c.counters.FailedAsks++
+	c.counters.FailedQueries++
 	c.downUntilUs[a.addr] = c.nowUs + downUs
 	c.waiting = append(a.requests, c.waiting...)
 }
--- a/internal/dataplane/quota/client_test.go
+++ b/internal/dataplane/quota/client_test.go
@@ -55,7 +55,7 @@
 
 func newScript(t *testing.T, voters int) *script {
 	t.Helper()
-	s := &script{t: t, c: New("g"), nowUs: clock.Sec}
+	s := &script{t: t, c: NewClient("g"), nowUs: clock.Sec}
 	s.c.Step(s.nowUs, ViewReceived{View: view(1, voters)})
 	return s
 }
@@ -66,7 +66,7 @@
 	got := []string{}
 	for _, e := range s.c.Step(s.nowUs, ev) {
 		switch e := e.(type) {
-		case Ask:
+		case Query:
 			s.last = e.Number
 			text := e.Addr + " tail"
 			if e.Request.TailUnreachable {
@@ -88,18 +88,18 @@
 	}
 }
 
-func (s *script) requested(id, tenant string) Requested {
-	return Requested{ID: id, Tenant: tenant, Limit: limit, MaxWaitUs: clock.Sec}
+func (s *script) requested(id, tenant string) RequestArrived {
+	return RequestArrived{ID: id, Tenant: tenant, Limit: limit, MaxWaitUs: clock.Sec}
 }
 
 // answer is that of a tail that counts, to the last ask.
-func (s *script) answer(grants ...wire.QuotaGrant) Answered {
-	return Answered{Ask: s.last, Response: &wire.QuotaResponse{View: view(1, 3), Counting: true, Grants: grants}}
+func (s *script) answer(grants ...wire.QuotaGrant) ResponseReceived {
+	return ResponseReceived{Query: s.last, Response: &wire.QuotaResponse{View: view(1, 3), Counting: true, Grants: grants}}
 }
 
 // reserve is the answer of another voter to the last ask.
-func (s *script) reserve(grants ...wire.QuotaGrant) Answered {
-	return Answered{Ask: s.last, Response: &wire.QuotaResponse{View: view(1, 3), Grants: grants}}
+func (s *script) reserve(grants ...wire.QuotaGrant) ResponseReceived {
+	return ResponseReceived{Query: s.last, Response: &wire.QuotaResponse{View: view(1, 3), Grants: grants}}
 }
 
 // order are the voters beside the tail, as this gateway asks them.
@@ -160,7 +160,7 @@
 
 func TestClientAsksTwoOtherVotersWhereTheTailGivesNoAnswer(t *testing.T) {
 	for name, fails := range map[string]func(s *script) Event{
-		"refused":                     func(s *script) Event { return Failed{Ask: s.last} },
+		"refused":                     func(s *script) Event { return QueryFailed{Query: s.last} },
 		"no tail by its word":         func(s *script) Event { return s.reserve() },
 		"no answer in time":           func(s *script) Event { s.nowUs += tailTimeoutUs; return Tick{} },
 		"a grant that counts nothing": func(s *script) Event { return s.reserve(wire.QuotaGrant{Tenant: "z", Granted: 9}) },
@@ -186,22 +186,22 @@
 	s := newScript(t, 3)
 	s.step(s.requested("1", "a"), "c2 tail a:1")
 	order := s.order()
-	s.step(Failed{Ask: s.last}, order[0]+" reserve a:1")
-	s.step(Failed{Ask: s.last}, order[1]+" reserve a:1")
-	s.step(Failed{Ask: s.last}, "1 unanswered 250")
+	s.step(QueryFailed{Query: s.last}, order[0]+" reserve a:1")
+	s.step(QueryFailed{Query: s.last}, order[1]+" reserve a:1")
+	s.step(QueryFailed{Query: s.last}, "1 unanswered 250")
 	s.step(s.requested("2", "b"), "2 unanswered 250")
 }
 
 func TestClientKnowsNobodyToAskBeforeItsFirstView(t *testing.T) {
-	s := &script{t: t, c: New("g"), nowUs: clock.Sec}
+	s := &script{t: t, c: NewClient("g"), nowUs: clock.Sec}
 	s.step(s.requested("1", "a"), "1 unanswered 250")
 }
 
 func TestClientFollowsANewerViewToItsTail(t *testing.T) {
 	s := newScript(t, 3)
 	s.step(s.requested("1", "a"), "c2 tail a:1")
-	s.step(Answered{Ask: s.last, Response: &wire.QuotaResponse{View: withTail(2, 3, 0)}}, "c0 tail a:1")
-	s.step(Answered{Ask: s.last, Response: &wire.QuotaResponse{View: withTail(2, 3, 0), Counting: true, Grants: []wire.QuotaGrant{{Tenant: "a", RetryMs: 900}}}}, "1 over 900")
+	s.step(ResponseReceived{Query: s.last, Response: &wire.QuotaResponse{View: withTail(2, 3, 0)}}, "c0 tail a:1")
+	s.step(ResponseReceived{Query: s.last, Response: &wire.QuotaResponse{View: withTail(2, 3, 0), Counting: true, Grants: []wire.QuotaGrant{{Tenant: "a", RetryMs: 900}}}}, "1 over 900")
 	s.step(ViewReceived{View: view(1, 3)})
 	s.step(s.requested("2", "a"), "2 over 900")
 	s.step(ViewReceived{View: view(3, 3)})
@@ -212,7 +212,7 @@
 func TestClientTakesTheWordOfAVoterThatCounts(t *testing.T) {
 	s := newScript(t, 3)
 	s.step(s.requested("1", "a"), "c2 tail a:1")
-	s.step(Failed{Ask: s.last}, s.order()[0]+" reserve a:1")
+	s.step(QueryFailed{Query: s.last}, s.order()[0]+" reserve a:1")
 	s.step(s.answer(wire.QuotaGrant{Tenant: "a", RetryMs: 70}), "1 over 70")
 }
 
@@ -223,9 +223,9 @@
 	s.step(s.requested("2", "a"))
 	s.step(s.answer(wire.QuotaGrant{Tenant: "a", Granted: 1}), "0 admitted 0", "c2 tail a:2")
 	s.step(s.requested("3", "a"))
-	s.step(Canceled{ID: "1"})
+	s.step(RequestCanceled{ID: "1"})
 	s.step(s.answer(wire.QuotaGrant{Tenant: "a", Granted: 2}), "2 admitted 0", "c2 tail a:1")
-	s.step(Canceled{ID: "3"})
+	s.step(RequestCanceled{ID: "3"})
 	s.step(s.answer(wire.QuotaGrant{Tenant: "a", Granted: 1}))
 	s.step(s.requested("4", "a"), "c2 tail a:1")
 }
@@ -261,10 +261,10 @@
 	s.step(s.answer(wire.QuotaGrant{Tenant: "a", RetryMs: 40}), "1 over 40")
 	s.step(s.requested("2", "a"), "2 over 40")
 	s.step(s.requested("3", "b"), "c2 tail b:1")
-	s.step(Failed{Ask: s.last}, s.order()[0]+" reserve b:1")
+	s.step(QueryFailed{Query: s.last}, s.order()[0]+" reserve b:1")
 	s.step(s.reserve(wire.QuotaGrant{Tenant: "b", Granted: 1}), "3 admitted 0")
 	want := &Status{
-		Counters: Counters{Asks: 3, FailedAsks: 1, Admitted: 1, FromReserve: 1, OverLimit: 2, FromMemory: 1},
+		Counters: Counters{Queries: 3, FailedQueries: 1, Admitted: 1, FromReserve: 1, OverLimit: 2, FromMemory: 1},
 		Tenants:  []TenantCounters{{Tenant: "a", OverLimit: 2}, {Tenant: "b", Admitted: 1}},
 	}
 	if diff := cmp.Diff(want, s.c.Status()); diff != "" {
@@ -289,7 +289,7 @@
 func (d *driven) step(ev Event) {
 	for _, e := range d.c.Step(d.nowUs, ev) {
 		switch e := e.(type) {
-		case Ask:
+		case Query:
 			if d.c.asks[d.addresses[e.Addr]] != nil {
 				d.t.Fatalf("two asks under way at %s", e.Addr)
 			}
@@ -335,7 +335,7 @@
 		d.requests++
 		id, tenant := fmt.Sprint(d.requests), rapid.SampledFrom([]string{"a", "b"}).Draw(d.t, "tenant")
 		d.open[id], d.tenants[id] = d.nowUs, tenant
-		d.step(Requested{ID: id, Tenant: tenant, Limit: limit, MaxWaitUs: rapid.Int64Range(0, clock.Sec).Draw(d.t, "wait")})
+		d.step(RequestArrived{ID: id, Tenant: tenant, Limit: limit, MaxWaitUs: rapid.Int64Range(0, clock.Sec).Draw(d.t, "wait")})
 	case 4, 5, 6:
 		ask := d.drawAsk()
 		res := &wire.QuotaResponse{View: withTail(d.number, 4, rapid.IntRange(0, 3).Draw(d.t, "tail")), Counting: rapid.Bool().Draw(d.t, "counting")}
@@ -346,13 +346,13 @@
 				d.granted[tenant] = n
 			}
 		}
-		d.step(Answered{Ask: ask, Response: res})
+		d.step(ResponseReceived{Query: ask, Response: res})
 	case 7:
-		d.step(Failed{Ask: d.drawAsk()})
+		d.step(QueryFailed{Query: d.drawAsk()})
 	case 8:
 		id := fmt.Sprint(rapid.IntRange(1, d.requests+1).Draw(d.t, "id"))
 		delete(d.open, id)
-		d.step(Canceled{ID: id})
+		d.step(RequestCanceled{ID: id})
 	case 9:
 		d.number += uint64(rapid.IntRange(0, 1).Draw(d.t, "newer"))
 		d.step(ViewReceived{View: withTail(d.number, 4, rapid.IntRange(0, 3).Draw(d.t, "tail"))})
@@ -363,7 +363,7 @@
 // waited, and no control node has two asks at once.
 func TestClientKeepsItsPromisesUnderAnyEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &driven{t: t, c: New("g"), nowUs: clock.Sec, number: 1, open: map[string]int64{}, addresses: map[string]uint64{}, tenants: map[string]string{}}
+		d := &driven{t: t, c: NewClient("g"), nowUs: clock.Sec, number: 1, open: map[string]int64{}, addresses: map[string]uint64{}, tenants: map[string]string{}}
 		d.step(ViewReceived{View: view(1, 4)})
 		for range rapid.IntRange(1, 80).Draw(t, "events") {
 			d.draw()
@@ -388,6 +388,6 @@
 		id := fmt.Sprint("later-", i)
 		s.nowUs = clock.Sec + c.sinceMs*clock.Ms
 		s.step(s.requested(id, "a"), "c0 tail a:1")
-		s.step(Failed{Ask: s.last}, fmt.Sprint(id, " unanswered ", c.retryMs))
+		s.step(QueryFailed{Query: s.last}, fmt.Sprint(id, " unanswered ", c.retryMs))
 	}
 }
--- a/internal/dataplane/quota/counters.go
+++ b/internal/dataplane/quota/counters.go
@@ -10,10 +10,10 @@
 
 // Counters count what was asked and decided since this process started.
 type Counters struct {
-	// Asks are questions sent to control nodes, and FailedAsks those of them without an answer.
-	Asks       uint64 `json:"asks"`
-	FailedAsks uint64 `json:"failedAsks"`
-	Admitted   uint64 `json:"admitted"`
+	// Asks are questions sent to control nodes, and FailedQueries those of them without an answer.
+	Queries       uint64 `json:"asks"`
+	FailedQueries uint64 `json:"failedAsks"`
+	Admitted      uint64 `json:"admitted"`
 	// FromReserve are those of the admitted that a control node beside the tail granted.
 	FromReserve uint64 `json:"fromReserve"`
 	OverLimit   uint64 `json:"overLimit"`
--- a/internal/dataplane/quota/events.go
+++ b/internal/dataplane/quota/events.go
@@ -15,7 +15,7 @@
 type Event interface{ isEvent() }
 
 // Requested is a request that has arrived, of a tenant with a limit. It gets one Decision, unless it is cancelled.
-type Requested struct {
+type RequestArrived struct {
 	ID     string
 	Tenant string
 	Limit  Limit
@@ -24,16 +24,16 @@
 }
 
 // Canceled says that the client of a request has left before its decision.
-type Canceled struct{ ID string }
+type RequestCanceled struct{ ID string }
 
 // Answered brings the answer to the ask of this number.
-type Answered struct {
-	Ask      uint64
+type ResponseReceived struct {
+	Query    uint64
 	Response *wire.QuotaResponse
 }
 
 // Failed says that the ask of this number got no answer: its connection was refused or broke, or its time is over.
-type Failed struct{ Ask uint64 }
+type QueryFailed struct{ Query uint64 }
 
 // ViewReceived brings a view of the chain; one that is not newer is ignored.
 type ViewReceived struct{ View membership.View }
@@ -41,18 +41,18 @@
 // Tick says that time has passed.
 type Tick struct{}
 
-func (Requested) isEvent()    {}
-func (Canceled) isEvent()     {}
-func (Answered) isEvent()     {}
-func (Failed) isEvent()       {}
-func (ViewReceived) isEvent() {}
-func (Tick) isEvent()         {}
+func (RequestArrived) isEvent()   {}
+func (RequestCanceled) isEvent()  {}
+func (ResponseReceived) isEvent() {}
+func (QueryFailed) isEvent()      {}
+func (ViewReceived) isEvent()     {}
+func (Tick) isEvent()             {}
 
 // Effect is one thing to be done: Ask or Decision.
 type Effect interface{ isEffect() }
 
 // Ask sends a question to a control node. Answered or Failed comes of it within its timeout.
-type Ask struct {
+type Query struct {
 	Number    uint64
 	Addr      string
 	TimeoutUs int64
@@ -67,7 +67,7 @@
 	RetryMs int64
 }
 
-func (Ask) isEffect()      {}
+func (Query) isEffect()    {}
 func (Decision) isEffect() {}
 
 // Verdict is what becomes of a request.
--- a/tests/simulator/routed_gateways.go
+++ b/tests/simulator/routed_gateways.go
@@ -62,7 +62,7 @@
 	}
 	g.decider = scheduling.New(scheduling.Options{Gateway: g.name, Incarnation: g.incarnation, Zone: g.zone, QueueMax: 200, RetryBudget: budget})
 	g.informer = controlclient.NewInformer(controlclient.Options{Gateway: g.name, Incarnation: g.incarnation, Addr: g.addr, Zone: g.zone, Seeds: d.seeds})
-	g.quota = quota.New(g.name)
+	g.quota = quota.NewClient(g.name)
 	g.snapshot, g.previousSnapshot, g.open, g.streams, g.idleConnections = nil, nil, map[string]*exchange{}, map[uint64]*frameStream{}, map[string]int64{}
 	d.endFault(g.name, "down")
 	g.tick()
@@ -205,7 +205,7 @@
 	x.clientGone = true
 	if x.awaitsQuota {
 		x.awaitsQuota = false
-		g.stepQuota(quota.Canceled{ID: x.call.ID})
+		g.stepQuota(quota.RequestCanceled{ID: x.call.ID})
 	}
 	g.step(scheduling.CallCanceled{Call: x.call.ID})
 	if x.current == nil {
--- a/tests/simulator/routed_quota.go
+++ b/tests/simulator/routed_quota.go
@@ -19,7 +19,7 @@
 	}
 	x.awaitsQuota = true
 	leftMs := min(x.call.Routed.Route.TimeoutMs, x.call.TimeoutMs)
-	g.stepQuota(quota.Requested{ID: x.call.ID, Tenant: tenant.Name, Limit: quota.Limit{RatePerSecond: tenant.RatePerSecond, Burst: tenant.Burst}, MaxWaitUs: leftMs * clock.Ms / 4})
+	g.stepQuota(quota.RequestArrived{ID: x.call.ID, Tenant: tenant.Name, Limit: quota.Limit{RatePerSecond: tenant.RatePerSecond, Burst: tenant.Burst}, MaxWaitUs: leftMs * clock.Ms / 4})
 }
 
 // stepQuota does for the reducer of limits what a gateway's host does.
@@ -29,7 +29,7 @@
 	}
 	for _, e := range g.quota.Step(g.clock(), ev) {
 		switch e := e.(type) {
-		case quota.Ask:
+		case quota.Query:
 			g.sendQuotaAsk(e)
 		case quota.Decision:
 			if x := g.open[e.ID]; x != nil && x.awaitsQuota {
@@ -55,7 +55,7 @@
 }
 
 // sendQuotaAsk asks one control node, as a host does: what has no answer in time has failed.
-func (g *routedGateway) sendQuotaAsk(a quota.Ask) {
+func (g *routedGateway) sendQuotaAsk(a quota.Query) {
 	d := g.day
 	boot, over := g.boot, false
 	end := func(ev quota.Event) {
@@ -64,7 +64,7 @@
 			g.stepQuota(ev)
 		}
 	}
-	fail := func() { end(quota.Failed{Ask: a.Number}) }
+	fail := func() { end(quota.QueryFailed{Query: a.Number}) }
 	g.after(a.TimeoutUs, fail)
 	to := d.controlNodeAt(a.Addr)
 	if to == nil {
@@ -79,7 +79,7 @@
 				return
 			}
 			response := clone(*answer)
-			d.transmit(&to.machine, &g.machine, a.TimeoutUs, func() { end(quota.Answered{Ask: a.Number, Response: &response}) }, func() {})
+			d.transmit(&to.machine, &g.machine, a.TimeoutUs, func() { end(quota.ResponseReceived{Query: a.Number, Response: &response}) }, func() {})
 		})
 	}, fail)
 }
@@ -125,13 +125,13 @@
 	if cn.planted == nil || cn.plantedView != role.View {
 		cn.planted, cn.plantedView = ledger.NewLedger(cn.quotaOptions(), sinceUs), role.View
 		cn.planted.SetLimits(sinceUs, declared)
-		cn.planted.Observe(sinceUs, role)
+		cn.planted.SetRole(sinceUs, role)
 	}
 	cn.planted.SetLimits(nowUs, declared)
-	cn.planted.Observe(nowUs, role)
-	asks := []ledger.Ask{}
+	cn.planted.SetRole(nowUs, role)
+	asks := []ledger.TokenRequest{}
 	for _, a := range request.Asks {
-		asks = append(asks, ledger.Ask{Tenant: a.Tenant, Count: a.Count})
+		asks = append(asks, ledger.TokenRequest{Tenant: a.Tenant, Count: a.Count})
 	}
 	for _, g := range cn.planted.Take(nowUs, request.TailUnreachable, asks) {
 		response.Grants = append(response.Grants, wire.QuotaGrant{Tenant: g.Tenant, Granted: g.Granted, RetryMs: g.RetryMs})
