--- a/internal/controlplane/quota/ledger.go
+++ b/internal/controlplane/quota/ledger.go
@@ -72,16 +72,16 @@
 	slotUs    int64
 	startedUs int64
 	nowUs     int64
-	books     map[string]*book
+	buckets   map[string]*tenantBucket
 	role      Role
 	// maxVoters is the most voters that this process has seen in a view.
 	maxVoters int
-	// hasCounted and countedView: this process counted last in that view; booksSinceUs is since when it has its books.
-	hasCounted   bool
-	countedView  uint64
-	booksSinceUs int64
-	// forgetUs is when the first book of a removed tenant is forgotten; 0 where there is none.
-	forgetUs int64
+	// hasCounted and countedView: this process counted last in that view; bucketsResetUs is since when it has its books.
+	hasCounted     bool
+	countedView    uint64
+	bucketsResetUs int64
+	// nextForgetUs is when the first book of a removed tenant is forgotten; 0 where there is none.
+	nextForgetUs int64
 }
 
 // NewLedger is that of a process that starts now.
@@ -89,7 +89,7 @@
 	opts = opts.withDefaults()
 	return &Ledger{
 		opts: opts, slotUs: (opts.WindowUs + windowSlots - 1) / windowSlots,
-		startedUs: nowUs, nowUs: nowUs, books: map[string]*book{},
+		startedUs: nowUs, nowUs: nowUs, buckets: map[string]*tenantBucket{},
 	}
 }
 
@@ -101,11 +101,11 @@
 		declared[limit.Tenant] = true
 		l.declare(limit)
 	}
-	for name, b := range l.books {
+	for name, b := range l.buckets {
 		if !declared[name] && b.declared {
 			b.refill(l.nowUs, l.opts.depth(b.limit))
 			b.declared, b.removedUs = false, l.nowUs
-			l.forgetBy(l.nowUs + forgetWindows*l.opts.WindowUs)
+			l.scheduleForget(l.nowUs + forgetWindows*l.opts.WindowUs)
 		}
 	}
 }
@@ -119,7 +119,7 @@
 		return
 	}
 	if !l.hasCounted || (role.View != l.countedView && role.View != l.countedView+1) {
-		l.beginBooks()
+		l.resetBuckets()
 	}
 	l.hasCounted, l.countedView = true, role.View
 }
@@ -136,7 +136,7 @@
 }
 
 func (l *Ledger) take(ask TokenRequest, tailUnreachable bool) Grant {
-	b := l.books[ask.Tenant]
+	b := l.buckets[ask.Tenant]
 	count := int64(max(0, ask.Count))
 	if b == nil || !b.declared {
 		return Grant{Tenant: ask.Tenant, RetryMs: l.windowMs()}
@@ -147,7 +147,7 @@
 	granted := int64(0)
 	if l.role.Counting {
 		b.refill(l.nowUs, l.opts.depth(b.limit))
-		granted = b.take(count, l.isYoung())
+		granted = b.take(count, l.isWarmingUp())
 	}
 	if l.usesReserve(tailUnreachable) {
 		granted += l.takeReserve(b, count-granted)
@@ -162,7 +162,7 @@
 }
 
 // takeUnlimited grants a tenant without a limit all, at the tail alone: another control node may not know of a newer limit.
-func (l *Ledger) takeUnlimited(b *book, count int64) Grant {
+func (l *Ledger) takeUnlimited(b *tenantBucket, count int64) Grant {
 	if !l.role.Counting {
 		b.refused.add(l.nowUs, l.slotUs, count)
 		return Grant{Tenant: b.limit.Tenant, RetryMs: minRetryMs}
@@ -178,86 +178,86 @@
 		return false
 	}
 	if l.role.Counting {
-		return l.isYoung()
+		return l.isWarmingUp()
 	}
 	return tailUnreachable
 }
 
-func (l *Ledger) takeReserve(b *book, count int64) int64 {
-	granted := max(0, min(count, l.reserveOf(b)-b.reserve.sum(l.nowUs, l.slotUs)))
+func (l *Ledger) takeReserve(b *tenantBucket, count int64) int64 {
+	granted := max(0, min(count, l.reservePerWindow(b)-b.reserve.sum(l.nowUs, l.slotUs)))
 	b.reserve.add(l.nowUs, l.slotUs, granted)
 	return granted
 }
 
-// reserveOf is what this control node may grant a tenant by itself in a window.
-func (l *Ledger) reserveOf(b *book) int64 { return l.opts.reserve(b.limit, l.maxVoters) }
+// reservePerWindow is what this control node may grant a tenant by itself in a window.
+func (l *Ledger) reservePerWindow(b *tenantBucket) int64 { return l.opts.reserve(b.limit, l.maxVoters) }
 
 // retryMs is when a token can be had from what was asked, as far as that can be told.
-func (l *Ledger) retryMs(b *book, tailUnreachable bool) int64 {
+func (l *Ledger) retryMs(b *tenantBucket, tailUnreachable bool) int64 {
 	waitUs := int64(0)
 	switch {
 	case l.role.Counting:
-		wait := (1 - b.available(l.isYoung())) / b.limit.RatePerSecond * float64(clock.Sec)
+		wait := (1 - b.available(l.isWarmingUp())) / b.limit.RatePerSecond * float64(clock.Sec)
 		waitUs = int64(min(wait, float64(l.opts.WindowUs)))
 	case !tailUnreachable:
 		// The tail is elsewhere.
 	case l.nowUs-l.startedUs <= l.opts.WindowUs:
 		waitUs = l.startedUs + l.opts.WindowUs - l.nowUs
-	case l.role.Voter && l.reserveOf(b) > 0:
-		waitUs = b.reserve.oldestLeavesUs(l.slotUs) - l.nowUs
+	case l.role.Voter && l.reservePerWindow(b) > 0:
+		waitUs = b.reserve.oldestExpiryUs(l.slotUs) - l.nowUs
 	default:
 		waitUs = l.opts.WindowUs
 	}
 	return max(minRetryMs, min(l.windowMs(), (waitUs+clock.Ms-1)/clock.Ms))
 }
 
-// isYoung says that a window may still hold grants of whoever counted before.
-func (l *Ledger) isYoung() bool { return l.nowUs-l.booksSinceUs <= l.opts.WindowUs }
+// isWarmingUp says that a window may still hold grants of whoever counted before.
+func (l *Ledger) isWarmingUp() bool { return l.nowUs-l.bucketsResetUs <= l.opts.WindowUs }
 
 func (l *Ledger) windowMs() int64 { return max(minRetryMs, l.opts.WindowUs/clock.Ms) }
 
-// beginBooks begins all main books anew; the reserves go on.
-func (l *Ledger) beginBooks() {
-	l.booksSinceUs = l.nowUs
-	for _, b := range l.books {
-		b.empty(l.nowUs, l.opts.depth(b.limit))
+// resetBuckets begins all main books anew; the reserves go on.
+func (l *Ledger) resetBuckets() {
+	l.bucketsResetUs = l.nowUs
+	for _, b := range l.buckets {
+		b.reset(l.nowUs, l.opts.depth(b.limit))
 	}
 }
 
 // advance takes the time of a call and forgets the books that nothing depends on any more. Time does not go back.
 func (l *Ledger) advance(nowUs int64) {
 	l.nowUs = max(l.nowUs, nowUs)
-	if l.forgetUs == 0 || l.nowUs < l.forgetUs {
+	if l.nextForgetUs == 0 || l.nowUs < l.nextForgetUs {
 		return
 	}
-	l.forgetUs = 0
-	for name, b := range l.books {
+	l.nextForgetUs = 0
+	for name, b := range l.buckets {
 		if b.declared {
 			continue
 		}
 		if dueUs := b.removedUs + forgetWindows*l.opts.WindowUs; l.nowUs < dueUs {
-			l.forgetBy(dueUs)
+			l.scheduleForget(dueUs)
 		} else {
-			delete(l.books, name)
+			delete(l.buckets, name)
 		}
 	}
 }
 
-// forgetBy looks for books to forget at this time at the latest.
-func (l *Ledger) forgetBy(dueUs int64) {
-	if l.forgetUs == 0 || dueUs < l.forgetUs {
-		l.forgetUs = dueUs
+// scheduleForget looks for books to forget at this time at the latest.
+func (l *Ledger) scheduleForget(dueUs int64) {
+	if l.nextForgetUs == 0 || dueUs < l.nextForgetUs {
+		l.nextForgetUs = dueUs
 	}
 }
 
 // declare takes one tenant's limit.
 func (l *Ledger) declare(limit Limit) {
 	depth := l.opts.depth(limit)
-	b := l.books[limit.Tenant]
+	b := l.buckets[limit.Tenant]
 	if b == nil {
-		b = &book{limit: limit, declared: true, changedUs: l.nowUs}
-		b.empty(l.nowUs, depth)
-		l.books[limit.Tenant] = b
+		b = &tenantBucket{limit: limit, declared: true, changedUs: l.nowUs}
+		b.reset(l.nowUs, depth)
+		l.buckets[limit.Tenant] = b
 		return
 	}
 	had := l.opts.depth(b.limit)
@@ -275,7 +275,7 @@
 		b.tokens += depth - had
 	}
 	if !limit.isNone() {
-		b.tokens, b.youngTokens = min(depth, b.tokens), min(depth, b.youngTokens)
+		b.tokens, b.warmUpTokens = min(depth, b.tokens), min(depth, b.warmUpTokens)
 	}
 	b.limit, b.changedUs = limit, l.nowUs
 }
@@ -297,8 +297,8 @@
 func (l *Ledger) Status(nowUs int64) []TenantStatus {
 	l.advance(nowUs)
 	rows := []TenantStatus{}
-	for _, name := range slices.Sorted(maps.Keys(l.books)) {
-		b := l.books[name]
+	for _, name := range slices.Sorted(maps.Keys(l.buckets)) {
+		b := l.buckets[name]
 		if !b.declared {
 			continue
 		}
@@ -310,10 +310,10 @@
 		if !b.limit.isNone() {
 			if l.role.Counting {
 				b.refill(l.nowUs, l.opts.depth(b.limit))
-				row.Tokens = b.available(l.isYoung())
+				row.Tokens = b.available(l.isWarmingUp())
 			}
 			if l.role.Voter {
-				row.Reserve = l.reserveOf(b)
+				row.Reserve = l.reservePerWindow(b)
 			}
 		}
 		rows = append(rows, row)
--- a/internal/controlplane/quota/ledger_test.go
+++ b/internal/controlplane/quota/ledger_test.go
@@ -24,8 +24,8 @@
 // member is the role of another voter of five.
 func member(view uint64) Role { return Role{View: view, Voter: true, Voters: 5} }
 
-// grantedOf asks for a tenant's tokens alone.
-func grantedOf(l *Ledger, nowUs int64, tailUnreachable bool, count int) int {
+// takeTokens asks for a tenant's tokens alone.
+func takeTokens(l *Ledger, nowUs int64, tailUnreachable bool, count int) int {
 	return l.Take(nowUs, tailUnreachable, []TokenRequest{{Tenant: "t", Count: count}})[0].Granted
 }
 
@@ -56,10 +56,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			o := testOptions()
-			if got := o.allowance(c.limit); math.Abs(got-c.allowance) > rounding {
+			if got := o.allowance(c.limit); math.Abs(got-c.allowance) > roundingTolerance {
 				t.Errorf("allowance %g", got)
 			}
-			if got := o.depth(c.limit); math.Abs(got-c.depth) > rounding {
+			if got := o.depth(c.limit); math.Abs(got-c.depth) > roundingTolerance {
 				t.Errorf("depth %g", got)
 			}
 			if got := o.reserve(c.limit, 5); got != c.reserve {
@@ -128,7 +128,7 @@
 	}{
 		{0, 0}, {clock.Sec, 10}, {testWindowUs + 1, depth}, {testWindowUs + 2, 0}, {testWindowUs + 300*clock.Ms, 3}, {testWindowUs + 60*clock.Sec, depth},
 	} {
-		if got := grantedOf(l, step.nowUs, false, 1000); got != step.want {
+		if got := takeTokens(l, step.nowUs, false, 1000); got != step.want {
 			t.Errorf("at %d ms: %d granted, want %d", step.nowUs/clock.Ms, got, step.want)
 		}
 	}
@@ -158,7 +158,7 @@
 			}
 			// Without the reserve of a tail whose books are young.
 			l.role.Voter = false
-			if got := grantedOf(l, nowUs, false, 1000); got != c.want {
+			if got := takeTokens(l, nowUs, false, 1000); got != c.want {
 				t.Errorf("%d granted, want %d", got, c.want)
 			}
 		})
@@ -178,17 +178,17 @@
 		{"lowered far below", func(l *Ledger) { l.SetLimits(nowUs, []Limit{{"t", 1, 1}}) }, depth(Limit{"t", 1, 1}), 1},
 		{"raised with a full book", func(l *Ledger) { l.SetLimits(nowUs, []Limit{{"t", 50, 80}}) }, depth(Limit{"t", 50, 80}), 50},
 		{"raised with an empty book", func(l *Ledger) {
-			grantedOf(l, nowUs, false, 1000)
+			takeTokens(l, nowUs, false, 1000)
 			l.SetLimits(nowUs, []Limit{{"t", 50, 80}})
 		}, depth(Limit{"t", 50, 80}) - depth(old), 50},
 		{"lowered and raised again", func(l *Ledger) {
-			grantedOf(l, nowUs, false, 1000)
+			takeTokens(l, nowUs, false, 1000)
 			l.SetLimits(nowUs, []Limit{{"t", 1, 1}})
 			l.SetLimits(nowUs, []Limit{old})
 		}, 0, 10},
 		{"removed", func(l *Ledger) { l.SetLimits(nowUs, nil) }, 0, 0},
 		{"removed and added again", func(l *Ledger) {
-			grantedOf(l, nowUs-2*clock.Sec, false, 1000)
+			takeTokens(l, nowUs-2*clock.Sec, false, 1000)
 			l.SetLimits(nowUs-clock.Sec, nil)
 			l.SetLimits(nowUs, []Limit{old})
 		}, 10, 10},
@@ -199,7 +199,7 @@
 		}, depth(old), 10},
 		{"to no limit and back, again and again", func(l *Ledger) {
 			for range 10 {
-				grantedOf(l, nowUs, false, 1000)
+				takeTokens(l, nowUs, false, 1000)
 				l.SetLimits(nowUs, []Limit{{"t", 0, 0}})
 				l.SetLimits(nowUs, []Limit{old})
 			}
@@ -211,10 +211,10 @@
 			l.SetLimits(0, []Limit{old})
 			l.SetRole(0, tail(3))
 			c.play(l)
-			if got := grantedOf(l, nowUs, false, 1000); got != c.want {
+			if got := takeTokens(l, nowUs, false, 1000); got != c.want {
 				t.Errorf("%d granted at once, want %d", got, c.want)
 			}
-			if got := grantedOf(l, nowUs+clock.Sec, false, 1000); got < c.later-1 || got > c.later+1 {
+			if got := takeTokens(l, nowUs+clock.Sec, false, 1000); got < c.later-1 || got > c.later+1 {
 				t.Errorf("%d granted a second later, want about %d", got, c.later)
 			}
 		})
@@ -237,7 +237,7 @@
 			conforming = min(limit.Burst, conforming+limit.RatePerSecond*float64(stepUs)/float64(clock.Sec))
 			count := r.Intn(1 + int(conforming))
 			conforming -= float64(count)
-			if got := grantedOf(l, nowUs, false, count); got != count {
+			if got := takeTokens(l, nowUs, false, count); got != count {
 				t.Fatalf("seed %d, %+v: %d of %d granted", seed, limit, got, count)
 			}
 		}
@@ -256,7 +256,7 @@
 			if g.RetryMs < minRetryMs || g.RetryMs > testWindowUs/clock.Ms {
 				t.Fatalf("%+v", g)
 			}
-			if wait := g.RetryMs * clock.Ms; wait < testWindowUs && grantedOf(l, nowUs+wait, false, 1) != 1 {
+			if wait := g.RetryMs * clock.Ms; wait < testWindowUs && takeTokens(l, nowUs+wait, false, 1) != 1 {
 				t.Errorf("nothing after %d ms", g.RetryMs)
 			}
 		})
@@ -270,21 +270,21 @@
 	for n := range int64(200) {
 		l.SetLimits(n*clock.Sec, []Limit{{fmt.Sprint("t", n), 1, 1}})
 		l.SetRole(n*clock.Sec, tail(1))
-		most = max(most, len(l.books))
+		most = max(most, len(l.buckets))
 	}
 	if kept := int(forgetWindows*testWindowUs/clock.Sec) + 1; most > kept {
 		t.Errorf("%d books, at most %d tenants were removed within the time", most, kept)
 	}
 	l.SetLimits(200*clock.Sec, nil)
 	l.SetRole(200*clock.Sec+forgetWindows*testWindowUs, tail(1))
-	if len(l.books) != 0 {
-		t.Errorf("%d books are left", len(l.books))
+	if len(l.buckets) != 0 {
+		t.Errorf("%d books are left", len(l.buckets))
 	}
 	for n := range 1000 {
 		l.Take(300*clock.Sec, true, []TokenRequest{{fmt.Sprint("unknown", n), 1}})
 	}
-	if len(l.books) != 0 {
-		t.Errorf("%d books of tenants that were never declared", len(l.books))
+	if len(l.buckets) != 0 {
+		t.Errorf("%d books of tenants that were never declared", len(l.buckets))
 	}
 }
 
@@ -338,31 +338,31 @@
 }
 
 // spending is what was granted of one tenant over all control nodes, to be judged by windows.
-type spending struct {
-	grants []spent
-	limits []limitSince
+type grantLog struct {
+	grants []grantRecord
+	limits []limitChange
 }
 
-type spent struct{ atUs, n int64 }
+type grantRecord struct{ atUs, n int64 }
 
-type limitSince struct {
+type limitChange struct {
 	fromUs int64
 	limit  Limit
 }
 
-func (s *spending) grant(nowUs int64, n int) {
+func (s *grantLog) grant(nowUs int64, n int) {
 	if n > 0 {
-		s.grants = append(s.grants, spent{nowUs, int64(n)})
+		s.grants = append(s.grants, grantRecord{nowUs, int64(n)})
 	}
 }
 
-// setLimit: a limit of rate 0 is none, and one of rate below 0 stands for a tenant that is not declared.
-func (s *spending) setLimit(nowUs int64, l Limit) {
-	s.limits = append(s.limits, limitSince{nowUs, l})
+// applyLimit: a limit of rate 0 is none, and one of rate below 0 stands for a tenant that is not declared.
+func (s *grantLog) setLimit(nowUs int64, l Limit) {
+	s.limits = append(s.limits, limitChange{nowUs, l})
 }
 
 // bound is what the window that ends now may hold: that of the largest rate and the largest burst in force in it.
-func (s *spending) bound(o Options, nowUs int64) float64 {
+func (s *grantLog) bound(o Options, nowUs int64) float64 {
 	most := Limit{}
 	for i, l := range s.limits {
 		if i+1 < len(s.limits) && s.limits[i+1].fromUs < nowUs-o.WindowUs {
@@ -377,7 +377,7 @@
 }
 
 // broken names the window that ends with the newest grant where it holds too much.
-func (s *spending) broken(o Options) string {
+func (s *grantLog) violation(o Options) string {
 	if len(s.grants) == 0 {
 		return ""
 	}
@@ -385,7 +385,7 @@
 	for i := len(s.grants) - 1; i >= 0 && lastUs-s.grants[i].atUs <= o.WindowUs; i-- {
 		sum += s.grants[i].n
 	}
-	if most := s.bound(o, lastUs); float64(sum) > most+rounding {
+	if most := s.bound(o, lastUs); float64(sum) > most+roundingTolerance {
 		return fmt.Sprintf("%d granted in the window up to %d ms, at most %.1f", sum, lastUs/clock.Ms, most)
 	}
 	return ""
@@ -397,7 +397,7 @@
 	for seed := range int64(300) {
 		r := rand.New(rand.NewSource(seed))
 		o := Options{WindowUs: int64(1+r.Intn(10)) * clock.Sec, Overshoot: r.Float64() * 0.3, Slack: float64(r.Intn(40)), ToleratedLosses: r.Intn(3)}
-		l, s := NewLedger(o, 0), &spending{}
+		l, s := NewLedger(o, 0), &grantLog{}
 		declare := func(nowUs int64) {
 			limit := Limit{"t", []float64{-1, 0.3, 2, 10, 100, 400}[r.Intn(6)], float64(1 + r.Intn(100))}
 			s.setLimit(nowUs, limit)
@@ -419,10 +419,10 @@
 				trace = append(trace, fmt.Sprintf("%d: %+v", nowUs, s.limits[len(s.limits)-1].limit))
 			}
 			l.SetRole(nowUs, tail(1))
-			n := grantedOf(l, nowUs, r.Intn(2) == 0, r.Intn(200))
+			n := takeTokens(l, nowUs, r.Intn(2) == 0, r.Intn(200))
 			s.grant(nowUs, n)
 			trace, granted = append(trace, fmt.Sprintf("%d: %d granted", nowUs, n)), granted+n
-			if broken := s.broken(l.opts); broken != "" {
+			if broken := s.violation(l.opts); broken != "" {
 				t.Fatalf("seed %d, %+v: %s\n%s", seed, o, broken, strings.Join(trace[max(0, len(trace)-40):], "\n"))
 			}
 		}
--- a/internal/controlplane/quota/options.go
+++ b/internal/controlplane/quota/options.go
@@ -73,5 +73,5 @@
 	if losses == 0 {
 		losses = (voters - 1) / 2
 	}
-	return int64(math.Floor(reserveShare*o.allowance(l)/float64(voters+losses) + rounding))
+	return int64(math.Floor(reserveShare*o.allowance(l)/float64(voters+losses) + roundingTolerance))
 }
--- a/internal/controlplane/quota/window.go
+++ b/internal/controlplane/quota/sliding_window.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// oldestLeavesUs is when the oldest slot that holds anything is emptied; 0 where none does.
-func (w *slidingWindow) oldestLeavesUs(slotUs int64) int64 {
+// oldestExpiryUs is when the oldest slot that holds anything is emptied; 0 where none does.
+func (w *slidingWindow) oldestExpiryUs(slotUs int64) int64 {
 	size := int64(len(w.counts))
 	for slot := max(0, w.newest-size+1); slot <= w.newest; slot++ {
 		if w.counts[slot%size] > 0 {
--- a/internal/controlplane/quota/book.go
+++ b/internal/controlplane/quota/tenant_bucket.go
@@ -18,16 +18,16 @@
 func (l Limit) isNone() bool { return l.RatePerSecond <= 0 }
 
 // rounding is what sums of fractions may miss a whole token by.
-const rounding = 1e-9
+const roundingTolerance = 1e-9
 
 // book is what is counted of one tenant. Its tokens are the main book's, reserve is this control node's own.
-type book struct {
+type tenantBucket struct {
 	limit    Limit
 	declared bool
-	// tokens are what the bucket holds as of refilledUs, and youngTokens what one holds that was empty as this control
+	// tokens are what the bucket holds as of refilledUs, and warmUpTokens what one holds that was empty as this control
 	// node's books began: while those are young, both must have a token.
-	tokens, youngTokens float64
-	refilledUs          int64
+	tokens, warmUpTokens float64
+	refilledUs           int64
 	// changedUs is when the limit was last changed, and removedUs when the tenant was last removed.
 	changedUs, removedUs int64
 
@@ -35,7 +35,7 @@
 }
 
 // refill adds what the limit gives up to now. Nothing is added while the tenant is not declared.
-func (b *book) refill(nowUs int64, depth float64) {
+func (b *tenantBucket) refill(nowUs int64, depth float64) {
 	elapsedUs := nowUs - b.refilledUs
 	if elapsedUs <= 0 {
 		return
@@ -45,25 +45,25 @@
 		return
 	}
 	fresh := b.limit.RatePerSecond * float64(elapsedUs) / float64(clock.Sec)
-	b.tokens, b.youngTokens = min(depth, b.tokens+fresh), min(depth, b.youngTokens+fresh)
+	b.tokens, b.warmUpTokens = min(depth, b.tokens+fresh), min(depth, b.warmUpTokens+fresh)
 }
 
 // available is what may be granted at once; young says that the books are.
-func (b *book) available(young bool) float64 {
+func (b *tenantBucket) available(young bool) float64 {
 	if young {
-		return min(b.tokens, b.youngTokens)
+		return min(b.tokens, b.warmUpTokens)
 	}
 	return b.tokens
 }
 
 // take grants up to count from the main book.
-func (b *book) take(count int64, young bool) int64 {
-	granted := int64(max(0, min(float64(count), math.Floor(b.available(young)+rounding))))
-	b.tokens, b.youngTokens = b.tokens-float64(granted), max(0, b.youngTokens-float64(granted))
+func (b *tenantBucket) take(count int64, young bool) int64 {
+	granted := int64(max(0, min(float64(count), math.Floor(b.available(young)+roundingTolerance))))
+	b.tokens, b.warmUpTokens = b.tokens-float64(granted), max(0, b.warmUpTokens-float64(granted))
 	return granted
 }
 
 // empty begins the main book anew: somebody else may have granted up to now.
-func (b *book) empty(nowUs int64, depth float64) {
-	b.tokens, b.youngTokens, b.refilledUs = depth, 0, nowUs
+func (b *tenantBucket) reset(nowUs int64, depth float64) {
+	b.tokens, b.warmUpTokens, b.refilledUs = depth, 0, nowUs
 }
