--- a/internal/controlplane/quota/explore_test.go
+++ b/internal/controlplane/quota/explore_test.go
@@ -8,37 +8,37 @@
 	"petreltide/internal/process/clock"
 )
 
-// quotaAction is one thing that may happen next.
+// quotaAction is a fault, a change or a period of time that the model may be subjected to next.
 type quotaAction struct {
 	name  string
 	apply func(m *quotaModel)
 }
 
 var quotaActions = []quotaAction{
-	{"a moment", func(m *quotaModel) { m.advanceTime(300 * clock.Ms) }},
-	{"a while", func(m *quotaModel) { m.advanceTime(1500 * clock.Ms) }},
-	{"a window", func(m *quotaModel) { m.advanceTime(testWindowUs + modelTickUs) }},
-	{"gateways turn greedy, or silent", func(m *quotaModel) { m.saturating = !m.saturating; m.advanceTime(modelTickUs) }},
-	{"cut the tail", func(m *quotaModel) { m.isolate(m.tail()); m.advanceTime(modelLeaseUs) }},
-	{"cut another", func(m *quotaModel) { m.isolate(m.nonTailVoter()); m.advanceTime(modelTickUs) }},
+	{"wait 300 ms", func(m *quotaModel) { m.advanceTime(300 * clock.Ms) }},
+	{"wait 1.5 s", func(m *quotaModel) { m.advanceTime(1500 * clock.Ms) }},
+	{"wait one window", func(m *quotaModel) { m.advanceTime(testWindowUs + modelTickUs) }},
+	{"toggle saturating requests", func(m *quotaModel) { m.saturating = !m.saturating; m.advanceTime(modelTickUs) }},
+	{"isolate the tail", func(m *quotaModel) { m.isolate(m.tail()); m.advanceTime(modelLeaseUs) }},
+	{"isolate another voter", func(m *quotaModel) { m.isolate(m.nonTailVoter()); m.advanceTime(modelTickUs) }},
 	{"freeze the tail", func(m *quotaModel) { m.freeze(m.tail()); m.advanceTime(modelLeaseUs) }},
-	{"heal", func(m *quotaModel) { m.reconnectAll(); m.advanceTime(modelTickUs) }},
+	{"reconnect all members", func(m *quotaModel) { m.reconnectAll(); m.advanceTime(modelTickUs) }},
 	{"restart the tail", func(m *quotaModel) { m.restart(m.tail()); m.advanceTime(modelTickUs) }},
-	{"restart another", func(m *quotaModel) { m.restart(m.nonTailVoter()); m.advanceTime(modelTickUs) }},
-	{"restart all", func(m *quotaModel) {
+	{"restart another voter", func(m *quotaModel) { m.restart(m.nonTailVoter()); m.advanceTime(modelTickUs) }},
+	{"restart all members", func(m *quotaModel) {
 		for _, member := range m.members {
 			m.restart(member)
 		}
 		m.advanceTime(modelTickUs)
 	}},
-	{"the tail gives up", func(m *quotaModel) { m.releaseLease(); m.advanceTime(modelTickUs) }},
-	{"the same tail in the next view", func(m *quotaModel) { m.nextView(); m.advanceTime(modelTickUs) }},
-	{"the lease lapses", func(m *quotaModel) { m.renewalsLostUntilUs = m.nowUs + clock.Sec; m.advanceTime(clock.Sec) }},
-	{"replace a member", func(m *quotaModel) { m.replaceVoter(); m.advanceTime(modelTickUs) }},
-	{"a member ends, another takes its vote", func(m *quotaModel) { m.replaceEndedVoter(); m.advanceTime(modelTickUs) }},
-	{"a lower limit", func(m *quotaModel) { m.declare(Limit{"t", 0.5, 1}); m.advanceTime(modelTickUs) }},
-	{"a higher limit", func(m *quotaModel) { m.declare(Limit{"t", 8, 40}); m.advanceTime(modelTickUs) }},
-	{"the limit goes to and fro", func(m *quotaModel) {
+	{"the tail releases its lease", func(m *quotaModel) { m.releaseLease(); m.advanceTime(modelTickUs) }},
+	{"next view with the same tail", func(m *quotaModel) { m.nextView(); m.advanceTime(modelTickUs) }},
+	{"the lease expires", func(m *quotaModel) { m.renewalsLostUntilUs = m.nowUs + clock.Sec; m.advanceTime(clock.Sec) }},
+	{"replace a voter that runs on", func(m *quotaModel) { m.replaceVoter(); m.advanceTime(modelTickUs) }},
+	{"a voter ends and is replaced", func(m *quotaModel) { m.replaceEndedVoter(); m.advanceTime(modelTickUs) }},
+	{"lower the limit", func(m *quotaModel) { m.declare(Limit{"t", 0.5, 1}); m.advanceTime(modelTickUs) }},
+	{"raise the limit", func(m *quotaModel) { m.declare(Limit{"t", 8, 40}); m.advanceTime(modelTickUs) }},
+	{"alternate the limit", func(m *quotaModel) {
 		for range 3 {
 			m.declare(Limit{"t", 0.5, 1})
 			m.advanceTime(modelTickUs)
@@ -46,15 +46,16 @@
 			m.advanceTime(modelTickUs)
 		}
 	}},
-	{"no such tenant", func(m *quotaModel) { m.declare(Limit{"t", -1, 0}); m.advanceTime(modelTickUs) }},
-	{"a middle limit", func(m *quotaModel) { m.declare(Limit{"t", 2, 10}); m.advanceTime(modelTickUs) }},
+	{"remove the tenant", func(m *quotaModel) { m.declare(Limit{"t", -1, 0}); m.advanceTime(modelTickUs) }},
+	{"set a medium limit", func(m *quotaModel) { m.declare(Limit{"t", 2, 10}); m.advanceTime(modelTickUs) }},
 }
 
-// exploreDepth is how many actions the exhaustive search puts one after the other.
+// exploreDepth is the length of the action sequences in the exhaustive search.
 const exploreDepth = 3
 
-func runSequence(setting modelSetting, picks []int, plant quotaMutation) *quotaModel {
-	m := newQuotaModel(func(int) int { return 0 }, setting, plant)
+// runSequence applies a sequence of actions to a new model, and then checks that conforming traffic is granted.
+func runSequence(setting modelSetting, picks []int, mutation quotaMutation) *quotaModel {
+	m := newQuotaModel(func(int) int { return 0 }, setting, mutation)
 	for _, pick := range picks {
 		if m.violation == "" {
 			m.tracef("-- %s", quotaActions[pick].name)
@@ -62,14 +63,14 @@
 		}
 	}
 	if m.violation == "" {
-		m.tracef("-- calm")
+		m.tracef("-- check conforming traffic")
 		m.advanceTime(clock.Sec)
 		m.checkConformingTraffic(setting.limit)
 	}
 	return m
 }
 
-// nextSequence counts on to the next sequence; false after the last.
+// nextSequence advances picks to the next sequence in order; it returns false after the last.
 func nextSequence(picks []int) bool {
 	for at := len(picks) - 1; at >= 0; at-- {
 		if picks[at]++; picks[at] < len(quotaActions) {
@@ -80,11 +81,11 @@
 	return false
 }
 
-// exploreAllSequences goes through every sequence of actions; it ends at the first that breaks.
-func exploreAllSequences(setting modelSetting, plant quotaMutation) (broken *quotaModel, sequences, granted, takeovers int) {
+// exploreAllSequences runs every sequence of exploreDepth actions and returns the first model with a violation, or nil.
+func exploreAllSequences(setting modelSetting, mutation quotaMutation) (violating *quotaModel, sequences, granted, takeovers int) {
 	picks := make([]int, exploreDepth)
 	for more := true; more; more = nextSequence(picks) {
-		m := runSequence(setting, picks, plant)
+		m := runSequence(setting, picks, mutation)
 		sequences, granted, takeovers = sequences+1, granted+m.granted, takeovers+m.takeovers
 		if m.violation != "" {
 			return m, sequences, granted, takeovers
@@ -93,11 +94,11 @@
 	return nil, sequences, granted, takeovers
 }
 
-// runRandomWalk is one long random run.
-func runRandomWalk(setting modelSetting, seed int64, plant quotaMutation) *quotaModel {
+// runRandomWalk runs a long random sequence of actions.
+func runRandomWalk(setting modelSetting, seed int64, mutation quotaMutation) *quotaModel {
 	const steps = 200
 	r := rand.New(rand.NewSource(seed))
-	m := newQuotaModel(r.Intn, setting, plant)
+	m := newQuotaModel(r.Intn, setting, mutation)
 	for n := 0; n < steps && m.violation == ""; n++ {
 		action := quotaActions[r.Intn(len(quotaActions))]
 		m.tracef("-- %s", action.name)
@@ -105,7 +106,7 @@
 		m.advanceTime(int64(r.Intn(12)) * modelTickUs)
 	}
 	if m.violation == "" {
-		m.tracef("-- calm")
+		m.tracef("-- check conforming traffic")
 		m.checkConformingTraffic(setting.limit)
 	}
 	return m
@@ -113,31 +114,32 @@
 
 const randomWalks = 120
 
-// report tells how a run broke.
+// report returns the violation and the last steps before it.
 func (m *quotaModel) report() string {
 	return m.violation + "\n" + strings.Join(m.trace[max(0, len(m.trace)-60):], "\n")
 }
 
-// Every sequence of a few faults, takeovers and changes of the limit: no window beyond the bound, and nothing refused within
-// the limit once all is calm.
-func TestQuotaExhaustivelyOnSmallModel(t *testing.T) {
+// Runs every short sequence of faults, takeovers and limit changes. No window may exceed the bound, and after recovery no
+// request within the limit may be refused.
+func TestQuotaBoundHoldsInAllShortFaultSequences(t *testing.T) {
 	for name, setting := range modelSettings {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			broken, sequences, granted, takeovers := exploreAllSequences(setting, noMutation)
-			if broken != nil {
-				t.Fatalf("after %d sequences: %s", sequences, broken.report())
+			violating, sequences, granted, takeovers := exploreAllSequences(setting, noMutation)
+			if violating != nil {
+				t.Fatalf("after %d sequences: %s", sequences, violating.report())
 			}
 			t.Logf("%d sequences, %d granted, %d takeovers", sequences, granted, takeovers)
 			if granted < 50*sequences || takeovers < sequences/4 {
-				t.Errorf("%d granted and %d takeovers in %d sequences: it proves little", granted, takeovers, sequences)
+				t.Errorf("%d granted and %d takeovers in %d sequences, want at least %d and %d for a meaningful test",
+					granted, takeovers, sequences, 50*sequences, sequences/4)
 			}
 		})
 	}
 }
 
-// Long seeded walks over every fault at once.
-func TestQuotaOverLongWalks(t *testing.T) {
+// Runs long seeded random walks over all faults together.
+func TestQuotaBoundHoldsInLongRandomWalks(t *testing.T) {
 	for name, setting := range modelSettings {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -151,32 +153,33 @@
 			}
 			t.Logf("%d walks, %d granted, %d takeovers", randomWalks, granted, takeovers)
 			if granted < 300*randomWalks || takeovers < 10*randomWalks {
-				t.Errorf("%d granted and %d takeovers: it proves little", granted, takeovers)
+				t.Errorf("%d granted and %d takeovers, want at least %d and %d for a meaningful test",
+					granted, takeovers, 300*randomWalks, 10*randomWalks)
 			}
 		})
 	}
 }
 
-// The model finds each fault that is planted into it, by its sequences or its walks.
-func TestQuotaModelFindsPlantedFaults(t *testing.T) {
-	for name, plant := range allMutations() {
+// Each mutation of the ledger or the model must be detected, by random walks or by exhaustive search.
+func TestQuotaModelDetectsAllMutations(t *testing.T) {
+	for name, mutation := range allMutations() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for settingName, setting := range modelSettings {
 				for seed := range int64(randomWalks) {
-					if m := runRandomWalk(setting, seed, plant); m.violation != "" {
+					if m := runRandomWalk(setting, seed, mutation); m.violation != "" {
 						t.Logf("%s, walk %d: %s", settingName, seed, m.violation)
 						return
 					}
 				}
 			}
 			for settingName, setting := range modelSettings {
-				if m, sequences, _, _ := exploreAllSequences(setting, plant); m != nil {
+				if m, sequences, _, _ := exploreAllSequences(setting, mutation); m != nil {
 					t.Logf("%s, sequence %d: %s", settingName, sequences, m.violation)
 					return
 				}
 			}
-			t.Error("nothing is found")
+			t.Error("mutation was not detected, want a violation in a walk or a sequence")
 		})
 	}
 }
--- a/internal/controlplane/quota/ledger.go
+++ b/internal/controlplane/quota/ledger.go
@@ -8,83 +8,98 @@
 )
 
 const (
-	// minRetryMs is the least time until another try that is named, in milliseconds; the window is the longest.
+	// minRetryMs is the minimum of Grant.RetryMs for a refused request, in milliseconds; the maximum is the window.
 	minRetryMs = 5
-	// forgetWindows is after how many windows the book of a tenant that is no longer declared is forgotten. One is enough for
-	// a book that comes back full; the second is for clocks.
+	// forgetWindows is the number of windows after which the bucket of a removed tenant is deleted. After one window a tenant
+	// may be added again with a full bucket; the second covers clock differences.
 	forgetWindows = 2
 )
 
-// Role is what a control node is at one moment.
+// Role is the role of a control node in the chain at one moment.
 type Role struct {
-	// Counting: this process is the tail and its lease from a majority of the voters holds.
+	// Counting reports whether this process is the tail and holds an unexpired lease from a majority of the voters. Only then
+	// may it grant from the main buckets.
 	Counting bool
 	// View is the number of the newest view that this process knows.
 	View uint64
-	// Voter says that it votes in that view, and Voters how many do.
+	// Voter reports whether this control node is a voter of that view, and Voters is the number of voters.
 	Voter  bool
 	Voters int
 }
 
-// Ask is a gateway's wish for tokens: one for each request.
+// TokenRequest is a gateway's request for Count tokens of a tenant, one for each client request.
 type TokenRequest struct {
 	Tenant string
 	Count  int
 }
 
-// Grant is the answer to an Ask. RetryMs is after how many milliseconds another try may succeed; 0 where all was granted.
+// Grant is the response to a TokenRequest. RetryMs is the time in milliseconds after which a retry may succeed; 0 if all tokens
+// were granted.
 type Grant struct {
 	Tenant  string
 	Granted int
 	RetryMs int64
-	// Unlimited says that the tenant is declared without a limit.
+	// Unlimited reports that the tenant is declared without a limit.
 	Unlimited bool
 }
 
-// Ledger holds a control node's books. It is not safe for concurrent use; times are those of its process's clock.
+// Ledger accounts for the tokens that one control node grants. It is not safe for concurrent use. All times are those of the
+// process's clock, in microseconds.
 //
-// Invariants:
+// Invariants; W is the window, r the rate, and warm-up is the first window after a reset of the main buckets:
 //
-//  1. The main books of all processes together are one bucket for each tenant, of the depth of Options.depth.
-//     Never do two count at once: Role.Counting is chain.Node.TailReady. A process keeps its books only from a view to the same
-//     or the next; else they begin anew. That rests on more than there being no two tails at once: while a lease
-//     of view v holds, no view is decided that has another tail. A voter that granted it accepts none until its grant has ended
-//     (chain: leaseGuardEndUs), one that has accepted one grants nothing more (acceptedEndsLease), one that restarts waits for
-//     a lease's length, and a change of votes that leaves no common voter waits as well (endsTailLease, guardCarriedLease). So
-//     whoever counts again in view v, after whatever lapse, release or standstill, knows that nobody counted in a later view
-//     meanwhile; and a tail of v and v+1 knows it of both. After releaseLease the tail does not count until a majority has
-//     granted anew. A tail whose process is known to have ended (superseded) is waited for by nobody: its books ended with
-//     it. The chain's explored model checks just this (TestEveryInterleavingOfSmallChains, TestLongWalksThroughViewChanges).
-//  2. Books that begin anew at t do so after the last grant of whoever counted before, as its lease has ended. Until t + W
-//     they give at most r*(now - t), so with the depth + r*x that the one before gave in the x before t any window has at most
-//     depth + r*W. From t + W on no window holds grants of another, and the bucket is what it would be had it been full at t.
-//  3. The reserves of all processes sum to at most reserveShare of the allowance in any window: one for each voter and for each
-//     tolerated loss, none in the first window of a process, whose member may have had another just before. Each
-//     holds for any window, as a slidingWindow keeps what it counts for a window at least. A counting tail may use its own
-//     while its books are young: it is one of the voters, so the sum stays.
-//  4. A change of the limit binds at once: refilled at the old rate up to the change; a smaller depth takes the tokens above it,
-//     a larger one adds the difference at once, unless there was a change within the last window, so that no to and fro of
-//     limits makes tokens. A tenant that is removed gets nothing, and its book waits for it, not refilled, until no window can
-//     hold a grant to it.
+//  1. The main buckets of all processes together act as one token bucket for each tenant, of the depth Options.depth.
+//     a. No two processes count at the same time: Role.Counting is chain.Node.TailReady.
+//     b. A process keeps its main buckets only if it counts again in the same view or in the next one; otherwise it resets
+//     them. This needs more than that no two tails exist at once: while a lease of view v holds, no view with another
+//     tail is decided.
+//     c. No such view is decided since a voter that granted the lease accepts no such view until its grant has ended (chain:
+//     leaseGuardEndUs), a voter that has accepted such a view grants nothing more (acceptedEndsLease), a voter that
+//     restarts waits for the length of a lease, and a change of voters that leaves no common voter waits as well
+//     (endsTailLease, guardCarriedLease).
+//     d. So a process that counts again in view v, after any expiry, release or pause, knows that no process counted in a
+//     later view in the meantime. A process that is the tail of views v and v+1 knows this of both views.
+//     e. After releaseLease the tail does not count until a majority has granted the lease anew.
+//     f. Nobody waits for a tail whose process is known to have ended (superseded): its buckets ended with the process.
+//     g. The explored model of the chain checks exactly these clauses (TestEveryInterleavingOfSmallChains,
+//     TestLongWalksThroughViewChanges).
+//  2. Main buckets that are reset at time t are reset after the last grant of the process that counted before, as its lease
+//     has ended.
+//     a. Until t + W they grant at most r*(now - t). The previous process granted at most depth + r*x in the time x before t,
+//     so any window has at most depth + r*W.
+//     b. From t + W on, no window contains grants of another process, and the bucket is in the state that it would have if it
+//     had been full at t.
+//  3. The reserves of all processes sum to at most reserveShare of the allowance in any window.
+//     a. There is one reserve for each voter and one for each tolerated loss. A process has none in its first window, as an
+//     earlier process of its member may have used one just before.
+//     b. Each reserve is bounded over any window, as a slidingWindow counts a grant for at least one window.
+//     c. A counting tail may use its own reserve during warm-up. It is one of the voters, so the sum is unchanged.
+//  4. A change of the limit takes effect immediately.
+//     a. The bucket is refilled at the old rate up to the change.
+//     b. A smaller depth removes the tokens above it. A larger depth adds the difference at once, unless there was a change
+//     within the last window, so that alternating limits create no tokens.
+//     c. A removed tenant is granted nothing. Its bucket is kept, without refill, until no window can contain a grant to the
+//     tenant.
 type Ledger struct {
 	opts Options
-	// slotUs is the length of a slot of every slidingWindow.
+	// slotUs is the slot length of every slidingWindow, in microseconds.
 	slotUs    int64
 	startedUs int64
 	nowUs     int64
 	buckets   map[string]*tenantBucket
 	role      Role
-	// maxVoters is the most voters that this process has seen in a view.
+	// maxVoters is the largest number of voters of any view that this process has seen.
 	maxVoters int
-	// hasCounted and countedView: this process counted last in that view; bucketsResetUs is since when it has its books.
+	// hasCounted reports whether this process has counted, and countedView is the view in which it last did.
+	// bucketsResetUs is the time of the last reset of the main buckets.
 	hasCounted     bool
 	countedView    uint64
 	bucketsResetUs int64
-	// nextForgetUs is when the first book of a removed tenant is forgotten; 0 where there is none.
+	// nextForgetUs is the earliest time at which the bucket of a removed tenant may be deleted; 0 if there is none.
 	nextForgetUs int64
 }
 
-// NewLedger is that of a process that starts now.
+// NewLedger returns the ledger of a process that starts at nowUs.
 func NewLedger(opts Options, nowUs int64) *Ledger {
 	opts = opts.withDefaults()
 	return &Ledger{
@@ -93,7 +108,7 @@
 	}
 }
 
-// SetLimits takes the limits in force in place of those before.
+// SetLimits replaces the limits in force. Tenants that are missing from limits are removed.
 func (l *Ledger) SetLimits(nowUs int64, limits []Limit) {
 	l.advance(nowUs)
 	declared := make(map[string]bool, len(limits))
@@ -110,7 +125,8 @@
 	}
 }
 
-// Observe takes what this control node is now. It is called at every step, so that books that begin anew refill from then on.
+// SetRole records the current role of this control node. It is called at every step, so that main buckets that are reset refill
+// from that time on.
 func (l *Ledger) SetRole(nowUs int64, role Role) {
 	l.advance(nowUs)
 	l.role = role
@@ -124,22 +140,22 @@
 	l.hasCounted, l.countedView = true, role.View
 }
 
-// Take answers asks by what was observed at this moment. tailUnreachable says that the gateway gets no answer from the tail;
-// without it only the tail grants.
-func (l *Ledger) Take(nowUs int64, tailUnreachable bool, asks []TokenRequest) []Grant {
+// Take grants or refuses token requests according to the role set last. tailUnreachable reports that the gateway gets no
+// response from the tail; if it is false, only the tail grants tokens.
+func (l *Ledger) Take(nowUs int64, tailUnreachable bool, requests []TokenRequest) []Grant {
 	l.advance(nowUs)
-	grants := make([]Grant, 0, len(asks))
-	for _, ask := range asks {
-		grants = append(grants, l.take(ask, tailUnreachable))
+	grants := make([]Grant, 0, len(requests))
+	for _, request := range requests {
+		grants = append(grants, l.take(request, tailUnreachable))
 	}
 	return grants
 }
 
-func (l *Ledger) take(ask TokenRequest, tailUnreachable bool) Grant {
-	b := l.buckets[ask.Tenant]
-	count := int64(max(0, ask.Count))
+func (l *Ledger) take(request TokenRequest, tailUnreachable bool) Grant {
+	b := l.buckets[request.Tenant]
+	count := int64(max(0, request.Count))
 	if b == nil || !b.declared {
-		return Grant{Tenant: ask.Tenant, RetryMs: l.windowMs()}
+		return Grant{Tenant: request.Tenant, RetryMs: l.windowMs()}
 	}
 	if b.limit.isNone() {
 		return l.takeUnlimited(b, count)
@@ -154,14 +170,15 @@
 	}
 	b.granted.add(l.nowUs, l.slotUs, granted)
 	b.refused.add(l.nowUs, l.slotUs, count-granted)
-	grant := Grant{Tenant: ask.Tenant, Granted: int(granted)}
+	grant := Grant{Tenant: request.Tenant, Granted: int(granted)}
 	if granted < count {
 		grant.RetryMs = l.retryMs(b, tailUnreachable)
 	}
 	return grant
 }
 
-// takeUnlimited grants a tenant without a limit all, at the tail alone: another control node may not know of a newer limit.
+// takeUnlimited grants all tokens to a tenant without a limit. Only the tail does so, as another control node may not know of a
+// newer limit.
 func (l *Ledger) takeUnlimited(b *tenantBucket, count int64) Grant {
 	if !l.role.Counting {
 		b.refused.add(l.nowUs, l.slotUs, count)
@@ -171,8 +188,8 @@
 	return Grant{Tenant: b.limit.Tenant, Granted: int(count), Unlimited: true}
 }
 
-// usesReserve says that this control node may grant from its own reserve: beside the tail to gateways that do not reach
-// it, and at the tail while its books are young.
+// usesReserve reports whether this control node may grant from its own reserve. The tail may during warm-up; other voters may
+// for gateways that do not reach the tail.
 func (l *Ledger) usesReserve(tailUnreachable bool) bool {
 	if !l.role.Voter || l.nowUs-l.startedUs <= l.opts.WindowUs {
 		return false
@@ -183,16 +200,18 @@
 	return tailUnreachable
 }
 
+// takeReserve grants up to count tokens from the reserve and returns how many it granted.
 func (l *Ledger) takeReserve(b *tenantBucket, count int64) int64 {
 	granted := max(0, min(count, l.reservePerWindow(b)-b.reserve.sum(l.nowUs, l.slotUs)))
 	b.reserve.add(l.nowUs, l.slotUs, granted)
 	return granted
 }
 
-// reservePerWindow is what this control node may grant a tenant by itself in a window.
+// reservePerWindow returns how many tokens of a tenant this control node may grant from its reserve in a window.
 func (l *Ledger) reservePerWindow(b *tenantBucket) int64 { return l.opts.reserve(b.limit, l.maxVoters) }
 
-// retryMs is when a token can be had from what was asked, as far as that can be told.
+// retryMs estimates, in milliseconds, when a token will be available. Where the tail is another control node and the gateway
+// reaches it, the estimate is the minimum, as that tail decides.
 func (l *Ledger) retryMs(b *tenantBucket, tailUnreachable bool) int64 {
 	waitUs := int64(0)
 	switch {
@@ -200,7 +219,7 @@
 		wait := (1 - b.available(l.isWarmingUp())) / b.limit.RatePerSecond * float64(clock.Sec)
 		waitUs = int64(min(wait, float64(l.opts.WindowUs)))
 	case !tailUnreachable:
-		// The tail is elsewhere.
+		// Another control node is the tail; the gateway asks it.
 	case l.nowUs-l.startedUs <= l.opts.WindowUs:
 		waitUs = l.startedUs + l.opts.WindowUs - l.nowUs
 	case l.role.Voter && l.reservePerWindow(b) > 0:
@@ -211,12 +230,12 @@
 	return max(minRetryMs, min(l.windowMs(), (waitUs+clock.Ms-1)/clock.Ms))
 }
 
-// isWarmingUp says that a window may still hold grants of whoever counted before.
+// isWarmingUp reports whether the current window may still contain grants of the process that counted before.
 func (l *Ledger) isWarmingUp() bool { return l.nowUs-l.bucketsResetUs <= l.opts.WindowUs }
 
 func (l *Ledger) windowMs() int64 { return max(minRetryMs, l.opts.WindowUs/clock.Ms) }
 
-// resetBuckets begins all main books anew; the reserves go on.
+// resetBuckets resets all main buckets; the reserves are unchanged.
 func (l *Ledger) resetBuckets() {
 	l.bucketsResetUs = l.nowUs
 	for _, b := range l.buckets {
@@ -224,7 +243,8 @@
 	}
 }
 
-// advance takes the time of a call and forgets the books that nothing depends on any more. Time does not go back.
+// advance moves the ledger's time forward to nowUs and deletes the buckets of removed tenants that no window depends on any
+// more. An earlier nowUs does not move time back.
 func (l *Ledger) advance(nowUs int64) {
 	l.nowUs = max(l.nowUs, nowUs)
 	if l.nextForgetUs == 0 || l.nowUs < l.nextForgetUs {
@@ -243,14 +263,14 @@
 	}
 }
 
-// scheduleForget looks for books to forget at this time at the latest.
+// scheduleForget makes advance look for deletable buckets at dueUs at the latest.
 func (l *Ledger) scheduleForget(dueUs int64) {
 	if l.nextForgetUs == 0 || dueUs < l.nextForgetUs {
 		l.nextForgetUs = dueUs
 	}
 }
 
-// declare takes one tenant's limit.
+// declare sets the limit of one tenant and adds the tenant if it is new.
 func (l *Ledger) declare(limit Limit) {
 	depth := l.opts.depth(limit)
 	b := l.buckets[limit.Tenant]
@@ -260,19 +280,19 @@
 		l.buckets[limit.Tenant] = b
 		return
 	}
-	had := l.opts.depth(b.limit)
-	b.refill(l.nowUs, had)
+	oldDepth := l.opts.depth(b.limit)
+	b.refill(l.nowUs, oldDepth)
 	b.declared = true
 	if b.limit == limit {
 		return
 	}
 	switch {
 	case l.nowUs-b.changedUs <= l.opts.WindowUs:
-		// It keeps what it has.
+		// The tokens are unchanged, so that alternating limits create none (invariant 4b).
 	case b.limit.isNone():
 		b.tokens = depth
-	case depth > had:
-		b.tokens += depth - had
+	case depth > oldDepth:
+		b.tokens += depth - oldDepth
 	}
 	if !limit.isNone() {
 		b.tokens, b.warmUpTokens = min(depth, b.tokens), min(depth, b.warmUpTokens)
@@ -280,8 +300,9 @@
 	b.limit, b.changedUs = limit, l.nowUs
 }
 
-// TenantStatus is what an operator sees of one tenant: its limit, the tokens of the main book where it is kept here, what
-// was granted and refused here in the last window, and what of this control node's reserve is used. It holds no key.
+// TenantStatus is the operator's view of one tenant at this control node: the limit, the tokens of the main bucket (at the tail
+// only), the tokens granted and refused here in the last window, and the use and size of this control node's reserve. It
+// contains no API key.
 type TenantStatus struct {
 	Tenant        string  `json:"tenant"`
 	RatePerSecond float64 `json:"ratePerSecond"`
@@ -293,7 +314,7 @@
 	Reserve       int64   `json:"reserve"`
 }
 
-// Status are the tenants in force, by name.
+// Status returns the status of all declared tenants, sorted by name.
 func (l *Ledger) Status(nowUs int64) []TenantStatus {
 	l.advance(nowUs)
 	rows := []TenantStatus{}
--- a/internal/controlplane/quota/ledger_test.go
+++ b/internal/controlplane/quota/ledger_test.go
@@ -18,37 +18,37 @@
 	return Options{WindowUs: testWindowUs, Overshoot: 0.1, Slack: 20, ToleratedLosses: 2}
 }
 
-// tail is the role of a counting tail of five voters.
+// tail returns the role of the counting tail of a view with five voters.
 func tail(view uint64) Role { return Role{Counting: true, View: view, Voter: true, Voters: 5} }
 
-// member is the role of another voter of five.
+// member returns the role of a voter other than the tail in a view with five voters.
 func member(view uint64) Role { return Role{View: view, Voter: true, Voters: 5} }
 
-// takeTokens asks for a tenant's tokens alone.
+// takeTokens requests count tokens of tenant "t" and returns how many are granted.
 func takeTokens(l *Ledger, nowUs int64, tailUnreachable bool, count int) int {
 	return l.Take(nowUs, tailUnreachable, []TokenRequest{{Tenant: "t", Count: count}})[0].Granted
 }
 
 func TestOptionsCheckListsAllFaults(t *testing.T) {
 	if bad := testOptions().Check(); bad != nil {
-		t.Error(bad)
+		t.Errorf("test options: got %v, want valid", bad)
 	}
 	if bad := (Options{}).Check(); bad != nil {
-		t.Error(bad)
+		t.Errorf("zero options: got %v, want valid", bad)
 	}
 	bad := Options{WindowUs: -1, Overshoot: math.NaN(), Slack: -1, ToleratedLosses: -1}.Check()
 	if bad == nil || len(bad.Faults) != 4 {
-		t.Errorf("%v", bad)
+		t.Errorf("four invalid options: got %v, want four faults", bad)
 	}
 }
 
-// The parts of the allowance are what the package's comment says, for a small tenant and a large one.
-func TestOptionsDivideAllowance(t *testing.T) {
+// The allowance is divided as the package comment states, for a small tenant and a large one.
+func TestOptionsDivideAllowanceBetweenDepthAndReserve(t *testing.T) {
 	for _, c := range []struct {
-		name                 string
-		limit                Limit
-		allowance, depth     float64
-		reserve, withoutLoss int64
+		name                    string
+		limit                   Limit
+		allowance, depth        float64
+		reserve, oneLossReserve int64
 	}{
 		{"small", Limit{"t", 4, 4}, 22.4, 4 + 6.72, 1, 2},
 		{"large", Limit{"t", 100, 50}, 75, 50 + 22.5, 6, 7},
@@ -57,26 +57,26 @@
 		t.Run(c.name, func(t *testing.T) {
 			o := testOptions()
 			if got := o.allowance(c.limit); math.Abs(got-c.allowance) > roundingTolerance {
-				t.Errorf("allowance %g", got)
+				t.Errorf("allowance: got %g, want %g", got, c.allowance)
 			}
 			if got := o.depth(c.limit); math.Abs(got-c.depth) > roundingTolerance {
-				t.Errorf("depth %g", got)
+				t.Errorf("depth: got %g, want %g", got, c.depth)
 			}
 			if got := o.reserve(c.limit, 5); got != c.reserve {
-				t.Errorf("reserve %d", got)
+				t.Errorf("reserve: got %d, want %d", got, c.reserve)
 			}
 			o.ToleratedLosses = 1
-			if got := o.reserve(c.limit, 5); got != c.withoutLoss {
-				t.Errorf("reserve %d with one tolerated loss", got)
+			if got := o.reserve(c.limit, 5); got != c.oneLossReserve {
+				t.Errorf("reserve with one tolerated loss: got %d, want %d", got, c.oneLossReserve)
 			}
 		})
 	}
 	if got := (Options{}).withDefaults().depth(Limit{"t", 2, 0}); got != minDepth {
-		t.Errorf("depth %g of a bucket without burst or allowance", got)
+		t.Errorf("depth without burst or allowance: got %g, want %g", got, minDepth)
 	}
 }
 
-func TestLedgerAnswersByRole(t *testing.T) {
+func TestLedgerGrantsAccordingToRole(t *testing.T) {
 	const nowUs = 100 * clock.Sec
 	limits := []Limit{{"t", 100, 50}, {"free", 0, 0}}
 	for _, c := range []struct {
@@ -84,40 +84,40 @@
 		startedUs       int64
 		role            Role
 		tailUnreachable bool
-		asks            []TokenRequest
+		requests        []TokenRequest
 		want            []Grant
 	}{
-		{"the tail's young books hold the reserve alone", 0, tail(3), false, []TokenRequest{{"t", 10}}, []Grant{{"t", 6, 10, false}}},
-		{"a young process has none", nowUs - clock.Sec, tail(3), false, []TokenRequest{{"t", 10}}, []Grant{{"t", 0, 10, false}}},
-		{"another member sends it on", 0, member(3), false, []TokenRequest{{"t", 10}}, []Grant{{"t", 0, minRetryMs, false}}},
-		{"another member grants its reserve where the tail is cut off", 0, member(3), true, []TokenRequest{{"t", 4}, {"t", 10}}, []Grant{{"t", 4, 0, false}, {"t", 2, 5100, false}}},
-		{"nothing in the first window of a process", nowUs - 2*clock.Sec, member(3), true, []TokenRequest{{"t", 10}}, []Grant{{"t", 0, 3000, false}}},
-		{"nothing from one without a vote", 0, Role{View: 3, Voters: 5}, true, []TokenRequest{{"t", 10}}, []Grant{{"t", 0, 5000, false}}},
-		{"nothing for a tenant that is not declared", 0, tail(3), false, []TokenRequest{{"u", 1}}, []Grant{{"u", 0, 5000, false}}},
-		{"all for one without a limit at the tail", 0, tail(3), false, []TokenRequest{{"free", 1000}}, []Grant{{"free", 1000, 0, true}}},
-		{"nothing for one without a limit beside the tail, which may know of one", 0, member(3), true, []TokenRequest{{"free", 1000}}, []Grant{{"free", 0, minRetryMs, false}}},
-		{"nothing below nothing", 0, tail(3), true, []TokenRequest{{"t", -3}, {"free", -3}}, []Grant{{"t", 0, 0, false}, {"free", 0, 0, true}}},
+		{"tail grants only its reserve during warm-up", 0, tail(3), false, []TokenRequest{{"t", 10}}, []Grant{{"t", 6, 10, false}}},
+		{"tail in its process's first window grants nothing", nowUs - clock.Sec, tail(3), false, []TokenRequest{{"t", 10}}, []Grant{{"t", 0, 10, false}}},
+		{"non-tail voter defers to a reachable tail", 0, member(3), false, []TokenRequest{{"t", 10}}, []Grant{{"t", 0, minRetryMs, false}}},
+		{"non-tail voter grants its reserve if the tail is unreachable", 0, member(3), true, []TokenRequest{{"t", 4}, {"t", 10}}, []Grant{{"t", 4, 0, false}, {"t", 2, 5100, false}}},
+		{"non-tail voter in its process's first window grants nothing", nowUs - 2*clock.Sec, member(3), true, []TokenRequest{{"t", 10}}, []Grant{{"t", 0, 3000, false}}},
+		{"non-voter grants nothing", 0, Role{View: 3, Voters: 5}, true, []TokenRequest{{"t", 10}}, []Grant{{"t", 0, 5000, false}}},
+		{"undeclared tenant gets nothing", 0, tail(3), false, []TokenRequest{{"u", 1}}, []Grant{{"u", 0, 5000, false}}},
+		{"unlimited tenant gets all tokens at the tail", 0, tail(3), false, []TokenRequest{{"free", 1000}}, []Grant{{"free", 1000, 0, true}}},
+		{"unlimited tenant gets nothing from a non-tail voter, which may not know of a newer limit", 0, member(3), true, []TokenRequest{{"free", 1000}}, []Grant{{"free", 0, minRetryMs, false}}},
+		{"negative counts are granted as zero", 0, tail(3), true, []TokenRequest{{"t", -3}, {"free", -3}}, []Grant{{"t", 0, 0, false}, {"free", 0, 0, true}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := NewLedger(testOptions(), c.startedUs)
 			l.SetLimits(nowUs, limits)
 			l.SetRole(nowUs, c.role)
-			got := l.Take(nowUs, c.tailUnreachable, c.asks)
+			got := l.Take(nowUs, c.tailUnreachable, c.requests)
 			for i := range got {
-				// The slot of the sliding window is up to a sixteenth of the window.
+				// A sliding window slot is up to 1/16 of the window, which makes the retry time inexact.
 				if i < len(c.want) && c.want[i].RetryMs == 5100 && got[i].RetryMs >= 4900 {
 					c.want[i].RetryMs = got[i].RetryMs
 				}
 			}
 			if diff := cmp.Diff(c.want, got); diff != "" {
-				t.Error(diff)
+				t.Errorf("grants (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// The book of a tail that has counted for a window holds its whole depth, and refills by the rate.
-func TestLedgerMainBookIsBucket(t *testing.T) {
+// After a tail has counted for one window, its main bucket holds the whole depth; it refills at the rate.
+func TestLedgerMainBucketFillsToDepthAndRefillsAtRate(t *testing.T) {
 	l := NewLedger(testOptions(), 0)
 	l.SetLimits(0, []Limit{{"t", 10, 5}})
 	l.SetRole(0, tail(1))
@@ -129,55 +129,55 @@
 		{0, 0}, {clock.Sec, 10}, {testWindowUs + 1, depth}, {testWindowUs + 2, 0}, {testWindowUs + 300*clock.Ms, 3}, {testWindowUs + 60*clock.Sec, depth},
 	} {
 		if got := takeTokens(l, step.nowUs, false, 1000); got != step.want {
-			t.Errorf("at %d ms: %d granted, want %d", step.nowUs/clock.Ms, got, step.want)
+			t.Errorf("granted at %d ms: got %d, want %d", step.nowUs/clock.Ms, got, step.want)
 		}
 	}
 }
 
-// Which books are kept from one tail's tenure to another.
-func TestLedgerKeepsBooksOnlyWhereNobodyElseCounted(t *testing.T) {
+// A process keeps its main buckets only if no other process can have counted since it last did.
+func TestLedgerKeepsBucketsOnlyIfNoOtherProcessCounted(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		then []Role
-		want int
+		name  string
+		roles []Role
+		want  int
 	}{
-		{"the same view", []Role{tail(3)}, 12},
-		{"a lapse in one view", []Role{member(3), tail(3)}, 12},
-		{"the next view", []Role{tail(4)}, 12},
-		{"a lapse and the next view", []Role{member(4), tail(4)}, 12},
-		{"a view between", []Role{member(4), tail(5)}, 0},
-		{"a view that was not seen", []Role{tail(5)}, 0},
+		{"same view", []Role{tail(3)}, 12},
+		{"lease expiry within one view", []Role{member(3), tail(3)}, 12},
+		{"next view", []Role{tail(4)}, 12},
+		{"lease expiry and next view", []Role{member(4), tail(4)}, 12},
+		{"a view in between", []Role{member(4), tail(5)}, 0},
+		{"a view in between that was not observed", []Role{tail(5)}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := NewLedger(testOptions(), 0)
 			l.SetLimits(0, []Limit{{"t", 10, 5}})
 			l.SetRole(0, tail(3))
 			nowUs := 3 * testWindowUs
-			for _, role := range c.then {
+			for _, role := range c.roles {
 				l.SetRole(nowUs, role)
 			}
-			// Without the reserve of a tail whose books are young.
+			// A non-voter has no reserve, so that only the main bucket grants during warm-up.
 			l.role.Voter = false
 			if got := takeTokens(l, nowUs, false, 1000); got != c.want {
-				t.Errorf("%d granted, want %d", got, c.want)
+				t.Errorf("granted: got %d, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-func TestLedgerTakesChangesOfLimits(t *testing.T) {
+func TestLedgerAppliesLimitChangesImmediately(t *testing.T) {
 	old := Limit{"t", 10, 40}
 	const nowUs = 4 * testWindowUs
 	depth := func(l Limit) int { return int(testOptions().depth(l)) }
 	for _, c := range []struct {
-		name string
-		play func(l *Ledger)
-		// want is what is granted at once, later a second after.
-		want, later int
+		name   string
+		change func(l *Ledger)
+		// want is the number of tokens granted at once, wantLater that granted one second later, with a tolerance of 1.
+		want, wantLater int
 	}{
-		{"lowered far below", func(l *Ledger) { l.SetLimits(nowUs, []Limit{{"t", 1, 1}}) }, depth(Limit{"t", 1, 1}), 1},
-		{"raised with a full book", func(l *Ledger) { l.SetLimits(nowUs, []Limit{{"t", 50, 80}}) }, depth(Limit{"t", 50, 80}), 50},
-		{"raised with an empty book", func(l *Ledger) {
+		{"lowered below the bucket's content", func(l *Ledger) { l.SetLimits(nowUs, []Limit{{"t", 1, 1}}) }, depth(Limit{"t", 1, 1}), 1},
+		{"raised with a full bucket", func(l *Ledger) { l.SetLimits(nowUs, []Limit{{"t", 50, 80}}) }, depth(Limit{"t", 50, 80}), 50},
+		{"raised with an empty bucket", func(l *Ledger) {
 			takeTokens(l, nowUs, false, 1000)
 			l.SetLimits(nowUs, []Limit{{"t", 50, 80}})
 		}, depth(Limit{"t", 50, 80}) - depth(old), 50},
@@ -192,12 +192,12 @@
 			l.SetLimits(nowUs-clock.Sec, nil)
 			l.SetLimits(nowUs, []Limit{old})
 		}, 10, 10},
-		{"no limit", func(l *Ledger) { l.SetLimits(nowUs, []Limit{{"t", 0, 0}}) }, 1000, 1000},
-		{"no limit and the old one again", func(l *Ledger) {
+		{"unlimited", func(l *Ledger) { l.SetLimits(nowUs, []Limit{{"t", 0, 0}}) }, 1000, 1000},
+		{"unlimited, then the old limit again", func(l *Ledger) {
 			l.SetLimits(nowUs, []Limit{{"t", 0, 0}})
 			l.SetLimits(nowUs, []Limit{old})
 		}, depth(old), 10},
-		{"to no limit and back, again and again", func(l *Ledger) {
+		{"alternating between unlimited and the old limit", func(l *Ledger) {
 			for range 10 {
 				takeTokens(l, nowUs, false, 1000)
 				l.SetLimits(nowUs, []Limit{{"t", 0, 0}})
@@ -210,26 +210,26 @@
 			l := NewLedger(testOptions(), 0)
 			l.SetLimits(0, []Limit{old})
 			l.SetRole(0, tail(3))
-			c.play(l)
+			c.change(l)
 			if got := takeTokens(l, nowUs, false, 1000); got != c.want {
-				t.Errorf("%d granted at once, want %d", got, c.want)
+				t.Errorf("granted at once: got %d, want %d", got, c.want)
 			}
-			if got := takeTokens(l, nowUs+clock.Sec, false, 1000); got < c.later-1 || got > c.later+1 {
-				t.Errorf("%d granted a second later, want about %d", got, c.later)
+			if got := takeTokens(l, nowUs+clock.Sec, false, 1000); got < c.wantLater-1 || got > c.wantLater+1 {
+				t.Errorf("granted one second later: got %d, want %d±1", got, c.wantLater)
 			}
 		})
 	}
 }
 
-// A tenant within its limit is refused nothing: whatever a bucket of its rate and burst lets through, this one does.
-func TestLedgerRefusesNothingBelowLimit(t *testing.T) {
+// A tenant within its limit is refused nothing: whatever a token bucket of its rate and burst passes, the ledger grants.
+func TestLedgerGrantsAllRequestsWithinLimit(t *testing.T) {
 	for seed := range int64(50) {
 		r := rand.New(rand.NewSource(seed))
 		limit := Limit{"t", 0.5 + r.Float64()*50, r.Float64() * 60}
 		l := NewLedger(testOptions(), 0)
 		l.SetLimits(0, []Limit{limit})
 		l.SetRole(0, tail(1))
-		// conforming is a bucket of just the limit; the books are young up to the first window.
+		// conforming is a token bucket of exactly the limit. The traffic starts after the warm-up.
 		conforming, nowUs := limit.Burst, testWindowUs+1
 		for range 2000 {
 			stepUs := int64(r.Intn(400)) * clock.Ms
@@ -238,14 +238,14 @@
 			count := r.Intn(1 + int(conforming))
 			conforming -= float64(count)
 			if got := takeTokens(l, nowUs, false, count); got != count {
-				t.Fatalf("seed %d, %+v: %d of %d granted", seed, limit, got, count)
+				t.Fatalf("seed %d, limit %+v: granted %d tokens, want %d", seed, limit, got, count)
 			}
 		}
 	}
 }
 
-// RetryMs names a time at which a token is there, and not much later than the first one is.
-func TestLedgerRetryNamesNextToken(t *testing.T) {
+// After RetryMs a token is available, unless RetryMs is capped at the window, and RetryMs is not much later than the first token.
+func TestLedgerRetryTimeIsWhenNextTokenIsAvailable(t *testing.T) {
 	for _, rate := range []float64{0.1, 0.7, 3, 40, 900} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			l := NewLedger(testOptions(), 0)
@@ -254,41 +254,41 @@
 			nowUs := 2 * testWindowUs
 			g := l.Take(nowUs, false, []TokenRequest{{"t", 1000000}})[0]
 			if g.RetryMs < minRetryMs || g.RetryMs > testWindowUs/clock.Ms {
-				t.Fatalf("%+v", g)
+				t.Fatalf("retry time of %+v: got %d ms, want %d to %d ms", g, g.RetryMs, minRetryMs, testWindowUs/clock.Ms)
 			}
 			if wait := g.RetryMs * clock.Ms; wait < testWindowUs && takeTokens(l, nowUs+wait, false, 1) != 1 {
-				t.Errorf("nothing after %d ms", g.RetryMs)
+				t.Errorf("retry after %d ms: no token granted, want 1", g.RetryMs)
 			}
 		})
 	}
 }
 
-// The memory of tenants that are no longer declared is bounded, however many there were.
-func TestLedgerForgetsRemovedTenants(t *testing.T) {
+// The number of retained buckets of removed tenants is bounded, however many tenants there were.
+func TestLedgerDeletesBucketsOfRemovedTenants(t *testing.T) {
 	l := NewLedger(testOptions(), 0)
-	most := 0
+	maxBuckets := 0
 	for n := range int64(200) {
 		l.SetLimits(n*clock.Sec, []Limit{{fmt.Sprint("t", n), 1, 1}})
 		l.SetRole(n*clock.Sec, tail(1))
-		most = max(most, len(l.buckets))
+		maxBuckets = max(maxBuckets, len(l.buckets))
 	}
-	if kept := int(forgetWindows*testWindowUs/clock.Sec) + 1; most > kept {
-		t.Errorf("%d books, at most %d tenants were removed within the time", most, kept)
+	if limit := int(forgetWindows*testWindowUs/clock.Sec) + 1; maxBuckets > limit {
+		t.Errorf("buckets: got %d, want at most the %d tenants declared within the retention time", maxBuckets, limit)
 	}
 	l.SetLimits(200*clock.Sec, nil)
 	l.SetRole(200*clock.Sec+forgetWindows*testWindowUs, tail(1))
 	if len(l.buckets) != 0 {
-		t.Errorf("%d books are left", len(l.buckets))
+		t.Errorf("buckets after the retention time: got %d, want 0", len(l.buckets))
 	}
 	for n := range 1000 {
 		l.Take(300*clock.Sec, true, []TokenRequest{{fmt.Sprint("unknown", n), 1}})
 	}
 	if len(l.buckets) != 0 {
-		t.Errorf("%d books of tenants that were never declared", len(l.buckets))
+		t.Errorf("buckets of tenants that were never declared: got %d, want 0", len(l.buckets))
 	}
 }
 
-func TestLedgerStatusCounts(t *testing.T) {
+func TestLedgerStatusReportsLimitsAndCounts(t *testing.T) {
 	l := NewLedger(testOptions(), 0)
 	l.SetLimits(0, []Limit{{"t", 10, 5}, {"free", 0, 0}, {"gone", 1, 1}})
 	l.SetLimits(0, []Limit{{"t", 10, 5}, {"free", 0, 0}})
@@ -299,22 +299,22 @@
 		{Tenant: "free", Granted: 7},
 		{Tenant: "t", RatePerSecond: 10, Burst: 5, Tokens: 0.65, Granted: 12, Refused: 8, Reserve: 2},
 	}
-	round := cmp.Comparer(func(a, b float64) bool { return math.Abs(a-b) < 1e-6 })
-	if diff := cmp.Diff(want, l.Status(nowUs), round); diff != "" {
-		t.Error(diff)
+	approxEqual := cmp.Comparer(func(a, b float64) bool { return math.Abs(a-b) < 1e-6 })
+	if diff := cmp.Diff(want, l.Status(nowUs), approxEqual); diff != "" {
+		t.Errorf("status (-want +got):\n%s", diff)
 	}
 	if rows := l.Status(nowUs + 2*testWindowUs); rows[1].Granted != 0 || rows[1].Refused != 0 || rows[1].Tokens != testOptions().depth(Limit{"t", 10, 5}) {
-		t.Errorf("two windows later: %+v", rows[1])
+		t.Errorf("status two windows later: got %+v, want no counts and a full bucket", rows[1])
 	}
 }
 
-// What a window counts leaves it after a window at the earliest, and after a slot more at the latest.
-func TestSlidingWindowIsConservative(t *testing.T) {
+// An event is counted for at least one window and at most one window and one slot.
+func TestSlidingWindowCountsEventsForOneWindowToOneSlotMore(t *testing.T) {
 	const slotUs = testWindowUs / windowSlots
 	r := rand.New(rand.NewSource(1))
-	type added struct{ atUs, n int64 }
+	type event struct{ atUs, n int64 }
 	var w slidingWindow
-	all, nowUs := []added{}, int64(0)
+	events, nowUs := []event{}, int64(0)
 	for range 20000 {
 		nowUs += int64(r.Intn(int(testWindowUs / 3)))
 		if r.Intn(50) == 0 {
@@ -322,22 +322,22 @@
 		}
 		if n := int64(r.Intn(5)); n > 0 {
 			w.add(nowUs, slotUs, n)
-			all = append(all, added{nowUs, n})
+			events = append(events, event{nowUs, n})
 		}
-		least, most := int64(0), int64(0)
-		for i := len(all) - 1; i >= 0 && nowUs-all[i].atUs < testWindowUs+slotUs; i-- {
-			most += all[i].n
-			if nowUs-all[i].atUs < testWindowUs {
-				least += all[i].n
+		minSum, maxSum := int64(0), int64(0)
+		for i := len(events) - 1; i >= 0 && nowUs-events[i].atUs < testWindowUs+slotUs; i-- {
+			maxSum += events[i].n
+			if nowUs-events[i].atUs < testWindowUs {
+				minSum += events[i].n
 			}
 		}
-		if got := w.sum(nowUs, slotUs); got < least || got > most {
-			t.Fatalf("at %d: %d, want %d to %d", nowUs, got, least, most)
+		if got := w.sum(nowUs, slotUs); got < minSum || got > maxSum {
+			t.Fatalf("sum at %d us: got %d, want %d to %d", nowUs, got, minSum, maxSum)
 		}
 	}
 }
 
-// spending is what was granted of one tenant over all control nodes, to be judged by windows.
+// grantLog records the tokens that all control nodes grant to one tenant, and checks the bound for each window.
 type grantLog struct {
 	grants []grantRecord
 	limits []limitChange
@@ -356,14 +356,15 @@
 	}
 }
 
-// applyLimit: a limit of rate 0 is none, and one of rate below 0 stands for a tenant that is not declared.
+// setLimit records a change of the limit. A rate of 0 means unlimited, and a negative rate that the tenant is not declared.
 func (s *grantLog) setLimit(nowUs int64, l Limit) {
 	s.limits = append(s.limits, limitChange{nowUs, l})
 }
 
-// bound is what the window that ends now may hold: that of the largest rate and the largest burst in force in it.
+// bound returns the maximum number of grants in the window that ends at nowUs, from the largest rate and the largest burst in
+// force within it.
 func (s *grantLog) bound(o Options, nowUs int64) float64 {
-	most := Limit{}
+	largest := Limit{}
 	for i, l := range s.limits {
 		if i+1 < len(s.limits) && s.limits[i+1].fromUs < nowUs-o.WindowUs {
 			continue
@@ -371,12 +372,12 @@
 		if l.limit.RatePerSecond == 0 {
 			return math.Inf(1)
 		}
-		most.RatePerSecond, most.Burst = max(most.RatePerSecond, l.limit.RatePerSecond), max(most.Burst, l.limit.Burst)
+		largest.RatePerSecond, largest.Burst = max(largest.RatePerSecond, l.limit.RatePerSecond), max(largest.Burst, l.limit.Burst)
 	}
-	return most.RatePerSecond*float64(o.WindowUs)/float64(clock.Sec) + most.Burst + o.allowance(most)
+	return largest.RatePerSecond*float64(o.WindowUs)/float64(clock.Sec) + largest.Burst + o.allowance(largest)
 }
 
-// broken names the window that ends with the newest grant where it holds too much.
+// violation describes the window that ends with the newest grant if it exceeds the bound, and is empty otherwise.
 func (s *grantLog) violation(o Options) string {
 	if len(s.grants) == 0 {
 		return ""
@@ -385,14 +386,14 @@
 	for i := len(s.grants) - 1; i >= 0 && lastUs-s.grants[i].atUs <= o.WindowUs; i-- {
 		sum += s.grants[i].n
 	}
-	if most := s.bound(o, lastUs); float64(sum) > most+roundingTolerance {
-		return fmt.Sprintf("%d granted in the window up to %d ms, at most %.1f", sum, lastUs/clock.Ms, most)
+	if limit := s.bound(o, lastUs); float64(sum) > limit+roundingTolerance {
+		return fmt.Sprintf("%d granted in the window up to %d ms, want at most %.1f", sum, lastUs/clock.Ms, limit)
 	}
 	return ""
 }
 
-// One tail for ever, arbitrary asks and changes of limits: no window holds more than the bound, also where the limits go to and fro.
-func TestLedgerWindowsHoldForArbitraryAsks(t *testing.T) {
+// With a single tail, arbitrary requests and arbitrary, also alternating, limits, no window exceeds the bound.
+func TestLedgerBoundHoldsInEveryWindowForArbitraryRequests(t *testing.T) {
 	granted := 0
 	for seed := range int64(300) {
 		r := rand.New(rand.NewSource(seed))
@@ -422,12 +423,12 @@
 			n := takeTokens(l, nowUs, r.Intn(2) == 0, r.Intn(200))
 			s.grant(nowUs, n)
 			trace, granted = append(trace, fmt.Sprintf("%d: %d granted", nowUs, n)), granted+n
-			if broken := s.violation(l.opts); broken != "" {
-				t.Fatalf("seed %d, %+v: %s\n%s", seed, o, broken, strings.Join(trace[max(0, len(trace)-40):], "\n"))
+			if violation := s.violation(l.opts); violation != "" {
+				t.Fatalf("seed %d, options %+v: %s\n%s", seed, o, violation, strings.Join(trace[max(0, len(trace)-40):], "\n"))
 			}
 		}
 	}
 	if t.Logf("%d granted", granted); granted < 100000 {
-		t.Errorf("%d granted: it proves little", granted)
+		t.Errorf("granted over all seeds: got %d, want at least 100000 for a meaningful test", granted)
 	}
 }
--- a/internal/controlplane/quota/model_test.go
+++ b/internal/controlplane/quota/model_test.go
@@ -10,76 +10,85 @@
 const (
 	modelTickUs  = 100 * clock.Ms
 	modelLeaseUs = 700 * clock.Ms
-	// maxModelLosses is how many members may be replaced and run on.
+	// maxModelLosses is the maximum number of voters that are replaced while they still run.
 	maxModelLosses = 1
 )
 
-// quotaMutation is a fault that is built into the model on purpose, to show that it is found.
+// quotaMutation is a deliberate defect that is injected to check that the model detects it.
 type quotaMutation int
 
 const (
 	noMutation quotaMutation = iota
-	// mutationIgnoreLease: a tail that is cut off counts on after its lease.
+	// mutationIgnoreLease: an isolated tail keeps counting after its lease has expired.
 	mutationIgnoreLease
-	// mutationStartFull: a new tail's books begin full.
+	// mutationStartFull: a new tail starts with full buckets, without warm-up.
 	mutationStartFull
-	// mutationKeepBuckets: a tail that comes back keeps its books though another has counted.
+	// mutationKeepBuckets: a returning tail keeps its buckets although another process has counted.
 	mutationKeepBuckets
-	// mutationReserveOnJoin: a member that takes the vote of a lost one grants from its reserve at once.
+	// mutationReserveOnJoin: a member that replaces a voter grants from its reserve in its first window.
 	mutationReserveOnJoin
-	// mutationReserveOnRestart: a restarted process goes on as if it had run before, but knows nothing of what it granted.
+	// mutationReserveOnRestart: a restarted process grants from its reserve in its first window, although it has lost the record
+	// of its earlier grants.
 	mutationReserveOnRestart
-	// mutationNoShareForLosses: the reserve is divided among the voters alone.
+	// mutationNoShareForLosses: the reserve is divided among the voters alone, without a share for tolerated losses.
 	mutationNoShareForLosses
-	// mutationAlignedWindows: the reserve is counted in windows that follow each other.
+	// mutationAlignedWindows: the reserve is counted in consecutive fixed windows instead of a sliding one.
 	mutationAlignedWindows
-	// mutationCreditEveryRaise: the tokens of a larger depth are added at each change.
+	// mutationCreditEveryRaise: every increase of the depth adds tokens, also within a window of the last change.
 	mutationCreditEveryRaise
 )
 
 func allMutations() map[string]quotaMutation {
 	return map[string]quotaMutation{
-		"the lease is ignored": mutationIgnoreLease, "a new tail starts full": mutationStartFull, "books are kept over another's": mutationKeepBuckets,
-		"no first window": mutationReserveOnJoin, "reserve after a restart": mutationReserveOnRestart, "no part for losses": mutationNoShareForLosses,
-		"aligned windows": mutationAlignedWindows, "credit for every raise": mutationCreditEveryRaise,
+		"tail counts after lease expiry":                    mutationIgnoreLease,
+		"new tail starts with full buckets":                 mutationStartFull,
+		"buckets are kept although another process counted": mutationKeepBuckets,
+		"reserve in a new member's first window":            mutationReserveOnJoin,
+		"reserve in the first window after a restart":       mutationReserveOnRestart,
+		"no reserve share for losses":                       mutationNoShareForLosses,
+		"fixed reserve windows":                             mutationAlignedWindows,
+		"tokens for every increase":                         mutationCreditEveryRaise,
 	}
 }
 
-// modelView is a view as members know it. The tail is a process, voters are members.
+// modelView is a view of the chain. The tail is the number of a process; the voters are the IDs of members.
 type modelView struct {
 	number uint64
 	tail   int
 	voters []int
 }
 
-// modelMember is a control node with its newest process.
+// modelMember is a control node with its current process.
 type modelMember struct {
 	id, process int
 	ledger      *Ledger
 	view        modelView
 	limit       Limit
-	// leaseUntilUs is until when a majority has promised to accept no other tail.
+	// leaseUntilUs is the time until which a majority accepts no other tail.
 	leaseUntilUs int64
-	// cut off from all others, frozen, or replaced and cut off for good.
+	// isolated: the member is partitioned from all others. frozen: its process does not run. replaced: it is no longer a voter and
+	// is isolated until reconnectAll.
 	isolated, frozen, replaced bool
 }
 
-// quotaModel is a small fleet: members that count by real ledgers, and a chain of which only what they rely on is modelled:
-// no view with another tail is decided while a lease holds, unless its process has ended or has given it up. Gateways are
-// greedy, or ask for nothing; any of them reaches any member, also one that no other member reaches.
+// quotaModel is a small cluster: members with real ledgers, and a chain that models only the property on which the ledgers rely.
+// No view with another tail is decided while a lease holds, unless the tail's process has ended or released the lease.
+// Gateways either request more tokens than there are or request none. Each gateway reaches every member, even one that is
+// isolated from all other members.
 type quotaModel struct {
 	opts     Options
 	mutation quotaMutation
 	choose   func(n int) int
 	nowUs    int64
 	members  []*modelMember
-	// view is the newest that was decided, limit the one in force there; a rate below 0 stands for a tenant that is not declared.
+	// view is the newest decided view, and limit the limit in force in it; a negative rate means that the tenant is not declared.
 	view         modelView
 	limit        Limit
 	nextMemberID int
 	lastProcess  int
 	replacements int
-	// renewalsLostUntilUs: nothing that the tail asks for arrives up to then, so that its lease lapses, and nobody suspects it.
+	// renewalsLostUntilUs: the tail's lease renewals are lost up to this time, so that its lease expires, but no other member
+	// suspects the tail.
 	renewalsLostUntilUs int64
 	saturating          bool
 	grantLog            grantLog
@@ -89,21 +98,21 @@
 	trace               []string
 }
 
-// modelSetting is a tenant's limit and the bound.
+// modelSetting is the limit of the tenant and the slack of the bound.
 type modelSetting struct {
 	limit Limit
 	slack float64
 }
 
-// modelSettings: one in which the burst is most of the bound, and one in which the allowance is.
+// modelSettings has one setting in which the burst dominates the bound, and one in which the allowance does.
 var modelSettings = map[string]modelSetting{
 	"burst":     {Limit{"t", 2, 30}, 20},
 	"allowance": {Limit{"t", 2, 1}, 100},
 }
 
-func newQuotaModel(choose func(n int) int, setting modelSetting, plant quotaMutation) *quotaModel {
+func newQuotaModel(choose func(n int) int, setting modelSetting, mutation quotaMutation) *quotaModel {
 	m := &quotaModel{
-		opts: Options{WindowUs: testWindowUs, Overshoot: 0.1, Slack: setting.slack, ToleratedLosses: maxModelLosses}, mutation: plant, choose: choose,
+		opts: Options{WindowUs: testWindowUs, Overshoot: 0.1, Slack: setting.slack, ToleratedLosses: maxModelLosses}, mutation: mutation, choose: choose,
 		nowUs: 100 * clock.Sec, limit: setting.limit, saturating: true,
 	}
 	m.view = modelView{number: 1, tail: 1, voters: []int{0, 1, 2}}
@@ -120,7 +129,7 @@
 	m.trace = append(m.trace, fmt.Sprintf("%d ms: ", m.nowUs/clock.Ms)+fmt.Sprintf(format, args...))
 }
 
-// join adds a member with a new process.
+// addMember adds a member with a new process. late tells members that join later from the founding ones.
 func (m *quotaModel) addMember(late bool) {
 	member := &modelMember{id: m.nextMemberID}
 	m.nextMemberID++
@@ -128,17 +137,18 @@
 	m.startProcess(member, late && m.mutation == mutationReserveOnJoin)
 }
 
-// begin starts a member's next process; experienced is a plant: it counts as one that has run for long.
-func (m *quotaModel) startProcess(member *modelMember, experienced bool) {
+// startProcess starts the next process of a member. skipFirstWindow belongs to mutations: the ledger takes the process for one
+// that has run for longer than a window.
+func (m *quotaModel) startProcess(member *modelMember, skipFirstWindow bool) {
 	m.lastProcess++
 	member.process, member.leaseUntilUs, member.frozen = m.lastProcess, 0, false
 	startedUs := m.nowUs
-	if experienced {
+	if skipFirstWindow {
 		startedUs -= 2 * m.opts.WindowUs
 	}
 	opts := m.opts
 	if m.mutation == mutationNoShareForLosses {
-		// (voters - 1) / 2 of one voter is no loss: the share is divided below.
+		// With one voter, the default of (voters - 1) / 2 tolerated losses is 0; observe sets the divisor.
 		opts.ToleratedLosses = 0
 	}
 	member.ledger = NewLedger(opts, startedUs)
@@ -149,12 +159,12 @@
 	member.limit = Limit{"t", -1, 0}
 }
 
-// isReachable says that a member's process runs and reaches the others that are in touch.
+// isReachable reports whether a member's process runs and reaches all other reachable members.
 func (m *quotaModel) isReachable(member *modelMember) bool {
 	return !member.isolated && !member.frozen && !member.replaced
 }
 
-// member is the one of an identity; voters have not ended.
+// member returns the member with an ID. Voters are always present.
 func (m *quotaModel) member(id int) *modelMember {
 	return m.members[slices.IndexFunc(m.members, func(member *modelMember) bool { return member.id == id })]
 }
@@ -169,7 +179,7 @@
 	return n > len(m.view.voters)/2
 }
 
-// tail is the member whose process is the tail of the newest view; nil where that process has ended.
+// tail returns the member whose process is the tail of the newest view, or nil if that process has ended.
 func (m *quotaModel) tail() *modelMember {
 	for _, member := range m.members {
 		if member.process == m.view.tail {
@@ -179,7 +189,7 @@
 	return nil
 }
 
-// chain renews the lease, or decides on another tail where that may be.
+// stepChain renews the lease, or decides a view with another tail if that is permitted.
 func (m *quotaModel) stepChain() {
 	if !m.hasQuorum() || m.nowUs < m.renewalsLostUntilUs {
 		return
@@ -193,24 +203,24 @@
 	}
 }
 
-// takeOver decides on a view with another tail. It is for when the lease of the one before has ended.
+// takeOver decides a view with another tail. The lease of the previous tail must have ended.
 func (m *quotaModel) takeOver() {
-	fit := []*modelMember{}
+	candidates := []*modelMember{}
 	for _, id := range m.view.voters {
 		if member := m.member(id); m.isReachable(member) && member.process != m.view.tail {
-			fit = append(fit, member)
+			candidates = append(candidates, member)
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return
 	}
-	next := fit[m.choose(len(fit))]
+	next := candidates[m.choose(len(candidates))]
 	m.takeovers++
 	m.view = modelView{number: m.view.number + 1, tail: next.process, voters: m.view.voters}
 	m.tracef("member %d is the tail of view %d", next.id, m.view.number)
 }
 
-// observe tells a member's ledger what it is.
+// observe passes a member's current role to its ledger.
 func (m *quotaModel) observe(member *modelMember) {
 	if m.isReachable(member) {
 		member.view = m.view
@@ -221,9 +231,9 @@
 	if m.mutation == mutationKeepBuckets && l.hasCounted {
 		l.countedView = member.view.number
 	}
-	had := l.bucketsResetUs
+	previousResetUs := l.bucketsResetUs
 	l.SetRole(m.nowUs, Role{Counting: counting, View: member.view.number, Voter: slices.Contains(member.view.voters, member.id), Voters: len(member.view.voters)})
-	if m.mutation == mutationStartFull && l.bucketsResetUs != had {
+	if m.mutation == mutationStartFull && l.bucketsResetUs != previousResetUs {
 		l.bucketsResetUs = m.nowUs - 2*m.opts.WindowUs
 	}
 	if m.mutation == mutationNoShareForLosses {
@@ -247,18 +257,18 @@
 	l.SetLimits(m.nowUs, []Limit{m.limit})
 }
 
-// recordLargestLimit records the largest limit that any member goes by, for the bound.
+// recordLargestLimit records the largest limit that any member applies, from which the bound is computed.
 func (m *quotaModel) recordLargestLimit() {
-	most := Limit{"t", -1, 0}
+	largest := Limit{"t", -1, 0}
 	for _, member := range m.members {
-		most.RatePerSecond, most.Burst = max(most.RatePerSecond, member.limit.RatePerSecond), max(most.Burst, member.limit.Burst)
+		largest.RatePerSecond, largest.Burst = max(largest.RatePerSecond, member.limit.RatePerSecond), max(largest.Burst, member.limit.Burst)
 	}
-	if had := m.grantLog.limits; len(had) == 0 || had[len(had)-1].limit != most {
-		m.grantLog.setLimit(m.nowUs, most)
+	if changes := m.grantLog.limits; len(changes) == 0 || changes[len(changes)-1].limit != largest {
+		m.grantLog.setLimit(m.nowUs, largest)
 	}
 }
 
-// saturateMember lets gateways that do not reach the tail ask a member for more than there is.
+// saturateMember requests more tokens from a member than it has, for gateways that do not reach the tail.
 func (m *quotaModel) saturateMember(member *modelMember) {
 	if member.frozen || m.violation != "" {
 		return
@@ -279,7 +289,7 @@
 	m.violation = m.grantLog.violation(m.opts)
 }
 
-// step is one moment of the whole fleet.
+// step runs one step of the whole cluster.
 func (m *quotaModel) step() {
 	m.stepChain()
 	for _, member := range m.members {
@@ -303,10 +313,10 @@
 	}
 }
 
-// cut cuts a member off from the others, not from gateways.
+// isolate partitions a member from the other members, but not from gateways.
 func (m *quotaModel) isolate(member *modelMember) {
 	if member != nil {
-		m.tracef("member %d is cut off", member.id)
+		m.tracef("member %d is isolated", member.id)
 		member.isolated = true
 	}
 }
@@ -318,16 +328,17 @@
 	}
 }
 
-// heal wakes all and joins all again. A frozen one answers first what lies before it, before it hears anything.
+// reconnectAll resumes and reconnects all members. A frozen member first handles its queued requests, before it receives anything
+// from other members.
 func (m *quotaModel) reconnectAll() {
-	m.tracef("all are in touch")
+	m.tracef("all members are connected")
 	for _, member := range m.members {
 		if member.frozen {
-			cut := member.isolated
+			wasIsolated := member.isolated
 			member.frozen, member.isolated = false, true
 			m.observe(member)
 			m.saturateMember(member)
-			member.isolated = cut
+			member.isolated = wasIsolated
 		}
 	}
 	for _, member := range m.members {
@@ -343,27 +354,27 @@
 	m.startProcess(member, m.mutation == mutationReserveOnRestart)
 }
 
-// other is a voter that is not the tail.
+// nonTailVoter returns a voter that is not the tail.
 func (m *quotaModel) nonTailVoter() *modelMember {
-	fit := []*modelMember{}
+	candidates := []*modelMember{}
 	for _, id := range m.view.voters {
 		if member := m.member(id); member.process != m.view.tail {
-			fit = append(fit, member)
+			candidates = append(candidates, member)
 		}
 	}
-	return fit[m.choose(len(fit))]
+	return candidates[m.choose(len(candidates))]
 }
 
-// release lets the tail give its lease up for another.
+// releaseLease makes the tail release its lease in favor of another tail.
 func (m *quotaModel) releaseLease() {
 	if tail := m.tail(); tail != nil && m.isReachable(tail) && m.hasQuorum() {
-		m.tracef("member %d gives its lease up", tail.id)
+		m.tracef("member %d releases its lease", tail.id)
 		tail.leaseUntilUs = 0
 		m.takeOver()
 	}
 }
 
-// nextView decides on a view with the same tail.
+// nextView decides a view with the same tail.
 func (m *quotaModel) nextView() {
 	if tail := m.tail(); tail != nil && m.isReachable(tail) && m.hasQuorum() {
 		m.view.number++
@@ -371,7 +382,7 @@
 	}
 }
 
-// replace gives a voter's vote to a new member; the old one runs on, cut off, until all is healed.
+// replaceVoter replaces a voter by a new member. The old member runs on, isolated, until reconnectAll.
 func (m *quotaModel) replaceVoter() {
 	if m.replacements >= maxModelLosses || !m.hasQuorum() {
 		return
@@ -387,35 +398,36 @@
 	m.transferVote(lost)
 }
 
-// succeed ends a voter for good and gives its vote to a new member.
+// replaceEndedVoter ends a voter's process permanently and replaces the voter by a new member.
 func (m *quotaModel) replaceEndedVoter() {
 	lost := m.nonTailVoter()
-	frozen := lost.frozen
+	wasFrozen := lost.frozen
 	if lost.frozen = true; !m.hasQuorum() {
-		lost.frozen = frozen
+		lost.frozen = wasFrozen
 		return
 	}
-	m.tracef("member %d ends for good", lost.id)
+	m.tracef("member %d ends permanently", lost.id)
 	m.members = slices.DeleteFunc(m.members, func(member *modelMember) bool { return member == lost })
 	m.transferVote(lost)
 }
 
-// transferVote lets a new member join and gives it the vote of a lost one.
+// transferVote adds a new member and makes it a voter in place of lost.
 func (m *quotaModel) transferVote(lost *modelMember) {
 	m.addMember(true)
 	newest := m.members[len(m.members)-1]
 	voters := slices.DeleteFunc(slices.Clone(m.view.voters), func(id int) bool { return id == lost.id })
 	m.view = modelView{number: m.view.number + 1, tail: m.view.tail, voters: append(voters, newest.id)}
-	m.tracef("member %d has the vote of member %d", newest.id, lost.id)
+	m.tracef("member %d replaces voter %d", newest.id, lost.id)
 }
 
-// declare puts another limit into force.
+// declare changes the limit in force.
 func (m *quotaModel) declare(l Limit) {
 	m.limit = l
 	m.tracef("the limit is %+v", l)
 }
 
-// calm joins all again and lets time go by without any request; then a tenant within its limit is refused nothing.
+// checkConformingTraffic reconnects all members and lets time pass without any request; then no request within the limit may be
+// refused.
 func (m *quotaModel) checkConformingTraffic(limit Limit) {
 	m.saturating = false
 	m.reconnectAll()
@@ -437,7 +449,7 @@
 		conforming -= float64(count)
 		got := takeTokens(tail.ledger, m.nowUs, false, count)
 		if m.granted += got; got != count {
-			m.violation = fmt.Sprintf("in calm the tail grants %d of %d within the limit", got, count)
+			m.violation = fmt.Sprintf("after recovery the tail granted %d of %d tokens within the limit", got, count)
 			return
 		}
 	}
--- a/internal/controlplane/quota/sliding_window.go
+++ b/internal/controlplane/quota/sliding_window.go
@@ -1,17 +1,18 @@
 package quota
 
-// windowSlots is how many slots a window is counted in.
+// windowSlots is the number of slots into which a window is divided.
 const windowSlots = 16
 
-// slidingWindow counts over the last window in slots. It is conservative: what is added stays for a window at least, and
-// for a slot more at most. The zero value is empty.
+// slidingWindow counts events over the last window, in slots. It is conservative: an event is counted for at least one window
+// and at most one window and one slot. The zero value is empty.
 type slidingWindow struct {
 	counts [windowSlots + 1]int64
-	// newest is the slot that was last written or read, by its number since the clock's zero.
+	// newest is the number of the newest slot, counted from the clock's zero; each read or write advances it.
 	newest int64
 }
 
-// sum is what was added of late; slotUs is the length of a slot, a windowSlots-th of the window or more.
+// sum returns the count over the last window. slotUs is the length of a slot in microseconds, at least 1/windowSlots of the
+// window.
 func (w *slidingWindow) sum(nowUs, slotUs int64) int64 {
 	w.advance(nowUs / slotUs)
 	total := int64(0)
@@ -26,7 +27,7 @@
 	w.counts[w.newest%int64(len(w.counts))] += n
 }
 
-// advance empties the slots that a window has gone by for.
+// advance makes slot the newest and clears the slots that have left the window.
 func (w *slidingWindow) advance(slot int64) {
 	size := int64(len(w.counts))
 	if slot-w.newest >= size {
@@ -40,7 +41,7 @@
 	}
 }
 
-// oldestExpiryUs is when the oldest slot that holds anything is emptied; 0 where none does.
+// oldestExpiryUs returns the time at which the oldest nonzero slot leaves the window, or 0 if all are zero.
 func (w *slidingWindow) oldestExpiryUs(slotUs int64) int64 {
 	size := int64(len(w.counts))
 	for slot := max(0, w.newest-size+1); slot <= w.newest; slot++ {
--- a/internal/controlplane/quota/tenant_bucket.go
+++ b/internal/controlplane/quota/tenant_bucket.go
@@ -6,35 +6,37 @@
 	"petreltide/internal/process/clock"
 )
 
-// Limit is a tenant's limit as it is declared.
+// Limit is the declared request rate limit of one tenant.
 type Limit struct {
-	// Tenant is the tenant's name.
 	Tenant string
-	// RatePerSecond and Burst are its requests a second and those beyond; a rate of 0 is no limit.
+	// RatePerSecond is the sustained rate in requests per second; 0 means unlimited. Burst is the number of requests that may
+	// be passed beyond that rate.
 	RatePerSecond, Burst float64
 }
 
-// isNone says that there is no limit.
+// isNone reports whether the tenant is unlimited.
 func (l Limit) isNone() bool { return l.RatePerSecond <= 0 }
 
-// rounding is what sums of fractions may miss a whole token by.
+// roundingTolerance is the floating-point error by which a sum of fractions may miss a whole token.
 const roundingTolerance = 1e-9
 
-// book is what is counted of one tenant. Its tokens are the main book's, reserve is this control node's own.
+// tenantBucket is the accounting of one tenant at this control node: its main bucket, used while this control node is the
+// tail, and the use of this control node's own reserve.
 type tenantBucket struct {
 	limit    Limit
 	declared bool
-	// tokens are what the bucket holds as of refilledUs, and warmUpTokens what one holds that was empty as this control
-	// node's books began: while those are young, both must have a token.
+	// tokens is the content of the main bucket as of refilledUs. warmUpTokens is the content of a second bucket that was empty
+	// when the main buckets of this control node were reset: during warm-up, a grant needs a token in both.
 	tokens, warmUpTokens float64
 	refilledUs           int64
-	// changedUs is when the limit was last changed, and removedUs when the tenant was last removed.
+	// changedUs is the time of the last change of the limit, and removedUs that of the tenant's last removal.
 	changedUs, removedUs int64
 
+	// granted and refused count all tokens granted and refused here; reserve counts those granted from the reserve.
 	granted, refused, reserve slidingWindow
 }
 
-// refill adds what the limit gives up to now. Nothing is added while the tenant is not declared.
+// refill adds the tokens accrued since the last refill, up to depth. An undeclared tenant accrues none.
 func (b *tenantBucket) refill(nowUs int64, depth float64) {
 	elapsedUs := nowUs - b.refilledUs
 	if elapsedUs <= 0 {
@@ -48,22 +50,22 @@
 	b.tokens, b.warmUpTokens = min(depth, b.tokens+fresh), min(depth, b.warmUpTokens+fresh)
 }
 
-// available is what may be granted at once; young says that the books are.
-func (b *tenantBucket) available(young bool) float64 {
-	if young {
+// available returns how many tokens may be granted now.
+func (b *tenantBucket) available(isWarmingUp bool) float64 {
+	if isWarmingUp {
 		return min(b.tokens, b.warmUpTokens)
 	}
 	return b.tokens
 }
 
-// take grants up to count from the main book.
-func (b *tenantBucket) take(count int64, young bool) int64 {
-	granted := int64(max(0, min(float64(count), math.Floor(b.available(young)+roundingTolerance))))
+// take removes up to count whole tokens from the main bucket and returns how many it removed.
+func (b *tenantBucket) take(count int64, isWarmingUp bool) int64 {
+	granted := int64(max(0, min(float64(count), math.Floor(b.available(isWarmingUp)+roundingTolerance))))
 	b.tokens, b.warmUpTokens = b.tokens-float64(granted), max(0, b.warmUpTokens-float64(granted))
 	return granted
 }
 
-// empty begins the main book anew: somebody else may have granted up to now.
+// reset makes the main bucket full and its warm-up bucket empty: another control node may have granted tokens up to nowUs.
 func (b *tenantBucket) reset(nowUs int64, depth float64) {
 	b.tokens, b.warmUpTokens, b.refilledUs = depth, 0, nowUs
 }
