--- a/internal/dataplane/gateway/attempts.go
+++ b/internal/dataplane/gateway/attempts.go
@@ -29,14 +29,14 @@
 func (e *nativeExchange) ResponseStarted() bool { return e.stream.headersSent }
 
 func (e *nativeExchange) Attempt(ctx context.Context, st scheduling.AttemptStart) (scheduling.Outcome, string) {
-	ending, why := e.host.runAttempt(ctx, e.request, e.call, st, e.stream)
+	outcome, reason := e.host.runAttempt(ctx, e.request, e.call, st, e.stream)
 	if e.stream.failed {
 		e.host.post(scheduling.CallCanceled{Call: e.call.ID})
 	}
-	if ending == scheduling.OutcomeDone {
+	if outcome == scheduling.OutcomeDone {
 		e.stream.event(0, "end", endEvent{Chunks: len(e.stream.chunks)})
 	}
-	return ending, why
+	return outcome, reason
 }
 
 const (
@@ -50,38 +50,38 @@
 func attemptNumber(attempt string) string { return attempt[strings.LastIndexByte(attempt, '/')+1:] }
 
 // runAttempt obeys one decision. Only when no byte can have left, or the replica itself said that
-// it did not start, is the ending one that lets the call run elsewhere.
+// it did not start, is the outcome one that lets the call run elsewhere.
 func (h *Host) runAttempt(attemptCtx context.Context, request *CallRequest, c *scheduling.Call, st scheduling.AttemptStart, s *stream) (scheduling.Outcome, string) {
-	sent, err := h.newAttemptRequest(attemptCtx, request, c, st, s.chunks)
+	attempt, err := h.newAttemptRequest(attemptCtx, request, c, st, s.chunks)
 	if err != nil {
 		return scheduling.OutcomeUnsent, err.Error()
 	}
 	if !h.maySend(st) {
 		return scheduling.OutcomeUnsent, snapshotChanged
 	}
-	res, err := h.attemptClient.Do(sent.req)
+	res, err := h.attemptClient.Do(attempt.req)
 	if err != nil {
-		if !sent.mayHaveBeenSent() {
+		if !attempt.mayHaveBeenSent() {
 			return scheduling.OutcomeUnsent, err.Error()
 		}
 		h.cancelAttempt(st)
-		return endingOf(attemptCtx, st), err.Error()
+		return outcomeAfterError(attemptCtx, st), err.Error()
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
 		return parseRefusal(res)
 	}
-	ending, why := h.readChunks(c, st, s, res.Body)
-	if ending == scheduling.OutcomeDone {
-		return ending, ""
+	outcome, reason := h.readChunks(c, st, s, res.Body)
+	if outcome == scheduling.OutcomeDone {
+		return outcome, ""
 	}
 	stopped := attemptCtx.Err() != nil
 	_ = res.Body.Close()
 	h.cancelAttempt(st)
 	if stopped {
-		return endingOf(attemptCtx, st), "the leg was stopped"
+		return outcomeAfterError(attemptCtx, st), "the leg was stopped"
 	}
-	return ending, why
+	return outcome, reason
 }
 
 // attemptRequest is an attempt as it is sent, and what is known of how far it came.
@@ -100,19 +100,19 @@
 	if err != nil {
 		panic(err)
 	}
-	sent := &attemptRequest{body: &gatedBody{h: h, st: st, r: bytes.NewReader(raw)}}
+	attempt := &attemptRequest{body: &gatedBody{h: h, st: st, r: bytes.NewReader(raw)}}
 	trace := &httptrace.ClientTrace{
-		GotConn:        func(httptrace.GotConnInfo) { sent.connected.Store(true) },
-		Got100Continue: func() { sent.body.continued.Store(true) },
+		GotConn:        func(httptrace.GotConnInfo) { attempt.connected.Store(true) },
+		Got100Continue: func() { attempt.body.continued.Store(true) },
 	}
-	sent.req, err = http.NewRequestWithContext(httptrace.WithClientTrace(attemptCtx, trace), http.MethodPost, "http://"+st.Addr+"/v1/legs", io.NopCloser(sent.body))
+	attempt.req, err = http.NewRequestWithContext(httptrace.WithClientTrace(attemptCtx, trace), http.MethodPost, "http://"+st.Addr+"/v1/legs", io.NopCloser(attempt.body))
 	if err != nil {
 		return nil, err
 	}
-	sent.req.ContentLength = int64(len(raw))
-	sent.req.Header.Set("Content-Type", "application/json")
-	sent.req.Header.Set("Expect", "100-continue")
-	return sent, nil
+	attempt.req.ContentLength = int64(len(raw))
+	attempt.req.Header.Set("Content-Type", "application/json")
+	attempt.req.Header.Set("Expect", "100-continue")
+	return attempt, nil
 }
 
 // mayHaveBeenSent: some of the body may have reached the replica.
@@ -128,8 +128,8 @@
 	return scheduling.OutcomeUnknown, "the replica answered " + res.Status
 }
 
-// endingOf is the ending of an attempt that may have run: at its deadline, stopped by the decider, or for no known reason.
-func endingOf(attemptCtx context.Context, st scheduling.AttemptStart) scheduling.Outcome {
+// outcomeAfterError is the outcome of an attempt that may have run: at its deadline, stopped by the decider, or for no known reason.
+func outcomeAfterError(attemptCtx context.Context, st scheduling.AttemptStart) scheduling.Outcome {
 	switch {
 	case clock.NowUs() >= st.DeadlineUs:
 		return scheduling.OutcomeTimedOut
@@ -173,25 +173,25 @@
 	dec := json.NewDecoder(bounded)
 	receivedBytes := 0
 	for {
-		var p wire.Chunk
-		if err := dec.Decode(&p); err != nil {
+		var chunk wire.Chunk
+		if err := dec.Decode(&chunk); err != nil {
 			return scheduling.OutcomeBroken, "the replica's stream ended early: " + err.Error()
 		}
 		bounded.N = maxChunkBytes
-		if receivedBytes += len(p.Text); receivedBytes > maxStreamBytes {
+		if receivedBytes += len(chunk.Text); receivedBytes > maxStreamBytes {
 			return scheduling.OutcomeBroken, "the replica's stream is too long"
 		}
-		ending, why := scheduling.CheckChunk(st.Attempt, len(s.chunks), p)
-		if ending != "" {
-			if ending == scheduling.OutcomeBroken {
-				_ = h.warn.Log("msg", "stream broken", "attempt", st.Attempt, "reason", why)
+		outcome, reason := scheduling.CheckChunk(st.Attempt, len(s.chunks), chunk)
+		if outcome != "" {
+			if outcome == scheduling.OutcomeBroken {
+				_ = h.warn.Log("msg", "stream broken", "attempt", st.Attempt, "reason", reason)
 			}
-			return ending, why
+			return outcome, reason
 		}
 		c.FirstByteUs.CompareAndSwap(0, clock.NowUs())
-		s.chunks = append(s.chunks, p.Text)
+		s.chunks = append(s.chunks, chunk.Text)
 		c.Progress.Store(int64(len(s.chunks)))
-		s.event(len(s.chunks), "piece", chunkEvent{Text: p.Text})
+		s.event(len(s.chunks), "piece", chunkEvent{Text: chunk.Text})
 		if s.failed {
 			return scheduling.OutcomeBroken, "the caller is gone"
 		}
--- a/internal/dataplane/gateway/authentication.go
+++ b/internal/dataplane/gateway/authentication.go
@@ -30,28 +30,28 @@
 //
 // A route or a key that is not known here may be in a declaration that is on its way: its request is held for a moment. After
 // that a gateway that is current refuses it, and one that is not says that it can't tell.
-func (h *Host) LookupRoute(ctx context.Context, a scheduling.RouteLookup) (route *configuration.Route, tenant string, bad *fault.Fault) {
-	route, tenant, bad = h.lookupRoute(a)
-	if !isUndecided(a, bad) {
-		return route, tenant, bad
+func (h *Host) LookupRoute(ctx context.Context, a scheduling.RouteLookup) (route *configuration.Route, tenant string, failure *fault.Fault) {
+	route, tenant, failure = h.lookupRoute(a)
+	if !isUndecided(a, failure) {
+		return route, tenant, failure
 	}
 	defer h.heldLookups.Add(-1)
 	if h.heldLookups.Add(1) > maxHeldLookups {
-		return route, tenant, bad
+		return route, tenant, failure
 	}
 	hold := time.NewTimer(h.lookupHold(a.DeadlineUs, clock.NowUs()))
 	defer hold.Stop()
 	for {
-		news := h.news.next()
-		if route, tenant, bad = h.lookupRoute(a); !isUndecided(a, bad) {
-			return route, tenant, bad
+		updated := h.updates.changed()
+		if route, tenant, failure = h.lookupRoute(a); !isUndecided(a, failure) {
+			return route, tenant, failure
 		}
 		select {
-		case <-news:
+		case <-updated:
 		case <-hold.C:
 			return h.lookupRoute(a)
 		case <-ctx.Done():
-			return route, tenant, bad
+			return route, tenant, failure
 		}
 	}
 }
@@ -59,29 +59,29 @@
 // lookupRoute is LookupRoute of this moment.
 func (h *Host) lookupRoute(a scheduling.RouteLookup) (*configuration.Route, string, *fault.Fault) {
 	snap, nowUs := h.Snapshot(), clock.NowUs()
-	route, tenant, bad := snap.LookupRoute(a)
+	route, tenant, failure := snap.LookupRoute(a)
 	switch {
-	case bad == nil && h.keysExpired(nowUs) && !snap.Declaration.Allows(route, ""):
+	case failure == nil && h.keysExpired(nowUs) && !snap.Declaration.Allows(route, ""):
 		return nil, "", undecided("no current control node was heard for %d ms: keys may have been revoked", h.settings.Revocation.WithinMs)
-	case isUndecided(a, bad) && !h.isCurrent(nowUs):
-		return nil, "", undecided("%s when this gateway last heard a current control node", bad.Detail)
+	case isUndecided(a, failure) && !h.isCurrent(nowUs):
+		return nil, "", undecided("%s when this gateway last heard a current control node", failure.Detail)
 	}
-	return route, tenant, bad
+	return route, tenant, failure
 }
 
 // isUndecided says whether a newer declaration, or word that there is none, may let in a request that is refused: one that brings a
 // key, or whose route is not known.
-func isUndecided(a scheduling.RouteLookup, bad *fault.Fault) bool {
-	if bad == nil {
+func isUndecided(a scheduling.RouteLookup, failure *fault.Fault) bool {
+	if failure == nil {
 		return false
 	}
-	return bad.Code == fault.NotFound || bad.Code == fault.NoLease || (bad.Code == fault.Unauthenticated && a.Key != "")
+	return failure.Code == fault.NotFound || failure.Code == fault.NoLease || (failure.Code == fault.Unauthenticated && a.Key != "")
 }
 
 func undecided(format string, args ...any) *fault.Fault {
-	bad := fault.New(fault.NoLease, "", format, args...)
-	bad.RetryMs = staleRetryMs
-	return bad
+	failure := fault.New(fault.NoLease, "", format, args...)
+	failure.RetryMs = staleRetryMs
+	return failure
 }
 
 // lookupHold is how long a request may be held that must be answered by an instant; 0 is never.
@@ -109,6 +109,6 @@
 func (h *Host) setCurrent(us int64) {
 	lastUs := h.currentUs.Swap(us)
 	if us > 0 && (lastUs == 0 || us-lastUs > currentWithinUs) {
-		h.news.fire()
+		h.updates.notify()
 	}
 }
--- a/internal/dataplane/gateway/authentication_test.go
+++ b/internal/dataplane/gateway/authentication_test.go
@@ -19,18 +19,18 @@
 const longHoldUs = 60 * clock.Sec
 
 // keyed is a gateway that has heard a control node just now, with a declaration whose one tenant holds some keys.
-func keyed(t *testing.T, revocation settings.Revocation, keys ...string) *Host {
+func newHostWithKeys(t *testing.T, revocation settings.Revocation, keys ...string) *Host {
 	t.Helper()
 	h := Open(settings.Gateway{
 		Name: "g", Listen: "127.0.0.1:0", Zone: "a", Seeds: []string{"127.0.0.1:1"}, MaxQueue: 1, MaxBodyKB: 1, Attempts: settings.LeaselessAttempts, Revocation: revocation,
 	}, logring.NewRing("", io.Discard))
-	h.learns(1, keys...)
+	h.storeDeclaration(1, keys...)
 	h.setCurrent(clock.NowUs())
 	return h
 }
 
 // learns brings a declaration; those above 100 have one more route.
-func (h *Host) learns(revision uint64, keys ...string) {
+func (h *Host) storeDeclaration(revision uint64, keys ...string) {
 	tenant := configuration.Tenant{Name: "acme"}
 	for _, key := range keys {
 		tenant.KeyDigests = append(tenant.KeyDigests, configuration.KeyDigest(key))
@@ -44,27 +44,27 @@
 		d.Routes = append(d.Routes, configuration.Route{Name: "late", Host: "h", Prefix: "/late/", Split: split})
 	}
 	h.snapshot.Store(&scheduling.Snapshot{Revision: revision, Declaration: d.Indexed()})
-	h.news.fire()
+	h.updates.notify()
 }
 
-func codeFor(ctx context.Context, h *Host, path, key string, deadlineUs int64) fault.Code {
-	if _, _, bad := h.LookupRoute(ctx, scheduling.RouteLookup{Host: "h", Path: path, Key: key, DeadlineUs: deadlineUs}); bad != nil {
-		return bad.Code
+func lookupCode(ctx context.Context, h *Host, path, key string, deadlineUs int64) fault.Code {
+	if _, _, failure := h.LookupRoute(ctx, scheduling.RouteLookup{Host: "h", Path: path, Key: key, DeadlineUs: deadlineUs}); failure != nil {
+		return failure.Code
 	}
 	return ""
 }
 
 // asks looks a key up beside the test, and returns once it is held.
-func asks(t *testing.T, h *Host, key string) <-chan fault.Code {
+func startHeldLookup(t *testing.T, h *Host, key string) <-chan fault.Code {
 	t.Helper()
-	return asksFor(t, h, "/x/1", key)
+	return startHeldLookupOnPath(t, h, "/x/1", key)
 }
 
-func asksFor(t *testing.T, h *Host, path, key string) <-chan fault.Code {
+func startHeldLookupOnPath(t *testing.T, h *Host, path, key string) <-chan fault.Code {
 	t.Helper()
-	held, answer := h.heldLookups.Load(), make(chan fault.Code, 1)
-	go func() { answer <- codeFor(t.Context(), h, path, key, 0) }()
-	for h.heldLookups.Load() <= held {
+	heldBefore, answer := h.heldLookups.Load(), make(chan fault.Code, 1)
+	go func() { answer <- lookupCode(t.Context(), h, path, key, 0) }()
+	for h.heldLookups.Load() <= heldBefore {
 		select {
 		case code := <-answer:
 			t.Fatalf("%s was answered at once: %q", key, code)
@@ -75,16 +75,16 @@
 }
 
 func TestARequestWhoseKeyIsOnItsWayIsServed(t *testing.T) {
-	h := keyed(t, settings.Revocation{}, "k1")
+	h := newHostWithKeys(t, settings.Revocation{}, "k1")
 	h.maxLookupHoldUs = longHoldUs
-	late := asks(t, h, "k2")
-	h.learns(2, "k1", "k3")
+	late := startHeldLookup(t, h, "k2")
+	h.storeDeclaration(2, "k1", "k3")
 	select {
 	case code := <-late:
 		t.Fatalf("a declaration without the key ended the wait: %q", code)
 	default:
 	}
-	h.learns(3, "k1", "k2")
+	h.storeDeclaration(3, "k1", "k2")
 	if code := <-late; code != "" {
 		t.Errorf("%q", code)
 	}
@@ -94,10 +94,10 @@
 }
 
 func TestARequestOnARouteThatIsOnItsWayIsServed(t *testing.T) {
-	h := keyed(t, settings.Revocation{}, "k1")
+	h := newHostWithKeys(t, settings.Revocation{}, "k1")
 	h.maxLookupHoldUs = longHoldUs
-	late, keyless := asksFor(t, h, "/late/1", "k1"), asksFor(t, h, "/late/1", "")
-	h.learns(101, "k1")
+	late, keyless := startHeldLookupOnPath(t, h, "/late/1", "k1"), startHeldLookupOnPath(t, h, "/late/1", "")
+	h.storeDeclaration(101, "k1")
 	if code := <-late; code != "" {
 		t.Errorf("%q", code)
 	}
@@ -135,12 +135,12 @@
 		"behind, no such route, no key":       {staleUs, settings.Revocation{}, "/late/1", "", fault.NoLease},
 		"closed, never current, known":        {-1, settings.Revocation{Closed: true, WithinMs: 5000}, "/x/1", "k1", fault.NoLease},
 	} {
-		h := keyed(t, c.revocation, "k1")
+		h := newHostWithKeys(t, c.revocation, "k1")
 		h.maxLookupHoldUs = 0
 		if h.setCurrent(clock.NowUs() - c.ageUs); c.ageUs < 0 {
 			h.setCurrent(0)
 		}
-		if code := codeFor(t.Context(), h, c.path, c.key, 0); code != c.code {
+		if code := lookupCode(t.Context(), h, c.path, c.key, 0); code != c.code {
 			t.Errorf("%s: %q, want %q", name, code, c.code)
 		}
 	}
@@ -148,10 +148,10 @@
 
 // A gateway that was stopped or cut off serves what it held as soon as it hears again.
 func TestRequestsHeldByAGatewayThatWasCutOffGoOnOnceItHearsAgain(t *testing.T) {
-	h := keyed(t, settings.Revocation{Closed: true, WithinMs: 5000}, "k1")
+	h := newHostWithKeys(t, settings.Revocation{Closed: true, WithinMs: 5000}, "k1")
 	h.maxLookupHoldUs = longHoldUs
 	h.setCurrent(clock.NowUs() - 20*clock.Sec)
-	held := asks(t, h, "k1")
+	held := startHeldLookup(t, h, "k1")
 	h.setCurrent(clock.NowUs())
 	if code := <-held; code != "" {
 		t.Errorf("%q", code)
@@ -160,21 +160,21 @@
 
 // An attacker's unknown keys hold few requests, and the others are answered without a wait.
 func TestAFloodOfUnknownKeysHoldsFewRequests(t *testing.T) {
-	h := keyed(t, settings.Revocation{}, "k1")
+	h := newHostWithKeys(t, settings.Revocation{}, "k1")
 	h.maxLookupHoldUs = longHoldUs
 	held := []<-chan fault.Code{}
 	for i := range maxHeldLookups {
-		held = append(held, asks(t, h, fmt.Sprint("flood-", i)))
+		held = append(held, startHeldLookup(t, h, fmt.Sprint("flood-", i)))
 	}
 	for range 1000 {
-		if code := codeFor(t.Context(), h, "/x/1", "flood", 0); code != fault.Unauthenticated {
+		if code := lookupCode(t.Context(), h, "/x/1", "flood", 0); code != fault.Unauthenticated {
 			t.Fatalf("%q", code)
 		}
 	}
-	if code := codeFor(t.Context(), h, "/x/1", "k1", 0); code != "" {
+	if code := lookupCode(t.Context(), h, "/x/1", "k1", 0); code != "" {
 		t.Errorf("a known key: %q", code)
 	}
-	h.learns(2, "flood-0")
+	h.storeDeclaration(2, "flood-0")
 	if code := <-held[0]; code != "" {
 		t.Errorf("a key that came: %q", code)
 	}
@@ -184,7 +184,7 @@
 }
 
 func TestARequestWithAnUnknownKeyIsHeldForAPartOfItsTimeAtMost(t *testing.T) {
-	h := keyed(t, settings.Revocation{})
+	h := newHostWithKeys(t, settings.Revocation{})
 	for leftUs, want := range map[int64]time.Duration{100 * clock.Ms: 25 * time.Millisecond, 4 * clock.Sec: 300 * time.Millisecond, -clock.Sec: 0} {
 		if got := h.lookupHold(5*clock.Sec+leftUs, 5*clock.Sec); got != want {
 			t.Errorf("%d ms are left: held for %v, want %v", leftUs/clock.Ms, got, want)
@@ -196,7 +196,7 @@
 	h.maxLookupHoldUs = longHoldUs
 	ctx, leave := context.WithCancel(t.Context())
 	answer := make(chan fault.Code, 1)
-	go func() { answer <- codeFor(ctx, h, "/x/1", "k9", 0) }()
+	go func() { answer <- lookupCode(ctx, h, "/x/1", "k9", 0) }()
 	leave()
 	if code := <-answer; code != fault.Unauthenticated {
 		t.Errorf("its client has left: %q", code)
--- a/internal/dataplane/gateway/broadcast.go
+++ b/internal/dataplane/gateway/broadcast.go
@@ -15,9 +15,9 @@
 }
 
 // next is closed by the next fire.
-func (b *broadcast) next() <-chan struct{} { return *b.signal.Load() }
+func (b *broadcast) changed() <-chan struct{} { return *b.signal.Load() }
 
-func (b *broadcast) fire() {
+func (b *broadcast) notify() {
 	signal := make(chan struct{})
 	close(*b.signal.Swap(&signal))
 }
--- a/internal/dataplane/gateway/calls.go
+++ b/internal/dataplane/gateway/calls.go
@@ -35,10 +35,10 @@
 )
 
 // parseCall checks everything that can be checked without asking the decider.
-func (h *Host) parseCall(w http.ResponseWriter, r *http.Request) (request *CallRequest, c *scheduling.Call, resumable bool, bad *fault.Fault) {
-	request, bad = h.decode(w, r)
-	if bad != nil {
-		return nil, nil, false, bad
+func (h *Host) parseCall(w http.ResponseWriter, r *http.Request) (request *CallRequest, c *scheduling.Call, resumable bool, failure *fault.Fault) {
+	request, failure = h.decode(w, r)
+	if failure != nil {
+		return nil, nil, false, failure
 	}
 	s := h.snapshot.Load()
 	if s == nil || s.Declaration == nil {
@@ -48,12 +48,12 @@
 	}
 	lastEventID := r.Header.Get("Last-Event-Id")
 	nonResumable := request.Resumable != nil && !*request.Resumable
-	kind, bad := s.LookupKind(scheduling.KindLookup{Kind: request.Kind, Model: request.Model, Adapter: request.Adapter, NonRetryable: nonResumable, Resuming: lastEventID != ""}, clock.NowUs(), h.leaseUs.Load())
-	if bad == nil {
-		bad = request.check(r.Header.Get("Idempotency-Key"))
+	kind, failure := s.LookupKind(scheduling.KindLookup{Kind: request.Kind, Model: request.Model, Adapter: request.Adapter, NonRetryable: nonResumable, Resuming: lastEventID != ""}, clock.NowUs(), h.leaseUs.Load())
+	if failure == nil {
+		failure = request.check(r.Header.Get("Idempotency-Key"))
 	}
-	if bad != nil {
-		return nil, nil, false, bad
+	if failure != nil {
+		return nil, nil, false, failure
 	}
 	c = &scheduling.Call{
 		ID: h.settings.Name + "-" + randomid.New(8), Kind: kind.Name, Model: request.Model, Adapter: request.Adapter,
@@ -76,8 +76,8 @@
 		return nil, fault.New(fault.BadJSON, "", "%v", err)
 	}
 	request := &CallRequest{}
-	if bad := fault.DecodeJSON(raw, request); bad != nil {
-		return nil, bad
+	if failure := fault.DecodeJSON(raw, request); failure != nil {
+		return nil, failure
 	}
 	return request, nil
 }
@@ -123,14 +123,14 @@
 func (h *Host) serveCall(w http.ResponseWriter, r *http.Request) {
 	h.activeCalls.Add(1)
 	defer h.activeCalls.Add(-1)
-	request, c, resumable, bad := h.parseCall(w, r)
-	if bad != nil {
-		writeFault(w, httpStatus(bad), bad)
+	request, c, resumable, failure := h.parseCall(w, r)
+	if failure != nil {
+		writeFault(w, httpStatus(failure), failure)
 		return
 	}
 	key := r.Header.Get("Idempotency-Key")
-	keyed := key != "" && !resumable
-	if keyed {
+	claimsKey := key != "" && !resumable
+	if claimsKey {
 		if f := h.claimKey(r.Context(), key, c); f != nil {
 			writeFault(w, httpStatus(f), f)
 			return
@@ -138,7 +138,7 @@
 	}
 	s := &stream{w: w, flush: http.NewResponseController(w).Flush, chunks: append([]string(nil), request.Received...)}
 	end := h.runCall(r.Context(), c, &nativeExchange{host: h, request: request, call: c, stream: s})
-	if keyed {
+	if claimsKey {
 		h.completeKey(key, c, end)
 	}
 }
--- a/internal/dataplane/gateway/fuzz_test.go
+++ b/internal/dataplane/gateway/fuzz_test.go
@@ -17,7 +17,7 @@
 	"petreltide/internal/process/logring"
 )
 
-func host() *Host {
+func newTestHost() *Host {
 	h := Open(settings.Gateway{Name: "front", Listen: "127.0.0.1:1", Advertise: "127.0.0.1:1", MaxQueue: 4, MaxBodyKB: 64}, logring.NewRing("", io.Discard))
 	doc := &configuration.Declaration{Kinds: []configuration.Kind{{Name: "pages", Urgency: 3, Resumable: true, DeadlineMs: 1000}, {Name: "fixes", Urgency: 8, DeadlineMs: 1000}},
 		Models: []configuration.Model{{Name: "m"}}, Adapters: []configuration.Adapter{{Name: "a", Model: "m"}}}
@@ -32,19 +32,19 @@
 	f.Add([]byte(`{"kind":"pages","model":"m","adapter":"a","prompt":"x","had":["1","2"],"mostOut":-1}`), "2", "key")
 	f.Add([]byte(`{"kind":"pages","model":"m","prompt":"x","expiryMs":-9223372036854775808}`), "-0", strings.Repeat("k", 300))
 	f.Add([]byte(`{"prefix":[],"kind":null}{}`), "1e3", "")
-	h := host()
+	h := newTestHost()
 	f.Fuzz(func(t *testing.T, body []byte, last, key string) {
 		r := httptest.NewRequest(http.MethodPost, "/v1/calls", bytes.NewReader(body))
 		r.Header["Last-Event-Id"], r.Header["Idempotency-Key"] = []string{last}, []string{key}
-		ask, c, _, bad := h.parseCall(httptest.NewRecorder(), r)
-		if bad != nil {
-			if bad.Code == "" || httpStatus(bad) < 400 {
-				t.Fatalf("%+v", bad)
+		request, c, _, failure := h.parseCall(httptest.NewRecorder(), r)
+		if failure != nil {
+			if failure.Code == "" || httpStatus(failure) < 400 {
+				t.Fatalf("%+v", failure)
 			}
 			return
 		}
-		if c.Model != "m" || (c.Kind != "pages" && c.Kind != "fixes") || ask.Prompt == "" || c.Delivered != len(ask.Received) || c.TimeoutMs < 0 || (c.Delivered > 0 && c.Kind != "pages") {
-			t.Fatalf("%+v taken as %+v", ask, c)
+		if c.Model != "m" || (c.Kind != "pages" && c.Kind != "fixes") || request.Prompt == "" || c.Delivered != len(request.Received) || c.TimeoutMs < 0 || (c.Delivered > 0 && c.Kind != "pages") {
+			t.Fatalf("%+v taken as %+v", request, c)
 		}
 	})
 }
@@ -55,12 +55,12 @@
 	f.Add([]byte("{\"leg\":\"r/i/1\",\"n\":2}"))
 	f.Add([]byte("{\"leg\":\"r/i/1\",\"end\":true,\"n\":0}{\"leg\":\"r/i/1\",\"n\":1}"))
 	f.Add([]byte("[[[[[{\"leg\":"))
-	h := host()
+	h := newTestHost()
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		rec := httptest.NewRecorder()
 		s := &stream{w: rec, flush: func() error { return nil }}
 		c := &scheduling.Call{ID: "c"}
-		ending, _ := h.readChunks(c, scheduling.AttemptStart{Call: c, Attempt: "r/i/1"}, s, bytes.NewReader(raw))
+		outcome, _ := h.readChunks(c, scheduling.AttemptStart{Call: c, Attempt: "r/i/1"}, s, bytes.NewReader(raw))
 		dec := json.NewDecoder(bytes.NewReader(raw))
 		whole := 0
 		for {
@@ -69,8 +69,8 @@
 				break
 			}
 			if p.End {
-				if (ending == scheduling.OutcomeDone) != (p.Number == whole) {
-					t.Fatalf("%s with an end at %d of %d", ending, p.Number, whole)
+				if (outcome == scheduling.OutcomeDone) != (p.Number == whole) {
+					t.Fatalf("%s with an end at %d of %d", outcome, p.Number, whole)
 				}
 				break
 			}
@@ -85,25 +85,25 @@
 	})
 }
 
-type endless struct{ n int }
+type endlessReader struct{ bytesRead int }
 
-func (e *endless) Read(p []byte) (int, error) {
+func (e *endlessReader) Read(p []byte) (int, error) {
 	for i := range p {
 		p[i] = 'x'
 	}
-	if e.n == 0 {
+	if e.bytesRead == 0 {
 		copy(p, `{"leg":"r/i/1","n":1,"text":"`)
 	}
-	e.n += len(p)
+	e.bytesRead += len(p)
 	return len(p), nil
 }
 
 func TestAPieceWithoutEndIsGivenUpOnAtABound(t *testing.T) {
 	s := &stream{w: httptest.NewRecorder(), flush: func() error { return nil }}
 	c := &scheduling.Call{ID: "c"}
-	e := &endless{}
-	ending, why := host().readChunks(c, scheduling.AttemptStart{Call: c, Attempt: "r/i/1"}, s, e)
-	if ending != scheduling.OutcomeBroken || e.n > 4*maxChunkBytes || len(s.chunks) != 0 {
-		t.Fatal(ending, why, fmt.Sprint(e.n))
+	e := &endlessReader{}
+	outcome, reason := newTestHost().readChunks(c, scheduling.AttemptStart{Call: c, Attempt: "r/i/1"}, s, e)
+	if outcome != scheduling.OutcomeBroken || e.bytesRead > 4*maxChunkBytes || len(s.chunks) != 0 {
+		t.Fatal(outcome, reason, fmt.Sprint(e.bytesRead))
 	}
 }
--- a/internal/dataplane/gateway/host.go
+++ b/internal/dataplane/gateway/host.go
@@ -64,7 +64,7 @@
 	currentUs atomic.Int64
 	// news wakes requests whose route or key is not known once a newer declaration is here, or a current control node is heard again;
 	// heldLookups counts them.
-	news        *broadcast
+	updates     *broadcast
 	heldLookups atomic.Int64
 	// maxLookupHoldUs is maxLookupHoldUs but in tests.
 	maxLookupHoldUs int64
@@ -76,7 +76,7 @@
 	act        *actor.Actor
 	lastTickUs int64
 	// callers are the goroutines that wait for a decision, by the call's ID.
-	callers      map[string]*caller
+	workers      map[string]*callWorker
 	membership   atomic.Pointer[wire.MembershipResponse]
 	subscriber   *controlclient.Subscriber
 	cancelFollow context.CancelFunc
@@ -107,13 +107,13 @@
 
 // caller is a goroutine that carries one call and waits for the decider. Only the actor touches cancel and
 // cancelRequested.
-type caller struct {
+type callWorker struct {
 	next            chan scheduling.Effect
 	cancel          context.CancelFunc
 	cancelRequested bool
 }
 
-func (c *caller) arm(cancel context.CancelFunc) {
+func (c *callWorker) setCancel(cancel context.CancelFunc) {
 	c.cancel = cancel
 	if cancel != nil && c.cancelRequested {
 		cancel()
@@ -121,7 +121,7 @@
 	c.cancelRequested = false
 }
 
-func (c *caller) stop() {
+func (c *callWorker) requestCancel() {
 	if c.cancel == nil {
 		c.cancelRequested = true
 		return
@@ -145,9 +145,9 @@
 			MaxWait:     scheduling.MaxWaitOptions{MinMs: set.FirstTokenTimeout.MinMs, TargetFactor: set.FirstTokenTimeout.LatencyTargets, GapFactor: set.FirstTokenTimeout.TokenGaps},
 			Outlier:     set.Outlier.Options(), Disable: set.Disable,
 		}),
-		act: actor.New(mailboxCapacity), callers: map[string]*caller{},
+		act: actor.New(mailboxCapacity), workers: map[string]*callWorker{},
 		quota: quota.New(set.Name), admissions: map[string]chan<- quota.Decision{},
-		streams: map[uint64]context.CancelFunc{}, declared: make(chan struct{}), news: newBroadcast(), maxLookupHoldUs: maxLookupHoldUs, Memory: &MemoryLimit{MaxBytes: int64(set.MemoryMB) << 20 / memoryDivisor},
+		streams: map[uint64]context.CancelFunc{}, declared: make(chan struct{}), updates: newBroadcast(), maxLookupHoldUs: maxLookupHoldUs, Memory: &MemoryLimit{MaxBytes: int64(set.MemoryMB) << 20 / memoryDivisor},
 	}
 	opts := controlclient.Options{Gateway: set.Name, Incarnation: incarnation, Addr: set.Advertise, Zone: set.Zone, Seeds: set.Seeds}
 	h.subscriber = controlclient.New(opts)
@@ -171,11 +171,11 @@
 	}
 	server := &http.Server{Handler: h.handler(), ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = server.Serve(listener) }()
-	every := tickInterval
+	interval := tickInterval
 	if h.informer != nil {
-		every = informerTickInterval
+		interval = informerTickInterval
 	}
-	h.act.Spawn(func() { h.act.Loop(every, h.tick) })
+	h.act.Spawn(func() { h.act.Loop(interval, h.tick) })
 	_ = h.info.Log("msg", "started", "incarnation", h.incarnation, "disabled", h.settings.Disable.String())
 	failed := make(chan error, len(h.listeners))
 	for _, d := range h.listeners {
@@ -196,15 +196,15 @@
 	h.drainListeners()
 	deadline := time.NewTimer(time.Duration(h.settings.DrainMs) * time.Millisecond)
 	defer deadline.Stop()
-	look := time.NewTicker(20 * time.Millisecond)
-	defer look.Stop()
-	for left := true; left; {
+	poll := time.NewTicker(20 * time.Millisecond)
+	defer poll.Stop()
+	for hasActiveCalls := true; hasActiveCalls; {
 		select {
 		case <-deadline.C:
 			h.ring.Dump("the drain ran out of time with calls still open")
-			left = false
-		case <-look.C:
-			left = h.activeCalls.Load() > 0
+			hasActiveCalls = false
+		case <-poll.C:
+			hasActiveCalls = h.activeCalls.Load() > 0
 		}
 	}
 	closing, done := context.WithTimeout(context.Background(), 2*time.Second)
@@ -275,15 +275,15 @@
 		case scheduling.CallUnplaced:
 			urgent = true
 		case scheduling.CancelAttempt:
-			if c := h.callers[e.Call.ID]; c != nil {
-				c.stop()
+			if c := h.workers[e.Call.ID]; c != nil {
+				c.requestCancel()
 			}
 		}
 	}
 }
 
 func (h *Host) deliver(id string, e scheduling.Effect) {
-	c := h.callers[id]
+	c := h.workers[id]
 	start, starts := e.(*scheduling.AttemptStart)
 	if c == nil {
 		if starts {
@@ -293,7 +293,7 @@
 		return
 	}
 	if !starts {
-		delete(h.callers, id)
+		delete(h.workers, id)
 	}
 	c.next <- e
 }
--- a/internal/dataplane/gateway/informer.go
+++ b/internal/dataplane/gateway/informer.go
@@ -101,7 +101,7 @@
 			first := e.Snapshot.Declaration != nil && (prior == nil || prior.Declaration == nil)
 			h.snapshot.Store(e.Snapshot)
 			if prior == nil || prior.Revision != e.Snapshot.Revision {
-				h.news.fire()
+				h.updates.notify()
 			}
 			h.step(scheduling.SnapshotReceived{Snapshot: e.Snapshot})
 			if first {
--- a/internal/dataplane/gateway/memory.go
+++ b/internal/dataplane/gateway/memory.go
@@ -16,18 +16,18 @@
 // MeteredReader is what one call holds; each byte read through it counts until Release.
 type MeteredReader struct {
 	limit    *MemoryLimit
-	from     io.Reader
+	reader   io.Reader
 	reserved int64
 }
 
 // Meter counts what one call reads.
 func (l *MemoryLimit) Meter(from io.Reader) *MeteredReader {
-	return &MeteredReader{limit: l, from: from}
+	return &MeteredReader{limit: l, reader: from}
 }
 
 // Read fails with overloaded where what it has read is more than there is room for.
 func (r *MeteredReader) Read(into []byte) (int, error) {
-	n, err := r.from.Read(into)
+	n, err := r.reader.Read(into)
 	r.reserved += int64(n)
 	if used := r.limit.used.Add(int64(n)); n > 0 && r.limit.MaxBytes > 0 && used > r.limit.MaxBytes {
 		f := fault.New(fault.Overloaded, "", "calls hold more than %d bytes", r.limit.MaxBytes)
--- a/internal/dataplane/gateway/quota.go
+++ b/internal/dataplane/gateway/quota.go
@@ -15,8 +15,8 @@
 // quotaWaitDivisor is the part of a request's time that the decision on its tenant's limit may take.
 const quotaWaitDivisor = 4
 
-// limitOf is the limit of a call's tenant by the newest snapshot; false where it has none.
-func (h *Host) limitOf(c *scheduling.Call) (quota.Limit, bool) {
+// quotaLimit is the limit of a call's tenant by the newest snapshot; false where it has none.
+func (h *Host) quotaLimit(c *scheduling.Call) (quota.Limit, bool) {
 	if c.Routed == nil || c.Routed.Tenant == "" {
 		return quota.Limit{}, false
 	}
@@ -33,7 +33,7 @@
 
 // admit waits until a control node has said whether a call of a tenant with a limit may run: nil admits it. It is asked before
 // the call takes a place in a queue. here is false where the caller has left meanwhile.
-func (h *Host) admit(ctx context.Context, c *scheduling.Call, limit quota.Limit) (refused *fault.Fault, here bool) {
+func (h *Host) admit(ctx context.Context, c *scheduling.Call, limit quota.Limit) (refused *fault.Fault, callerWaiting bool) {
 	decided := make(chan quota.Decision, 1)
 	h.act.Tell(func() {
 		h.admissions[c.ID] = decided
--- a/internal/dataplane/gateway/subscriber.go
+++ b/internal/dataplane/gateway/subscriber.go
@@ -55,8 +55,8 @@
 		}
 	}
 	if ev.Membership != nil {
-		where := h.subscriber.Membership()
-		h.membership.Store(&where)
+		response := h.subscriber.Membership()
+		h.membership.Store(&response)
 	}
 }
 
@@ -112,7 +112,7 @@
 func (h *Host) Submit(ctx context.Context, c wire.KeySubmission) (*wire.Result, error) {
 	ctx, done := context.WithTimeout(ctx, submitTimeout)
 	defer done()
-	var last error
+	var lastErr error
 	controlNodes, executed := actor.Ask(h.act.Ctx, h.act, h.subscriber.ControlNodes)
 	if !executed {
 		return nil, fault.New(fault.Draining, "", "stopping")
@@ -122,10 +122,10 @@
 		if err == nil {
 			return result, nil
 		}
-		last = err
+		lastErr = err
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return nil, errors.Trace(last)
+	return nil, errors.Trace(lastErr)
 }
