--- a/internal/dataplane/controlclient/currency_test.go
+++ b/internal/dataplane/controlclient/currency_test.go
@@ -81,8 +81,8 @@
 		}
 		s.step(nowUs, InformerEvent{})
 	}
-	if s.m.Live() == 0 || s.m.CurrentUs() != 0 {
-		t.Errorf("%d streams live, current at %d", s.m.Live(), s.m.CurrentUs())
+	if s.m.LiveStreamCount() == 0 || s.m.CurrentUs() != 0 {
+		t.Errorf("%d streams live, current at %d", s.m.LiveStreamCount(), s.m.CurrentUs())
 	}
 }
 
--- a/internal/dataplane/controlclient/informer.go
+++ b/internal/dataplane/controlclient/informer.go
@@ -160,7 +160,7 @@
 func (i *Informer) View() membership.View { return i.view }
 
 // Live counts the control nodes that push to this gateway now.
-func (i *Informer) Live() int {
+func (i *Informer) LiveStreamCount() int {
 	n := 0
 	for _, s := range i.sources {
 		if s.live && s.complete {
@@ -208,7 +208,7 @@
 	if !s.live {
 		i.failedAtUs[s.addr] = nowUs
 	}
-	if s.complete && i.Live() == 0 {
+	if s.complete && i.LiveStreamCount() == 0 {
 		i.lastSource = s
 	}
 	if i.snapshot != nil && i.mergeReplicas() {
--- a/internal/dataplane/controlclient/informer_test.go
+++ b/internal/dataplane/controlclient/informer_test.go
@@ -345,8 +345,8 @@
 			nowUs += 100 * clock.Ms
 			fresh.carry(nowUs, r, 0)
 		}
-		if s.m.Live() != 2 || fresh.snap == nil {
-			t.Fatalf("seed %d: %d streams are live", seed, s.m.Live())
+		if s.m.LiveStreamCount() != 2 || fresh.snap == nil {
+			t.Fatalf("seed %d: %d streams are live", seed, s.m.LiveStreamCount())
 		}
 		fresh.snap.Gateways = s.snap.Gateways
 		if diff := cmp.Diff(fresh.snap, s.snap, asGatewaysSee...); diff != "" {
--- a/internal/dataplane/controlclient/lost_test.go
+++ b/internal/dataplane/controlclient/lost_test.go
@@ -47,7 +47,7 @@
 		}
 	}
 	roundUs := int64(len(cores)) * openIntervalUs
-	for endUs := nowUs + roundUs + patienceUs; s.m.Live() == 0; nowUs += 50 * clock.Ms {
+	for endUs := nowUs + roundUs + patienceUs; s.m.LiveStreamCount() == 0; nowUs += 50 * clock.Ms {
 		if nowUs > endUs {
 			t.Fatalf("it follows nobody %d ms after the loss", (roundUs+patienceUs)/clock.Ms)
 		}
--- a/internal/dataplane/controlclient/staleness_test.go
+++ b/internal/dataplane/controlclient/staleness_test.go
@@ -33,8 +33,8 @@
 	d.log.config()
 	d.apply(func(*core) bool { return true })
 	d.pass(3 * clock.Sec)
-	if d.m.Live() != streamCount || d.snap == nil || d.snap.Revision != 1 {
-		t.Fatalf("%d streams, %+v", d.m.Live(), d.snap)
+	if d.m.LiveStreamCount() != streamCount || d.snap == nil || d.snap.Revision != 1 {
+		t.Fatalf("%d streams, %+v", d.m.LiveStreamCount(), d.snap)
 	}
 	return d
 }
--- a/internal/dataplane/controlclient/streams.go
+++ b/internal/dataplane/controlclient/streams.go
@@ -94,7 +94,7 @@
 // spare stream is little, and the rest then need not cross zones.
 func (i *Informer) preferZone(nowUs int64) {
 	preferred := i.zoneControlNode(nowUs)
-	if preferred == "" || len(i.sources) != streamCount || i.Live() < streamCount {
+	if preferred == "" || len(i.sources) != streamCount || i.LiveStreamCount() < streamCount {
 		return
 	}
 	var primary, standby *source
--- a/internal/dataplane/controlclient/subscriber.go
+++ b/internal/dataplane/controlclient/subscriber.go
@@ -41,7 +41,7 @@
 	Snapshot          *scheduling.Snapshot
 	LeaseUs           int64
 	Heartbeats        []membership.RingNode
-	Farewells         []membership.RingNode
+	FinalHeartbeats   []membership.RingNode
 }
 
 // Follow asks for the changes that the tail pushes. Number tells streams apart.
@@ -183,7 +183,7 @@
 	if nowUs-s.heartbeatAtUs >= failuredetector.HeartbeatIntervalUs && len(s.ring) > 0 {
 		s.heartbeatAtUs = nowUs
 		watchers := failuredetector.WatchersOf(s.ring, s.opts.Gateway)
-		s.effects = append(s.effects, Effect{Heartbeats: watchers, Farewells: failuredetector.Departed(s.watchers, watchers)})
+		s.effects = append(s.effects, Effect{Heartbeats: watchers, FinalHeartbeats: failuredetector.Departed(s.watchers, watchers)})
 		s.watchers = watchers
 	}
 	tail := s.Tail()
--- a/internal/dataplane/gateway/informer.go
+++ b/internal/dataplane/gateway/informer.go
@@ -50,7 +50,7 @@
 }
 
 // Seeds are other control nodes for first contact, where the ones in the settings have changed.
-func (h *Host) Seeds(addrs []string) {
+func (h *Host) SetSeeds(addrs []string) {
 	h.act.Tell(func() {
 		if h.informer != nil {
 			h.stepInformer(controlclient.InformerEvent{Seeds: addrs})
--- a/internal/dataplane/gateway/subscriber.go
+++ b/internal/dataplane/gateway/subscriber.go
@@ -43,7 +43,7 @@
 			for _, n := range e.Heartbeats {
 				h.act.Spawn(func() { h.sendHeartbeat(n.Addr, membership.Heartbeat{ID: h.settings.Name}) })
 			}
-			for _, n := range e.Farewells {
+			for _, n := range e.FinalHeartbeats {
 				h.act.Spawn(func() { h.sendHeartbeat(n.Addr, membership.Heartbeat{ID: h.settings.Name, Final: true}) })
 			}
 		case e.Snapshot != nil:
--- a/tests/capacity/hollow.go
+++ b/tests/capacity/hollow.go
@@ -172,7 +172,7 @@
 			d.spawn(func() { d.report(ctx, to, &rep) })
 		}
 	}
-	d.streams.Store(int32(d.mirror.Live()))
+	d.streams.Store(int32(d.mirror.LiveStreamCount()))
 }
 
 func (d *hollowGateway) spawn(run func()) {
--- a/tests/simulator/gateways.go
+++ b/tests/simulator/gateways.go
@@ -110,7 +110,7 @@
 			for _, n := range e.Heartbeats {
 				g.sendHeartbeat(n.Addr, false)
 			}
-			for _, n := range e.Farewells {
+			for _, n := range e.FinalHeartbeats {
 				g.sendHeartbeat(n.Addr, true)
 			}
 		case e.Snapshot != nil:
