--- a/internal/dataplane/gateway/quota.go
+++ b/internal/dataplane/gateway/quota.go
@@ -15,8 +15,8 @@
 // quotaWaitDivisor is the part of a request's time that the decision on its tenant's limit may take.
 const quotaWaitDivisor = 4
 
-// limitOf is the limit of a call's tenant by the newest snapshot; false where it has none.
-func (h *Host) limitOf(c *scheduling.Call) (quota.Limit, bool) {
+// quotaLimit is the limit of a call's tenant by the newest snapshot; false where it has none.
+func (h *Host) quotaLimit(c *scheduling.Call) (quota.Limit, bool) {
 	if c.Routed == nil || c.Routed.Tenant == "" {
 		return quota.Limit{}, false
 	}
@@ -33,11 +33,11 @@
 
 // admit waits until a control node has said whether a call of a tenant with a limit may run: nil admits it. It is asked before
 // the call takes a place in a queue. here is false where the caller has left meanwhile.
-func (h *Host) admit(ctx context.Context, c *scheduling.Call, limit quota.Limit) (refused *fault.Fault, here bool) {
+func (h *Host) admit(ctx context.Context, c *scheduling.Call, limit quota.Limit) (refused *fault.Fault, callerWaiting bool) {
 	decided := make(chan quota.Decision, 1)
 	h.act.Tell(func() {
 		h.admissions[c.ID] = decided
-		h.stepQuota(quota.Requested{ID: c.ID, Tenant: c.Routed.Tenant, Limit: limit, MaxWaitUs: remainingUs(c) / quotaWaitDivisor})
+		h.stepQuota(quota.RequestArrived{ID: c.ID, Tenant: c.Routed.Tenant, Limit: limit, MaxWaitUs: remainingUs(c) / quotaWaitDivisor})
 	})
 	select {
 	case d := <-decided:
@@ -45,7 +45,7 @@
 	case <-ctx.Done():
 		h.act.Tell(func() {
 			delete(h.admissions, c.ID)
-			h.stepQuota(quota.Canceled{ID: c.ID})
+			h.stepQuota(quota.RequestCanceled{ID: c.ID})
 		})
 		return nil, false
 	case <-h.act.Ctx.Done():
@@ -77,7 +77,7 @@
 func (h *Host) stepQuota(ev quota.Event) {
 	for _, e := range h.quota.Step(clock.NowUs(), ev) {
 		switch e := e.(type) {
-		case quota.Ask:
+		case quota.Query:
 			h.act.Spawn(func() { h.sendQuotaAsk(e) })
 		case quota.Decision:
 			if decided := h.admissions[e.ID]; decided != nil {
@@ -89,13 +89,13 @@
 }
 
 // sendQuotaAsk asks one control node, once.
-func (h *Host) sendQuotaAsk(a quota.Ask) {
+func (h *Host) sendQuotaAsk(a quota.Query) {
 	ctx, done := context.WithTimeout(h.act.Ctx, time.Duration(a.TimeoutUs)*time.Microsecond)
 	defer done()
 	response, err := rpc.NewCaller[wire.QuotaRequest, wire.QuotaResponse](h.nodeClient, a.Addr, rpc.QuotaPath).Call(ctx, a.Request)
 	if err != nil {
-		h.act.Tell(func() { h.stepQuota(quota.Failed{Ask: a.Number}) })
+		h.act.Tell(func() { h.stepQuota(quota.QueryFailed{Query: a.Number}) })
 		return
 	}
-	h.act.Tell(func() { h.stepQuota(quota.Answered{Ask: a.Number, Response: response}) })
+	h.act.Tell(func() { h.stepQuota(quota.ResponseReceived{Query: a.Number, Response: response}) })
 }
