--- a/internal/dataplane/quota/client.go
+++ b/internal/dataplane/quota/client.go
@@ -21,14 +21,14 @@
 	// minUnansweredRetryMs and maxUnansweredRetryMs bound when a client is told to come back whose request nobody could decide.
 	minUnansweredRetryMs = downUs / clock.Ms
 	maxUnansweredRetryMs = 3000
-	// maxReserveAsks is how many voters beside the tail are asked for one request, and maxAsks how many in all.
-	maxReserveAsks = 2
-	maxAsks        = maxReserveAsks + 2
-	// maxMemoryUs is the longest that a tenant's requests are refused without asking.
-	maxMemoryUs = 1 * clock.Sec
-	// maxWaiting bounds the requests without a decision, and maxRemembered the tenants whose refusal is remembered.
-	maxWaiting    = 8192
-	maxRemembered = 4096
+	// maxReserveQueries is how many voters beside the tail are asked for one request, and maxQueries how many in all.
+	maxReserveQueries = 2
+	maxQueries        = maxReserveQueries + 2
+	// maxRefusalCacheUs is the longest that a tenant's requests are refused without asking.
+	maxRefusalCacheUs = 1 * clock.Sec
+	// maxUndecided bounds the requests without a decision, and maxCachedRefusals the tenants whose refusal is remembered.
+	maxUndecided      = 8192
+	maxCachedRefusals = 4096
 )
 
 // Client is the reducer that asks for one gateway. It is not safe for concurrent use.
@@ -42,19 +42,19 @@
 	requests map[string]*request
 	waiting  []*request
 	// asks are those under way, by number, and asking their addresses.
-	asks    map[uint64]*ask
-	asking  map[string]bool
-	lastAsk uint64
+	queries   map[uint64]*query
+	busyAddrs map[string]bool
+	lastQuery uint64
 	// downUntilUs is until when an address is not asked.
 	downUntilUs map[string]int64
 	refusals    map[string]refusal
 	// tailAnsweredUs is when a control node that counts last answered; 0 before the first.
 	tailAnsweredUs int64
-	// expiryUs is when the next request or ask runs out of time; 0 is never.
-	expiryUs int64
-	counters Counters
-	tenants  map[string]*TenantCounters
-	effects  []Effect
+	// nextExpiryUs is when the next request or ask runs out of time; 0 is never.
+	nextExpiryUs int64
+	counters     Counters
+	tenants      map[string]*TenantCounters
+	effects      []Effect
 }
 
 // request is one that has no decision yet. One that was cancelled, or decided for want of time, while an ask carries it stays
@@ -62,34 +62,34 @@
 type request struct {
 	id, tenant string
 	limit      Limit
-	untilUs    int64
+	deadlineUs int64
 	decided    bool
-	asks       int
+	queries    int
 	// voters are those beside the tail that were asked for it.
 	voters []string
 }
 
 // ask is one question under way.
-type ask struct {
-	number   uint64
-	addr     string
-	tail     bool
-	untilUs  int64
-	requests []*request
+type query struct {
+	number     uint64
+	addr       string
+	toTail     bool
+	deadlineUs int64
+	requests   []*request
 }
 
 // refusal is what was last said of a tenant with this limit: that it is over it, or, without an answer of the tail, that no
-// voter has anything left for it. It holds until untilUs, the latter only while the tail is down.
+// voter has anything left for it. It holds until expiresUs, the latter only while the tail is down.
 type refusal struct {
-	limit   Limit
-	verdict Verdict
-	untilUs int64
+	limit     Limit
+	verdict   Verdict
+	expiresUs int64
 }
 
 // New is a client that knows no control node yet.
 func NewClient(gateway string) *Client {
 	return &Client{
-		gateway: gateway, requests: map[string]*request{}, asks: map[uint64]*ask{}, asking: map[string]bool{},
+		gateway: gateway, requests: map[string]*request{}, queries: map[uint64]*query{}, busyAddrs: map[string]bool{},
 		downUntilUs: map[string]int64{}, refusals: map[string]refusal{}, tenants: map[string]*TenantCounters{},
 	}
 }
@@ -99,19 +99,19 @@
 	c.nowUs, c.effects = nowUs, nil
 	switch ev := ev.(type) {
 	case RequestArrived:
-		c.requested(ev)
+		c.handleRequest(ev)
 	case RequestCanceled:
 		if r := c.requests[ev.ID]; r != nil {
-			c.drop(r)
+			c.removeRequest(r)
 		}
 	case ResponseReceived:
-		c.answered(ev)
+		c.handleResponse(ev)
 	case QueryFailed:
-		c.failed(ev.Query)
+		c.handleFailure(ev.Query)
 	case ViewReceived:
-		c.adopt(ev.View)
+		c.adoptView(ev.View)
 	case Tick:
-		c.forget()
+		c.deleteExpired()
 	}
 	c.expire()
 	c.dispatch()
@@ -120,24 +120,24 @@
 
 func (c *Client) emit(e Effect) { c.effects = append(c.effects, e) }
 
-func (c *Client) requested(ev RequestArrived) {
-	r := &request{id: ev.ID, tenant: ev.Tenant, limit: ev.Limit, untilUs: c.nowUs + min(maxDecisionUs, max(0, ev.MaxWaitUs))}
-	if m, known := c.refusals[r.tenant]; known && m.limit == r.limit && c.nowUs < m.untilUs && (m.verdict == OverLimit || !c.tailAnswers()) {
+func (c *Client) handleRequest(ev RequestArrived) {
+	r := &request{id: ev.ID, tenant: ev.Tenant, limit: ev.Limit, deadlineUs: c.nowUs + min(maxDecisionUs, max(0, ev.MaxWaitUs))}
+	if m, known := c.refusals[r.tenant]; known && m.limit == r.limit && c.nowUs < m.expiresUs && (m.verdict == OverLimit || !c.isTailAvailable()) {
 		c.counters.FromMemory++
-		retryMs := ceilMs(m.untilUs - c.nowUs)
+		retryMs := ceilMs(m.expiresUs - c.nowUs)
 		if m.verdict == Unanswered {
 			retryMs = c.unansweredRetryMs()
 		}
 		c.decide(r, m.verdict, retryMs)
 		return
 	}
-	if len(c.requests) >= maxWaiting {
+	if len(c.requests) >= maxUndecided {
 		c.decide(r, Unanswered, c.unansweredRetryMs())
 		return
 	}
 	c.requests[r.id] = r
 	c.waiting = append(c.waiting, r)
-	c.expireBy(r.untilUs)
+	c.scheduleExpiry(r.deadlineUs)
 }
 
 // unansweredRetryMs is when a client is told to come back whose request nobody could decide: what has lasted for a while lasts
@@ -153,18 +153,18 @@
 
 // decide ends a request; whatever carries it still only passes its token on.
 func (c *Client) decide(r *request, v Verdict, retryMs int64) {
-	c.drop(r)
-	c.count(r.tenant, v)
+	c.removeRequest(r)
+	c.countDecision(r.tenant, v)
 	c.emit(Decision{ID: r.id, Verdict: v, RetryMs: retryMs})
 }
 
-func (c *Client) drop(r *request) {
+func (c *Client) removeRequest(r *request) {
 	r.decided = true
 	delete(c.requests, r.id)
 }
 
 // adopt takes up a view if it is newer. Whoever was down before it may be asked, and what another tail refused is void.
-func (c *Client) adopt(v membership.View) {
+func (c *Client) adoptView(v membership.View) {
 	if v.Number <= c.view.Number && len(c.voters) > 0 || !v.IsValid() || len(v.Voters) == 0 {
 		return
 	}
@@ -185,8 +185,8 @@
 	return membership.SpreadHash(c.gateway + "|" + addr)
 }
 
-// tailAnswers: a tail is known and, as far as this gateway knows, answers.
-func (c *Client) tailAnswers() bool {
+// isTailAvailable: a tail is known and, as far as this gateway knows, answers.
+func (c *Client) isTailAvailable() bool {
 	tail := c.view.Tail().Addr
 	return tail != "" && !c.isDown(tail)
 }
@@ -194,29 +194,29 @@
 // dispatch asks for all that waits: the tail, if it answers, or else the next voter of each request.
 func (c *Client) dispatch() {
 	tail := c.view.Tail().Addr
-	if len(c.waiting) == 0 || c.tailAnswers() && c.asking[tail] {
+	if len(c.waiting) == 0 || c.isTailAvailable() && c.busyAddrs[tail] {
 		return
 	}
 	c.waiting = slices.DeleteFunc(c.waiting, func(r *request) bool { return r.decided })
-	if c.tailAnswers() {
+	if c.isTailAvailable() {
 		if len(c.waiting) > 0 {
-			c.ask(tail, true, c.waiting)
+			c.sendQuery(tail, true, c.waiting)
 			c.waiting = nil
 		}
 		return
 	}
-	c.askVoters()
+	c.queryReserves()
 }
 
-// askVoters asks for each request the next voter beside the tail; what waits for one that is being asked stays.
-func (c *Client) askVoters() {
+// queryReserves asks for each request the next voter beside the tail; what waits for one that is being asked stays.
+func (c *Client) queryReserves() {
 	batches, left := map[string][]*request{}, []*request(nil)
 	for _, r := range c.waiting {
 		switch addr := c.nextVoter(r); {
 		case addr == "":
-			c.remember(r, Unanswered, minUnansweredRetryMs)
+			c.cacheRefusal(r, Unanswered, minUnansweredRetryMs)
 			c.decide(r, Unanswered, c.unansweredRetryMs())
-		case c.asking[addr]:
+		case c.busyAddrs[addr]:
 			left = append(left, r)
 		default:
 			batches[addr] = append(batches[addr], r)
@@ -224,13 +224,13 @@
 	}
 	c.waiting = left
 	for _, addr := range slices.Sorted(maps.Keys(batches)) {
-		c.ask(addr, false, batches[addr])
+		c.sendQuery(addr, false, batches[addr])
 	}
 }
 
 // nextVoter is whom to ask for a request beside the tail; empty where nobody is left.
 func (c *Client) nextVoter(r *request) string {
-	if len(r.voters) >= maxReserveAsks || r.asks >= maxAsks {
+	if len(r.voters) >= maxReserveQueries || r.queries >= maxQueries {
 		return ""
 	}
 	for _, addr := range c.voters {
@@ -243,21 +243,21 @@
 
 func (c *Client) isDown(addr string) bool { return c.nowUs < c.downUntilUs[addr] }
 
-func (c *Client) ask(addr string, tail bool, requests []*request) {
-	c.lastAsk++
+func (c *Client) sendQuery(addr string, tail bool, requests []*request) {
+	c.lastQuery++
 	timeoutUs := reserveTimeoutUs
 	if tail {
 		timeoutUs = tailTimeoutUs
 	}
-	a := &ask{number: c.lastAsk, addr: addr, tail: tail, untilUs: c.nowUs + timeoutUs, requests: requests}
+	a := &query{number: c.lastQuery, addr: addr, toTail: tail, deadlineUs: c.nowUs + timeoutUs, requests: requests}
 	for _, r := range requests {
-		r.asks++
+		r.queries++
 		if !tail {
 			r.voters = append(r.voters, addr)
 		}
 	}
-	c.asks[a.number], c.asking[addr] = a, true
-	c.expireBy(a.untilUs)
+	c.queries[a.number], c.busyAddrs[addr] = a, true
+	c.scheduleExpiry(a.deadlineUs)
 	c.counters.Queries++
 	c.emit(Query{Number: a.number, Addr: addr, TimeoutUs: timeoutUs, Request: &wire.QuotaRequest{Gateway: c.gateway, TailUnreachable: !tail, Asks: countByTenant(requests)}})
 }
@@ -276,17 +276,17 @@
 }
 
 // end takes an ask out of those under way; nil where it has ended.
-func (c *Client) end(number uint64) *ask {
-	a := c.asks[number]
+func (c *Client) removeQuery(number uint64) *query {
+	a := c.queries[number]
 	if a != nil {
-		delete(c.asks, number)
-		delete(c.asking, a.addr)
+		delete(c.queries, number)
+		delete(c.busyAddrs, a.addr)
 	}
 	return a
 }
 
-func (c *Client) answered(ev ResponseReceived) {
-	a := c.end(ev.Query)
+func (c *Client) handleResponse(ev ResponseReceived) {
+	a := c.removeQuery(ev.Query)
 	if a == nil {
 		// Its time was over, and its requests have gone on: what it grants now is nobody's.
 		return
@@ -294,10 +294,10 @@
 	if ev.Response.Counting {
 		c.tailAnsweredUs = c.nowUs
 	}
-	if a.tail && !ev.Response.Counting {
+	if a.toTail && !ev.Response.Counting {
 		c.downUntilUs[a.addr] = c.nowUs + downUs
 	}
-	c.adopt(ev.Response.View)
+	c.adoptView(ev.Response.View)
 	grants := map[string]wire.QuotaGrant{}
 	for _, g := range ev.Response.Grants {
 		grants[g.Tenant] = g
@@ -318,7 +318,7 @@
 			}
 			c.decide(r, Admitted, 0)
 		case ev.Response.Counting:
-			c.remember(r, OverLimit, max(1, g.RetryMs))
+			c.cacheRefusal(r, OverLimit, max(1, g.RetryMs))
 			c.decide(r, OverLimit, max(1, g.RetryMs))
 		default:
 			back = append(back, r)
@@ -328,15 +328,15 @@
 }
 
 // remember lets the next requests of a tenant be refused without asking.
-func (c *Client) remember(r *request, v Verdict, retryMs int64) {
-	if _, known := c.refusals[r.tenant]; known || len(c.refusals) < maxRemembered {
-		c.refusals[r.tenant] = refusal{limit: r.limit, verdict: v, untilUs: c.nowUs + min(maxMemoryUs, retryMs*clock.Ms)}
+func (c *Client) cacheRefusal(r *request, v Verdict, retryMs int64) {
+	if _, known := c.refusals[r.tenant]; known || len(c.refusals) < maxCachedRefusals {
+		c.refusals[r.tenant] = refusal{limit: r.limit, verdict: v, expiresUs: c.nowUs + min(maxRefusalCacheUs, retryMs*clock.Ms)}
 	}
 }
 
 // failed leaves a control node alone that gave no answer; its requests go on to others.
-func (c *Client) failed(number uint64) {
-	a := c.end(number)
+func (c *Client) handleFailure(number uint64) {
+	a := c.removeQuery(number)
 	if a == nil {
 		return
 	}
@@ -345,37 +345,37 @@
 	c.waiting = append(a.requests, c.waiting...)
 }
 
-// expireBy looks at what runs out of time at this instant at the latest.
-func (c *Client) expireBy(us int64) {
-	if c.expiryUs == 0 || us < c.expiryUs {
-		c.expiryUs = us
+// scheduleExpiry looks at what runs out of time at this instant at the latest.
+func (c *Client) scheduleExpiry(us int64) {
+	if c.nextExpiryUs == 0 || us < c.nextExpiryUs {
+		c.nextExpiryUs = us
 	}
 }
 
 // expire ends the asks and the requests whose time is over.
 func (c *Client) expire() {
-	if c.expiryUs == 0 || c.nowUs < c.expiryUs {
+	if c.nextExpiryUs == 0 || c.nowUs < c.nextExpiryUs {
 		return
 	}
-	c.expiryUs = 0
-	for _, number := range slices.Sorted(maps.Keys(c.asks)) {
-		if a := c.asks[number]; c.nowUs >= a.untilUs {
-			c.failed(number)
+	c.nextExpiryUs = 0
+	for _, number := range slices.Sorted(maps.Keys(c.queries)) {
+		if a := c.queries[number]; c.nowUs >= a.deadlineUs {
+			c.handleFailure(number)
 		} else {
-			c.expireBy(a.untilUs)
+			c.scheduleExpiry(a.deadlineUs)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
-		if r := c.requests[id]; c.nowUs >= r.untilUs {
+		if r := c.requests[id]; c.nowUs >= r.deadlineUs {
 			c.decide(r, Unanswered, c.unansweredRetryMs())
 		} else {
-			c.expireBy(r.untilUs)
+			c.scheduleExpiry(r.deadlineUs)
 		}
 	}
 }
 
 // forget drops refusals and marks whose time is over.
-func (c *Client) forget() {
-	maps.DeleteFunc(c.refusals, func(_ string, m refusal) bool { return c.nowUs >= m.untilUs })
+func (c *Client) deleteExpired() {
+	maps.DeleteFunc(c.refusals, func(_ string, m refusal) bool { return c.nowUs >= m.expiresUs })
 	maps.DeleteFunc(c.downUntilUs, func(_ string, untilUs int64) bool { return c.nowUs >= untilUs })
 }
--- a/internal/dataplane/quota/counters.go
+++ b/internal/dataplane/quota/counters.go
@@ -52,7 +52,7 @@
 }
 
 // count notes what was decided for a tenant.
-func (c *Client) count(tenant string, v Verdict) {
+func (c *Client) countDecision(tenant string, v Verdict) {
 	of := c.tenants[tenant]
 	if of == nil {
 		of = &TenantCounters{Tenant: tenant}
