--- a/internal/dataplane/quota/client.go
+++ b/internal/dataplane/quota/client.go
@@ -11,65 +11,71 @@
 )
 
 const (
-	// tailTimeoutUs is how long the tail's answer is waited for, in microseconds, and reserveTimeoutUs that of another voter.
+	// tailTimeoutUs is the timeout of a query to the tail, and reserveTimeoutUs that of a query to another voter, in
+	// microseconds.
 	tailTimeoutUs    = 150 * clock.Ms
 	reserveTimeoutUs = 110 * clock.Ms
-	// maxDecisionUs is the longest that a request waits for its decision: the tail's time and that of two voters.
+	// maxDecisionUs is the maximum time that a request waits for its decision. It covers the timeouts of the tail and of two
+	// voters.
 	maxDecisionUs = 400 * clock.Ms
-	// downUs is how long a control node is not asked that gave no answer, or that is no tail though the view says so.
+	// downUs is how long a control node is not queried after it failed to respond, or after it responded that it is not the
+	// counting tail although the view says so.
 	downUs = 250 * clock.Ms
-	// minUnansweredRetryMs and maxUnansweredRetryMs bound when a client is told to come back whose request nobody could decide.
+	// minUnansweredRetryMs and maxUnansweredRetryMs bound the retry time of unanswered requests, in milliseconds.
 	minUnansweredRetryMs = downUs / clock.Ms
 	maxUnansweredRetryMs = 3000
-	// maxReserveQueries is how many voters beside the tail are asked for one request, and maxQueries how many in all.
+	// maxReserveQueries is the maximum number of voters other than the tail that are queried for one request, and maxQueries
+	// the maximum number of queries for it in total.
 	maxReserveQueries = 2
 	maxQueries        = maxReserveQueries + 2
-	// maxRefusalCacheUs is the longest that a tenant's requests are refused without asking.
+	// maxRefusalCacheUs is the maximum time for which requests of a tenant are refused without a query.
 	maxRefusalCacheUs = 1 * clock.Sec
-	// maxUndecided bounds the requests without a decision, and maxCachedRefusals the tenants whose refusal is remembered.
+	// maxUndecided bounds the requests without a decision, and maxCachedRefusals the tenants with a cached refusal.
 	maxUndecided      = 8192
 	maxCachedRefusals = 4096
 )
 
-// Client is the reducer that asks for one gateway. It is not safe for concurrent use.
+// Client is the reducer that obtains admission decisions for the requests of one gateway. It is not safe for concurrent use.
 type Client struct {
 	gateway string
 	nowUs   int64
 	view    membership.View
-	// voters are the addresses of the view's voters, in this gateway's own order.
+	// voters holds the addresses of the view's voters, in an order specific to this gateway.
 	voters []string
-	// requests are those without a decision, by ID; waiting are those of them that no ask carries, oldest first.
+	// requests holds the undecided requests by ID. waiting holds those of them that are in no query; requests returned from a
+	// query come first, new ones last.
 	requests map[string]*request
 	waiting  []*request
-	// asks are those under way, by number, and asking their addresses.
+	// queries holds the pending queries by number, and busyAddrs the addresses to which they were sent.
 	queries   map[uint64]*query
 	busyAddrs map[string]bool
 	lastQuery uint64
-	// downUntilUs is until when an address is not asked.
+	// downUntilUs holds, by address, the time until which a control node is not queried.
 	downUntilUs map[string]int64
-	refusals    map[string]refusal
-	// tailAnsweredUs is when a control node that counts last answered; 0 before the first.
+	// refusals holds the cached refusals by tenant.
+	refusals map[string]refusal
+	// tailAnsweredUs is the time of the last response from a counting control node; 0 before the first.
 	tailAnsweredUs int64
-	// nextExpiryUs is when the next request or ask runs out of time; 0 is never.
+	// nextExpiryUs is the earliest time at which a request or query may expire; 0 means never.
 	nextExpiryUs int64
 	counters     Counters
 	tenants      map[string]*TenantCounters
 	effects      []Effect
 }
 
-// request is one that has no decision yet. One that was cancelled, or decided for want of time, while an ask carries it stays
-// in that ask as decided.
+// request is a request without a decision. A request that is canceled, or that expires while a query contains it, stays in that
+// query with decided set.
 type request struct {
 	id, tenant string
 	limit      Limit
 	deadlineUs int64
 	decided    bool
 	queries    int
-	// voters are those beside the tail that were asked for it.
+	// voters holds the addresses of the voters other than the tail that were queried for the request.
 	voters []string
 }
 
-// ask is one question under way.
+// query is a pending query to a control node.
 type query struct {
 	number     uint64
 	addr       string
@@ -78,15 +84,16 @@
 	requests   []*request
 }
 
-// refusal is what was last said of a tenant with this limit: that it is over it, or, without an answer of the tail, that no
-// voter has anything left for it. It holds until expiresUs, the latter only while the tail is down.
+// refusal is the last refusal of a tenant with this limit, cached until expiresUs. The verdict is OverLimit, or Unanswered if the
+// tail did not respond and no voter had any reserve left for the tenant. An Unanswered refusal applies only while the tail is
+// down.
 type refusal struct {
 	limit     Limit
 	verdict   Verdict
 	expiresUs int64
 }
 
-// New is a client that knows no control node yet.
+// NewClient returns a client that knows no control nodes yet. gateway is the name of the gateway.
 func NewClient(gateway string) *Client {
 	return &Client{
 		gateway: gateway, requests: map[string]*request{}, queries: map[uint64]*query{}, busyAddrs: map[string]bool{},
@@ -94,7 +101,8 @@
 	}
 }
 
-// Step takes one event at nowUs, in microseconds of this process's clock, and returns what is to be done, in order.
+// Step handles one event and returns the effects to perform, in order. nowUs is in microseconds of this process's
+// clock.
 func (c *Client) Step(nowUs int64, ev Event) []Effect {
 	c.nowUs, c.effects = nowUs, nil
 	switch ev := ev.(type) {
@@ -140,8 +148,8 @@
 	c.scheduleExpiry(r.deadlineUs)
 }
 
-// unansweredRetryMs is when a client is told to come back whose request nobody could decide: what has lasted for a while lasts
-// about as long again.
+// unansweredRetryMs returns the retry time for an unanswered request. It is the time since the last response of a counting control
+// node, within bounds: an outage that has lasted for some time is expected to last about as long again.
 func (c *Client) unansweredRetryMs() int64 {
 	if c.tailAnsweredUs == 0 {
 		return minUnansweredRetryMs
@@ -149,21 +157,24 @@
 	return min(maxUnansweredRetryMs, max(minUnansweredRetryMs, ceilMs(c.nowUs-c.tailAnsweredUs)))
 }
 
+// ceilMs converts microseconds to milliseconds, rounded up.
 func ceilMs(us int64) int64 { return (us + clock.Ms - 1) / clock.Ms }
 
-// decide ends a request; whatever carries it still only passes its token on.
+// decide emits the decision on a request. A query that still contains the request passes its token to the next request.
 func (c *Client) decide(r *request, v Verdict, retryMs int64) {
 	c.removeRequest(r)
 	c.countDecision(r.tenant, v)
 	c.emit(Decision{ID: r.id, Verdict: v, RetryMs: retryMs})
 }
 
+// removeRequest marks a request as decided and forgets it; it stays in a pending query.
 func (c *Client) removeRequest(r *request) {
 	r.decided = true
 	delete(c.requests, r.id)
 }
 
-// adopt takes up a view if it is newer. Whoever was down before it may be asked, and what another tail refused is void.
+// adoptView adopts a view if it is newer than the current one. All control nodes may then be queried again, and refusals by a
+// different tail are discarded.
 func (c *Client) adoptView(v membership.View) {
 	if v.Number <= c.view.Number && len(c.voters) > 0 || !v.IsValid() || len(v.Voters) == 0 {
 		return
@@ -180,18 +191,19 @@
 	slices.SortFunc(c.voters, func(a, b string) int { return cmp.Or(cmp.Compare(c.rank(a), c.rank(b)), cmp.Compare(a, b)) })
 }
 
-// rank orders control nodes otherwise at each gateway, so that all reserves are used.
+// rank orders control nodes differently at each gateway, so that the reserves of all voters are used.
 func (c *Client) rank(addr string) uint64 {
 	return membership.SpreadHash(c.gateway + "|" + addr)
 }
 
-// isTailAvailable: a tail is known and, as far as this gateway knows, answers.
+// isTailAvailable reports whether the view has a tail that is not known to be down.
 func (c *Client) isTailAvailable() bool {
 	tail := c.view.Tail().Addr
 	return tail != "" && !c.isDown(tail)
 }
 
-// dispatch asks for all that waits: the tail, if it answers, or else the next voter of each request.
+// dispatch sends queries for the waiting requests: to the tail if it is available, or else to the next voter of each request. No
+// query is sent to a control node that has a pending one.
 func (c *Client) dispatch() {
 	tail := c.view.Tail().Addr
 	if len(c.waiting) == 0 || c.isTailAvailable() && c.busyAddrs[tail] {
@@ -208,27 +220,28 @@
 	c.queryReserves()
 }
 
-// queryReserves asks for each request the next voter beside the tail; what waits for one that is being asked stays.
+// queryReserves queries, for each waiting request, the next voter other than the tail. Requests whose next voter has a pending
+// query keep waiting.
 func (c *Client) queryReserves() {
-	batches, left := map[string][]*request{}, []*request(nil)
+	batches, remaining := map[string][]*request{}, []*request(nil)
 	for _, r := range c.waiting {
 		switch addr := c.nextVoter(r); {
 		case addr == "":
 			c.cacheRefusal(r, Unanswered, minUnansweredRetryMs)
 			c.decide(r, Unanswered, c.unansweredRetryMs())
 		case c.busyAddrs[addr]:
-			left = append(left, r)
+			remaining = append(remaining, r)
 		default:
 			batches[addr] = append(batches[addr], r)
 		}
 	}
-	c.waiting = left
+	c.waiting = remaining
 	for _, addr := range slices.Sorted(maps.Keys(batches)) {
 		c.sendQuery(addr, false, batches[addr])
 	}
 }
 
-// nextVoter is whom to ask for a request beside the tail; empty where nobody is left.
+// nextVoter returns the address of the next voter to query for a request instead of the tail, or "" if there is none.
 func (c *Client) nextVoter(r *request) string {
 	if len(r.voters) >= maxReserveQueries || r.queries >= maxQueries {
 		return ""
@@ -262,7 +275,7 @@
 	c.emit(Query{Number: a.number, Addr: addr, TimeoutUs: timeoutUs, Request: &wire.QuotaRequest{Gateway: c.gateway, TailUnreachable: !tail, Asks: countByTenant(requests)}})
 }
 
-// countByTenant sums requests up, in the order of their tenants.
+// countByTenant counts requests by tenant, in the order of tenant names.
 func countByTenant(requests []*request) []wire.QuotaAsk {
 	counts := map[string]int{}
 	for _, r := range requests {
@@ -275,7 +288,7 @@
 	return asks
 }
 
-// end takes an ask out of those under way; nil where it has ended.
+// removeQuery removes a pending query and returns it, or nil if it is no longer pending.
 func (c *Client) removeQuery(number uint64) *query {
 	a := c.queries[number]
 	if a != nil {
@@ -288,7 +301,7 @@
 func (c *Client) handleResponse(ev ResponseReceived) {
 	a := c.removeQuery(ev.Query)
 	if a == nil {
-		// Its time was over, and its requests have gone on: what it grants now is nobody's.
+		// The query has timed out and its requests were requeued, so the tokens granted by this response are not used.
 		return
 	}
 	if ev.Response.Counting {
@@ -302,12 +315,12 @@
 	for _, g := range ev.Response.Grants {
 		grants[g.Tenant] = g
 	}
-	back := []*request{}
+	requeued := []*request{}
 	for _, r := range a.requests {
 		g := grants[r.tenant]
 		switch {
 		case r.decided:
-			// Its token goes to the next one.
+			// The token of a decided request is left for the next request.
 		case g.Unlimited:
 			c.decide(r, Admitted, 0)
 		case g.Granted > 0:
@@ -321,20 +334,20 @@
 			c.cacheRefusal(r, OverLimit, max(1, g.RetryMs))
 			c.decide(r, OverLimit, max(1, g.RetryMs))
 		default:
-			back = append(back, r)
+			requeued = append(requeued, r)
 		}
 	}
-	c.waiting = append(back, c.waiting...)
+	c.waiting = append(requeued, c.waiting...)
 }
 
-// remember lets the next requests of a tenant be refused without asking.
+// cacheRefusal makes the next requests of a tenant be refused without a query.
 func (c *Client) cacheRefusal(r *request, v Verdict, retryMs int64) {
 	if _, known := c.refusals[r.tenant]; known || len(c.refusals) < maxCachedRefusals {
 		c.refusals[r.tenant] = refusal{limit: r.limit, verdict: v, expiresUs: c.nowUs + min(maxRefusalCacheUs, retryMs*clock.Ms)}
 	}
 }
 
-// failed leaves a control node alone that gave no answer; its requests go on to others.
+// handleFailure marks the control node of a failed query as down and requeues the requests of the query.
 func (c *Client) handleFailure(number uint64) {
 	a := c.removeQuery(number)
 	if a == nil {
@@ -345,14 +358,14 @@
 	c.waiting = append(a.requests, c.waiting...)
 }
 
-// scheduleExpiry looks at what runs out of time at this instant at the latest.
+// scheduleExpiry makes expire look for expired requests and queries at us at the latest.
 func (c *Client) scheduleExpiry(us int64) {
 	if c.nextExpiryUs == 0 || us < c.nextExpiryUs {
 		c.nextExpiryUs = us
 	}
 }
 
-// expire ends the asks and the requests whose time is over.
+// expire fails all queries, and decides all requests, whose deadline has passed.
 func (c *Client) expire() {
 	if c.nextExpiryUs == 0 || c.nowUs < c.nextExpiryUs {
 		return
@@ -374,7 +387,7 @@
 	}
 }
 
-// forget drops refusals and marks whose time is over.
+// deleteExpired deletes expired refusals and down marks.
 func (c *Client) deleteExpired() {
 	maps.DeleteFunc(c.refusals, func(_ string, m refusal) bool { return c.nowUs >= m.expiresUs })
 	maps.DeleteFunc(c.downUntilUs, func(_ string, untilUs int64) bool { return c.nowUs >= untilUs })
--- a/internal/dataplane/quota/client_test.go
+++ b/internal/dataplane/quota/client_test.go
@@ -14,7 +14,7 @@
 	"petreltide/internal/process/clock"
 )
 
-// TestMain gives drawn tests a seed of their own, unless the command line has one, and lets them leave no files.
+// TestMain sets a fixed seed for property tests, unless the command line sets one, and disables their failure files.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261203", "rapid.checks": "500", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -26,7 +26,7 @@
 
 var limit = Limit{RatePerSecond: 2, Burst: 2}
 
-// view is one of so many voters, the last of whom is the tail: c0, c1 ... at the addresses of their names.
+// view returns a view with voters c0, c1 ..., whose addresses equal their names. The last voter is the tail.
 func view(number uint64, voters int) membership.View {
 	v := membership.View{Number: number}
 	for i := range voters {
@@ -37,7 +37,7 @@
 	return v
 }
 
-// withTail is a view whose tail is another voter.
+// withTail returns a view in which the given voter is the tail.
 func withTail(number uint64, voters, tail int) membership.View {
 	v := view(number, voters)
 	last := len(v.Replicas) - 1
@@ -45,7 +45,7 @@
 	return v
 }
 
-// script drives a client and notes what it wants done.
+// clientHarness drives a client and records the number of its last query.
 type clientHarness struct {
 	t         *testing.T
 	c         *Client
@@ -60,7 +60,7 @@
 	return s
 }
 
-// step compares what comes of an event: asks as "addr tail|reserve tenant:count ...", decisions as "id verdict retryMs".
+// step compares the effects of an event: queries as "addr tail|reserve tenant:count ...", decisions as "id verdict retryMs".
 func (s *clientHarness) step(ev Event, want ...string) {
 	s.t.Helper()
 	got := []string{}
@@ -84,7 +84,7 @@
 		want = []string{}
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		s.t.Fatalf("%T%+v: %s", ev, ev, diff)
+		s.t.Fatalf("effects of %T%+v (-want +got):\n%s", ev, ev, diff)
 	}
 }
 
@@ -92,17 +92,17 @@
 	return RequestArrived{ID: id, Tenant: tenant, Limit: limit, MaxWaitUs: clock.Sec}
 }
 
-// answer is that of a tail that counts, to the last ask.
+// tailResponse returns the response of a counting tail to the last query.
 func (s *clientHarness) tailResponse(grants ...wire.QuotaGrant) ResponseReceived {
 	return ResponseReceived{Query: s.lastQuery, Response: &wire.QuotaResponse{View: view(1, 3), Counting: true, Grants: grants}}
 }
 
-// reserve is the answer of another voter to the last ask.
+// reserveResponse returns the response of a control node that is not counting to the last query.
 func (s *clientHarness) reserveResponse(grants ...wire.QuotaGrant) ResponseReceived {
 	return ResponseReceived{Query: s.lastQuery, Response: &wire.QuotaResponse{View: view(1, 3), Grants: grants}}
 }
 
-// order are the voters beside the tail, as this gateway asks them.
+// reserveVoters returns the voters other than the tail, in the order in which this gateway queries them.
 func (s *clientHarness) reserveVoters() []string {
 	all := []string{}
 	for _, addr := range s.c.voters {
@@ -113,7 +113,7 @@
 	return all
 }
 
-func TestClientAsksTheTailForAllThatWaitsInOneBatch(t *testing.T) {
+func TestClientQueriesTailForAllWaitingRequestsInOneBatch(t *testing.T) {
 	s := newClientHarness(t, 3)
 	s.step(s.arrival("1", "a"), "c2 tail a:1")
 	s.step(s.arrival("2", "a"))
@@ -123,7 +123,7 @@
 	s.step(s.tailResponse(wire.QuotaGrant{Tenant: "a", Granted: 1, RetryMs: 40}, wire.QuotaGrant{Tenant: "b", Granted: 1}), "2 admitted 0", "3 admitted 0", "4 over 40")
 }
 
-func TestClientAdmitsAllOfATenantWhoseLimitIsGone(t *testing.T) {
+func TestClientAdmitsAllRequestsOfUnlimitedTenant(t *testing.T) {
 	s := newClientHarness(t, 3)
 	s.step(s.arrival("1", "a"), "c2 tail a:1")
 	s.step(s.arrival("2", "a"))
@@ -132,7 +132,7 @@
 	s.step(s.tailResponse(wire.QuotaGrant{Tenant: "a", Granted: 2, Unlimited: true}), "2 admitted 0", "3 admitted 0")
 }
 
-func TestClientRefusesWithoutAskingUntilATokenIsThere(t *testing.T) {
+func TestClientRefusesWithoutQueryUntilRetryTime(t *testing.T) {
 	s := newClientHarness(t, 3)
 	s.step(s.arrival("1", "a"), "c2 tail a:1")
 	s.step(s.tailResponse(wire.QuotaGrant{Tenant: "a", RetryMs: 40}), "1 over 40")
@@ -148,7 +148,7 @@
 	s.step(s.arrival("5", "a"), "c2 tail a:1")
 }
 
-func TestClientRemembersARefusalForASecondAtMost(t *testing.T) {
+func TestClientCachesRefusalForAtMostOneSecond(t *testing.T) {
 	s := newClientHarness(t, 3)
 	s.step(s.arrival("1", "a"), "c2 tail a:1")
 	s.step(s.tailResponse(wire.QuotaGrant{Tenant: "a", RetryMs: 5000}), "1 over 5000")
@@ -158,12 +158,12 @@
 	s.step(s.arrival("3", "a"), "c2 tail a:1")
 }
 
-func TestClientAsksTwoOtherVotersWhereTheTailGivesNoAnswer(t *testing.T) {
+func TestClientQueriesTwoOtherVotersIfTailDoesNotCount(t *testing.T) {
 	for name, fails := range map[string]func(s *clientHarness) Event{
-		"refused":                     func(s *clientHarness) Event { return QueryFailed{Query: s.lastQuery} },
-		"no tail by its word":         func(s *clientHarness) Event { return s.reserveResponse() },
-		"no answer in time":           func(s *clientHarness) Event { s.nowUs += tailTimeoutUs; return Tick{} },
-		"a grant that counts nothing": func(s *clientHarness) Event { return s.reserveResponse(wire.QuotaGrant{Tenant: "z", Granted: 9}) },
+		"connection refused":               func(s *clientHarness) Event { return QueryFailed{Query: s.lastQuery} },
+		"responds that it is not counting": func(s *clientHarness) Event { return s.reserveResponse() },
+		"timeout":                          func(s *clientHarness) Event { s.nowUs += tailTimeoutUs; return Tick{} },
+		"not counting, grants for another tenant only": func(s *clientHarness) Event { return s.reserveResponse(wire.QuotaGrant{Tenant: "z", Granted: 9}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newClientHarness(t, 4)
@@ -182,7 +182,7 @@
 	}
 }
 
-func TestClientRefusesAtOnceWhereNobodyAnswers(t *testing.T) {
+func TestClientRefusesImmediatelyIfAllControlNodesAreDown(t *testing.T) {
 	s := newClientHarness(t, 3)
 	s.step(s.arrival("1", "a"), "c2 tail a:1")
 	order := s.reserveVoters()
@@ -192,12 +192,12 @@
 	s.step(s.arrival("2", "b"), "2 unanswered 250")
 }
 
-func TestClientKnowsNobodyToAskBeforeItsFirstView(t *testing.T) {
+func TestClientRefusesRequestsBeforeFirstView(t *testing.T) {
 	s := &clientHarness{t: t, c: NewClient("g"), nowUs: clock.Sec}
 	s.step(s.arrival("1", "a"), "1 unanswered 250")
 }
 
-func TestClientFollowsANewerViewToItsTail(t *testing.T) {
+func TestClientQueriesTailOfNewerView(t *testing.T) {
 	s := newClientHarness(t, 3)
 	s.step(s.arrival("1", "a"), "c2 tail a:1")
 	s.step(ResponseReceived{Query: s.lastQuery, Response: &wire.QuotaResponse{View: withTail(2, 3, 0)}}, "c0 tail a:1")
@@ -208,15 +208,15 @@
 	s.step(s.arrival("3", "a"), "c2 tail a:1")
 }
 
-// A control node that is not the tail by the view that this gateway knows may have become it: what it says then counts for all.
-func TestClientTakesTheWordOfAVoterThatCounts(t *testing.T) {
+// A control node that is not the tail in the view of this gateway may have become the tail. Its refusal is then authoritative.
+func TestClientAcceptsRefusalOfCountingVoter(t *testing.T) {
 	s := newClientHarness(t, 3)
 	s.step(s.arrival("1", "a"), "c2 tail a:1")
 	s.step(QueryFailed{Query: s.lastQuery}, s.reserveVoters()[0]+" reserve a:1")
 	s.step(s.tailResponse(wire.QuotaGrant{Tenant: "a", RetryMs: 70}), "1 over 70")
 }
 
-func TestClientGivesTheTokenOfOneWhoLeftToTheNextOfItsBatchOnly(t *testing.T) {
+func TestClientPassesTokenOfCanceledRequestWithinBatchOnly(t *testing.T) {
 	s := newClientHarness(t, 3)
 	s.step(s.arrival("0", "a"), "c2 tail a:1")
 	s.step(s.arrival("1", "a"))
@@ -230,7 +230,7 @@
 	s.step(s.arrival("4", "a"), "c2 tail a:1")
 }
 
-func TestClientDropsGrantsThatComeTooLate(t *testing.T) {
+func TestClientIgnoresResponseAfterTimeout(t *testing.T) {
 	s := newClientHarness(t, 3)
 	s.step(s.arrival("1", "a"), "c2 tail a:1")
 	late := s.tailResponse(wire.QuotaGrant{Tenant: "a", Granted: 1})
@@ -239,11 +239,11 @@
 	s.step(late)
 }
 
-func TestClientDecidesWithinTheTimeOfTheRequest(t *testing.T) {
+func TestClientDecidesWithinMaxWaitOfRequest(t *testing.T) {
 	s := newClientHarness(t, 3)
-	hasty := s.arrival("1", "a")
-	hasty.MaxWaitUs = 30 * clock.Ms
-	s.step(hasty, "c2 tail a:1")
+	short := s.arrival("1", "a")
+	short.MaxWaitUs = 30 * clock.Ms
+	s.step(short, "c2 tail a:1")
 	s.step(s.arrival("2", "a"))
 	s.nowUs += 30 * clock.Ms
 	s.step(Tick{}, "1 unanswered 250")
@@ -252,10 +252,10 @@
 	s.step(Tick{})
 }
 
-func TestClientStatusCountsByTenant(t *testing.T) {
+func TestClientStatusCountsDecisionsByTenant(t *testing.T) {
 	s := newClientHarness(t, 3)
 	if got := s.c.Status(); got != nil {
-		t.Errorf("before any request: %+v", got)
+		t.Errorf("status before any request: got %+v, want nil", got)
 	}
 	s.step(s.arrival("1", "a"), "c2 tail a:1")
 	s.step(s.tailResponse(wire.QuotaGrant{Tenant: "a", RetryMs: 40}), "1 over 40")
@@ -268,11 +268,11 @@
 		Tenants:  []TenantCounters{{Tenant: "a", OverLimit: 2}, {Tenant: "b", Admitted: 1}},
 	}
 	if diff := cmp.Diff(want, s.c.Status()); diff != "" {
-		t.Error(diff)
+		t.Errorf("status (-want +got):\n%s", diff)
 	}
 }
 
-// driven is a client under drawn events, and what must hold of it.
+// randomRun drives a client by random events and checks its invariants.
 type randomRun struct {
 	t                *rapid.T
 	c                *Client
@@ -281,7 +281,7 @@
 	lastRequest      int
 	undecidedSinceUs map[string]int64
 	queryByAddr      map[string]uint64
-	// granted are the tokens of the answer that is being taken, by tenant.
+	// granted holds the tokens of the response that is being handled, by tenant.
 	granted         map[string]int
 	tenantByRequest map[string]string
 }
@@ -291,30 +291,30 @@
 		switch e := e.(type) {
 		case Query:
 			if d.c.queries[d.queryByAddr[e.Addr]] != nil {
-				d.t.Fatalf("two asks under way at %s", e.Addr)
+				d.t.Fatalf("control node %s: got a second pending query, want at most one", e.Addr)
 			}
 			d.queryByAddr[e.Addr] = e.Number
 		case Decision:
 			fromUs, undecided := d.undecidedSinceUs[e.ID]
 			switch {
 			case !undecided:
-				d.t.Fatalf("%s was decided and has no decision to come", e.ID)
+				d.t.Fatalf("request %s: got a decision, want none as it was decided or canceled before", e.ID)
 			case e.Verdict == Admitted && d.granted[d.tenantByRequest[e.ID]] == 0:
-				d.t.Fatalf("%s was admitted without a grant", e.ID)
+				d.t.Fatalf("request %s: admitted without a grant", e.ID)
 			case e.Verdict == Admitted:
 				d.granted[d.tenantByRequest[e.ID]]--
 			case e.RetryMs <= 0:
-				d.t.Fatalf("%s was refused without a time to come back", e.ID)
+				d.t.Fatalf("refused request %s: got retry time %d ms, want a positive one", e.ID, e.RetryMs)
 			}
 			if d.nowUs-fromUs > maxDecisionUs+maxStepUs {
-				d.t.Fatalf("%s waited %d us", e.ID, d.nowUs-fromUs)
+				d.t.Fatalf("request %s: waited %d us, want at most %d us", e.ID, d.nowUs-fromUs, maxDecisionUs+maxStepUs)
 			}
 			delete(d.undecidedSinceUs, e.ID)
 		}
 	}
 }
 
-// maxStepUs is the longest time between two events.
+// maxStepUs is the maximum time between two events.
 const maxStepUs = 60 * clock.Ms
 
 func (d *randomRun) drawQuery() uint64 {
@@ -324,7 +324,7 @@
 			numbers = append(numbers, n)
 		}
 	}
-	return rapid.SampledFrom(numbers).Draw(d.t, "ask")
+	return rapid.SampledFrom(numbers).Draw(d.t, "query")
 }
 
 func (d *randomRun) applyRandomEvent() {
@@ -337,16 +337,16 @@
 		d.undecidedSinceUs[id], d.tenantByRequest[id] = d.nowUs, tenant
 		d.step(RequestArrived{ID: id, Tenant: tenant, Limit: limit, MaxWaitUs: rapid.Int64Range(0, clock.Sec).Draw(d.t, "wait")})
 	case 4, 5, 6:
-		ask := d.drawQuery()
+		query := d.drawQuery()
 		res := &wire.QuotaResponse{View: withTail(d.viewNumber, 4, rapid.IntRange(0, 3).Draw(d.t, "tail")), Counting: rapid.Bool().Draw(d.t, "counting")}
 		for _, tenant := range []string{"a", "b"} {
 			n := rapid.IntRange(0, 3).Draw(d.t, "granted")
 			res.Grants = append(res.Grants, wire.QuotaGrant{Tenant: tenant, Granted: n, RetryMs: rapid.Int64Range(0, 6000).Draw(d.t, "retry")})
-			if d.c.queries[ask] != nil {
+			if d.c.queries[query] != nil {
 				d.granted[tenant] = n
 			}
 		}
-		d.step(ResponseReceived{Query: ask, Response: res})
+		d.step(ResponseReceived{Query: query, Response: res})
 	case 7:
 		d.step(QueryFailed{Query: d.drawQuery()})
 	case 8:
@@ -359,9 +359,9 @@
 	}
 }
 
-// Whatever happens: each request has one decision in time, none is admitted without a grant that was given for it while it
-// waited, and no control node has two asks at once.
-func TestClientKeepsItsPromisesUnderAnyEvents(t *testing.T) {
+// For any sequence of events, each request gets one decision in time, no request is admitted without a token that was granted to it
+// while it waited, and no control node has two pending queries.
+func TestClientInvariantsHoldForRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := &randomRun{t: t, c: NewClient("g"), nowUs: clock.Sec, viewNumber: 1, undecidedSinceUs: map[string]int64{}, queryByAddr: map[string]uint64{}, tenantByRequest: map[string]string{}}
 		d.step(ViewReceived{View: view(1, 4)})
@@ -374,13 +374,13 @@
 			d.step(Tick{})
 		}
 		if len(d.undecidedSinceUs) > 0 || len(d.c.requests) > 0 || len(d.c.waiting) > 0 || len(d.c.queries) > 0 {
-			t.Fatalf("undecided: %v, kept: %d requests, %d waiting, %d asks", d.undecidedSinceUs, len(d.c.requests), len(d.c.waiting), len(d.c.queries))
+			t.Fatalf("after all timeouts: got undecided requests %v, %d requests, %d waiting and %d queries, want none", d.undecidedSinceUs, len(d.c.requests), len(d.c.waiting), len(d.c.queries))
 		}
 	})
 }
 
-// While nobody answers, clients are told to come back after about as long as it has lasted.
-func TestClientNamesALongerTimeTheLongerNobodyAnswers(t *testing.T) {
+// During an outage, the retry time is about as long as the outage has lasted.
+func TestClientRetryTimeGrowsWithOutage(t *testing.T) {
 	s := newClientHarness(t, 1)
 	s.step(s.arrival("1", "a"), "c0 tail a:1")
 	s.step(s.tailResponse(wire.QuotaGrant{Tenant: "a", Granted: 1}), "1 admitted 0")
--- a/internal/dataplane/quota/counters.go
+++ b/internal/dataplane/quota/counters.go
@@ -5,24 +5,25 @@
 	"slices"
 )
 
-// maxCountedTenants bounds the tenants that are counted one by one; those beyond are counted in the sums alone.
+// maxCountedTenants bounds the tenants with counters of their own; any other tenant is counted in the totals alone.
 const maxCountedTenants = 4096
 
-// Counters count what was asked and decided since this process started.
+// Counters count queries and decisions since the start of this process.
 type Counters struct {
-	// Asks are questions sent to control nodes, and FailedQueries those of them without an answer.
+	// Queries counts queries sent to control nodes, and FailedQueries those of them without a response.
 	Queries       uint64 `json:"asks"`
 	FailedQueries uint64 `json:"failedAsks"`
 	Admitted      uint64 `json:"admitted"`
-	// FromReserve are those of the admitted that a control node beside the tail granted.
+	// FromReserve counts the admitted requests whose token was granted from the reserve of a control node that is not a
+	// counting tail.
 	FromReserve uint64 `json:"fromReserve"`
 	OverLimit   uint64 `json:"overLimit"`
-	// FromMemory are those refused without asking, by what was last said of their tenant.
+	// FromMemory counts the requests refused without a query, by a cached refusal of their tenant.
 	FromMemory uint64 `json:"fromMemory"`
 	Unanswered uint64 `json:"unanswered"`
 }
 
-// TenantCounters count what was decided for one tenant.
+// TenantCounters count the decisions on the requests of one tenant.
 type TenantCounters struct {
 	Tenant     string `json:"tenant"`
 	Admitted   uint64 `json:"admitted"`
@@ -30,15 +31,15 @@
 	Unanswered uint64 `json:"unanswered"`
 }
 
-// Status is what an operator sees of the limits at one gateway.
+// Status is the operator's view of rate limiting at one gateway.
 type Status struct {
 	Counters
-	// Waiting are the requests without a decision.
+	// Waiting is the number of requests without a decision.
 	Waiting int              `json:"waiting"`
 	Tenants []TenantCounters `json:"tenants"`
 }
 
-// Status is nil where no tenant with a limit has sent anything.
+// Status returns the current status, with tenants sorted by name, or nil if no request of a tenant with a limit has been decided.
 func (c *Client) Status() *Status {
 	if len(c.tenants) == 0 {
 		return nil
@@ -51,24 +52,24 @@
 	return st
 }
 
-// count notes what was decided for a tenant.
+// countDecision counts a decision in the totals and for its tenant.
 func (c *Client) countDecision(tenant string, v Verdict) {
-	of := c.tenants[tenant]
-	if of == nil {
-		of = &TenantCounters{Tenant: tenant}
+	ofTenant := c.tenants[tenant]
+	if ofTenant == nil {
+		ofTenant = &TenantCounters{Tenant: tenant}
 		if len(c.tenants) < maxCountedTenants {
-			c.tenants[tenant] = of
+			c.tenants[tenant] = ofTenant
 		}
 	}
 	switch v {
 	case Admitted:
 		c.counters.Admitted++
-		of.Admitted++
+		ofTenant.Admitted++
 	case OverLimit:
 		c.counters.OverLimit++
-		of.OverLimit++
+		ofTenant.OverLimit++
 	case Unanswered:
 		c.counters.Unanswered++
-		of.Unanswered++
+		ofTenant.Unanswered++
 	}
 }
--- a/internal/dataplane/quota/doc.go
+++ b/internal/dataplane/quota/doc.go
@@ -1,10 +1,12 @@
-// Package quota asks the control nodes, for one gateway, whether requests of tenants with a limit may run. Client is a
-// reducer: it takes requests, answers and the newest view, and says whom to ask and what is decided.
+// Package quota asks the control nodes, on behalf of one gateway, whether requests of tenants with a limit may be executed.
+// Client is a reducer: its inputs are requests, responses and the newest view of the chain, and its outputs are queries to
+// control nodes and decisions on requests.
 //
-// A request is admitted by a token that a control node granted after the request had arrived, and it is sent to a replica
-// after that. Nothing is kept from one answer for a later request, so that a gateway that is cut off or frozen holds nothing
-// of a tenant's limit, and no clock but the control node's decides.
+// A request is admitted by a token that a control node granted after the request had arrived, and the request is sent to a
+// replica after that. No token is kept from one response for a later request. So a gateway that is partitioned or frozen
+// holds nothing of a tenant's limit, and only the clock of the control node matters.
 //
-// The chain's tail counts for all (package controlplane/quota). Where it gives no answer, a gateway asks two other voters, who
-// may grant a little out of reserves of their own; where nobody does, the request is refused as unanswered.
+// The tail of the chain counts for all gateways (package controlplane/quota). If the tail does not respond, a gateway queries
+// two other voters, each of which may grant a few tokens from its own reserve. If none of them does, the request is refused
+// as unanswered.
 package quota
--- a/internal/dataplane/quota/events.go
+++ b/internal/dataplane/quota/events.go
@@ -5,40 +5,42 @@
 	"petreltide/internal/api/wire"
 )
 
-// Limit is what a tenant may ask for: so many requests a second, and a burst above that.
+// Limit is the request rate limit of a tenant: the sustained rate, and the number of requests that may exceed it in a burst.
 type Limit struct {
 	RatePerSecond float64
 	Burst         float64
 }
 
-// Event is one thing that has happened. The types of this file that have the method isEvent are all there are.
+// Event is an input of Client. All events are declared in this file.
 type Event interface{ isEvent() }
 
-// Requested is a request that has arrived, of a tenant with a limit. It gets one Decision, unless it is cancelled.
+// RequestArrived reports a new request of a tenant with a limit. The request gets exactly one Decision, unless it is canceled
+// before.
 type RequestArrived struct {
 	ID     string
 	Tenant string
 	Limit  Limit
-	// MaxWaitUs is how long it may wait for its decision, in microseconds; at most maxDecisionUs counts.
+	// MaxWaitUs is how long the request may wait for its decision, in microseconds; values above maxDecisionUs count as
+	// maxDecisionUs.
 	MaxWaitUs int64
 }
 
-// Canceled says that the client of a request has left before its decision.
+// RequestCanceled reports that the client of a request has disconnected before the decision.
 type RequestCanceled struct{ ID string }
 
-// Answered brings the answer to the ask of this number.
+// ResponseReceived delivers the response to the query of this number.
 type ResponseReceived struct {
 	Query    uint64
 	Response *wire.QuotaResponse
 }
 
-// Failed says that the ask of this number got no answer: its connection was refused or broke, or its time is over.
+// QueryFailed reports that a query got no response: its connection was refused or broken, or it timed out.
 type QueryFailed struct{ Query uint64 }
 
-// ViewReceived brings a view of the chain; one that is not newer is ignored.
+// ViewReceived delivers a view of the chain. A view that is not newer than the current one is ignored.
 type ViewReceived struct{ View membership.View }
 
-// Tick says that time has passed.
+// Tick reports that time has passed.
 type Tick struct{}
 
 func (RequestArrived) isEvent()   {}
@@ -48,10 +50,11 @@
 func (ViewReceived) isEvent()     {}
 func (Tick) isEvent()             {}
 
-// Effect is one thing to be done: Ask or Decision.
+// Effect is an action that the caller of Client.Step has to perform: a Query or a Decision.
 type Effect interface{ isEffect() }
 
-// Ask sends a question to a control node. Answered or Failed comes of it within its timeout.
+// Query is a request to a control node. The caller responds with ResponseReceived or QueryFailed within TimeoutUs, in
+// microseconds.
 type Query struct {
 	Number    uint64
 	Addr      string
@@ -59,25 +62,25 @@
 	Request   *wire.QuotaRequest
 }
 
-// Decision says what becomes of a request, once.
+// Decision is the verdict on a request. Each request gets at most one.
 type Decision struct {
 	ID      string
 	Verdict Verdict
-	// RetryMs is when another try may be admitted, of a request that is not.
+	// RetryMs is the time in milliseconds after which a retry may be admitted; 0 if the request is admitted.
 	RetryMs int64
 }
 
 func (Query) isEffect()    {}
 func (Decision) isEffect() {}
 
-// Verdict is what becomes of a request.
+// Verdict is the outcome of a request.
 type Verdict int
 
 const (
-	// Admitted requests may be sent to a replica.
+	// Admitted means that the request may be sent to a replica.
 	Admitted Verdict = iota
-	// OverLimit requests are beyond their tenant's limit.
+	// OverLimit means that the request exceeds the limit of its tenant.
 	OverLimit
-	// Unanswered requests may be below it, but nobody could say so in time.
+	// Unanswered means that no control node granted or refused the request in time; it may be within the limit.
 	Unanswered
 )
