--- a/internal/dataplane/gateway/attempts.go
+++ b/internal/dataplane/gateway/attempts.go
@@ -16,7 +16,8 @@
 	"petreltide/internal/process/clock"
 )
 
-// nativeExchange is this product's own interface: JSON calls, server-sent events, JSON attempts.
+// nativeExchange implements Exchange for the native interface: calls arrive as JSON, answers leave as server-sent events, and
+// attempts are sent to replicas as JSON.
 type nativeExchange struct {
 	host    *Host
 	request *CallRequest
@@ -40,17 +41,19 @@
 }
 
 const (
-	// maxRefusalBytes and maxCancelResponseBytes bound what is read of a replica's answer to an attempt that it refuses, and to its end.
-	maxRefusalBytes        = 1 << 16
+	// maxRefusalBytes bounds how much is read of a replica's response that rejects an attempt.
+	maxRefusalBytes = 1 << 16
+	// maxCancelResponseBytes bounds how much is read of a replica's response to the cancellation of an attempt.
 	maxCancelResponseBytes = 1 << 12
-	snapshotChanged        = "the news changed before it was sent"
+	// snapshotChanged is the reason of an attempt that the newest snapshot or the lease no longer permits.
+	snapshotChanged = "the control state changed before the attempt was sent"
 )
 
-// attemptNumber is the number at the end of an attempt's name.
+// attemptNumber returns the last segment of an attempt ID, its number.
 func attemptNumber(attempt string) string { return attempt[strings.LastIndexByte(attempt, '/')+1:] }
 
-// runAttempt obeys one decision. Only when no byte can have left, or the replica itself said that
-// it did not start, is the outcome one that lets the call run elsewhere.
+// runAttempt sends one attempt and relays its response to s. The outcome lets the call run on another replica only if no byte
+// of the body can have left this process, or if the replica itself reported that it did not start the attempt.
 func (h *Host) runAttempt(attemptCtx context.Context, request *CallRequest, c *scheduling.Call, st scheduling.AttemptStart, s *stream) (scheduling.Outcome, string) {
 	attempt, err := h.newAttemptRequest(attemptCtx, request, c, st, s.chunks)
 	if err != nil {
@@ -79,19 +82,19 @@
 	_ = res.Body.Close()
 	h.cancelAttempt(st)
 	if stopped {
-		return outcomeAfterError(attemptCtx, st), "the leg was stopped"
+		return outcomeAfterError(attemptCtx, st), "the attempt was canceled or reached its deadline"
 	}
 	return outcome, reason
 }
 
-// attemptRequest is an attempt as it is sent, and what is known of how far it came.
+// attemptRequest is the HTTP request of an attempt, with the progress of its transmission.
 type attemptRequest struct {
 	req       *http.Request
 	body      *gatedBody
 	connected atomic.Bool
 }
 
-// newAttemptRequest makes the request of an attempt, whose body waits until the replica asks for it.
+// newAttemptRequest builds the HTTP request of an attempt. Its body is sent only after the replica answers 100 Continue.
 func (h *Host) newAttemptRequest(attemptCtx context.Context, request *CallRequest, c *scheduling.Call, st scheduling.AttemptStart, received []string) (*attemptRequest, error) {
 	raw, err := json.Marshal(wire.Attempt{
 		ID: st.Attempt, Ticket: st.GrantNumber, Incarnation: st.Incarnation, Call: c.ID, Model: c.Model, Adapter: c.Adapter,
@@ -115,10 +118,11 @@
 	return attempt, nil
 }
 
-// mayHaveBeenSent: some of the body may have reached the replica.
+// mayHaveBeenSent reports whether part of the body may have reached the replica.
 func (r *attemptRequest) mayHaveBeenSent() bool { return r.connected.Load() && r.body.sent.Load() }
 
-// parseRefusal reads an answer other than 200: a refusal that says that nothing was started, or nobody knows.
+// parseRefusal reads a response with a status other than 200. The outcome is OutcomeRejected if the replica says that it started
+// nothing, and OutcomeUnknown otherwise.
 func parseRefusal(res *http.Response) (scheduling.Outcome, string) {
 	refusal := wire.AttemptRefusal{Started: true}
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxRefusalBytes))
@@ -128,7 +132,8 @@
 	return scheduling.OutcomeUnknown, "the replica answered " + res.Status
 }
 
-// outcomeAfterError is the outcome of an attempt that may have run: at its deadline, stopped by the decider, or for no known reason.
+// outcomeAfterError returns the outcome of a failed attempt that may have run: OutcomeTimedOut once its deadline has passed,
+// OutcomeMigrated if its context was canceled, and OutcomeUnknown otherwise.
 func outcomeAfterError(attemptCtx context.Context, st scheduling.AttemptStart) scheduling.Outcome {
 	switch {
 	case clock.NowUs() >= st.DeadlineUs:
@@ -139,13 +144,13 @@
 	return scheduling.OutcomeUnknown
 }
 
-// maySend: by the newest news and the lease, an attempt may still go to its replica.
+// maySend reports whether the newest snapshot and the lease still permit sending an attempt to its replica.
 func (h *Host) maySend(st scheduling.AttemptStart) bool {
 	return st.MaySend(h.snapshot.Load(), clock.NowUs(), h.leaseUs.Load())
 }
 
-// gatedBody is an attempt's body. It leaves only after the replica has asked for it, so that none waits
-// in the socket of a frozen one, and after one more look at the lease and the newest news.
+// gatedBody is the body of an attempt. It is sent only after the replica has answered 100 Continue, so that no body waits in the
+// socket of a frozen replica, and after the lease and the newest snapshot have been checked once more.
 type gatedBody struct {
 	h         *Host
 	st        scheduling.AttemptStart
@@ -157,7 +162,7 @@
 func (b *gatedBody) Read(p []byte) (int, error) {
 	if !b.sent.Load() {
 		if !b.continued.Load() {
-			return 0, fault.New(fault.ReplicaFailed, "", "the replica did not ask for the leg")
+			return 0, fault.New(fault.ReplicaFailed, "", "the replica did not answer 100 Continue")
 		}
 		if !b.h.maySend(b.st) {
 			return 0, fault.New(fault.NoLease, "", snapshotChanged)
@@ -167,7 +172,8 @@
 	return b.r.Read(p)
 }
 
-// readChunks passes a replica's pieces on as they come, until its end or the first that does not belong.
+// readChunks relays a replica's chunks to the caller as they arrive, until the end of the stream or the first chunk that is not
+// the next one of this attempt.
 func (h *Host) readChunks(c *scheduling.Call, st scheduling.AttemptStart, s *stream, body io.Reader) (scheduling.Outcome, string) {
 	bounded := &io.LimitedReader{R: body, N: maxChunkBytes}
 	dec := json.NewDecoder(bounded)
@@ -179,7 +185,7 @@
 		}
 		bounded.N = maxChunkBytes
 		if receivedBytes += len(chunk.Text); receivedBytes > maxStreamBytes {
-			return scheduling.OutcomeBroken, "the replica's stream is too long"
+			return scheduling.OutcomeBroken, "the replica's stream exceeds the size limit"
 		}
 		outcome, reason := scheduling.CheckChunk(st.Attempt, len(s.chunks), chunk)
 		if outcome != "" {
@@ -193,13 +199,13 @@
 		c.Progress.Store(int64(len(s.chunks)))
 		s.event(len(s.chunks), "piece", chunkEvent{Text: chunk.Text})
 		if s.failed {
-			return scheduling.OutcomeBroken, "the caller is gone"
+			return scheduling.OutcomeBroken, "the caller disconnected"
 		}
 	}
 }
 
-// cancelAttempt tells the replica that nobody waits any more and returns when it says the attempt is
-// over, so that the slot is free when it is counted free.
+// cancelAttempt cancels an attempt at its replica and returns when the replica confirms that the attempt has ended, so that the
+// slot is free before the decider counts it as free. It gives up after cancelTimeout.
 func (h *Host) cancelAttempt(st scheduling.AttemptStart) {
 	ctx, done := context.WithTimeout(h.act.Ctx, cancelTimeout)
 	defer done()
--- a/internal/dataplane/gateway/authentication.go
+++ b/internal/dataplane/gateway/authentication.go
@@ -11,25 +11,28 @@
 )
 
 const (
-	// currentWithinUs is how old the newest frame of a current control node may be at a gateway that counts as current. Such
-	// frames come every 400 ms where there is no news; some may be missing, and a process may stand still for a second where the
-	// machine is busy.
+	// currentWithinUs is the maximum age, in microseconds, of the newest frame from a current control node at a gateway that
+	// counts as current. Without changes such frames arrive every 400 ms; the bound leaves room for some lost frames and for a
+	// process that stalls for a second on a busy machine.
 	currentWithinUs = 2000 * clock.Ms
-	// maxLookupHoldUs bounds how long a request is held whose route or key this gateway does not know, for a declaration that may be
-	// on its way, and lookupHoldDivisor by its share of the time that the request has left.
-	maxLookupHoldUs   = 300 * clock.Ms
+	// maxLookupHoldUs bounds how long, in microseconds, a request with an unknown route or key is held, because the declaration
+	// that contains them may still be in transit.
+	maxLookupHoldUs = 300 * clock.Ms
+	// lookupHoldDivisor bounds the same hold to a fraction of the time that remains until the request's deadline.
 	lookupHoldDivisor = 4
-	// maxHeldLookups is how many such requests are held at once: the others are answered without a wait.
+	// maxHeldLookups is the maximum number of requests held at the same time; further ones are answered at once.
 	maxHeldLookups = 64
-	// staleRetryMs is when a caller is told to try again whose route or key a gateway that is not current can't judge.
+	// staleRetryMs is the retry delay sent with a rejection by a gateway that is not current and so cannot tell whether the route
+	// or key exists.
 	staleRetryMs = 500
 )
 
-// LookupRoute finds the route of a request and the tenant in whose name it runs by the newest news; there must be a
-// declaration. It is the one place where requests are authenticated.
+// LookupRoute returns the route of a request and the tenant that it is authenticated as, according to the newest snapshot, which
+// must have a declaration. It is the only place where requests are authenticated.
 //
-// A route or a key that is not known here may be in a declaration that is on its way: its request is held for a moment. After
-// that a gateway that is current refuses it, and one that is not says that it can't tell.
+// An unknown route or key may be part of a declaration that is still in transit, so the request is held for up to
+// maxLookupHoldUs. After that, a current gateway rejects the request, and one that is not current answers with a retryable
+// NoLease fault.
 func (h *Host) LookupRoute(ctx context.Context, a scheduling.RouteLookup) (route *configuration.Route, tenant string, failure *fault.Fault) {
 	route, tenant, failure = h.lookupRoute(a)
 	if !isUndecided(a, failure) {
@@ -56,21 +59,21 @@
 	}
 }
 
-// lookupRoute is LookupRoute of this moment.
+// lookupRoute is LookupRoute without the hold.
 func (h *Host) lookupRoute(a scheduling.RouteLookup) (*configuration.Route, string, *fault.Fault) {
 	snap, nowUs := h.Snapshot(), clock.NowUs()
 	route, tenant, failure := snap.LookupRoute(a)
 	switch {
 	case failure == nil && h.keysExpired(nowUs) && !snap.Declaration.Allows(route, ""):
-		return nil, "", undecided("no current control node was heard for %d ms: keys may have been revoked", h.settings.Revocation.WithinMs)
+		return nil, "", undecided("no frame from a current control node for %d ms: keys may have been revoked", h.settings.Revocation.WithinMs)
 	case isUndecided(a, failure) && !h.isCurrent(nowUs):
-		return nil, "", undecided("%s when this gateway last heard a current control node", failure.Detail)
+		return nil, "", undecided("%s at the last frame from a current control node", failure.Detail)
 	}
 	return route, tenant, failure
 }
 
-// isUndecided says whether a newer declaration, or word that there is none, may let in a request that is refused: one that brings a
-// key, or whose route is not known.
+// isUndecided reports whether a rejection may be lifted by a newer declaration, or by a frame which confirms that there is none:
+// it concerns a key, an unknown route, or a gateway that is not current.
 func isUndecided(a scheduling.RouteLookup, failure *fault.Fault) bool {
 	if failure == nil {
 		return false
@@ -84,7 +87,7 @@
 	return failure
 }
 
-// lookupHold is how long a request may be held that must be answered by an instant; 0 is never.
+// lookupHold returns how long a request with the given deadline may be held. A deadline of 0 means that there is none.
 func (h *Host) lookupHold(deadlineUs, nowUs int64) time.Duration {
 	us := h.maxLookupHoldUs
 	if deadlineUs > 0 {
@@ -93,19 +96,20 @@
 	return time.Duration(us) * time.Microsecond
 }
 
-// isCurrent says whether this gateway knows every declaration that was acknowledged, but for those on their way.
+// isCurrent reports whether this gateway knows every acknowledged declaration, apart from those in transit.
 func (h *Host) isCurrent(nowUs int64) bool {
 	currentUs := h.currentUs.Load()
 	return currentUs > 0 && nowUs-currentUs <= currentWithinUs
 }
 
-// keysExpired says whether keys that are known here may have been revoked for longer than the settings let pass.
+// keysExpired reports whether a key known to this gateway may have been revoked for longer than the settings allow.
 func (h *Host) keysExpired(nowUs int64) bool {
 	r, currentUs := h.settings.Revocation, h.currentUs.Load()
 	return r.Closed && (currentUs == 0 || nowUs-currentUs > r.WithinMs*clock.Ms)
 }
 
-// setCurrent takes the instant of the newest frame of a current control node. It runs on the actor.
+// setCurrent records the instant of the newest frame from a current control node, in microseconds, and wakes held lookups when the
+// gateway becomes current again. It runs on the actor.
 func (h *Host) setCurrent(us int64) {
 	lastUs := h.currentUs.Swap(us)
 	if us > 0 && (lastUs == 0 || us-lastUs > currentWithinUs) {
--- a/internal/dataplane/gateway/authentication_test.go
+++ b/internal/dataplane/gateway/authentication_test.go
@@ -15,10 +15,10 @@
 	"petreltide/internal/process/logring"
 )
 
-// longHoldUs outlasts every test.
+// longHoldUs is longer than any test runs.
 const longHoldUs = 60 * clock.Sec
 
-// keyed is a gateway that has heard a control node just now, with a declaration whose one tenant holds some keys.
+// newHostWithKeys returns a gateway that is current, with a declaration whose only tenant has the given keys.
 func newHostWithKeys(t *testing.T, revocation settings.Revocation, keys ...string) *Host {
 	t.Helper()
 	h := Open(settings.Gateway{
@@ -29,7 +29,8 @@
 	return h
 }
 
-// learns brings a declaration; those above 100 have one more route.
+// storeDeclaration stores a snapshot whose declaration gives the tenant the given keys. Revisions above 100 also have the route
+// "late".
 func (h *Host) storeDeclaration(revision uint64, keys ...string) {
 	tenant := configuration.Tenant{Name: "acme"}
 	for _, key := range keys {
@@ -54,7 +55,7 @@
 	return ""
 }
 
-// asks looks a key up beside the test, and returns once it is held.
+// startHeldLookup looks a key up in another goroutine and returns once the lookup is held.
 func startHeldLookup(t *testing.T, h *Host, key string) <-chan fault.Code {
 	t.Helper()
 	return startHeldLookupOnPath(t, h, "/x/1", key)
@@ -67,46 +68,46 @@
 	for h.heldLookups.Load() <= heldBefore {
 		select {
 		case code := <-answer:
-			t.Fatalf("%s was answered at once: %q", key, code)
+			t.Fatalf("lookup of key %s on path %s: got %q at once, want it held", key, path, code)
 		case <-time.After(time.Millisecond):
 		}
 	}
 	return answer
 }
 
-func TestARequestWhoseKeyIsOnItsWayIsServed(t *testing.T) {
+func TestLookupRouteHoldsRequestUntilKeyArrives(t *testing.T) {
 	h := newHostWithKeys(t, settings.Revocation{}, "k1")
 	h.maxLookupHoldUs = longHoldUs
 	late := startHeldLookup(t, h, "k2")
 	h.storeDeclaration(2, "k1", "k3")
 	select {
 	case code := <-late:
-		t.Fatalf("a declaration without the key ended the wait: %q", code)
+		t.Fatalf("lookup of k2 after a declaration without it: got %q, want it still held", code)
 	default:
 	}
 	h.storeDeclaration(3, "k1", "k2")
 	if code := <-late; code != "" {
-		t.Errorf("%q", code)
+		t.Errorf("lookup of k2 after a declaration with it: got %q, want no fault", code)
 	}
 	if n := h.heldLookups.Load(); n != 0 {
-		t.Errorf("%d are held still", n)
+		t.Errorf("held lookups: got %d, want 0", n)
 	}
 }
 
-func TestARequestOnARouteThatIsOnItsWayIsServed(t *testing.T) {
+func TestLookupRouteHoldsRequestUntilRouteArrives(t *testing.T) {
 	h := newHostWithKeys(t, settings.Revocation{}, "k1")
 	h.maxLookupHoldUs = longHoldUs
 	late, keyless := startHeldLookupOnPath(t, h, "/late/1", "k1"), startHeldLookupOnPath(t, h, "/late/1", "")
 	h.storeDeclaration(101, "k1")
 	if code := <-late; code != "" {
-		t.Errorf("%q", code)
+		t.Errorf("lookup with key k1 after the route arrived: got %q, want no fault", code)
 	}
 	if code := <-keyless; code != fault.Unauthenticated {
-		t.Errorf("without a key: %q", code)
+		t.Errorf("lookup without a key after the route arrived: got %q, want %q", code, fault.Unauthenticated)
 	}
 }
 
-func TestAnUnknownKeyIsRefusedForGoodOnlyByACurrentGateway(t *testing.T) {
+func TestLookupRouteRejectsUnknownKeyFinallyOnlyWhileCurrent(t *testing.T) {
 	staleUs := currentWithinUs + clock.Sec
 	for name, c := range map[string]struct {
 		ageUs      int64
@@ -114,26 +115,26 @@
 		path, key  string
 		code       fault.Code
 	}{
-		"current, unknown":                    {0, settings.Revocation{}, "/x/1", "k9", fault.Unauthenticated},
-		"current, none":                       {0, settings.Revocation{}, "/x/1", "", fault.Unauthenticated},
-		"current, known":                      {0, settings.Revocation{}, "/x/1", "k1", ""},
-		"behind, unknown":                     {staleUs, settings.Revocation{}, "/x/1", "k9", fault.NoLease},
-		"behind, none":                        {staleUs, settings.Revocation{}, "/x/1", "", fault.Unauthenticated},
-		"behind, known":                       {staleUs, settings.Revocation{}, "/x/1", "k1", ""},
-		"current, unknown on a public route":  {0, settings.Revocation{}, "/open/1", "k9", fault.Unauthenticated},
-		"behind, unknown on a public route":   {staleUs, settings.Revocation{}, "/open/1", "k9", fault.NoLease},
-		"behind, none on a public route":      {staleUs, settings.Revocation{}, "/open/1", "", ""},
-		"never current, unknown":              {-1, settings.Revocation{}, "/x/1", "k9", fault.NoLease},
-		"never current, known":                {-1, settings.Revocation{}, "/x/1", "k1", ""},
-		"open revocation, long behind, known": {time.Hour.Microseconds(), settings.Revocation{WithinMs: 5000}, "/x/1", "k1", ""},
-		"closed, within the bound, known":     {4 * clock.Sec, settings.Revocation{Closed: true, WithinMs: 5000}, "/x/1", "k1", ""},
-		"closed, past the bound, known":       {6 * clock.Sec, settings.Revocation{Closed: true, WithinMs: 5000}, "/x/1", "k1", fault.NoLease},
-		"closed, past the bound, none":        {6 * clock.Sec, settings.Revocation{Closed: true, WithinMs: 5000}, "/x/1", "", fault.Unauthenticated},
-		"closed, past the bound, public":      {6 * clock.Sec, settings.Revocation{Closed: true, WithinMs: 5000}, "/open/1", "k1", ""},
-		"current, no such route":              {0, settings.Revocation{}, "/late/1", "k1", fault.NotFound},
-		"behind, no such route":               {staleUs, settings.Revocation{}, "/late/1", "k1", fault.NoLease},
-		"behind, no such route, no key":       {staleUs, settings.Revocation{}, "/late/1", "", fault.NoLease},
-		"closed, never current, known":        {-1, settings.Revocation{Closed: true, WithinMs: 5000}, "/x/1", "k1", fault.NoLease},
+		"current, unknown key":                                           {0, settings.Revocation{}, "/x/1", "k9", fault.Unauthenticated},
+		"current, no key":                                                {0, settings.Revocation{}, "/x/1", "", fault.Unauthenticated},
+		"current, known key":                                             {0, settings.Revocation{}, "/x/1", "k1", ""},
+		"stale, unknown key":                                             {staleUs, settings.Revocation{}, "/x/1", "k9", fault.NoLease},
+		"stale, no key":                                                  {staleUs, settings.Revocation{}, "/x/1", "", fault.Unauthenticated},
+		"stale, known key":                                               {staleUs, settings.Revocation{}, "/x/1", "k1", ""},
+		"current, unknown key on a public route":                         {0, settings.Revocation{}, "/open/1", "k9", fault.Unauthenticated},
+		"stale, unknown key on a public route":                           {staleUs, settings.Revocation{}, "/open/1", "k9", fault.NoLease},
+		"stale, no key on a public route":                                {staleUs, settings.Revocation{}, "/open/1", "", ""},
+		"never current, unknown key":                                     {-1, settings.Revocation{}, "/x/1", "k9", fault.NoLease},
+		"never current, known key":                                       {-1, settings.Revocation{}, "/x/1", "k1", ""},
+		"open revocation, stale for long, known key":                     {time.Hour.Microseconds(), settings.Revocation{WithinMs: 5000}, "/x/1", "k1", ""},
+		"closed revocation, within the bound, known key":                 {4 * clock.Sec, settings.Revocation{Closed: true, WithinMs: 5000}, "/x/1", "k1", ""},
+		"closed revocation, past the bound, known key":                   {6 * clock.Sec, settings.Revocation{Closed: true, WithinMs: 5000}, "/x/1", "k1", fault.NoLease},
+		"closed revocation, past the bound, no key":                      {6 * clock.Sec, settings.Revocation{Closed: true, WithinMs: 5000}, "/x/1", "", fault.Unauthenticated},
+		"closed revocation, past the bound, known key on a public route": {6 * clock.Sec, settings.Revocation{Closed: true, WithinMs: 5000}, "/open/1", "k1", ""},
+		"current, unknown route":                                         {0, settings.Revocation{}, "/late/1", "k1", fault.NotFound},
+		"stale, unknown route":                                           {staleUs, settings.Revocation{}, "/late/1", "k1", fault.NoLease},
+		"stale, unknown route, no key":                                   {staleUs, settings.Revocation{}, "/late/1", "", fault.NoLease},
+		"closed revocation, never current, known key":                    {-1, settings.Revocation{Closed: true, WithinMs: 5000}, "/x/1", "k1", fault.NoLease},
 	} {
 		h := newHostWithKeys(t, c.revocation, "k1")
 		h.maxLookupHoldUs = 0
@@ -141,25 +142,25 @@
 			h.setCurrent(0)
 		}
 		if code := lookupCode(t.Context(), h, c.path, c.key, 0); code != c.code {
-			t.Errorf("%s: %q, want %q", name, code, c.code)
+			t.Errorf("%s: got %q, want %q", name, code, c.code)
 		}
 	}
 }
 
-// A gateway that was stopped or cut off serves what it held as soon as it hears again.
-func TestRequestsHeldByAGatewayThatWasCutOffGoOnOnceItHearsAgain(t *testing.T) {
+// A gateway that was stopped or partitioned serves the requests it holds as soon as it receives a frame of a current control node.
+func TestHeldRequestsAreServedWhenGatewayBecomesCurrentAgain(t *testing.T) {
 	h := newHostWithKeys(t, settings.Revocation{Closed: true, WithinMs: 5000}, "k1")
 	h.maxLookupHoldUs = longHoldUs
 	h.setCurrent(clock.NowUs() - 20*clock.Sec)
 	held := startHeldLookup(t, h, "k1")
 	h.setCurrent(clock.NowUs())
 	if code := <-held; code != "" {
-		t.Errorf("%q", code)
+		t.Errorf("lookup of k1 after the gateway became current: got %q, want no fault", code)
 	}
 }
 
-// An attacker's unknown keys hold few requests, and the others are answered without a wait.
-func TestAFloodOfUnknownKeysHoldsFewRequests(t *testing.T) {
+// A flood of unknown keys, as from an attacker, occupies at most maxHeldLookups holds; all further requests are answered at once.
+func TestFloodOfUnknownKeysHoldsLimitedNumberOfRequests(t *testing.T) {
 	h := newHostWithKeys(t, settings.Revocation{}, "k1")
 	h.maxLookupHoldUs = longHoldUs
 	held := []<-chan fault.Code{}
@@ -168,30 +169,30 @@
 	}
 	for range 1000 {
 		if code := lookupCode(t.Context(), h, "/x/1", "flood", 0); code != fault.Unauthenticated {
-			t.Fatalf("%q", code)
+			t.Fatalf("lookup of an unknown key beyond the limit: got %q, want %q", code, fault.Unauthenticated)
 		}
 	}
 	if code := lookupCode(t.Context(), h, "/x/1", "k1", 0); code != "" {
-		t.Errorf("a known key: %q", code)
+		t.Errorf("lookup of known key k1: got %q, want no fault", code)
 	}
 	h.storeDeclaration(2, "flood-0")
 	if code := <-held[0]; code != "" {
-		t.Errorf("a key that came: %q", code)
+		t.Errorf("held lookup of flood-0 after a declaration with it: got %q, want no fault", code)
 	}
 	if n := h.heldLookups.Load(); n != maxHeldLookups-1 {
-		t.Errorf("%d are held", n)
+		t.Errorf("held lookups: got %d, want %d", n, maxHeldLookups-1)
 	}
 }
 
-func TestARequestWithAnUnknownKeyIsHeldForAPartOfItsTimeAtMost(t *testing.T) {
+func TestLookupHoldIsBoundedByRemainingTime(t *testing.T) {
 	h := newHostWithKeys(t, settings.Revocation{})
 	for leftUs, want := range map[int64]time.Duration{100 * clock.Ms: 25 * time.Millisecond, 4 * clock.Sec: 300 * time.Millisecond, -clock.Sec: 0} {
 		if got := h.lookupHold(5*clock.Sec+leftUs, 5*clock.Sec); got != want {
-			t.Errorf("%d ms are left: held for %v, want %v", leftUs/clock.Ms, got, want)
+			t.Errorf("lookup hold with %d ms left: got %v, want %v", leftUs/clock.Ms, got, want)
 		}
 	}
 	if got := h.lookupHold(0, 5*clock.Sec); got != 300*time.Millisecond {
-		t.Errorf("no end: held for %v", got)
+		t.Errorf("lookup hold without a deadline: got %v, want 300ms", got)
 	}
 	h.maxLookupHoldUs = longHoldUs
 	ctx, leave := context.WithCancel(t.Context())
@@ -199,6 +200,6 @@
 	go func() { answer <- lookupCode(ctx, h, "/x/1", "k9", 0) }()
 	leave()
 	if code := <-answer; code != fault.Unauthenticated {
-		t.Errorf("its client has left: %q", code)
+		t.Errorf("lookup after its client left: got %q, want %q", code, fault.Unauthenticated)
 	}
 }
--- a/internal/dataplane/gateway/broadcast.go
+++ b/internal/dataplane/gateway/broadcast.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// broadcast wakes all who wait for the same thing. Who takes next before it looks at the state misses no change.
+// broadcast wakes all goroutines that wait for a change. A goroutine that calls changed before it reads the state misses no change.
 type broadcast struct {
 	signal atomic.Pointer[chan struct{}]
 }
@@ -14,7 +14,7 @@
 	return b
 }
 
-// next is closed by the next fire.
+// changed returns a channel that the next call of notify closes.
 func (b *broadcast) changed() <-chan struct{} { return *b.signal.Load() }
 
 func (b *broadcast) notify() {
--- a/internal/dataplane/gateway/calls.go
+++ b/internal/dataplane/gateway/calls.go
@@ -12,7 +12,7 @@
 	"petreltide/internal/process/randomid"
 )
 
-// CallRequest is what a caller sends.
+// CallRequest is the body of POST /v1/calls.
 type CallRequest struct {
 	Kind       string   `json:"kind"`
 	Model      string   `json:"model"`
@@ -30,11 +30,11 @@
 	maxKeyBytes       = 200
 	maxChunkBytes     = 1 << 20
 	maxStreamBytes    = 64 << 20
-	// undeclaredRetryMs is when a caller is told to try again while there is no declaration yet.
+	// undeclaredRetryMs is the retry delay sent to callers while the gateway has no declaration.
 	undeclaredRetryMs = 500
 )
 
-// parseCall checks everything that can be checked without asking the decider.
+// parseCall parses a request and validates everything that does not need the decider.
 func (h *Host) parseCall(w http.ResponseWriter, r *http.Request) (request *CallRequest, c *scheduling.Call, resumable bool, failure *fault.Fault) {
 	request, failure = h.decode(w, r)
 	if failure != nil {
@@ -65,13 +65,13 @@
 	return request, c, kind.Resumable && !nonResumable, nil
 }
 
-// decode reads a body of at most the size that is set, as one JSON value without unknown fields.
+// decode reads the body, limited to MaxBodyKB, as one JSON value without unknown fields.
 func (h *Host) decode(w http.ResponseWriter, r *http.Request) (*CallRequest, *fault.Fault) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(h.settings.MaxBodyKB)<<10))
 	if err != nil {
 		var large *http.MaxBytesError
 		if errors.As(err, &large) {
-			return nil, fault.New(fault.TooLarge, "", "a body may have %d KiB", h.settings.MaxBodyKB)
+			return nil, fault.New(fault.TooLarge, "", "the body exceeds %d KiB", h.settings.MaxBodyKB)
 		}
 		return nil, fault.New(fault.BadJSON, "", "%v", err)
 	}
@@ -82,44 +82,45 @@
 	return request, nil
 }
 
-// check refuses what is wrong with any declaration.
+// check validates the fields whose constraints do not depend on the declaration.
 func (q *CallRequest) check(key string) *fault.Fault {
 	switch {
 	case q.Prompt == "":
-		return fault.New(fault.BadField, "prompt", "it is empty")
+		return fault.New(fault.BadField, "prompt", "must not be empty")
 	case len(q.Prefix) > maxPrefixSegments:
-		return fault.New(fault.BadField, "prefix", "%d parts, at most %d", len(q.Prefix), maxPrefixSegments)
+		return fault.New(fault.BadField, "prefix", "%d segments, at most %d allowed", len(q.Prefix), maxPrefixSegments)
 	case q.DeadlineMs < 0:
-		return fault.New(fault.PastDeadline, "expiryMs", "it is %d ms in the past", -q.DeadlineMs)
+		return fault.New(fault.PastDeadline, "expiryMs", "the deadline is %d ms in the past", -q.DeadlineMs)
 	case q.MaxOutput < 0:
-		return fault.New(fault.BadField, "mostOut", "it is negative")
+		return fault.New(fault.BadField, "mostOut", "must not be negative")
 	case len(key) > maxKeyBytes:
 		return fault.New(fault.BadField, "Idempotency-Key", "longer than %d bytes", maxKeyBytes)
 	}
 	return nil
 }
 
-// applyLastEventID lets a caller go on at any gateway: it names the last piece and sends all it holds.
+// applyLastEventID lets a caller resume its stream at any gateway: the header holds the number of the last chunk received, and the
+// request contains all chunks received so far.
 func applyLastEventID(lastEventID string, request *CallRequest, c *scheduling.Call) *fault.Fault {
 	if lastEventID == "" {
 		if len(request.Received) > 0 {
-			return fault.New(fault.BadLastEventID, "Last-Event-Id", "pieces are sent without it")
+			return fault.New(fault.BadLastEventID, "Last-Event-Id", "the request contains received chunks, but no Last-Event-Id header")
 		}
 		return nil
 	}
 	n, err := strconv.Atoi(lastEventID)
 	switch {
 	case err != nil || n < 0 || strconv.Itoa(n) != lastEventID:
-		return fault.New(fault.BadLastEventID, "Last-Event-Id", "%q is not a piece number", lastEventID)
+		return fault.New(fault.BadLastEventID, "Last-Event-Id", "%q is not a chunk number", lastEventID)
 	case n != len(request.Received):
-		return fault.New(fault.BadLastEventID, "had", "%d pieces are sent, the last one named is %d", len(request.Received), n)
+		return fault.New(fault.BadLastEventID, "had", "the request contains %d chunks, but Last-Event-Id is %d", len(request.Received), n)
 	}
 	c.Delivered = n
 	c.Progress.Store(int64(n))
 	return nil
 }
 
-// serveCall carries one call of the product's own interface.
+// serveCall handles POST /v1/calls, a call of the native interface.
 func (h *Host) serveCall(w http.ResponseWriter, r *http.Request) {
 	h.activeCalls.Add(1)
 	defer h.activeCalls.Add(-1)
--- a/internal/dataplane/gateway/forms_test.go
+++ b/internal/dataplane/gateway/forms_test.go
@@ -10,8 +10,8 @@
 	"petreltide/internal/api/fault"
 )
 
-// What a caller's stream carries, byte by byte, as the code of commit 11c16aa wrote it.
-func TestEventsOfAStreamStayAsTheyAre(t *testing.T) {
+// Guards the bytes of the server-sent events against the format that the code of commit 11c16aa wrote.
+func TestStreamWritesEventsInStableFormat(t *testing.T) {
 	w := httptest.NewRecorder()
 	s := &stream{w: w, flush: func() error { return nil }}
 	s.event(1, "piece", chunkEvent{Text: "a <b>\n"})
@@ -21,9 +21,9 @@
 		"event: end\ndata: {\"pieces\":2}\n\n" +
 		"event: broken\ndata: {\"error\":{\"code\":\"broken\",\"field\":\"f\",\"detail\":\"at 7\"},\"pieces\":3}\n\n"
 	if diff := cmp.Diff(want, w.Body.String()); diff != "" {
-		t.Error(diff)
+		t.Errorf("events differ (-want +got):\n%s", diff)
 	}
 	if w.Code != http.StatusOK || w.Header().Get("Content-Type") != "text/event-stream" || w.Header().Get("Cache-Control") != "no-store" {
-		t.Errorf("status %d, %v", w.Code, w.Header())
+		t.Errorf("response: got status %d and headers %v, want 200, text/event-stream and no-store", w.Code, w.Header())
 	}
 }
--- a/internal/dataplane/gateway/fuzz_test.go
+++ b/internal/dataplane/gateway/fuzz_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"fmt"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -17,6 +16,7 @@
 	"petreltide/internal/process/logring"
 )
 
+// newTestHost returns a gateway with two kinds, one model and a lease that does not expire.
 func newTestHost() *Host {
 	h := Open(settings.Gateway{Name: "front", Listen: "127.0.0.1:1", Advertise: "127.0.0.1:1", MaxQueue: 4, MaxBodyKB: 64}, logring.NewRing("", io.Discard))
 	doc := &configuration.Declaration{Kinds: []configuration.Kind{{Name: "pages", Urgency: 3, Resumable: true, DeadlineMs: 1000}, {Name: "fixes", Urgency: 8, DeadlineMs: 1000}},
@@ -26,8 +26,8 @@
 	return h
 }
 
-// Whatever a caller sends is a call that names what is declared, or a fault with a code.
-func FuzzWhatCallersSend(f *testing.F) {
+// Any request either yields a call that names declared objects, or is rejected with a fault that has a code.
+func FuzzParseCall(f *testing.F) {
 	f.Add([]byte(`{"kind":"fixes","model":"m","prompt":"x"}`), "", "")
 	f.Add([]byte(`{"kind":"pages","model":"m","adapter":"a","prompt":"x","had":["1","2"],"mostOut":-1}`), "2", "key")
 	f.Add([]byte(`{"kind":"pages","model":"m","prompt":"x","expiryMs":-9223372036854775808}`), "-0", strings.Repeat("k", 300))
@@ -39,18 +39,19 @@
 		request, c, _, failure := h.parseCall(httptest.NewRecorder(), r)
 		if failure != nil {
 			if failure.Code == "" || httpStatus(failure) < 400 {
-				t.Fatalf("%+v", failure)
+				t.Fatalf("rejection without a code or with a status below 400: %+v", failure)
 			}
 			return
 		}
 		if c.Model != "m" || (c.Kind != "pages" && c.Kind != "fixes") || request.Prompt == "" || c.Delivered != len(request.Received) || c.TimeoutMs < 0 || (c.Delivered > 0 && c.Kind != "pages") {
-			t.Fatalf("%+v taken as %+v", request, c)
+			t.Fatalf("request %+v parsed as the invalid call %+v", request, c)
 		}
 	})
 }
 
-// Whatever a replica streams, only whole pieces of this attempt in their order go on, and only its own end is one.
-func FuzzWhatReplicasStream(f *testing.F) {
+// For any replica stream, only complete chunks of this attempt are relayed, in order, and only this attempt's end message with the
+// right count ends the answer.
+func FuzzReadChunks(f *testing.F) {
 	f.Add([]byte("{\"leg\":\"r/i/1\",\"n\":1,\"text\":\"a\"}\n{\"leg\":\"r/i/1\",\"end\":true,\"n\":1}"))
 	f.Add([]byte("{\"leg\":\"r/i/1\",\"n\":2}"))
 	f.Add([]byte("{\"leg\":\"r/i/1\",\"end\":true,\"n\":0}{\"leg\":\"r/i/1\",\"n\":1}"))
@@ -70,7 +71,7 @@
 			}
 			if p.End {
 				if (outcome == scheduling.OutcomeDone) != (p.Number == whole) {
-					t.Fatalf("%s with an end at %d of %d", outcome, p.Number, whole)
+					t.Fatalf("outcome: got %s with an end message that counts %d chunks, after %d chunks", outcome, p.Number, whole)
 				}
 				break
 			}
@@ -80,11 +81,12 @@
 			whole++
 		}
 		if len(s.chunks) != whole || strings.Count(rec.Body.String(), "event: piece") != whole {
-			t.Fatalf("%d pieces went on, %d were whole", len(s.chunks), whole)
+			t.Fatalf("relayed chunks: got %d, want %d", len(s.chunks), whole)
 		}
 	})
 }
 
+// endlessReader yields a chunk whose text never ends.
 type endlessReader struct{ bytesRead int }
 
 func (e *endlessReader) Read(p []byte) (int, error) {
@@ -98,12 +100,13 @@
 	return len(p), nil
 }
 
-func TestAPieceWithoutEndIsGivenUpOnAtABound(t *testing.T) {
+func TestReadChunksStopsAtSizeLimitOfEndlessChunk(t *testing.T) {
 	s := &stream{w: httptest.NewRecorder(), flush: func() error { return nil }}
 	c := &scheduling.Call{ID: "c"}
 	e := &endlessReader{}
 	outcome, reason := newTestHost().readChunks(c, scheduling.AttemptStart{Call: c, Attempt: "r/i/1"}, s, e)
 	if outcome != scheduling.OutcomeBroken || e.bytesRead > 4*maxChunkBytes || len(s.chunks) != 0 {
-		t.Fatal(outcome, reason, fmt.Sprint(e.bytesRead))
+		t.Fatalf("endless chunk: got outcome %s (%s) after %d bytes and %d chunks, want %s after at most %d bytes and no chunk",
+			outcome, reason, e.bytesRead, len(s.chunks), scheduling.OutcomeBroken, 4*maxChunkBytes)
 	}
 }
--- a/internal/dataplane/gateway/handler.go
+++ b/internal/dataplane/gateway/handler.go
@@ -17,7 +17,7 @@
 	"petreltide/internal/process/rpc"
 )
 
-// Status is the state of a gateway for a person.
+// Status is the response of GET /v1/status, meant for operators.
 type Status struct {
 	Gateway     string                        `json:"desk"`
 	Incarnation string                        `json:"inc"`
@@ -25,13 +25,14 @@
 	Tail        string                        `json:"tail"`
 	Work        scheduling.Status             `json:"work"`
 	Gauges      []scheduling.RevisionCounters `json:"gauges"`
-	// Connections are those to replicas, by the replica, where they are kept.
+	// Connections are the connections by replica; nil if this gateway does not pool connections.
 	Connections map[string]Connections `json:"connections,omitempty"`
-	// Quota is what was asked and decided on limits of tenants, by tenant; nil where none has sent anything.
+	// Quota counts the quota requests and decisions by tenant; nil if no tenant with a limit has sent a request.
 	Quota *quota.Status `json:"quota,omitempty"`
 }
 
-// Connections are how many a gateway has open to one replica, and its share of what the replica takes.
+// Connections is the number of connections that a gateway has open to one replica, and the maximum, which is its share of the
+// connections that the replica accepts.
 type Connections struct {
 	Open int `json:"open"`
 	Max  int `json:"most"`
@@ -76,7 +77,7 @@
 	_ = json.NewEncoder(w).Encode(st)
 }
 
-// ready is for whoever hands clients to this gateway.
+// ready handles GET /v1/ready, the readiness check of load balancers.
 func (h *Host) ready(w http.ResponseWriter, _ *http.Request) {
 	f, executed := actor.Ask(h.act.Ctx, h.act, func() *fault.Fault { return h.decider.Ready(clock.NowUs()) })
 	if !executed {
@@ -90,7 +91,7 @@
 	_ = json.NewEncoder(w).Encode(map[string]bool{"ready": true})
 }
 
-// writeFault answers with a fault; its status tells whether, and Retry-After when, to try again.
+// writeFault writes a fault as the response. The status code tells whether a retry makes sense, and Retry-After when.
 func writeFault(w http.ResponseWriter, status int, f *fault.Fault) {
 	if f.Run == "" {
 		f.Run = fault.RunNone
@@ -103,12 +104,12 @@
 	_ = json.NewEncoder(w).Encode(faultBody{f})
 }
 
-// faultBody is the JSON of an answer that is a fault.
+// faultBody is the JSON body of an error response.
 type faultBody struct {
 	Error *fault.Fault `json:"error"`
 }
 
-// httpStatus is the status code by which a fault is answered.
+// httpStatus returns the HTTP status code of a fault.
 func httpStatus(f *fault.Fault) int {
 	switch f.Code {
 	case fault.BadJSON, fault.BadField, fault.BadLastEventID, fault.PastDeadline:
--- a/internal/dataplane/gateway/host.go
+++ b/internal/dataplane/gateway/host.go
@@ -25,87 +25,89 @@
 )
 
 const (
-	// tickInterval is how often the decider sees time pass; informerTickInterval is that of a gateway with an informer,
-	// whose timers are longer.
-	tickInterval         = 20 * time.Millisecond
+	// tickInterval is the interval between ticks of the reducers.
+	tickInterval = 20 * time.Millisecond
+	// informerTickInterval replaces tickInterval at a gateway with an informer, whose timers are longer.
 	informerTickInterval = 50 * time.Millisecond
-	// maxTickGapUs between two ticks means that the process did not run meanwhile.
+	// maxTickGapUs is the longest gap between two ticks, in microseconds, for which the process counts as having run all the time.
 	maxTickGapUs = 500 * clock.Ms
-	// submitTimeout bounds how long a caller waits for an idempotency key to be recorded by the control nodes.
+	// submitTimeout bounds how long a call waits for the control nodes to record its idempotency key.
 	submitTimeout = 2500 * time.Millisecond
-	// cancelTimeout bounds how long a replica's slot is awaited after its attempt was cancelled.
+	// cancelTimeout bounds the wait for a replica to confirm that a canceled attempt has ended and freed its slot.
 	cancelTimeout = 2 * time.Second
-	// continueTimeout is how long a replica may take to ask for an attempt's body (Expect: 100-continue).
+	// continueTimeout bounds the wait for a replica's 100 Continue before the body of an attempt is sent.
 	continueTimeout = time.Second
-	// mailboxCapacity is how many functions may wait for the actor.
+	// mailboxCapacity is the number of functions that can be queued for the actor.
 	mailboxCapacity = 16384
 )
 
-// Host runs one gateway: its listeners, its connection to the control nodes and its decider, which only its actor
-// touches.
+// Host runs one gateway: its listeners, its connections to the control nodes, and its decider, which only its actor accesses.
 type Host struct {
 	settings settings.Gateway
-	// incarnation tells this process from earlier ones of the same name.
+	// incarnation distinguishes this process from earlier ones with the same name.
 	incarnation string
 	decider     *scheduling.Decider
 	ring        *logring.Ring
-	// info and warn are loggers of a level, made once: none is made on the path of a request.
+	// info and warn are loggers with a fixed level, created once so that no logger is created while a request is served.
 	info log.Logger
 	warn log.Logger
-	// nodeClient speaks to control nodes, and cancels attempts; attemptClient opens a connection for each attempt.
+	// nodeClient calls the control nodes and cancels attempts; attemptClient opens a new connection for each attempt.
 	nodeClient    *http.Client
 	attemptClient *http.Client
 
-	// snapshot is the newest control state, read without the actor; nil before the first.
+	// snapshot is the newest control state, which any goroutine may load; nil before the first.
 	snapshot atomic.Pointer[scheduling.Snapshot]
 	// leaseUs is the instant until which this gateway may send attempts, in microseconds; 0 without a lease.
 	leaseUs atomic.Int64
-	// currentUs is the instant of the newest frame of a control node that was current, in microseconds; 0 before the first.
+	// currentUs is the instant of the newest frame from a current control node, in microseconds; 0 before the first.
 	currentUs atomic.Int64
-	// news wakes requests whose route or key is not known once a newer declaration is here, or a current control node is heard again;
-	// heldLookups counts them.
-	updates     *broadcast
+	// updates wakes held lookups when a newer declaration arrives or the gateway becomes current again.
+	updates *broadcast
+	// heldLookups counts the requests that are held because their route or key is unknown.
 	heldLookups atomic.Int64
-	// maxLookupHoldUs is maxLookupHoldUs but in tests.
+	// maxLookupHoldUs is the constant of the same name, except in tests.
 	maxLookupHoldUs int64
-	// activeCalls counts what a drain waits for; callNumber is the last one given to a call without an ID.
+	// activeCalls counts the calls and key submissions that a drain waits for.
 	activeCalls atomic.Int64
-	callNumber  atomic.Int64
+	// callNumber is the last number that was assigned to a call without an ID.
+	callNumber atomic.Int64
 
-	// act owns everything from here to streams.
+	// act owns the fields from here to streams, except membership, which any goroutine may load.
 	act        *actor.Actor
 	lastTickUs int64
-	// callers are the goroutines that wait for a decision, by the call's ID.
+	// workers are the goroutines that wait for decisions, by call ID.
 	workers      map[string]*callWorker
 	membership   atomic.Pointer[wire.MembershipResponse]
 	subscriber   *controlclient.Subscriber
 	cancelFollow context.CancelFunc
 
-	// informer takes the place of subscriber where calls come by routes; nil otherwise. streams are its open ones, by number.
+	// informer replaces subscriber if calls are routed by the routes of the declaration; nil otherwise.
 	informer *controlclient.Informer
-	streams  map[uint64]context.CancelFunc
-	// quota asks whether calls of tenants with a limit may run; admissions are the goroutines that wait for that, by the call's ID.
-	quota      *quota.Client
+	// streams cancel the informer's open streams, by stream number.
+	streams map[uint64]context.CancelFunc
+	// quota requests admission for the calls of tenants with a limit.
+	quota *quota.Client
+	// admissions are the channels of the goroutines that wait for such a decision, by call ID.
 	admissions map[string]chan<- quota.Decision
-	// listeners are fixed once Run begins.
+	// listeners does not change after Run has started.
 	listeners []Listener
 	// declared is closed once this gateway has a declaration.
 	declared chan struct{}
-	// openConnections counts connections by replica; nil where nobody keeps any.
+	// openConnections returns the number of open connections by replica; nil if this gateway does not pool connections.
 	openConnections func() map[string]int
-	// Memory bounds the bodies and answers of all listeners together.
+	// Memory bounds the request and response bodies of all listeners together.
 	Memory *MemoryLimit
 }
 
-// Listener is a listener of another interface than this one's own: it takes calls and hands them to Serve.
+// Listener accepts the calls of an interface other than the native one and passes them to Host.Serve.
 type Listener interface {
 	Serve() error
-	// BeginDrain says that no new callers are wanted; those that come are served.
+	// BeginDrain announces that no new callers are wanted. Calls that still arrive are served.
 	BeginDrain()
 	Shutdown(ctx context.Context) error
 }
 
-// caller is a goroutine that carries one call and waits for the decider. Only the actor touches cancel and
+// callWorker is the goroutine that runs one call and waits for the decider. Only the actor accesses cancel and
 // cancelRequested.
 type callWorker struct {
 	next            chan scheduling.Effect
@@ -113,6 +115,8 @@
 	cancelRequested bool
 }
 
+// setCancel sets the function that cancels the running attempt; nil if none is running. If a cancellation was requested before, it
+// calls the function at once.
 func (c *callWorker) setCancel(cancel context.CancelFunc) {
 	c.cancel = cancel
 	if cancel != nil && c.cancelRequested {
@@ -121,6 +125,7 @@
 	c.cancelRequested = false
 }
 
+// requestCancel cancels the running attempt, or the next one if none is running.
 func (c *callWorker) requestCancel() {
 	if c.cancel == nil {
 		c.cancelRequested = true
@@ -129,7 +134,7 @@
 	c.cancel()
 }
 
-// Open prepares a gateway; Run serves.
+// Open creates a gateway without listening; Run serves.
 func Open(set settings.Gateway, ring *logring.Ring) *Host {
 	incarnation := randomid.New(6)
 	logger := ring.Logger("gateway", set.Name)
@@ -157,13 +162,13 @@
 	return h
 }
 
-// SetConnectionCounter says, before Run, who knows how many connections to each replica are open.
+// SetConnectionCounter sets the function that returns the number of open connections by replica. It must be called before Run.
 func (h *Host) SetConnectionCounter(open func() map[string]int) { h.openConnections = open }
 
-// AddListener adds a listener before Run.
+// AddListener adds a listener. It must be called before Run.
 func (h *Host) AddListener(d Listener) { h.listeners = append(h.listeners, d) }
 
-// Run serves until ctx ends, then drains: what waits and what streams is given its time.
+// Run serves until ctx is done, then drains: queued calls and open streams have up to DrainMs to end.
 func (h *Host) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", h.settings.Listen)
 	if err != nil {
@@ -218,7 +223,8 @@
 	return nil
 }
 
-// drainListeners lets those in who were on their way, then takes nobody new and waits for those inside.
+// drainListeners keeps accepting callers for LingerMs, since some are already on their way, then closes the listeners and waits
+// for the remaining calls.
 func (h *Host) drainListeners() {
 	if len(h.listeners) == 0 {
 		return
@@ -237,7 +243,8 @@
 	}
 }
 
-// tick also logs when this process woke after a gap; a lease, if it holds one, has run out by itself.
+// tick advances the reducers. It logs a gap in which the process did not run; a lease needs no handling, since it has expired by
+// itself.
 func (h *Host) tick() {
 	nowUs := clock.NowUs()
 	if h.lastTickUs > 0 && nowUs-h.lastTickUs > maxTickGapUs {
@@ -257,6 +264,7 @@
 
 func (h *Host) do(act func()) bool { return h.act.Do(h.act.Ctx, act) }
 
+// step passes an event to the decider and executes the resulting effects. It runs on the actor.
 func (h *Host) step(ev scheduling.Event) {
 	urgent := false
 	defer func() {
@@ -282,6 +290,7 @@
 	}
 }
 
+// deliver passes an effect to the worker of its call. If that worker has ended, an attempt that was to start ends as unsent.
 func (h *Host) deliver(id string, e scheduling.Effect) {
 	c := h.workers[id]
 	start, starts := e.(*scheduling.AttemptStart)
--- a/internal/dataplane/gateway/informer.go
+++ b/internal/dataplane/gateway/informer.go
@@ -15,20 +15,20 @@
 	"petreltide/internal/process/rpc"
 )
 
-// Exchange is the side of a call that faces its caller, in whatever interface it came by.
+// Exchange is the caller-facing side of a call, implemented by the interface that the call arrived through.
 type Exchange interface {
-	// Attempt sends the call to one replica and passes its answer on as it comes.
+	// Attempt sends the call to one replica and relays the response as it arrives. It returns the outcome and the reason for it.
 	Attempt(ctx context.Context, st scheduling.AttemptStart) (scheduling.Outcome, string)
-	// Fail is the one final answer of the product's own.
+	// Fail answers the caller with a fault as the final response.
 	Fail(f *fault.Fault)
-	// ResponseStarted says that an answer has begun.
+	// ResponseStarted reports whether part of a response has been sent to the caller.
 	ResponseStarted() bool
 }
 
-// Snapshot is the newest news; it is never changed.
+// Snapshot returns the newest control state, which is immutable; nil before the first.
 func (h *Host) Snapshot() *scheduling.Snapshot { return h.snapshot.Load() }
 
-// AwaitDeclaration waits until this gateway has one, or for as long as ctx lasts.
+// AwaitDeclaration blocks until this gateway has a declaration, or ctx is done, or the gateway stops.
 func (h *Host) AwaitDeclaration(ctx context.Context) {
 	select {
 	case <-h.declared:
@@ -37,10 +37,10 @@
 	}
 }
 
-// MaySend is asked once more right before the first byte of an attempt leaves.
+// MaySend reports whether an attempt may still be sent. An Exchange calls it right before it sends the first byte.
 func (h *Host) MaySend(st scheduling.AttemptStart) bool { return h.maySend(st) }
 
-// Ready is nil when this gateway can take calls now, or says why it cannot.
+// Ready returns nil if this gateway can take calls now, and otherwise a fault with the reason.
 func (h *Host) Ready() *fault.Fault {
 	f, executed := actor.Ask(h.act.Ctx, h.act, func() *fault.Fault { return h.decider.Ready(clock.NowUs()) })
 	if !executed {
@@ -49,7 +49,8 @@
 	return f
 }
 
-// Seeds are other control nodes for first contact, where the ones in the settings have changed.
+// SetSeeds replaces the control node addresses for the first contact after the settings have changed. It has no effect without
+// an informer.
 func (h *Host) SetSeeds(addrs []string) {
 	h.act.Tell(func() {
 		if h.informer != nil {
@@ -58,7 +59,8 @@
 	})
 }
 
-// Serve takes one call through the decider and its attempts to its one final answer, and says what ran.
+// Serve runs one call through the decider and its attempts up to the single final response, and returns whether the call was
+// executed, as one of the fault.Run values.
 func (h *Host) Serve(ctx context.Context, c *scheduling.Call, e Exchange) string {
 	h.activeCalls.Add(1)
 	defer h.activeCalls.Add(-1)
@@ -71,7 +73,7 @@
 	return h.runCall(ctx, c, e)
 }
 
-// stepInformer gives the informer an event and does what it wants done. It runs on the actor.
+// stepInformer passes an event to the informer and executes the resulting effects. It runs on the actor.
 func (h *Host) stepInformer(ev controlclient.InformerEvent) {
 	ev.NowUs = clock.NowUs()
 	ev.Failing = h.decider.HasUnreportedFailures()
@@ -115,7 +117,7 @@
 	h.setCurrent(h.informer.CurrentUs())
 }
 
-// followFrames holds one control node's stream.
+// followFrames reads one control node's stream of frames until it ends.
 func (h *Host) followFrames(ctx context.Context, s controlclient.Stream) {
 	defer h.act.Tell(func() {
 		delete(h.streams, s.Number)
@@ -140,8 +142,8 @@
 	}
 }
 
-// MaxConnections is how many connections this gateway may have to a replica: its share of what the replica
-// takes from all gateways together, within what this process may open.
+// MaxConnections returns how many connections this gateway may have to a replica: its share of the connections that the replica
+// accepts from all gateways together, limited by the connections that this process may open.
 func (h *Host) MaxConnections(replica string) int {
 	snap := h.snapshot.Load()
 	if snap == nil || snap.Declaration == nil {
--- a/internal/dataplane/gateway/keys.go
+++ b/internal/dataplane/gateway/keys.go
@@ -8,12 +8,13 @@
 	"petreltide/internal/dataplane/scheduling"
 )
 
-// claimKey records an idempotency key for a call before it starts, or says what became of the call that has it.
+// claimKey claims an idempotency key for a call before the call starts. If another call holds the key, the fault tells the state
+// of that call.
 func (h *Host) claimKey(ctx context.Context, key string, c *scheduling.Call) *fault.Fault {
 	change := wire.KeySubmission{ID: "key-" + c.ID, Key: &wire.KeyChange{Key: key, Gateway: h.settings.Name, GatewayIncarnation: h.incarnation, Call: c.ID}}
 	result, err := h.Submit(ctx, change)
 	if err != nil {
-		f := fault.New(fault.Overloaded, "Idempotency-Key", "the key could not be claimed in time")
+		f := fault.New(fault.Overloaded, "Idempotency-Key", "the control nodes did not record the key in time")
 		f.Run, f.RetryMs = fault.RunNone, 1000
 		h.releaseKey(key, c)
 		return f
@@ -26,18 +27,18 @@
 	if out.Key == nil || !out.Repeated {
 		return nil
 	}
-	f := fault.New(fault.KeyRunning, "Idempotency-Key", "a call with this key was taken by gateway %s", out.Key.Gateway)
+	f := fault.New(fault.KeyRunning, "Idempotency-Key", "a call with this key is running at gateway %s", out.Key.Gateway)
 	f.Run = fault.RunUnknown
 	if out.Key.Ended != "" {
 		f.Code, f.Run = fault.KeyEnded, out.Key.Ended
 		f.Detail = "the call with this key has ended"
 	} else if out.Key.Gateway == h.settings.Name && out.Key.GatewayIncarnation != h.incarnation {
-		f.Code, f.Detail = fault.KeyUnknown, "the gateway that took it went down; what it did is not known"
+		f.Code, f.Detail = fault.KeyUnknown, "the gateway that ran the call with this key restarted; whether the call was executed is unknown"
 	}
 	return f
 }
 
-// submitKey records how the call with a key ended, or with no end releases the key. It doesn't wait for the control nodes.
+// submitKey records how the call with a key ended, or releases the key if end is empty. It does not wait for the control nodes.
 func (h *Host) submitKey(key string, c *scheduling.Call, end string) {
 	change := wire.KeySubmission{ID: "key-" + end + "-" + c.ID, Key: &wire.KeyChange{Key: key, Gateway: h.settings.Name, GatewayIncarnation: h.incarnation, Call: c.ID, End: end, Release: end == ""}}
 	h.activeCalls.Add(1)
@@ -49,10 +50,10 @@
 	})
 }
 
-// releaseKey gives a key back that was not, or may not have been, claimed.
+// releaseKey releases a key whose claim failed or may have failed.
 func (h *Host) releaseKey(key string, c *scheduling.Call) { h.submitKey(key, c, "") }
 
-// completeKey records the end of a call with a key; one that did not run leaves the key free.
+// completeKey records the end of a call with a key, or releases the key if the call was not executed.
 func (h *Host) completeKey(key string, c *scheduling.Call, end string) {
 	if end == fault.RunNone {
 		end = ""
--- a/internal/dataplane/gateway/keys_test.go
+++ b/internal/dataplane/gateway/keys_test.go
@@ -10,7 +10,8 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-func TestKeySubmissionIsAChangeOnTheWire(t *testing.T) {
+// A gateway's key submission has the same JSON form as the state machine's change.
+func TestKeySubmissionEncodesLikeStateMachineChange(t *testing.T) {
 	for name, key := range map[string]wire.KeyChange{
 		"claim":   {Key: "k", Gateway: "g", GatewayIncarnation: "g/1", Call: "g-1"},
 		"end":     {Key: "k", Gateway: "g", GatewayIncarnation: "g/1", Call: "g-1", End: "yes"},
@@ -27,14 +28,14 @@
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(string(want), string(sent)); diff != "" {
-				t.Error(diff)
+				t.Errorf("encoded submission differs (-want +got):\n%s", diff)
 			}
 			var read statemachine.Change
 			if err := json.Unmarshal(sent, &read); err != nil {
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(change, read); diff != "" {
-				t.Error(diff)
+				t.Errorf("decoded change differs (-want +got):\n%s", diff)
 			}
 		})
 	}
--- a/internal/dataplane/gateway/quota.go
+++ b/internal/dataplane/gateway/quota.go
@@ -12,10 +12,10 @@
 	"petreltide/internal/process/rpc"
 )
 
-// quotaWaitDivisor is the part of a request's time that the decision on its tenant's limit may take.
+// quotaWaitDivisor is the divisor of a request's remaining time that yields the maximum wait for the quota decision.
 const quotaWaitDivisor = 4
 
-// quotaLimit is the limit of a call's tenant by the newest snapshot; false where it has none.
+// quotaLimit returns the limit of a call's tenant according to the newest snapshot, and false if there is none.
 func (h *Host) quotaLimit(c *scheduling.Call) (quota.Limit, bool) {
 	if c.Routed == nil || c.Routed.Tenant == "" {
 		return quota.Limit{}, false
@@ -31,8 +31,8 @@
 	return quota.Limit{RatePerSecond: t.RatePerSecond, Burst: t.Burst}, true
 }
 
-// admit waits until a control node has said whether a call of a tenant with a limit may run: nil admits it. It is asked before
-// the call takes a place in a queue. here is false where the caller has left meanwhile.
+// admit waits for a control node's decision whether a call of a tenant with a limit may run; a nil fault admits the call. It
+// precedes the call's place in a queue. callerWaiting is false if the caller left in the meantime.
 func (h *Host) admit(ctx context.Context, c *scheduling.Call, limit quota.Limit) (refused *fault.Fault, callerWaiting bool) {
 	decided := make(chan quota.Decision, 1)
 	h.act.Tell(func() {
@@ -53,7 +53,7 @@
 	}
 }
 
-// remainingUs is what is left of a routed call's time.
+// remainingUs returns the time until a routed call's deadline, in microseconds.
 func remainingUs(c *scheduling.Call) int64 {
 	timeoutMs := c.Routed.Route.TimeoutMs
 	if c.TimeoutMs > 0 {
@@ -62,18 +62,18 @@
 	return c.ArrivedUs + timeoutMs*clock.Ms - clock.NowUs()
 }
 
-// quotaFault is the fault that a decision is answered with; nil where it admits.
+// quotaFault returns the fault for a quota decision, or nil if the decision admits the call.
 func quotaFault(d quota.Decision) *fault.Fault {
 	switch d.Verdict {
 	case quota.Admitted:
 		return nil
 	case quota.OverLimit:
-		return &fault.Fault{Code: fault.QuotaExceeded, Run: fault.RunNone, RetryMs: d.RetryMs, Detail: "its tenant is over its limit"}
+		return &fault.Fault{Code: fault.QuotaExceeded, Run: fault.RunNone, RetryMs: d.RetryMs, Detail: "the tenant exceeds its limit"}
 	}
-	return &fault.Fault{Code: fault.QuotaUnanswered, Run: fault.RunNone, RetryMs: d.RetryMs, Detail: "no control node says whether its tenant is over its limit"}
+	return &fault.Fault{Code: fault.QuotaUnanswered, Run: fault.RunNone, RetryMs: d.RetryMs, Detail: "no control node decided whether the tenant exceeds its limit"}
 }
 
-// stepQuota gives the reducer of limits an event and does what it wants done. It runs on the actor.
+// stepQuota passes an event to the quota client and executes the resulting effects. It runs on the actor.
 func (h *Host) stepQuota(ev quota.Event) {
 	for _, e := range h.quota.Step(clock.NowUs(), ev) {
 		switch e := e.(type) {
@@ -88,7 +88,7 @@
 	}
 }
 
-// sendQuotaAsk asks one control node, once.
+// sendQuotaAsk sends one quota request to one control node, without retries.
 func (h *Host) sendQuotaAsk(a quota.Query) {
 	ctx, done := context.WithTimeout(h.act.Ctx, time.Duration(a.TimeoutUs)*time.Microsecond)
 	defer done()
--- a/internal/dataplane/gateway/redirect_test.go
+++ b/internal/dataplane/gateway/redirect_test.go
@@ -12,8 +12,8 @@
 	"petreltide/internal/process/logring"
 )
 
-// A replica that points elsewhere is not followed: what is asked of one replica is asked of no other.
-func TestAnAttemptFollowsNoRedirect(t *testing.T) {
+// A redirect from a replica is not followed: an attempt on one replica must reach no other.
+func TestAttemptClientFollowsNoRedirect(t *testing.T) {
 	var asked atomic.Int64
 	other := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { asked.Add(1) }))
 	defer other.Close()
@@ -30,7 +30,7 @@
 			t.Error(err)
 		}
 		if res.StatusCode != status || asked.Load() != 0 {
-			t.Errorf("%d: answered with %d, another was asked %d times", status, res.StatusCode, asked.Load())
+			t.Errorf("replica that redirects with %d: got status %d and %d requests to the redirect target, want %d and 0", status, res.StatusCode, asked.Load(), status)
 		}
 		replica.Close()
 	}
--- a/internal/dataplane/gateway/run.go
+++ b/internal/dataplane/gateway/run.go
@@ -9,10 +9,11 @@
 	"petreltide/internal/process/clock"
 )
 
-// drainRetryMs is when a caller that came too late is told to try again.
+// drainRetryMs is the retry delay sent to a caller that arrives while the gateway stops.
 const drainRetryMs = 200
 
-// runCall takes one call through the decider and its attempts to the one final answer.
+// runCall runs one call through the decider and its attempts up to the single final response. It returns whether the call was
+// executed, as one of the fault.Run values.
 func (h *Host) runCall(ctx context.Context, c *scheduling.Call, exchange Exchange) string {
 	if limit, limited := h.quotaLimit(c); limited {
 		refused, callerWaiting := h.admit(ctx, c, limit)
@@ -62,8 +63,8 @@
 	}
 }
 
-// next waits for what the decider says of a call next; here is false where the caller has left instead. An attempt
-// that was started meanwhile ends unsent.
+// nextEffect waits for the decider's next effect on a call. callerWaiting is false if the caller left first; an attempt that
+// was started in the meantime then ends as unsent.
 func (h *Host) nextEffect(ctx context.Context, c *scheduling.Call, worker *callWorker) (e scheduling.Effect, callerWaiting bool) {
 	select {
 	case e = <-worker.next:
@@ -81,7 +82,7 @@
 	return nil, false
 }
 
-// rejectCall gives the caller the fault by which the decider gave its call up.
+// rejectCall answers the caller with the fault with which the decider rejected the call.
 func (h *Host) rejectCall(c *scheduling.Call, f *fault.Fault, exchange Exchange) string {
 	if c.Routed != nil {
 		_ = h.info.Log("msg", "request rejected", "route", c.Kind, "model", c.Model, "adapter", c.Adapter,
@@ -91,7 +92,7 @@
 	return f.Run
 }
 
-// failUnresolved gives the caller the end of a call whose last attempt ended so that no other may follow.
+// failUnresolved answers the caller of a call whose last attempt had an outcome after which no other attempt is allowed.
 func failUnresolved(outcome scheduling.Outcome, reason string, exchange Exchange) string {
 	f := fault.New(fault.OutcomeUnknown, "", "%s", reason)
 	f.Run = fault.RunUnknown
@@ -104,7 +105,7 @@
 	return f.Run
 }
 
-// attempt runs one attempt and tells the decider how it ended, and that the caller has left if it has.
+// attempt runs one attempt and reports its outcome to the decider, and also that the call is canceled if the caller has left.
 func (h *Host) attempt(ctx context.Context, st scheduling.AttemptStart, worker *callWorker, exchange Exchange) (scheduling.Outcome, string) {
 	outcome, reason := h.sendAttempt(ctx, st, worker, exchange)
 	if ctx.Err() != nil {
@@ -114,7 +115,8 @@
 	return outcome, reason
 }
 
-// sendAttempt runs one attempt. Those under granted numbers run under a context that the decider can end.
+// sendAttempt runs one attempt. An attempt with a grant number, that is, of a call without a route, gets a context that has the
+// attempt's deadline and that the decider can cancel.
 func (h *Host) sendAttempt(ctx context.Context, st scheduling.AttemptStart, worker *callWorker, exchange Exchange) (scheduling.Outcome, string) {
 	if st.Call.Routed != nil {
 		startedUs := clock.NowUs()
@@ -130,7 +132,7 @@
 	return exchange.Attempt(attemptCtx, st)
 }
 
-// logAttempt notes what became of an attempt on a route, and how long its parts took; firstMs is -1 where nothing came.
+// logAttempt logs the outcome and the durations of an attempt on a route. firstMs is -1 if no byte was received.
 func (h *Host) logAttempt(st scheduling.AttemptStart, startedUs int64, outcome scheduling.Outcome, reason string) {
 	c := st.Call
 	firstMs := int64(-1)
--- a/internal/dataplane/gateway/stream.go
+++ b/internal/dataplane/gateway/stream.go
@@ -10,20 +10,22 @@
 )
 
 type (
-	// chunkEvent is a piece of the answer, endEvent its end after so many pieces, brokenEvent an end that is none.
+	// chunkEvent is the data of a "piece" event, one chunk of the answer.
 	chunkEvent struct {
 		Text string `json:"text"`
 	}
+	// endEvent is the data of the "end" event, with the number of chunks of the complete answer.
 	endEvent struct {
 		Chunks int `json:"pieces"`
 	}
+	// brokenEvent is the data of the "broken" event, which ends an incomplete answer.
 	brokenEvent struct {
 		Error  *fault.Fault `json:"error"`
 		Chunks int          `json:"pieces"`
 	}
 )
 
-// stream writes one answer as server-sent events. It belongs to the goroutine of its call.
+// stream writes one answer as server-sent events. Only the goroutine of its call uses it.
 type stream struct {
 	w           http.ResponseWriter
 	flush       func() error
--- a/internal/dataplane/gateway/subscriber.go
+++ b/internal/dataplane/gateway/subscriber.go
@@ -17,7 +17,7 @@
 	"petreltide/internal/process/rpc"
 )
 
-// stepSubscriber gives the subscriber an event and does what it wants done. It runs on the actor.
+// stepSubscriber passes an event to the subscriber and executes the resulting effects. It runs on the actor.
 func (h *Host) stepSubscriber(ev controlclient.Event) {
 	ev.NowUs = clock.NowUs()
 	for _, e := range h.subscriber.Step(ev) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// follow holds the connection down which the tail pushes news.
+// follow reads the stream of updates that the tail of the chain pushes, until the stream ends.
 func (h *Host) follow(ctx context.Context, f controlclient.Follow) {
 	defer h.postSubscriber(controlclient.Event{Closed: f.Number})
 	stream, err := rpc.NewCaller[wire.SubscribeRequest, wire.GatewayUpdate](h.nodeClient, f.Tail.Addr, rpc.FollowPath).Stream(ctx, &f.Request)
@@ -91,7 +91,8 @@
 	_ = stream.Close()
 }
 
-// reportToTail tells the tail what this gateway has taken and what it holds, and brings back the lease.
+// reportToTail sends this gateway's report to the tail, which acknowledges updates, and passes the lease in the response to the
+// subscriber.
 func (h *Host) reportToTail(tail membership.ChainReplica, report wire.Report) {
 	ctx, done := context.WithTimeout(h.act.Ctx, 600*time.Millisecond)
 	defer done()
@@ -108,7 +109,7 @@
 	return membership.ChainReplica{}
 }
 
-// Submit carries a change through any control node that answers.
+// Submit submits a change through the first control node that answers, trying them in turn.
 func (h *Host) Submit(ctx context.Context, c wire.KeySubmission) (*wire.Result, error) {
 	ctx, done := context.WithTimeout(ctx, submitTimeout)
 	defer done()
