--- a/internal/controlplane/chain/auto_membership_test.go
+++ b/internal/controlplane/chain/auto_membership_test.go
@@ -11,15 +11,15 @@
 	"petreltide/internal/process/clock"
 )
 
-// testCluster is a chain whose control nodes take each other in by themselves: links that delay and cut, disks that take
-// their time, machines that die, lose their disks or are replaced at another address.
+// testCluster simulates a chain with automatic membership: links with delays and partitions, disks with latency, and machines
+// that fail, lose their disks or are replaced at another address.
 type testCluster struct {
 	t        *testing.T
 	r        *rand.Rand
 	nowUs    int64
 	members  []*testMember
 	inFlight []inFlightMessage
-	// refuses: the address of a process that has ended refuses connections.
+	// refusesConnections makes the address of a process that has ended refuse connections.
 	refusesConnections bool
 	cutLinks           map[[2]string]bool
 	seedAddrs          []string
@@ -32,13 +32,13 @@
 	founderAddrs       []string
 	minReplicas        int
 	fleetTimings       bool
-	// idle: nobody writes.
+	// idle stops the periodic writes.
 	idle bool
-	// lossyLinks links bring messages twice, late and out of their order.
+	// lossyLinks makes links duplicate, delay and reorder messages.
 	lossyLinks bool
-	// tenures follows who was open as the tail.
+	// tenures checks which processes were ready as the tail.
 	tenures tailTenures
-	// slowestTakeoverUs is the longest time from a successor's start until it had taken over.
+	// slowestTakeoverUs is the longest time from the start of a successor to the end of its takeover.
 	slowestTakeoverUs int64
 }
 
@@ -49,14 +49,14 @@
 	pendingSyncs []pendingSync
 	syncsHeld    bool
 	removed      bool
-	// paused: its process stands still. What is sent to it waits.
+	// paused suspends the process; messages to it are queued.
 	paused bool
 	opts   Options
-	// tickOffsetUs is by how much its ticks come before those of the others.
+	// tickOffsetUs is how much earlier than the other members it ticks.
 	tickOffsetUs int64
-	// diskCreatedUs is since when its disk has lasted.
+	// diskCreatedUs is when its disk was last empty.
 	diskCreatedUs int64
-	// refused are addresses that refused this member's connections in this step.
+	// refusedAddrs are the addresses that refused this member's connections in this step.
 	refusedAddrs []string
 }
 
@@ -101,7 +101,7 @@
 	}
 	s.node, s.pendingSyncs = node, nil
 	if tc.seedAddrs == nil {
-		// Without seeds a start is a tick.
+		// Without seed addresses the first event is a tick.
 		tc.step(s, Tick{})
 		return
 	}
@@ -113,7 +113,7 @@
 	tc.inFlight = slices.DeleteFunc(tc.inFlight, func(l inFlightMessage) bool { return l.to == s.member.Addr })
 }
 
-// wipe takes a disk: the control node comes back under its name as another identity.
+// wipe empties the disk of a control node, which restarts under the same name with a new ID.
 func (tc *testCluster) wipe(s *testMember) {
 	tc.stop(s)
 	tc.incarnations++
@@ -121,7 +121,7 @@
 	tc.start(s, false)
 }
 
-// replace takes a machine away for good; an empty one comes at another address under another name.
+// replace removes a machine permanently and starts an empty one with another name and address.
 func (tc *testCluster) replace(s *testMember) {
 	tc.stop(s)
 	s.removed = true
@@ -180,7 +180,7 @@
 	return tc.cutLinks[[2]string{a, b}] || tc.cutLinks[[2]string{b, a}]
 }
 
-// deliverLater keeps the order of messages between two control nodes.
+// deliverLater schedules the delivery of a message, in order between two control nodes unless the links are lossy.
 func (tc *testCluster) deliverLater(from, to string, m Msg) {
 	us := tc.nowUs + 1 + tc.r.Int63n(6*clock.Ms)
 	for i := len(tc.inFlight) - 1; i >= 0; i-- {
@@ -203,11 +203,11 @@
 	}
 }
 
-// maxMessageDelayUs is how late a message comes at most: whoever sends it gives it up after a second.
+// maxMessageDelayUs is the maximum additional delay of a message, as senders time out after a second.
 const maxMessageDelayUs = clock.Sec
 
-// viewed: a number stands for one view, which the voters of the one before decide alone; from one to the next
-// at most one vote comes and one goes.
+// recordView checks that each view number is decided once, and that from one view to the next at most one voter is added and at
+// most one removed.
 func (tc *testCluster) recordView(v View) {
 	if before, seen := tc.views[v.Number]; seen {
 		if fmt.Sprint(before) != fmt.Sprint(v) {
@@ -229,7 +229,7 @@
 			}
 		}
 		if came > 1 || went > 1 || len(v.Voters) < min(len(tc.founderAddrs), minVoters) {
-			tc.violation = fmt.Sprintf("from view %d to %d %d votes came and %d went: %v and %v", prior.Number, v.Number, came, went, prior.Voters, v.Voters)
+			tc.violation = fmt.Sprintf("between views %d and %d %d voters were added and %d removed: %v and %v", prior.Number, v.Number, came, went, prior.Voters, v.Voters)
 		}
 	}
 }
@@ -237,7 +237,7 @@
 func (tc *testCluster) recordApplied(s *testMember, a Applied) {
 	id := a.Entry.Change.ID
 	if before, seen := tc.acked[a.Entry.Index]; seen && before != id {
-		tc.violation = fmt.Sprintf("%s applies %s at %d, where %s was acknowledged", s.member.ID, id, a.Entry.Index, before)
+		tc.violation = fmt.Sprintf("%s applied %s at index %d, where %s was acknowledged", s.member.ID, id, a.Entry.Index, before)
 	}
 	if s.node.IsTail() && s.node.AcceptsWrites() {
 		tc.acked[a.Entry.Index], tc.lastAcked = id, max(tc.lastAcked, a.Entry.Index)
@@ -315,7 +315,7 @@
 		if s.node != nil && s.node.IsTailReady(tc.nowUs) {
 			open = append(open, s.member.ID)
 			if s.node.CommitIndex() < tc.lastAcked {
-				tc.violation = fmt.Sprintf("%s is open at %d, %d was acknowledged", s.member.ID, s.node.CommitIndex(), tc.lastAcked)
+				tc.violation = fmt.Sprintf("%s is ready as the tail at commit index %d, but index %d was acknowledged", s.member.ID, s.node.CommitIndex(), tc.lastAcked)
 			}
 			if violation := tc.tenures.check(s.node); violation != "" {
 				tc.violation = violation
@@ -323,7 +323,7 @@
 		}
 	}
 	if len(open) > 1 {
-		tc.violation = fmt.Sprintf("two open tails: %v", open)
+		tc.violation = fmt.Sprintf("two ready tails: %v", open)
 	}
 	if tc.violation != "" {
 		tc.t.Fatalf("at %d ms: %s", tc.nowUs/1000, tc.violation)
@@ -340,28 +340,29 @@
 	return all
 }
 
-// unsettledReason: every control node that is there has a seat in one view and acknowledges; votes are theirs.
+// unsettledReason returns why the cluster is not settled, or "". It is settled if the remaining control nodes are all replicas
+// and the only voters in one view.
 func (tc *testCluster) unsettledReason() string {
 	var view View
 	for _, s := range tc.remainingMembers() {
 		if s.node == nil || !s.node.isServing() || !s.node.caughtUp {
-			return fmt.Sprintf("%s has no seat: %v", s.member.ID, s.node != nil)
+			return fmt.Sprintf("%s is not serving or not caught up; running: %v", s.member.ID, s.node != nil)
 		}
 		if view.Number > 0 && s.node.view.Number != view.Number {
-			return fmt.Sprintf("%s is in view %d, others in %d", s.member.ID, s.node.view.Number, view.Number)
+			return fmt.Sprintf("%s is in view %d, others are in view %d", s.member.ID, s.node.view.Number, view.Number)
 		}
 		view = s.node.view
 	}
 	if len(view.Replicas) != len(tc.remainingMembers()) {
-		return fmt.Sprintf("%d seats for %d offices", len(view.Replicas), len(tc.remainingMembers()))
+		return fmt.Sprintf("got %d replicas, want %d", len(view.Replicas), len(tc.remainingMembers()))
 	}
 	for _, s := range tc.remainingMembers() {
 		if !view.IsVoter(s.member.ID) {
-			return fmt.Sprintf("%s has no vote in %v", s.member.ID, view.Voters)
+			return fmt.Sprintf("%s is not a voter in %v", s.member.ID, view.Voters)
 		}
 	}
 	if len(view.Voters) != len(tc.remainingMembers()) {
-		return fmt.Sprintf("%d votes for %d offices: %v", len(view.Voters), len(tc.remainingMembers()), view.Voters)
+		return fmt.Sprintf("got %d voters, want %d: %v", len(view.Voters), len(tc.remainingMembers()), view.Voters)
 	}
 	return ""
 }
@@ -376,7 +377,7 @@
 			}
 		}
 	}
-	tc.t.Fatalf("%s: after %d s %s, %d acknowledged", what, withinUs/clock.Sec, tc.unsettledReason(), tc.lastAcked)
+	tc.t.Fatalf("%s: not settled after %d s: %s; last acknowledged index %d", what, withinUs/clock.Sec, tc.unsettledReason(), tc.lastAcked)
 }
 
 func TestBootstrapByAddresses(t *testing.T) {
@@ -386,13 +387,13 @@
 		startUs                func(i int) int64
 		laterUs                int64
 	}{
-		{"three", 3, 3, func(int) int64 { return 0 }, 0},
-		{"three, one after the other", 3, 3, func(i int) int64 { return int64(i) * 300 * clock.Ms }, 0},
-		{"five, three of them seeds", 5, 3, func(int) int64 { return 0 }, 0},
-		{"five, the seeds come last", 5, 3, func(i int) int64 { return int64(5-i) * 250 * clock.Ms }, 0},
-		{"nine, three of them seeds", 9, 3, func(i int) int64 { return int64(i%4) * 90 * clock.Ms }, 0},
-		{"two", 2, 2, func(int) int64 { return 0 }, 0},
-		{"three, one much later", 3, 3, func(i int) int64 { return int64(i/2) * 6 * clock.Sec }, 6 * clock.Sec},
+		{"three founders", 3, 3, func(int) int64 { return 0 }, 0},
+		{"three founders that start one after the other", 3, 3, func(i int) int64 { return int64(i) * 300 * clock.Ms }, 0},
+		{"five members, three founders", 5, 3, func(int) int64 { return 0 }, 0},
+		{"five members, the founders start last", 5, 3, func(i int) int64 { return int64(5-i) * 250 * clock.Ms }, 0},
+		{"nine members, three founders", 9, 3, func(i int) int64 { return int64(i%4) * 90 * clock.Ms }, 0},
+		{"two founders", 2, 2, func(int) int64 { return 0 }, 0},
+		{"three founders, one starts much later", 3, 3, func(i int) int64 { return int64(i/2) * 6 * clock.Sec }, 6 * clock.Sec},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -405,15 +406,15 @@
 						}
 					}
 					if tc.advance(10 * clock.Ms); us < c.laterUs && len(tc.views) > 0 {
-						t.Fatal("founded without a founder")
+						t.Fatal("the chain was founded before all founders had started")
 					}
 				}
-				tc.requireSettled(30*clock.Sec, "founding")
+				tc.requireSettled(30*clock.Sec, "bootstrap")
 				if v := tc.views[1]; len(v.Voters) != c.founders {
-					t.Errorf("founded by %v", v.Voters)
+					t.Errorf("got voters %v in view 1, want %d founders", v.Voters, c.founders)
 				}
 				if last := tc.members[0].node.view; last.ExtraVoters != 0 {
-					t.Errorf("votes of a first start count as extra: %v", last)
+					t.Errorf("got %d extra voters after a first start, want 0: %v", last.ExtraVoters, last)
 				}
 			}
 		})
@@ -425,7 +426,7 @@
 	for _, s := range tc.members {
 		tc.start(s, true)
 	}
-	tc.requireSettled(30*clock.Sec, "founding")
+	tc.requireSettled(30*clock.Sec, "bootstrap")
 	return tc
 }
 
@@ -441,15 +442,16 @@
 			} else {
 				tc.wipe(lost)
 			}
-			tc.requireSettled(40*clock.Sec, "a newcomer")
+			tc.requireSettled(40*clock.Sec, "after a replacement or wipe")
 			if now := tc.remainingMembers()[0].node.view; len(now.Voters) != votes || now.ExtraVoters != 0 {
-				t.Fatalf("seed %d: %d votes became %v, extra %d", seed, votes, now.Voters, now.ExtraVoters)
+				t.Fatalf("seed %d: got voters %v with %d extra, want %d voters with none extra", seed, now.Voters, now.ExtraVoters, votes)
 			}
 		}
 	}
 }
 
-// One that comes before the one it replaces has gone gets a vote of its own, and the vote of the silent one goes.
+// A control node that joins before the one it replaces has left becomes an extra voter, and the other voter is removed once it
+// is silent.
 func TestExtraVoterIsRemoved(t *testing.T) {
 	for seed := int64(0); seed < 4; seed++ {
 		tc := newSettledCluster(t, seed, 3, 3)
@@ -457,21 +459,21 @@
 		fresh := &testMember{member: Member{ID: "new-0", Name: "new", Addr: "anew"}}
 		tc.members = append(tc.members, fresh)
 		tc.start(fresh, false)
-		tc.requireSettled(40*clock.Sec, "one more")
+		tc.requireSettled(40*clock.Sec, "one member added")
 		if v := fresh.node.view; len(v.Voters) != 4 || v.ExtraVoters != 1 {
-			t.Fatalf("seed %d: %v, extra %d", seed, v.Voters, v.ExtraVoters)
+			t.Fatalf("seed %d: got voters %v with %d extra, want 4 with 1 extra", seed, v.Voters, v.ExtraVoters)
 		}
 		tc.stop(leaves)
 		leaves.removed = true
-		tc.requireSettled(40*clock.Sec, "one less")
+		tc.requireSettled(40*clock.Sec, "one member removed")
 		if v := fresh.node.view; len(v.Voters) != 3 || v.ExtraVoters != 0 || v.IsVoter(leaves.member.ID) {
-			t.Fatalf("seed %d: %v, extra %d", seed, v.Voters, v.ExtraVoters)
+			t.Fatalf("seed %d: got voters %v with %d extra, want 3 remaining members with none extra", seed, v.Voters, v.ExtraVoters)
 		}
 	}
 }
 
-// A newcomer may take the vote of a control node that is only cut off, as it cannot know; that one then takes the vote of
-// the one that is gone. No vote stays with nobody.
+// A new control node may replace a voter that is only partitioned, as it cannot tell. The partitioned one then replaces the
+// voter that was lost, so that no vote stays with a lost member.
 func TestNoVoteStaysWithLostMember(t *testing.T) {
 	for seed := int64(0); seed < 6; seed++ {
 		tc := newSettledCluster(t, seed, 5, 3)
@@ -481,13 +483,13 @@
 		tc.cutLinks[[2]string{"a1", tc.members[5].member.Addr}] = true
 		tc.advance(6 * clock.Sec)
 		clear(tc.cutLinks)
-		tc.requireSettled(40*clock.Sec, "one cut off, one replaced")
+		tc.requireSettled(40*clock.Sec, "one member partitioned, one replaced")
 	}
 }
 
-// Long histories of machines that die, freeze their disks, are cut off, wiped and replaced, never more of them lost
-// for good at once than may be: one chain, nothing acknowledged is lost, and in the end all are in it.
-func TestSeededAutoMembership(t *testing.T) {
+// Random sequences of crashes, stalled disks, partitions, wipes and replacements, with no more permanent losses at once than are
+// tolerated: there is one chain, no acknowledged entry is lost, and finally all members have joined.
+func TestAutoMembershipSurvivesRandomFaults(t *testing.T) {
 	seeds := int64(60)
 	if raceEnabled {
 		seeds = 6
@@ -541,7 +543,7 @@
 					tc.requireSettled(60*clock.Sec, "before a replacement")
 					tc.replace(s)
 				case 7:
-					tc.requireSettled(60*clock.Sec, "before a wipe and a cut")
+					tc.requireSettled(60*clock.Sec, "before a wipe and a partition")
 					tc.wipe(s)
 					o := live[tc.r.Intn(len(live))]
 					tc.cutLinks[[2]string{o.member.Addr, live[0].member.Addr}] = true
@@ -550,9 +552,9 @@
 				}
 				tc.advance(tc.r.Int63n(2 * clock.Sec))
 			}
-			tc.requireSettled(60*clock.Sec, "in the end")
+			tc.requireSettled(60*clock.Sec, "finally")
 			if len(tc.views) < first+3 || tc.lastAcked < 100 {
-				t.Errorf("%d views, %d acknowledged: it proves little", len(tc.views), tc.lastAcked)
+				t.Errorf("got %d views and last acknowledged index %d, want at least %d and 100 for a meaningful test", len(tc.views), tc.lastAcked, first+3)
 			}
 		})
 	}
--- a/internal/controlplane/chain/bootstrap.go
+++ b/internal/controlplane/chain/bootstrap.go
@@ -7,7 +7,7 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// isFounder: this control node is one of those that begin a chain together.
+// isFounder reports whether this control node is one of those that found a chain together.
 func (n *Node) isFounder() bool {
 	if len(n.opts.BootstrapAddrs) > 0 {
 		return slices.Contains(n.opts.BootstrapAddrs, n.opts.Self.Addr)
@@ -60,8 +60,8 @@
 	}
 }
 
-// persistBootstrap puts on the disk who begins the chain together, so that a process that is killed before there is one
-// still belongs to them when it comes back.
+// persistBootstrap persists the founders' addresses, so that a process that is killed before the chain exists is still a
+// founder after its restart.
 func (n *Node) persistBootstrap() {
 	if n.bootstrapPersisted || len(n.opts.BootstrapAddrs) == 0 {
 		return
@@ -82,16 +82,16 @@
 	return true
 }
 
-// restoreFounders takes up the founders that a promise before the first view was given among. Such a record is written with
-// each of these promises: what was promised and accepted before it still counts.
+// restoreFounders restores the founders from the View record that is written with each promise before the first view. Promises
+// and accepted proposals before such a record stay valid.
 func (n *Node) restoreFounders(v View) {
 	if n.view.Number == 0 {
 		n.view = v
 	}
 }
 
-// appendFirstEntry begins the log where too few have founded the chain, or are left, for an acknowledgement: the others
-// need an entry to have a copy of.
+// appendFirstEntry appends the first entry to an empty log in a view with too few replicas to accept writes. The missing
+// replicas need a log that is not empty to join from its snapshot.
 func (n *Node) appendFirstEntry() {
 	if !n.IsHead() || !n.caughtUp || n.lastIndex() > 0 || n.AcceptsWrites() {
 		return
--- a/internal/controlplane/chain/bootstrap_test.go
+++ b/internal/controlplane/chain/bootstrap_test.go
@@ -8,7 +8,7 @@
 	"petreltide/internal/process/clock"
 )
 
-// founding is a chain whose control nodes start for the first time.
+// newBootstrappingCluster returns a cluster whose control nodes have just started for the first time.
 func newBootstrappingCluster(t *testing.T, seed int64, controlNodes int) *testCluster {
 	tc := newTestCluster(t, seed, controlNodes, 3)
 	tc.minReplicas, tc.fleetTimings = controlNodes/2+1, true
@@ -18,8 +18,8 @@
 	return tc
 }
 
-// TestKilledFoundersStillBootstrap kills one, two or all processes at every moment of the founding from when their
-// first record is on the disk. The disks remain, and they are not told again that it is the first start.
+// TestKilledFoundersStillBootstrap kills one, two or three founders at each moment of the bootstrap after their first record was
+// synced. The disks are kept, and the restarted processes are not configured with a first start.
 func TestKilledFoundersStillBootstrap(t *testing.T) {
 	for seed := range int64(360) {
 		tc := newBootstrappingCluster(t, seed, 3+2*int(seed%2))
@@ -36,12 +36,12 @@
 		for _, s := range killed {
 			tc.start(s, false)
 		}
-		tc.requireSettled(30*clock.Sec, fmt.Sprint("founding, seed ", seed))
+		tc.requireSettled(30*clock.Sec, fmt.Sprint("bootstrap, seed ", seed))
 	}
 }
 
-// TestHeadAppendsFirstEntry: three found a chain of five whose acknowledgements need three copies, and the
-// head is gone for good before it has written anything. Those who join need an entry to have a copy of.
+// TestHeadAppendsFirstEntry bootstraps a chain of five with three founders, where an acknowledgement needs three replicas, and
+// removes the head permanently before its first write. Joining members need an entry to get a snapshot of.
 func TestHeadAppendsFirstEntry(t *testing.T) {
 	for seed := range int64(40) {
 		tc := newBootstrappingCluster(t, seed, 5)
@@ -50,12 +50,12 @@
 		}
 		tc.advance(seed % 20 * clock.Ms)
 		tc.replace(tc.members[0])
-		tc.requireSettled(30*clock.Sec, fmt.Sprint("founding, seed ", seed))
+		tc.requireSettled(30*clock.Sec, fmt.Sprint("bootstrap, seed ", seed))
 	}
 }
 
-// TestAcceptedFirstViewSurvivesLaterPromise: what a founder has accepted is still known after it has promised a
-// higher ballot and restarted.
+// TestAcceptedFirstViewSurvivesLaterPromise checks that a founder restores the proposal that it accepted, if it promised a higher
+// ballot before its restart.
 func TestAcceptedFirstViewSurvivesLaterPromise(t *testing.T) {
 	a, b := Member{ID: "a", Addr: "a"}, Member{ID: "b", Addr: "b"}
 	before := View{Voters: []Member{a, b}}
@@ -68,6 +68,6 @@
 		t.Fatal(err)
 	}
 	if node.acceptedProposal == nil || node.acceptedProposal.Ballot != low || node.promisedBallot != high {
-		t.Errorf("accepted %v, promised %v", node.acceptedProposal, node.promisedBallot)
+		t.Errorf("got accepted proposal %v and promised ballot %v, want ballots %v and %v", node.acceptedProposal, node.promisedBallot, low, high)
 	}
 }
--- a/internal/controlplane/chain/disk_refusal_test.go
+++ b/internal/controlplane/chain/disk_refusal_test.go
@@ -8,8 +8,8 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// A member whose disk refuses a write lives on, is put out of the view by the others, promises and accepts
-// nothing it cannot keep, and comes back by a copy once its disk takes bytes again.
+// A member whose disk refuses a write continues to run, is removed from the view by the others, makes no promise and accepts no
+// proposal that it cannot persist, and rejoins from a snapshot once its disk accepts writes again.
 func TestMemberWithRefusingDiskIsRemovedAndRejoins(t *testing.T) {
 	for i := range 3 {
 		t.Run(fmt.Sprint("member ", i), func(t *testing.T) {
@@ -17,7 +17,7 @@
 			sc.write()
 			sc.deliverAll()
 			if len(sc.acked) != 1 {
-				t.Fatal(sc.acked)
+				t.Fatalf("got acknowledged entries %v, want one", sc.acked)
 			}
 			p := sc.members[i]
 			id := p.member.ID
@@ -28,23 +28,23 @@
 			}
 			sc.refuseWrite(i)
 			if !p.node.isDiskStalled() || !p.node.isDiskRefusing() || p.node.WaitReason() == "" {
-				t.Fatal("it does not say that its disk refuses")
+				t.Fatalf("%s does not report that its disk refuses writes: wait reason %q", id, p.node.WaitReason())
 			}
 			kept := len(p.disk)
 			before, index := p.node.promisedBallot, p.node.commitIndex
 			sc.advanceTicks(4)
 			for j, other := range sc.members {
 				if j != i && (other.node.view.HasReplica(id) || !other.node.AcceptsWrites()) {
-					t.Fatalf("%s has %+v", other.member.ID, other.node.view.Replicas)
+					t.Fatalf("%s: got replicas %+v, want a view without %s that accepts writes", other.member.ID, other.node.view.Replicas, id)
 				}
 			}
 			sc.write()
 			sc.advanceTicks(2)
 			if len(sc.acked) < 2 {
-				t.Fatalf("%d acknowledged while one disk of three is full", len(sc.acked))
+				t.Fatalf("got %d acknowledged entries while one disk of three is full, want at least 2", len(sc.acked))
 			}
 			if len(p.disk) != kept || p.node.commitIndex != index || (before != p.node.promisedBallot && p.node.promisedBallot != Ballot{}) {
-				t.Fatalf("it has gone on: %d records, commit %d, promised %+v", len(p.disk), p.node.commitIndex, p.node.promisedBallot)
+				t.Fatalf("%s made progress with a full disk: got %d records, commit index %d and promised ballot %+v, want %d, %d and %+v", id, len(p.disk), p.node.commitIndex, p.node.promisedBallot, kept, index, before)
 			}
 			p.diskFull = false
 			sc.advanceTicks(12)
@@ -53,7 +53,7 @@
 				last = max(last, index)
 			}
 			if !p.node.isServing() || !p.node.caughtUp || p.node.commitIndex < last || p.node.isDiskStalled() {
-				t.Fatalf("it is %s, whole %v, at %d of %d, waits for %q", p.node.phase, p.node.caughtUp, p.node.commitIndex, last, p.node.WaitReason())
+				t.Fatalf("%s has not rejoined: phase %s, caught up %v, commit index %d of %d, waits for %q", id, p.node.phase, p.node.caughtUp, p.node.commitIndex, last, p.node.WaitReason())
 			}
 			sc.checkInvariants()
 			if sc.violation != "" {
@@ -63,7 +63,8 @@
 	}
 }
 
-// All restart, and the disk of the one that would go first refuses: another of the same length goes first.
+// All members restart, and the disk of the one that would become the head refuses writes: another one with a log of the same
+// length becomes the head.
 func TestFullDiskDoesNotDelayRestartOfAllMembers(t *testing.T) {
 	sc := newSmallChain()
 	sc.write()
@@ -84,16 +85,16 @@
 	}
 	head := sc.members[1].node.View().Head()
 	if sc.members[1].node.Phase() != PhaseServing || head.ID == sc.members[0].member.ID {
-		t.Fatalf("phase %s, head %s, waits for %q", sc.members[1].node.Phase(), head.ID, sc.members[1].node.WaitReason())
+		t.Fatalf("got phase %s and head %s, want phase serving and another head than %s; waits for %q", sc.members[1].node.Phase(), head.ID, sc.members[0].member.ID, sc.members[1].node.WaitReason())
 	}
 	sc.write()
 	sc.deliverAll()
 	if len(sc.acked) < 2 {
-		t.Fatal("nothing is acknowledged")
+		t.Fatalf("got %d acknowledged entries, want at least 2", len(sc.acked))
 	}
 }
 
-// What waits for a disk that hangs is bounded: a member that owes much promises no more.
+// The writes that wait for a hanging disk are bounded: a member with many pending writes makes no more promises.
 func TestMemberWithManyPendingWritesRefusesVotes(t *testing.T) {
 	sc := newSmallChain()
 	p := sc.members[1]
@@ -102,11 +103,11 @@
 			Prepare: &Prepare{Number: p.node.view.Number + 1, Ballot: Ballot{Round: uint64(n + 10), Proposer: sc.members[0].member.ID}}}})
 	}
 	if len(p.pendingPersists) == 0 || len(p.pendingPersists) > maxPendingWrites {
-		t.Fatalf("%d saves wait", len(p.pendingPersists))
+		t.Fatalf("got %d pending writes, want 1 to %d", len(p.pendingPersists), maxPendingWrites)
 	}
 }
 
-// An order is large and is sent again until its outcome comes: it stands in the log once.
+// A configuration change is large and is resubmitted until its outcome is known: it is logged only once.
 func TestResentChangeIsLoggedOnce(t *testing.T) {
 	sc := newSmallChain()
 	head := sc.members[0]
@@ -116,11 +117,11 @@
 		sc.step(0, ChangeSubmitted{Change: &order})
 	}
 	if head.node.LastIndex() != before+2 {
-		t.Fatalf("%d entries of two orders", head.node.LastIndex()-before)
+		t.Fatalf("got %d entries of two changes, want 2", head.node.LastIndex()-before)
 	}
 }
 
-// A log that is isLogTooLarge is begun anew, and only as many entries stay as are small enough for those behind.
+// A log that is too large is compacted, and retains for members that are behind only as many entries as fit the size bound.
 func TestRetainedEntriesAreBoundedByBytes(t *testing.T) {
 	sc := newSmallChain()
 	for range 10 {
@@ -133,14 +134,14 @@
 	n.logBytes = n.opts.MaxLogBytes
 	n.compact()
 	if before < 10 || len(n.entries) < 1 || len(n.entries) > 3 || n.LastIndex() != last || n.CommitIndex() != commit {
-		t.Fatalf("%d entries of %d stay, last %d of %d", len(n.entries), before, n.LastIndex(), last)
+		t.Fatalf("got %d of %d entries, last index %d and commit index %d, want 1 to 3 entries, %d and %d", len(n.entries), before, n.LastIndex(), n.CommitIndex(), last, commit)
 	}
 	if got, ok := n.viewAt(n.base.Index); !ok || n.firstIndex() != n.base.Index+1 || got != n.base.View {
-		t.Fatalf("it begins at %d on %+v", n.firstIndex(), n.base)
+		t.Fatalf("got first index %d after base %+v, want the next index", n.firstIndex(), n.base)
 	}
 	seq := n.persistSeq
 	n.Step(sc.nowUs, Persisted{Seq: seq, LogBytes: n.opts.MaxLogBytes})
 	if n.isPersistingSnapshot() || n.isLogTooLarge() {
-		t.Fatal("a log that is no smaller when begun anew is begun anew again and again")
+		t.Fatal("a log that compaction did not make smaller is compacted again")
 	}
 }
--- a/internal/controlplane/chain/disk_stall_test.go
+++ b/internal/controlplane/chain/disk_stall_test.go
@@ -8,8 +8,8 @@
 	"petreltide/internal/process/clock"
 )
 
-// stallAllDisks lets no disk come back with a sync for a while, from a moment on when each has one under way. Then they do so
-// one after the other, the first of them at once.
+// stallAllDisks stalls all disks for spanUs, each from a moment when it has a sync outstanding. Then the disks recover in the
+// given order, apartUs apart, the first one immediately.
 func (tc *testCluster) stallAllDisks(order []int, spanUs, apartUs int64) {
 	for _, seat := range slices.Backward(tc.members[0].node.View().Replicas) {
 		s := tc.memberAt(seat.Addr)
@@ -25,9 +25,9 @@
 	}
 }
 
-// A disk that all members share, or a hypervisor that holds all of them, stalls every sync at once. Whoever is back
-// first puts nobody out of the view for a stall that it has only just had itself: each removal costs three more syncs
-// on the same disks, and the removed member comes back by a copy.
+// A disk shared by all members, or a common hypervisor, stalls every sync at once. The member that recovers first must not remove
+// others from the view for a stall that it has just had itself: each removal costs three more syncs on the same disks, and the
+// removed member has to rejoin from a snapshot.
 func TestStallOfAllDisksKeepsView(t *testing.T) {
 	for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
 		for _, apartUs := range []int64{5 * clock.Ms, 30 * clock.Ms, 150 * clock.Ms} {
@@ -42,19 +42,19 @@
 					}
 				}
 				if tc.lastAcked <= ackedBefore {
-					t.Error("nothing was acknowledged after the stall")
+					t.Errorf("got last acknowledged index %d after the stall, want more than %d", tc.lastAcked, ackedBefore)
 				}
 			})
 		}
 	}
 }
 
-// Only some have something to sync when every disk stalls. The others learn of their own disks' stall by the sync that
-// a change of the view needs, and give the change up once the members that they wanted to put out are back.
+// Only some members have a sync outstanding when every disk stalls. The others notice the stall of their own disks by the sync
+// that a view change needs, and drop the change once the members that it would remove have recovered.
 func TestStallOfAllDisksUnnoticedBySomeKeepsView(t *testing.T) {
 	for idle := range 3 {
 		for _, spanUs := range []int64{1000 * clock.Ms, 1150 * clock.Ms, 1300 * clock.Ms} {
-			t.Run(fmt.Sprintf("member %d is idle, %d ms", idle, spanUs/clock.Ms), func(t *testing.T) {
+			t.Run(fmt.Sprintf("member %d idle, stall of %d ms", idle, spanUs/clock.Ms), func(t *testing.T) {
 				tc := newFleetTimedCluster(t, 1, 3)
 				viewNumber := tc.members[0].node.View().Number
 				tc.stallDisksWithOneIdle(idle, spanUs)
@@ -69,7 +69,7 @@
 	}
 }
 
-// stallDisksWithOneIdle stalls all disks while each but one has a sync under way.
+// stallDisksWithOneIdle stalls all disks for spanUs while each member but one has a sync outstanding.
 func (tc *testCluster) stallDisksWithOneIdle(idle int, spanUs int64) {
 	for _, seat := range slices.Backward(tc.members[0].node.View().Replicas) {
 		s := tc.memberAt(seat.Addr)
@@ -84,7 +84,7 @@
 	}
 }
 
-// A member whose disk goes on standing still is put out all the same, by those that are back.
+// A member whose disk stays stalled is still removed from the view by those that have recovered.
 func TestMemberStalledLongerThanOthersIsRemoved(t *testing.T) {
 	for stalled := range 3 {
 		t.Run(fmt.Sprint("member ", stalled), func(t *testing.T) {
@@ -99,13 +99,13 @@
 			tc.advance(2 * clock.Sec)
 			for _, i := range order {
 				if now := tc.members[i].node.View(); now.HasReplica(tc.members[stalled].member.ID) || len(now.Replicas) != 2 {
-					t.Fatalf("%s has %v", tc.members[i].member.ID, now.Replicas)
+					t.Fatalf("%s: got replicas %v, want two without %s", tc.members[i].member.ID, now.Replicas, tc.members[stalled].member.ID)
 				}
 			}
 			ackedBefore := tc.lastAcked
 			tc.advance(clock.Sec)
 			if tc.lastAcked <= ackedBefore {
-				t.Error("nothing is acknowledged without it")
+				t.Errorf("got last acknowledged index %d without the stalled member, want more than %d", tc.lastAcked, ackedBefore)
 			}
 		})
 	}
--- a/internal/controlplane/chain/durable_test.go
+++ b/internal/controlplane/chain/durable_test.go
@@ -10,8 +10,8 @@
 	"petreltide/internal/process/clock"
 )
 
-// The head is left alone with a write that nobody else has; a voter that holds nothing helps it into a view of one,
-// which commits the write. It may be acknowledged only once a second copy of it lies on a disk.
+// The head alone holds a write, and a voter without a log helps to decide a view with the head as the only replica, which commits
+// the write. The write must not be acknowledged before a second replica has synced it.
 func TestCommitsOfTooFewReplicasAreNotAcknowledged(t *testing.T) {
 	for seed := int64(0); seed < 6; seed++ {
 		tc := newSettledCluster(t, seed, 3, 3)
@@ -33,24 +33,24 @@
 			if len(head.node.view.Replicas) == 1 && head.node.commitIndex >= index {
 				committedAlone = true
 				if head.node.IsDurable(index) {
-					t.Fatalf("seed %d: a write on one disk counts as kept", seed)
+					t.Fatalf("seed %d: IsDurable(%d) = true for a write on one disk, want false", seed, index)
 				}
 			}
 		}
 		if !committedAlone {
-			t.Fatalf("seed %d: the head never was alone with its write: %+v", seed, head.node.view.Replicas)
+			t.Fatalf("seed %d: the head never committed its write as the only replica: %+v", seed, head.node.view.Replicas)
 		}
 		clear(tc.cutLinks)
 		tc.requireSettled(40*clock.Sec, "healed")
 		for _, s := range tc.members {
 			if _, seen := s.node.state.Outcomes[id]; !seen || !s.node.IsDurable(index) {
-				t.Fatalf("seed %d: %s has it %v, kept %v", seed, s.member.ID, seen, s.node.IsDurable(index))
+				t.Fatalf("seed %d: %s: got outcome known %v and durable %v, want both true", seed, s.member.ID, seen, s.node.IsDurable(index))
 			}
 		}
 	}
 }
 
-// viewWithZones is a view by the zones of its voters and of its replicas.
+// viewWithZones returns a view with voters and replicas in the given zones.
 func viewWithZones(voters, seated string) View {
 	v := View{Number: 1}
 	for i, zone := range strings.Fields(voters) {
@@ -82,12 +82,12 @@
 	} {
 		n := &Node{opts: Options{MinReplicas: c.copies, MinZones: c.zones}.withDefaults(), view: viewWithZones(c.voters, c.seated)}
 		if n.AcceptsWrites() != c.taken {
-			t.Errorf("%d copies in %d zones, voters in %s, seats in %s: taken %v", c.copies, c.zones, c.voters, c.seated, !c.taken)
+			t.Errorf("%d replicas in %d zones needed, voters in %s, replicas in %s: got AcceptsWrites %v", c.copies, c.zones, c.voters, c.seated, !c.taken)
 		}
 	}
 }
 
-// Regions are counted as zones are, by the region that the settings name for a zone.
+// Regions are counted like zones, by the region that the settings give for a zone.
 func TestWritesNeedEnoughRegions(t *testing.T) {
 	regions := map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
 	for _, c := range []struct {
@@ -105,43 +105,43 @@
 	} {
 		n := &Node{opts: Options{MinReplicas: 2, MinRegions: c.regions, Regions: regions}.withDefaults(), view: viewWithZones(c.voters, c.seated)}
 		if n.AcceptsWrites() != c.taken {
-			t.Errorf("%d regions, voters in %s, seats in %s: taken %v", c.regions, c.voters, c.seated, !c.taken)
+			t.Errorf("%d regions needed, voters in %s, replicas in %s: got AcceptsWrites %v", c.regions, c.voters, c.seated, !c.taken)
 		}
 		n.opts.MinRegions = 0
 		if !n.AcceptsWrites() {
-			t.Errorf("voters in %s, seats in %s: refused without a bound on regions", c.voters, c.seated)
+			t.Errorf("voters in %s, replicas in %s: got AcceptsWrites false without a bound on regions", c.voters, c.seated)
 		}
 	}
 }
 
-// A fleet whose core is one machine acknowledges on its one disk, also after a restart.
+// A chain of one member acknowledges with its single replica, also after a restart.
 func TestSingleMemberChainCommits(t *testing.T) {
 	tc := newTestCluster(t, 1, 1, 1)
 	tc.minReplicas = 1
 	only := tc.members[0]
 	tc.start(only, true)
-	tc.requireSettled(20*clock.Sec, "founding")
+	tc.requireSettled(20*clock.Sec, "bootstrap")
 	before := tc.lastAcked
 	tc.stop(only)
 	tc.advance(clock.Sec)
 	tc.start(only, false)
 	tc.requireSettled(20*clock.Sec, "restarted")
 	if tc.lastAcked <= before {
-		t.Fatal(tc.lastAcked, before)
+		t.Fatalf("got last acknowledged index %d after the restart, want more than %d", tc.lastAcked, before)
 	}
 }
 
-// Three found the chain of seven whose acknowledgements need four copies.
+// Three founders bootstrap a chain of seven in which an acknowledgement needs four replicas.
 func TestMinReplicasAboveFounderCount(t *testing.T) {
 	tc := newTestCluster(t, 3, 7, 3)
 	tc.minReplicas = 4
 	for _, s := range tc.members {
 		tc.start(s, true)
 	}
-	tc.requireSettled(30*clock.Sec, "founding")
+	tc.requireSettled(30*clock.Sec, "bootstrap")
 	for index, id := range tc.acked {
 		if id == "founded" {
-			t.Errorf("what was written on three copies was acknowledged, at %d", index)
+			t.Errorf("the entry at index %d was acknowledged with three replicas, want four", index)
 		}
 	}
 }
--- a/internal/controlplane/chain/event.go
+++ b/internal/controlplane/chain/event.go
@@ -6,34 +6,34 @@
 // ConnectionRefused or ShutdownRequested.
 type Event interface{ isEvent() }
 
-// Tick lets time pass; every timer of a Node is checked in it.
+// Tick advances the time; a Node checks all its timers on it.
 type Tick struct{}
 
-// MessageReceived is a message of another control node. Step reads it and keeps no pointer into its top level.
+// MessageReceived is a message from another control node. Step retains no pointer to the Msg itself.
 type MessageReceived struct{ Msg *Msg }
 
-// Persisted reports that the Persist of this number is synced.
+// Persisted reports that the Persist with this sequence number is synced.
 type Persisted struct {
 	// Seq is the Seq of the Persist, or OpeningPersistSeq.
 	Seq uint64
-	// LogBytes is how many bytes the log takes on the disk since.
+	// LogBytes is the size of the log on the disk after that.
 	LogBytes int64
 }
 
-// PersistRefused reports that the disk does not take the Persist of this number now. Its caller retries it until it is
-// synced, and then reports Persisted.
+// PersistRefused reports that the disk refuses the Persist with this sequence number for now. The caller of Step retries it
+// until it is synced, and then reports Persisted.
 type PersistRefused struct{ Seq uint64 }
 
-// ChangeSubmitted is a change to be replicated. A node that is not the head forwards it to the head.
+// ChangeSubmitted is a change to be replicated. A node that is not the head sends it to the head.
 type ChangeSubmitted struct{ Change *statemachine.Change }
 
-// AddrsLearned names addresses of control nodes, to which hellos are sent from now on.
+// AddrsLearned lists addresses of control nodes, to which hellos are sent from now on.
 type AddrsLearned struct{ Addrs []string }
 
-// ConnectionRefused says that nobody listens at a control node's address any more: the process that did has ended.
+// ConnectionRefused reports that the address of a control node refused a connection: the process that listened there has ended.
 type ConnectionRefused struct{ Addr string }
 
-// ShutdownRequested says that this process is to end: it hands over its position and its vote first.
+// ShutdownRequested asks this process to shut down. It hands over its position in the chain and its vote first.
 type ShutdownRequested struct{}
 
 func (Tick) isEvent()              {}
--- a/internal/controlplane/chain/explore_members_test.go
+++ b/internal/controlplane/chain/explore_members_test.go
@@ -12,19 +12,19 @@
 	"petreltide/internal/process/clock"
 )
 
-// memberExplorer is a box whose members take each other in, with machines that are lost, replaced, terminated and
-// brought back. It keeps the platform's account of which losses count: at most one machine at a time (two of five) is
-// down or has run for less than its time to catch up.
+// memberExplorer is a smallChain with automatic membership, whose machines are lost, replaced, terminated and restarted. It allows
+// as many losses as the platform does: at most one machine at a time (two of five) is down or has run for less than its time to
+// catch up.
 type memberExplorer struct {
 	*smallChain
-	// plant is a defect that the harness brings about.
+	// mutation is the defect that is injected; "" injects none.
 	mutation mutation
-	// losses counts the losses so far, of maxTotalLosses.
+	// losses counts the losses so far; maxTotalLosses bounds it.
 	losses, maxTotalLosses int
-	// leaving is the machine that was told to end, -1 if none; goes says that it is removed for good.
+	// terminating is the machine that was asked to shut down, -1 if none; terminateForGood says that it never restarts.
 	terminating      int
 	terminateForGood bool
-	// history is what was done to machines.
+	// history logs the actions on machines.
 	history []string
 }
 
@@ -35,13 +35,13 @@
 type mutation string
 
 const (
-	voteWithoutCopy mutation = "a newcomer's seat and vote without a copy"
-	twoVoteChanges  mutation = "two votes change in one view"
-	abruptExit      mutation = "one that was told to end goes at once"
-	lostPromise     mutation = "a promise is forgotten"
+	voteWithoutCopy mutation = "a joining member becomes replica and voter without a snapshot"
+	twoVoteChanges  mutation = "two voters change in one view"
+	abruptExit      mutation = "a member ends at once when asked to shut down"
+	lostPromise     mutation = "promises are not persisted"
 )
 
-// caughtUpTicks is the time to catch up, in ticks.
+// caughtUpTicks returns the time to catch up, in ticks.
 func (me *memberExplorer) caughtUpTicks() int {
 	if me.maxLosses() > 1 {
 		return int(catchUpTwoLossesUs/me.tickDurationUs()) + 1
@@ -49,7 +49,7 @@
 	return int(catchUpOneLossUs/me.tickDurationUs()) + 1
 }
 
-// tolerated is how many machines may be lost at once.
+// maxLosses returns how many machines may be lost at once.
 func (me *memberExplorer) maxLosses() int { return me.minReplicas - 1 }
 
 func newMemberExplorer(count int, everyUs int64) *memberExplorer {
@@ -82,7 +82,7 @@
 	return text + fmt.Sprint(me.losses, me.terminating, me.terminateForGood)
 }
 
-// elapse is a tick; those that run are a tick nearer to having caught up.
+// advanceTick performs a tick and counts it for the running machines.
 func (me *memberExplorer) advanceTick() {
 	for _, p := range me.members {
 		if p.node != nil {
@@ -94,7 +94,7 @@
 	me.mutateDisks()
 }
 
-// rest lets time go by with all links and disks in order.
+// advanceSettled advances the time with all messages delivered and all writes synced.
 func (me *memberExplorer) advanceSettled(ticks int) {
 	for range ticks {
 		me.advanceTick()
@@ -109,7 +109,7 @@
 	me.endIfShutdownComplete()
 }
 
-// outstanding counts the machines that are down, or back for less than their time to catch up.
+// unavailableCount returns how many machines are down, or have run for less than their time to catch up.
 func (me *memberExplorer) unavailableCount() int {
 	n := 0
 	for _, p := range me.members {
@@ -120,7 +120,7 @@
 	return n
 }
 
-// there counts the machines that have not gone for good.
+// machineCount returns how many machines are not permanently removed.
 func (me *memberExplorer) machineCount() int {
 	n := 0
 	for _, p := range me.members {
@@ -131,12 +131,12 @@
 	return n
 }
 
-// canLose: the platform may take one more machine now.
+// canLose reports whether one more machine may be lost now.
 func (me *memberExplorer) canLose() bool {
 	return me.losses < me.maxTotalLosses && me.terminating < 0 && me.unavailableCount() < me.maxLosses() && me.machineCount() > 2*me.maxLosses()
 }
 
-// fresh is an empty machine beside the others.
+// addEmptyMachine starts an additional machine with an empty disk.
 func (me *memberExplorer) addEmptyMachine() int {
 	me.incarnations++
 	name := fmt.Sprintf("m%d", 10+me.incarnations)
@@ -149,7 +149,7 @@
 func (me *memberExplorer) lose(i int, how repairMethod) {
 	me.losses++
 	p := me.members[i]
-	me.logAction("%s is lost: %s", p.member.ID, how)
+	me.logAction("%s lost: %s", p.member.ID, how)
 	me.crash(i)
 	p.uptimeTicks = 0
 	switch how {
@@ -167,31 +167,31 @@
 
 func (me *memberExplorer) startMachine(i int) {
 	me.start(i, 0)
-	me.logAction("%s starts", me.members[i].member.ID)
+	me.logAction("%s started", me.members[i].member.ID)
 }
 
-// terminate tells a process to end; it ends for good, or comes back with its disk.
+// terminate asks a process to shut down; its machine is removed permanently, or restarts with its disk.
 func (me *memberExplorer) terminate(i int, forGood bool) {
 	me.terminating, me.terminateForGood = i, forGood
-	me.logAction("%s is told to end, for good %v", me.members[i].member.ID, forGood)
+	me.logAction("%s asked to shut down, permanently: %v", me.members[i].member.ID, forGood)
 	me.step(i, ShutdownRequested{})
 	me.endIfShutdownComplete()
 }
 
-// endIfShutdownComplete ends the process that was told to, once it says that it may.
+// endIfShutdownComplete ends the process that was asked to shut down, once it reports that it may end.
 func (me *memberExplorer) endIfShutdownComplete() {
 	i := me.terminating
 	if i < 0 || me.members[i].node == nil || (!me.members[i].node.ShutdownComplete() && me.mutation != abruptExit) {
 		return
 	}
-	me.logAction("%s has ended", me.members[i].member.ID)
+	me.logAction("%s ended", me.members[i].member.ID)
 	me.crash(i)
 	me.members[i].uptimeTicks = 0
 	me.members[i].removed = me.terminateForGood
 	me.terminating = -1
 }
 
-// tamper plants a second change of votes beside one that is proposed.
+// mutateProposals adds a second voter change to a proposal that has one, with the mutation twoVoteChanges.
 func (me *memberExplorer) mutateProposals() {
 	if me.mutation != twoVoteChanges {
 		return
@@ -214,8 +214,8 @@
 	}
 }
 
-// mutateDisks takes from disks what the planted defect does not keep there: promises, or what a newcomer should have
-// copied before it was seated.
+// mutateDisks deletes the records that the mutation does not persist: promises, or the snapshot and entries that a joining member
+// should hold before it becomes a replica.
 func (me *memberExplorer) mutateDisks() {
 	for i, p := range me.members {
 		switch {
@@ -227,7 +227,8 @@
 	}
 }
 
-// checkMachineInvariants holds the account of losses against what lies on the disks.
+// checkMachineInvariants checks that the disks hold enough replicas of each acknowledged entry for the losses that are still
+// allowed, and that each view changes at most one voter.
 func (me *memberExplorer) checkMachineInvariants() {
 	me.checkInvariants()
 	if me.violation != "" {
@@ -246,17 +247,17 @@
 			}
 		}
 		if holders < tolerable+1 {
-			me.violation = fmt.Sprintf("%s, acknowledged at %d, lies on %d disks when %d may be lost", id, index, holders, tolerable)
+			me.violation = fmt.Sprintf("%s, acknowledged at index %d, is on %d disks while %d may be lost", id, index, holders, tolerable)
 		}
 	}
 	for number, v := range me.views {
 		if prior, seen := me.views[number-1]; seen && number > 1 && countVoteChanges(prior, v) > 1 {
-			me.violation = fmt.Sprintf("more than one vote changed from %v to %v", prior, v)
+			me.violation = fmt.Sprintf("more than one voter changed from %v to %v", prior, v)
 		}
 	}
 }
 
-// countVoteChanges counts the votes that came or went, whichever are more.
+// countVoteChanges returns the number of voters that were added or removed, whichever is larger.
 func countVoteChanges(a, b View) int {
 	came, went := 0, 0
 	for _, v := range b.Voters {
@@ -272,7 +273,7 @@
 	return max(came, went)
 }
 
-// holds: what was acknowledged at an index is read back from this disk.
+// diskHolds reports whether a disk holds the entry at an index, or a snapshot that includes it.
 func diskHolds(disk []Record, index uint64) bool {
 	for _, r := range disk {
 		if (r.Entry != nil && r.Entry.Index == index) || (r.Snapshot != nil && r.Snapshot.Index >= index) {
@@ -282,8 +283,8 @@
 	return false
 }
 
-// recovers: once all that is down has come back and nothing more is lost, all have seat and vote within the time to
-// catch up, and a write is acknowledged.
+// recoveryFailure restarts all machines that are down and loses none. It returns why no write is acknowledged after the time to
+// catch up, or "".
 func (me *memberExplorer) recoveryFailure() string {
 	c := me.clone()
 	for i, p := range c.members {
@@ -304,27 +305,27 @@
 		state := ""
 		for _, p := range c.members {
 			if p.node != nil {
-				state += fmt.Sprintf("; %s is %s in view %d of %d votes, leaving %v, waits for %q", p.member.ID, p.node.phase, p.node.view.Number, len(p.node.view.Voters), p.node.shuttingDown, p.node.WaitReason())
+				state += fmt.Sprintf("; %s is %s in view %d of %d voters, shutting down %v, waits for %q", p.member.ID, p.node.phase, p.node.view.Number, len(p.node.view.Voters), p.node.shuttingDown, p.node.WaitReason())
 			}
 		}
-		return "nothing is acknowledged after the repair" + state
+		return "no write is acknowledged after the repair" + state
 	}
 	return ""
 }
 
-// hush loses all hellos until time goes by: all machines count as cut off.
+// loseHellos drops all hellos until the next tick; all machines count as partitioned.
 func (me *memberExplorer) loseHellos() {
 	me.dropHellos = true
-	me.logAction("hellos are lost")
+	me.logAction("hellos dropped")
 	for _, p := range me.members {
 		p.uptimeTicks = 0
 	}
 }
 
-// killAll ends every process at once; disks remain, and one machine comes back later than the others.
+// killAll kills every process at once. The disks are kept, and one machine restarts later than the others.
 func (me *memberExplorer) killAll(late int, lateTicks int64) {
 	me.terminating = -1
-	me.logAction("all are killed, %d comes %d ticks late", late, lateTicks)
+	me.logAction("all killed, machine %d restarts %d ticks late", late, lateTicks)
 	for i, p := range me.members {
 		if p.removed {
 			continue
@@ -337,7 +338,7 @@
 	}
 }
 
-// lossActions are the changes of machines that may come now.
+// lossActions returns the losses of machines that are allowed now.
 func (me *memberExplorer) lossActions() []func(*memberExplorer) {
 	actions := []func(*memberExplorer){}
 	if !me.canLose() {
@@ -354,7 +355,7 @@
 	return actions
 }
 
-// flowActions are deliveries, syncs and starts.
+// flowActions returns the possible deliveries, syncs and starts.
 func (me *memberExplorer) flowActions() []func(*memberExplorer) {
 	actions := []func(*memberExplorer){}
 	for i, p := range me.members {
@@ -380,17 +381,17 @@
 	me.checkMachineInvariants()
 }
 
-// memberScenarios begin where one machine's repair is under way or has just ended.
+// memberScenarios returns start states in which the repair of a machine is in progress or has just ended.
 func memberScenarios() map[string]func() *memberExplorer {
 	return map[string]func() *memberExplorer{
-		"replaced for good, the next lost": func() *memberExplorer {
+		"a machine was replaced, then another may be lost": func() *memberExplorer {
 			m := newMemberExplorer(3, tickUs)
 			m.lose(0, repairReplaced)
 			m.advanceSettled(m.caughtUpTicks())
 			m.losses = 0
 			return m
 		},
-		"replaced for good, and the next lost at once when the successor has caught up": func() *memberExplorer {
+		"a machine was replaced, and another is lost once the successor has caught up": func() *memberExplorer {
 			m := newMemberExplorer(3, tickUs)
 			m.lose(0, repairReplaced)
 			m.advanceSettled(m.caughtUpTicks())
@@ -398,21 +399,21 @@
 			m.advanceSettled(2)
 			return m
 		},
-		"the successor came first, the old one is told to end": func() *memberExplorer {
+		"a successor has joined, and the old machine shuts down": func() *memberExplorer {
 			m := newMemberExplorer(3, tickUs)
 			m.addEmptyMachine()
 			m.advanceSettled(m.caughtUpTicks())
 			m.terminate(0, true)
 			return m
 		},
-		"the old head of four is told to end and comes back": func() *memberExplorer {
+		"the second member of four shuts down and restarts": func() *memberExplorer {
 			m := newMemberExplorer(3, tickUs)
 			m.addEmptyMachine()
 			m.advanceSettled(m.caughtUpTicks())
 			m.terminate(1, false)
 			return m
 		},
-		"an empty one joins as another is told to end": func() *memberExplorer {
+		"a machine with an empty disk joins while another shuts down": func() *memberExplorer {
 			m := newMemberExplorer(3, tickUs)
 			m.lose(1, repairEmptied)
 			m.advanceSettled(2)
@@ -421,13 +422,13 @@
 			m.terminate(2, true)
 			return m
 		},
-		"a newcomer beside one that has fallen silent": func() *memberExplorer {
+		"a new machine joins beside a silent one": func() *memberExplorer {
 			m := newMemberExplorer(3, tickUs)
 			m.lose(2, repairReplaced)
 			m.advanceSettled(2)
 			return m
 		},
-		"one that was removed comes back with its old disk": func() *memberExplorer {
+		"a removed machine restarts with its old disk": func() *memberExplorer {
 			m := newMemberExplorer(3, tickUs)
 			disk, me := m.members[2].disk, m.members[2].member
 			m.lose(2, repairReplaced)
@@ -441,7 +442,7 @@
 	}
 }
 
-// exploreFactor multiplies how far the explorer goes, by PETRELTIDE_EXPLORE.
+// exploreFactor returns by how much the exploration is extended, as set by PETRELTIDE_EXPLORE; at least 1.
 func exploreFactor() int {
 	if n, err := strconv.Atoi(os.Getenv("PETRELTIDE_EXPLORE")); err == nil && n > 1 {
 		return n
@@ -458,8 +459,8 @@
 	e.views, e.acked, e.losses = max(e.views, o.views), max(e.acked, o.acked), max(e.losses, o.losses)
 }
 
-// exploreMachines goes through every state within a depth, each once; of every stride-th of those at the edge it asks
-// whether the chain recovers.
+// exploreMachines visits every state within a depth once, and checks the recovery of the chain from every stride-th state of the
+// last depth.
 func exploreMachines(from *memberExplorer, depth, ticks, stride int) (e exploreStats, violation string) {
 	seen := map[string]bool{from.stateKey(): true}
 	frontier := []*memberExplorer{from}
@@ -495,7 +496,7 @@
 	return e, ""
 }
 
-// forward takes the next action in a fixed order, or a tick.
+// advanceFirstAction performs the first possible action in a fixed order, or a tick if there is none.
 func (me *memberExplorer) advanceFirstAction() {
 	if acts := me.flowActions(); len(acts) > 0 {
 		me.apply(acts[0])
@@ -516,9 +517,9 @@
 	memberRaceStrides   = 1
 )
 
-// Repairs of machines in the small: every interleaving of deliveries, syncs, ticks, starts and one more loss up to a
-// depth, from states all along the way through joining, leaving, replacing and coming back.
-func TestEveryInterleavingOfRepairs(t *testing.T) {
+// Explores every interleaving of deliveries, syncs, ticks, starts and one more loss up to a depth, from states along the path
+// through joins, shutdowns, replacements and restarts.
+func TestInvariantsHoldInEveryInterleavingOfRepairs(t *testing.T) {
 	depth, stride := memberDepth, memberPathStride
 	if raceEnabled {
 		depth, stride = memberDepth-1, memberRaceStrides*memberPathStride
@@ -544,19 +545,19 @@
 					t.Fatal(m.violation)
 				}
 			}
-			t.Logf("%d states within %d actions, %d of them asked to recover, up to %d losses, %d view changes, %d acknowledged", sum.states, depth, sum.recoveries, sum.losses, sum.views-first, sum.acked)
+			t.Logf("%d states within %d actions, recovery checked from %d, up to %d losses, %d view changes, %d entries acknowledged", sum.states, depth, sum.recoveries, sum.losses, sum.views-first, sum.acked)
 			if sum.states < 200 || sum.recoveries < 5 {
-				t.Errorf("%+v: it proves little", sum)
+				t.Errorf("got %+v, want at least 200 states and 5 recoveries for a meaningful test", sum)
 			}
 		})
 	}
 }
 
-// walkTickUs is finer than the ticks of the exhaustive search: what a repair takes is to be told from ticks.
+// walkTickUs is shorter than tickUs, the ticks of the exhaustive search, so that the duration of a repair can be measured in ticks.
 const walkTickUs = 150 * clock.Ms
 
-// walk is how a random walk goes: hellos are lost at one in helloLossInterval actions, and all machines are killed at one in
-// killAllInterval.
+// walkOptions are the parameters of a random walk: hellos are dropped at one in helloLossInterval actions, and all machines are
+// killed at one in killAllInterval.
 type walkOptions struct {
 	seed                               uint64
 	memberCount, actions               int
@@ -564,8 +565,8 @@
 	mutation                           mutation
 }
 
-// walkMachines goes on at random for long: losses of every kind, each as soon as the platform may bring it, and
-// processes that are told to end, for good with their successor started first or to come back.
+// walkMachines takes a long random walk. It loses machines in every way, each as soon as it is allowed, and shuts processes down,
+// either permanently with a successor started first, or to restart.
 func walkMachines(w walkOptions) (m *memberExplorer, violation string) {
 	m = newMemberExplorer(w.memberCount, walkTickUs)
 	m.mutation, m.maxTotalLosses = w.mutation, 1<<30
@@ -591,7 +592,7 @@
 		case next(6) == 0:
 			m.apply(func(c *memberExplorer) { c.write() })
 		default:
-			// Time goes by only with what is under way carried out: links and disks are in order.
+			// Time advances only after all messages are delivered and all writes synced, as links and disks are healthy.
 			m.settleAll()
 			m.apply((*memberExplorer).advanceTick)
 			m.ticks = 0
@@ -606,7 +607,7 @@
 	return m, ""
 }
 
-// disturb loses a machine, or tells one to end, with or without a successor that came first.
+// loseOrTerminate loses a machine or asks one to shut down, with or without a successor started first.
 func (me *memberExplorer) loseOrTerminate(next func(int) int) {
 	if next(3) > 0 {
 		actions := me.lossActions()
@@ -628,7 +629,7 @@
 	me.apply(func(c *memberExplorer) { c.terminate(i, forGood) })
 }
 
-func TestLongWalksThroughRepairs(t *testing.T) {
+func TestInvariantsHoldOnRandomWalksThroughRepairs(t *testing.T) {
 	walks := memberWalks * exploreFactor()
 	if raceEnabled {
 		walks = memberRaceWalks
@@ -645,23 +646,23 @@
 				}
 				views, losses, acked = views+len(m.views), losses+m.losses, acked+len(m.acked)
 			}
-			t.Logf("%d actions a walk, %d views, %d losses, %d acknowledged", memberWalkActions, views, losses, acked)
+			t.Logf("%d actions a walk, %d views, %d losses, %d entries acknowledged", memberWalkActions, views, losses, acked)
 			if losses < walks/lanes || acked < walks/lanes {
-				t.Errorf("%d losses, %d acknowledged: the walks prove little", losses, acked)
+				t.Errorf("got %d losses and %d acknowledged entries, want at least %d of each for a meaningful test", losses, acked, walks/lanes)
 			}
 		})
 	}
 }
 
-// Each rule of the explorer must be able to fail: a defect is planted, and a walk must find it.
-func TestPlantedMembershipDefectsAreFound(t *testing.T) {
-	// What the walks must say; an empty text stands for several ways in which it shows.
-	for p, want := range map[mutation]string{voteWithoutCopy: "", twoVoteChanges: "more than one vote changed", abruptExit: "", lostPromise: "was decided twice"} {
+// Checks that the invariants detect violations: each mutation must be found by a random walk.
+func TestRandomWalksDetectMembershipMutations(t *testing.T) {
+	// The text that the violation must contain; empty if the mutation can show in several ways.
+	for p, want := range map[mutation]string{voteWithoutCopy: "", twoVoteChanges: "more than one voter changed", abruptExit: "", lostPromise: "was decided twice"} {
 		t.Run(string(p), func(t *testing.T) {
 			t.Parallel()
 			w := walkOptions{memberCount: 3, actions: memberWalkActions, helloLossInterval: 150, killAllInterval: 150, mutation: p}
 			if p == lostPromise {
-				// It takes a decision that only one member knows as all are killed.
+				// This needs a decision that only one member knows when all are killed.
 				w.helloLossInterval, w.killAllInterval = 15, 40
 			}
 			for w.seed = range uint64(100) {
@@ -670,7 +671,7 @@
 					return
 				}
 			}
-			t.Fatal("not found")
+			t.Fatalf("no walk of 100 found the mutation %q", p)
 		})
 	}
 }
--- a/internal/controlplane/chain/explore_test.go
+++ b/internal/controlplane/chain/explore_test.go
@@ -15,9 +15,9 @@
 	"petreltide/internal/process/clock"
 )
 
-// smallChain is a whole chain in the small: members, their disks, and what is under way between them. Hellos
-// arrive with the tick that sends them; everything else may be delivered, lost with a crash or held
-// back in any order across pairs.
+// smallChain models a whole chain for state space exploration: the members, their disks and the messages in flight between them.
+// A hello is delivered when it is sent. Other messages may be delivered in any order across pairs of members, delayed, or lost
+// with a crash.
 type smallChain struct {
 	nowUs        int64
 	members      []*smallMember
@@ -30,21 +30,21 @@
 	diskRefusals int
 	incarnations int
 	violation    string
-	// fenced counts the processes that a newer one of their member has replaced.
+	// fenced counts the processes that were fenced by a newer process of their member.
 	fenced int
-	// autoMembership: the members take each other in and drop each other without orders.
+	// autoMembership is Options.AutoMembership of all members.
 	autoMembership bool
-	// minReplicas is how many synced copies an acknowledgement needs there.
+	// minReplicas is Options.MinReplicas of all members, with autoMembership.
 	minReplicas int
-	// tickIntervalUs is how far apart ticks are; 0 stands for tickUs.
+	// tickIntervalUs is the time between ticks; 0 is tickUs.
 	tickIntervalUs int64
-	// dropHellos: hellos are lost on their way.
+	// dropHellos drops all hellos.
 	dropHellos bool
-	// cuts are the ways on which nothing arrives.
+	// cutLinks are the directed links that deliver no messages.
 	cutLinks map[[2]int]bool
-	// alter changes a message on its way; nil leaves all as they are.
+	// mutate changes a message in flight; nil changes none.
 	mutate func(Msg) Msg
-	// tenures follows who was open as the tail.
+	// tenures checks which processes were ready as the tail.
 	tenures tailTenures
 }
 
@@ -54,10 +54,10 @@
 	disk            []Record
 	pendingPersists []Persist
 	diskFull        bool
-	// removed: this machine never comes back. uptimeTicks is how many ticks its process has run for.
+	// removed marks a machine that never restarts. uptimeTicks is how many ticks its process has run for.
 	removed     bool
 	uptimeTicks int
-	// restartableUs is when it may start again.
+	// restartableUs is from when it may restart.
 	restartableUs int64
 }
 
@@ -87,7 +87,7 @@
 	return &c
 }
 
-// key is everything that what comes next can hang on, with times taken from now.
+// stateKey encodes the whole state that later steps can depend on, with times relative to nowUs.
 func (n *Node) stateKey(nowUs int64) string {
 	age := func(us int64) int64 {
 		if us == 0 {
@@ -265,8 +265,8 @@
 	return -1
 }
 
-// step feeds one event and carries its effects out; a hello arrives at once, and a newer beat of one
-// kind takes the place of an older one that is still under way.
+// step processes one event and carries out its effects. A hello is delivered at once, and a periodic message replaces an older
+// one of its kind that is still in flight.
 func (sc *smallChain) step(i int, ev Event) {
 	p := sc.members[i]
 	if p.node == nil {
@@ -325,7 +325,7 @@
 func (sc *smallChain) recordApplied(p *smallMember, a Applied) {
 	id := a.Entry.Change.ID
 	if before, seen := sc.acked[a.Entry.Index]; seen && before != id {
-		sc.violation = fmt.Sprintf("%s applies %s at %d, where %s was acknowledged", p.member.ID, id, a.Entry.Index, before)
+		sc.violation = fmt.Sprintf("%s applied %s at index %d, where %s was acknowledged", p.member.ID, id, a.Entry.Index, before)
 	}
 	if p.node.IsTail() && p.node.AcceptsWrites() {
 		sc.acked[a.Entry.Index] = id
@@ -347,7 +347,7 @@
 		if p.node != nil && p.node.IsTailReady(sc.nowUs) {
 			open = append(open, p.member.ID)
 			if p.node.CommitIndex() < maxAcked {
-				sc.violation = fmt.Sprintf("%s is open at %d, %d was acknowledged", p.member.ID, p.node.CommitIndex(), maxAcked)
+				sc.violation = fmt.Sprintf("%s is ready as the tail at commit index %d, but index %d was acknowledged", p.member.ID, p.node.CommitIndex(), maxAcked)
 			}
 			if violation := sc.tenures.check(p.node); violation != "" {
 				sc.violation = violation
@@ -355,7 +355,7 @@
 		}
 	}
 	if len(open) > 1 {
-		sc.violation = fmt.Sprintf("two open tails: %v", open)
+		sc.violation = fmt.Sprintf("two ready tails: %v", open)
 	}
 }
 
@@ -376,10 +376,10 @@
 	}
 }
 
-// ready: the next save of this member may be synced.
+// canSync reports whether the next write of this member can be synced.
 func (p *smallMember) canSync() bool { return len(p.pendingPersists) > 0 && !p.diskFull }
 
-// fill makes a disk refuse its next save, and all until it takes bytes again.
+// refuseWrite makes a disk refuse its next write, and all further ones until diskFull is cleared.
 func (sc *smallChain) refuseWrite(i int) {
 	sc.diskRefusals++
 	p := sc.members[i]
@@ -407,7 +407,7 @@
 	sc.step(link[1], MessageReceived{Msg: &m})
 }
 
-// deliverAll carries out all that is under way, in one fixed order.
+// deliverAll delivers all messages in flight and syncs all pending writes, in a fixed order.
 func (sc *smallChain) deliverAll() {
 	for n := 0; n < 400; n++ {
 		moved := false
@@ -442,11 +442,11 @@
 
 type exploreLimits struct {
 	crashes, ticks, writes, diskRefusals int
-	// heals: links that are cut may be whole again.
+	// healLinks allows cut links to be restored.
 	healLinks bool
 }
 
-// next lists every state one action away.
+// nextStates returns every state that one action can lead to.
 func (sc *smallChain) nextStates(l exploreLimits) []*smallChain {
 	out := []*smallChain{}
 	try := func(act func(c *smallChain)) {
@@ -491,8 +491,8 @@
 	return out
 }
 
-// explore goes through every state within a depth, each once; it reports how many there are, and how
-// many views and acknowledgements they held.
+// explore visits every state within a depth once. It returns the number of states, and the maximum numbers of views and of
+// acknowledged entries in a state.
 func explore(t *testing.T, from *smallChain, depth int, l exploreLimits) (states, views, acked int) {
 	t.Helper()
 	seen := map[string]bool{from.stateKey(): true}
@@ -524,7 +524,7 @@
 	sc.ticks = 0
 }
 
-// advanceIsolated lets time go by without anything being delivered or synced but hellos.
+// advanceIsolated advances the time with only hellos delivered and nothing synced.
 func (sc *smallChain) advanceIsolated(ticks int) {
 	for n := 0; n < ticks; n++ {
 		sc.tick()
@@ -544,10 +544,10 @@
 		}
 	}
 	return map[string]func() *smallChain{
-		"the head is gone":   down(0),
-		"the middle is gone": down(1),
-		"the tail is gone":   down(2),
-		"a write under way as the tail goes": func() *smallChain {
+		"the head crashed":   down(0),
+		"the middle crashed": down(1),
+		"the tail crashed":   down(2),
+		"the tail crashed during a write": func() *smallChain {
 			sc := newSmallChain()
 			sc.write()
 			sc.syncNext(0)
@@ -555,7 +555,7 @@
 			sc.advanceIsolated(3)
 			return sc
 		},
-		"an empty one joins": func() *smallChain {
+		"a member with an empty disk joins": func() *smallChain {
 			sc := newSmallChain()
 			sc.write()
 			sc.deliverAll()
@@ -566,7 +566,7 @@
 			sc.advanceIsolated(2)
 			return sc
 		},
-		"one that lost its last records joins": func() *smallChain {
+		"a member that lost its last records joins": func() *smallChain {
 			sc := newSmallChain()
 			sc.write()
 			sc.deliverAll()
@@ -578,7 +578,7 @@
 			sc.advanceIsolated(2)
 			return sc
 		},
-		"all restart, one of them lossy": func() *smallChain {
+		"all restart, one without its last records": func() *smallChain {
 			sc := newSmallChain()
 			sc.write()
 			sc.deliverAll()
@@ -602,7 +602,7 @@
 	pathStride    = 6
 )
 
-// advanceOnce takes the one action that comes first in a fixed order, or a tick where nothing is under way.
+// advanceOnce performs the first possible action in a fixed order, or a tick if nothing is in flight.
 func (sc *smallChain) advanceOnce() {
 	for i := range sc.members {
 		if sc.members[i].canSync() {
@@ -620,9 +620,9 @@
 	sc.ticks = 0
 }
 
-// From states all along the way through each scenario's view changes, every interleaving of
-// deliveries, syncs, ticks, writes, a crash and restarts up to a depth.
-func TestEveryInterleavingOfSmallChains(t *testing.T) {
+// Explores every interleaving of deliveries, syncs, ticks, writes, a crash and restarts up to a depth, from states along the path
+// through the view changes of each scenario.
+func TestInvariantsHoldInEveryInterleaving(t *testing.T) {
 	depth, stride := exploreDepth, pathStride
 	if raceEnabled {
 		depth, stride = raceDepth, 2*pathStride
@@ -645,16 +645,16 @@
 					t.Fatal(sc.violation)
 				}
 			}
-			t.Logf("%d states within %d actions of %d states on the way, %d view changes, %d acknowledged", states, depth, starts, views-first, acked)
+			t.Logf("%d states within %d actions of %d start states, %d view changes, %d entries acknowledged", states, depth, starts, views-first, acked)
 			if states < 200 || views == first {
-				t.Errorf("%d states, %d view changes: it proves little", states, views-first)
+				t.Errorf("got %d states and %d view changes, want at least 200 and 1 for a meaningful test", states, views-first)
 			}
 		})
 	}
 }
 
-// walk goes on from a scenario for long, at random: whole view changes, joins and crashes on the way.
-func TestLongWalksThroughViewChanges(t *testing.T) {
+// Takes long random walks from each scenario, through complete view changes, joins and crashes.
+func TestInvariantsHoldOnRandomWalksThroughViewChanges(t *testing.T) {
 	all := scenarios()
 	walks := 400
 	if raceEnabled {
@@ -686,9 +686,9 @@
 				}
 				views, acked = max(views, len(sc.views)), max(acked, len(sc.acked))
 			}
-			t.Logf("%d walks of 500 actions, up to %d views, %d acknowledged", walks, views, acked)
+			t.Logf("%d walks of 500 actions, up to %d views, %d entries acknowledged", walks, views, acked)
 			if views < 4 || acked < 2 {
-				t.Errorf("up to %d views and %d acknowledged: the walks prove little", views, acked)
+				t.Errorf("got up to %d views and %d acknowledged entries, want at least 4 and 2 for a meaningful test", views, acked)
 			}
 		})
 	}
@@ -696,7 +696,7 @@
 
 const crashInterval = 50
 
-// choices are the actions open at a moment, crashes and ticks kept rarer than deliveries.
+// randomActions returns the actions that are possible now. Crashes and ticks are offered less often than deliveries.
 func (sc *smallChain) randomActions(r uint64) []func(*smallChain) {
 	actions := []func(*smallChain){}
 	down := 0
@@ -748,6 +748,6 @@
 	}
 	node, err := NewNode(Options{Self: sc.members[0].member, Incarnation: "x"}, back, sc.nowUs)
 	if err != nil || node.LastIndex() != sc.members[0].node.LastIndex() || node.View().Number != sc.members[0].node.View().Number {
-		t.Fatal(err, node.LastIndex(), node.View())
+		t.Fatalf("got error %v, last index %d and view %v, want last index %d and view %v", err, node.LastIndex(), node.View(), sc.members[0].node.LastIndex(), sc.members[0].node.View())
 	}
 }
--- a/internal/controlplane/chain/foreign_message_test.go
+++ b/internal/controlplane/chain/foreign_message_test.go
@@ -8,7 +8,7 @@
 	"petreltide/internal/process/clock"
 )
 
-// foreignMessages are messages that must not be read: of another chain's members, and of a later version.
+// foreignMessages returns messages that must be rejected: from members of another chain, and of a later version.
 func foreignMessages(n *Node) map[string]Msg {
 	other := n.View()
 	other.Number, other.System = other.Number+1, "elsewhere-1"
@@ -17,28 +17,28 @@
 	from := other.Voters[0]
 	head := n.View().Replicas[0]
 	return map[string]Msg{
-		"a hello with a newer view":      {From: from, Incarnation: "x/1", Hello: &Hello{Member: from, Incarnation: "x/1", Phase: PhaseServing, View: other}},
-		"a hello with the same number":   {From: from, Incarnation: "x/1", Hello: &Hello{Member: from, Incarnation: "x/1", Phase: PhaseStandby, View: View{Number: n.View().Number, System: "elsewhere-1"}, SnapshotIndex: 1}},
-		"a hello that has accepted":      {From: from, Incarnation: "x/1", Hello: &Hello{Member: from, Incarnation: "x/1", AcceptedProposal: &AcceptedProposal{View: other}}},
-		"an accept":                      {From: from, Incarnation: "x/1", Accept: &Accept{Number: other.Number, Ballot: Ballot{Round: 99, Proposer: from.ID}, View: other}},
-		"a promise of something decided": {From: from, Incarnation: "x/1", Promise: &Promise{Number: other.Number, OK: true, AcceptedProposal: &AcceptedProposal{View: other}}},
-		"a hello of a later version":     {Version: MessageVersion + 1, From: head.Member, Incarnation: "later", Hello: &Hello{Member: head.Member, Incarnation: "later", View: View{Number: 99, Voters: other.Voters}}},
-		"an entry of a later version":    {Version: MessageVersion + 1, From: head.Member, Incarnation: head.Incarnation, Forward: &Forward{View: n.View().Number, Entries: []Entry{{Index: n.LastIndex() + 1}}}},
-		"an order of a later version":    {Version: MessageVersion + 1, From: head.Member, Incarnation: head.Incarnation, Submit: &statemachine.Change{ID: "later"}},
+		"a hello with a newer view":       {From: from, Incarnation: "x/1", Hello: &Hello{Member: from, Incarnation: "x/1", Phase: PhaseServing, View: other}},
+		"a hello with the same number":    {From: from, Incarnation: "x/1", Hello: &Hello{Member: from, Incarnation: "x/1", Phase: PhaseStandby, View: View{Number: n.View().Number, System: "elsewhere-1"}, SnapshotIndex: 1}},
+		"a hello with a foreign proposal": {From: from, Incarnation: "x/1", Hello: &Hello{Member: from, Incarnation: "x/1", AcceptedProposal: &AcceptedProposal{View: other}}},
+		"an accept":                       {From: from, Incarnation: "x/1", Accept: &Accept{Number: other.Number, Ballot: Ballot{Round: 99, Proposer: from.ID}, View: other}},
+		"a promise of a foreign proposal": {From: from, Incarnation: "x/1", Promise: &Promise{Number: other.Number, OK: true, AcceptedProposal: &AcceptedProposal{View: other}}},
+		"a hello of a later version":      {Version: MessageVersion + 1, From: head.Member, Incarnation: "later", Hello: &Hello{Member: head.Member, Incarnation: "later", View: View{Number: 99, Voters: other.Voters}}},
+		"an entry of a later version":     {Version: MessageVersion + 1, From: head.Member, Incarnation: head.Incarnation, Forward: &Forward{View: n.View().Number, Entries: []Entry{{Index: n.LastIndex() + 1}}}},
+		"a submit of a later version":     {Version: MessageVersion + 1, From: head.Member, Incarnation: head.Incarnation, Submit: &statemachine.Change{ID: "later"}},
 	}
 }
 
-// observedState is what a message changes in a member.
+// observedState returns the state of a member that a message may change.
 func observedState(n *Node) [6]any {
 	return [6]any{n.View().Number, n.LastIndex(), n.CommitIndex(), n.promisedBallot, n.acceptedProposal != nil, len(n.peers)}
 }
 
-// None of them changes anything, gets an answer, or is served from; each is told of as a typed fault.
+// A foreign message or one of a later version changes no state and gets no answer; it is reported as a typed fault.
 func TestForeignAndNewerMessagesAreRejected(t *testing.T) {
 	tc := newSettledCluster(t, 1, 3, 3)
 	for _, s := range tc.members {
 		if s.node.View().System == "" {
-			t.Fatalf("%s belongs to no chain", s.member.ID)
+			t.Fatalf("%s: got no system in its view, want one", s.member.ID)
 		}
 		for name, m := range foreignMessages(s.node) {
 			before := observedState(s.node)
@@ -48,7 +48,7 @@
 				if rejected, ok := e.(MessageRejected); ok {
 					rejection = rejected.Fault
 				} else {
-					t.Errorf("%s, %s: %+v", s.member.ID, name, e)
+					t.Errorf("%s, %s: got effect %+v, want only MessageRejected", s.member.ID, name, e)
 				}
 			}
 			want := fault.ForeignMember
@@ -56,14 +56,14 @@
 				want = fault.UnknownFormat
 			}
 			if rejection == nil || rejection.Code != want || observedState(s.node) != before {
-				t.Errorf("%s, %s: fault %v, %v before, %v after", s.member.ID, name, rejection, before, observedState(s.node))
+				t.Errorf("%s, %s: got fault %v and state %v, want code %v and state %v", s.member.ID, name, rejection, observedState(s.node), want, before)
 			}
 		}
 	}
-	tc.requireSettled(5*clock.Sec, "afterwards")
+	tc.requireSettled(5*clock.Sec, "after rejected messages")
 }
 
-// The check must be able to fail: read all the same, a foreign hello takes the member out of its chain.
+// A mutation that bypasses the check: without a system name a foreign hello is accepted and installs its view.
 func TestUncheckedForeignHelloWouldInstallItsView(t *testing.T) {
 	tc := newSettledCluster(t, 1, 3, 3)
 	n := tc.members[0].node
@@ -71,17 +71,17 @@
 	hello := foreignMessages(n)["a hello with a newer view"]
 	hello.Hello.View.System = ""
 	if n.Step(tc.nowUs, MessageReceived{Msg: &hello}); n.View().Number == before {
-		t.Fatal("a hello without a chain's name is not read either: the check proves nothing")
+		t.Fatalf("view %d is kept after a foreign hello without a system name, so the rejection test proves nothing", before)
 	}
 }
 
-// A chain that was founded before names were kept goes on, and its members read each other.
+// A chain that was founded before views had a system name continues to work, and its members accept the messages of each other.
 func TestChainWithoutSystemNameAcceptsItsMembers(t *testing.T) {
 	n := &Node{view: View{Number: 3}}
 	if n.isForeign(View{Number: 4, System: "a-1"}) || n.isForeign(View{Number: 4}) {
-		t.Error("a chain without a name takes its own members for foreign")
+		t.Error("a view without a system name treats views of its own chain as foreign")
 	}
 	if named := (&Node{view: View{Number: 3, System: "a-1"}}); named.isForeign(View{}) || !named.isForeign(View{System: "b-1"}) {
-		t.Error("a fresh member is foreign, or another chain's is not")
+		t.Error("a view without a system is foreign, or a view of another system is not")
 	}
 }
--- a/internal/controlplane/chain/head_time.go
+++ b/internal/controlplane/chain/head_time.go
@@ -2,21 +2,22 @@
 
 import "petreltide/internal/process/clock"
 
-// headTime is a time stamp of the head, by the head's clock, and when it went by here, by this control node's own.
+// headTime is a time stamp by the head's clock, and when it was received here by this control node's clock.
 type headTime struct {
 	headUs     int64
 	receivedUs int64
 }
 
-// headTimeSpacingUs is how far apart noted stamps are: an echo counts from the last one noted before it.
+// headTimeSpacingUs is the minimum time between recorded time stamps. A confirmation counts from the last one recorded before it.
 const headTimeSpacingUs = 20 * clock.Ms
 
-// confirmationWindowUs is how long after a stamp went by here its echo makes this control node current.
+// confirmationWindowUs is how long after its receipt a confirmed time stamp makes this control node up to date.
 func (n *Node) confirmationWindowUs() int64 {
 	return n.opts.SuspectTimeoutUs + 2*n.opts.HeartbeatIntervalUs
 }
 
-// recordHeadTime takes a stamp of the head from the predecessor, to be passed on; false where it is no newer one.
+// recordHeadTime records a time stamp of the head that the predecessor forwarded, to be forwarded further. It reports whether
+// the stamp is newer than all before.
 func (n *Node) recordHeadTime(headUs int64) bool {
 	if headUs <= n.headTimeUs {
 		return false
@@ -33,8 +34,9 @@
 	return true
 }
 
-// confirmHeadTime takes the echo that the successor sends. It counts from when its stamp went by here, not from when it comes:
-// it may have lain in a link. An echo of what never went by here is none.
+// confirmHeadTime records that the tail has confirmed a time stamp, as reported by the successor. The confirmation counts from
+// when the stamp was forwarded here, not from when the confirmation arrives, as that may have been delayed in the network. A
+// stamp that was never forwarded here is ignored.
 func (n *Node) confirmHeadTime(headUs int64) {
 	if headUs <= n.confirmedHeadTimeUs || headUs > n.outgoingHeadTimeUs() {
 		return
--- a/internal/controlplane/chain/head_time_test.go
+++ b/internal/controlplane/chain/head_time_test.go
@@ -7,7 +7,7 @@
 	"petreltide/internal/process/clock"
 )
 
-// membersByPosition are the members of a chain of three in the order of their seats.
+// membersByPosition returns the members of a chain of three in chain order.
 func membersByPosition(tc *testCluster) (all [3]*testMember) {
 	for _, s := range tc.members {
 		all[s.node.position()] = s
@@ -15,7 +15,7 @@
 	return all
 }
 
-// holdAcks takes away what one control node tells another's chain, for as long as it is asked to, and returns it.
+// holdAcks withholds the Acks from one control node to another for a while, and returns them.
 func (tc *testCluster) holdAcks(from, to *testMember, us int64) (held []inFlightMessage) {
 	for endUs := tc.nowUs + us; tc.nowUs < endUs; {
 		tc.inFlight = slices.DeleteFunc(tc.inFlight, func(l inFlightMessage) bool {
@@ -30,7 +30,8 @@
 	return held
 }
 
-// Echoes that lay in a link while a control node was cut off say nothing of now, in whatever order they come.
+// Confirmations that were delayed in the network while a control node was partitioned do not make it up to date, in whatever order
+// they arrive.
 func TestDelayedHeadTimeConfirmationDoesNotCount(t *testing.T) {
 	for seed := range int64(10) {
 		for position := range 2 {
@@ -39,7 +40,7 @@
 			all := membersByPosition(tc)
 			isolated, next := all[position], all[position+1]
 			if !isolated.node.IsUpToDate(tc.nowUs) {
-				t.Fatalf("seed %d: in contact, place %d is not current", seed, position)
+				t.Fatalf("seed %d: the member at position %d is not up to date while connected", seed, position)
 			}
 			held := tc.holdAcks(next, isolated, 400*clock.Ms)
 			for _, s := range all {
@@ -47,27 +48,27 @@
 			}
 			tc.advance(3 * clock.Sec)
 			if isolated.node.IsUpToDate(tc.nowUs) || len(held) < 2 {
-				t.Fatalf("seed %d: cut off, place %d is current; %d messages are held", seed, position, len(held))
+				t.Fatalf("seed %d: got IsUpToDate %v at position %d while partitioned and %d messages held, want false and at least 2", seed, isolated.node.IsUpToDate(tc.nowUs), position, len(held))
 			}
 			for _, l := range held {
 				tc.step(isolated, MessageReceived{Msg: &l.msg})
 				if isolated.node.IsUpToDate(tc.nowUs) {
-					t.Fatalf("seed %d: an echo of %d ms ago makes place %d current", seed, (tc.nowUs-l.atUs)/clock.Ms, position)
+					t.Fatalf("seed %d: a confirmation from %d ms ago makes the member at position %d up to date", seed, (tc.nowUs-l.atUs)/clock.Ms, position)
 				}
 			}
 			tc.cutLinks = map[[2]string]bool{}
-			tc.requireSettled(20*clock.Sec, "back in contact")
+			tc.requireSettled(20*clock.Sec, "reconnected")
 			tc.advance(clock.Sec)
 			for _, s := range tc.members {
 				if !s.node.IsUpToDate(tc.nowUs) {
-					t.Errorf("seed %d: back in contact, %s is not current", seed, s.member.ID)
+					t.Errorf("seed %d: %s is not up to date after it reconnected", seed, s.member.ID)
 				}
 			}
 		}
 	}
 }
 
-// Time stamps of what was never sent count for nothing: neither an echo nor a lease can come from the future.
+// Time stamps that were never sent are ignored: neither a confirmation nor a lease may have a time stamp from the future.
 func TestHeadTimesFromTheFutureAreIgnored(t *testing.T) {
 	for _, us := range []int64{clock.Sec, 1 << 60, 1<<63 - 1} {
 		tc := newFleetTimedCluster(t, 1, 3)
@@ -77,7 +78,7 @@
 			n.confirmedHeadTimeUs, n.confirmedUs = 0, 0
 			tc.step(all[position], MessageReceived{Msg: &Msg{From: next.member, Incarnation: next.opts.Incarnation, Ack: &Ack{View: n.view.Number, SyncedIndex: n.LastIndex(), ConfirmedHeadTimeUs: tc.nowUs + us}}})
 			if n.confirmedHeadTimeUs != 0 || n.IsUpToDate(tc.nowUs) || n.IsHeadConfirmed(tc.nowUs) {
-				t.Errorf("an echo of %d from now is taken at place %d", us, position)
+				t.Errorf("a confirmation from %d us in the future is accepted at position %d", us, position)
 			}
 		}
 		tail := all[2].node
@@ -86,7 +87,7 @@
 			tc.step(all[2], MessageReceived{Msg: &Msg{From: s.member, Incarnation: s.opts.Incarnation, Lease: &Lease{View: tail.view.Number, SentUs: tc.nowUs + us, Granted: true}}})
 		}
 		if tail.IsTailReady(tc.nowUs) {
-			t.Errorf("a lease asked for %d from now is taken", us)
+			t.Errorf("a lease with a request time %d us in the future is accepted", us)
 		}
 	}
 }
--- a/internal/controlplane/chain/hello.go
+++ b/internal/controlplane/chain/hello.go
@@ -21,7 +21,7 @@
 	return all
 }
 
-// currentHello is what this process has to say of itself now.
+// currentHello returns the current status of this process.
 func (n *Node) currentHello() Hello {
 	h := Hello{
 		Member: n.opts.Self, Incarnation: n.opts.Incarnation, Phase: n.phase, View: n.view, LastIndex: n.lastIndex(), LastView: n.lastView(),
@@ -117,17 +117,17 @@
 	n.maybeRecoverVotes()
 }
 
-// sendHello tells a process that has just been met of this one, in place of the next round of hellos: a restarted
-// member takes no part in anything before it has heard the others. Whoever is answered knows this process from then
-// on, so that an answer is answered once at most.
+// sendHello answers the first hello of a process at once rather than with the next broadcast, as a restarted member takes no
+// part in the protocol before it has heard the others. The receiver knows this process from then on, so an answer is answered at
+// most once.
 func (n *Node) sendHello(to Member) {
 	h := n.currentHello()
 	h.KnownStarts = n.startsToSend(n.peers[to.ID])
 	n.send(to, Msg{Hello: &h})
 }
 
-// maybeRecoverVotes lets a restarted control node vote again only after it has heard the
-// other voters of this boot, or waited for those that do not come back.
+// maybeRecoverVotes lets a restarted control node vote again once every other voter has recorded its start, or once a quorum has
+// and VoteRecoveryTimeoutUs has passed.
 func (n *Node) maybeRecoverVotes() {
 	if n.votesRecovered || n.phase == PhaseBootstrap {
 		return
@@ -149,8 +149,8 @@
 	}
 }
 
-// handlePendingPrepare answers the request for a vote that came before this member had compared notes, as if it had been on its
-// way until now: whoever asked would ask again only after a while.
+// handlePendingPrepare answers the Prepare that arrived before this member had recovered its votes, as if it had been delayed in
+// the network: its proposer would retry only after PrepareTimeoutUs.
 func (n *Node) handlePendingPrepare() {
 	pending := n.pendingPrepare
 	n.pendingPrepare = nil
--- a/internal/controlplane/chain/join.go
+++ b/internal/controlplane/chain/join.go
@@ -1,7 +1,7 @@
 package chain
 
-// nextJoiner is a control node that may be seated now, behind a tail that holds the whole log: a member opens by what its
-// predecessor held as the view began.
+// nextJoiner returns a control node that can join the chain now as the new tail. The current tail must be caught up, as a member
+// counts as caught up with what its predecessor held at the start of the view.
 func (n *Node) nextJoiner() (Replica, bool) {
 	if !n.isCaughtUp(n.view.Tail()) {
 		return Replica{}, false
@@ -45,7 +45,8 @@
 	return true
 }
 
-// canReplaceVoter: a control node of a new identity may take the vote of a silent one of the same name.
+// canReplaceVoter reports whether a control node with a new ID may replace a voter of the same name, which is silent or which an
+// operator replaced.
 func (n *Node) canReplaceVoter(m Member) bool {
 	for _, v := range n.view.Voters {
 		if n.replacedVoter(m) == v.ID && v.ID != m.ID {
@@ -63,8 +64,9 @@
 	return p != nil && n.nowUs-p.lastHelloUs < spanUs
 }
 
-// nextVoters changes at most one vote. One that joins in a lost control node's place gets its vote with
-// its seat: between the two no second control node could be spared.
+// nextVoters returns the voters of the next view for an order of replicas; it changes at most one. A control node that replaces
+// a lost one becomes a voter in the same view as it becomes a replica: between two separate views no second loss could be
+// tolerated.
 func (n *Node) nextVoters(order []Replica) (voters []Member, extra int, changed bool) {
 	for _, s := range order {
 		if n.view.IsVoter(s.ID) {
@@ -94,8 +96,8 @@
 	return nil, 0, false
 }
 
-// autoVoters gives a newcomer the vote of one that is silent for good, or one of its own. A voter that
-// has fallen silent only now is waited for.
+// autoVoters makes a new replica a voter in place of a voter that is permanently silent, or in addition to the others. It changes
+// nothing while a voter has been silent only for a short time.
 func (n *Node) autoVoters(m Member) (voters []Member, extra int, changed bool) {
 	if n.nowUs-n.startedUs < 3*n.opts.SuspectTimeoutUs {
 		return nil, 0, false
@@ -125,7 +127,7 @@
 	return append(append([]Member(nil), n.view.Voters...), m), extra, true
 }
 
-// unreachableExtraVoter is a silent voter whose vote may go, as another was taken in beside it.
+// unreachableExtraVoter returns a silent voter that can be removed, as an extra voter was added beside it; "" if there is none.
 func (n *Node) unreachableExtraVoter() string {
 	if !n.opts.AutoMembership || n.nowUs-n.startedUs < 3*n.opts.SuspectTimeoutUs || n.view.ExtraVoters <= 0 || len(n.view.Voters) <= minVoters {
 		return ""
@@ -138,7 +140,8 @@
 	return ""
 }
 
-// offerSnapshot is the tail's: it has applied everything that was ever acknowledged.
+// offerSnapshot sends a snapshot to a control node that wants to join. The tail does this, as it has applied every entry that
+// was ever acknowledged.
 func (n *Node) offerSnapshot() {
 	if !n.IsTailReady(n.nowUs) || n.nowUs-n.snapshotOfferedUs < 2*n.opts.HelloIntervalUs+n.snapshotTransferUs() {
 		return
--- a/internal/controlplane/chain/join_test.go
+++ b/internal/controlplane/chain/join_test.go
@@ -6,8 +6,8 @@
 	"petreltide/internal/process/clock"
 )
 
-// A joiner is seated behind a tail that holds the whole log only: it takes what its predecessor holds as the view
-// begins for all that was acknowledged.
+// A joining member is added only behind a caught-up tail, as it treats the log of its predecessor at the start of the view as
+// everything that was acknowledged.
 func TestJoinerIsAddedOnlyBehindCaughtUpTail(t *testing.T) {
 	seat := func(id string) Replica {
 		return Replica{Member: Member{ID: id, Name: id, Addr: id}, Incarnation: id + "1"}
@@ -25,7 +25,7 @@
 		hear("b", Hello{Phase: PhaseServing, CaughtUp: whole, AlivePeers: []string{"a", "c"}})
 		hear("c", Hello{Phase: PhaseStandby, SnapshotIndex: 7, AlivePeers: []string{"a", "b"}})
 		if _, seated := n.nextJoiner(); seated != whole {
-			t.Errorf("the tail holds the whole log %v: the joiner is seated %v", whole, seated)
+			t.Errorf("tail caught up %v: got joiner added %v, want %v", whole, seated, whole)
 		}
 	}
 }
--- a/internal/controlplane/chain/lease.go
+++ b/internal/controlplane/chain/lease.go
@@ -11,14 +11,14 @@
 	n.handleAccept(m, *m.Accept)
 }
 
-// leaseGrant is the newest lease that this voter has given the tail of its view: until when it must count with it, and when
-// the tail asked for it, by the tail's clock.
+// leaseGrant is the newest lease that this voter has granted to the tail of its view: until when it may be valid, and when the
+// tail requested it, by the tail's clock.
 type leaseGrant struct {
 	untilUs int64
 	sentUs  int64
 }
 
-// leaseGuardEndUs is until when this voter accepts no view that ends a lease.
+// leaseGuardEndUs returns until when this voter accepts no view that ends the lease of the tail.
 func (n *Node) leaseGuardEndUs() int64 { return max(n.leaseGuardUs, n.grantedLease.untilUs) }
 
 func (n *Node) requestLease() {
@@ -53,8 +53,8 @@
 	n.send(m.From, Msg{Lease: &Lease{View: l.View, SentUs: l.SentUs, Granted: true}})
 }
 
-// handleLeaseRelease: the tail has given up what this voter granted it, so that nothing outlives a next view. A release that was
-// overtaken by a later request leaves that one's grant as it is.
+// handleLeaseRelease drops the lease that this voter granted, as the tail has released it and the next view need not wait for
+// its expiry. A release that arrives after a later request does not affect the grant for that request.
 func (n *Node) handleLeaseRelease(m Msg, l Lease) {
 	tail := n.view.Tail()
 	if m.From.ID != tail.ID || m.Incarnation != tail.Incarnation || l.SentUs < n.grantedLease.sentUs {
@@ -64,8 +64,8 @@
 	n.retryPendingAccept()
 }
 
-// releaseLease gives up the lease of a tail that is about to be put out of the view: the others need not wait for its
-// end. A tail that nobody can replace keeps it, and goes on answering.
+// releaseLease releases the lease of a tail that is about to be removed from the view, so that the others need not wait for its
+// expiry. A tail that cannot be replaced keeps its lease and continues to serve.
 func (n *Node) releaseLease() {
 	if !n.IsTail() || !n.isReplaceable() {
 		return
@@ -76,13 +76,14 @@
 	}
 }
 
-// awaitsReplacement: this tail waits to be put out. Where that does not happen it asks for its lease again.
+// awaitsReplacement reports whether this tail has released its lease and waits to be removed from the view. If it is not removed
+// within SuspectTimeoutUs it requests a lease again.
 func (n *Node) awaitsReplacement() bool {
 	return n.isDiskRefusing() && n.leaseReleasedUs > 0 && n.nowUs-n.leaseReleasedUs < n.opts.SuspectTimeoutUs
 }
 
-// isReplaceable says that the others can decide on a view without this member and serve in it: a quorum of voters is
-// heard beside it, and a member that holds the whole log is healthy.
+// isReplaceable reports whether the other members can decide on a view without this one and serve in it: a quorum of the voters
+// other than this one is alive, and another caught-up replica is healthy.
 func (n *Node) isReplaceable() bool {
 	heard := 0
 	for _, v := range n.view.Voters {
@@ -101,16 +102,16 @@
 	return false
 }
 
-// acceptedEndsLease: this voter has accepted a next view that ends the lease of the tail of now, and which may be decided
-// at any moment; a lease that is given now would outlive it.
+// acceptedEndsLease reports whether this voter has accepted a next view that ends the lease of the current tail. That view may
+// be decided at any moment, and a lease granted now would outlive the current view.
 func (n *Node) acceptedEndsLease() bool {
 	return n.acceptedProposal != nil && n.acceptedProposal.View.Number == n.view.Number+1 && n.endsTailLease(n.acceptedProposal.View)
 }
 
-// endsTailLease says that the lease of the tail of now must have run out before a next view is decided: the view has
-// another tail, or its voters could decide on another tail without any of those who gave the lease. A quorum of the
-// voters of now meets every quorum of the next ones where a vote only comes or goes, not where one takes another's
-// place; the tail itself, though, gives itself no lease of the view before.
+// endsTailLease reports whether the lease of the current tail must have expired before the next view is decided. That is so if
+// the next view has another tail, or if its voters could decide on another tail without any voter that granted the lease. Every
+// quorum of the current voters intersects every quorum of the next ones if a voter is only added or only removed, but not if one
+// voter replaces another. A tail that becomes a voter does not count, as it grants itself no lease of the view before.
 func (n *Node) endsTailLease(next View) bool {
 	currentTail, nextTail := n.view.Tail(), next.Tail()
 	if currentTail.ID != nextTail.ID || currentTail.Incarnation != nextTail.Incarnation {
@@ -119,7 +120,7 @@
 	return hasVoterNotIn(next, n.view, nextTail.ID) && hasVoterNotIn(n.view, next, "")
 }
 
-// hasVoterNotIn says that somebody votes in one view who does not in another; one member does not count.
+// hasVoterNotIn reports whether a view has a voter that another view has not; the member with the ID except is ignored.
 func hasVoterNotIn(v, other View, except string) bool {
 	for _, m := range v.Voters {
 		if m.ID != except && !other.IsVoter(m.ID) {
@@ -129,8 +130,9 @@
 	return false
 }
 
-// guardCarriedLease: a tail that stays keeps its lease as the votes change. Several such changes in a row could lead to
-// voters none of whom gave it; so whoever installs one waits as if it had given a lease then.
+// guardCarriedLease extends the lease guard when a view changes the voters and keeps the tail, which keeps its lease. After
+// several such changes in a row none of the voters may have granted that lease, so each member that installs such a view waits
+// as if it had granted a lease at that moment.
 func (n *Node) guardCarriedLease(next View) {
 	currentTail, nextTail := n.view.Tail(), next.Tail()
 	if currentTail.ID == nextTail.ID && currentTail.Incarnation == nextTail.Incarnation && n.view.Number > 0 && (hasVoterNotIn(next, n.view, "") || hasVoterNotIn(n.view, next, "")) {
--- a/internal/controlplane/chain/lease_release_test.go
+++ b/internal/controlplane/chain/lease_release_test.go
@@ -7,7 +7,7 @@
 	"petreltide/internal/process/clock"
 )
 
-// refuse lets a disk take no more bytes, from the next save of its member on.
+// refuseWrite makes a disk refuse all writes, from the next write of its member on.
 func (tc *testCluster) refuseWrite(s *testMember) {
 	for len(s.pendingSyncs) == 0 {
 		tc.advance(stepUs)
@@ -16,12 +16,12 @@
 	tc.step(s, PersistRefused{Seq: s.pendingSyncs[0].persist.Seq})
 }
 
-// A tail whose disk refuses gives its lease up: the others put it out and acknowledge again without waiting for the end
-// of it, as they do for any other seat.
+// A tail whose disk refuses writes releases its lease, so that the others remove it and acknowledge again without waiting for the
+// lease to expire, as they do for any other replica.
 func TestMemberWithRefusingDiskIsRemovedAtOnce(t *testing.T) {
 	for position := range 3 {
 		for seed := range int64(20) {
-			t.Run(fmt.Sprintf("seat %d, seed %d", position, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("position %d, seed %d", position, seed), func(t *testing.T) {
 				tc := newFleetTimedCluster(t, seed, 3)
 				tc.advance(seed * 7 * clock.Ms)
 				s := tc.memberAt(tc.members[0].node.View().Replicas[position].Addr)
@@ -30,19 +30,19 @@
 				tc.advance(400 * clock.Ms)
 				for _, other := range tc.members {
 					if v := other.node.View(); other != s && (v.HasReplica(s.member.ID) || len(v.Replicas) != 2) {
-						t.Errorf("%s has %v", other.member.ID, v.Replicas)
+						t.Errorf("%s: got replicas %v, want two without %s", other.member.ID, v.Replicas, s.member.ID)
 					}
 				}
 				if tc.lastAcked <= ackedBefore {
-					t.Error("nothing was acknowledged within 0.4 s")
+					t.Errorf("got last acknowledged index %d after 0.4 s, want more than %d", tc.lastAcked, ackedBefore)
 				}
 			})
 		}
 	}
 }
 
-// The same where links bring messages twice, late and out of their order, and disks come and go: no two tails are open,
-// and none is open without what was acknowledged.
+// The same with links that duplicate, delay and reorder messages, and disks that fail repeatedly: no two tails are ready, and none
+// is ready without every acknowledged entry.
 func TestLeaseReleaseOverLossyLinks(t *testing.T) {
 	for seed := range int64(60) {
 		tc := newFleetTimedCluster(t, seed, 3)
@@ -65,7 +65,7 @@
 	}
 }
 
-// Nobody can take the tail's place: it keeps its lease and goes on answering for as long as its voters grant it.
+// A tail that no other member can replace keeps its lease and continues to serve for as long as the voters grant the lease.
 func TestIrreplaceableTailKeepsItsLease(t *testing.T) {
 	tc := newFleetTimedCluster(t, 1, 3)
 	tail := tc.memberAt(tc.members[0].node.View().Tail().Addr)
@@ -79,12 +79,12 @@
 	for endUs := tc.nowUs + 3*clock.Sec; tc.nowUs < endUs; {
 		tc.advance(stepUs)
 		if !tail.node.IsTailReady(tc.nowUs) {
-			t.Fatalf("it is not open: waits for %q", tail.node.WaitReason())
+			t.Fatalf("%s is not ready as the tail: waits for %q", tail.member.ID, tail.node.WaitReason())
 		}
 	}
 }
 
-// newLeaseVoter is a voter of view 5, whose tail is another, and a way to hand it messages of that tail.
+// newLeaseVoter returns a voter of view 5, whose tail is c, and a function that delivers a message from another member to it.
 func newLeaseVoter(t *testing.T, me string) (n *Node, receive func(from string, m Msg) []Effect) {
 	seat := func(id string) Replica { return Replica{Member: Member{ID: id, Addr: id}, Incarnation: id + "1"} }
 	v := View{Number: 5, Replicas: []Replica{seat("a"), seat("b"), seat("c")}}
@@ -112,13 +112,13 @@
 		messages []Msg
 		accepts  bool
 	}{
-		"a lease":                           {"c", []Msg{lease(10)}, false},
+		"a request":                         {"c", []Msg{lease(10)}, false},
 		"released":                          {"c", []Msg{lease(10), release(20)}, true},
-		"released as it was asked for":      {"c", []Msg{lease(10), release(10)}, true},
-		"asked for again":                   {"c", []Msg{lease(10), release(20), lease(30)}, false},
-		"the release came late":             {"c", []Msg{lease(10), lease(30), release(20)}, false},
-		"the requests came in turned order": {"c", []Msg{lease(30), lease(10), release(20)}, false},
-		"an old request came late":          {"c", []Msg{release(20), lease(10)}, false},
+		"released when requested":           {"c", []Msg{lease(10), release(10)}, true},
+		"requested again":                   {"c", []Msg{lease(10), release(20), lease(30)}, false},
+		"the release arrived late":          {"c", []Msg{lease(10), lease(30), release(20)}, false},
+		"the requests arrived out of order": {"c", []Msg{lease(30), lease(10), release(20)}, false},
+		"an old request arrived late":       {"c", []Msg{release(20), lease(10)}, false},
 	} {
 		n, receive := newLeaseVoter(t, "a")
 		for _, m := range c.messages {
@@ -127,38 +127,38 @@
 		next := View{Number: 6, Voters: n.view.Voters, Replicas: n.view.Replicas[:2]}
 		receive("b", Msg{Accept: &Accept{Number: 6, Ballot: Ballot{Round: 1, Proposer: "b"}, View: next}})
 		if (n.acceptedProposal != nil) != c.accepts {
-			t.Errorf("%s: accepted %v", name, n.acceptedProposal != nil)
+			t.Errorf("%s: got accepted %v, want %v", name, n.acceptedProposal != nil, c.accepts)
 		}
 	}
 }
 
-// Only the tail of the view releases its lease.
+// A lease is released only by the tail of the current view.
 func TestLeaseReleaseOfOtherThanTailIsIgnored(t *testing.T) {
 	n, receive := newLeaseVoter(t, "a")
 	receive("c", Msg{Lease: &Lease{View: 5, SentUs: 10}})
 	receive("b", Msg{Lease: &Lease{View: 5, SentUs: 20, Released: true}})
 	receive("c", Msg{Lease: &Lease{View: 4, SentUs: 20, Released: true}})
 	if n.grantedLease.untilUs <= n.nowUs {
-		t.Error("its lease counts as released")
+		t.Errorf("got a lease until %d us at %d us, want the lease to be valid", n.grantedLease.untilUs, n.nowUs)
 	}
 }
 
-// A voter that accepts a next view once the lease is released does so at once, not with its next tick.
+// A voter that waits for a lease to end accepts the next view as soon as the lease is released, not at its next tick.
 func TestPendingViewIsAcceptedOnceLeaseIsReleased(t *testing.T) {
 	n, receive := newLeaseVoter(t, "a")
 	receive("c", Msg{Lease: &Lease{View: 5, SentUs: 10}})
 	next := View{Number: 6, Voters: n.view.Voters, Replicas: n.view.Replicas[:2]}
 	receive("b", Msg{Accept: &Accept{Number: 6, Ballot: Ballot{Round: 1, Proposer: "b"}, View: next}})
 	if n.acceptedProposal != nil || n.pendingAccept == nil {
-		t.Fatal("it does not wait")
+		t.Fatalf("got accepted %v and pending %v before the release, want false and true", n.acceptedProposal != nil, n.pendingAccept != nil)
 	}
 	receive("c", Msg{Lease: &Lease{View: 5, SentUs: 20, Released: true}})
 	if n.acceptedProposal == nil {
-		t.Error("it still waits")
+		t.Error("the next view is not accepted after the release")
 	}
 }
 
-// A tail takes up no grant that it asked for before it released its lease.
+// A tail ignores grants that it requested before it released its lease.
 func TestLeaseGrantFromBeforeReleaseIsIgnored(t *testing.T) {
 	n, receive := newLeaseVoter(t, "c")
 	n.phase = PhaseServing
@@ -167,12 +167,12 @@
 		receive(from, Msg{Lease: &Lease{View: 5, SentUs: 4 * clock.Sec, Granted: true}})
 	}
 	if n.leaseUntilUs != 0 {
-		t.Error("it has a lease")
+		t.Errorf("got a lease until %d us by a grant from before the release, want none", n.leaseUntilUs)
 	}
 	for _, from := range []string{"a", "b"} {
 		receive(from, Msg{Lease: &Lease{View: 5, SentUs: 4*clock.Sec + 1, Granted: true}})
 	}
 	if n.leaseUntilUs == 0 {
-		t.Error("it has no lease")
+		t.Error("got no lease by a grant from after the release, want one")
 	}
 }
--- a/internal/controlplane/chain/lease_yield_test.go
+++ b/internal/controlplane/chain/lease_yield_test.go
@@ -6,8 +6,8 @@
 	"petreltide/internal/process/clock"
 )
 
-// A voter that has accepted a next view with another tail gives the tail of now no lease, as the others may
-// decide at any moment; and where nobody brings that view to an end it takes it up itself.
+// A voter that has accepted a next view with another tail grants no lease to the current tail, as the others may decide that view
+// at any moment. If no other member completes the view, the voter proposes it itself.
 func TestVoterThatAcceptedAnotherTailGrantsNoLease(t *testing.T) {
 	seat := func(id string) Replica { return Replica{Member: Member{ID: id, Addr: id}, Incarnation: id + "1"} }
 	view := func(number uint64, order ...string) View {
@@ -28,13 +28,13 @@
 		next  View
 		lease bool
 	}{
-		"none accepted":        {View{}, true},
-		"the same tail":        {view(6, "a", "c"), true},
-		"a vote more":          {with(view(6, "a", "d", "c"), "a", "b", "c", "d"), true},
-		"a vote fewer":         {with(view(6, "a", "c"), "a", "c"), true},
-		"another's vote":       {with(view(6, "a", "d", "c"), "a", "c", "d"), false},
-		"another tail":         {view(6, "a", "b"), false},
-		"the tail's next life": {View{Number: 6, Voters: view(6).Voters, Replicas: []Replica{seat("a"), {Member: seat("c").Member, Incarnation: "c2"}}}, false},
+		"no view accepted":            {View{}, true},
+		"the same tail":               {view(6, "a", "c"), true},
+		"a voter added":               {with(view(6, "a", "d", "c"), "a", "b", "c", "d"), true},
+		"a voter removed":             {with(view(6, "a", "c"), "a", "c"), true},
+		"a voter replaced":            {with(view(6, "a", "d", "c"), "a", "c", "d"), false},
+		"another tail":                {view(6, "a", "b"), false},
+		"the tail's next incarnation": {View{Number: 6, Voters: view(6).Voters, Replicas: []Replica{seat("a"), {Member: seat("c").Member, Incarnation: "c2"}}}, false},
 	} {
 		v := view(5, "a", "b", "c")
 		n, err := NewNode(Options{Self: seat("a").Member, Incarnation: "a1"}, []Record{{View: &v}, {CaughtUpView: 5}}, clock.Sec)
@@ -50,7 +50,7 @@
 		if c.next.Number > 0 {
 			receive("b", Msg{Accept: &Accept{Number: 6, Ballot: Ballot{Round: 1, Proposer: "b"}, View: c.next}})
 			if n.acceptedProposal == nil {
-				t.Fatalf("%s: not accepted", name)
+				t.Fatalf("%s: the next view is not accepted", name)
 			}
 		}
 		granted := false
@@ -59,7 +59,7 @@
 			granted = granted || (ok && send.Msg.Lease != nil && send.Msg.Lease.Granted)
 		}
 		if granted != c.lease {
-			t.Errorf("%s: a lease is given: %v", name, granted)
+			t.Errorf("%s: got lease granted %v, want %v", name, granted, c.lease)
 		}
 		proposed := false
 		for endUs := nowUs + 3*n.opts.SuspectTimeoutUs; nowUs < endUs && !c.lease; nowUs += 25 * clock.Ms {
@@ -69,7 +69,7 @@
 			}
 		}
 		if proposed == c.lease {
-			t.Errorf("%s: it takes the next view up: %v", name, proposed)
+			t.Errorf("%s: got next view proposed %v, want %v", name, proposed, !c.lease)
 		}
 	}
 }
--- a/internal/controlplane/chain/lossy_links_test.go
+++ b/internal/controlplane/chain/lossy_links_test.go
@@ -7,7 +7,7 @@
 	"petreltide/internal/process/clock"
 )
 
-// injectFaults does one thing to a chain and takes it back.
+// injectFaults injects one random fault into a chain and reverts it.
 func (tc *testCluster) injectFaults() {
 	live := tc.remainingMembers()
 	s := live[tc.r.Intn(len(live))]
@@ -58,10 +58,10 @@
 	tc.advance(tc.r.Int63n(2 * clock.Sec))
 }
 
-// Messages of every kind come twice, late and out of their order, as posts that were given up, and copies that go beside
-// the others, may bring them; processes stand still and go on, at any moment. One chain, nothing acknowledged is lost,
-// and in the end all are in it.
-func TestSeededLossyLinksAndPauses(t *testing.T) {
+// Messages of every kind are duplicated, delayed and reordered, as happens with requests that timed out and with snapshots that
+// are sent beside other messages. Processes are paused and resumed at any moment. There is one chain, no acknowledged entry is
+// lost, and finally all members have joined.
+func TestChainSurvivesLossyLinksAndPauses(t *testing.T) {
 	seeds := int64(lossyLinkSeeds * exploreFactor())
 	if raceEnabled {
 		seeds = 6
@@ -74,16 +74,17 @@
 			for _, s := range tc.members {
 				tc.start(s, true)
 			}
-			tc.requireSettled(60*clock.Sec, "founding")
+			tc.requireSettled(60*clock.Sec, "bootstrap")
 			for range 20 {
 				tc.injectFaults()
 			}
-			tc.requireSettled(60*clock.Sec, "in the end")
+			tc.requireSettled(60*clock.Sec, "finally")
 			if len(tc.views) < 4 || tc.lastAcked < 50 {
-				t.Errorf("%d views, %d acknowledged: it proves little", len(tc.views), tc.lastAcked)
+				t.Errorf("got %d views and last acknowledged index %d, want at least 4 and 50 for a meaningful test", len(tc.views), tc.lastAcked)
 			}
 		})
 	}
 }
 
+// lossyLinkSeeds is the number of seeds without PETRELTIDE_EXPLORE.
 const lossyLinkSeeds = 60
--- a/internal/controlplane/chain/membership.go
+++ b/internal/controlplane/chain/membership.go
@@ -5,7 +5,7 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// minVoters: with fewer, the loss of one would stop the chain.
+// minVoters is the minimum number of voters: with fewer, the loss of one would stop the chain.
 const minVoters = 3
 
 func (n *Node) memberChange(act statemachine.MembershipAction) *statemachine.MembershipChange {
@@ -15,7 +15,7 @@
 	return nil
 }
 
-// replacedVoter is the identity whose vote a newcomer of the same name is ordered to take.
+// replacedVoter returns the ID of the voter that a new control node of the same name replaces by an operator's command, or "".
 func (n *Node) replacedVoter(m Member) string {
 	if o := n.memberChange(statemachine.ReplaceMember); o != nil && o.Name == m.Name && o.ID != m.ID {
 		return o.ID
@@ -23,7 +23,7 @@
 	return ""
 }
 
-// isBeingAdded: the operators ordered a control node of this name to be taken in, and none of it votes yet.
+// isBeingAdded reports whether an operator added a control node of this name, and no control node of the name is a voter yet.
 func (n *Node) isBeingAdded(m Member) bool {
 	if o := n.memberChange(statemachine.AddMember); o == nil || o.Name != m.Name {
 		return false
@@ -36,13 +36,13 @@
 	return true
 }
 
-// isBeingRemoved: an identity that is ordered out gets no seat again.
+// isBeingRemoved reports whether an operator removed the member of this ID. It does not join the chain again.
 func (n *Node) isBeingRemoved(id string) bool {
 	o := n.memberChange(statemachine.RemoveMember)
 	return o != nil && o.ID == id
 }
 
-// canRemoveMember: the one ordered out can go without leaving too few votes or too few copies.
+// canRemoveMember reports whether the member that an operator removed can go without leaving too few voters or replicas.
 func (n *Node) canRemoveMember() bool {
 	o := n.memberChange(statemachine.RemoveMember)
 	if o == nil || (!n.view.IsVoter(o.ID) && !n.view.HasReplica(o.ID)) {
@@ -60,13 +60,13 @@
 	return holders >= 2 && n.hasCaughtUpHeadWithout(o.ID)
 }
 
-// hasCaughtUpHeadWithout: a member that has everything comes first also once this one is gone.
+// hasCaughtUpHeadWithout reports whether the chain still has a caught-up head once this member is removed.
 func (n *Node) hasCaughtUpHeadWithout(id string) bool {
 	order := withoutReplica(n.view.Replicas, id)
 	return len(order) > 0 && n.isCaughtUp(order[0])
 }
 
-// MemberChangeDone says that the order about members that stands is carried out in this view.
+// MemberChangeDone reports whether the current membership command is carried out in this view.
 func (n *Node) MemberChangeDone() bool {
 	o := n.state.Membership
 	if o == nil || !n.isServing() {
@@ -83,29 +83,29 @@
 	return !n.view.IsVoter(o.ID) && !n.view.HasReplica(o.ID)
 }
 
-// MemberChangeWaitReason says, in words, what the order about members waits for.
+// MemberChangeWaitReason describes what the current membership command waits for; "" if it waits for nothing.
 func (n *Node) MemberChangeWaitReason() string {
 	o := n.state.Membership
 	switch {
 	case o == nil || n.MemberChangeDone():
 		return ""
 	case o.Action == statemachine.AddMember:
-		return "an empty control node named " + o.Name + " that holds a copy and hears every member"
+		return "an empty control node named " + o.Name + " that holds a snapshot and hears every member"
 	case o.Action == statemachine.ReplaceMember:
-		return "an empty control node named " + o.Name + ", beside or in place of " + o.ID + ", that holds a copy and hears every member"
+		return "an empty control node named " + o.Name + ", beside or in place of " + o.ID + ", that holds a snapshot and hears every member"
 	case len(n.view.Voters) <= minVoters:
-		return "another vote: without " + o.ID + " fewer than three would be left"
+		return "another voter: without " + o.ID + " fewer than three would be left"
 	}
-	return "two other members that hold the whole log"
+	return "two other members that hold the complete log"
 }
 
-// ResolveMemberChange finds the identity an order is about, or the reason for which it must not be taken.
+// ResolveMemberChange sets the member ID that a membership command is about, or returns why the command must be rejected.
 func (n *Node) ResolveMemberChange(m *statemachine.MembershipChange, evenAlive bool) *fault.Fault {
 	mismatch := func(format string, args ...any) *fault.Fault {
 		return fault.New(fault.MembershipMismatch, "name", format, args...)
 	}
 	if n.view.Number == 0 || n.phase != PhaseServing {
-		return fault.New(fault.NotServing, "", "this control node has no seat now: ask another")
+		return fault.New(fault.NotServing, "", "this control node has no position in the chain now: ask another")
 	}
 	var voter *Member
 	for i, v := range n.view.Voters {
@@ -118,15 +118,15 @@
 		return nil
 	case statemachine.AddMember:
 		if voter != nil {
-			return mismatch("a control node named %q has a vote already, as %s", m.Name, voter.ID)
+			return mismatch("a control node named %q is already a voter, as %s", m.Name, voter.ID)
 		}
 		if m.Name == "" || len(m.Name) > 64 {
-			return mismatch("%q is no name for a control node", m.Name)
+			return mismatch("%q is not a valid name for a control node", m.Name)
 		}
 		return nil
 	case statemachine.ReplaceMember, statemachine.RemoveMember:
 		if voter == nil {
-			return mismatch("no control node named %q has a vote", m.Name)
+			return mismatch("no control node named %q is a voter", m.Name)
 		}
 		m.ID = voter.ID
 	default:
@@ -134,12 +134,12 @@
 	}
 	if m.Action == statemachine.ReplaceMember {
 		if n.view.HasReplica(voter.ID) && !evenAlive {
-			return mismatch("%s is alive and has its seat: say --even-alive to replace it all the same", voter.ID)
+			return mismatch("%s is alive and serving in the chain: use --even-alive to replace it anyway", voter.ID)
 		}
 		return nil
 	}
 	if len(n.view.Voters) <= minVoters {
-		return mismatch("fewer than three votes would be left: add a control node first")
+		return mismatch("fewer than three voters would be left: add a control node first")
 	}
 	others := 0
 	for _, s := range n.view.Replicas {
@@ -148,7 +148,7 @@
 		}
 	}
 	if others < 2 {
-		return mismatch("%s holds one of the last two safe copies", voter.ID)
+		return mismatch("%s holds one of the last two complete replicas", voter.ID)
 	}
 	return nil
 }
--- a/internal/controlplane/chain/message.go
+++ b/internal/controlplane/chain/message.go
@@ -2,12 +2,12 @@
 
 import "petreltide/internal/controlplane/statemachine"
 
-// CarriesSnapshot says that a message carries a whole state and must not hold up others.
+// CarriesSnapshot reports whether a message carries a whole state, and so must not delay other messages.
 func (m *Msg) CarriesSnapshot() bool {
 	return m != nil && (m.InstallSnapshot != nil || (m.Forward != nil && m.Forward.Snapshot != nil))
 }
 
-// Hello is what a process tells all others of itself at a steady pace.
+// Hello is the status of a process, which it sends to all other control nodes periodically.
 type Hello struct {
 	Member           Member            `json:"me"`
 	Incarnation      string            `json:"inc"`
@@ -24,21 +24,21 @@
 	Founders         []Member          `json:"founders,omitempty"`
 	SnapshotIndex    uint64            `json:"copyIndex,omitempty"`
 	FirstStart       bool              `json:"first,omitempty"`
-	// ShuttingDown says that this process has been told to end.
+	// ShuttingDown reports that this process was asked to shut down.
 	ShuttingDown bool `json:"leaving,omitempty"`
-	// Start is the number of this process among those of its member; 0 in versions that have none.
+	// Start is the start number of this process among those of its member; 0 in versions without start numbers.
 	Start uint64 `json:"start,omitempty"`
-	// KnownStarts are the newest processes of other members, as far as they are news to whom this is sent.
+	// KnownStarts are the newest processes of other members, by member ID; left out when the receiver needs none (startsToSend).
 	KnownStarts map[string]KnownStart `json:"knownStarts,omitempty"`
 }
 
-// Prepare asks a voter to promise that it accepts nothing under a lower ballot for the view of this number.
+// Prepare asks a voter to promise that it accepts no proposal with a lower ballot for the view of this number.
 type Prepare struct {
 	Number uint64 `json:"number"`
 	Ballot Ballot `json:"ballot"`
 }
 
-// Promise answers a Prepare, with what the voter has accepted before.
+// Promise answers a Prepare, with the proposal that the voter has accepted before.
 type Promise struct {
 	Number           uint64            `json:"number"`
 	Ballot           Ballot            `json:"ballot"`
@@ -61,7 +61,7 @@
 	OK     bool   `json:"ok"`
 }
 
-// Forward carries entries, or a copy of the state, from a member to its successor; without either it is a heartbeat.
+// Forward carries entries or a snapshot from a member to its successor; with neither it is a heartbeat.
 type Forward struct {
 	View       uint64    `json:"view"`
 	PrevIndex  uint64    `json:"prev"`
@@ -72,7 +72,7 @@
 	HeadTimeUs int64     `json:"sentUs"`
 }
 
-// Ack tells the predecessor what is synced here and what the tail has committed.
+// Ack reports to the predecessor the last entry that is synced here and the commit index.
 type Ack struct {
 	View                uint64 `json:"view"`
 	SyncedIndex         uint64 `json:"last"`
@@ -80,8 +80,8 @@
 	ConfirmedHeadTimeUs int64  `json:"echoUs"`
 }
 
-// Lease asks a voter for the tail's lease, grants it, or releases it: then the tail uses no grant that it asked for at
-// HeadTimeUs or before.
+// Lease requests the tail's lease from a voter, grants it, or releases it. After a release the tail uses no grant that it
+// requested at SentUs or before.
 type Lease struct {
 	View     uint64 `json:"view"`
 	SentUs   int64  `json:"sentUs"`
@@ -89,20 +89,20 @@
 	Released bool   `json:"released,omitempty"`
 }
 
-// InstallSnapshot carries a copy of the state from the tail to a control node that has no seat.
+// InstallSnapshot carries a snapshot from the tail to a control node that has no position in the chain.
 type InstallSnapshot struct {
 	View        uint64   `json:"view"`
 	Incarnation string   `json:"inc"`
 	Snapshot    Snapshot `json:"copy"`
 }
 
-// MessageVersion is the newest form of a message that this version reads. A message of a later one is refused as a
-// whole: what it means cannot be known.
+// MessageVersion is the newest message version that this release reads. A message of a later version is rejected as a whole,
+// as its meaning is unknown.
 const MessageVersion = 0
 
 // Msg is one message between control nodes; exactly one of its pointers after ToID is set.
 type Msg struct {
-	// Version is left out as long as it is 0.
+	// Version is omitted while it is 0.
 	Version         int                  `json:"form,omitempty"`
 	From            Member               `json:"from"`
 	Incarnation     string               `json:"inc"`
--- a/internal/controlplane/chain/node.go
+++ b/internal/controlplane/chain/node.go
@@ -6,92 +6,97 @@
 	"petreltide/internal/process/clock"
 )
 
-// proposalDelayUs is how long each healthy member before this one in the chain delays its proposal of a view, so that one
-// proposes and the others find it done.
+// proposalDelayUs is the delay of a member's proposal of a view for each healthy member before it in the chain, so that one
+// member proposes the view and the others find it decided.
 const proposalDelayUs = 250 * clock.Ms
 
-// Node is one control node's part of the chain and of the agreement on its view. It is not safe for concurrent use.
+// Node is the state of one control node in the chain and in the agreement on the view. It is not safe for concurrent use.
 type Node struct {
 	opts    Options
 	phase   Phase
 	effects []Effect
 
-	// Time. All of it is that of the events, in microseconds.
+	// Time, in microseconds. It advances with the times of the events only.
 
-	// nowUs is the time of the event in hand, startedUs that of NewNode.
+	// nowUs is the time of the current event, startedUs that of NewNode.
 	nowUs, startedUs int64
-	// awakeUs is for how long this process has run, but for times when it stood still: of each at most half of SuspectTimeoutUs
-	// counts. Silence is measured by it, as what came meanwhile may be read only after the next tick.
+	// awakeUs is how long this process has run. Of a gap between two events, such as a pause of the process, at most half of
+	// SuspectTimeoutUs counts. The silence of other members is measured by it, as messages that arrived during a pause may be
+	// processed only after the next tick.
 	awakeUs int64
 
 	// The view and the agreement on the next one, by single-decree Paxos among the voters.
 
 	view View
-	// promisedBallot and acceptedProposal are the acceptor's state; both are on disk before they are told of.
+	// promisedBallot and acceptedProposal are the acceptor's state; both are persisted before they are reported to a proposer.
 	promisedBallot   Ballot
 	acceptedProposal *AcceptedProposal
-	// votesRecovered: since its restart this voter has compared ballots and log with a majority, and may vote.
+	// votesRecovered means that this voter has compared ballots and logs with a majority since its restart, and may vote.
 	votesRecovered bool
-	// proposal is the proposer's state while this node proposes a view; maxRound is the highest round that was seen.
+	// proposal is the proposer's state while this node proposes a view; maxRound is the highest round seen.
 	proposal *proposal
 	maxRound uint64
-	// pendingPrepare is the newest Prepare that came before votesRecovered; pendingAccept is an Accept that waits for a
-	// lease to end.
+	// pendingPrepare is the newest Prepare received before votesRecovered; pendingAccept is an Accept that waits for a lease to
+	// expire.
 	pendingPrepare, pendingAccept *Msg
-	// undecidedSinceUs is since when a next view that was accepted here waits for somebody to finish it.
+	// undecidedSinceUs is since when a next view that was accepted here has had no proposer that completes it.
 	undecidedSinceUs int64
-	// viewInstalledUs is when the view was installed here, viewStableUs when it was last found to need no change.
+	// viewInstalledUs is when the view was installed here, viewStableUs when it last needed no change.
 	viewInstalledUs, viewStableUs int64
 
-	// The log and the state that its committed entries make.
+	// The log and the state machine.
 
-	// base is the index and view that the log goes on from; entries follow it.
+	// base is the index and view that precede entries; its State is nil.
 	base    Snapshot
 	entries []Entry
 	state   *statemachine.State
-	// commitIndex, syncedIndex and stagedIndex are the last entries that are committed, synced here, and given to the disk.
+	// commitIndex, syncedIndex and stagedIndex are the indexes of the last entries that are committed, synced here, and handed to
+	// the disk.
 	commitIndex, syncedIndex, stagedIndex uint64
-	// snapshotIndex is that of a snapshot which this joiner has installed; 0 without one.
+	// snapshotIndex is the index of the snapshot that this joining node has installed; 0 without one.
 	snapshotIndex uint64
-	// logBytes is the size of the log on disk, compactedLogBytes that after the last snapshot.
+	// logBytes is the size of the log on disk, compactedLogBytes its size after the last compaction.
 	logBytes, compactedLogBytes int64
-	// caughtUp: the log holds all that the predecessor's held as the view began, and so all that was ever acknowledged.
+	// caughtUp means that the log holds every entry of the predecessor's log as of the start of the view, and so every entry that
+	// was ever acknowledged.
 	caughtUp bool
-	// viewStartIndex is the last entry of the predecessor's log as the view began; it is known once the predecessor has told.
+	// viewStartIndex is the last index of the predecessor's log as of the start of the view; viewStartKnown is set once the
+	// predecessor has reported it.
 	viewStartIndex uint64
 	viewStartKnown bool
-	// successorProgress is how far the successor's log is.
+	// successorProgress is the replication progress of the successor.
 	successorProgress progress
-	// tailCommitIndex is what the tail of this view has told of its commit.
+	// tailCommitIndex is the highest commit index that the tail of this view has reported.
 	tailCommitIndex uint64
-	// initialIndex is the last entry of the log as the view was installed; initialized is Initialized, once it was true.
+	// initialIndex is the last index of the log when the view was installed; initialized is Initialized, once it was true.
 	initialIndex uint64
 	initialized  bool
 
 	// The disk.
 
-	// persistSeq numbers the saves, pendingWrites are those that the disk has not reported.
+	// persistSeq is the Seq of the last Persist; pendingWrites are those that are not yet reported as synced, by Seq.
 	persistSeq    uint64
 	pendingWrites map[uint64]*pendingWrite
-	// diskLaggedUs is when the own disk was last behind with a sync.
+	// diskLaggedUs is when isDiskLagging was last observed to hold.
 	diskLaggedUs int64
 
-	// Leases and the head's confirmation.
+	// Leases and the confirmation of the head's time stamps.
 
-	// leaseGrants are until when each voter's lease to this tail holds; leaseUntilUs is until when a majority's do.
+	// leaseGrants are the request times of the newest lease that each voter has granted to this tail, by voter ID; leaseUntilUs
+	// is when the lease of a majority expires.
 	leaseGrants  map[string]int64
 	leaseUntilUs int64
-	// grantedLease is the newest lease that this voter gave.
+	// grantedLease is the newest lease that this voter granted.
 	grantedLease leaseGrant
-	// leaseGuardUs is until when leases may last that were given before this view or by an earlier process of this member.
+	// leaseGuardUs is until when leases may be valid that were granted before this view or by an earlier process of this member.
 	leaseGuardUs int64
-	// leaseReleasedUs is when this process last gave its lease up as the tail.
+	// leaseReleasedUs is when this process, as the tail, last released its lease.
 	leaseReleasedUs int64
-	// headTimeUs is the newest time stamp of the head that came down the chain, confirmedHeadTimeUs the newest that came
-	// back from the tail.
+	// headTimeUs is the newest time stamp of the head received from the predecessor, confirmedHeadTimeUs the newest one that the
+	// tail has confirmed.
 	headTimeUs, confirmedHeadTimeUs int64
-	// headTimes are the head's time stamps that went by here of late, and confirmedUs is when the one whose echo is the
-	// newest did: the tail had its lease after that.
+	// headTimes are the head's time stamps that were recently forwarded here. confirmedUs is when the newest confirmed one was
+	// forwarded: the tail held its lease after that.
 	headTimes   []headTime
 	confirmedUs int64
 
@@ -99,39 +104,39 @@
 
 	peers      map[string]*peer
 	knownAddrs map[string]bool
-	// startNumber orders this process among those of its member. knownStarts are the newest processes of the others;
-	// startsChangedUs is when one of them last changed.
+	// startNumber is the number of this process among those of its member. knownStarts are the newest processes of the other
+	// members; startsChangedUs is when one of them last changed.
 	startNumber     uint64
 	knownStarts     map[string]knownStart
 	startsChangedUs int64
-	// diskIncarnations are the processes that have run on this disk since its newest view; incarnationSeq is the save that
-	// adds this one, incarnationSynced says that it is on the disk.
+	// diskIncarnations are the processes that have run on this disk since its newest view; incarnationSeq is the Persist that
+	// adds this process, and incarnationSynced says that it is synced.
 	diskIncarnations  []string
 	incarnationSeq    uint64
 	incarnationSynced bool
-	// founders are the members that this node founds a chain with; bootstrapPersisted says that their addresses have been
-	// given to the disk.
+	// founders are the members that this node founds a chain with; bootstrapPersisted says that their addresses were handed to
+	// the disk.
 	founders           []Member
 	bootstrapPersisted bool
-	// helloSentUs, heartbeatSentUs and snapshotOfferedUs are when each was last sent.
+	// helloSentUs, heartbeatSentUs and snapshotOfferedUs are when a hello, a heartbeat and a snapshot were last sent.
 	helloSentUs, heartbeatSentUs, snapshotOfferedUs int64
-	// shuttingDown is set once this process has been told to end.
+	// shuttingDown is set once this process was asked to shut down.
 	shuttingDown bool
 }
 
-// progress is how far this member knows its successor's log to be.
+// progress is the replication progress of the successor as known to this member.
 type progress struct {
-	// known is false until the successor has acknowledged something in this view.
+	// known is false until the successor has sent an Ack in this view.
 	known bool
-	// acked is the last entry that the successor has synced, sent the last one that was sent to it.
+	// acked is the index of the last entry that the successor has synced, sent that of the last one sent to it.
 	acked, sent uint64
-	// snapshotIndex is that of a snapshot which was sent in place of entries; 0 without one.
+	// snapshotIndex is the index of the snapshot that was sent in place of entries; 0 without one.
 	snapshotIndex uint64
-	// advancedUs is when acked last rose, or something was sent with nothing outstanding.
+	// advancedUs is when acked last increased, or entries were sent with none outstanding.
 	advancedUs int64
 }
 
-// NewNode begins with what the disk holds.
+// NewNode returns a Node with the state of the records that the disk holds. It fails if a snapshot has no state.
 func NewNode(opts Options, records []Record, nowUs int64) (*Node, error) {
 	n := &Node{
 		opts: opts.withDefaults(), phase: PhaseBootstrap, state: statemachine.NewState(), nowUs: nowUs, startedUs: nowUs,
@@ -160,7 +165,7 @@
 			}
 		case r.Snapshot != nil:
 			if r.Snapshot.State == nil {
-				return nil, fault.New(fault.DamagedData, "copy", "the copy at %d holds no state", r.Snapshot.Index)
+				return nil, fault.New(fault.DamagedData, "copy", "the snapshot at index %d has no state", r.Snapshot.Index)
 			}
 			n.base = Snapshot{Index: r.Snapshot.Index, View: r.Snapshot.View}
 			n.entries = nil
@@ -188,7 +193,7 @@
 	return n, nil
 }
 
-// Step takes one event and returns what is to be done about it, in order.
+// Step processes one event and returns the effects to carry out, in order.
 func (n *Node) Step(nowUs int64, ev Event) []Effect {
 	n.effects = nil
 	if n.phase == PhaseFenced {
@@ -227,7 +232,7 @@
 	return n.effects
 }
 
-// forgetLeases is for a process that has stood still: it cannot tell how long its leases last.
+// forgetLeases drops the leases and confirmations of a process that was paused, as it cannot tell how long they are valid.
 func (n *Node) forgetLeases() {
 	n.leaseUntilUs, n.confirmedHeadTimeUs, n.confirmedUs, n.headTimes = 0, 0, 0, nil
 	n.leaseGrants = map[string]int64{}
@@ -245,14 +250,14 @@
 	n.emitSend(n.addressOf(to), to.ID, m)
 }
 
-// emitSend sends a message of this process to an address.
+// emitSend emits a Send of a message of this process to an address.
 func (n *Node) emitSend(addr, toID string, m Msg) {
 	m.From, m.Incarnation, m.ToID = n.opts.Self, n.opts.Incarnation, toID
 	n.effects = append(n.effects, Send{Addr: addr, Msg: m})
 }
 
-// addressOf is where a member was heard from last in this incarnation, or else the address that is known of it: a view
-// names the address that a member had when it got its seat.
+// addressOf returns the address in the last hello of a member in this incarnation, or else m.Addr. The addresses in a view are
+// those that the members had when they joined it.
 func (n *Node) addressOf(m Member) string {
 	if p := n.peers[m.ID]; p != nil && m.ID != "" && p.hello.Member.Addr != "" {
 		return p.hello.Member.Addr
--- a/internal/controlplane/chain/options.go
+++ b/internal/controlplane/chain/options.go
@@ -2,60 +2,60 @@
 
 import "petreltide/internal/process/clock"
 
-// Options are the settings of a Node. Times are in microseconds; a time or bound that is 0 has the value named with it.
+// Options are the settings of a Node. Times are in microseconds; a time or bound that is 0 gets the default given with it.
 type Options struct {
-	// Self is this control node as a member; Incarnation names this run of its process.
+	// Self is this control node as a member; Incarnation identifies this run of its process.
 	Self        Member
 	Incarnation string
-	// BootstrapCount is how many fresh control nodes must meet to found a chain; 0 founds none.
+	// BootstrapCount is how many fresh control nodes must hear each other to found a chain; with 0 this node founds none.
 	BootstrapCount int
 	// BootstrapAddrs are the addresses of the control nodes that found a chain together, in place of BootstrapCount.
 	BootstrapAddrs []string
-	// FirstStart says that the whole fleet starts for the first time: this control node belongs to it from the start,
-	// and takes nobody's vote. It holds until this control node has had one.
+	// FirstStart says that the whole fleet starts for the first time: this control node belongs to it from the start, and
+	// gets a vote of its own in place of that of another member. It is cleared once this control node is a voter.
 	FirstStart bool
-	// AutoMembership lets the control nodes take in and drop each other without an operator's order.
+	// AutoMembership lets the control nodes add and remove each other without an operator's command.
 	AutoMembership bool
-	// UnsyncedLog says that the disk has refused to sync the records that it gave back: they count as synced only once
-	// save OpeningPersistSeq is reported.
+	// UnsyncedLog says that the disk refused to sync the records that were read back from it. They count as synced only once
+	// Persisted reports OpeningPersistSeq.
 	UnsyncedLog bool
-	// MinReplicas is how many synced replicas of an entry an acknowledgement needs; two at least where there are two voters.
+	// MinReplicas is how many replicas must have synced an entry before it is acknowledged; at least two if there are two voters.
 	MinReplicas int
-	// MinZones is in how many zones they must lie, as far as there are voters in so many.
+	// MinZones is how many zones these replicas must span, or as many as the voters span if those are fewer.
 	MinZones int
-	// MinRegions is in how many regions they must lie, as far as there are voters in so many; Regions names the region of
-	// each zone, and a zone that it does not name is a region by itself.
+	// MinRegions is how many regions these replicas must span, or as many as the voters span if those are fewer. Regions maps
+	// zones to regions; a zone that it does not contain is a region of its own.
 	MinRegions int
 	Regions    map[string]string
-	// HelloIntervalUs is how often every control node greets every other; 0 is 100 ms.
+	// HelloIntervalUs is how often every control node sends a hello to every other; 0 is 100 ms.
 	HelloIntervalUs int64
 	// SuspectTimeoutUs is the silence after which a member is suspected; 0 is 700 ms.
 	SuspectTimeoutUs int64
-	// LeaseDurationUs is how long a voter's lease holds for the tail; 0 is 1 s.
+	// LeaseDurationUs is how long a lease that a voter grants to the tail is valid; 0 is 1 s.
 	LeaseDurationUs int64
-	// LeaseMarginUs is how much earlier the holder lets go of a lease, for clocks that run apart; 0 is 100 ms.
+	// LeaseMarginUs is how much earlier the tail considers its lease expired, to allow for clock drift; 0 is 100 ms.
 	LeaseMarginUs int64
-	// StallTimeoutUs is how long a sync may be outstanding before the member counts as stalled; 0 is 600 ms.
+	// StallTimeoutUs is how long a sync may be outstanding before the disk of the member counts as stalled; 0 is 600 ms.
 	StallTimeoutUs int64
-	// VoteRecoveryTimeoutUs is how long a restarted voter waits to compare ballots and log with the others before it
-	// votes; 0 is 1.5 s.
+	// VoteRecoveryTimeoutUs is how long a restarted voter waits to compare ballots and logs with the other voters before it
+	// votes without some of them; 0 is 1.5 s.
 	VoteRecoveryTimeoutUs int64
 	// GatherTimeoutUs is how long restarted voters wait for the others before they propose a view without them; 0 is 2 s.
 	GatherTimeoutUs int64
-	// ResendTimeoutUs is after what silence entries are sent again to the successor; 0 is 150 ms.
+	// ResendTimeoutUs is after how long without progress of the successor entries are sent to it again; 0 is 150 ms.
 	ResendTimeoutUs int64
-	// HeartbeatIntervalUs is how often a member tells its neighbours where it stands while nothing happens; 0 is at
+	// HeartbeatIntervalUs is how often an idle member sends a Forward to its successor and an Ack to its predecessor; 0 is at
 	// every tick.
 	HeartbeatIntervalUs int64
-	// PrepareTimeoutUs is how long a ballot may gather promises before a higher one is tried; 0 is SuspectTimeoutUs and
-	// LeaseDurationUs together.
+	// PrepareTimeoutUs is how long a proposer collects promises for a ballot before it tries a higher one; 0 is the sum of
+	// SuspectTimeoutUs and LeaseDurationUs.
 	PrepareTimeoutUs int64
-	// MaxRetainedEntries and MaxLogBytes bound the log before a snapshot takes its place; 0 is 4096 entries and 16 MiB.
+	// MaxRetainedEntries and MaxLogBytes bound the log before it is compacted into a snapshot; 0 is 4096 entries and 16 MiB.
 	MaxRetainedEntries int
 	MaxLogBytes        int64
-	// MaxBatchEntries is how many entries one message carries; 0 is 256.
+	// MaxBatchEntries is the maximum number of entries in one message; 0 is 256.
 	MaxBatchEntries int
-	// MaxUncommittedEntries is how many entries the head takes beyond what is committed; 0 is 2048.
+	// MaxUncommittedEntries is how many entries the head appends beyond the commit index; 0 is 2048.
 	MaxUncommittedEntries int
 }
 
--- a/internal/controlplane/chain/partition_test.go
+++ b/internal/controlplane/chain/partition_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// isolate takes away what a member says to the others, what they say to it, or both, with what is under way.
+// isolate cuts the links from a member to the others, those to it, or both, and drops the messages in flight on them.
 func (sc *smallChain) isolate(isolated int, outgoing, incoming bool) {
 	sc.cutLinks = map[[2]int]bool{}
 	for other := range sc.members {
@@ -23,13 +23,13 @@
 	}
 }
 
-// partitionScenarios cut each member off in each way: between writes, or with one under way.
+// partitionScenarios returns start states with each member partitioned in each direction, between writes or during one.
 func partitionScenarios() map[string]func() *smallChain {
 	all := map[string]func() *smallChain{}
-	ways := map[string][2]bool{"both ways": {true, true}, "mute": {true, false}, "deaf": {false, true}}
+	ways := map[string][2]bool{"in both directions": {true, true}, "outgoing only": {true, false}, "incoming only": {false, true}}
 	for isolated, role := range []string{"head", "middle", "tail"} {
 		for name, way := range ways {
-			all[fmt.Sprintf("the %s is cut off, %s", role, name)] = func() *smallChain {
+			all[fmt.Sprintf("the %s is partitioned, %s", role, name)] = func() *smallChain {
 				sc := newSmallChain()
 				sc.write()
 				sc.deliverAll()
@@ -37,7 +37,7 @@
 				sc.advanceIsolated(2)
 				return sc
 			}
-			all[fmt.Sprintf("the %s is cut off during a write, %s", role, name)] = func() *smallChain {
+			all[fmt.Sprintf("the %s is partitioned during a write, %s", role, name)] = func() *smallChain {
 				sc := newSmallChain()
 				sc.write()
 				sc.syncNext(0)
@@ -55,9 +55,9 @@
 	partitionDepth         = 5
 )
 
-// From states all along the way through each cut, every interleaving of deliveries, syncs, ticks, writes and
-// the links' healing up to a depth.
-func TestEveryInterleavingUnderPartition(t *testing.T) {
+// Explores every interleaving of deliveries, syncs, ticks, writes and the end of the partition up to a depth, from states along the
+// path through each partition.
+func TestInvariantsHoldInEveryInterleavingUnderPartition(t *testing.T) {
 	depth, stride := partitionDepth, partitionPathStride
 	if raceEnabled {
 		depth, stride = raceDepth, partitionPathStride/2
@@ -82,14 +82,14 @@
 			}
 			t.Logf("%d states, %d view changes", states, views-first)
 			if states < 200 || views == first {
-				t.Errorf("%d states, %d view changes: it proves little", states, views-first)
+				t.Errorf("got %d states and %d view changes, want at least 200 and 1 for a meaningful test", states, views-first)
 			}
 		})
 	}
 }
 
-// Long walks at random, in which one member after another is cut off and comes back.
-func TestLongWalksUnderPartitions(t *testing.T) {
+// Takes long random walks, in which one member after another is partitioned and reconnected.
+func TestInvariantsHoldOnRandomWalksUnderPartitions(t *testing.T) {
 	walks := 300
 	if raceEnabled {
 		walks = 30
@@ -126,8 +126,8 @@
 		}
 		views, acked = max(views, len(sc.views)), max(acked, len(sc.acked))
 	}
-	t.Logf("%d walks of 600 actions with %d cuts, up to %d views, %d acknowledged", walks, cuts, views, acked)
+	t.Logf("%d walks of 600 actions with %d partitions, up to %d views, %d entries acknowledged", walks, cuts, views, acked)
 	if views < 4 || acked < 2 {
-		t.Errorf("up to %d views and %d acknowledged: the walks prove little", views, acked)
+		t.Errorf("got up to %d views and %d acknowledged entries, want at least 4 and 2 for a meaningful test", views, acked)
 	}
 }
--- a/internal/controlplane/chain/paxos.go
+++ b/internal/controlplane/chain/paxos.go
@@ -1,7 +1,7 @@
 package chain
 
-// finishAcceptedProposal takes up a next view that this voter has accepted and nobody has brought to an end: until it is
-// decided, the tail of now gets no lease from here.
+// finishAcceptedProposal proposes a next view that this voter has accepted and that no proposer has completed. Until it is
+// decided, this voter grants no lease to the current tail.
 func (n *Node) finishAcceptedProposal() {
 	if !n.acceptedEndsLease() || n.proposal != nil || n.isDiskStalled() || !n.votesRecovered || !n.view.IsVoter(n.opts.Self.ID) {
 		n.undecidedSinceUs = n.nowUs
@@ -113,9 +113,9 @@
 	n.persist([]Record{{AcceptedProposal: n.acceptedProposal}}, 0, &reply{m.From, Msg{Accepted: &Accepted{Number: a.Number, Ballot: a.Ballot, OK: true}}})
 }
 
-// superseded: the process that held this seat is known to have gone, as its control node has come back as another
-// incarnation at the same address; no lease of its outlives it. One that does not know this view may be the incarnation
-// before; one at another address may run beside it, from a copy of its disk.
+// isSuperseded reports whether the process of this replica is known to have ended, as its control node has restarted as another
+// incarnation at the same address; its lease has ended with it. An incarnation that does not know this view may be an earlier
+// one, and one at another address may run beside the replica, from a copy of its disk.
 func (n *Node) isSuperseded(s Replica) bool {
 	if s.ID == n.opts.Self.ID {
 		return s.Incarnation != n.opts.Incarnation
@@ -160,8 +160,8 @@
 	n.opts.FirstStart = n.opts.FirstStart && !v.IsVoter(n.opts.Self.ID)
 	n.phase = n.phaseInView(v)
 	if !wasStandby || n.phase != PhaseStandby {
-		// One that stays outside has written nothing after its copy, which holds only what was committed: it lasts
-		// from view to view.
+		// A node that stays on standby has appended nothing after its snapshot. The snapshot holds only committed entries, so it
+		// stays valid in the next view.
 		n.snapshotIndex = 0
 	}
 	if !wasServing && n.phase == PhaseServing && n.position() > 0 {
@@ -200,7 +200,7 @@
 	case n.position() >= 0:
 		return PhaseServing
 	case n.phase == PhaseBootstrap && v.HasReplica(n.opts.Self.ID):
-		// An earlier process of this member founded it and left nothing in the log.
+		// An earlier process of this member founded the chain and left no record of it in the log.
 		return PhaseRestarted
 	case n.phase != PhaseRestarted || !v.HasReplica(n.opts.Self.ID):
 		return PhaseStandby
--- a/internal/controlplane/chain/peer.go
+++ b/internal/controlplane/chain/peer.go
@@ -1,26 +1,27 @@
 package chain
 
-// peer is what is known of another control node: its last hello, when it came, since when it is heard, and when it last heard
-// this one.
+// peer is the state kept about another control node: its last hello, when that was received, and when the peer last reported
+// to hear this node.
 type peer struct {
 	hello       Hello
 	lastHelloUs int64
-	// lastHelloAwakeUs is the node's awakeUs when it was heard last.
+	// lastHelloAwakeUs is this node's awakeUs when the last hello was received.
 	lastHelloAwakeUs int64
-	// stalledSinceUs is since when its disk stalls, by its hellos.
+	// stalledSinceUs is when its hellos began to report a stalled disk; 0 while they report none.
 	stalledSinceUs int64
 	lastMutualUs   int64
-	// lastMutualAwakeUs is the node's awakeUs when it last heard this one.
+	// lastMutualAwakeUs is this node's awakeUs when the peer last reported to hear this node.
 	lastMutualAwakeUs int64
-	// refusedUs is when its address last refused a connection; 0 if it never did.
+	// refusedUs is when the address of the peer last refused a connection; 0 if it never did.
 	refusedUs int64
 }
 
-// hasEnded: its address has refused a connection since it was heard last.
+// hasEnded reports whether the peer's address has refused a connection since its last hello.
 func (p *peer) hasEnded() bool { return p.refusedUs > p.lastHelloUs }
 
-// handleConnectionRefused notes that the process at an address has ended. Its seat goes without the time that a silent one
-// is given. A lease that it holds is waited out all the same: that a port refuses proves nothing of the process that had it.
+// handleConnectionRefused records that the process at an address has ended. It is removed from the view without the suspect
+// timeout that a silent member gets. A lease that it holds still has to expire, as a refusing port proves nothing about the
+// process that held the lease.
 func (n *Node) handleConnectionRefused(addr string) {
 	for _, p := range n.peers {
 		if p.hello.Member.Addr == addr {
--- a/internal/controlplane/chain/persist.go
+++ b/internal/controlplane/chain/persist.go
@@ -10,7 +10,7 @@
 	refused       bool
 }
 
-// reply is what a member owes another once a record is synced.
+// reply is a message that is sent to a member once a record is synced.
 type reply struct {
 	to  Member
 	msg Msg
@@ -58,7 +58,8 @@
 	n.compact()
 }
 
-// handlePersistRefused: the disk does not take a save. This member says so at once, and is put out of the view.
+// handlePersistRefused records that the disk refuses a write. This member reports that at once, and the others remove it from
+// the view.
 func (n *Node) handlePersistRefused(seq uint64) {
 	s := n.pendingWrites[seq]
 	if s == nil || s.refused {
@@ -78,7 +79,7 @@
 	return false
 }
 
-// isDiskLagging: the own disk refuses, or a sync takes half as long as a stall or longer.
+// isDiskLagging reports whether the disk of this member refuses a write, or a sync has taken more than half of StallTimeoutUs.
 func (n *Node) isDiskLagging() bool {
 	for _, s := range n.pendingWrites {
 		if s.refused || (!s.hasSnapshot && n.nowUs-s.startedUs > n.opts.StallTimeoutUs/2) {
@@ -88,8 +89,9 @@
 	return false
 }
 
-// countsAsStalled says whether a member is to be put out of the view as its disk stalls. What holds up the own disk may hold
-// up every member's, and each may come back a moment later than this one did: then it has a while for that.
+// countsAsStalled reports whether a member is to be removed from the view because its disk is stalled. If the disk of this member
+// was lagging recently, the cause may affect all disks, and the peer's may recover a little later. The peer then has twice
+// SuspectTimeoutUs to recover.
 func (n *Node) countsAsStalled(p *peer) bool {
 	if !p.hello.Stalled {
 		return false
@@ -98,7 +100,7 @@
 	return !laggedRecently || n.nowUs-p.stalledSinceUs >= 2*n.opts.SuspectTimeoutUs
 }
 
-// maxPendingWrites bounds what waits for a disk that hangs.
+// maxPendingWrites bounds the writes that wait for a hanging disk. At the bound this member stops voting.
 const maxPendingWrites = 64
 
 func (n *Node) isDiskRefusing() bool {
@@ -110,7 +112,7 @@
 	return false
 }
 
-// refusesToVote: this member takes no part in a decision, as it could not keep its word.
+// refusesToVote reports whether this member takes no part in decisions, as it could not persist its promises.
 func (n *Node) refusesToVote() bool {
 	return n.isDiskRefusing() || len(n.pendingWrites) >= maxPendingWrites
 }
--- a/internal/controlplane/chain/phase.go
+++ b/internal/controlplane/chain/phase.go
@@ -1,17 +1,17 @@
 package chain
 
-// Phase is where a process stands towards the chain.
+// Phase is the relation of a process to the chain.
 type Phase string
 
 const (
-	// PhaseBootstrap knows of no chain.
+	// PhaseBootstrap means that the process knows no chain yet.
 	PhaseBootstrap Phase = "fresh"
-	// PhaseRestarted has restarted with its disk and has no seat yet.
+	// PhaseRestarted means that the process has restarted with its disk and has no position in the chain yet.
 	PhaseRestarted Phase = "waking"
-	// PhaseServing has a seat.
+	// PhaseServing means that the process has a position in the chain.
 	PhaseServing Phase = "serving"
-	// PhaseStandby knows the chain and has no seat in it.
+	// PhaseStandby means that the process knows the chain and has no position in it.
 	PhaseStandby Phase = "outside"
-	// PhaseFenced has been replaced by a newer process of the same member, and takes no part in anything.
+	// PhaseFenced means that a newer process of the same member has replaced this one, which no longer takes part in the protocol.
 	PhaseFenced Phase = "fenced"
 )
--- a/internal/controlplane/chain/process_pause_test.go
+++ b/internal/controlplane/chain/process_pause_test.go
@@ -7,7 +7,7 @@
 	"petreltide/internal/process/clock"
 )
 
-// pause lets a member's process stand still. What came meanwhile is read only after its next tick.
+// pause suspends a member's process. Messages that arrive meanwhile are processed only after its next tick.
 func (tc *testCluster) pause(s *testMember, spanUs int64) {
 	s.paused = true
 	tc.advance(spanUs)
@@ -15,7 +15,7 @@
 	tc.step(s, Tick{})
 }
 
-// A member that stood still has heard nobody, which says nothing of the others, however short or long it was.
+// A member that was paused has heard nobody, and must not suspect the others for that, however long the pause was.
 func TestPausedProcessSuspectsNobody(t *testing.T) {
 	for member := range 3 {
 		for spanUs := 100 * clock.Ms; spanUs <= 1500*clock.Ms; spanUs += 50 * clock.Ms {
@@ -24,13 +24,13 @@
 				s := tc.members[member]
 				tc.pause(s, spanUs)
 				if p := s.node.proposal; p != nil {
-					t.Fatalf("it wants %v", p.desired.Replicas)
+					t.Fatalf("%s proposes replicas %v after its pause, want no proposal", s.member.ID, p.desired.Replicas)
 				}
 				tc.advance(3 * clock.Sec)
 				for _, v := range tc.views {
 					for _, other := range tc.members {
 						if other != s && !v.HasReplica(other.member.ID) {
-							t.Fatalf("view %d is without %s, which never stood still", v.Number, other.member.ID)
+							t.Fatalf("view %d is without %s, which was never paused", v.Number, other.member.ID)
 						}
 					}
 				}
@@ -39,7 +39,7 @@
 	}
 }
 
-// Members that stand still again and again, as on a machine of too few cores, put out a lost one all the same.
+// Members that are paused repeatedly, as on a machine with too few cores, still remove a lost member from the view.
 func TestOftenPausedMembersRemoveLostOne(t *testing.T) {
 	for _, spanUs := range []int64{150 * clock.Ms, 300 * clock.Ms, 600 * clock.Ms} {
 		t.Run(fmt.Sprint(spanUs/clock.Ms, " ms each"), func(t *testing.T) {
@@ -53,7 +53,7 @@
 			}
 			for _, s := range tc.members[:2] {
 				if v := s.node.View(); v.HasReplica(tc.members[2].member.ID) || len(v.Replicas) != 2 {
-					t.Errorf("%s has %v", s.member.ID, v.Replicas)
+					t.Errorf("%s: got replicas %v, want two without %s", s.member.ID, v.Replicas, tc.members[2].member.ID)
 				}
 			}
 		})
--- a/internal/controlplane/chain/proposal.go
+++ b/internal/controlplane/chain/proposal.go
@@ -1,6 +1,6 @@
 package chain
 
-// proposal is an attempt of this member to have the next view decided.
+// proposal is the state of a proposer that tries to have the next view decided.
 type proposal struct {
 	viewNumber uint64
 	ballot     Ballot
@@ -10,6 +10,7 @@
 	acceptedBy map[string]bool
 	preparing  bool
 	startedUs  int64
-	// dropIfUnneeded: it is for what was wrong with members, and is dropped where that is over before anybody accepts it.
+	// dropIfUnneeded is set on a proposal that reacts to the condition of members. It is dropped if no change is needed any more
+	// before a voter is asked to accept it.
 	dropIfUnneeded bool
 }
--- a/internal/controlplane/chain/quorum.go
+++ b/internal/controlplane/chain/quorum.go
@@ -1,8 +1,8 @@
 package chain
 
-// HasQuorumContact says whether this control node and a quorum of the voters of the newest view it knows hear each other,
-// itself counted where it votes. A control node out of contact may be cut off: it cannot hand on what it is told,
-// and what it knows may be old.
+// HasQuorumContact reports whether this control node and a quorum of the voters of the newest view it knows hear each other;
+// it counts itself if it is a voter. A control node without quorum contact may be partitioned: it cannot pass on the requests
+// that it receives, and its state may be stale.
 func (n *Node) HasQuorumContact(nowUs int64) bool {
 	if len(n.view.Voters) == 0 || n.phase == PhaseFenced {
 		return false
@@ -13,8 +13,8 @@
 	})
 }
 
-// IsUpToDate says whether what this control node knows as committed was the newest a moment ago: it has its seat, and a time
-// stamp of the head that went by here a moment ago has gone on to a tail with its lease and has come back.
+// IsUpToDate reports whether the state committed here was recently the newest one: this control node has its position in the
+// chain, and a time stamp of the head that it recently forwarded has reached a tail with a lease and was confirmed.
 func (n *Node) IsUpToDate(nowUs int64) bool {
 	switch {
 	case !n.isServing() || !n.caughtUp:
@@ -25,8 +25,8 @@
 	return n.confirmedUs > 0 && nowUs-n.confirmedUs < n.confirmationWindowUs()
 }
 
-// HasQuorum says whether something holds for a quorum of the voters of the newest view this control node knows. It is
-// taken to hold for this control node itself.
+// HasQuorum reports whether a predicate holds for a quorum of the voters of the newest view this control node knows. For
+// this control node itself it is assumed to hold.
 func (n *Node) HasQuorum(holds func(id string) bool) bool {
 	count := 0
 	for _, v := range n.view.Voters {
--- a/internal/controlplane/chain/race_off_test.go
+++ b/internal/controlplane/chain/race_off_test.go
@@ -2,4 +2,5 @@
 
 package chain
 
+// raceEnabled reports whether the tests run with the race detector, which makes them run fewer cases.
 const raceEnabled = false
--- a/internal/controlplane/chain/race_on_test.go
+++ b/internal/controlplane/chain/race_on_test.go
@@ -2,4 +2,5 @@
 
 package chain
 
-const raced = true
+// raceEnabled reports whether the tests run with the race detector, which makes them run fewer cases.
+const raceEnabled = true
--- a/internal/controlplane/chain/refused_test.go
+++ b/internal/controlplane/chain/refused_test.go
@@ -7,8 +7,8 @@
 	"petreltide/internal/process/clock"
 )
 
-// newFourVoterCluster is a chain of three into which a fourth control node has been taken, as before a planned replacement. The
-// member to lose is the head, or the one behind it.
+// newFourVoterCluster returns a chain of three with a fourth control node added, as before a planned replacement. The member to
+// lose is the head or its successor.
 func newFourVoterCluster(t *testing.T, seed int64) (tc *testCluster, lost *testMember) {
 	t.Helper()
 	tc = newFleetTimedCluster(t, seed, 3)
@@ -16,27 +16,27 @@
 	tc.advance(tc.catchUpUs())
 	view := tc.remainingMembers()[0].node.View()
 	if len(view.Voters) != 4 || len(view.Replicas) != 4 {
-		t.Fatalf("seed %d: %d votes, %d seats", seed, len(view.Voters), len(view.Replicas))
+		t.Fatalf("seed %d: got %d voters and %d replicas, want 4 of each", seed, len(view.Voters), len(view.Replicas))
 	}
 	return tc, tc.memberAt(view.Replicas[seed%2].Addr)
 }
 
-// allSeeThreeVoters says that all that run go by a view of three votes.
+// allSeeThreeVoters reports whether all running members have a view with three voters.
 func allSeeThreeVoters(tc *testCluster) bool {
 	return !slices.ContainsFunc(tc.remainingMembers(), func(m *testMember) bool { return m.node != nil && len(m.node.View().Voters) != 3 })
 }
 
-// A killed process, unlike a lost machine or a cut link, has its connections refused: its vote goes within a few hundred
-// milliseconds, and so does the time in which a further loss would stop the chain.
-func TestRefusedConnectionShortensTheWindowOfFourVotes(t *testing.T) {
+// Connections to a killed process are refused, unlike those to a lost machine or over a cut link. Its vote is removed within a few
+// hundred milliseconds, which shortens the time in which a further loss would stop the chain.
+func TestRefusedConnectionRemovesExtraVoterSooner(t *testing.T) {
 	for _, c := range []struct {
 		what    string
 		refuses bool
 		mostUs  int64
 		leastUs int64
 	}{
-		{"killed, its port refuses", true, 300 * clock.Ms, 0},
-		{"its machine is lost", false, 1100 * clock.Ms, 700 * clock.Ms},
+		{"killed process, connections refused", true, 300 * clock.Ms, 0},
+		{"lost machine", false, 1100 * clock.Ms, 700 * clock.Ms},
 	} {
 		took := []int64{}
 		for seed := range int64(20) {
@@ -52,16 +52,16 @@
 		}
 		slices.Sort(took)
 		median, most := took[len(took)/2], took[len(took)-1]
-		t.Logf("%s: three votes after %d ms (median), %d ms at most", c.what, median/clock.Ms, most/clock.Ms)
+		t.Logf("%s: three voters after %d ms (median), %d ms at most", c.what, median/clock.Ms, most/clock.Ms)
 		if most > c.mostUs || median < c.leastUs {
-			t.Errorf("%s: %d ms at most, %d wanted", c.what, most/clock.Ms, c.mostUs/clock.Ms)
+			t.Errorf("%s: got three voters after %d ms (median), %d ms at most, want a median of at least %d ms and %d ms at most", c.what, median/clock.Ms, most/clock.Ms, c.leastUs/clock.Ms, c.mostUs/clock.Ms)
 		}
 	}
 }
 
-// A second loss soon after a kill: the chain goes on where the first one's port refused, and stops where it was silent, as no
-// majority of four is left. The second is the plant for the first.
-func TestSecondLossSoonAfterAKill(t *testing.T) {
+// A second member is lost soon after the first. The chain continues if connections to the first were refused. It stops if the first
+// was silent, as no majority of four voters is left; that case shows that the test can fail.
+func TestChainSurvivesSecondLossAfterRefusedConnection(t *testing.T) {
 	const apartUs = 350 * clock.Ms
 	for _, refuses := range []bool{true, false} {
 		surviving := 0
@@ -82,9 +82,9 @@
 				surviving++
 			}
 		}
-		t.Logf("refused %v: %d of %d chains go on", refuses, surviving, seeds)
+		t.Logf("connections refused %v: %d of %d chains continue", refuses, surviving, seeds)
 		if refuses != (surviving == seeds) {
-			t.Errorf("refused %v: %d of %d chains go on", refuses, surviving, seeds)
+			t.Errorf("connections refused %v: got %d of %d chains that continue, want all if and only if connections are refused", refuses, surviving, seeds)
 		}
 	}
 }
--- a/internal/controlplane/chain/repair_test.go
+++ b/internal/controlplane/chain/repair_test.go
@@ -9,31 +9,31 @@
 	"petreltide/internal/process/clock"
 )
 
-// repair is one way in which a machine is lost and made good.
+// repairMethod is one way in which a machine is lost and repaired.
 type repairMethod string
 
 const (
 	repairReplaced    repairMethod = "replaced under another name and address"
-	repairEmptied     repairMethod = "back with an empty disk"
-	repairRestarted   repairMethod = "back with its disk"
-	repairReaddressed repairMethod = "back with its disk at another address"
+	repairEmptied     repairMethod = "restarted with an empty disk"
+	repairRestarted   repairMethod = "restarted with its disk"
+	repairReaddressed repairMethod = "restarted with its disk at another address"
 	repairPlanned     repairMethod = "its successor started first, then terminated"
 )
 
 var repairMethods = []repairMethod{repairReplaced, repairEmptied, repairRestarted, repairReaddressed, repairPlanned}
 
 const (
-	// catchUpOneLossUs and catchUpTwoLossesUs are how long after its start a machine counts as lost, where one and where
-	// two may be lost at once.
+	// catchUpOneLossUs and catchUpTwoLossesUs are for how long after its start a machine still counts as lost, if one and if two
+	// may be lost at once.
 	catchUpOneLossUs   = 4 * clock.Sec
 	catchUpTwoLossesUs = 6 * clock.Sec
-	// terminationGraceUs is how long a terminated process may take to end.
+	// terminationGraceUs is the maximum time that a terminated process may take to end.
 	terminationGraceUs = 8 * clock.Sec
 	// successorDelayUs is how long after a loss the successor starts.
 	successorDelayUs = clock.Sec
 )
 
-// paced are the times that a fleet whose control nodes take each other in goes by.
+// withFleetTimings sets the timings of a fleet with automatic membership.
 func withFleetTimings(o Options) Options {
 	o.HelloIntervalUs, o.HeartbeatIntervalUs, o.SuspectTimeoutUs = 200*clock.Ms, 200*clock.Ms, 800*clock.Ms
 	o.LeaseDurationUs, o.VoteRecoveryTimeoutUs, o.GatherTimeoutUs, o.PrepareTimeoutUs = 700*clock.Ms, 900*clock.Ms, 1300*clock.Ms, 200*clock.Ms
@@ -46,7 +46,7 @@
 	for _, s := range tc.members {
 		tc.start(s, true)
 	}
-	tc.requireSettled(30*clock.Sec, "founding")
+	tc.requireSettled(30*clock.Sec, "bootstrap")
 	return tc
 }
 
@@ -59,7 +59,7 @@
 	return catchUpOneLossUs
 }
 
-// fresh is an empty machine with a name and an address of its own.
+// addEmptyMember adds a machine with an empty disk and a new name and address.
 func (tc *testCluster) addEmptyMember() *testMember {
 	tc.incarnations++
 	name := fmt.Sprint("n", 10+tc.incarnations)
@@ -74,7 +74,7 @@
 	return s
 }
 
-// terminate tells a process to end, and waits until it has or its grace is over.
+// terminate asks a process to shut down, and stops it once it may end or its grace period is over.
 func (tc *testCluster) terminate(s *testMember) {
 	tc.step(s, ShutdownRequested{})
 	for endUs := tc.nowUs + terminationGraceUs; tc.nowUs < endUs && !s.node.ShutdownComplete(); {
@@ -83,8 +83,8 @@
 	tc.stop(s)
 }
 
-// lose takes machines at once and makes each good in its way. It returns when the successors' time to catch
-// up is over; from then on nothing of this counts as lost.
+// lose loses machines at the same time and repairs them. It returns the successors once their time to catch up is over; from then
+// on none of them counts as lost.
 func (tc *testCluster) lose(lost []*testMember, how repairMethod) []*testMember {
 	successors := []*testMember{}
 	if how == repairPlanned {
@@ -105,7 +105,7 @@
 	return successors
 }
 
-// loseAndStartSuccessors loses machines at once, and starts what comes in their place.
+// loseAndStartSuccessors loses machines at the same time, and starts their successors.
 func (tc *testCluster) loseAndStartSuccessors(lost []*testMember, how repairMethod) []*testMember {
 	successors := []*testMember{}
 	for _, s := range lost {
@@ -132,7 +132,7 @@
 	return successors
 }
 
-// waitTakeover waits for the time to catch up, and notes when all had taken over for good.
+// waitTakeover waits for the time to catch up, and records when all successors had first taken over.
 func (tc *testCluster) waitTakeover(successors []*testMember) {
 	fromUs, tookUs := tc.nowUs, int64(0)
 	for endUs := fromUs + tc.catchUpUs(); tc.nowUs < endUs; tc.advance(stepUs) {
@@ -143,25 +143,26 @@
 	tc.slowestTakeoverUs = max(tc.slowestTakeoverUs, tookUs)
 }
 
-// takeoverFailure: a successor has seat, vote and the whole log, in the view of all others.
+// takeoverFailure returns why a successor has not taken over, or "": it must be a caught-up replica and a voter in the view that
+// all others have.
 func (tc *testCluster) takeoverFailure(s *testMember) string {
 	switch n := s.node; {
 	case !n.isServing():
-		return fmt.Sprintf("%s has no seat: %s, waits for %q", s.member.ID, n.Phase(), n.WaitReason())
+		return fmt.Sprintf("%s is not serving: phase %s, waits for %q", s.member.ID, n.Phase(), n.WaitReason())
 	case !n.view.IsVoter(s.member.ID):
-		return fmt.Sprintf("%s has no vote in %v", s.member.ID, n.view.Voters)
+		return fmt.Sprintf("%s is not a voter in %v", s.member.ID, n.view.Voters)
 	case !n.caughtUp:
-		return fmt.Sprintf("%s has not the whole log", s.member.ID)
+		return fmt.Sprintf("%s is not caught up", s.member.ID)
 	}
 	for _, o := range tc.remainingMembers() {
 		if o.node != nil && o.node.view.Number != s.node.view.Number {
-			return fmt.Sprintf("%s is in view %d, %s in %d", s.member.ID, s.node.view.Number, o.member.ID, o.node.view.Number)
+			return fmt.Sprintf("%s is in view %d, %s is in view %d", s.member.ID, s.node.view.Number, o.member.ID, o.node.view.Number)
 		}
 	}
 	return ""
 }
 
-// picks are the machines that are lost next: by lot, the head, the tail, or those whose disks have lasted longest.
+// membersToLose returns the machines to lose next: at random, from the head, from the tail, or those with the oldest disks.
 func (tc *testCluster) membersToLose(turn int) []*testMember {
 	live := tc.remainingMembers()
 	switch turn % 4 {
@@ -172,19 +173,19 @@
 	case 2:
 		slices.SortStableFunc(live, func(a, b *testMember) int { return cmp.Compare(b.node.position(), a.node.position()) })
 	case 3:
-		// In the order in which they came; a disk that was emptied counts from then.
+		// By the age of the disk, which counts from when it was last empty.
 		slices.SortStableFunc(live, func(a, b *testMember) int { return cmp.Compare(a.diskCreatedUs, b.diskCreatedUs) })
 	}
 	return live[:tc.maxLosses()]
 }
 
-// A loss, its repair, and the next loss at the very moment when the successor's time to catch up is over, five
-// times over: by then seat, vote and log are always taken over, and nothing that was acknowledged is lost. In
-// the end one more loss comes with all others restarting.
+// Five times, a machine is lost and repaired, and the next loss comes exactly when the successor's time to catch up is over. By then
+// the successor must be a caught-up replica and a voter, and no acknowledged entry may be lost. Finally one more loss comes while
+// all others restart.
 func TestMemberLossRightAfterRepair(t *testing.T) {
 	for _, how := range repairMethods {
 		for _, controlNodes := range []int{3, 5} {
-			t.Run(fmt.Sprintf("%d offices/%s", controlNodes, how), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d control nodes/%s", controlNodes, how), func(t *testing.T) {
 				t.Parallel()
 				seeds := int64(6)
 				if raceEnabled {
@@ -197,23 +198,23 @@
 						before := tc.lastAcked
 						for _, s := range tc.lose(tc.membersToLose(turn+int(seed)), how) {
 							if why := tc.takeoverFailure(s); why != "" {
-								t.Fatalf("seed %d, loss %d: when the next loss may come, %s", seed, turn, why)
+								t.Fatalf("seed %d, loss %d: takeover incomplete after the time to catch up: %s", seed, turn, why)
 							}
 						}
 						if tc.lastAcked == before {
-							t.Fatalf("seed %d, loss %d: nothing was acknowledged meanwhile", seed, turn)
+							t.Fatalf("seed %d, loss %d: got no acknowledgement during the repair, last acknowledged index %d", seed, turn, before)
 						}
 					}
 					slowestUs = max(slowestUs, tc.slowestTakeoverUs)
 					tc.loseDisksInFullRestart(seed)
 				}
-				t.Logf("the slowest takeover: %d ms after the successor's start", slowestUs/clock.Ms)
+				t.Logf("slowest takeover: %d ms after the start of the successor", slowestUs/clock.Ms)
 			})
 		}
 	}
 }
 
-// loseDisksInFullRestart: as many disks as may be are lost, and all others lose power at the same moment.
+// loseDisksInFullRestart empties as many disks as may be lost, and restarts all members at the same time.
 func (tc *testCluster) loseDisksInFullRestart(seed int64) {
 	lost := tc.membersToLose(int(seed))
 	for _, s := range tc.remainingMembers() {
@@ -227,11 +228,11 @@
 	for _, s := range tc.remainingMembers() {
 		tc.start(s, false)
 	}
-	tc.requireSettled(20*clock.Sec, fmt.Sprintf("seed %d: after the last loss", seed))
+	tc.requireSettled(20*clock.Sec, fmt.Sprintf("seed %d, after the last loss", seed))
 }
 
-// The second loss is for good and comes while the first one's successor has its vote and the one that it stands
-// in for has just ended.
+// A loss right after a planned replacement, when the successor has become a voter and the machine that it replaces has just
+// ended.
 func TestMemberLossRightAfterPlannedReplacement(t *testing.T) {
 	for _, next := range repairMethods {
 		t.Run(string(next), func(t *testing.T) {
@@ -247,15 +248,15 @@
 							}
 						}
 					}
-					tc.requireSettled(20*clock.Sec, "in the end")
+					tc.requireSettled(20*clock.Sec, "finally")
 				}
 			}
 		})
 	}
 }
 
-// All restart, and some or all of them are at other addresses than the view says: they find each other by what they
-// hear, and agree on.
+// All members restart, some or all of them at other addresses than those in the view. They learn the addresses from each other's
+// hellos and agree on the next view.
 func TestMembersThatMovedTogetherReconnect(t *testing.T) {
 	for _, controlNodes := range []int{3, 5} {
 		for moved := 1; moved <= controlNodes; moved++ {
@@ -277,18 +278,18 @@
 				for _, s := range tc.remainingMembers() {
 					tc.start(s, false)
 				}
-				tc.requireSettled(20*clock.Sec, fmt.Sprintf("seed %d: %d of %d moved", seed, moved, controlNodes))
+				tc.requireSettled(20*clock.Sec, fmt.Sprintf("seed %d, %d of %d moved", seed, moved, controlNodes))
 			}
 		}
 	}
 }
 
-// All processes are killed while a lost machine's successor is being taken in. When the time to catch up is over after
-// the last of them has come back, all of it is taken over, and the next loss may come.
+// All processes are killed while the successor of a lost machine is joining. Once the time to catch up after the last restart is
+// over, the successor must have taken over completely, so that the next loss may come.
 func TestRepairInterruptedByKillOfAllMembers(t *testing.T) {
 	for _, controlNodes := range []int{3, 5} {
 		for _, how := range []repairMethod{repairReplaced, repairEmptied} {
-			t.Run(fmt.Sprintf("%d offices/%s", controlNodes, how), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d control nodes/%s", controlNodes, how), func(t *testing.T) {
 				t.Parallel()
 				slowestUs := int64(0)
 				for seed := range int64(12) {
@@ -307,14 +308,14 @@
 						tc.waitTakeover(successors)
 						for _, s := range successors {
 							if why := tc.takeoverFailure(s); why != "" {
-								t.Fatalf("seed %d, loss %d: when the next loss may come, %s", seed, turn, why)
+								t.Fatalf("seed %d, loss %d: takeover incomplete after the time to catch up: %s", seed, turn, why)
 							}
 						}
 					}
 					slowestUs = max(slowestUs, tc.slowestTakeoverUs)
 					tc.loseDisksInFullRestart(seed)
 				}
-				t.Logf("the slowest takeover: %d ms after the last start", slowestUs/clock.Ms)
+				t.Logf("slowest takeover: %d ms after the last start", slowestUs/clock.Ms)
 			})
 		}
 	}
--- a/internal/controlplane/chain/replaced_vote_test.go
+++ b/internal/controlplane/chain/replaced_vote_test.go
@@ -7,7 +7,7 @@
 	"petreltide/internal/process/clock"
 )
 
-// apart cuts every link between two groups of control nodes; what is under way there is lost.
+// cutBetween cuts every link between two groups of control nodes; messages in flight there are lost.
 func (tc *testCluster) cutBetween(one, other []*testMember) {
 	for _, a := range one {
 		for _, b := range other {
@@ -16,7 +16,7 @@
 	}
 }
 
-// advanceUntil goes on until something holds, and says whether it came to hold in time.
+// advanceUntil advances the time until a condition holds, and reports whether it held in time.
 func (tc *testCluster) advanceUntil(withinUs int64, holds func() bool) bool {
 	for endUs := tc.nowUs + withinUs; tc.nowUs < endUs && !holds(); {
 		tc.advance(stepUs)
@@ -24,11 +24,13 @@
 	return holds()
 }
 
-// splitAfterReplacedVote has two newcomers seated without votes, as the members have only just restarted, while one
-// voter, whose disk hangs, is heard by the last of them alone. The tail is cut off from the head, and just before the
-// head suspects it the others give that vote to the first newcomer. Then the network splits: the tail is beside a majority
-// of the voters before, and a majority of the voters after is on the other side, where the head reaches the first
-// newcomer only once it suspects the tail. It says whether it came to that.
+// splitAfterReplacedVote builds this situation, and reports whether it was reached:
+//  1. Two new control nodes are replicas and not yet voters, as the members have just restarted. One voter, whose disk hangs, is
+//     heard only by the second new control node, which is the tail.
+//  2. The tail is partitioned from the head. Just before the head suspects the tail, the others replace the hanging voter by the
+//     first new control node.
+//  3. The network splits: the tail is with a majority of the previous voters, and a majority of the new voters is on the other
+//     side, where the head reaches the first new control node only once it suspects the tail.
 func splitAfterReplacedVote(t *testing.T, seed int64) (tc *testCluster, split bool) {
 	tc = newFleetTimedCluster(t, seed, 3)
 	byPosition := map[int]*testMember{}
@@ -38,7 +40,7 @@
 	head, middle, silent := byPosition[0], byPosition[1], byPosition[2]
 	silent.syncsHeld = true
 	if !tc.advanceUntil(5*clock.Sec, func() bool { return !head.node.view.HasReplica(silent.member.ID) }) {
-		t.Fatalf("seed %d: a member whose disk hangs keeps its seat", seed)
+		t.Fatalf("seed %d: a member whose disk hangs is still a replica after 5 s", seed)
 	}
 	first, second := tc.addEmptyMember(), tc.addEmptyMember()
 	tc.cutBetween([]*testMember{head}, []*testMember{first, second})
@@ -68,8 +70,8 @@
 	return tc, split
 }
 
-// The lease that the tail has from the voters of the view before must have run out before the voters of the view after
-// can have another tail.
+// The lease that the tail holds from the voters of the previous view must have expired before the voters of the new view can
+// install another tail.
 func TestReplacedVoterLeavesNoLeaseBehind(t *testing.T) {
 	splits := 0
 	for seed := range int64(60) {
@@ -88,6 +90,6 @@
 	}
 	t.Logf("%d splits", splits)
 	if splits == 0 {
-		t.Error("the network was never split at the moment in question: it proves nothing")
+		t.Error("got no split after a replaced vote, want at least one for a meaningful test")
 	}
 }
--- a/internal/controlplane/chain/replicate.go
+++ b/internal/controlplane/chain/replicate.go
@@ -31,23 +31,23 @@
 func (n *Node) handleSubmit(c statemachine.Change) {
 	switch {
 	case n.IsHead() && n.isDiskStalled():
-		n.effects = append(n.effects, ChangeRejected{ID: c.ID, Reason: "its own disk: a sync has not come back"})
+		n.effects = append(n.effects, ChangeRejected{ID: c.ID, Reason: "the disk of the head is stalled: a sync is outstanding"})
 	case n.IsHead() && n.lastIndex()-n.commitIndex >= uint64(n.opts.MaxUncommittedEntries):
-		n.effects = append(n.effects, ChangeRejected{ID: c.ID, Reason: "too many writes wait to be committed"})
+		n.effects = append(n.effects, ChangeRejected{ID: c.ID, Reason: "too many uncommitted writes"})
 	case n.IsHead() && c.Config != nil && n.isUncommitted(c.ID):
 	case n.IsHead() && n.AcceptsWrites() && (c.Epoch == 0 || c.Claim != nil || c.Epoch >= n.state.Epoch):
 		n.entries = append(n.entries, Entry{Index: n.lastIndex() + 1, View: n.view.Number, Change: c})
 	case n.IsHead():
-		n.effects = append(n.effects, ChangeRejected{ID: c.ID, Reason: "not taking this write"})
+		n.effects = append(n.effects, ChangeRejected{ID: c.ID, Reason: "this write is not accepted now"})
 	case n.view.Number > 0 && n.view.Head().ID != n.opts.Self.ID:
 		n.send(n.view.Head().Member, Msg{Submit: &c})
 	default:
-		n.effects = append(n.effects, ChangeRejected{ID: c.ID, Reason: "no chain yet"})
+		n.effects = append(n.effects, ChangeRejected{ID: c.ID, Reason: "the chain does not exist yet"})
 	}
 }
 
-// isUncommitted: this order is in the log already and its outcome is still to come. Orders are large, and are sent
-// again and again until then.
+// isUncommitted reports whether the change with this ID is in the log and not committed yet. Configuration changes are large and
+// are resubmitted until their outcome is known; they are logged only once.
 func (n *Node) isUncommitted(id string) bool {
 	for at := n.lastIndex(); at > n.commitIndex; at-- {
 		if e, ok := n.entryAt(at); ok && e.Change.ID == id {
@@ -180,8 +180,9 @@
 	n.sendAck()
 }
 
-// relayHeartbeat sends the head's word on to the tail at once, if none went lately: members that came back together beat
-// together, and a word that waited for the next beat of each would be too old to count once it is back at the head.
+// relayHeartbeat forwards the head's time stamp at once, unless a heartbeat was sent recently. Members that restart together send
+// their heartbeats at the same time; a time stamp that waited for the next heartbeat of each member would be too old to count
+// when its confirmation reaches the head.
 func (n *Node) relayHeartbeat() {
 	if n.nowUs-n.heartbeatSentUs >= n.opts.HeartbeatIntervalUs/2 {
 		n.heartbeatSentUs = n.nowUs
@@ -189,8 +190,8 @@
 	}
 }
 
-// heartbeatIntervalUs is how long this member waits before it beats by itself. Those after the head beat with its words, and by
-// themselves only where those do not come.
+// heartbeatIntervalUs returns after how long this member sends a heartbeat by itself. The members after the head relay its
+// heartbeats, and send their own only when those do not arrive.
 func (n *Node) heartbeatIntervalUs() int64 {
 	if n.IsHead() {
 		return n.opts.HeartbeatIntervalUs
@@ -198,8 +199,8 @@
 	return n.opts.HeartbeatIntervalUs + n.opts.HeartbeatIntervalUs/2
 }
 
-// maybeBecomeCaughtUp: this member now has all that was in its predecessor's log when the view began, and
-// with it everything that was ever acknowledged. Until then it may not speak for the chain.
+// maybeBecomeCaughtUp marks this member as caught up once it has synced its predecessor's log as of the start of the view, and
+// with that every entry that was ever acknowledged. Until then it must not propose views or count as a complete replica.
 func (n *Node) maybeBecomeCaughtUp() {
 	if n.caughtUp || !n.isServing() || !n.viewStartKnown || n.syncedIndex < n.viewStartIndex {
 		return
--- a/internal/controlplane/chain/restart.go
+++ b/internal/controlplane/chain/restart.go
@@ -4,8 +4,8 @@
 	"sort"
 )
 
-// maybeProposeAfterRestart runs when nobody serves: the members of the newest view compare
-// their logs, and the longest intact one goes first.
+// maybeProposeAfterRestart proposes a view when no member serves. The replicas of the newest view compare their logs, and the one
+// with the longest complete log proposes itself as the head.
 func (n *Node) maybeProposeAfterRestart() {
 	type candidate struct {
 		replica        Replica
--- a/internal/controlplane/chain/restart_test.go
+++ b/internal/controlplane/chain/restart_test.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// powerLossSpreadUs is how far apart the members of one restart come back: after a loss of power, and after a kill.
+	// powerLossSpreadUs and killSpreadUs bound the time between the first and the last start of the members in one restart: after a
+	// loss of power, and after a kill.
 	powerLossSpreadUs = 450 * clock.Ms
 	killSpreadUs      = 10 * clock.Ms
-	// maxViewDelayUs is how long after the last member's start the next view may take: hellos there and back, a tick,
-	// and the two syncs of a decision.
+	// maxViewDelayUs bounds the time from the start of the last member to the next view: a round trip of hellos, a tick, and the
+	// two syncs of a decision.
 	maxViewDelayUs = 120 * clock.Ms
 )
 
-// restartAll loses all members, brings them back up to powerLossSpreadUs apart, and returns how long after the last member's
-// start all have the next view.
+// restartAll stops all members and restarts them up to apartUs apart. It returns how long after the start of the last member all
+// had installed the next view.
 func (tc *testCluster) restartAll(apartUs int64) int64 {
 	tc.t.Helper()
 	before := tc.members[0].node.View().Number
@@ -42,15 +43,15 @@
 	waits := func(s *testMember) bool { return s.node.View().Number <= before || !s.node.isServing() }
 	for slices.ContainsFunc(tc.members, waits) {
 		if tc.advance(stepUs); tc.nowUs-lastUs > 2*clock.Sec {
-			tc.t.Fatal("no view of all 2 s after the last had started")
+			tc.t.Fatalf("got no view of all members 2 s after the last start, want one after view %d", before)
 		}
 	}
 	return tc.nowUs - lastUs
 }
 
-// After a loss of everything the last member to come back heard the others with their next hello only, up to 200 ms
-// later, and one that had not heard all others yet when it was asked for its vote was asked again 200 ms later. All
-// that time nobody served.
+// Guards against two delays of the next view after a restart of all members, during which no member serves. The last member to
+// restart heard the others only with their next hello, up to 200 ms later. And a member that had not heard all others yet when it
+// received a Prepare was asked again only 200 ms later.
 func TestNextViewFollowsReturnOfLastMember(t *testing.T) {
 	for _, c := range []struct {
 		size    int
@@ -64,15 +65,16 @@
 		}
 		slices.Sort(took)
 		median, most := took[len(took)/2], took[len(took)-1]
-		t.Logf("%d members up to %d ms apart, last start to the view: median %d ms, most %d ms", c.size, c.apartUs/1000, median/1000, most/1000)
+		t.Logf("%d members up to %d ms apart, from the last start to the view: median %d ms, maximum %d ms", c.size, c.apartUs/1000, median/1000, most/1000)
 		if most > maxViewDelayUs {
-			t.Errorf("%d members up to %d ms apart: %d ms from the last start to the view, at most %d", c.size, c.apartUs/1000, most/1000, maxViewDelayUs/1000)
+			t.Errorf("%d members up to %d ms apart: got up to %d ms from the last start to the view, want at most %d ms", c.size, c.apartUs/1000, most/1000, maxViewDelayUs/1000)
 		}
 	}
 }
 
-// Members that come back together send their beats together: each beat of the head waited for the next of each member
-// on its way to the tail, and a head of five that heard its own back too late gave no orders for as long as that lasted.
+// Guards against a head that is not confirmed. Members that restart together send their heartbeats at the same time. When each
+// member forwarded the head's time stamp only with its own next heartbeat, a head of five got its confirmation too late, and issued
+// no orders for as long as that lasted.
 func TestHeadIsConfirmedWhenHeartbeatsCoincide(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		for seed := int64(1); seed <= 20; seed++ {
@@ -92,7 +94,7 @@
 				}
 			}
 			if stale > 0 {
-				t.Errorf("%d members, seed %d: for %d of 4000 ms the head was not fresh", size, seed, int64(stale)*stepUs/1000)
+				t.Errorf("%d members, seed %d: got an unconfirmed head for %d of 4000 ms, want 0", size, seed, int64(stale)*stepUs/1000)
 			}
 		}
 	}
--- a/internal/controlplane/chain/seeds_cut_test.go
+++ b/internal/controlplane/chain/seeds_cut_test.go
@@ -6,9 +6,9 @@
 	"petreltide/internal/process/clock"
 )
 
-// A new control node all of whose seeds are cut off from it knows nobody else: it waits, holds up nobody, and is taken in within
-// its time to catch up once one of the seeds is back, also where that one alone is.
-func TestNewControlNodeWhoseSeedsAreAllCutOff(t *testing.T) {
+// A new control node that is partitioned from all its seed addresses knows no other control node. It waits without delaying the
+// others, and joins within its time to catch up once a single seed is reachable again.
+func TestNewControlNodeJoinsOnceOneSeedIsReachable(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		for seed := range int64(8) {
 			tc := newFleetTimedCluster(t, seed, size)
@@ -25,12 +25,12 @@
 			before := tc.lastAcked
 			tc.advance(10 * clock.Sec)
 			if fresh.node.View().Number > 0 || tc.lastAcked < before+100 {
-				t.Fatalf("%d members, seed %d: view %d, %d acknowledged meanwhile", size, seed, fresh.node.View().Number, tc.lastAcked-before)
+				t.Fatalf("%d members, seed %d: got view %d and %d entries acknowledged while partitioned, want view 0 and at least 100", size, seed, fresh.node.View().Number, tc.lastAcked-before)
 			}
 			delete(tc.cutLinks, [2]string{fresh.member.Addr, seeds[seed%3]})
 			tc.advance(clock.Sec)
 			if fresh.node.View().Number == 0 {
-				t.Fatalf("%d members, seed %d: it knows no chain a second after a seed is back", size, seed)
+				t.Fatalf("%d members, seed %d: the new control node knows no chain 1 s after a seed is reachable", size, seed)
 			}
 			clear(tc.cutLinks)
 			healedUs := tc.nowUs
@@ -38,9 +38,9 @@
 				tc.advance(stepUs)
 			}
 			if !fresh.node.isServing() {
-				t.Errorf("%d members, seed %d: no seat %d ms after the cut has healed", size, seed, (tc.nowUs-healedUs)/clock.Ms)
+				t.Errorf("%d members, seed %d: the new control node is not serving %d ms after the partition has ended", size, seed, (tc.nowUs-healedUs)/clock.Ms)
 			}
-			tc.requireSettled(20*clock.Sec, "healed")
+			tc.requireSettled(20*clock.Sec, "after the partition")
 		}
 	}
 }
--- a/internal/controlplane/chain/shutdown.go
+++ b/internal/controlplane/chain/shutdown.go
@@ -1,7 +1,7 @@
 package chain
 
-// becomeShuttingDown begins the end of this process: it tells the others at once, and goes on serving until they have put it
-// out of the view.
+// becomeShuttingDown starts the shutdown of this process: it informs the others at once, and continues to serve until they have
+// removed it from the view.
 func (n *Node) becomeShuttingDown() {
 	if n.shuttingDown {
 		return
@@ -10,7 +10,7 @@
 	n.broadcastHello()
 }
 
-// isShuttingDown says that the process of this seat has been told to end.
+// isShuttingDown reports whether the process of this replica was asked to shut down.
 func (n *Node) isShuttingDown(s Replica) bool {
 	if s.ID == n.opts.Self.ID {
 		return n.shuttingDown && s.Incarnation == n.opts.Incarnation
@@ -19,7 +19,7 @@
 	return p != nil && p.hello.ShuttingDown && p.hello.Incarnation == s.Incarnation
 }
 
-// isMemberShuttingDown says that the newest process of this member has been told to end.
+// isMemberShuttingDown reports whether the newest process of this member was asked to shut down.
 func (n *Node) isMemberShuttingDown(id string) bool {
 	if id == n.opts.Self.ID {
 		return n.shuttingDown
@@ -28,8 +28,8 @@
 	return p != nil && p.hello.ShuttingDown
 }
 
-// withoutShuttingDown takes the seats of processes that are about to end out of an order, each only where enough
-// others hold the whole log without it.
+// withoutShuttingDown removes the replicas that are shutting down from an order, each only if enough of the others hold the
+// complete log.
 func (n *Node) withoutShuttingDown(order []Replica) []Replica {
 	for _, s := range order {
 		if rest := withoutReplica(order, s.ID); n.isShuttingDown(s) && n.hasEnoughCaughtUp(rest) {
@@ -39,8 +39,8 @@
 	return order
 }
 
-// hasEnoughCaughtUp says that the members of an order that hold the whole log are as many, and in as many zones, as an
-// acknowledgement needs.
+// hasEnoughCaughtUp reports whether the healthy and caught-up replicas of an order include its head, and whether they are as
+// many and span as many zones and regions as an acknowledgement needs.
 func (n *Node) hasEnoughCaughtUp(order []Replica) bool {
 	holders := View{Voters: n.view.Voters}
 	for _, s := range order {
@@ -51,8 +51,9 @@
 	return len(holders.Replicas) > 0 && holders.Replicas[0].ID == order[0].ID && n.viewAcceptsWrites(holders)
 }
 
-// ShutdownComplete says that this process may end: it has no seat, its vote is with another control node where there is one that
-// could take it, and the others know it. Where all others are about to end as well, there is nothing to wait for.
+// ShutdownComplete reports whether this process may end: it has no position in the chain, its vote was handed over if another
+// control node could take it, and the other voters know the view. If all other members are shutting down as well, there is
+// nothing to wait for.
 func (n *Node) ShutdownComplete() bool {
 	if !n.shuttingDown {
 		return false
@@ -67,9 +68,9 @@
 	return n.view.Number == 0 || n.isViewKnownToQuorum()
 }
 
-// isViewKnownToQuorum: a majority of the voters, and all of them that are heard, have installed the view that this member is
-// in. As long as only the one that decided it knows it, its loss could leave the others without a majority of the
-// view before.
+// isViewKnownToQuorum reports whether a majority of the voters, and every voter that is alive, has installed the view of this
+// member. While only the member that decided the view knows it, its loss could leave the others without a majority of the
+// voters of the view before.
 func (n *Node) isViewKnownToQuorum() bool {
 	informed, others := 0, 0
 	for _, v := range n.view.Voters {
@@ -88,7 +89,7 @@
 	return informed >= min(n.view.QuorumSize(), others)
 }
 
-// isEveryMemberShuttingDown: every other member of the view has said that it is about to end.
+// isEveryMemberShuttingDown reports whether every member of the view has reported that it is shutting down.
 func (n *Node) isEveryMemberShuttingDown() bool {
 	for _, s := range n.view.Replicas {
 		if !n.isMemberShuttingDown(s.ID) {
@@ -103,7 +104,7 @@
 	return true
 }
 
-// canTransferVote: a control node without a vote is there that may take this member's, or votes are to spare.
+// canTransferVote reports whether a live control node that is no voter could take this member's vote, or the vote is not needed.
 func (n *Node) canTransferVote() bool {
 	if n.view.ExtraVoters > 0 && len(n.view.Voters) > minVoters {
 		return true
@@ -116,8 +117,8 @@
 	return false
 }
 
-// departedExtraVoter is a voter that has no seat in an order any more, whose vote may go with the seat as another was
-// taken in beside it: with a vote more than there are machines a further loss could leave no majority.
+// departedExtraVoter returns a voter that is no longer a replica in an order and can be removed together with its replica, as an
+// extra voter was added beside it; "" if there is none. With more voters than machines a further loss could leave no majority.
 func (n *Node) departedExtraVoter(order []Replica) string {
 	if !n.opts.AutoMembership || n.view.ExtraVoters <= 0 || len(n.view.Voters) <= minVoters {
 		return ""
--- a/internal/controlplane/chain/shutdown_test.go
+++ b/internal/controlplane/chain/shutdown_test.go
@@ -7,12 +7,12 @@
 	"petreltide/internal/process/clock"
 )
 
-// As many disks as may be lost are lost, and at the same moment one of those that hold the log is told to end: it
-// serves on until enough others hold all of it.
+// As many disks as may be lost are lost, and at the same time one of the members that hold the log is asked to shut down. It
+// continues to serve until enough others hold the complete log.
 func TestShutdownWaitsUntilOtherReplicasHoldTheLog(t *testing.T) {
 	for _, controlNodes := range []int{3, 5} {
 		for position := range controlNodes {
-			t.Run(fmt.Sprintf("%d offices, place %d", controlNodes, position), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d control nodes, position %d", controlNodes, position), func(t *testing.T) {
 				t.Parallel()
 				for seed := range int64(3) {
 					tc := newFleetTimedCluster(t, seed, controlNodes)
@@ -30,7 +30,7 @@
 					waitedUs := int64(0)
 					for ; !holder.node.ShutdownComplete(); waitedUs += stepUs {
 						if tc.advance(stepUs); waitedUs > terminationGraceUs {
-							t.Fatalf("seed %d: it has not left: %s", seed, holder.node.WaitReason())
+							t.Fatalf("seed %d: the shutdown is not complete after the grace period: waits for %s", seed, holder.node.WaitReason())
 						}
 					}
 					holders := 0
@@ -40,7 +40,7 @@
 						}
 					}
 					if holders < tc.minReplicas || waitedUs < clock.Sec/2 {
-						t.Fatalf("seed %d: it left after %d ms, when %d others held the log", seed, waitedUs/clock.Ms, holders)
+						t.Fatalf("seed %d: the shutdown completed after %d ms with %d other complete replicas, want at least %d ms and %d", seed, waitedUs/clock.Ms, holders, clock.Sec/2/clock.Ms, tc.minReplicas)
 					}
 					tc.stop(holder)
 					tc.advance(clock.Sec)
@@ -52,8 +52,8 @@
 	}
 }
 
-// Where operators change the members, one that is told to end hands over its seat, keeps its vote, and has both again
-// when it is back.
+// Without automatic membership, a member that shuts down hands over its position in the chain and stays a voter. It is a replica
+// again after its restart.
 func TestShutdownWithoutAutoMembershipHandsOverPositionOnly(t *testing.T) {
 	for i := range 3 {
 		sc := newSmallChain()
@@ -64,23 +64,23 @@
 			sc.deliverAll()
 		}
 		if !p.node.ShutdownComplete() || p.node.view.HasReplica(p.member.ID) || !p.node.view.IsVoter(p.member.ID) {
-			t.Fatalf("member %d: left %v, %+v", i, p.node.ShutdownComplete(), p.node.view)
+			t.Fatalf("member %d: got shutdown complete %v in view %+v, want true, not a replica and still a voter", i, p.node.ShutdownComplete(), p.node.view)
 		}
 		sc.crash(i)
 		sc.write()
 		sc.deliverAll()
 		if len(sc.acked) != 1 {
-			t.Fatalf("member %d: %d acknowledged without it", i, len(sc.acked))
+			t.Fatalf("member %d: got %d entries acknowledged after its shutdown, want 1", i, len(sc.acked))
 		}
 		sc.start(i, 0)
 		sc.advanceTicks(14)
 		if sc.checkInvariants(); sc.violation != "" || !p.node.isServing() || len(p.node.view.Replicas) != 3 {
-			t.Fatalf("member %d: %s, back as %s in %+v", i, sc.violation, p.node.phase, p.node.view)
+			t.Fatalf("member %d: got violation %q, phase %s and view %+v after its restart, want none, serving and 3 replicas", i, sc.violation, p.node.phase, p.node.view)
 		}
 	}
 }
 
-// Where all are told to end, nobody waits for the others to take over.
+// If all members are asked to shut down, none waits for the others to take over.
 func TestShutdownOfAllMembersCompletesAtOnce(t *testing.T) {
 	for _, controlNodes := range []int{1, 3, 5} {
 		tc := newTestCluster(t, 1, controlNodes, min(3, controlNodes))
@@ -88,21 +88,21 @@
 		for _, s := range tc.members {
 			tc.start(s, true)
 		}
-		tc.requireSettled(30*clock.Sec, "founding")
+		tc.requireSettled(30*clock.Sec, "bootstrap")
 		for _, s := range tc.members {
 			tc.step(s, ShutdownRequested{})
 		}
 		tc.advance(clock.Sec / 4)
 		for _, s := range tc.members {
 			if !s.node.ShutdownComplete() {
-				t.Errorf("%d control nodes: %s waits for %s", controlNodes, s.member.ID, s.node.WaitReason())
+				t.Errorf("%d control nodes: the shutdown of %s is not complete: waits for %s", controlNodes, s.member.ID, s.node.WaitReason())
 			}
 		}
 	}
 }
 
-// One machine (two of five) is down with its disk, and nobody comes in its place: another that is told to end waits for
-// it, as without it too few would hold what is acknowledged.
+// One machine (two of five) is down with its disk and is not replaced. Another member that is asked to shut down waits for its
+// restart, as otherwise too few members would hold the acknowledged entries.
 func TestShutdownWaitsForMemberThatIsDown(t *testing.T) {
 	for _, controlNodes := range []int{3, 5} {
 		for seed := range int64(4) {
@@ -123,7 +123,7 @@
 			before := tc.lastAcked
 			tc.advance(clock.Sec)
 			if holder.node.ShutdownComplete() || holder.node.WaitReason() == "" || tc.lastAcked == before {
-				t.Fatalf("%d control nodes, seed %d: left %v, %d acknowledged in a second, in %+v", controlNodes, seed, holder.node.ShutdownComplete(), tc.lastAcked-before, holder.node.view)
+				t.Fatalf("%d control nodes, seed %d: got shutdown complete %v and %d entries acknowledged in 1 s in view %+v, want false with a wait reason, and some", controlNodes, seed, holder.node.ShutdownComplete(), tc.lastAcked-before, holder.node.view)
 			}
 			for _, s := range lost {
 				tc.start(s, false)
@@ -132,7 +132,7 @@
 				tc.advance(stepUs)
 			}
 			if !holder.node.ShutdownComplete() {
-				t.Fatalf("%d control nodes, seed %d: it waits for %s", controlNodes, seed, holder.node.WaitReason())
+				t.Fatalf("%d control nodes, seed %d: the shutdown is not complete after the restart: waits for %s", controlNodes, seed, holder.node.WaitReason())
 			}
 			tc.terminate(holder)
 			tc.advance(clock.Sec)
