--- a/internal/controlplane/chain/snapshot.go
+++ b/internal/controlplane/chain/snapshot.go
@@ -2,6 +2,7 @@
 
 import "encoding/json"
 
+// transferUsPerKey is the time to transfer a snapshot, for each idempotency key in its state.
 const transferUsPerKey = 25
 
 func (n *Node) replayEntry(e Entry) {
@@ -16,7 +17,7 @@
 	}
 }
 
-// isPersistingReceivedSnapshot: a peer's copy is on its way to the disk. Another would have to wait for it.
+// isPersistingReceivedSnapshot reports whether a snapshot of a peer is being written to the disk. Another one would have to wait.
 func (n *Node) isPersistingReceivedSnapshot() bool {
 	for _, s := range n.pendingWrites {
 		if s.snapshotIndex > 0 {
@@ -26,7 +27,7 @@
 	return false
 }
 
-// isPersistingSnapshot: a copy is on its way to the disk, beside the log.
+// isPersistingSnapshot reports whether a snapshot is being written to the disk, beside the log.
 func (n *Node) isPersistingSnapshot() bool {
 	for _, s := range n.pendingWrites {
 		if s.hasSnapshot {
@@ -36,7 +37,7 @@
 	return false
 }
 
-// snapshotTransferUs is how long a copy of this size may be under way before it is sent again.
+// snapshotTransferUs returns how long the transfer of a snapshot of the current state may take before it is sent again.
 func (n *Node) snapshotTransferUs() int64 { return int64(len(n.state.Keys)) * transferUsPerKey }
 
 func (n *Node) firstIndex() uint64 {
@@ -78,18 +79,18 @@
 	n.effects = append(n.effects, Persist{Seq: n.persistSeq, Snapshot: &c})
 }
 
-// hasTooManyEntries: there are enough entries, and enough of them committed, to let go of most.
+// hasTooManyEntries reports whether the log has enough entries, and enough committed ones, to be compacted.
 func (n *Node) hasTooManyEntries() bool {
 	return len(n.entries) >= 2*n.opts.MaxRetainedEntries && n.commitIndex >= n.firstIndex()+uint64(n.opts.MaxRetainedEntries)
 }
 
-// isLogTooLarge: the log takes much of the disk, and much more than when it was last begun anew.
+// isLogTooLarge reports whether the log has reached MaxLogBytes and at least twice its size after the last compaction.
 func (n *Node) isLogTooLarge() bool {
 	return n.logBytes >= n.opts.MaxLogBytes && n.logBytes >= 2*n.compactedLogBytes
 }
 
-// retainedEntries counts the newest committed entries that stay for members that are behind: not too many, and not
-// too large.
+// retainedEntries returns how many of the newest committed entries a compaction retains for members that are behind: at most
+// half of MaxRetainedEntries, and at most a quarter of MaxLogBytes.
 func (n *Node) retainedEntries() uint64 {
 	kept, bytes := uint64(0), int64(0)
 	for at := n.commitIndex; kept < uint64(n.opts.MaxRetainedEntries)/2; at-- {
@@ -105,9 +106,10 @@
 	return kept
 }
 
+// entryOverheadBytes is the assumed size of a log entry without its configuration document.
 const entryOverheadBytes = 1 << 10
 
-// sizeBytes is about what an entry takes in a log; only declarations are large.
+// sizeBytes returns the approximate size of an entry in the log; only configuration documents are large.
 func (e Entry) sizeBytes() int64 {
 	if e.Change.Config == nil {
 		return entryOverheadBytes
@@ -119,7 +121,7 @@
 	return entryOverheadBytes + int64(len(raw))
 }
 
-// compact begins the log anew on a copy of the state.
+// compact replaces the log by a snapshot of the state and the records that are still needed, if the log is too large.
 func (n *Node) compact() {
 	if n.isPersistingSnapshot() || (!n.hasTooManyEntries() && !n.isLogTooLarge()) {
 		return
--- a/internal/controlplane/chain/start.go
+++ b/internal/controlplane/chain/start.go
@@ -7,38 +7,39 @@
 	"petreltide/internal/process/clock"
 )
 
-// Start orders the processes of one member. Two may run at once, as a disk can be copied and started twice: the members
-// go by the newest and fence every other from votes, leases, acknowledgements and the log.
+// Start identifies a process of a member and orders the processes of one member. Two may run at once, as a disk can be copied and
+// started twice. The other members recognize only the newest and fence all others from votes, leases, acknowledgements and the
+// log.
 //
-// A process takes a number above all that the others know for its member, and votes only once every voter that it hears
-// has recorded it (maybeRecoverVotes). What a voter has accepted up to then stands in the hello that says so, and the new
-// process takes it up; what the older one sends from then on is not read. So the two never give their member's promise
-// to two proposers that can hear each other's voters. Voters that are cut off from each other for longer than
-// VoteRecoveryTimeoutUs cannot tell this from a restart, and do.
+// A process takes a number above all that the others know for its member, and votes only once every voter that it hears has
+// recorded that number (maybeRecoverVotes). The hello that confirms the recording carries what that voter has accepted so far,
+// and the new process adopts it; messages that the older process sends afterwards are ignored. So the two processes never give
+// their member's promise to two proposers that can hear each other's voters. Voters that are partitioned from each other for longer
+// than VoteRecoveryTimeoutUs cannot distinguish this from a restart, and may give the promise twice.
 type Start struct {
-	// Number rises with each start; 0 is a process of a version that has none.
+	// Number increases with each start; 0 is a process of a version without start numbers.
 	Number uint64 `json:"number"`
-	// Incarnation names the process, and orders those of one number.
+	// Incarnation identifies the process, and breaks ties between processes with the same number.
 	Incarnation string `json:"incarnation"`
 }
 
-// KnownStart is the newest process of a member as one control node tells another of it.
+// KnownStart is the newest process of a member as one control node reports it to another.
 type KnownStart struct {
 	Start
-	// Addr is where that process was met.
+	// Addr is the address of that process.
 	Addr string `json:"addr"`
-	// Heard: whoever tells of it has heard it, or of it from somebody who had, within SuspectTimeoutUs.
+	// Heard means that within SuspectTimeoutUs the sender has heard the process, or a report with Heard set.
 	Heard bool `json:"heard,omitempty"`
 }
 
-// knownStart is the same as a node keeps it.
+// knownStart is the newest process of a member as a node stores it.
 type knownStart struct {
 	Start
 	addr    string
 	heardUs int64
 }
 
-// newerThan orders the starts of one member.
+// newerThan reports whether s is a later start of the same member than o.
 func (s Start) newerThan(o Start) bool {
 	if s.Number != o.Number {
 		return s.Number > o.Number
@@ -46,10 +47,10 @@
 	return s.Incarnation > o.Incarnation
 }
 
-// startBroadcastUs is for how long a change among the starts is told to everybody.
+// startBroadcastUs is for how long after a change the known starts are sent to every member.
 const startBroadcastUs = 3 * clock.Sec
 
-// persistIncarnation notes on the disk that this process has run on it, before it can be seated.
+// persistIncarnation records on the disk that this process has run on it, before the process can become a replica.
 func (n *Node) persistIncarnation() {
 	if n.phase != PhaseRestarted || n.incarnationSeq > 0 {
 		return
@@ -59,11 +60,12 @@
 	n.incarnationSeq = n.persistSeq
 }
 
-// canBeReplica: a process that has restarted may speak for its log once the disk names it.
+// canBeReplica reports whether this process may present its log as complete. A restarted process may once its incarnation is
+// persisted.
 func (n *Node) canBeReplica() bool { return n.phase != PhaseRestarted || n.incarnationSynced }
 
-// isReplicaOfThisDisk: the seat of this member in a later view is that of a process that ran on this disk. One that the disk does
-// not name ran on another copy of it, which may hold more.
+// isReplicaOfThisDisk reports whether this member's replica in a later view is a process that ran on this disk. A process that the
+// disk does not list ran on another copy of it, which may hold more entries.
 func (n *Node) isReplicaOfThisDisk(v View) bool {
 	for _, s := range v.Replicas {
 		if s.ID == n.opts.Self.ID {
@@ -73,23 +75,23 @@
 	return false
 }
 
-// ownStart is this process's own.
+// ownStart returns the start of this process.
 func (n *Node) ownStart() Start {
 	return Start{Number: n.startNumber, Incarnation: n.opts.Incarnation}
 }
 
-// recordStart notes the process that a hello comes from. It is false for one that a newer has taken the place of, which is
-// told so.
+// recordStart records the process that sent a hello. It returns false for a process that a newer one has replaced, after sending
+// it a hello that says so.
 func (n *Node) recordStart(h Hello) bool {
 	known, isKnown := n.knownStarts[h.Member.ID]
 	start := Start{Number: h.Start, Incarnation: h.Incarnation}
 	switch {
 	case !isKnown:
 	case known.Incarnation == start.Incarnation:
-		// A hello may be from before this process took its number.
+		// The hello may be from before the process took its number.
 		start.Number = max(start.Number, known.Number)
 	case h.Start == 0:
-		// A version without numbers: whoever is heard is the newest, as it was before there were numbers.
+		// A version without start numbers: the process heard last counts as the newest, as in such versions.
 		start.Number = known.Number + 1
 	case known.newerThan(start):
 		hello := n.currentHello()
@@ -108,8 +110,8 @@
 	n.knownStarts[id] = s
 }
 
-// learnStarts takes what another member knows of starts. This member's own comes last: the hello that it may lead to
-// names all the others.
+// learnStarts merges the starts that another member knows. This member's own start comes last, so that the hello that it may
+// trigger lists all the others.
 func (n *Node) learnStarts(known map[string]KnownStart) {
 	for _, id := range slices.Sorted(maps.Keys(known)) {
 		reported := known[id]
@@ -127,9 +129,9 @@
 	}
 }
 
-// learnOwnStart is told of a process of this member that counts as newer. It has taken this one's place if somebody has
-// heard it, at another address, since this one got its vote. Else it is one that has ended, whose number somebody still
-// remembers who did not hear this one start: this one takes a number above it.
+// learnOwnStart handles the report of a process of this member that counts as newer. That process has replaced this one if it was
+// heard at another address since this process recovered its votes. Otherwise it has ended, and a member that did not hear this
+// process start still remembers its number: this process then takes a number above it.
 func (n *Node) learnOwnStart(reported KnownStart) {
 	if !reported.newerThan(n.ownStart()) {
 		return
@@ -142,7 +144,7 @@
 	n.broadcastHello()
 }
 
-// becomeFenced ends this process's part in the chain: another process of this member is the newer one.
+// becomeFenced permanently excludes this process from the chain, as another process of this member is newer.
 func (n *Node) becomeFenced(by Start) {
 	if n.phase == PhaseFenced {
 		return
@@ -152,7 +154,7 @@
 	n.effects = append(n.effects, Fenced{By: by})
 }
 
-// stepFenced lets time pass for a process that takes no part in anything but its own end.
+// stepFenced processes an event in a fenced process, which only advances its time and records a requested shutdown.
 func (n *Node) stepFenced(nowUs int64, ev Event) {
 	n.nowUs = nowUs
 	if _, isShutdown := ev.(ShutdownRequested); isShutdown {
@@ -160,13 +162,14 @@
 	}
 }
 
-// isFromFencedProcess: the message comes from a process of its member that is not the newest known here.
+// isFromFencedProcess reports whether the sender of a message is not the newest known process of its member. Hellos are exempt.
 func (n *Node) isFromFencedProcess(m Msg) bool {
 	known, isKnown := n.knownStarts[m.From.ID]
 	return isKnown && m.Hello == nil && m.From.ID != n.opts.Self.ID && m.Incarnation != known.Incarnation
 }
 
-// startsToSend are the starts that a hello to a member names: all while it compares notes or some have changed, else none.
+// startsToSend returns the starts that a hello to a member carries: all of them until that member has recovered its votes, and for
+// startBroadcastUs after a change; otherwise none.
 func (n *Node) startsToSend(p *peer) map[string]KnownStart {
 	if p != nil && p.hello.VotesRecovered && n.nowUs-n.startsChangedUs > startBroadcastUs {
 		return nil
@@ -182,7 +185,7 @@
 	return all
 }
 
-// hasRecordedStart says that another member goes by this process, by its newest hello.
+// hasRecordedStart reports whether another member has recorded the start of this process, by its newest hello.
 func (n *Node) hasRecordedStart(h Hello) bool {
 	return h.Start == 0 || h.KnownStarts[n.opts.Self.ID].Start == n.ownStart()
 }
--- a/internal/controlplane/chain/start_order_test.go
+++ b/internal/controlplane/chain/start_order_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A process that learned of its own older one in the midst of the others told a draw of them: in the order of a Go map. A
-// seed of the simulator was then several days.
+// Guards against nondeterminism. A process that learned of a newer start of its own member before those of the other members sent
+// a hello with a random part of them, as it read them in the order of a Go map. Runs of the simulator with the same seed differed.
 func TestStartsAreLearnedInOneOrder(t *testing.T) {
 	const otherMembers, runs = 6, 20
 	for run := range runs {
@@ -23,13 +23,13 @@
 				sent++
 				for i := range otherMembers {
 					if _, names := send.Msg.Hello.KnownStarts[fmt.Sprint("ghost-", i)]; !names {
-						t.Fatalf("play %d: the hello to %s does not name ghost-%d, which came with the same message", run, send.Addr, i)
+						t.Fatalf("run %d: the hello to %s does not list ghost-%d, which was reported in the same message", run, send.Addr, i)
 					}
 				}
 			}
 		}
 		if sent == 0 {
-			t.Fatal("it told nobody")
+			t.Fatal("got no hello with known starts, want at least one")
 		}
 	}
 }
--- a/internal/controlplane/chain/start_test.go
+++ b/internal/controlplane/chain/start_test.go
@@ -20,7 +20,7 @@
 	return copied
 }
 
-// stripStarts is a plant: no message says which process of a member is the newer.
+// stripStarts is a mutation: it removes the start numbers, so that no message says which process of a member is newer.
 func stripStarts(m Msg) Msg {
 	if m.Hello != nil {
 		h := *m.Hello
@@ -30,7 +30,7 @@
 	return m
 }
 
-// walkWithCopiedMember goes on at random from the moment at which a member's disk is copied and started beside it.
+// walkWithCopiedMember takes a random walk from the moment at which a second process is started from a copy of a member's disk.
 func walkWithCopiedMember(seed uint64, actionCount int, mutate func(Msg) Msg) (sc *smallChain, violation string) {
 	sc = newSmallChain()
 	sc.mutate = mutate
@@ -46,7 +46,7 @@
 		sc.advanceOnce()
 	}
 	if next(2) == 0 {
-		// A view change is under way as the disk is copied: another member is silent for a while.
+		// A view change is in progress when the disk is copied, as a member was partitioned for a while.
 		isolated := next(3)
 		sc.isolate(isolated, true, true)
 		sc.advanceIsolated(2 + next(2))
@@ -61,7 +61,7 @@
 		sc.ticks, sc.writes = 0, min(sc.writes, n/40)
 		switch flow := sc.deliveriesAndSyncs(); {
 		case n%120 == 119:
-			// Either process may be killed and come back.
+			// Either process may be killed and restarted.
 			i := []int{original, copied}[next(2)]
 			if sc.members[i].node != nil {
 				sc.crash(i)
@@ -82,7 +82,7 @@
 	return sc, ""
 }
 
-// flow are the deliveries and syncs that may come next.
+// deliveriesAndSyncs returns the possible deliveries and syncs.
 func (sc *smallChain) deliveriesAndSyncs() []func(*smallChain) {
 	actions := []func(*smallChain){}
 	for i := range sc.members {
@@ -98,9 +98,9 @@
 	return actions
 }
 
-// A disk that was copied and started twice: two processes hold one member's vote. No view is decided twice, no two tails
-// are open, nothing that was acknowledged is lost, and one of the two is fenced.
-func TestLongWalksWithTwoProcessesOfOneMember(t *testing.T) {
+// Two processes hold the vote of one member, as its disk was copied and started twice. No view is decided twice, no two tails are
+// ready, no acknowledged entry is lost, and one of the two processes is fenced.
+func TestInvariantsHoldOnRandomWalksWithTwoProcessesOfOneMember(t *testing.T) {
 	walks := 300 * exploreFactor()
 	if raceEnabled {
 		walks = 30
@@ -118,12 +118,12 @@
 	}
 	t.Logf("%d walks, %d views, a process was fenced in %d", walks, views, fenced)
 	if fenced < walks/2 || views < 2*walks {
-		t.Errorf("fenced in %d, %d views: the walks prove little", fenced, views)
+		t.Errorf("got a fenced process in %d walks and %d views, want at least %d and %d for a meaningful test", fenced, views, walks/2, 2*walks)
 	}
 }
 
-// Every interleaving of deliveries, syncs, ticks and a write, from states on the way through each member's duplication.
-func TestEveryInterleavingWithTwoProcessesOfOneMember(t *testing.T) {
+// Explores every interleaving of deliveries, syncs, ticks and a write, from states after the duplication of each member.
+func TestInvariantsHoldInEveryInterleavingWithTwoProcessesOfOneMember(t *testing.T) {
 	depth, stride := exploreDepth, 3
 	if raceEnabled {
 		depth, stride = raceDepth, 6
@@ -147,25 +147,26 @@
 			}
 			t.Logf("%d states within %d actions", states, depth)
 			if states < 200 {
-				t.Errorf("%d states: it proves little", states)
+				t.Errorf("got %d states, want at least 200 for a meaningful test", states)
 			}
 		})
 	}
 }
 
-// Without the numbers the two take turns in their member's name, and a walk must show it.
-func TestProcessesWithoutStartNumbersAreFound(t *testing.T) {
+// Checks that the invariants detect the mutation: without start numbers both processes act for their member, and a walk must find
+// a violation.
+func TestRandomWalksDetectMissingStartNumbers(t *testing.T) {
 	for seed := range uint64(300) {
 		sc, violation := walkWithCopiedMember(seed, 600, stripStarts)
-		if violation != "" && (strings.Contains(violation, "decided twice") || strings.Contains(violation, "two open tails") || strings.Contains(violation, "was acknowledged")) {
+		if violation != "" && (strings.Contains(violation, "decided twice") || strings.Contains(violation, "two ready tails") || strings.Contains(violation, "was acknowledged")) {
 			t.Logf("walk %d of %d views: %s", seed, len(sc.views), violation)
 			return
 		}
 	}
-	t.Fatal("not found")
+	t.Fatal("no walk of 300 found a violation without start numbers")
 }
 
-// The older process stops at once when it hears of the newer, wherever it stands, and says so.
+// The older process is fenced when it hears of the newer one, at any position in the chain.
 func TestOlderProcessIsFenced(t *testing.T) {
 	for original, role := range []string{"head", "middle", "tail"} {
 		sc := newSmallChain()
@@ -179,22 +180,23 @@
 		older, newer := sc.members[original].node, sc.members[copied].node
 		switch {
 		case older.phase != PhaseFenced || older.IsTailReady(sc.nowUs) || older.IsHead():
-			t.Errorf("%s: the older process is %s", role, older.phase)
+			t.Errorf("%s: got older process in phase %s, want fenced", role, older.phase)
 		case newer.phase != PhaseServing:
-			t.Errorf("%s: the newer process is %s and waits for %q", role, newer.phase, newer.WaitReason())
+			t.Errorf("%s: got newer process in phase %s, want serving; waits for %q", role, newer.phase, newer.WaitReason())
 		}
 		before := len(sc.acked)
 		sc.write()
 		sc.deliverAll()
 		if len(sc.acked) <= before {
-			t.Errorf("%s: nothing is acknowledged afterwards", role)
+			t.Errorf("%s: got %d acknowledged entries after the fencing, want more than %d", role, len(sc.acked), before)
 		}
 	}
 }
 
-// The bound: while the voters on both sides of a cut cannot hear each other, a copy on the one side and the original on the
-// other cannot be told from a restart and a loss. The copy waits for VoteRecoveryTimeoutUs before it votes all the same.
-func TestCopyBehindACutWaitsBeforeItVotes(t *testing.T) {
+// This is the limit of fencing: while the voters on both sides of a partition cannot hear each other, a copy on one side and the
+// original on the other cannot be distinguished from a restart and a loss. The copy still waits for VoteRecoveryTimeoutUs before
+// it votes.
+func TestPartitionedCopyWaitsForVoteRecoveryTimeout(t *testing.T) {
 	sc := newSmallChain()
 	sc.write()
 	sc.deliverAll()
@@ -206,27 +208,27 @@
 	for !sc.members[copied].node.votesRecovered {
 		sc.tick()
 		if sc.nowUs-sinceUs > 20*tickUs {
-			t.Fatal("it never votes, though it may be a restart")
+			t.Fatal("the copy has not recovered its votes after 20 ticks, though it may be a restart")
 		}
 	}
 	if tookUs := sc.nowUs - sinceUs; tookUs < sc.members[copied].node.opts.VoteRecoveryTimeoutUs {
-		t.Errorf("it votes after %d ms", tookUs/1000)
+		t.Errorf("the copy votes after %d ms, want at least %d ms", tookUs/1000, sc.members[copied].node.opts.VoteRecoveryTimeoutUs/1000)
 	}
 }
 
-// Two of three control nodes are killed and come back while the third is frozen or cut off, for longer than they wait for it.
-// It remembers what they were before, and what it said of them lies in links: nobody is fenced by that.
-func TestRestartThatOneMemberDidNotHearFencesNobody(t *testing.T) {
+// Two of three control nodes are killed and restarted while the third is paused or partitioned for longer than they wait for it. The
+// third still knows their previous starts, and its messages about them are in flight. These must not fence any process.
+func TestRestartUnseenByOneMemberFencesNoProcess(t *testing.T) {
 	for seed := range int64(40) {
 		tc := newFleetTimedCluster(t, seed, 3)
 		order := tc.remainingMembers()[0].node.View().Replicas
 		unaware := tc.memberAt(order[seed%3].Addr)
 		for turn := range 3 {
-			// Each has restarted by itself before, so that the third knows it by a number that the others forget with their own processes.
+			// Each member has restarted alone before, so that the third knows start numbers that the others forget when they restart.
 			for _, s := range tc.members {
 				tc.stop(s)
 				tc.start(s, false)
-				tc.requireSettled(20*clock.Sec, "restarted alone")
+				tc.requireSettled(20*clock.Sec, "after a restart of one member")
 			}
 			if (seed+int64(turn))%2 == 0 {
 				unaware.paused = true
--- a/internal/controlplane/chain/superseded_test.go
+++ b/internal/controlplane/chain/superseded_test.go
@@ -6,19 +6,19 @@
 	"petreltide/internal/process/clock"
 )
 
-// A voter knows of a tail's end by an incarnation of its control node that came after. One that it heard before, and has not
-// heard from since, says nothing of the tail.
+// A voter knows that the process of the tail has ended if it has heard a later incarnation of the same control node. An earlier
+// incarnation, from which it last heard before this view, proves nothing about the tail.
 func TestOnlyLaterIncarnationSupersedesReplica(t *testing.T) {
 	for name, c := range map[string]struct {
 		heard string
 		view  uint64
 		want  bool
 	}{
-		"the seat's own life":           {"now", 5, false},
-		"a life that knows this view":   {"later", 5, true},
-		"a life that knows a newer one": {"later", 6, true},
-		"a life before this view":       {"before", 4, false},
-		"nobody":                        {"", 0, false},
+		"the incarnation of the replica":         {"now", 5, false},
+		"an incarnation that knows this view":    {"later", 5, true},
+		"an incarnation that knows a newer view": {"later", 6, true},
+		"an incarnation before this view":        {"before", 4, false},
+		"no incarnation":                         {"", 0, false},
 	} {
 		tail := Replica{Member: Member{ID: "b", Addr: "b"}, Incarnation: "now"}
 		n, err := NewNode(Options{Self: Member{ID: "a", Addr: "a"}, Incarnation: "a1"}, []Record{{View: &View{Number: 5, Voters: []Member{{ID: "a"}, tail.Member}, Replicas: []Replica{tail}}}}, clock.Sec)
@@ -29,7 +29,7 @@
 			n.peers["b"] = &peer{hello: Hello{Member: tail.Member, Incarnation: c.heard, View: View{Number: c.view}}}
 		}
 		if got := n.isSuperseded(tail); got != c.want {
-			t.Errorf("%s: ended %v", name, got)
+			t.Errorf("%s: got superseded %v, want %v", name, got, c.want)
 		}
 	}
 }
--- a/internal/controlplane/chain/tenure_test.go
+++ b/internal/controlplane/chain/tenure_test.go
@@ -5,10 +5,11 @@
 	"maps"
 )
 
-// tailTenures checks what package quota keeps its counts by: a process that is open again as the tail of the same view, or of the
-// next one, knows that nobody else was open in between. The zero value is ready to use.
+// tailTenures checks an invariant that the counts of package quota depend on: between two times at which a process is ready as the
+// tail, in the same view or in two consecutive ones, no other process is ready. The zero value is ready to use.
 type tailTenures struct {
-	// last is when each process was last open, by its incarnation; count is the tenures so far, each of one process.
+	// last is the last tenure of each process, by its incarnation; count is the number of tenures so far. A tenure is an
+	// uninterrupted period in which one process alone is ready.
 	last  map[string]tailTenure
 	count int
 }
@@ -18,13 +19,13 @@
 	number int
 }
 
-// check takes a process that is open now; it says what is wrong.
+// check records a process that is ready as the tail now, and returns the violation of the invariant, or "".
 func (t *tailTenures) check(n *Node) (violation string) {
 	before, seen := t.last[n.Incarnation()]
 	if !seen || before.number != t.count {
 		t.count++
 		if seen && n.View().Number <= before.view+1 {
-			violation = fmt.Sprintf("%s was open in view %d and is in view %d; another was in between", n.Incarnation(), before.view, n.View().Number)
+			violation = fmt.Sprintf("%s was ready as the tail in view %d and is in view %d, but another process was in between", n.Incarnation(), before.view, n.View().Number)
 		}
 	}
 	if t.last == nil {
--- a/internal/controlplane/chain/unsynced_log_test.go
+++ b/internal/controlplane/chain/unsynced_log_test.go
@@ -7,8 +7,8 @@
 	"petreltide/internal/process/clock"
 )
 
-// restartedMember is a member of three with one entry in its log, restarted from its disk and told of the next view, where
-// it is the second of three.
+// restartedMember returns a member of three with one entry in its log. It was restarted from its disk and has installed the next
+// view, in which it is the second of three replicas.
 func restartedMember(t *testing.T, unsynced bool) *Node {
 	t.Helper()
 	seats := []Replica{}
@@ -26,12 +26,12 @@
 	head := Hello{Member: seats[0].Member, Incarnation: "a/2", Phase: PhaseServing, View: next, LastIndex: 1, LastView: 1, CaughtUp: true}
 	n.Step(clock.Sec+clock.Ms, MessageReceived{Msg: &Msg{From: head.Member, Incarnation: head.Incarnation, Hello: &head}})
 	if !n.isServing() || n.position() != 1 {
-		t.Fatalf("%s at place %d", n.phase, n.position())
+		t.Fatalf("got phase %s and position %d, want serving and 1", n.phase, n.position())
 	}
 	return n
 }
 
-// highestAcked is the highest index that the member tells its predecessor it has synced.
+// highestAcked returns the highest index that the member acknowledges to its predecessor in one step.
 func highestAcked(n *Node, nowUs int64, ev Event) (highest uint64) {
 	for _, e := range n.Step(nowUs, ev) {
 		if send, ok := e.(Send); ok && send.Msg.Ack != nil {
@@ -41,19 +41,19 @@
 	return highest
 }
 
-// What the disk gave back without having synced it is not counted before the disk has: the member says that its disk
-// stands still, reports nothing as synced and takes part in no vote.
+// Entries that were read back from the disk count as synced only after the disk has synced them. Until then the member reports a
+// stalled disk, acknowledges nothing and does not vote.
 func TestUnsyncedLogIsNotAcknowledged(t *testing.T) {
 	heartbeatUs := clock.Sec + 30*clock.Ms
 	heartbeat := MessageReceived{Msg: &Msg{From: Member{ID: "a", Addr: "a"}, Incarnation: "a/2", Forward: &Forward{View: 2, LastIndex: 1, HeadTimeUs: 1}}}
 	if n := restartedMember(t, false); highestAcked(n, heartbeatUs, heartbeat) != 1 || n.isDiskStalled() {
-		t.Fatal("a synced log does not count")
+		t.Fatal("a synced log is not acknowledged, or its disk counts as stalled")
 	}
 	n := restartedMember(t, true)
 	if last := highestAcked(n, heartbeatUs, heartbeat); last != 0 || !n.isDiskStalled() || !n.refusesToVote() {
-		t.Fatalf("acknowledges %d, stalled %v, mute %v", last, n.isDiskStalled(), n.refusesToVote())
+		t.Fatalf("unsynced: got acknowledged index %d, stalled %v and refuses to vote %v, want 0, true and true", last, n.isDiskStalled(), n.refusesToVote())
 	}
 	if last := highestAcked(n, clock.Sec+40*clock.Ms, Persisted{Seq: OpeningPersistSeq}); last != 1 || n.isDiskStalled() {
-		t.Fatalf("synced it acknowledges %d, stalled %v", last, n.isDiskStalled())
+		t.Fatalf("synced: got acknowledged index %d and stalled %v, want 1 and false", last, n.isDiskStalled())
 	}
 }
--- a/internal/controlplane/chain/validate.go
+++ b/internal/controlplane/chain/validate.go
@@ -5,8 +5,8 @@
 	"petreltide/internal/api/membership"
 )
 
-// validate says what is wrong with a message that no control node sends: what it would have its reader take up could not be
-// followed by anything else, or could not be read again.
+// validate returns the fault of a malformed message, which no control node sends. Adopting its content would leave no successor
+// (a view number or ballot that nothing can exceed), or would persist content that cannot be read back.
 func (m Msg) validate() *fault.Fault {
 	bad := func(field string) *fault.Fault {
 		return fault.New(fault.BadField, field, "a malformed message from %s at %s", m.From.ID, m.From.Addr)
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// carriedBallots are all that a message would have its reader take up.
+// carriedBallots returns all ballots in a message that its receiver may adopt.
 func (m Msg) carriedBallots() (all []Ballot) {
 	switch {
 	case m.Hello != nil:
--- a/internal/controlplane/chain/view.go
+++ b/internal/controlplane/chain/view.go
@@ -2,13 +2,13 @@
 
 import "petreltide/internal/api/membership"
 
-// The identities and views that gateways follow as well stand in package membership. The chain's own names for them are
-// aliases, as it is about little else.
+// Identities and views are declared in package membership, as gateways use them too. The aliases give them short names in
+// this package, which uses them throughout.
 type (
-	// Member is a control node by the identity that its disk holds.
+	// Member is a control node, identified by the ID stored on its disk.
 	Member = membership.Member
-	// Replica is a place in the order of a view, held by one process of a member.
+	// Replica is a position in the chain of a view, held by one process of a member.
 	Replica = membership.ChainReplica
-	// View says who votes on the next view and which processes hold the log, head first.
+	// View is a configuration of the chain: the voters on the next view, and the replicas of the log, head first.
 	View = membership.View
 )
--- a/internal/controlplane/chain/view_change.go
+++ b/internal/controlplane/chain/view_change.go
@@ -36,7 +36,7 @@
 	return n.awakeUs-p.lastMutualAwakeUs < 2*n.opts.SuspectTimeoutUs
 }
 
-// isCaughtUp: only a member that has everything may come first.
+// isCaughtUp reports whether a replica is known to be caught up. Only a caught-up replica may become the head.
 func (n *Node) isCaughtUp(s Replica) bool {
 	if s.ID == n.opts.Self.ID {
 		return n.caughtUp
@@ -63,8 +63,8 @@
 	n.finishAcceptedProposal()
 }
 
-// maybeProposeNextView removes the seats of members that are not healthy, seats a joiner that holds a copy, and gives
-// the vote of a lost control node to the empty one that came under its name.
+// maybeProposeNextView proposes a view that removes unhealthy replicas, adds a joining control node that holds a snapshot, and
+// gives the vote of a lost control node to its replacement.
 func (n *Node) maybeProposeNextView() {
 	if n.isDiskStalled() || !n.caughtUp {
 		return
@@ -92,7 +92,7 @@
 	}
 }
 
-// desiredView is the view that should follow as things stand, and whether it differs from the one of now.
+// desiredView returns the view that should follow the current one, and whether it differs from that.
 func (n *Node) desiredView() (desired View, changed bool) {
 	desired = View{Number: n.view.Number + 1, Voters: n.view.Voters, ExtraVoters: n.view.ExtraVoters, System: n.view.System}
 	for _, s := range n.view.Replicas {
