--- a/internal/dataplane/gateway/informer.go
+++ b/internal/dataplane/gateway/informer.go
@@ -50,7 +50,7 @@
 }
 
 // Seeds are other control nodes for first contact, where the ones in the settings have changed.
-func (h *Host) Seeds(addrs []string) {
+func (h *Host) SetSeeds(addrs []string) {
 	h.act.Tell(func() {
 		if h.informer != nil {
 			h.stepInformer(controlclient.InformerEvent{Seeds: addrs})
@@ -101,7 +101,7 @@
 			first := e.Snapshot.Declaration != nil && (prior == nil || prior.Declaration == nil)
 			h.snapshot.Store(e.Snapshot)
 			if prior == nil || prior.Revision != e.Snapshot.Revision {
-				h.news.fire()
+				h.updates.notify()
 			}
 			h.step(scheduling.SnapshotReceived{Snapshot: e.Snapshot})
 			if first {
