--- a/internal/controlplane/distribution/frame_publisher.go
+++ b/internal/controlplane/distribution/frame_publisher.go
@@ -17,16 +17,16 @@
 const (
 	// frameIdleUs is how long a stream may carry nothing before an empty frame shows that it is alive.
 	frameIdleUs = 400 * clock.Ms
-	// gatherPerGatewayUs is how long changes are gathered for each primary stream, up to maxGatherUs: many gateways get
+	// batchPerGatewayUs is how long changes are gathered for each primary stream, up to maxBatchUs: many gateways get
 	// fewer, larger frames.
-	gatherPerGatewayUs = 5 * clock.Ms
-	maxGatherUs        = 100 * clock.Ms
-	// standbyGatherUs is how long changes are gathered for standby streams.
-	standbyGatherUs = 400 * clock.Ms
+	batchPerGatewayUs = 5 * clock.Ms
+	maxBatchUs        = 100 * clock.Ms
+	// standbyBatchUs is how long changes are gathered for standby streams.
+	standbyBatchUs = 400 * clock.Ms
 	// maxSubscribers bounds the streams of one control node.
 	maxSubscribers = 4096
-	// gatewayForgetUs is how long after the last sign of life a gateway counts as alive.
-	gatewayForgetUs = 3 * clock.Sec
+	// gatewayLivenessUs is how long after the last sign of life a gateway counts as alive.
+	gatewayLivenessUs = 3 * clock.Sec
 )
 
 // FrameInput is what a control node knows when it writes frames. Nothing of it is changed.
@@ -69,32 +69,32 @@
 type FramePublisher struct {
 	subscribers map[string]*frameSubscriber
 	// gateways is when each known gateway last gave a sign of life, whichever control node it follows.
-	gateways map[string]int64
-	primary  streamState
-	standby  streamState
+	lastSeenUs map[string]int64
+	primary    streamState
+	standby    streamState
 
 	// liveGateways is their number as of liveCountedUs.
 	liveGateways  int
 	liveCountedUs int64
 
-	// bare is bareSource without what gateways don't need, built once for each declaration.
-	bare       *configuration.Declaration
-	bareSource *configuration.Declaration
+	// bare is strippedFrom without what gateways don't need, built once for each declaration.
+	stripped     *configuration.Declaration
+	strippedFrom *configuration.Declaration
 }
 
 // NewFramePublisher returns a publisher without subscribers.
 func NewFramePublisher() *FramePublisher {
-	return &FramePublisher{subscribers: map[string]*frameSubscriber{}, gateways: map[string]int64{}, primary: newStreamState(), standby: newStreamState()}
+	return &FramePublisher{subscribers: map[string]*frameSubscriber{}, lastSeenUs: map[string]int64{}, primary: newStreamState(), standby: newStreamState()}
 }
 
 // Follow begins a stream, in place of the gateway's last; false where there are too many. A declaration that the gateway
 // already has is not sent again.
-func (p *FramePublisher) Subscribe(nowUs int64, f wire.SubscribeRequest) bool {
-	if len(p.subscribers) >= maxSubscribers && p.subscribers[f.Gateway] == nil {
+func (p *FramePublisher) Subscribe(nowUs int64, request wire.SubscribeRequest) bool {
+	if len(p.subscribers) >= maxSubscribers && p.subscribers[request.Gateway] == nil {
 		return false
 	}
-	p.subscribers[f.Gateway] = &frameSubscriber{incarnation: f.Incarnation, revision: f.Revision, standby: f.Standby}
-	p.RecordGateway(nowUs, f.Gateway)
+	p.subscribers[request.Gateway] = &frameSubscriber{incarnation: request.Incarnation, revision: request.Revision, standby: request.Standby}
+	p.RecordGateway(nowUs, request.Gateway)
 	return true
 }
 
@@ -106,7 +106,7 @@
 }
 
 // RecordGateway records a sign of life of a gateway.
-func (p *FramePublisher) RecordGateway(nowUs int64, gateway string) { p.gateways[gateway] = nowUs }
+func (p *FramePublisher) RecordGateway(nowUs int64, gateway string) { p.lastSeenUs[gateway] = nowUs }
 
 // PrimarySubscribers returns the gateways whose primary stream comes from here, in order, for gossip to other control nodes.
 func (p *FramePublisher) PrimarySubscribers() []string {
@@ -124,13 +124,13 @@
 func (p *FramePublisher) Gateways(nowUs int64) []string {
 	ids := []string{}
 	for id := range p.subscribers {
-		p.gateways[id] = nowUs
+		p.lastSeenUs[id] = nowUs
 	}
-	for id, lastSeenUs := range p.gateways {
-		if nowUs-lastSeenUs < gatewayForgetUs {
+	for id, seenUs := range p.lastSeenUs {
+		if nowUs-seenUs < gatewayLivenessUs {
 			ids = append(ids, id)
 		} else {
-			delete(p.gateways, id)
+			delete(p.lastSeenUs, id)
 		}
 	}
 	sort.Strings(ids)
@@ -158,22 +158,22 @@
 			primaries = append(primaries, id)
 		}
 	}
-	pushes := p.advance(nil, in, &p.primary, primaries, min(gatherPerGatewayUs*int64(len(primaries)), maxGatherUs))
-	return p.advance(pushes, in, &p.standby, standbys, standbyGatherUs)
+	pushes := p.advance(nil, in, &p.primary, primaries, min(batchPerGatewayUs*int64(len(primaries)), maxBatchUs))
+	return p.advance(pushes, in, &p.standby, standbys, standbyBatchUs)
 }
 
 // advance brings the streams of one kind to what is known now, where that is due. Before a stream joins by a full frame,
 // the others are brought to the same point: what came and went between would stay otherwise.
-func (p *FramePublisher) advance(pushes []FramePush, in FrameInput, stream *streamState, ids []string, gatherUs int64) []FramePush {
+func (p *FramePublisher) advance(pushes []FramePush, in FrameInput, stream *streamState, ids []string, batchUs int64) []FramePush {
 	if len(ids) == 0 {
 		return pushes
 	}
 	joins := slices.ContainsFunc(ids, func(id string) bool { return !p.subscribers[id].complete })
 	urgent := in.Committed && in.State.Revision != stream.revision
-	sinceUs := in.NowUs - stream.sentUs
-	if joins || urgent || sinceUs >= gatherUs {
+	sinceUs := in.NowUs - stream.lastSentUs
+	if joins || urgent || sinceUs >= batchUs {
 		if f, changed := p.delta(in, stream); changed || sinceUs >= frameIdleUs {
-			stream.sentUs = in.NowUs
+			stream.lastSentUs = in.NowUs
 			for _, id := range ids {
 				if s := p.subscribers[id]; s.complete {
 					s.revision = max(s.revision, f.Revision)
@@ -194,8 +194,8 @@
 // delta returns the frame from what was last sent to what is known now; false where it says nothing new.
 func (p *FramePublisher) delta(in FrameInput, stream *streamState) (*wire.Frame, bool) {
 	frame := &wire.Frame{ControlNode: in.Self, CaughtUp: in.Committed, PossiblyStale: in.PossiblyStale, GatewayCount: p.liveGateways}
-	changed := stream.committed != in.Committed || stream.behind != in.PossiblyStale || stream.liveGateways != p.liveGateways
-	stream.committed, stream.behind, stream.liveGateways = in.Committed, in.PossiblyStale, p.liveGateways
+	changed := stream.committed != in.Committed || stream.possiblyStale != in.PossiblyStale || stream.liveGateways != p.liveGateways
+	stream.committed, stream.possiblyStale, stream.liveGateways = in.Committed, in.PossiblyStale, p.liveGateways
 	if in.Committed && in.State.Doc != nil && in.State.Revision > stream.revision {
 		p.addConfiguration(frame, in.State, stream.revision)
 		stream.revision = frame.Revision
@@ -254,8 +254,8 @@
 		}
 		return
 	}
-	if p.bareSource != state.Doc {
-		p.bareSource, p.bare = state.Doc, state.Doc.WithoutSource()
+	if p.strippedFrom != state.Doc {
+		p.strippedFrom, p.stripped = state.Doc, state.Doc.WithoutSource()
 	}
-	frame.Declaration = p.bare
+	frame.Declaration = p.stripped
 }
--- a/internal/controlplane/distribution/pending_results.go
+++ b/internal/controlplane/distribution/pending_results.go
@@ -49,7 +49,7 @@
 	}
 	p.pending = waiting
 	for id, gateway := range p.gateways {
-		if nowUs-gateway.lastReportUs > forgetUs && nowUs > gateway.leaseEndUs {
+		if nowUs-gateway.lastReportUs > gatewayRetentionUs && nowUs > gateway.leaseEndUs {
 			delete(p.gateways, id)
 		}
 	}
--- a/internal/controlplane/distribution/stream_state.go
+++ b/internal/controlplane/distribution/stream_state.go
@@ -11,14 +11,14 @@
 	"petreltide/internal/outlier"
 )
 
-// rowsSlack is how many rows a stream may remember beyond twice the registry's before it drops those that are forgotten.
-const rowsSlack = 64
+// maxForgottenRows is how many rows a stream may remember beyond twice the registry's before it drops those that are forgotten.
+const maxForgottenRows = 64
 
 // streamState is what the streams of one kind have had.
 type streamState struct {
-	outliers  outlier.Table
-	committed bool
-	behind    bool
+	outliers      outlier.Table
+	committed     bool
+	possiblyStale bool
 	// revision is the declaration's.
 	revision uint64
 	// registryRevision and replicasIndex are up to where changes of the registry and of the state's replicas went out.
@@ -37,8 +37,8 @@
 	rows map[string]wire.ReplicaRow
 	// stale are the replicas that were sent by the state alone, until the registry has them or the state drops them.
 	stale map[string]bool
-	// sentUs is when the last delta went out.
-	sentUs int64
+	// lastSentUs is when the last delta went out.
+	lastSentUs int64
 }
 
 func newStreamState() streamState {
@@ -71,7 +71,7 @@
 		s.rows[id] = row
 		rows = append(rows, row)
 	}
-	if len(s.rows) > 2*in.Registry.Len()+rowsSlack {
+	if len(s.rows) > 2*in.Registry.Len()+maxForgottenRows {
 		maps.DeleteFunc(s.rows, func(id string, _ wire.ReplicaRow) bool { return in.Registry.Entry(id) == nil })
 	}
 	rows = append(rows, s.newStaleReplicas(in)...)
--- a/internal/controlplane/distribution/update_publisher.go
+++ b/internal/controlplane/distribution/update_publisher.go
@@ -14,15 +14,15 @@
 const (
 	// GatewayLeaseUs is how long a gateway may act on an update after it asked for the lease.
 	GatewayLeaseUs = 1200 * clock.Ms
-	// maxBehindUs is how long a gateway may lack the newest update before it gets no lease: half a lease.
-	maxBehindUs = 600 * clock.Ms
-	// checkGraceUs is how long a new tail waits for the controller to read the platform's list before it gives leases
+	// maxUpdateLagUs is how long a gateway may lack the newest update before it gets no lease: half a lease.
+	maxUpdateLagUs = 600 * clock.Ms
+	// listCheckGraceUs is how long a new tail waits for the controller to read the platform's list before it gives leases
 	// without: the platform may be down.
-	checkGraceUs = 1000 * clock.Ms
-	// forgetUs is when a gateway that reports nothing is forgotten, once its lease has ended.
-	forgetUs = 30 * clock.Sec
+	listCheckGraceUs = 1000 * clock.Ms
+	// gatewayRetentionUs is when a gateway that reports nothing is forgotten, once its lease has ended.
+	gatewayRetentionUs = 30 * clock.Sec
 	// ringMemberUs is how long after its last report a gateway stays on the failure detector's ring.
-	ringMemberUs = forgetUs / 10
+	ringMemberUs = gatewayRetentionUs / 10
 )
 
 // subscriber is a gateway's process as the tail knows it.
@@ -31,7 +31,7 @@
 	zone        string
 	addr        string
 	// following says that it has asked for the stream, and not only for leases.
-	following bool
+	subscribed bool
 	// acked is the number of the newest update it acknowledged, and pushed of the newest sent; 0 for none.
 	acked  uint64
 	pushed uint64
@@ -82,26 +82,26 @@
 
 // Follow begins a gateway's stream; false where this control node is not the tail. A process that it does not know may
 // hold a lease of the former tail, which runs for another GatewayLeaseUs at most.
-func (p *UpdatePublisher) Subscribe(nowUs int64, follow wire.SubscribeRequest) bool {
+func (p *UpdatePublisher) Subscribe(nowUs int64, request wire.SubscribeRequest) bool {
 	if !p.active {
 		return false
 	}
-	gateway := p.gateways[follow.Gateway]
-	if gateway == nil || gateway.incarnation != follow.Incarnation {
+	gateway := p.gateways[request.Gateway]
+	if gateway == nil || gateway.incarnation != request.Incarnation {
 		leaseEndUs := nowUs + GatewayLeaseUs
 		if gateway != nil {
 			leaseEndUs = max(leaseEndUs, gateway.leaseEndUs)
 		}
-		gateway = &subscriber{incarnation: follow.Incarnation, leaseEndUs: leaseEndUs}
-		p.gateways[follow.Gateway] = gateway
+		gateway = &subscriber{incarnation: request.Incarnation, leaseEndUs: leaseEndUs}
+		p.gateways[request.Gateway] = gateway
 	}
-	gateway.following, gateway.revision, gateway.pushed, gateway.acked = true, follow.Revision, 0, 0
-	gateway.zone, gateway.addr, gateway.lastReportUs = follow.Zone, follow.Addr, nowUs
+	gateway.subscribed, gateway.revision, gateway.pushed, gateway.acked = true, request.Revision, 0, 0
+	gateway.zone, gateway.addr, gateway.lastReportUs = request.Zone, request.Addr, nowUs
 	return true
 }
 
 // Report takes a gateway's report, acknowledges what it has, and returns a lease, or none where the gateway is not
-// up to date. checked says that the controller has read the platform's list in this view; a new tail waits checkGraceUs
+// up to date. checked says that the controller has read the platform's list in this view; a new tail waits listCheckGraceUs
 // for it, so that no gateway acts on a list whose notices went unread meanwhile.
 func (p *UpdatePublisher) Report(nowUs int64, view uint64, newest uint64, checked bool, report wire.Report) wire.Lease {
 	refusal := wire.Lease{View: view}
@@ -120,9 +120,9 @@
 	} else if gateway.behindSinceUs == 0 {
 		gateway.behindSinceUs = nowUs
 	}
-	behind := gateway.behindSinceUs > 0 && (nowUs >= gateway.leaseEndUs || nowUs-gateway.behindSinceUs > maxBehindUs)
-	listUnchecked := !checked && nowUs-p.activeSinceUs < checkGraceUs
-	if !gateway.following || gateway.acked == 0 || behind || listUnchecked {
+	behind := gateway.behindSinceUs > 0 && (nowUs >= gateway.leaseEndUs || nowUs-gateway.behindSinceUs > maxUpdateLagUs)
+	listUnchecked := !checked && nowUs-p.activeSinceUs < listCheckGraceUs
+	if !gateway.subscribed || gateway.acked == 0 || behind || listUnchecked {
 		return refusal
 	}
 	gateway.leaseEndUs = nowUs + GatewayLeaseUs
@@ -151,7 +151,7 @@
 	pushes := []UpdatePush{}
 	for _, id := range p.gatewayIDs() {
 		gateway := p.gateways[id]
-		if !gateway.following || (gateway.pushed >= s.UpdateIndex && gateway.pushed > 0) {
+		if !gateway.subscribed || (gateway.pushed >= s.UpdateIndex && gateway.pushed > 0) {
 			continue
 		}
 		update := BuildUpdate(s, view.Number, id, gateway.incarnation, gateway.revision)
@@ -178,7 +178,7 @@
 	statuses := []GatewayStatus{}
 	for _, id := range p.gatewayIDs() {
 		gateway := p.gateways[id]
-		statuses = append(statuses, GatewayStatus{id, gateway.zone, gateway.addr, gateway.following, gateway.acked, max(0, gateway.leaseEndUs-nowUs) / 1000})
+		statuses = append(statuses, GatewayStatus{id, gateway.zone, gateway.addr, gateway.subscribed, gateway.acked, max(0, gateway.leaseEndUs-nowUs) / 1000})
 	}
 	return statuses
 }
--- a/internal/controlplane/distribution/update_publisher_test.go
+++ b/internal/controlplane/distribution/update_publisher_test.go
@@ -55,7 +55,7 @@
 	if !r.Report(200_000, 1, 11, true, report(10, 1)).OK {
 		t.Fatal("a gateway a moment behind loses its lease at once")
 	}
-	if r.Report(200_000+maxBehindUs+1, 1, 11, true, report(10, 1)).OK {
+	if r.Report(200_000+maxUpdateLagUs+1, 1, 11, true, report(10, 1)).OK {
 		t.Fatal("a gateway that stays behind keeps its lease")
 	}
 	lapsedUs := 200_000 + GatewayLeaseUs + 1
@@ -111,7 +111,7 @@
 	if !r.Report(200, 1, 10, true, report(10, 1)).OK {
 		t.Fatal("no lease after it was")
 	}
-	if !r.Report(checkGraceUs+10, 1, 10, false, report(10, 1)).OK {
+	if !r.Report(listCheckGraceUs+10, 1, 10, false, report(10, 1)).OK {
 		t.Fatal("no lease although the platform may be down")
 	}
 }
