--- a/internal/controlplane/distribution/frame_publisher.go
+++ b/internal/controlplane/distribution/frame_publisher.go
@@ -15,39 +15,40 @@
 )
 
 const (
-	// frameIdleUs is how long a stream may carry nothing before an empty frame shows that it is alive.
+	// frameIdleUs is the maximum time without a frame on a stream, in microseconds; after that an empty frame shows that the
+	// stream is alive.
 	frameIdleUs = 400 * clock.Ms
-	// batchPerGatewayUs is how long changes are gathered for each primary stream, up to maxBatchUs: many gateways get
-	// fewer, larger frames.
+	// batchPerGatewayUs is the batching delay of primary streams per stream, up to maxBatchUs in total: with many gateways,
+	// each gets fewer and larger frames.
 	batchPerGatewayUs = 5 * clock.Ms
 	maxBatchUs        = 100 * clock.Ms
-	// standbyBatchUs is how long changes are gathered for standby streams.
+	// standbyBatchUs is the batching delay of standby streams.
 	standbyBatchUs = 400 * clock.Ms
-	// maxSubscribers bounds the streams of one control node.
+	// maxSubscribers is the maximum number of streams of one control node.
 	maxSubscribers = 4096
-	// gatewayLivenessUs is how long after the last sign of life a gateway counts as alive.
+	// gatewayLivenessUs is how long a gateway counts as live after it was last seen.
 	gatewayLivenessUs = 3 * clock.Sec
 )
 
-// FrameInput is what a control node knows when it writes frames. Nothing of it is changed.
+// FrameInput is the knowledge of a control node from which frames are built. The publisher never changes it.
 type FrameInput struct {
 	NowUs int64
-	// Self is this control node.
+	// Self is the ID of this control node.
 	Self  string
 	State *statemachine.State
 	View  chain.View
-	// ControlNodes are all that are known, in the view or not.
+	// ControlNodes lists all known control nodes, including those outside the view.
 	ControlNodes []chain.Member
-	// Committed says that State is known to be committed. Before, no declaration and no command is sent.
+	// Committed reports that State is known to be committed. Until then no declaration and no command is sent.
 	Committed bool
-	// Behind says that newer state may have been committed, as nothing comes from the chain.
+	// PossiblyStale reports that newer state may have been committed, as this control node receives nothing from the chain.
 	PossiblyStale bool
 	Registry      *registry.Registry
-	// Outliers are the newest ejections that this control node knows.
+	// Outliers is the newest table of ejections that this control node knows.
 	Outliers outlier.Table
 }
 
-// FramePush is a frame for one gateway. Gateways that know the same share one frame, which must not be changed.
+// FramePush is a frame for one gateway. Gateways with the same knowledge share one frame, which must not be changed.
 type FramePush struct {
 	Gateway string
 	Frame   *wire.Frame
@@ -56,28 +57,28 @@
 // frameSubscriber is the stream of one gateway.
 type frameSubscriber struct {
 	incarnation string
-	// standby streams run beside a primary one from another control node.
+	// standby reports that the gateway has its primary stream from another control node.
 	standby bool
-	// complete says that the stream has had its full frame, and gets deltas.
+	// complete reports that the full frame was sent, so that deltas follow.
 	complete bool
-	// revision is the declaration that the gateway has.
+	// revision is the revision of the declaration that the gateway has.
 	revision uint64
 }
 
-// FramePublisher pushes delta frames to the gateways that follow this control node. All primary streams that have had a
-// full frame advance together, by one frame that is encoded once, and so do all standby streams, less often.
+// FramePublisher pushes delta frames to the gateways that are subscribed to this control node. All primary streams that have had
+// their full frame advance together by one frame that is encoded once. The standby streams do the same, less often.
 type FramePublisher struct {
 	subscribers map[string]*frameSubscriber
-	// gateways is when each known gateway last gave a sign of life, whichever control node it follows.
+	// lastSeenUs is the time at which each known gateway was last seen, whichever control node it is subscribed to.
 	lastSeenUs map[string]int64
 	primary    streamState
 	standby    streamState
 
-	// liveGateways is their number as of liveCountedUs.
+	// liveGateways is the number of live gateways as of liveCountedUs.
 	liveGateways  int
 	liveCountedUs int64
 
-	// bare is strippedFrom without what gateways don't need, built once for each declaration.
+	// stripped is the declaration strippedFrom without the fields that gateways do not need, built once for each declaration.
 	stripped     *configuration.Declaration
 	strippedFrom *configuration.Declaration
 }
@@ -87,8 +88,8 @@
 	return &FramePublisher{subscribers: map[string]*frameSubscriber{}, lastSeenUs: map[string]int64{}, primary: newStreamState(), standby: newStreamState()}
 }
 
-// Follow begins a stream, in place of the gateway's last; false where there are too many. A declaration that the gateway
-// already has is not sent again.
+// Subscribe starts a stream that replaces the gateway's previous one. It returns false if there are maxSubscribers streams
+// already. A declaration that the gateway already has is not sent again.
 func (p *FramePublisher) Subscribe(nowUs int64, request wire.SubscribeRequest) bool {
 	if len(p.subscribers) >= maxSubscribers && p.subscribers[request.Gateway] == nil {
 		return false
@@ -98,17 +99,18 @@
 	return true
 }
 
-// Unfollow ends the stream of a gateway's process. That of a newer process stays.
+// Unsubscribe ends the stream of one incarnation of a gateway. The stream of a newer incarnation is kept.
 func (p *FramePublisher) Unsubscribe(gateway, incarnation string) {
 	if s := p.subscribers[gateway]; s != nil && s.incarnation == incarnation {
 		delete(p.subscribers, gateway)
 	}
 }
 
-// RecordGateway records a sign of life of a gateway.
+// RecordGateway records that a gateway was seen.
 func (p *FramePublisher) RecordGateway(nowUs int64, gateway string) { p.lastSeenUs[gateway] = nowUs }
 
-// PrimarySubscribers returns the gateways whose primary stream comes from here, in order, for gossip to other control nodes.
+// PrimarySubscribers returns the gateways whose primary stream comes from this control node, sorted, for gossip to other control
+// nodes.
 func (p *FramePublisher) PrimarySubscribers() []string {
 	gateways := []string{}
 	for id, s := range p.subscribers {
@@ -120,7 +122,7 @@
 	return gateways
 }
 
-// Gateways returns all live gateways that this control node knows, in order.
+// Gateways returns the IDs of all live gateways that this control node knows, sorted.
 func (p *FramePublisher) Gateways(nowUs int64) []string {
 	ids := []string{}
 	for id := range p.subscribers {
@@ -137,11 +139,11 @@
 	return ids
 }
 
-// Subscribers returns the gateways with a stream from here, in order.
+// Subscribers returns the IDs of the gateways that are subscribed to this control node, sorted.
 func (p *FramePublisher) Subscribers() []string { return slices.Sorted(maps.Keys(p.subscribers)) }
 
-// Frames returns the frames that are due: what has changed since the last, or an empty one after frameIdleUs. Changes are
-// gathered for a moment that grows with the number of gateways, but a declaration goes at once.
+// Frames returns the frames that are due: the changes since the last frame, or an empty frame after frameIdleUs. Changes are
+// batched for a delay that grows with the number of gateways, but a new declaration is sent immediately.
 func (p *FramePublisher) Frames(in FrameInput) []FramePush {
 	if len(p.subscribers) == 0 {
 		return nil
@@ -162,8 +164,9 @@
 	return p.advance(pushes, in, &p.standby, standbys, standbyBatchUs)
 }
 
-// advance brings the streams of one kind to what is known now, where that is due. Before a stream joins by a full frame,
-// the others are brought to the same point: what came and went between would stay otherwise.
+// advance appends the frames that are due for the streams of one kind. Before it sends the full frame of a new stream, it sends a
+// delta to the others, so that all streams of the kind are at the same point. Otherwise an item that was added and removed in
+// between would remain at a gateway.
 func (p *FramePublisher) advance(pushes []FramePush, in FrameInput, stream *streamState, ids []string, batchUs int64) []FramePush {
 	if len(ids) == 0 {
 		return pushes
@@ -191,7 +194,7 @@
 	return pushes
 }
 
-// delta returns the frame from what was last sent to what is known now; false where it says nothing new.
+// delta returns the frame from the last one sent to the current input, and whether the frame contains a change.
 func (p *FramePublisher) delta(in FrameInput, stream *streamState) (*wire.Frame, bool) {
 	frame := &wire.Frame{ControlNode: in.Self, CaughtUp: in.Committed, PossiblyStale: in.PossiblyStale, GatewayCount: p.liveGateways}
 	changed := stream.committed != in.Committed || stream.possiblyStale != in.PossiblyStale || stream.liveGateways != p.liveGateways
@@ -219,7 +222,7 @@
 	return frame, changed || len(frame.Replicas) > 0 || frame.Orders != nil
 }
 
-// fullFrame returns all that this control node knows, as of the delta that the others have just had.
+// fullFrame returns everything that this control node knows, at the point of the delta that the other streams have just had.
 func (p *FramePublisher) fullFrame(in FrameInput, stream *streamState, subscriber *frameSubscriber) *wire.Frame {
 	view := in.View
 	frame := &wire.Frame{ControlNode: in.Self, Complete: true, CaughtUp: in.Committed, PossiblyStale: in.PossiblyStale, View: &view, ControlNodes: slices.Clone(in.ControlNodes), GatewayCount: len(p.Gateways(in.NowUs))}
@@ -244,7 +247,7 @@
 	return frame
 }
 
-// addConfiguration adds the edits since a revision that the gateway has, or the declaration where they are not retained.
+// addConfiguration adds the edits since a revision that the gateway has, or the whole declaration if these edits are not retained.
 func (p *FramePublisher) addConfiguration(frame *wire.Frame, state *statemachine.State, since uint64) {
 	frame.Revision = state.Revision
 	if edits, ok := state.EditsSince(since); ok && since > 0 && len(edits) > 0 {
--- a/internal/controlplane/distribution/frame_publisher_test.go
+++ b/internal/controlplane/distribution/frame_publisher_test.go
@@ -13,7 +13,7 @@
 	"petreltide/internal/process/clock"
 )
 
-// newRoutedState has replicas that hold m1 and have an order for m2 each.
+// newRoutedState returns a state with replicas that hold model m1 and have a pending command to load m2.
 func newRoutedState(t *testing.T, ids ...string) *statemachine.State {
 	t.Helper()
 	s := statemachine.NewState()
@@ -32,148 +32,148 @@
 	return s
 }
 
-// With 140 replicas and forty loads a second, every frame named every order that stood, and every load went
-// out twice more as the replica's own word of what the ledger had said already.
+// Guards against redundant frames: with 140 replicas and 40 loads per second, every frame contained all pending commands, and
+// every completed load was sent twice more, when the replica itself reported what the state had already recorded.
 func TestFramesCarryOnlyChangesAndStandbyStreamsGetFewer(t *testing.T) {
 	s := newRoutedState(t, "r1", "r2", "r3")
-	soft := registry.New(3 * clock.Sec)
-	h := NewFramePublisher()
+	reg := registry.New(3 * clock.Sec)
+	p := NewFramePublisher()
 	nowUs := clock.Sec
-	hear := func(id string, seq uint64, units ...string) {
-		soft.HandleHeartbeat(nowUs, registry.ReplicaStatus{ID: id, Service: "s", Addr: id, Slots: 4, Seq: seq, Units: units})
+	heartbeat := func(id string, seq uint64, units ...string) {
+		reg.HandleHeartbeat(nowUs, registry.ReplicaStatus{ID: id, Service: "s", Addr: id, Slots: 4, Seq: seq, Units: units})
 	}
 	frames := func(passUs int64) map[string]*wire.Frame {
 		nowUs += passUs
 		out := map[string]*wire.Frame{}
-		for _, p := range h.Frames(FrameInput{NowUs: nowUs, State: s, Committed: true, Registry: soft}) {
-			out[p.Gateway] = p.Frame
+		for _, push := range p.Frames(FrameInput{NowUs: nowUs, State: s, Committed: true, Registry: reg}) {
+			out[push.Gateway] = push.Frame
 		}
 		return out
 	}
 	for i := range 3 {
-		hear(fmt.Sprint("r", i+1), 1, "m1")
+		heartbeat(fmt.Sprint("r", i+1), 1, "m1")
 	}
-	h.Subscribe(nowUs, wire.SubscribeRequest{Gateway: "main", Incarnation: "i"})
-	h.Subscribe(nowUs, wire.SubscribeRequest{Gateway: "spare", Incarnation: "i", Standby: true})
+	p.Subscribe(nowUs, wire.SubscribeRequest{Gateway: "primary", Incarnation: "i"})
+	p.Subscribe(nowUs, wire.SubscribeRequest{Gateway: "standby", Incarnation: "i", Standby: true})
 	first := frames(0)
-	if len(first) != 2 || !first["main"].Complete || len(first["spare"].Replicas) != 3 || len(first["spare"].Orders.Rows) != 3 {
-		t.Fatal("the first frames are not whole")
+	if len(first) != 2 || !first["primary"].Complete || len(first["standby"].Replicas) != 3 || len(first["standby"].Orders.Rows) != 3 {
+		t.Fatal("first frames: got an incomplete or missing frame, want a complete one for each of the two streams")
 	}
 	number := s.Pending["r2"].Number
 	s.Apply(3, statemachine.Change{ID: "e", LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: number, Succeeded: true}}}})
 	after := frames(50 * clock.Ms)
-	if after["spare"] != nil {
-		t.Error("a spare stream was brought on at once")
+	if after["standby"] != nil {
+		t.Error("standby stream: got a frame 50 ms after the change, want none before the standby delay")
 	}
-	f := after["main"]
+	f := after["primary"]
 	if f == nil || len(f.Replicas) != 1 || f.Replicas[0].ID != "r2" {
-		t.Fatal("the load's end did not go to the main stream alone by itself")
+		t.Fatalf("primary stream after a completed load: got %+v, want the row of r2 alone", f)
 	}
 	if diff := cmp.Diff(&wire.PendingOrders{Number: 3, Rows: []wire.PendingOrder{{Replica: "r2"}}}, f.Orders); diff != "" {
-		t.Errorf("orders: %s", diff)
+		t.Errorf("pending commands (-want +got):\n%s", diff)
 	}
-	hear("r2", 2, "m1", "m2")
+	heartbeat("r2", 2, "m1", "m2")
 	if again := frames(50 * clock.Ms); len(again) != 0 {
-		t.Errorf("the replica's own word of it was told again: %v", again["main"].Replicas)
+		t.Errorf("frames after the replica reported the recorded load: got rows %v, want no frame", again["primary"].Replicas)
 	}
-	if late := frames(400 * clock.Ms); late["spare"] == nil || len(late["spare"].Replicas) != 1 || len(late["spare"].Orders.Rows) != 1 {
-		t.Error("the spare stream was not brought on in its time")
+	if late := frames(400 * clock.Ms); late["standby"] == nil || len(late["standby"].Replicas) != 1 || len(late["standby"].Orders.Rows) != 1 {
+		t.Error("standby stream: got no frame with one row and one command after the standby delay, want one")
 	}
-	h.Subscribe(nowUs, wire.SubscribeRequest{Gateway: "late", Incarnation: "i"})
+	p.Subscribe(nowUs, wire.SubscribeRequest{Gateway: "late", Incarnation: "i"})
 	s.Apply(4, statemachine.Change{ID: "f", LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: s.Pending["r1"].Number, Succeeded: true}}}})
 	joined := frames(clock.Ms)
-	if joined["main"] == nil || joined["main"].Orders == nil || joined["main"].Orders.Number != joined["late"].Orders.Number {
-		t.Error("a stream joined at another point than the others stand at: what came and went between would stay")
+	if joined["primary"] == nil || joined["primary"].Orders == nil || joined["primary"].Orders.Number != joined["late"].Orders.Number {
+		t.Error("new stream starts at another point than the others, want the same: items added and removed in between would remain")
 	}
 }
 
-// A gateway that followed a control node before the control node knew what is committed learnt of each replica only with its next
-// heartbeat: what the ledger says of replicas that nobody has heard went out in whole frames alone.
-func TestGatewaysFollowingBeforeCommitLearnAllReplicasOfTheState(t *testing.T) {
-	soft := registry.New(3 * clock.Sec)
-	h := NewFramePublisher()
+// Guards against missing replicas: a gateway that subscribed before the control node knew what is committed received each replica
+// only after that replica's next heartbeat, as rows of replicas without a heartbeat were sent in full frames alone.
+func TestGatewaySubscribedBeforeCommitReceivesAllReplicasOfState(t *testing.T) {
+	reg := registry.New(3 * clock.Sec)
+	p := NewFramePublisher()
 	nowUs := clock.Sec
-	in := FrameInput{State: statemachine.NewState(), Registry: soft}
+	in := FrameInput{State: statemachine.NewState(), Registry: reg}
 	frame := func(passUs int64) *wire.Frame {
 		nowUs += passUs
 		in.NowUs = nowUs
-		for _, p := range h.Frames(in) {
-			if p.Gateway == "d" {
-				return p.Frame
+		for _, push := range p.Frames(in) {
+			if push.Gateway == "d" {
+				return push.Frame
 			}
 		}
 		return nil
 	}
-	soft.HandleHeartbeat(nowUs, registry.ReplicaStatus{ID: "r2", Service: "s", Addr: "r2", Slots: 4, Seq: 1, Units: []string{"m1"}})
-	h.Subscribe(nowUs, wire.SubscribeRequest{Gateway: "d", Incarnation: "i"})
+	reg.HandleHeartbeat(nowUs, registry.ReplicaStatus{ID: "r2", Service: "s", Addr: "r2", Slots: 4, Seq: 1, Units: []string{"m1"}})
+	p.Subscribe(nowUs, wire.SubscribeRequest{Gateway: "d", Incarnation: "i"})
 	if first := frame(0); first == nil || !first.Complete || len(first.Replicas) != 1 || first.Revision != 0 {
-		t.Fatal("the first frame is not what a control node knows that has just started")
+		t.Fatalf("first frame: got %+v, want a complete frame with r2 alone and no declaration", first)
 	}
 	in.State = newRoutedState(t, "r1", "r2", "r3")
 	if before := frame(clock.Ms); before != nil && before.Revision != 0 {
-		t.Fatal("a declaration was told that may not be the chain's")
+		t.Fatalf("frame before commit: got declaration revision %d, want none", before.Revision)
 	}
 	in.Committed = true
-	settled := frame(20 * clock.Ms)
-	if settled == nil || settled.Declaration == nil {
-		t.Fatal("the declaration did not go out once the chain had settled")
+	committed := frame(20 * clock.Ms)
+	if committed == nil || committed.Declaration == nil {
+		t.Fatal("frame after commit: got no declaration, want one")
 	}
 	stale := map[string]bool{}
-	for _, r := range settled.Replicas {
+	for _, r := range committed.Replicas {
 		stale[r.ID] = r.Stale
 		if r.Stale && (r.Addr != r.ID || len(r.Units) != 1) {
-			t.Errorf("%s is at %q and holds %v", r.ID, r.Addr, r.Units)
+			t.Errorf("stale replica %s: got address %q and units %v, want address %q and one unit", r.ID, r.Addr, r.Units, r.ID)
 		}
 	}
 	if diff := cmp.Diff(map[string]bool{"r1": true, "r2": false, "r3": true}, stale); diff != "" {
-		t.Errorf("replicas told with the declaration, and whether by the ledger alone: %s", diff)
+		t.Errorf("replicas sent with the declaration, and whether stale (-want +got):\n%s", diff)
 	}
 	if again := frame(20 * clock.Ms); again != nil {
-		t.Errorf("told again: %v", again.Replicas)
+		t.Errorf("frame without any change: got rows %v, want no frame", again.Replicas)
 	}
-	soft.HandleHeartbeat(nowUs, registry.ReplicaStatus{ID: "r1", Service: "s", Addr: "r1", Slots: 4, Seq: 1, Units: []string{"m1"}})
-	if heard := frame(20 * clock.Ms); heard == nil || len(heard.Replicas) != 1 || heard.Replicas[0].ID != "r1" || heard.Replicas[0].Stale {
-		t.Error("a replica's first word did not take the place of the ledger's")
+	reg.HandleHeartbeat(nowUs, registry.ReplicaStatus{ID: "r1", Service: "s", Addr: "r1", Slots: 4, Seq: 1, Units: []string{"m1"}})
+	if live := frame(20 * clock.Ms); live == nil || len(live.Replicas) != 1 || live.Replicas[0].ID != "r1" || live.Replicas[0].Stale {
+		t.Error("replica r1 after its first heartbeat: got no live row, want it to replace the stale row")
 	}
 	in.State.Apply(3, statemachine.Change{ID: "e", LeaderUpdate: &statemachine.LeaderUpdate{RemovedReplicas: []string{"r3"}}})
 	if left := frame(20 * clock.Ms); left == nil || len(left.Replicas) != 1 || left.Replicas[0].ID != "r3" || !left.Replicas[0].Removed {
-		t.Error("a replica that the ledger has let go was not taken back")
+		t.Error("replica r3 after removal from the state: got no removed row, want one")
 	}
 }
 
-// An incarnation that was heard and has ended must not come back by a late change of its row in the ledger.
+// A replica incarnation that sent heartbeats and has ended must not reappear after a late change of its row in the state.
 func TestStateChangeDoesNotReviveRemovedReplica(t *testing.T) {
 	s := newRoutedState(t, "r1", "r2")
-	soft := registry.New(3 * clock.Sec)
-	h := NewFramePublisher()
+	reg := registry.New(3 * clock.Sec)
+	p := NewFramePublisher()
 	nowUs := clock.Sec
 	frame := func(passUs int64) *wire.Frame {
 		nowUs += passUs
-		for _, p := range h.Frames(FrameInput{NowUs: nowUs, State: s, Committed: true, Registry: soft}) {
-			return p.Frame
+		for _, push := range p.Frames(FrameInput{NowUs: nowUs, State: s, Committed: true, Registry: reg}) {
+			return push.Frame
 		}
 		return nil
 	}
-	soft.HandleHeartbeat(nowUs, registry.ReplicaStatus{ID: "r1", Service: "s", Addr: "r1", Slots: 4, Seq: 1, Units: []string{"m1"}})
-	h.Subscribe(nowUs, wire.SubscribeRequest{Gateway: "d", Incarnation: "i"})
+	reg.HandleHeartbeat(nowUs, registry.ReplicaStatus{ID: "r1", Service: "s", Addr: "r1", Slots: 4, Seq: 1, Units: []string{"m1"}})
+	p.Subscribe(nowUs, wire.SubscribeRequest{Gateway: "d", Incarnation: "i"})
 	frame(0)
-	soft.Remove(nowUs, "r1")
+	reg.Remove(nowUs, "r1")
 	if f := frame(20 * clock.Ms); f == nil || len(f.Replicas) != 1 || !f.Replicas[0].Removed {
-		t.Fatal("its end was not told")
+		t.Fatalf("frame after the end of r1: got %+v, want a removed row alone", f)
 	}
-	for passed := int64(0); soft.Entry("r1") != nil; passed += clock.Sec {
+	for passed := int64(0); reg.Entry("r1") != nil; passed += clock.Sec {
 		if passed > 300*clock.Sec {
-			t.Fatal("it is never forgotten")
+			t.Fatal("replica r1 is still in the registry after 300 s, want it deleted")
 		}
 		nowUs += clock.Sec
-		soft.Sweep(nowUs)
+		reg.Sweep(nowUs)
 	}
 	frame(clock.Sec)
 	s.Apply(3, statemachine.Change{ID: "e", LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: s.Pending["r1"].Number, Succeeded: true}}}})
 	if f := frame(clock.Sec); f != nil {
 		for _, r := range f.Replicas {
 			if r.ID == "r1" && !r.Removed {
-				t.Error("it came back")
+				t.Error("removed replica r1: got a row, want none")
 			}
 		}
 	}
--- a/internal/controlplane/distribution/frame_rows.go
+++ b/internal/controlplane/distribution/frame_rows.go
@@ -9,8 +9,8 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// replicaRow returns what gateways learn of a replica in the registry: its own status, and what the state says it holds
-// where it is of a service.
+// replicaRow returns the row that gateways receive for a replica of the registry: the replica's own status and, if the replica
+// belongs to a service, the resident units according to the state.
 func replicaRow(in FrameInput, id string) wire.ReplicaRow {
 	e, committed := in.Registry.Entry(id), in.State.Replicas[id]
 	row := wire.ReplicaRow{ReplicaStatus: e.ReplicaStatus, Unreachable: e.Unreachable}
@@ -21,14 +21,14 @@
 	return row
 }
 
-// equivalentRows reports whether a gateway would learn nothing from one after the other but that a heartbeat came.
+// equivalentRows reports whether two rows differ in nothing that matters to a gateway, as after a mere heartbeat.
 func equivalentRows(a, b *wire.ReplicaRow) bool {
 	return a.Index == b.Index && a.Service == b.Service && a.Addr == b.Addr && a.Zone == b.Zone && a.Slots == b.Slots && a.Draining == b.Draining &&
 		a.RemainingMs == b.RemainingMs && a.Removed == b.Removed && a.Unreachable == b.Unreachable && a.Stale == b.Stale && slices.Equal(a.Units, b.Units)
 }
 
-// staleRows returns the rows of the services' replicas that the state knows and the registry does not: those that have sent
-// nothing since this control node came back.
+// staleRows returns rows for the replicas of services that the state contains and the registry does not. These replicas have sent
+// no heartbeat since this control node started.
 func staleRows(in FrameInput) []wire.ReplicaRow {
 	rows := []wire.ReplicaRow{}
 	for _, id := range in.State.ReplicaIDs() {
@@ -43,9 +43,10 @@
 	return rows
 }
 
+// sortedUnits returns the names of the resident units, sorted.
 func sortedUnits(resident map[string]int64) []string { return slices.Sorted(maps.Keys(resident)) }
 
-// allCommands returns all pending commands, for a full frame.
+// allCommands returns all pending commands, for a full frame, in the order of replica IDs.
 func allCommands(state *statemachine.State) wire.PendingOrders {
 	orders := wire.PendingOrders{Number: state.CommandsIndex, Rows: []wire.PendingOrder{}}
 	for _, id := range slices.Sorted(maps.Keys(state.Pending)) {
@@ -54,7 +55,7 @@
 	return orders
 }
 
-// pendingCommand is a command as gateways learn it.
+// pendingCommand converts a command to the form that is sent to gateways.
 func pendingCommand(id string, command statemachine.ReplicaCommand) wire.PendingOrder {
 	return wire.PendingOrder{Replica: id, Unit: command.Unit, Unload: command.Action == statemachine.Unload}
 }
--- a/internal/controlplane/distribution/gateway_update.go
+++ b/internal/controlplane/distribution/gateway_update.go
@@ -7,8 +7,8 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// BuildUpdate returns the complete update for one process of a gateway, with its own quotas and grants. The declaration is
-// left out where the gateway has this revision.
+// BuildUpdate returns the complete update for one process of a gateway, with the quotas and grants of that process. The
+// declaration is left out if the gateway already has the state's revision.
 func BuildUpdate(s *statemachine.State, view uint64, gateway, incarnation string, revision uint64) wire.GatewayUpdate {
 	update := wire.GatewayUpdate{Number: max(s.UpdateIndex, 1), View: view, Epoch: s.Epoch, Revision: s.Revision}
 	if s.Revision > revision {
--- a/internal/controlplane/distribution/pending_results.go
+++ b/internal/controlplane/distribution/pending_results.go
@@ -5,26 +5,26 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// maxPendingResults bounds the results that wait for acknowledgements.
+// maxPendingResults is the maximum number of results that wait for acknowledgements.
 const maxPendingResults = 256
 
-// pendingResult is a result that waits for the gateways to acknowledge an update.
+// pendingResult is the result of an operator's request that waits until the gateways have acknowledged an update.
 type pendingResult struct {
 	origin string
 	result wire.Result
-	// number is the update's.
+	// number is the number of the update.
 	number uint64
 }
 
-// ReleasedResult is a result that may go out now.
+// ReleasedResult is a result that may be returned to its caller.
 type ReleasedResult struct {
-	// Origin is the address of the control node whose caller waits for it.
+	// Origin is the address of the control node at which the caller waits for the result.
 	Origin string
 	Result wire.Result
 }
 
-// AwaitAcknowledgements keeps an operator's result until every gateway has the update of a number. Beyond
-// maxPendingResults it is dropped, and its caller times out.
+// AwaitAcknowledgements holds an operator's result back until every gateway has the update with the given number. If
+// maxPendingResults are already waiting, the result is dropped and its caller times out.
 func (p *UpdatePublisher) AwaitAcknowledgements(origin string, out statemachine.Outcome, number uint64) {
 	if !p.active || len(p.pending) >= maxPendingResults {
 		return
@@ -32,8 +32,8 @@
 	p.pending = append(p.pending, pendingResult{origin: origin, result: wire.Result{Outcome: out, OnAllGateways: true}, number: number})
 }
 
-// ReleasedResults returns, once, the results whose update every gateway has acknowledged or can't act without any more,
-// as its lease has ended. It also forgets gateways that report nothing.
+// ReleasedResults returns, once, the results whose update every gateway has acknowledged, or has no lease to act without. It also
+// deletes gateways that have stopped reporting and whose lease has ended.
 func (p *UpdatePublisher) ReleasedResults(nowUs int64) []ReleasedResult {
 	if !p.active {
 		return nil
@@ -56,8 +56,8 @@
 	return released
 }
 
-// acknowledgedByAll reports whether no gateway may act on an older update. A new tail does not know the gateways and leases
-// of the former one: it waits for as long as a lease runs.
+// acknowledgedByAll reports whether no gateway may act on an update older than number. A new tail does not know the gateways and
+// leases of its predecessor, so it waits for the length of a lease first.
 func (p *UpdatePublisher) acknowledgedByAll(nowUs int64, number uint64) bool {
 	if nowUs-p.activeSinceUs < GatewayLeaseUs {
 		return false
--- a/internal/controlplane/distribution/stream_state.go
+++ b/internal/controlplane/distribution/stream_state.go
@@ -11,33 +11,34 @@
 	"petreltide/internal/outlier"
 )
 
-// maxForgottenRows is how many rows a stream may remember beyond twice the registry's before it drops those that are forgotten.
+// maxForgottenRows is how many rows a stream may keep beyond twice the size of the registry before it deletes the rows of
+// replicas that are no longer in the registry.
 const maxForgottenRows = 64
 
-// streamState is what the streams of one kind have had.
+// streamState is what was sent to all complete streams of one kind, primary or standby.
 type streamState struct {
 	outliers      outlier.Table
 	committed     bool
 	possiblyStale bool
-	// revision is the declaration's.
+	// revision is the revision of the declaration.
 	revision uint64
-	// registryRevision and replicasIndex are up to where changes of the registry and of the state's replicas went out.
+	// registryRevision and replicasIndex are the positions up to which changes of the registry and of the state's replicas were sent.
 	registryRevision uint64
 	replicasIndex    uint64
-	// staleIndex is up to where changes of the state went out for replicas that are not in the registry.
+	// staleIndex is the position up to which changes of the state were sent for replicas that are not in the registry.
 	staleIndex uint64
-	// commandsIndex and commands are the pending commands that were sent last; nil before the first.
+	// commandsIndex and commands are the index and the content of the pending commands sent last; commands is nil before the first.
 	commandsIndex uint64
 	commands      map[string]wire.PendingOrder
-	// view is the view's number, and controlNodes the members known with it.
+	// view is the number of the view, and controlNodes the control nodes sent with it.
 	view         uint64
 	controlNodes []chain.Member
 	liveGateways int
-	// rows are the replicas' rows as they were sent last.
+	// rows holds the last row sent for each replica.
 	rows map[string]wire.ReplicaRow
-	// stale are the replicas that were sent by the state alone, until the registry has them or the state drops them.
+	// stale holds the replicas that were sent from the state alone, until the registry contains them or the state drops them.
 	stale map[string]bool
-	// lastSentUs is when the last delta went out.
+	// lastSentUs is the time of the last delta.
 	lastSentUs int64
 }
 
@@ -45,8 +46,8 @@
 	return streamState{rows: map[string]wire.ReplicaRow{}, stale: map[string]bool{}}
 }
 
-// changedReplicas returns the rows that changes of the registry or the state have touched, where they differ from those
-// that were sent.
+// changedReplicas returns the rows of replicas that changed in the registry or in the state, if they differ from the rows sent
+// last.
 func (s *streamState) changedReplicas(in FrameInput) []wire.ReplicaRow {
 	rows := []wire.ReplicaRow(nil)
 	ids := []string{}
@@ -87,9 +88,9 @@
 	return rows
 }
 
-// newStaleReplicas returns the rows that the state has changed of replicas that are not in the registry. A stream may have
-// begun before this control node knew what is committed, with a full frame that lacked them. A replica that was sent once
-// and is forgotten has ended, and does not come back.
+// newStaleReplicas returns the rows changed in the state for replicas that are not in the registry. A stream may have started
+// before this control node knew what is committed, and its full frame then lacked these rows. A replica that was sent before
+// and is no longer in the registry has ended; it is not sent again.
 func (s *streamState) newStaleReplicas(in FrameInput) []wire.ReplicaRow {
 	if !in.Committed || s.staleIndex == in.State.ReplicasIndex {
 		return nil
@@ -105,7 +106,8 @@
 	return rows
 }
 
-// changedCommands returns the commands that are pending since the last delta, or not any more.
+// changedCommands returns the commands that became pending since the last delta, and an empty row for each replica whose command
+// is no longer pending.
 func (s *streamState) changedCommands(state *statemachine.State) *wire.PendingOrders {
 	pending := make(map[string]wire.PendingOrder, len(state.Pending))
 	orders := &wire.PendingOrders{Number: state.CommandsIndex, Rows: []wire.PendingOrder{}}
--- a/internal/controlplane/distribution/tenants_test.go
+++ b/internal/controlplane/distribution/tenants_test.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// largeRoutes, largeModels, largeTenants and largeGateways are those of the largest deployments.
+	// largeRoutes, largeModels, largeTenants and largeGateways are the counts in the largest deployments.
 	largeRoutes, largeModels, largeTenants, largeGateways = 1720, 552, 74, 63
-	// maxRevocationBytes bounds the frame that takes a key away: it must not wait behind others on a gateway's narrow link.
+	// maxRevocationBytes bounds the frame that revokes a key, which must not queue behind other frames on a gateway's narrow link.
 	maxRevocationBytes = 4 << 10
 )
 
@@ -28,7 +28,7 @@
 	return t
 }
 
-// largeState has a declaration of the size of the largest deployments.
+// largeState returns a state with a declaration of the size of the largest deployments.
 func largeState(t *testing.T) *statemachine.State {
 	t.Helper()
 	engine := &configuration.Engine{Slots: 64, CacheTokens: 1000, CapacityMB: 200000, LoadsPerSecond: 48}
@@ -53,31 +53,31 @@
 	return s
 }
 
-// A key that is taken away goes to all gateways at once, primary streams and standby ones, as one small frame; no key goes
-// to any gateway, whole or as an edit.
-func TestRevokedKeysGoToAllGatewaysAtOnceInASmallFrameWithoutKeys(t *testing.T) {
+// The revocation of a key is sent immediately to all gateways, on primary and standby streams, as one small frame. No key is sent
+// to any gateway, neither in a whole declaration nor in an edit.
+func TestKeyRevocationReachesAllGatewaysImmediatelyInSmallFrameWithoutKeys(t *testing.T) {
 	s := largeState(t)
-	h, soft, nowUs := NewFramePublisher(), registry.New(3*clock.Sec), clock.Sec
+	publisher, reg, nowUs := NewFramePublisher(), registry.New(3*clock.Sec), clock.Sec
 	frames := func() []FramePush {
 		nowUs += clock.Ms
-		pushes := h.Frames(FrameInput{NowUs: nowUs, State: s, Committed: true, Registry: soft})
+		pushes := publisher.Frames(FrameInput{NowUs: nowUs, State: s, Committed: true, Registry: reg})
 		for _, p := range pushes {
 			if raw, err := json.Marshal(p.Frame); err != nil || strings.Contains(string(raw), "secret-") {
-				t.Fatalf("%v; a key goes to %s", err, p.Gateway)
+				t.Fatalf("frame for gateway %s: got error %v or a plaintext key in the frame, want neither", p.Gateway, err)
 			}
 		}
 		return pushes
 	}
 	for i := range largeGateways {
-		h.Subscribe(nowUs, wire.SubscribeRequest{Gateway: fmt.Sprint("g", i), Incarnation: "i", Standby: i%2 == 1})
+		publisher.Subscribe(nowUs, wire.SubscribeRequest{Gateway: fmt.Sprint("g", i), Incarnation: "i", Standby: i%2 == 1})
 	}
 	first := frames()
 	if len(first) != largeGateways {
-		t.Fatalf("%d first frames", len(first))
+		t.Fatalf("first frames: got %d, want %d", len(first), largeGateways)
 	}
 	known := first[0].Frame.Declaration
 	if known == nil || known.Indexed().TenantOfKey("secret-3-a") == nil || !known.RequireKeys {
-		t.Fatal("a gateway does not know the tenants after its first frame")
+		t.Fatal("first frame: got a declaration without the tenants' keys or requireKeys, want both")
 	}
 	for version, tenant := range []configuration.Tenant{largeTenant(3, "secret-3-b"), largeTenant(3), largeTenant(5, "secret-3-a")} {
 		base := uint64(version + 1)
@@ -87,17 +87,19 @@
 		}
 		pushes := frames()
 		if len(pushes) != largeGateways {
-			t.Fatalf("version %d: %d of %d gateways were told at once", base+1, len(pushes), largeGateways)
+			t.Fatalf("version %d: got %d immediate frames, want %d", base+1, len(pushes), largeGateways)
 		}
-		different := map[*wire.Frame]bool{}
+		distinct := map[*wire.Frame]bool{}
 		for _, p := range pushes {
-			different[p.Frame] = true
+			distinct[p.Frame] = true
 			if p.Frame.Declaration != nil || p.Frame.Revision != s.Revision {
-				t.Fatalf("version %d goes whole, or not at all, to %s", base+1, p.Gateway)
+				t.Fatalf("version %d, gateway %s: got revision %d or a whole declaration, want revision %d by edits",
+					base+1, p.Gateway, p.Frame.Revision, s.Revision)
 			}
 		}
-		if raw, _ := json.Marshal(pushes[0].Frame); len(raw) > maxRevocationBytes || len(different) > 2 {
-			t.Errorf("version %d takes %d bytes in %d frames", base+1, len(raw), len(different))
+		if raw, _ := json.Marshal(pushes[0].Frame); len(raw) > maxRevocationBytes || len(distinct) > 2 {
+			t.Errorf("version %d: got %d bytes in %d distinct frames, want at most %d in 2",
+				base+1, len(raw), len(distinct), maxRevocationBytes)
 		}
 		next, bad := known.Apply(pushes[0].Frame.Edits[0])
 		if bad != nil {
@@ -111,7 +113,7 @@
 			name = tenant.Name
 		}
 		if name != holder {
-			t.Errorf("%s is held by %q, want %q", key, name, holder)
+			t.Errorf("tenant of key %s: got %q, want %q", key, name, holder)
 		}
 	}
 }
--- a/internal/controlplane/distribution/update_publisher.go
+++ b/internal/controlplane/distribution/update_publisher.go
@@ -12,43 +12,45 @@
 )
 
 const (
-	// GatewayLeaseUs is how long a gateway may act on an update after it asked for the lease.
+	// GatewayLeaseUs is the length of a gateway's lease, in microseconds from when the gateway requested it. A gateway may act on
+	// an update only while it holds a lease.
 	GatewayLeaseUs = 1200 * clock.Ms
-	// maxUpdateLagUs is how long a gateway may lack the newest update before it gets no lease: half a lease.
+	// maxUpdateLagUs is how long a gateway may lack the newest update before it is refused a lease: half the length of a lease.
 	maxUpdateLagUs = 600 * clock.Ms
-	// listCheckGraceUs is how long a new tail waits for the controller to read the platform's list before it gives leases
-	// without: the platform may be down.
+	// listCheckGraceUs is how long a new tail refuses leases until the controller has read the platform's list. After that it
+	// grants leases regardless, as the platform may be down.
 	listCheckGraceUs = 1000 * clock.Ms
-	// gatewayRetentionUs is when a gateway that reports nothing is forgotten, once its lease has ended.
+	// gatewayRetentionUs is how long a gateway is kept after its last report; it is kept longer while its lease runs.
 	gatewayRetentionUs = 30 * clock.Sec
-	// ringMemberUs is how long after its last report a gateway stays on the failure detector's ring.
+	// ringMemberUs is how long a gateway stays on the failure detector's ring after its last report.
 	ringMemberUs = gatewayRetentionUs / 10
 )
 
-// subscriber is a gateway's process as the tail knows it.
+// subscriber is the process of a gateway as the tail knows it.
 type subscriber struct {
 	incarnation string
 	zone        string
 	addr        string
-	// following says that it has asked for the stream, and not only for leases.
+	// subscribed reports that the gateway has requested the stream of updates, and not only leases.
 	subscribed bool
-	// acked is the number of the newest update it acknowledged, and pushed of the newest sent; 0 for none.
+	// acked is the number of the newest update that the gateway has acknowledged, and pushed that of the newest update sent to
+	// it; 0 means none.
 	acked  uint64
 	pushed uint64
-	// revision is the declaration that it has; it is not sent again.
+	// revision is the revision of the declaration that the gateway has; that declaration is not sent again.
 	revision uint64
-	// behindSinceUs is since when it lacks the newest update; 0 where it has it.
+	// behindSinceUs is the time since which the gateway lacks the newest update; 0 if it has that update.
 	behindSinceUs int64
-	// leaseEndUs is when the last lease that it may have ends.
+	// leaseEndUs is the latest time at which a lease of the gateway may end.
 	leaseEndUs   int64
 	lastReportUs int64
 }
 
-// UpdatePublisher pushes numbered updates to gateways, gives their leases, and keeps operators' results until every
-// gateway has acknowledged or its lease has ended. It is active at the chain's tail alone.
+// UpdatePublisher pushes numbered updates to gateways, grants their leases, and holds operators' results back until every gateway
+// has acknowledged the update or its lease has ended. It is active at the chain's tail only.
 type UpdatePublisher struct {
 	active bool
-	// activeSinceUs is when it became active last.
+	// activeSinceUs is the time at which the publisher last became active.
 	activeSinceUs int64
 	gateways      map[string]*subscriber
 	pending       []pendingResult
@@ -60,13 +62,13 @@
 	Update  wire.GatewayUpdate
 }
 
-// NewUpdatePublisher returns a publisher that is inactive until SetActive.
+// NewUpdatePublisher returns a publisher that is inactive until SetActive is called.
 func NewUpdatePublisher() *UpdatePublisher {
 	return &UpdatePublisher{gateways: map[string]*subscriber{}}
 }
 
-// SetActive starts the publisher at the chain's tail and stops it elsewhere. A stopped one forgets its gateways and
-// pending results: their callers time out, and the next tail waits for the leases.
+// SetActive activates the publisher at the chain's tail and deactivates it elsewhere. Deactivation deletes its gateways and
+// pending results: the callers time out, and the next tail waits until the leases have ended.
 func (p *UpdatePublisher) SetActive(nowUs int64, active bool) {
 	if active == p.active {
 		return
@@ -80,8 +82,8 @@
 	p.gateways = map[string]*subscriber{}
 }
 
-// Follow begins a gateway's stream; false where this control node is not the tail. A process that it does not know may
-// hold a lease of the former tail, which runs for another GatewayLeaseUs at most.
+// Subscribe starts the stream of a gateway. It returns false if this control node is not the tail. A gateway process that is not
+// known yet may hold a lease of the previous tail, which ends after GatewayLeaseUs at most.
 func (p *UpdatePublisher) Subscribe(nowUs int64, request wire.SubscribeRequest) bool {
 	if !p.active {
 		return false
@@ -100,9 +102,9 @@
 	return true
 }
 
-// Report takes a gateway's report, acknowledges what it has, and returns a lease, or none where the gateway is not
-// up to date. checked says that the controller has read the platform's list in this view; a new tail waits listCheckGraceUs
-// for it, so that no gateway acts on a list whose notices went unread meanwhile.
+// Report handles the report of a gateway: it records what the gateway has acknowledged, and returns a lease, or a refusal if the
+// gateway is not up to date. checked reports that the controller has read the platform's list in this view. A new tail waits for
+// that for up to listCheckGraceUs, so that no gateway acts on a list while the list's notices are unread.
 func (p *UpdatePublisher) Report(nowUs int64, view uint64, newest uint64, checked bool, report wire.Report) wire.Lease {
 	refusal := wire.Lease{View: view}
 	if !p.active {
@@ -129,7 +131,7 @@
 	return wire.Lease{OK: true, View: view, SentUs: report.SentUs, LeaseUs: GatewayLeaseUs, Number: newest}
 }
 
-// Ring returns every node that watches and is watched: the view's control nodes and the gateways that report.
+// Ring returns the nodes of the failure detector's ring: the control nodes of the view and the gateways that report.
 func (p *UpdatePublisher) Ring(nowUs int64, view chain.View) []failuredetector.Node {
 	ring := []failuredetector.Node{}
 	for _, s := range view.Replicas {
@@ -143,7 +145,7 @@
 	return ring
 }
 
-// Updates returns the updates that have not been pushed yet, each once.
+// Updates returns the updates that are due, each once.
 func (p *UpdatePublisher) Updates(s *statemachine.State, view chain.View) []UpdatePush {
 	if !p.active {
 		return nil
@@ -161,19 +163,19 @@
 	return pushes
 }
 
-// GatewayStatus is one gateway as the status page shows it.
+// GatewayStatus is the status of one gateway on the status page.
 type GatewayStatus struct {
 	Gateway    string `json:"desk"`
 	Zone       string `json:"zone"`
 	Addr       string `json:"addr"`
 	Subscribed bool   `json:"following"`
-	// Acked is the number of the newest update that it acknowledged.
+	// Acked is the number of the newest update that the gateway has acknowledged; 0 means none.
 	Acked uint64 `json:"acked"`
-	// LeaseMs is how long its lease still runs, in ms; 0 where it has none.
+	// LeaseMs is the remaining time of the gateway's lease in milliseconds; 0 if it has none.
 	LeaseMs int64 `json:"leaseMs"`
 }
 
-// Gateways returns all gateways that are not forgotten, in order.
+// Gateways returns the status of all known gateways, sorted by ID.
 func (p *UpdatePublisher) Gateways(nowUs int64) []GatewayStatus {
 	statuses := []GatewayStatus{}
 	for _, id := range p.gatewayIDs() {
@@ -183,6 +185,7 @@
 	return statuses
 }
 
+// gatewayIDs returns the IDs of all known gateways, sorted.
 func (p *UpdatePublisher) gatewayIDs() []string {
 	return slices.Sorted(maps.Keys(p.gateways))
 }
--- a/internal/controlplane/distribution/update_publisher_test.go
+++ b/internal/controlplane/distribution/update_publisher_test.go
@@ -10,15 +10,15 @@
 )
 
 func newActivePublisher(s *statemachine.State) *UpdatePublisher {
-	r := NewUpdatePublisher()
-	r.SetActive(1, true)
-	r.Subscribe(2, wire.SubscribeRequest{Gateway: "front", Incarnation: "i1"})
-	return r
+	publisher := NewUpdatePublisher()
+	publisher.SetActive(1, true)
+	publisher.Subscribe(2, wire.SubscribeRequest{Gateway: "front", Incarnation: "i1"})
+	return publisher
 }
 
-func stateAt(revision, news uint64) *statemachine.State {
+func stateAt(revision, updateIndex uint64) *statemachine.State {
 	s := statemachine.NewState()
-	s.Revision, s.UpdateIndex, s.Index = revision, news, news
+	s.Revision, s.UpdateIndex, s.Index = revision, updateIndex, updateIndex
 	s.Doc = &configuration.Declaration{Name: "d"}
 	return s
 }
@@ -27,91 +27,93 @@
 	return wire.Report{Gateway: "front", Incarnation: "i1", Number: number, Revision: revision, SentUs: 7}
 }
 
-// A pushed declaration may be lost with its connection: seed 218 served an emptied zone that way.
+// Guards against a lost declaration: a push may be lost with its connection. In seed 218 an emptied
+// zone was served as a result.
 func TestDeclarationIsPushedUntilAcknowledged(t *testing.T) {
 	s := stateAt(3, 30)
-	r := newActivePublisher(s)
-	if p := r.Updates(s, chain.View{}); len(p) != 1 || p[0].Update.Declaration == nil {
-		t.Fatalf("first push: %+v", p)
+	publisher := newActivePublisher(s)
+	if p := publisher.Updates(s, chain.View{}); len(p) != 1 || p[0].Update.Declaration == nil {
+		t.Fatalf("first push: got %+v, want one update with the declaration", p)
 	}
 	s.UpdateIndex = 31
-	if p := r.Updates(s, chain.View{}); len(p) != 1 || p[0].Update.Declaration == nil {
-		t.Fatal("the declaration was left out though nobody acknowledged it")
+	if p := publisher.Updates(s, chain.View{}); len(p) != 1 || p[0].Update.Declaration == nil {
+		t.Fatal("push before the acknowledgement: got an update without the declaration, want it included")
 	}
-	r.Report(10, 1, s.UpdateIndex, true, report(31, 3))
+	publisher.Report(10, 1, s.UpdateIndex, true, report(31, 3))
 	s.UpdateIndex = 32
-	if p := r.Updates(s, chain.View{}); len(p) != 1 || p[0].Update.Declaration != nil {
-		t.Fatal("an acknowledged declaration is sent again")
+	if p := publisher.Updates(s, chain.View{}); len(p) != 1 || p[0].Update.Declaration != nil {
+		t.Fatal("push after the acknowledgement: got the declaration again, want an update without it")
 	}
 }
 
-// Seed 138: a gateway whose lease had lapsed got it back while it still worked by old news.
-func TestLapsedGatewayNeedsNewestUpdateForLease(t *testing.T) {
+// Guards against a lease for an outdated gateway: in seed 138 a gateway whose lease had expired got a new one while it still acted on
+// an old update.
+func TestGatewayWithExpiredLeaseNeedsNewestUpdateForLease(t *testing.T) {
 	s := stateAt(1, 10)
-	r := newActivePublisher(s)
-	if !r.Report(100, 1, 10, true, report(10, 1)).OK {
-		t.Fatal("an up-to-date gateway gets no lease")
+	publisher := newActivePublisher(s)
+	if !publisher.Report(100, 1, 10, true, report(10, 1)).OK {
+		t.Fatal("gateway that is up to date: got no lease, want one")
 	}
-	if !r.Report(200_000, 1, 11, true, report(10, 1)).OK {
-		t.Fatal("a gateway a moment behind loses its lease at once")
+	if !publisher.Report(200_000, 1, 11, true, report(10, 1)).OK {
+		t.Fatal("gateway that has just fallen behind: got no lease, want one")
 	}
-	if r.Report(200_000+maxUpdateLagUs+1, 1, 11, true, report(10, 1)).OK {
-		t.Fatal("a gateway that stays behind keeps its lease")
+	if publisher.Report(200_000+maxUpdateLagUs+1, 1, 11, true, report(10, 1)).OK {
+		t.Fatal("gateway that stays behind for longer than maxUpdateLagUs: got a lease, want none")
 	}
-	lapsedUs := 200_000 + GatewayLeaseUs + 1
-	if r.Report(lapsedUs, 1, 12, true, report(11, 1)).OK {
-		t.Fatal("a lapsed gateway that is behind got a lease")
+	expiredUs := 200_000 + GatewayLeaseUs + 1
+	if publisher.Report(expiredUs, 1, 12, true, report(11, 1)).OK {
+		t.Fatal("gateway with an expired lease that is behind: got a lease, want none")
 	}
-	if !r.Report(lapsedUs+1, 1, 12, true, report(12, 1)).OK {
-		t.Fatal("a lapsed gateway with the newest news gets no lease")
+	if !publisher.Report(expiredUs+1, 1, 12, true, report(12, 1)).OK {
+		t.Fatal("gateway with an expired lease and the newest update: got no lease, want one")
 	}
 }
 
 func TestResultWaitsForEveryGatewayOrItsLeaseExpiry(t *testing.T) {
 	s := stateAt(1, 10)
-	r := newActivePublisher(s)
+	publisher := newActivePublisher(s)
 	startUs := 2 * GatewayLeaseUs
-	r.Report(startUs, 1, 10, true, report(10, 1))
-	r.AwaitAcknowledgements("op", statemachine.Outcome{ID: "c"}, 11)
-	if a := r.ReleasedResults(startUs + 10); len(a) != 0 {
-		t.Fatal("answered before the gateway acknowledged")
+	publisher.Report(startUs, 1, 10, true, report(10, 1))
+	publisher.AwaitAcknowledgements("op", statemachine.Outcome{ID: "c"}, 11)
+	if a := publisher.ReleasedResults(startUs + 10); len(a) != 0 {
+		t.Fatal("result released before the gateway acknowledged the update, want it held back")
 	}
-	if a := r.ReleasedResults(startUs + GatewayLeaseUs - 1); len(a) != 0 {
-		t.Fatal("answered while the gateway still had its lease")
+	if a := publisher.ReleasedResults(startUs + GatewayLeaseUs - 1); len(a) != 0 {
+		t.Fatal("result released before the gateway's lease ended, want it held back")
 	}
-	if a := r.ReleasedResults(startUs + GatewayLeaseUs); len(a) != 1 {
-		t.Fatal("not answered though the lease ran out")
+	if a := publisher.ReleasedResults(startUs + GatewayLeaseUs); len(a) != 1 {
+		t.Fatal("result held back after the gateway's lease ended, want it released")
 	}
-	r.Report(startUs+GatewayLeaseUs+1, 1, 11, true, report(11, 1))
-	r.AwaitAcknowledgements("op", statemachine.Outcome{ID: "d"}, 12)
-	r.Report(startUs+GatewayLeaseUs+2, 1, 12, true, report(12, 1))
-	if a := r.ReleasedResults(startUs + GatewayLeaseUs + 3); len(a) != 1 {
-		t.Fatal("not answered though every gateway acknowledged")
+	publisher.Report(startUs+GatewayLeaseUs+1, 1, 11, true, report(11, 1))
+	publisher.AwaitAcknowledgements("op", statemachine.Outcome{ID: "d"}, 12)
+	publisher.Report(startUs+GatewayLeaseUs+2, 1, 12, true, report(12, 1))
+	if a := publisher.ReleasedResults(startUs + GatewayLeaseUs + 3); len(a) != 1 {
+		t.Fatal("result held back after all gateways acknowledged the update, want it released")
 	}
 }
 
 func TestNewTailWaitsForLeasesOfItsPredecessor(t *testing.T) {
-	r := NewUpdatePublisher()
-	r.SetActive(1000, true)
-	r.AwaitAcknowledgements("op", statemachine.Outcome{ID: "c"}, 5)
-	if a := r.ReleasedResults(1000 + GatewayLeaseUs - 1); len(a) != 0 {
-		t.Fatal("a new tail answered while its predecessor's leases may run")
+	publisher := NewUpdatePublisher()
+	publisher.SetActive(1000, true)
+	publisher.AwaitAcknowledgements("op", statemachine.Outcome{ID: "c"}, 5)
+	if a := publisher.ReleasedResults(1000 + GatewayLeaseUs - 1); len(a) != 0 {
+		t.Fatal("result released by a new tail while leases of its predecessor may still run, want it held back")
 	}
-	if a := r.ReleasedResults(1000 + GatewayLeaseUs); len(a) != 1 {
-		t.Fatal("never answered")
+	if a := publisher.ReleasedResults(1000 + GatewayLeaseUs); len(a) != 1 {
+		t.Fatal("result held back after all leases of the predecessor ended, want it released")
 	}
 }
 
 func TestNewTailWaitsForControllerToCheckPlatformList(t *testing.T) {
 	s := stateAt(1, 10)
-	r := newActivePublisher(s)
-	if r.Report(100, 1, 10, false, report(10, 1)).OK {
-		t.Fatal("a lease before the list was looked at in this view")
+	publisher := newActivePublisher(s)
+	if publisher.Report(100, 1, 10, false, report(10, 1)).OK {
+		t.Fatal("lease before the controller read the list in this view: got one, want none")
 	}
-	if !r.Report(200, 1, 10, true, report(10, 1)).OK {
-		t.Fatal("no lease after it was")
+	if !publisher.Report(200, 1, 10, true, report(10, 1)).OK {
+		t.Fatal("lease after the controller read the list: got none, want one")
 	}
-	if !r.Report(listCheckGraceUs+10, 1, 10, false, report(10, 1)).OK {
-		t.Fatal("no lease although the platform may be down")
+	if !publisher.Report(listCheckGraceUs+10, 1, 10, false, report(10, 1)).OK {
+		t.Fatal("lease after listCheckGraceUs without a list, as the platform may be down: got none, want one")
 	}
 }
