--- a/internal/controlplane/quota/model_test.go
+++ b/internal/controlplane/quota/model_test.go
@@ -129,7 +129,7 @@
 	m.trace = append(m.trace, fmt.Sprintf("%d ms: ", m.nowUs/clock.Ms)+fmt.Sprintf(format, args...))
 }
 
-// addMember adds a member with a new process. late tells members that join later from the founding ones.
+// addMember adds a member with a new process. late reports that the member joins after the initial ones.
 func (m *quotaModel) addMember(late bool) {
 	member := &modelMember{id: m.nextMemberID}
 	m.nextMemberID++
--- a/internal/dataplane/quota/client.go
+++ b/internal/dataplane/quota/client.go
@@ -130,13 +130,13 @@
 
 func (c *Client) handleRequest(ev RequestArrived) {
 	r := &request{id: ev.ID, tenant: ev.Tenant, limit: ev.Limit, deadlineUs: c.nowUs + min(maxDecisionUs, max(0, ev.MaxWaitUs))}
-	if m, known := c.refusals[r.tenant]; known && m.limit == r.limit && c.nowUs < m.expiresUs && (m.verdict == OverLimit || !c.isTailAvailable()) {
+	if cached, known := c.refusals[r.tenant]; known && cached.limit == r.limit && c.nowUs < cached.expiresUs && (cached.verdict == OverLimit || !c.isTailAvailable()) {
 		c.counters.FromMemory++
-		retryMs := ceilMs(m.expiresUs - c.nowUs)
-		if m.verdict == Unanswered {
+		retryMs := ceilMs(cached.expiresUs - c.nowUs)
+		if cached.verdict == Unanswered {
 			retryMs = c.unansweredRetryMs()
 		}
-		c.decide(r, m.verdict, retryMs)
+		c.decide(r, cached.verdict, retryMs)
 		return
 	}
 	if len(c.requests) >= maxUndecided {
