--- a/internal/dataplane/controlclient/currency.go
+++ b/internal/dataplane/controlclient/currency.go
@@ -18,16 +18,16 @@
 
 // recordWake notes that this process has just run again after a gap.
 func (i *Informer) recordWake(nowUs int64) {
-	if i.steppedUs > 0 && nowUs-i.steppedUs > wakeGapUs {
-		i.wokeUs = nowUs
+	if i.lastStepUs > 0 && nowUs-i.lastStepUs > wakeGapUs {
+		i.wokeAtUs = nowUs
 	}
-	i.steppedUs = nowUs
+	i.lastStepUs = nowUs
 }
 
 // recordCurrency notes a frame of a control node that is current. The frame's own news has been applied, and those of the
 // frames before it on its stream.
 func (i *Informer) recordCurrency(nowUs int64, s *source, f *wire.Frame) {
-	settled := i.wokeUs == 0 || nowUs-i.wokeUs >= wakeSettleUs
+	settled := i.wokeAtUs == 0 || nowUs-i.wokeAtUs >= wakeSettleUs
 	if settled && s.complete && f.CaughtUp && !f.PossiblyStale && i.declaration != nil {
 		i.currentUs = nowUs
 	}
--- a/internal/dataplane/controlclient/informer.go
+++ b/internal/dataplane/controlclient/informer.go
@@ -113,11 +113,11 @@
 	openedAtUs     int64
 	reportedAtUs   int64
 	urgentAtUs     int64
-	// currentUs is when a control node that was current last pushed a frame; steppedUs is when the last event came, and
-	// wokeUs when the first came after a gap.
+	// currentUs is when a control node that was current last pushed a frame; lastStepUs is when the last event came, and
+	// wokeAtUs when the first came after a gap.
 	currentUs    int64
-	steppedUs    int64
-	wokeUs       int64
+	lastStepUs   int64
+	wokeAtUs     int64
 	outliersAtUs int64
 	failing      bool
 	// lastSource was the last complete one, and counts while none is.
@@ -306,14 +306,14 @@
 	if i.declaration == nil || f.EditsFrom > i.revision || f.Revision-f.EditsFrom != uint64(len(f.Edits)) {
 		return false
 	}
-	doc := i.declaration
+	declaration := i.declaration
 	for _, e := range f.Edits[i.revision-f.EditsFrom:] {
-		next, bad := doc.Apply(e)
-		if bad != nil {
+		next, failure := declaration.Apply(e)
+		if failure != nil {
 			return false
 		}
-		doc = next
+		declaration = next
 	}
-	i.declaration, i.revision = doc.Indexed(), f.Revision
+	i.declaration, i.revision = declaration.Indexed(), f.Revision
 	return true
 }
--- a/internal/dataplane/controlclient/informer_test.go
+++ b/internal/dataplane/controlclient/informer_test.go
@@ -22,113 +22,113 @@
 )
 
 // core is one control node as gateways see it: its ledger, which may lag, its roster and its hub.
-type core struct {
-	addr    string
-	state   *statemachine.State
-	applied int
-	roster  *registry.Registry
-	hub     *distribution.FramePublisher
-	settled bool
-	behind  bool
-	view    uint64
+type testControlNode struct {
+	addr      string
+	state     *statemachine.State
+	applied   int
+	registry  *registry.Registry
+	publisher *distribution.FramePublisher
+	committed bool
+	stale     bool
+	view      uint64
 
 	outliers outlier.Table
 }
 
-func newCore(addr string) *core {
-	return &core{addr: addr, state: statemachine.NewState(), roster: registry.New(3 * clock.Sec), hub: distribution.NewFramePublisher(), settled: true, view: 1}
+func newTestControlNode(addr string) *testControlNode {
+	return &testControlNode{addr: addr, state: statemachine.NewState(), registry: registry.New(3 * clock.Sec), publisher: distribution.NewFramePublisher(), committed: true, view: 1}
 }
 
-func (c *core) seen(nowUs int64) distribution.FrameInput {
-	return distribution.FrameInput{NowUs: nowUs, State: c.state, View: membership.View{Number: c.view}, Committed: c.settled, PossiblyStale: c.behind, Registry: c.roster, Outliers: c.outliers,
+func (c *testControlNode) frameInput(nowUs int64) distribution.FrameInput {
+	return distribution.FrameInput{NowUs: nowUs, State: c.state, View: membership.View{Number: c.view}, Committed: c.committed, PossiblyStale: c.stale, Registry: c.registry, Outliers: c.outliers,
 		ControlNodes: []membership.Member{{ID: "one", Addr: "one"}, {ID: "two", Addr: "two"}}}
 }
 
-func (c *core) apply(log []statemachine.Change, upto int) {
+func (c *testControlNode) apply(log []statemachine.Change, upto int) {
 	for ; c.applied < upto; c.applied++ {
 		c.state.Apply(uint64(c.applied+1), log[c.applied])
 	}
 }
 
 // restart forgets all that is not on disk, and what the disk has is not yet known to be the chain's.
-func (c *core) restart() {
+func (c *testControlNode) restart() {
 	back, err := statemachine.Decode(c.state.Encode())
 	if err != nil {
 		panic(err)
 	}
-	*c = core{addr: c.addr, state: back, applied: c.applied, roster: registry.New(3 * clock.Sec), hub: distribution.NewFramePublisher(), view: c.view}
+	*c = testControlNode{addr: c.addr, state: back, applied: c.applied, registry: registry.New(3 * clock.Sec), publisher: distribution.NewFramePublisher(), view: c.view}
 }
 
 // screen is a gateway's mirror with its streams to the control nodes; frames travel as JSON.
-type screen struct {
-	t       *testing.T
-	m       *Informer
-	cores   map[string]*core
-	streams map[uint64]*core
-	down    map[string]bool
-	snap    *scheduling.Snapshot
-	opened  int
-	asked   uint64
-	fell    string
+type testGateway struct {
+	t                 *testing.T
+	informer          *Informer
+	controlNodes      map[string]*testControlNode
+	streams           map[uint64]*testControlNode
+	down              map[string]bool
+	snapshot          *scheduling.Snapshot
+	openedCount       int
+	requestedRevision uint64
+	regression        string
 }
 
-func newScreen(t *testing.T, gateway string, cores ...*core) *screen {
-	s := &screen{t: t, cores: map[string]*core{}, streams: map[uint64]*core{}, down: map[string]bool{}}
+func newTestGateway(t *testing.T, gateway string, controlNodes ...*testControlNode) *testGateway {
+	s := &testGateway{t: t, controlNodes: map[string]*testControlNode{}, streams: map[uint64]*testControlNode{}, down: map[string]bool{}}
 	addrs := []string{}
-	for _, c := range cores {
-		s.cores[c.addr] = c
+	for _, c := range controlNodes {
+		s.controlNodes[c.addr] = c
 		addrs = append(addrs, c.addr)
 	}
-	s.m = NewInformer(Options{Gateway: gateway, Incarnation: "i", Seeds: addrs})
+	s.informer = NewInformer(Options{Gateway: gateway, Incarnation: "i", Seeds: addrs})
 	return s
 }
 
-func (s *screen) step(nowUs int64, ev InformerEvent) {
+func (s *testGateway) step(nowUs int64, ev InformerEvent) {
 	ev.NowUs = nowUs
-	for _, e := range s.m.Step(ev) {
+	for _, e := range s.informer.Step(ev) {
 		switch {
 		case e.Open != nil:
-			s.opened++
-			s.asked = e.Open.Request.Revision
-			if c := s.cores[e.Open.Addr]; c != nil && !s.down[e.Open.Addr] {
-				c.hub.Subscribe(nowUs, e.Open.Request)
+			s.openedCount++
+			s.requestedRevision = e.Open.Request.Revision
+			if c := s.controlNodes[e.Open.Addr]; c != nil && !s.down[e.Open.Addr] {
+				c.publisher.Subscribe(nowUs, e.Open.Request)
 				s.streams[e.Open.Number] = c
 			} else {
 				s.step(nowUs, InformerEvent{Closed: e.Open.Number})
 			}
 		case e.Close != 0:
-			s.hangUp(e.Close)
+			s.unsubscribe(e.Close)
 		case e.Snapshot != nil:
-			if p := s.snap; p != nil && (e.Snapshot.Revision < p.Revision || e.Snapshot.View < p.View || e.Snapshot.Number <= p.Number || (p.Declaration != nil && e.Snapshot.Declaration.Version < p.Declaration.Version)) {
-				s.fell = fmt.Sprintf("after revision %d, view %d, number %d came %d, %d, %d", p.Revision, p.View, p.Number, e.Snapshot.Revision, e.Snapshot.View, e.Snapshot.Number)
+			if p := s.snapshot; p != nil && (e.Snapshot.Revision < p.Revision || e.Snapshot.View < p.View || e.Snapshot.Number <= p.Number || (p.Declaration != nil && e.Snapshot.Declaration.Version < p.Declaration.Version)) {
+				s.regression = fmt.Sprintf("after revision %d, view %d, number %d came %d, %d, %d", p.Revision, p.View, p.Number, e.Snapshot.Revision, e.Snapshot.View, e.Snapshot.Number)
 			}
-			s.snap = e.Snapshot
+			s.snapshot = e.Snapshot
 		}
 	}
 }
 
-func (s *screen) hangUp(stream uint64) {
+func (s *testGateway) unsubscribe(stream uint64) {
 	if c := s.streams[stream]; c != nil {
-		c.hub.Unsubscribe(s.m.opts.Gateway, "i")
+		c.publisher.Unsubscribe(s.informer.opts.Gateway, "i")
 		delete(s.streams, stream)
 	}
 }
 
-func (s *screen) lose(nowUs int64, stream uint64) {
-	s.hangUp(stream)
+func (s *testGateway) loseStream(nowUs int64, stream uint64) {
+	s.unsubscribe(stream)
 	s.step(nowUs, InformerEvent{Closed: stream})
 }
 
 // carry brings what each control node has to tell; lose in 100 frames are lost, each with its stream.
-func (s *screen) carry(nowUs int64, r *rand.Rand, lose int) {
-	for _, stream := range s.open() {
+func (s *testGateway) deliverFrames(nowUs int64, r *rand.Rand, lossPercent int) {
+	for _, stream := range s.openStreams() {
 		c := s.streams[stream]
 		if c == nil {
 			continue
 		}
-		for _, p := range c.hub.Frames(c.seen(nowUs)) {
-			if r.Intn(100) < lose {
-				s.lose(nowUs, stream)
+		for _, p := range c.publisher.Frames(c.frameInput(nowUs)) {
+			if r.Intn(100) < lossPercent {
+				s.loseStream(nowUs, stream)
 				break
 			}
 			raw, err := json.Marshal(p.Frame)
@@ -146,7 +146,7 @@
 	s.step(nowUs, InformerEvent{})
 }
 
-func (s *screen) open() []uint64 {
+func (s *testGateway) openStreams() []uint64 {
 	all := []uint64{}
 	for n := range s.streams {
 		all = append(all, n)
@@ -169,21 +169,21 @@
 }
 
 // chronicle writes changes as the head would, against a state that has them all.
-type chronicle struct {
+type changeLog struct {
 	r       *rand.Rand
-	head    *statemachine.State
-	log     []statemachine.Change
+	state   *statemachine.State
+	changes []statemachine.Change
 	version uint64
 }
 
-func (c *chronicle) write(change statemachine.Change) {
-	change.ID = fmt.Sprint("c", len(c.log))
-	c.log = append(c.log, change)
-	c.head.Apply(uint64(len(c.log)), change)
+func (c *changeLog) append(change statemachine.Change) {
+	change.ID = fmt.Sprint("c", len(c.changes))
+	c.changes = append(c.changes, change)
+	c.state.Apply(uint64(len(c.changes)), change)
 }
 
 // tenants are those of a version: each holds a key of its own, and one of them, or nobody, a key that changes hands.
-func tenants(version uint64) []configuration.Tenant {
+func tenantsOfVersion(version uint64) []configuration.Tenant {
 	all := []configuration.Tenant{}
 	for n := range uint64(3) {
 		keys := []string{configuration.KeyDigest(fmt.Sprint("own", n))}
@@ -196,7 +196,7 @@
 }
 
 // holders say who holds which key.
-func holders(d *configuration.Declaration) map[string]string {
+func tenantsByKey(d *configuration.Declaration) map[string]string {
 	all := map[string]string{}
 	for _, key := range []string{"own0", "own1", "own2", "roaming", "nobody's"} {
 		if tenant := d.TenantOfKey(key); tenant != nil {
@@ -206,16 +206,16 @@
 	return all
 }
 
-func (c *chronicle) config() {
+func (c *changeLog) appendConfig() {
 	base := c.version
 	c.version += 1 + uint64(c.r.Intn(3))
 	if base == 0 || c.r.Intn(6) == 0 {
 		doc := &configuration.Declaration{Version: c.version, Services: []configuration.Service{service("m1", "m2", "m3")}, Routes: []configuration.Route{route("a", 100), route("b", 100)},
-			Tenants: tenants(c.version), RequireKeys: true}
-		c.write(statemachine.Change{Config: &statemachine.ConfigChange{Base: base, Version: c.version, Doc: doc}})
+			Tenants: tenantsOfVersion(c.version), RequireKeys: true}
+		c.append(statemachine.Change{Config: &statemachine.ConfigChange{Base: base, Version: c.version, Doc: doc}})
 		return
 	}
-	e := &configuration.Edit{Version: c.version, Tenants: tenants(c.version)}
+	e := &configuration.Edit{Version: c.version, Tenants: tenantsOfVersion(c.version)}
 	if c.version%5 == 0 {
 		e.Tenants, e.RemoveTenants = e.Tenants[:2], []string{"t2"}
 	}
@@ -224,27 +224,27 @@
 	} else {
 		e.Routes = []configuration.Route{route([]string{"a", "b", "c", "d"}[c.r.Intn(4)], 1+c.r.Int63n(5000))}
 	}
-	c.write(statemachine.Change{Config: &statemachine.ConfigChange{Base: base, Version: c.version, Edit: e}})
+	c.append(statemachine.Change{Config: &statemachine.ConfigChange{Base: base, Version: c.version, Edit: e}})
 }
 
-func (c *chronicle) update(id string) {
-	have, t := c.head.Replicas[id], wire.ReplicaCommand{}
-	if pending, is := c.head.Pending[id]; is {
-		c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: pending.Number, Succeeded: c.r.Intn(5) > 0}}}})
+func (c *changeLog) appendReplicaChange(id string) {
+	replica, command := c.state.Replicas[id], wire.ReplicaCommand{}
+	if pending, isPending := c.state.Pending[id]; isPending {
+		c.append(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: pending.Number, Succeeded: c.r.Intn(5) > 0}}}})
 		return
 	}
-	if have == nil {
-		c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: id, Incarnation: id, Addr: id, Zone: "a", CapacityMB: 100, Slots: 4, Service: "s", ResidentKnown: true}}}})
+	if replica == nil {
+		c.append(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: id, Incarnation: id, Addr: id, Zone: "a", CapacityMB: 100, Slots: 4, Service: "s", ResidentKnown: true}}}})
 		return
 	}
-	t = wire.ReplicaCommand{Replica: id, Incarnation: id, Revision: c.head.Revision, Action: wire.Load, Unit: []string{"m1", "m2", "m3", "m1/a1"}[c.r.Intn(4)]}
-	if _, held := have.Resident[t.Unit]; held {
-		t.Action = wire.Unload
+	command = wire.ReplicaCommand{Replica: id, Incarnation: id, Revision: c.state.Revision, Action: wire.Load, Unit: []string{"m1", "m2", "m3", "m1/a1"}[c.r.Intn(4)]}
+	if _, held := replica.Resident[command.Unit]; held {
+		command.Action = wire.Unload
 	}
-	c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Commands: []wire.ReplicaCommand{t}}})
+	c.append(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Commands: []wire.ReplicaCommand{command}}})
 }
 
-var asGatewaysSee = cmp.Options{cmpopts.IgnoreFields(scheduling.Snapshot{}, "Number", "ReceivedUs"), cmpopts.IgnoreFields(configuration.Declaration{}, "Index"), cmpopts.EquateEmpty()}
+var snapshotCompareOptions = cmp.Options{cmpopts.IgnoreFields(scheduling.Snapshot{}, "Number", "ReceivedUs"), cmpopts.IgnoreFields(configuration.Declaration{}, "Index"), cmpopts.EquateEmpty()}
 
 // Differences fold to what a whole frame says, whichever streams are lost, however far a control node lags
 // and whenever one restarts; what a gateway goes by never goes back.
@@ -252,19 +252,19 @@
 	frames, opened, edits := 0, 0, 0
 	for seed := int64(0); seed < 150; seed++ {
 		r := rand.New(rand.NewSource(seed))
-		one, two := newCore("one"), newCore("two")
-		cores := []*core{one, two}
-		s := newScreen(t, "desk", one, two)
-		c := &chronicle{r: r, head: statemachine.NewState()}
+		one, two := newTestControlNode("one"), newTestControlNode("two")
+		controlNodes := []*testControlNode{one, two}
+		s := newTestGateway(t, "desk", one, two)
+		c := &changeLog{r: r, state: statemachine.NewState()}
 		seqs := map[string]uint64{}
 		since := map[[2]int]uint64{}
 		gossip := func(nowUs int64) {
-			for i, from := range cores {
-				for j, to := range cores {
+			for i, from := range controlNodes {
+				for j, to := range controlNodes {
 					if i != j {
-						to.roster.Merge(nowUs, from.roster.GossipSince(nowUs, since[[2]int{i, j}], true))
-						since[[2]int{i, j}] = from.roster.Revision
-						if to.roster.ConsumeResyncRequest() {
+						to.registry.Merge(nowUs, from.registry.GossipSince(nowUs, since[[2]int{i, j}], true))
+						since[[2]int{i, j}] = from.registry.Revision
+						if to.registry.ConsumeResyncRequest() {
 							since[[2]int{i, j}] = 0
 						}
 					}
@@ -281,82 +281,82 @@
 			}
 			switch r.Intn(9) {
 			case 0:
-				c.config()
+				c.appendConfig()
 			case 1, 2:
 				if c.version > 0 {
-					c.update(id)
+					c.appendReplicaChange(id)
 				}
 			case 3, 4:
 				seqs[id]++
-				cores[r.Intn(2)].roster.HandleHeartbeat(nowUs, wire.ReplicaStatus{ID: id, Service: "s", Addr: id, Zone: "a", Slots: 4, Seq: seqs[id], Draining: r.Intn(5) == 0, Units: []string{"m1", "m2"}[:r.Intn(3)]})
+				controlNodes[r.Intn(2)].registry.HandleHeartbeat(nowUs, wire.ReplicaStatus{ID: id, Service: "s", Addr: id, Zone: "a", Slots: 4, Seq: seqs[id], Draining: r.Intn(5) == 0, Units: []string{"m1", "m2"}[:r.Intn(3)]})
 			case 5:
 				if n%5 == 0 {
-					cores[r.Intn(2)].roster.Remove(nowUs, id)
+					controlNodes[r.Intn(2)].registry.Remove(nowUs, id)
 				}
 			case 6:
 				if n%10 == 0 {
 					i := r.Intn(2)
-					for _, stream := range s.open() {
-						if s.streams[stream] == cores[i] {
-							s.lose(nowUs, stream)
+					for _, stream := range s.openStreams() {
+						if s.streams[stream] == controlNodes[i] {
+							s.loseStream(nowUs, stream)
 						}
 					}
-					cores[i].restart()
+					controlNodes[i].restart()
 					since = map[[2]int]uint64{}
 				}
 			case 7:
-				cores[r.Intn(2)].view += uint64(r.Intn(2))
+				controlNodes[r.Intn(2)].view += uint64(r.Intn(2))
 			case 8:
-				if id := "r0"; c.head.Replicas[id] != nil && n > 100 {
-					c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{RemovedReplicas: []string{id}}})
+				if id := "r0"; c.state.Replicas[id] != nil && n > 100 {
+					c.append(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{RemovedReplicas: []string{id}}})
 				}
 			}
-			for _, o := range cores {
+			for _, o := range controlNodes {
 				if r.Intn(4) > 0 {
-					o.apply(c.log, o.applied+r.Intn(len(c.log)-o.applied+1))
-					o.settled = o.settled || o.applied == len(c.log)
+					o.apply(c.changes, o.applied+r.Intn(len(c.changes)-o.applied+1))
+					o.committed = o.committed || o.applied == len(c.changes)
 				}
-				o.roster.Sweep(nowUs)
+				o.registry.Sweep(nowUs)
 			}
 			gossip(nowUs)
-			s.carry(nowUs, r, 8)
-			if frames++; s.fell != "" {
-				t.Fatalf("seed %d: %s", seed, s.fell)
+			s.deliverFrames(nowUs, r, 8)
+			if frames++; s.regression != "" {
+				t.Fatalf("seed %d: %s", seed, s.regression)
 			}
 		}
 		for range 120 {
 			nowUs += 30 * clock.Ms
-			for _, o := range cores {
-				o.apply(c.log, len(c.log))
-				o.settled, o.view = true, 1000
+			for _, o := range controlNodes {
+				o.apply(c.changes, len(c.changes))
+				o.committed, o.view = true, 1000
 				for id, seq := range seqs {
-					if e := o.roster.Entry(id); e != nil && !e.Removed {
+					if e := o.registry.Entry(id); e != nil && !e.Removed {
 						row := e.ReplicaStatus
 						row.Seq = seq + uint64(nowUs)
-						o.roster.HandleHeartbeat(nowUs, row)
+						o.registry.HandleHeartbeat(nowUs, row)
 					}
 				}
 			}
 			gossip(nowUs)
-			s.carry(nowUs, r, 0)
+			s.deliverFrames(nowUs, r, 0)
 		}
-		fresh := newScreen(t, "fresh", one)
+		fresh := newTestGateway(t, "fresh", one)
 		for range 3 {
 			nowUs += 100 * clock.Ms
-			fresh.carry(nowUs, r, 0)
+			fresh.deliverFrames(nowUs, r, 0)
 		}
-		if s.m.LiveStreamCount() != 2 || fresh.snap == nil {
-			t.Fatalf("seed %d: %d streams are live", seed, s.m.LiveStreamCount())
+		if s.informer.LiveStreamCount() != 2 || fresh.snapshot == nil {
+			t.Fatalf("seed %d: %d streams are live", seed, s.informer.LiveStreamCount())
 		}
-		fresh.snap.Gateways = s.snap.Gateways
-		if diff := cmp.Diff(fresh.snap, s.snap, asGatewaysSee...); diff != "" {
+		fresh.snapshot.Gateways = s.snapshot.Gateways
+		if diff := cmp.Diff(fresh.snapshot, s.snapshot, snapshotCompareOptions...); diff != "" {
 			t.Fatalf("seed %d: whole and in parts differ: %s", seed, diff)
 		}
-		if s.snap.Revision != c.head.Revision || s.snap.Declaration.Version != c.version {
-			t.Fatalf("seed %d: revision %d of %d", seed, s.snap.Revision, c.head.Revision)
+		if s.snapshot.Revision != c.state.Revision || s.snapshot.Declaration.Version != c.version {
+			t.Fatalf("seed %d: revision %d of %d", seed, s.snapshot.Revision, c.state.Revision)
 		}
-		opened += s.opened
-		edits += len(c.head.Edits)
+		opened += s.openedCount
+		edits += len(c.state.Edits)
 	}
 	t.Logf("%d rounds, %d streams, %d edits kept at the end", frames, opened, edits)
 	if opened < 1000 || edits < 150 {
@@ -367,30 +367,30 @@
 // What only the ledger knows of a replica goes with it, and what one control node knows of it by itself stays.
 func TestAStaleReplicaGoesWhenTheLedgerLetsItGo(t *testing.T) {
 	r := rand.New(rand.NewSource(1))
-	c := &chronicle{r: r, head: statemachine.NewState()}
-	c.config()
-	c.update("silent")
-	c.update("heard")
-	one, two := newCore("one"), newCore("two")
-	for _, o := range []*core{one, two} {
-		o.apply(c.log, len(c.log))
+	c := &changeLog{r: r, state: statemachine.NewState()}
+	c.appendConfig()
+	c.appendReplicaChange("silent")
+	c.appendReplicaChange("heard")
+	one, two := newTestControlNode("one"), newTestControlNode("two")
+	for _, o := range []*testControlNode{one, two} {
+		o.apply(c.changes, len(c.changes))
 		o.restart()
-		o.settled = true
+		o.committed = true
 	}
-	two.roster.HandleHeartbeat(clock.Sec, wire.ReplicaStatus{ID: "heard", Service: "s", Addr: "heard", Zone: "a", Slots: 4, Seq: 1})
-	s := newScreen(t, "desk", one, two)
+	two.registry.HandleHeartbeat(clock.Sec, wire.ReplicaStatus{ID: "heard", Service: "s", Addr: "heard", Zone: "a", Slots: 4, Seq: 1})
+	s := newTestGateway(t, "desk", one, two)
 	pass := func(fromUs int64) []string {
 		for us := fromUs; us < fromUs+clock.Sec; us += 100 * clock.Ms {
-			s.carry(us, r, 0)
+			s.deliverFrames(us, r, 0)
 		}
-		return s.snap.IDs
+		return s.snapshot.IDs
 	}
-	if ids := pass(clock.Sec); !slices.Equal(ids, []string{"heard", "silent"}) || !s.snap.Replicas["silent"].Stale || s.snap.Replicas["heard"].Stale {
+	if ids := pass(clock.Sec); !slices.Equal(ids, []string{"heard", "silent"}) || !s.snapshot.Replicas["silent"].Stale || s.snapshot.Replicas["heard"].Stale {
 		t.Fatal(ids)
 	}
-	c.write(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{RemovedReplicas: []string{"silent", "heard"}}})
-	for _, o := range []*core{one, two} {
-		o.apply(c.log, len(c.log))
+	c.append(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{RemovedReplicas: []string{"silent", "heard"}}})
+	for _, o := range []*testControlNode{one, two} {
+		o.apply(c.changes, len(c.changes))
 	}
 	if ids := pass(3 * clock.Sec); !slices.Equal(ids, []string{"heard"}) {
 		t.Errorf("%v are left", ids)
@@ -536,27 +536,27 @@
 
 // A gateway whose machine comes back before those of the control nodes was refused by each, and left each alone for a second.
 func TestAGatewayThatStartsBeforeTheControlNodesMeetsThemAtOnce(t *testing.T) {
-	cores := []*core{newCore("a"), newCore("b"), newCore("c")}
-	c := &chronicle{r: rand.New(rand.NewSource(1)), head: statemachine.NewState()}
-	c.config()
-	for _, o := range cores {
-		o.apply(c.log, len(c.log))
-	}
-	s := newScreen(t, "d", cores...)
-	for _, o := range cores {
+	controlNodes := []*testControlNode{newTestControlNode("a"), newTestControlNode("b"), newTestControlNode("c")}
+	c := &changeLog{r: rand.New(rand.NewSource(1)), state: statemachine.NewState()}
+	c.appendConfig()
+	for _, o := range controlNodes {
+		o.apply(c.changes, len(c.changes))
+	}
+	s := newTestGateway(t, "d", controlNodes...)
+	for _, o := range controlNodes {
 		s.down[o.addr] = true
 	}
 	nowUs, r := clock.Sec, rand.New(rand.NewSource(1))
 	for ; nowUs < clock.Sec+350*clock.Ms; nowUs += 50 * clock.Ms {
-		s.carry(nowUs, r, 0)
+		s.deliverFrames(nowUs, r, 0)
 	}
-	if most := 2 * 350 / 100; s.opened > most+streamCount {
-		t.Errorf("%d tries in 350 ms", s.opened)
+	if most := 2 * 350 / 100; s.openedCount > most+streamCount {
+		t.Errorf("%d tries in 350 ms", s.openedCount)
 	}
 	clear(s.down)
 	upUs := nowUs
-	for s.snap == nil || s.snap.Declaration == nil {
-		s.carry(nowUs, r, 0)
+	for s.snapshot == nil || s.snapshot.Declaration == nil {
+		s.deliverFrames(nowUs, r, 0)
 		if nowUs += 50 * clock.Ms; nowUs-upUs > 2*clock.Sec {
 			t.Fatal("it never met them")
 		}
@@ -568,28 +568,28 @@
 
 // One that has a declaration serves with it, and leaves a control node alone that does not answer.
 func TestAGatewayWithADeclarationLeavesAControlNodeThatIsDownAlone(t *testing.T) {
-	cores := []*core{newCore("a"), newCore("b"), newCore("c")}
-	c := &chronicle{r: rand.New(rand.NewSource(1)), head: statemachine.NewState()}
-	c.config()
-	for _, o := range cores {
-		o.apply(c.log, len(c.log))
+	controlNodes := []*testControlNode{newTestControlNode("a"), newTestControlNode("b"), newTestControlNode("c")}
+	c := &changeLog{r: rand.New(rand.NewSource(1)), state: statemachine.NewState()}
+	c.appendConfig()
+	for _, o := range controlNodes {
+		o.apply(c.changes, len(c.changes))
 	}
-	s := newScreen(t, "d", cores...)
+	s := newTestGateway(t, "d", controlNodes...)
 	nowUs, r := clock.Sec, rand.New(rand.NewSource(1))
-	for ; s.snap == nil || s.snap.Declaration == nil; nowUs += 50 * clock.Ms {
-		s.carry(nowUs, r, 0)
+	for ; s.snapshot == nil || s.snapshot.Declaration == nil; nowUs += 50 * clock.Ms {
+		s.deliverFrames(nowUs, r, 0)
 	}
-	for _, o := range cores {
+	for _, o := range controlNodes {
 		s.down[o.addr] = true
 	}
-	for _, stream := range s.open() {
-		s.lose(nowUs, stream)
+	for _, stream := range s.openStreams() {
+		s.loseStream(nowUs, stream)
 	}
-	before := s.opened
+	before := s.openedCount
 	for endUs := nowUs + 3*clock.Sec; nowUs < endUs; nowUs += 50 * clock.Ms {
-		s.carry(nowUs, r, 0)
+		s.deliverFrames(nowUs, r, 0)
 	}
-	if tries, most := s.opened-before, 3*len(s.m.ControlNodes()); tries > most {
+	if tries, most := s.openedCount-before, 3*len(s.informer.ControlNodes()); tries > most {
 		t.Errorf("%d tries in 3 s at control nodes that are down, at most %d", tries, most)
 	}
 }
--- a/internal/dataplane/controlclient/lost_test.go
+++ b/internal/dataplane/controlclient/lost_test.go
@@ -15,43 +15,43 @@
 	for lost := 1; lost <= 16; lost++ {
 		for seed := range int64(20) {
 			t.Run(fmt.Sprintf("%d lost, seed %d", lost, seed), func(t *testing.T) {
-				meetsTheLiving(t, lost, seed)
+				checkFollowsLiveControlNode(t, lost, seed)
 			})
 		}
 	}
 }
 
-// meetsTheLiving lets a gateway follow two control nodes and loses both and others that it has heard of; one is left.
-func meetsTheLiving(t *testing.T, lost int, seed int64) {
-	const patienceUs = 2 * clock.Sec
-	changes := &chronicle{r: rand.New(rand.NewSource(1)), head: statemachine.NewState()}
-	changes.config()
-	cores := []*core{}
+// checkFollowsLiveControlNode lets a gateway follow two control nodes and loses both and others that it has heard of; one is left.
+func checkFollowsLiveControlNode(t *testing.T, lost int, seed int64) {
+	const slackUs = 2 * clock.Sec
+	changes := &changeLog{r: rand.New(rand.NewSource(1)), state: statemachine.NewState()}
+	changes.appendConfig()
+	controlNodes := []*testControlNode{}
 	for i := range lost + 1 {
-		o := newCore(fmt.Sprintf("core-%d", i))
-		o.apply(changes.log, len(changes.log))
-		cores = append(cores, o)
+		o := newTestControlNode(fmt.Sprintf("core-%d", i))
+		o.apply(changes.changes, len(changes.changes))
+		controlNodes = append(controlNodes, o)
 	}
-	s := newScreen(t, fmt.Sprint("gateway-", seed), cores...)
+	s := newTestGateway(t, fmt.Sprint("gateway-", seed), controlNodes...)
 	nowUs, r := clock.Sec, rand.New(rand.NewSource(1))
-	for ; s.snap == nil || s.snap.Declaration == nil; nowUs += 50 * clock.Ms {
-		s.carry(nowUs, r, 0)
+	for ; s.snapshot == nil || s.snapshot.Declaration == nil; nowUs += 50 * clock.Ms {
+		s.deliverFrames(nowUs, r, 0)
 	}
-	lives := cores[r.Intn(len(cores))]
-	for _, o := range cores {
-		s.down[o.addr] = o != lives
+	live := controlNodes[r.Intn(len(controlNodes))]
+	for _, o := range controlNodes {
+		s.down[o.addr] = o != live
 	}
-	for _, stream := range s.open() {
-		if s.streams[stream] != lives {
-			s.lose(nowUs, stream)
+	for _, stream := range s.openStreams() {
+		if s.streams[stream] != live {
+			s.loseStream(nowUs, stream)
 		}
 	}
-	roundUs := int64(len(cores)) * openIntervalUs
-	for endUs := nowUs + roundUs + patienceUs; s.m.LiveStreamCount() == 0; nowUs += 50 * clock.Ms {
+	roundUs := int64(len(controlNodes)) * openIntervalUs
+	for endUs := nowUs + roundUs + slackUs; s.informer.LiveStreamCount() == 0; nowUs += 50 * clock.Ms {
 		if nowUs > endUs {
-			t.Fatalf("it follows nobody %d ms after the loss", (roundUs+patienceUs)/clock.Ms)
+			t.Fatalf("it follows nobody %d ms after the loss", (roundUs+slackUs)/clock.Ms)
 		}
-		s.carry(nowUs, r, 0)
+		s.deliverFrames(nowUs, r, 0)
 	}
 }
 
--- a/internal/dataplane/controlclient/merge.go
+++ b/internal/dataplane/controlclient/merge.go
@@ -94,7 +94,7 @@
 		}
 	}
 	for id := range i.orders {
-		if _, stands := s.orders[id]; !stands {
+		if _, pending := s.orders[id]; !pending {
 			i.changed[id] = true
 		}
 	}
--- a/internal/dataplane/controlclient/snapshot.go
+++ b/internal/dataplane/controlclient/snapshot.go
@@ -26,7 +26,7 @@
 		i.replicaIDs = slices.Sorted(maps.Keys(i.replicas))
 	}
 	snap.IDs = i.replicaIDs
-	relistServices(snap, relist)
+	rebuildServiceLists(snap, relist)
 	i.snapshot = snap
 	i.emit(InformerEffect{Snapshot: snap})
 }
@@ -50,7 +50,7 @@
 			}
 			continue
 		}
-		update := i.updateOf(r)
+		update := i.replicaUpdate(r)
 		snap.Replicas[id] = update
 		switch {
 		case previous == nil:
@@ -76,8 +76,8 @@
 	rows[at] = update
 }
 
-// relistServices lists the replicas of some services anew, in the order of their names.
-func relistServices(snap *scheduling.Snapshot, services map[string]bool) {
+// rebuildServiceLists lists the replicas of some services anew, in the order of their names.
+func rebuildServiceLists(snap *scheduling.Snapshot, services map[string]bool) {
 	if len(services) == 0 {
 		return
 	}
@@ -91,15 +91,15 @@
 	}
 }
 
-// updateOf is a replica's row as the decider reads it.
-func (i *Informer) updateOf(r wire.ReplicaRow) *wire.ReplicaUpdate {
+// replicaUpdate is a replica's row as the decider reads it.
+func (i *Informer) replicaUpdate(r wire.ReplicaRow) *wire.ReplicaUpdate {
 	update := &wire.ReplicaUpdate{
 		ID: r.ID, Incarnation: r.ID, Addr: r.Addr, Zone: r.Zone, Service: r.Service, Slots: r.Slots, Draining: r.Draining, RemainingMs: r.RemainingMs,
 		Unreachable: r.Unreachable, Stale: r.Stale, Loaded: r.Units, MaxInFlight: r.Slots,
 	}
-	if o, stands := i.orders[r.ID]; stands && o.Unload {
+	if o, pending := i.orders[r.ID]; pending && o.Unload {
 		update.Unloading = o.Unit
-	} else if stands {
+	} else if pending {
 		update.Loading = o.Unit
 	}
 	return update
--- a/internal/dataplane/controlclient/staleness.go
+++ b/internal/dataplane/controlclient/staleness.go
@@ -47,26 +47,26 @@
 // says so, one after another.
 func (i *Informer) replaceStale(nowUs int64) {
 	var current, stale, newest *source
-	behind := false
+	anyStale := false
 	for _, number := range slices.Sorted(maps.Keys(i.sources)) {
 		s := i.sources[number]
 		newest = s
 		if s.complete && s.staleSinceUs == 0 {
 			current = s
 		}
-		behind = behind || s.staleSinceUs > 0
+		anyStale = anyStale || s.staleSinceUs > 0
 		if s.staleSinceUs > 0 && nowUs-s.staleSinceUs >= staleAfterUs {
 			i.staleAtUs[s.addr] = nowUs
 			stale = s
 		}
 	}
-	oneMore := len(i.sources) > streamCount
+	hasExtra := len(i.sources) > streamCount
 	switch {
-	case oneMore && stale != nil && (current != nil || stale == newest):
+	case hasExtra && stale != nil && (current != nil || stale == newest):
 		i.drop(nowUs, stale)
-	case oneMore && stale == nil && current != nil:
+	case hasExtra && stale == nil && current != nil:
 		i.drop(nowUs, newest)
-	case oneMore, !behind, !i.hasFreshCandidate(nowUs):
+	case hasExtra, !anyStale, !i.hasFreshCandidate(nowUs):
 	case current != nil:
 		if stale != nil {
 			i.drop(nowUs, stale)
--- a/internal/dataplane/controlclient/staleness_test.go
+++ b/internal/dataplane/controlclient/staleness_test.go
@@ -11,51 +11,51 @@
 	"petreltide/internal/process/clock"
 )
 
-// behindDay is five control nodes with one declaration in force, and a gateway that follows two of them.
-type behindDay struct {
-	*screen
-	nowUs int64
-	all   []*core
-	log   *chronicle
-	r     *rand.Rand
+// staleScenario is five control nodes with one declaration in force, and a gateway that follows two of them.
+type staleScenario struct {
+	*testGateway
+	nowUs   int64
+	nodes   []*testControlNode
+	changes *changeLog
+	r       *rand.Rand
 }
 
-func newBehindDay(t *testing.T, seed int64) *behindDay {
+func newStaleScenario(t *testing.T, seed int64) *staleScenario {
 	t.Helper()
-	d := &behindDay{r: rand.New(rand.NewSource(seed)), nowUs: clock.Sec}
-	d.log = &chronicle{r: d.r, head: statemachine.NewState()}
+	d := &staleScenario{r: rand.New(rand.NewSource(seed)), nowUs: clock.Sec}
+	d.changes = &changeLog{r: d.r, state: statemachine.NewState()}
 	for i := range 5 {
-		c := newCore(fmt.Sprint("o", i))
-		c.roster.HandleHeartbeat(d.nowUs, wire.ReplicaStatus{ID: "r", Service: "s", Addr: "r", Seq: 1})
-		d.all = append(d.all, c)
+		c := newTestControlNode(fmt.Sprint("o", i))
+		c.registry.HandleHeartbeat(d.nowUs, wire.ReplicaStatus{ID: "r", Service: "s", Addr: "r", Seq: 1})
+		d.nodes = append(d.nodes, c)
 	}
-	d.screen = newScreen(t, "d", d.all...)
-	d.log.config()
-	d.apply(func(*core) bool { return true })
-	d.pass(3 * clock.Sec)
-	if d.m.LiveStreamCount() != streamCount || d.snap == nil || d.snap.Revision != 1 {
-		t.Fatalf("%d streams, %+v", d.m.LiveStreamCount(), d.snap)
+	d.testGateway = newTestGateway(t, "d", d.nodes...)
+	d.changes.appendConfig()
+	d.applyTo(func(*testControlNode) bool { return true })
+	d.advance(3 * clock.Sec)
+	if d.informer.LiveStreamCount() != streamCount || d.snapshot == nil || d.snapshot.Revision != 1 {
+		t.Fatalf("%d streams, %+v", d.informer.LiveStreamCount(), d.snapshot)
 	}
 	return d
 }
 
-func (d *behindDay) apply(which func(*core) bool) {
-	for _, c := range d.all {
+func (d *staleScenario) applyTo(which func(*testControlNode) bool) {
+	for _, c := range d.nodes {
 		if which(c) {
-			c.apply(d.log.log, len(d.log.log))
+			c.apply(d.changes.changes, len(d.changes.changes))
 		}
 	}
 }
 
-func (d *behindDay) pass(us int64) {
+func (d *staleScenario) advance(us int64) {
 	for endUs := d.nowUs + us; d.nowUs < endUs; d.nowUs += 50 * clock.Ms {
-		d.carry(d.nowUs, d.r, 0)
+		d.deliverFrames(d.nowUs, d.r, 0)
 	}
 }
 
-// hearsBehind: every control node that is followed has said that it is behind.
-func (d *behindDay) hearsBehind() bool {
-	for _, s := range d.m.sources {
+// followsOnlyStale: every control node that is followed has said that it is behind.
+func (d *staleScenario) followsOnlyStale() bool {
+	for _, s := range d.informer.sources {
 		if s.staleSinceUs == 0 {
 			return false
 		}
@@ -63,8 +63,8 @@
 	return true
 }
 
-func (d *behindDay) followed() map[*core]bool {
-	out := map[*core]bool{}
+func (d *staleScenario) followedNodes() map[*testControlNode]bool {
+	out := map[*testControlNode]bool{}
 	for _, c := range d.streams {
 		out[c] = true
 	}
@@ -74,20 +74,20 @@
 // A gateway whose two control nodes are both cut off follows another within two seconds, and has what is in force.
 func TestAGatewayLeavesControlNodesThatAreBehind(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
-		d := newBehindDay(t, seed)
-		struck := d.followed()
-		for c := range struck {
-			c.behind = true
+		d := newStaleScenario(t, seed)
+		staleNodes := d.followedNodes()
+		for c := range staleNodes {
+			c.stale = true
 		}
-		d.log.config()
-		d.apply(func(c *core) bool { return !struck[c] })
-		d.pass(2 * clock.Sec)
-		if d.snap.Revision != 2 {
-			t.Fatalf("seed %d: revision %d is known two seconds later", seed, d.snap.Revision)
+		d.changes.appendConfig()
+		d.applyTo(func(c *testControlNode) bool { return !staleNodes[c] })
+		d.advance(2 * clock.Sec)
+		if d.snapshot.Revision != 2 {
+			t.Fatalf("seed %d: revision %d is known two seconds later", seed, d.snapshot.Revision)
 		}
-		d.pass(20 * clock.Sec)
-		for c := range d.followed() {
-			if c.behind {
+		d.advance(20 * clock.Sec)
+		for c := range d.followedNodes() {
+			if c.stale {
 				t.Errorf("seed %d: %s is followed, which is behind", seed, c.addr)
 			}
 		}
@@ -105,25 +105,25 @@
 	for gone := range 3 {
 		took := []int64{}
 		for seed := int64(1); seed <= 20; seed++ {
-			d := newBehindDay(t, seed)
-			d.pass(10 * clock.Sec)
-			struck, left := d.followed(), gone
-			for _, c := range d.all {
-				if struck[c] {
-					c.behind = true
+			d := newStaleScenario(t, seed)
+			d.advance(10 * clock.Sec)
+			staleNodes, left := d.followedNodes(), gone
+			for _, c := range d.nodes {
+				if staleNodes[c] {
+					c.stale = true
 				} else if left > 0 {
 					d.down[c.addr] = true
 					left--
 				}
 			}
-			d.log.config()
-			d.apply(func(c *core) bool { return !struck[c] })
-			for !d.hearsBehind() {
-				d.pass(50 * clock.Ms)
+			d.changes.appendConfig()
+			d.applyTo(func(c *testControlNode) bool { return !staleNodes[c] })
+			for !d.followsOnlyStale() {
+				d.advance(50 * clock.Ms)
 			}
 			sinceUs := d.nowUs
-			for d.snap.Revision != 2 && d.nowUs-sinceUs < 10*clock.Sec {
-				d.pass(50 * clock.Ms)
+			for d.snapshot.Revision != 2 && d.nowUs-sinceUs < 10*clock.Sec {
+				d.advance(50 * clock.Ms)
 			}
 			took = append(took, d.nowUs-sinceUs)
 		}
@@ -139,29 +139,29 @@
 // Where all control nodes are behind, a gateway keeps two of them at every moment, and is back with two after.
 func TestAGatewayStaysWithControlNodesWhereAllAreBehind(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
-		d := newBehindDay(t, seed)
-		for i, c := range d.all {
-			c.behind = true
-			d.down[c.addr] = i > 2 && !d.followed()[c]
+		d := newStaleScenario(t, seed)
+		for i, c := range d.nodes {
+			c.stale = true
+			d.down[c.addr] = i > 2 && !d.followedNodes()[c]
 		}
 		for range 200 {
-			d.pass(50 * clock.Ms)
+			d.advance(50 * clock.Ms)
 			if n := len(d.streams); n < streamCount || n > streamCount+1 {
 				t.Fatalf("seed %d: %d streams", seed, n)
 			}
-			if d.snap.Replicas["r"] == nil {
+			if d.snapshot.Replicas["r"] == nil {
 				t.Fatalf("seed %d: the replica is lost", seed)
 			}
 		}
-		opened := d.opened
-		d.pass(10 * clock.Sec)
-		if n := d.opened - opened; n > 40 {
+		opened := d.openedCount
+		d.advance(10 * clock.Sec)
+		if n := d.openedCount - opened; n > 40 {
 			t.Errorf("seed %d: %d streams were opened in ten seconds", seed, n)
 		}
-		for _, c := range d.all {
-			c.behind = false
+		for _, c := range d.nodes {
+			c.stale = false
 		}
-		d.pass(5 * clock.Sec)
+		d.advance(5 * clock.Sec)
 		if n := len(d.streams); n != streamCount {
 			t.Errorf("seed %d: %d streams", seed, n)
 		}
--- a/internal/dataplane/controlclient/streams.go
+++ b/internal/dataplane/controlclient/streams.go
@@ -40,13 +40,13 @@
 	for _, s := range i.sources {
 		followed[s.addr] = true
 	}
-	free := []string{}
+	candidates := []string{}
 	for _, addr := range i.ControlNodes() {
 		if !followed[addr] && nowUs >= i.backoffUntilUs[addr] {
-			free = append(free, addr)
+			candidates = append(candidates, addr)
 		}
 	}
-	slices.SortStableFunc(free, func(a, b string) int {
+	slices.SortStableFunc(candidates, func(a, b string) int {
 		return cmp.Or(
 			compareFirst(first, a, b),
 			i.compareStaleness(nowUs, a, b),
@@ -58,7 +58,7 @@
 	for _, s := range i.sources {
 		primary = primary || (!s.standby && s.staleSinceUs == 0 && (preferred == "" || s.addr == preferred))
 	}
-	for _, addr := range free[:min(len(free), max(1, streamCount-len(i.sources)))] {
+	for _, addr := range candidates[:min(len(candidates), max(1, streamCount-len(i.sources)))] {
 		i.lastStream++
 		standby := primary
 		primary = true
--- a/internal/dataplane/controlclient/subscriber_test.go
+++ b/internal/dataplane/controlclient/subscriber_test.go
@@ -9,12 +9,12 @@
 	"petreltide/internal/process/clock"
 )
 
-func met(t *testing.T) (*Subscriber, int64) {
+func newFollowingSubscriber(t *testing.T) (*Subscriber, int64) {
 	t.Helper()
-	l := New(Options{Gateway: "d", Incarnation: "i", Addr: "d:1", Seeds: []string{"s1:1", "s2:1"}})
-	seat := membership.ChainReplica{Member: membership.Member{ID: "o1", Addr: "o1:1"}, Incarnation: "x"}
+	s := New(Options{Gateway: "d", Incarnation: "i", Addr: "d:1", Seeds: []string{"s1:1", "s2:1"}})
+	tail := membership.ChainReplica{Member: membership.Member{ID: "o1", Addr: "o1:1"}, Incarnation: "x"}
 	follows := 0
-	for _, e := range l.Step(Event{NowUs: clock.Sec, Membership: &wire.MembershipResponse{View: membership.View{Number: 1, Replicas: []membership.ChainReplica{seat}}, ControlNodes: []membership.Member{seat.Member}}}) {
+	for _, e := range s.Step(Event{NowUs: clock.Sec, Membership: &wire.MembershipResponse{View: membership.View{Number: 1, Replicas: []membership.ChainReplica{tail}}, ControlNodes: []membership.Member{tail.Member}}}) {
 		if e.Follow != nil {
 			follows++
 		}
@@ -22,33 +22,33 @@
 	if follows != 1 {
 		t.Fatal("the tail is not followed once it is known")
 	}
-	return l, clock.Sec
+	return s, clock.Sec
 }
 
 func TestNewsThatSkipsADeclarationIsNotTaken(t *testing.T) {
-	l, now := met(t)
-	l.Step(Event{NowUs: now + 1, Update: &wire.GatewayUpdate{Number: 5, Revision: 1, Declaration: &configuration.Declaration{Name: "one"}}})
-	took, again := false, false
-	for _, e := range l.Step(Event{NowUs: now + clock.Sec, Update: &wire.GatewayUpdate{Number: 6, Revision: 2}}) {
-		took = took || e.Snapshot != nil
-		again = again || e.Follow != nil
+	s, now := newFollowingSubscriber(t)
+	s.Step(Event{NowUs: now + 1, Update: &wire.GatewayUpdate{Number: 5, Revision: 1, Declaration: &configuration.Declaration{Name: "one"}}})
+	applied, followedAgain := false, false
+	for _, e := range s.Step(Event{NowUs: now + clock.Sec, Update: &wire.GatewayUpdate{Number: 6, Revision: 2}}) {
+		applied = applied || e.Snapshot != nil
+		followedAgain = followedAgain || e.Follow != nil
 	}
-	if took || !again {
-		t.Fatalf("took %v, followed anew %v", took, again)
+	if applied || !followedAgain {
+		t.Fatalf("took %v, followed anew %v", applied, followedAgain)
 	}
 }
 
 func TestLeaseIsCountedFromWhenItWasAskedFor(t *testing.T) {
-	l, now := met(t)
-	l.Step(Event{NowUs: now + 1, Update: &wire.GatewayUpdate{Number: 5, View: 3}})
+	s, now := newFollowingSubscriber(t)
+	s.Step(Event{NowUs: now + 1, Update: &wire.GatewayUpdate{Number: 5, View: 3}})
 	var untilUs int64
-	for _, e := range l.Step(Event{NowUs: now + clock.Sec, Lease: &wire.Lease{OK: true, View: 3, SentUs: now, LeaseUs: 1_200_000}}) {
+	for _, e := range s.Step(Event{NowUs: now + clock.Sec, Lease: &wire.Lease{OK: true, View: 3, SentUs: now, LeaseUs: 1_200_000}}) {
 		untilUs = max(untilUs, e.LeaseUs)
 	}
 	if untilUs != now+1_200_000-leaseMarginUs {
 		t.Fatalf("until %d", untilUs)
 	}
-	for _, e := range l.Step(Event{NowUs: now + clock.Sec, Lease: &wire.Lease{OK: true, View: 2, SentUs: now + clock.Sec, LeaseUs: 1_200_000}}) {
+	for _, e := range s.Step(Event{NowUs: now + clock.Sec, Lease: &wire.Lease{OK: true, View: 2, SentUs: now + clock.Sec, LeaseUs: 1_200_000}}) {
 		if e.LeaseUs != 0 {
 			t.Fatal("a lease of a lower view was taken")
 		}
@@ -56,8 +56,8 @@
 }
 
 func TestSeedsAreOnlyAFirstContact(t *testing.T) {
-	l, _ := met(t)
-	if got := l.ControlNodes(); got[0] != "o1:1" {
+	s, _ := newFollowingSubscriber(t)
+	if got := s.ControlNodes(); got[0] != "o1:1" {
 		t.Fatalf("asks %v first", got)
 	}
 }
--- a/internal/dataplane/controlclient/verdict_test.go
+++ b/internal/dataplane/controlclient/verdict_test.go
@@ -14,23 +14,23 @@
 // it; a control node that lags undoes nothing.
 func TestVerdictsOnReplicasReachGatewaysInOrder(t *testing.T) {
 	r := rand.New(rand.NewSource(3))
-	c := &chronicle{r: r, head: statemachine.NewState()}
-	c.config()
-	one, two := newCore("one"), newCore("two")
-	for _, o := range []*core{one, two} {
-		o.apply(c.log, len(c.log))
-		o.roster.HandleHeartbeat(clock.Sec, wire.ReplicaStatus{ID: "r1", Service: "s", Addr: "r1", Zone: "a", Slots: 4, Seq: 1})
-	}
-	s := newScreen(t, "desk", one, two)
+	c := &changeLog{r: r, state: statemachine.NewState()}
+	c.appendConfig()
+	one, two := newTestControlNode("one"), newTestControlNode("two")
+	for _, o := range []*testControlNode{one, two} {
+		o.apply(c.changes, len(c.changes))
+		o.registry.HandleHeartbeat(clock.Sec, wire.ReplicaStatus{ID: "r1", Service: "s", Addr: "r1", Zone: "a", Slots: 4, Seq: 1})
+	}
+	s := newTestGateway(t, "desk", one, two)
 	nowUs := clock.Sec
 	pass := func(us int64) map[string]outlier.Verdict {
 		for untilUs := nowUs + us; nowUs < untilUs; nowUs += 100 * clock.Ms {
-			for _, o := range []*core{one, two} {
-				o.roster.HandleHeartbeat(nowUs, wire.ReplicaStatus{ID: "r1", Service: "s", Addr: "r1", Zone: "a", Slots: 4, Seq: uint64(nowUs)})
+			for _, o := range []*testControlNode{one, two} {
+				o.registry.HandleHeartbeat(nowUs, wire.ReplicaStatus{ID: "r1", Service: "s", Addr: "r1", Zone: "a", Slots: 4, Seq: uint64(nowUs)})
 			}
-			s.carry(nowUs, r, 0)
+			s.deliverFrames(nowUs, r, 0)
 		}
-		return s.snap.Verdicts
+		return s.snapshot.Verdicts
 	}
 	if rows := pass(clock.Sec); len(rows) > 0 {
 		t.Fatalf("before any verdict: %v", rows)
--- a/internal/dataplane/gateway/memory.go
+++ b/internal/dataplane/gateway/memory.go
@@ -21,8 +21,8 @@
 }
 
 // Meter returns a reader that counts the bytes read from reader against the limit.
-func (l *MemoryLimit) Meter(from io.Reader) *MeteredReader {
-	return &MeteredReader{limit: l, reader: from}
+func (l *MemoryLimit) Meter(reader io.Reader) *MeteredReader {
+	return &MeteredReader{limit: l, reader: reader}
 }
 
 // Read fails with fault.Overloaded if the bytes held by all calls exceed the limit.
