--- a/internal/dataplane/controlclient/currency.go
+++ b/internal/dataplane/controlclient/currency.go
@@ -6,17 +6,19 @@
 )
 
 const (
-	// wakeGapUs without a step means that this process did not run meanwhile: what comes next may have lain in a buffer.
+	// wakeGapUs is the longest gap between two steps, in microseconds, for which the process counts as having run all the time.
+	// Frames read after a longer gap may have waited in a socket buffer.
 	wakeGapUs = 500 * clock.Ms
-	// wakeSettleUs is how long after such a gap frames are not taken for new.
+	// wakeSettleUs is how long after such a gap frames do not count as fresh, in microseconds.
 	wakeSettleUs = 300 * clock.Ms
 )
 
-// CurrentUs is the instant, in microseconds, of the newest frame of a control node that said it was current: up to then this
-// gateway knows every declaration that was acknowledged, but for what is on its way. It is 0 before the first.
+// CurrentUs returns the instant, in microseconds, of the newest frame from a control node that reported itself as current. This
+// gateway knows every declaration that was acknowledged before then, apart from those in transit. It is 0 before the first such
+// frame.
 func (i *Informer) CurrentUs() int64 { return i.currentUs }
 
-// recordWake notes that this process has just run again after a gap.
+// recordWake records the instant of a step, and whether it is the first one after a gap in which the process did not run.
 func (i *Informer) recordWake(nowUs int64) {
 	if i.lastStepUs > 0 && nowUs-i.lastStepUs > wakeGapUs {
 		i.wokeAtUs = nowUs
@@ -24,8 +26,8 @@
 	i.lastStepUs = nowUs
 }
 
-// recordCurrency notes a frame of a control node that is current. The frame's own news has been applied, and those of the
-// frames before it on its stream.
+// recordCurrency updates currentUs if the frame comes from a current control node. It must be called after the changes of the
+// frame, and of all earlier frames of its stream, have been applied.
 func (i *Informer) recordCurrency(nowUs int64, s *source, f *wire.Frame) {
 	settled := i.wokeAtUs == 0 || nowUs-i.wokeAtUs >= wakeSettleUs
 	if settled && s.complete && f.CaughtUp && !f.PossiblyStale && i.declaration != nil {
--- a/internal/dataplane/controlclient/currency_test.go
+++ b/internal/dataplane/controlclient/currency_test.go
@@ -9,9 +9,9 @@
 	"petreltide/internal/process/clock"
 )
 
-// A gateway that says it is current has every declaration that was in force a frame's interval before, through whatever its control
-// nodes go: they fall behind, are lost, and lead it to others.
-func TestAGatewayIsCurrentOnlyWhileItKnowsWhatIsInForce(t *testing.T) {
+// A gateway that counts as current knows every declaration that was in force one frame interval earlier, while its control nodes
+// become stale, stop and are replaced by others.
+func TestInformerIsCurrentOnlyWithDeclarationInForce(t *testing.T) {
 	const maxPropagationUs = 500 * clock.Ms
 	for seed := int64(1); seed <= 40; seed++ {
 		d := newStaleScenario(t, seed)
@@ -33,11 +33,11 @@
 			for range 1 + d.r.Intn(20) {
 				d.advance(50 * clock.Ms)
 				if d.informer.CurrentUs() >= inForceUs+maxPropagationUs && d.snapshot.Revision < inForce {
-					t.Fatalf("seed %d, round %d: current at %d with revision %d, and %d is in force since %d", seed, round, d.informer.CurrentUs(), d.snapshot.Revision, inForce, inForceUs)
+					t.Fatalf("seed %d, round %d: informer is current at %d µs with revision %d, but revision %d is in force since %d µs", seed, round, d.informer.CurrentUs(), d.snapshot.Revision, inForce, inForceUs)
 				}
 				if d.snapshot.Revision == inForce {
 					if diff := cmp.Diff(tenantsByKey(d.changes.state.Doc), tenantsByKey(d.snapshot.Declaration)); diff != "" {
-						t.Fatalf("seed %d, round %d: who holds which key: %s", seed, round, diff)
+						t.Fatalf("seed %d, round %d: tenants by key differ (-want +got):\n%s", seed, round, diff)
 					}
 				}
 			}
@@ -45,10 +45,10 @@
 	}
 }
 
-func TestAGatewayOfControlNodesThatAreBehindIsNotCurrent(t *testing.T) {
+func TestInformerOfStaleControlNodesIsNotCurrent(t *testing.T) {
 	d := newStaleScenario(t, 1)
 	if lagUs := d.nowUs - d.informer.CurrentUs(); lagUs > 500*clock.Ms {
-		t.Fatalf("it heard %d ms ago", lagUs/clock.Ms)
+		t.Fatalf("age of the newest current frame: got %d ms, want at most 500 ms", lagUs/clock.Ms)
 	}
 	for _, c := range d.nodes {
 		c.stale = true
@@ -57,7 +57,7 @@
 	heardUs := d.informer.CurrentUs()
 	d.advance(10 * clock.Sec)
 	if d.informer.CurrentUs() != heardUs {
-		t.Errorf("it was told that it is current at %d, after %d", d.informer.CurrentUs(), heardUs)
+		t.Errorf("CurrentUs while all control nodes are stale: got %d, want %d", d.informer.CurrentUs(), heardUs)
 	}
 	published := d.snapshot.Number
 	for _, c := range d.nodes {
@@ -65,14 +65,14 @@
 	}
 	d.advance(5 * clock.Sec)
 	if lagUs := d.nowUs - d.informer.CurrentUs(); lagUs > 500*clock.Ms {
-		t.Errorf("it heard %d ms ago", lagUs/clock.Ms)
+		t.Errorf("age of the newest current frame: got %d ms, want at most 500 ms", lagUs/clock.Ms)
 	}
 	if n := d.snapshot.Number - published; n > 2 {
-		t.Errorf("%d snapshots for frames that brought nothing", n)
+		t.Errorf("snapshots for frames without changes: got %d, want at most 2", n)
 	}
 }
 
-func TestAGatewayThatKnowsNoDeclarationIsNotCurrent(t *testing.T) {
+func TestInformerWithoutDeclarationIsNotCurrent(t *testing.T) {
 	c := newTestControlNode("o")
 	s := newTestGateway(t, "d", c)
 	for nowUs := clock.Sec; nowUs < 4*clock.Sec; nowUs += 50 * clock.Ms {
@@ -82,12 +82,12 @@
 		s.step(nowUs, InformerEvent{})
 	}
 	if s.informer.LiveStreamCount() == 0 || s.informer.CurrentUs() != 0 {
-		t.Errorf("%d streams live, current at %d", s.informer.LiveStreamCount(), s.informer.CurrentUs())
+		t.Errorf("without a declaration: got %d live streams and CurrentUs %d, want some streams and 0", s.informer.LiveStreamCount(), s.informer.CurrentUs())
 	}
 }
 
-// What lay in a buffer while this process was stopped says nothing of now.
-func TestFramesReadRightAfterAWakeDoNotMakeAGatewayCurrent(t *testing.T) {
+// Frames that waited in a socket buffer while the process was stopped do not describe the present state.
+func TestFramesReadRightAfterWakeDoNotMakeInformerCurrent(t *testing.T) {
 	d := newStaleScenario(t, 1)
 	heardUs := d.informer.CurrentUs()
 	d.nowUs += 8 * clock.Sec
@@ -97,10 +97,10 @@
 		}
 	}
 	if d.informer.CurrentUs() != heardUs {
-		t.Fatalf("current by frames of before the gap: %d after %d", d.informer.CurrentUs(), heardUs)
+		t.Fatalf("CurrentUs after buffered frames: got %d, want %d", d.informer.CurrentUs(), heardUs)
 	}
 	d.advance(3 * clock.Sec)
 	if lagUs := d.nowUs - d.informer.CurrentUs(); lagUs > 500*clock.Ms {
-		t.Errorf("it heard %d ms ago", lagUs/clock.Ms)
+		t.Errorf("age of the newest current frame: got %d ms, want at most 500 ms", lagUs/clock.Ms)
 	}
 }
--- a/internal/dataplane/controlclient/informer.go
+++ b/internal/dataplane/controlclient/informer.go
@@ -13,47 +13,49 @@
 )
 
 const (
-	// frameTimeoutUs without a frame ends a stream.
+	// frameTimeoutUs is how long a stream may be without a frame before it is closed, in microseconds.
 	frameTimeoutUs = 1300 * clock.Ms
-	// openIntervalUs is the shortest time between two tries to open streams.
+	// openIntervalUs is the shortest time between two attempts to open streams.
 	openIntervalUs = 300 * clock.Ms
-	// reconnectBackoffUs is how long a control node is left alone whose stream ended or that took no report.
+	// reconnectBackoffUs is the backoff for a control node whose stream ended or that did not accept a report.
 	reconnectBackoffUs = 1000 * clock.Ms
-	// undeclaredBackoffUs is how long a control node is left alone that did not answer a gateway without a declaration, and how
-	// often such a gateway tries: it holds its callers meanwhile.
+	// undeclaredBackoffUs replaces reconnectBackoffUs and openIntervalUs at a gateway without a declaration. It is shorter because
+	// the gateway's callers have to wait in the meantime.
 	undeclaredBackoffUs = 100 * clock.Ms
-	// reportIntervalUs and, for each gateway, reportIntervalPerGatewayUs more lie between two reports, so that the load of
-	// all reports stays bounded; failureReportIntervalUs bounds it while failed attempts are unreported.
-	reportIntervalUs           = 250 * clock.Ms
+	// reportIntervalUs is the fixed part of the interval between two reports.
+	reportIntervalUs = 250 * clock.Ms
+	// reportIntervalPerGatewayUs is added to the interval for each gateway, so that the load of all reports stays bounded.
 	reportIntervalPerGatewayUs = 3 * clock.Ms
-	failureReportIntervalUs    = 250 * clock.Ms
-	// streamCount is a primary and a standby.
+	// failureReportIntervalUs bounds the interval while failed attempts are unreported.
+	failureReportIntervalUs = 250 * clock.Ms
+	// streamCount is the number of streams that are kept open: a primary and a standby.
 	streamCount = 2
-	// outlierTimeoutUs after the last table of ejected replicas it no longer counts.
+	// outlierTimeoutUs is how long the last table of ejected replicas stays in effect without being renewed.
 	outlierTimeoutUs = 30 * clock.Sec
 )
 
-// InformerEvent brings a frame of a stream, or its end, or seeds that changed; with none of these, time has passed.
+// InformerEvent is an input of Informer.Step: a frame, the end of a stream, new seeds, or an undelivered report. If none of these is
+// set, only time has passed.
 type InformerEvent struct {
 	// NowUs is the instant of the event, in microseconds.
 	NowUs int64
-	// Frame came on the stream numbered Stream; nil: none.
+	// Frame was received on the stream numbered Stream; nil if the event brings none.
 	Frame  *wire.Frame
 	Stream uint64
-	// Closed is the number of a stream that ended; 0: none.
+	// Closed is the number of a stream that ended; 0 if none did.
 	Closed uint64
-	// Seeds replace those of the options; nil: they stay.
+	// Seeds replace the seeds of the options; nil leaves them unchanged.
 	Seeds []string
-	// Urgent asks for a report at once.
+	// Urgent requests a report without delay.
 	Urgent bool
-	// Failing: attempts have failed that no report has told yet.
+	// Failing is true if there are failed attempts that no report has contained yet.
 	Failing bool
-	// Unreachable is where a report did not arrive.
+	// Unreachable is the address at which a report could not be delivered.
 	Unreachable string
 }
 
-// InformerEffect is one thing that the informer wants done: a stream opened or closed, a report sent to an address, or a
-// snapshot published.
+// InformerEffect is one action that the caller of Informer.Step must execute: open or close a stream, send a report to an address,
+// or publish a snapshot. Exactly one field is set.
 type InformerEffect struct {
 	Open     *Stream
 	Close    uint64
@@ -61,48 +63,49 @@
 	Snapshot *scheduling.Snapshot
 }
 
-// Stream is one held connection to one control node.
+// Stream describes a stream of frames from one control node.
 type Stream struct {
-	// Number tells streams of one informer apart; it is never 0.
+	// Number identifies the stream within its informer; it is never 0.
 	Number  uint64
 	Addr    string
 	Request wire.SubscribeRequest
 }
 
-// source is one stream, and what its control node has said on it.
+// source is an open stream and the state received on it.
 type source struct {
 	stream uint64
-	// standby asks for little: what it lacks comes by the primary.
+	// standby is true if the stream was requested as a standby, which carries little: the rest comes from the primary.
 	standby bool
 	addr    string
-	// receivedAtUs is the instant of its last frame, or of its opening.
+	// receivedAtUs is the instant of the last frame, or of the opening if there was none.
 	receivedAtUs int64
-	// live: it has brought a frame; complete: it has brought all that its control node knows.
-	live     bool
+	// live is true once a frame has been received.
+	live bool
+	// complete is true once a complete frame, with everything that the control node knows, has been received.
 	complete bool
-	// staleSinceUs is since when the control node says that it may be behind; 0 where it does not.
+	// staleSinceUs is the instant since which the control node reports that it may be stale; 0 if it does not.
 	staleSinceUs int64
 	controlNode  string
 	replicas     map[string]wire.ReplicaRow
-	// orders by replica; the map is replaced, never changed.
+	// orders are the pending orders by replica. The map is replaced, never modified.
 	orders       map[string]wire.PendingOrder
 	ordersNumber uint64
 	gatewayCount int
 }
 
-// Informer keeps what a gateway knows by the frames of two control nodes at once, so that the loss of one costs no
-// time. Without any it goes on with what it last knew. Revisions only rise.
+// Informer maintains the control state of a gateway from the frames of two control nodes at once, so that the loss of one causes
+// no delay. Without any stream it keeps the last known state. Revisions never decrease.
 type Informer struct {
 	opts Options
 	// sources are the open streams, by number.
 	sources map[uint64]*source
-	// backoffUntilUs is until when an address isn't tried again.
+	// backoffUntilUs is, by address, the instant before which no stream to it is opened.
 	backoffUntilUs map[string]int64
-	// failedAtUs is when a stream to an address last ended before it had brought a frame, until one does bring one.
+	// failedAtUs is, by address, when a stream last ended before its first frame. A frame from the address deletes the entry.
 	failedAtUs map[string]int64
-	// unreachableUntilUs is until when an address gets no reports, as one did not arrive there.
+	// unreachableUntilUs is, by address, the instant before which no report is sent to it, because one could not be delivered.
 	unreachableUntilUs map[string]int64
-	// staleAtUs is when a control node last was behind for too long.
+	// staleAtUs is, by address, when a control node had last been stale for staleAfterUs or longer.
 	staleAtUs      map[string]int64
 	controlNodes   map[string]membership.Member
 	view           membership.View
@@ -113,16 +116,16 @@
 	openedAtUs     int64
 	reportedAtUs   int64
 	urgentAtUs     int64
-	// currentUs is when a control node that was current last pushed a frame; lastStepUs is when the last event came, and
-	// wokeAtUs when the first came after a gap.
+	// currentUs is the instant of the newest frame from a current control node, lastStepUs that of the last step, and wokeAtUs that
+	// of the first step after the latest gap; each is 0 before the first.
 	currentUs    int64
 	lastStepUs   int64
 	wokeAtUs     int64
 	outliersAtUs int64
 	failing      bool
-	// lastSource was the last complete one, and counts while none is.
+	// lastSource is the last source that was complete when it closed. It is used while no open source is complete.
 	lastSource *source
-	// replicas, orders, gatewayCount and outliers are merged from all complete sources.
+	// replicas, orders and gatewayCount are merged from all complete sources; outliers is the newest table from any source.
 	replicas     map[string]wire.ReplicaRow
 	orders       map[string]wire.PendingOrder
 	ordersNumber uint64
@@ -130,19 +133,19 @@
 	outliers     outlier.Table
 	replicaIDs   []string
 	snapshot     *scheduling.Snapshot
-	// changed are the replicas that the next snapshot shows otherwise than the last.
+	// changed are the IDs of the replicas whose rows change with the next snapshot.
 	changed map[string]bool
 	effects []InformerEffect
 }
 
-// NewInformer is a mirror that knows nothing but its seeds.
+// NewInformer returns an informer without any state besides the seeds in opts.
 func NewInformer(opts Options) *Informer {
 	return &Informer{opts: opts, sources: map[uint64]*source{}, backoffUntilUs: map[string]int64{}, failedAtUs: map[string]int64{}, unreachableUntilUs: map[string]int64{}, staleAtUs: map[string]int64{}, replicas: map[string]wire.ReplicaRow{}, changed: map[string]bool{}, controlNodes: map[string]membership.Member{}}
 }
 
 func (i *Informer) emit(e InformerEffect) { i.effects = append(i.effects, e) }
 
-// ControlNodes are all addresses that may be a control node's, those that were met first.
+// ControlNodes returns the addresses of all known control nodes, followed by those of the seeds.
 func (i *Informer) ControlNodes() []string {
 	addrs := []string{}
 	for _, id := range slices.Sorted(maps.Keys(i.controlNodes)) {
@@ -156,10 +159,10 @@
 	return addrs
 }
 
-// View is the newest view of the chain that a control node told.
+// View returns the newest view of the chain that was received from a control node.
 func (i *Informer) View() membership.View { return i.view }
 
-// Live counts the control nodes that push to this gateway now.
+// LiveStreamCount returns the number of open streams that have received a complete frame.
 func (i *Informer) LiveStreamCount() int {
 	n := 0
 	for _, s := range i.sources {
@@ -170,7 +173,7 @@
 	return n
 }
 
-// Step takes one event, or the passing of time alone, and returns what is to be done.
+// Step processes one event, or only the passage of time, and returns the effects to execute.
 func (i *Informer) Step(ev InformerEvent) []InformerEffect {
 	i.effects = nil
 	i.recordWake(ev.NowUs)
@@ -190,7 +193,7 @@
 	return i.effects
 }
 
-// backoff is a span, or undeclaredBackoffUs as long as this gateway has no declaration.
+// backoff returns us, or undeclaredBackoffUs while this gateway has no declaration.
 func (i *Informer) backoff(us int64) int64 {
 	if i.declaration == nil {
 		return undeclaredBackoffUs
@@ -198,6 +201,7 @@
 	return us
 }
 
+// streamClosed removes a stream, sets the backoff of its address, and publishes a snapshot if the merged replicas change.
 func (i *Informer) streamClosed(nowUs int64, stream uint64) {
 	s := i.sources[stream]
 	if s == nil {
@@ -216,17 +220,20 @@
 	}
 }
 
-// setLive notes that a stream has brought a frame.
+// setLive records that a frame has been received on a stream.
 func (i *Informer) setLive(s *source) {
 	s.live = true
 	delete(i.failedAtUs, s.addr)
 }
 
+// drop closes a stream.
 func (i *Informer) drop(nowUs int64, s *source) {
 	i.emit(InformerEffect{Close: s.stream})
 	i.streamClosed(nowUs, s.stream)
 }
 
+// applyFrame merges a frame into the state and publishes a snapshot if the frame changes anything. If the frame's edits do not
+// follow from the known revision, it drops the stream.
 func (i *Informer) applyFrame(nowUs int64, stream uint64, f *wire.Frame) {
 	s := i.sources[stream]
 	if s == nil {
@@ -278,7 +285,7 @@
 	}
 }
 
-// applyOrders lays what has changed on the orders that stood.
+// applyOrders applies changed orders to the previous ones, or replaces them if the frame is complete.
 func (s *source) applyOrders(o *wire.PendingOrders, complete bool) {
 	next := make(map[string]wire.PendingOrder, len(o.Rows)+len(s.orders))
 	if !complete {
@@ -294,7 +301,7 @@
 	s.orders, s.ordersNumber = next, o.Number
 }
 
-// applyDeclaration lays a frame's declaration or edits on what this gateway has; false where some are missing.
+// applyDeclaration applies the declaration or the edits of a frame. It returns false if edits are missing or do not apply.
 func (i *Informer) applyDeclaration(f *wire.Frame) bool {
 	if f.Revision <= i.revision {
 		return true
--- a/internal/dataplane/controlclient/informer_test.go
+++ b/internal/dataplane/controlclient/informer_test.go
@@ -21,7 +21,7 @@
 	"petreltide/internal/process/clock"
 )
 
-// core is one control node as gateways see it: its ledger, which may lag, its roster and its hub.
+// testControlNode is a control node as gateways see it: its replicated state, which may lag, its registry and its frame publisher.
 type testControlNode struct {
 	addr      string
 	state     *statemachine.State
@@ -50,7 +50,7 @@
 	}
 }
 
-// restart forgets all that is not on disk, and what the disk has is not yet known to be the chain's.
+// restart discards all state that is not on disk. The state on disk is not yet known to be committed.
 func (c *testControlNode) restart() {
 	back, err := statemachine.Decode(c.state.Encode())
 	if err != nil {
@@ -59,7 +59,7 @@
 	*c = testControlNode{addr: c.addr, state: back, applied: c.applied, registry: registry.New(3 * clock.Sec), publisher: distribution.NewFramePublisher(), view: c.view}
 }
 
-// screen is a gateway's mirror with its streams to the control nodes; frames travel as JSON.
+// testGateway is an informer with its streams to the control nodes. Frames are transferred as JSON.
 type testGateway struct {
 	t                 *testing.T
 	informer          *Informer
@@ -100,7 +100,7 @@
 			s.unsubscribe(e.Close)
 		case e.Snapshot != nil:
 			if p := s.snapshot; p != nil && (e.Snapshot.Revision < p.Revision || e.Snapshot.View < p.View || e.Snapshot.Number <= p.Number || (p.Declaration != nil && e.Snapshot.Declaration.Version < p.Declaration.Version)) {
-				s.regression = fmt.Sprintf("after revision %d, view %d, number %d came %d, %d, %d", p.Revision, p.View, p.Number, e.Snapshot.Revision, e.Snapshot.View, e.Snapshot.Number)
+				s.regression = fmt.Sprintf("snapshot went from revision %d, view %d, number %d to revision %d, view %d, number %d", p.Revision, p.View, p.Number, e.Snapshot.Revision, e.Snapshot.View, e.Snapshot.Number)
 			}
 			s.snapshot = e.Snapshot
 		}
@@ -119,7 +119,8 @@
 	s.step(nowUs, InformerEvent{Closed: stream})
 }
 
-// carry brings what each control node has to tell; lose in 100 frames are lost, each with its stream.
+// deliverFrames delivers the frames that each control node has to send. Of these, lossPercent percent are lost together with their
+// stream.
 func (s *testGateway) deliverFrames(nowUs int64, r *rand.Rand, lossPercent int) {
 	for _, stream := range s.openStreams() {
 		c := s.streams[stream]
@@ -168,7 +169,7 @@
 		Split: []configuration.WeightedService{{Service: "s", Weight: 1}}, Source: json.RawMessage(`{"own":"text"}`)}
 }
 
-// chronicle writes changes as the head would, against a state that has them all.
+// changeLog generates changes as the head of the chain does, based on a state to which all of them have been applied.
 type changeLog struct {
 	r       *rand.Rand
 	state   *statemachine.State
@@ -176,13 +177,13 @@
 	version uint64
 }
 
-func (c *changeLog) append(change statemachine.Change) {
+func (c *changeLog) add(change statemachine.Change) {
 	change.ID = fmt.Sprint("c", len(c.changes))
 	c.changes = append(c.changes, change)
 	c.state.Apply(uint64(len(c.changes)), change)
 }
 
-// tenants are those of a version: each holds a key of its own, and one of them, or nobody, a key that changes hands.
+// tenantsOfVersion returns the tenants of a version. Each has a key of its own, and one of them, or none, has the key "roaming".
 func tenantsOfVersion(version uint64) []configuration.Tenant {
 	all := []configuration.Tenant{}
 	for n := range uint64(3) {
@@ -195,7 +196,7 @@
 	return all
 }
 
-// holders say who holds which key.
+// tenantsByKey returns the name of the tenant that has each key.
 func tenantsByKey(d *configuration.Declaration) map[string]string {
 	all := map[string]string{}
 	for _, key := range []string{"own0", "own1", "own2", "roaming", "nobody's"} {
@@ -212,7 +213,7 @@
 	if base == 0 || c.r.Intn(6) == 0 {
 		doc := &configuration.Declaration{Version: c.version, Services: []configuration.Service{service("m1", "m2", "m3")}, Routes: []configuration.Route{route("a", 100), route("b", 100)},
 			Tenants: tenantsOfVersion(c.version), RequireKeys: true}
-		c.append(statemachine.Change{Config: &statemachine.ConfigChange{Base: base, Version: c.version, Doc: doc}})
+		c.add(statemachine.Change{Config: &statemachine.ConfigChange{Base: base, Version: c.version, Doc: doc}})
 		return
 	}
 	e := &configuration.Edit{Version: c.version, Tenants: tenantsOfVersion(c.version)}
@@ -224,31 +225,32 @@
 	} else {
 		e.Routes = []configuration.Route{route([]string{"a", "b", "c", "d"}[c.r.Intn(4)], 1+c.r.Int63n(5000))}
 	}
-	c.append(statemachine.Change{Config: &statemachine.ConfigChange{Base: base, Version: c.version, Edit: e}})
+	c.add(statemachine.Change{Config: &statemachine.ConfigChange{Base: base, Version: c.version, Edit: e}})
 }
 
 func (c *changeLog) appendReplicaChange(id string) {
 	replica, command := c.state.Replicas[id], wire.ReplicaCommand{}
 	if pending, isPending := c.state.Pending[id]; isPending {
-		c.append(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: pending.Number, Succeeded: c.r.Intn(5) > 0}}}})
+		c.add(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: pending.Number, Succeeded: c.r.Intn(5) > 0}}}})
 		return
 	}
 	if replica == nil {
-		c.append(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: id, Incarnation: id, Addr: id, Zone: "a", CapacityMB: 100, Slots: 4, Service: "s", ResidentKnown: true}}}})
+		c.add(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{{ID: id, Incarnation: id, Addr: id, Zone: "a", CapacityMB: 100, Slots: 4, Service: "s", ResidentKnown: true}}}})
 		return
 	}
 	command = wire.ReplicaCommand{Replica: id, Incarnation: id, Revision: c.state.Revision, Action: wire.Load, Unit: []string{"m1", "m2", "m3", "m1/a1"}[c.r.Intn(4)]}
 	if _, held := replica.Resident[command.Unit]; held {
 		command.Action = wire.Unload
 	}
-	c.append(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Commands: []wire.ReplicaCommand{command}}})
+	c.add(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Commands: []wire.ReplicaCommand{command}}})
 }
 
+// snapshotCompareOptions ignore what may differ between snapshots of the same state.
 var snapshotCompareOptions = cmp.Options{cmpopts.IgnoreFields(scheduling.Snapshot{}, "Number", "ReceivedUs"), cmpopts.IgnoreFields(configuration.Declaration{}, "Index"), cmpopts.EquateEmpty()}
 
-// Differences fold to what a whole frame says, whichever streams are lost, however far a control node lags
-// and whenever one restarts; what a gateway goes by never goes back.
-func TestSeededFramesFoldToTheWhole(t *testing.T) {
+// Merging incremental frames yields the same snapshot as one complete frame, regardless of lost streams, lagging control nodes
+// and restarts, and the snapshots of a gateway never go back to an older state.
+func TestInformerMergesIncrementalFramesToCompleteState(t *testing.T) {
 	frames, opened, edits := 0, 0, 0
 	for seed := int64(0); seed < 150; seed++ {
 		r := rand.New(rand.NewSource(seed))
@@ -271,7 +273,7 @@
 				}
 			}
 		}
-		// r0 falls silent midway, and what the ledger knows of it goes: it may be known as stale by then.
+		// Replica r0 stops sending heartbeats midway, and its entry in the replicated state is removed. It may be marked stale by then.
 		nowUs := clock.Sec
 		for n := 0; n < 200; n++ {
 			nowUs += 20*clock.Ms + r.Int63n(60*clock.Ms)
@@ -308,7 +310,7 @@
 				controlNodes[r.Intn(2)].view += uint64(r.Intn(2))
 			case 8:
 				if id := "r0"; c.state.Replicas[id] != nil && n > 100 {
-					c.append(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{RemovedReplicas: []string{id}}})
+					c.add(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{RemovedReplicas: []string{id}}})
 				}
 			}
 			for _, o := range controlNodes {
@@ -346,26 +348,27 @@
 			fresh.deliverFrames(nowUs, r, 0)
 		}
 		if s.informer.LiveStreamCount() != 2 || fresh.snapshot == nil {
-			t.Fatalf("seed %d: %d streams are live", seed, s.informer.LiveStreamCount())
+			t.Fatalf("seed %d: got %d live streams and snapshot %v of a new gateway, want 2 and a snapshot", seed, s.informer.LiveStreamCount(), fresh.snapshot)
 		}
 		fresh.snapshot.Gateways = s.snapshot.Gateways
 		if diff := cmp.Diff(fresh.snapshot, s.snapshot, snapshotCompareOptions...); diff != "" {
-			t.Fatalf("seed %d: whole and in parts differ: %s", seed, diff)
+			t.Fatalf("seed %d: snapshots from complete (-) and incremental (+) frames differ:\n%s", seed, diff)
 		}
 		if s.snapshot.Revision != c.state.Revision || s.snapshot.Declaration.Version != c.version {
-			t.Fatalf("seed %d: revision %d of %d", seed, s.snapshot.Revision, c.state.Revision)
+			t.Fatalf("seed %d: got revision %d and version %d, want %d and %d", seed, s.snapshot.Revision, s.snapshot.Declaration.Version, c.state.Revision, c.version)
 		}
 		opened += s.openedCount
 		edits += len(c.state.Edits)
 	}
 	t.Logf("%d rounds, %d streams, %d edits kept at the end", frames, opened, edits)
 	if opened < 1000 || edits < 150 {
-		t.Errorf("%d streams, %d edits: it proves little", opened, edits)
+		t.Errorf("coverage: got %d streams and %d edits, want at least 1000 and 150", opened, edits)
 	}
 }
 
-// What only the ledger knows of a replica goes with it, and what one control node knows of it by itself stays.
-func TestAStaleReplicaGoesWhenTheLedgerLetsItGo(t *testing.T) {
+// A stale replica, known only from the replicated state, disappears when its entry is removed; a replica whose heartbeats one
+// control node has received stays.
+func TestStaleReplicaDisappearsWhenRemovedFromReplicatedState(t *testing.T) {
 	r := rand.New(rand.NewSource(1))
 	c := &changeLog{r: r, state: statemachine.NewState()}
 	c.appendConfig()
@@ -386,19 +389,19 @@
 		return s.snapshot.IDs
 	}
 	if ids := pass(clock.Sec); !slices.Equal(ids, []string{"heard", "silent"}) || !s.snapshot.Replicas["silent"].Stale || s.snapshot.Replicas["heard"].Stale {
-		t.Fatal(ids)
+		t.Fatalf("before the removal: got replicas %v, want heard, and silent as stale", ids)
 	}
-	c.append(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{RemovedReplicas: []string{"silent", "heard"}}})
+	c.add(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{RemovedReplicas: []string{"silent", "heard"}}})
 	for _, o := range []*testControlNode{one, two} {
 		o.apply(c.changes, len(c.changes))
 	}
 	if ids := pass(3 * clock.Sec); !slices.Equal(ids, []string{"heard"}) {
-		t.Errorf("%v are left", ids)
+		t.Errorf("after the removal: got replicas %v, want only heard", ids)
 	}
 }
 
-// A control node that lags never takes back what another one told, and edits that do not fit end the stream.
-func TestEditsThatAreMissedEndTheStreamAndNothingElse(t *testing.T) {
+// A lagging control node never reverts what another one sent, and edits that do not follow from the known revision end the stream.
+func TestInformerDropsStreamOnlyOnMissingOrInvalidEdits(t *testing.T) {
 	doc := &configuration.Declaration{Version: 7, Routes: []configuration.Route{route("a", 1)}, Services: []configuration.Service{service("m1")}}
 	edit := func(ms int64) *configuration.Edit {
 		return &configuration.Edit{Version: 9, Routes: []configuration.Route{route("a", ms)}}
@@ -409,15 +412,15 @@
 		ms       int64
 		dropped  bool
 	}{
-		"the next edit":           {&wire.Frame{Revision: 6, EditsFrom: 5, Edits: []*configuration.Edit{edit(2)}}, 6, 2, false},
-		"two, one known":          {&wire.Frame{Revision: 6, EditsFrom: 4, Edits: []*configuration.Edit{edit(1), edit(2)}}, 6, 2, false},
-		"an older office's edits": {&wire.Frame{Revision: 4, EditsFrom: 3, Edits: []*configuration.Edit{edit(3)}}, 5, 1, false},
-		"an older office's whole": {&wire.Frame{Revision: 4, Declaration: doc}, 5, 1, false},
-		"one missed":              {&wire.Frame{Revision: 7, EditsFrom: 6, Edits: []*configuration.Edit{edit(3)}}, 5, 1, true},
-		"too few":                 {&wire.Frame{Revision: 7, EditsFrom: 5, Edits: []*configuration.Edit{edit(3)}}, 5, 1, true},
-		"none":                    {&wire.Frame{Revision: 7, EditsFrom: 5}, 5, 1, true},
-		"one that does not fit":   {&wire.Frame{Revision: 6, EditsFrom: 5, Edits: []*configuration.Edit{{Version: 9, Routes: []configuration.Route{route("a", 2), route("a", 3)}}}}, 5, 1, true},
-		"a whole one instead":     {&wire.Frame{Revision: 9, Declaration: &configuration.Declaration{Version: 9, Routes: []configuration.Route{route("a", 4)}}}, 9, 4, false},
+		"the next edit":                         {&wire.Frame{Revision: 6, EditsFrom: 5, Edits: []*configuration.Edit{edit(2)}}, 6, 2, false},
+		"two edits, one known":                  {&wire.Frame{Revision: 6, EditsFrom: 4, Edits: []*configuration.Edit{edit(1), edit(2)}}, 6, 2, false},
+		"edits of a lagging control node":       {&wire.Frame{Revision: 4, EditsFrom: 3, Edits: []*configuration.Edit{edit(3)}}, 5, 1, false},
+		"declaration of a lagging control node": {&wire.Frame{Revision: 4, Declaration: doc}, 5, 1, false},
+		"one edit missing":                      {&wire.Frame{Revision: 7, EditsFrom: 6, Edits: []*configuration.Edit{edit(3)}}, 5, 1, true},
+		"too few edits":                         {&wire.Frame{Revision: 7, EditsFrom: 5, Edits: []*configuration.Edit{edit(3)}}, 5, 1, true},
+		"no edits":                              {&wire.Frame{Revision: 7, EditsFrom: 5}, 5, 1, true},
+		"an edit that does not apply":           {&wire.Frame{Revision: 6, EditsFrom: 5, Edits: []*configuration.Edit{{Version: 9, Routes: []configuration.Route{route("a", 2), route("a", 3)}}}}, 5, 1, true},
+		"a complete declaration instead":        {&wire.Frame{Revision: 9, Declaration: &configuration.Declaration{Version: 9, Routes: []configuration.Route{route("a", 4)}}}, 9, 4, false},
 	} {
 		m := NewInformer(Options{Gateway: "d", Seeds: []string{"one"}})
 		stream := uint64(0)
@@ -435,12 +438,13 @@
 		c.frame.Replicas = []wire.ReplicaRow{{ReplicaStatus: wire.ReplicaStatus{ID: "r", Seq: 1}}}
 		step(InformerEvent{NowUs: clock.Sec + 1, Stream: stream, Frame: c.frame})
 		if m.revision != c.revision || m.declaration.Route("a").TimeoutMs != c.ms || closed != c.dropped {
-			t.Errorf("%s: revision %d, %d ms, dropped %v", name, m.revision, m.declaration.Route("a").TimeoutMs, closed)
+			t.Errorf("%s: got revision %d, timeout %d ms, stream dropped %v, want %d, %d ms, %v",
+				name, m.revision, m.declaration.Route("a").TimeoutMs, closed, c.revision, c.ms, c.dropped)
 		}
 	}
 }
 
-func TestWhereTwoControlNodesDiffer(t *testing.T) {
+func TestInformerMergesDifferingRowsOfTwoControlNodes(t *testing.T) {
 	row := func(seq uint64, edit func(*wire.ReplicaRow)) wire.ReplicaRow {
 		r := wire.ReplicaRow{ReplicaStatus: wire.ReplicaStatus{ID: "r", Service: "s", Addr: "r", Slots: 4, Seq: seq, Units: []string{fmt.Sprint("held at ", seq)}}}
 		if edit != nil {
@@ -463,13 +467,13 @@
 		a, b wire.ReplicaRow
 		want *wire.ReplicaUpdate
 	}{
-		"the later word":                  {row(2, leaving), row(1, nil), at(2, func(n *wire.ReplicaUpdate) { n.Draining = true })},
-		"dark at one":                     {row(2, unreachable), row(1, nil), at(2, nil)},
-		"dark at both":                    {row(2, unreachable), row(1, unreachable), at(2, func(n *wire.ReplicaUpdate) { n.Unreachable = true })},
-		"gone at one":                     {row(2, nil), row(1, gone), nil},
-		"stale at one":                    {row(0, stale), row(1, nil), at(1, nil)},
-		"stale at one and dark elsewhere": {row(9, stale), row(1, unreachable), at(1, func(n *wire.ReplicaUpdate) { n.Unreachable = true })},
-		"stale at both":                   {row(0, stale), row(0, stale), at(0, func(n *wire.ReplicaUpdate) { n.Stale = true })},
+		"the later status counts":                {row(2, leaving), row(1, nil), at(2, func(n *wire.ReplicaUpdate) { n.Draining = true })},
+		"unreachable at one":                     {row(2, unreachable), row(1, nil), at(2, nil)},
+		"unreachable at both":                    {row(2, unreachable), row(1, unreachable), at(2, func(n *wire.ReplicaUpdate) { n.Unreachable = true })},
+		"removed at one":                         {row(2, nil), row(1, gone), nil},
+		"stale at one":                           {row(0, stale), row(1, nil), at(1, nil)},
+		"stale at one, unreachable at the other": {row(9, stale), row(1, unreachable), at(1, func(n *wire.ReplicaUpdate) { n.Unreachable = true })},
+		"stale at both":                          {row(0, stale), row(0, stale), at(0, func(n *wire.ReplicaUpdate) { n.Stale = true })},
 	} {
 		for turn := range 2 {
 			m := NewInformer(Options{Gateway: "d", Seeds: []string{"one", "two"}})
@@ -502,15 +506,16 @@
 				want = &held
 			}
 			if diff := cmp.Diff(want, snap.Replicas["r"]); diff != "" {
-				t.Errorf("%s, turn %d: %s", name, turn, diff)
+				t.Errorf("%s, turn %d: merged replica differs (-want +got):\n%s", name, turn, diff)
 			}
 		}
 	}
 }
 
-// At 63 gateways a rise of demand was told three quarters of a second apart, and a model's calls had doubled by
-// the time its next copies were asked for; at 400 gateways reports must still not crowd the one who reads them.
-func TestReportsComeOftenEnoughToSeeARise(t *testing.T) {
+// Guards against reports that are too rare to see a rise of demand: with 63 gateways they once were three quarters of a second apart,
+// and the calls of a model had doubled by the time its next copies were requested. With 400 gateways the reports must still not
+// overload their receiver.
+func TestReportIntervalIsBoundedForAnyGatewayCount(t *testing.T) {
 	for _, c := range []struct{ gateways, least, most int }{{9, 30, 40}, {63, 20, 30}, {400, 5, 10}} {
 		m := NewInformer(Options{Gateway: "d", Seeds: []string{"one"}})
 		stream, reports := uint64(0), 0
@@ -529,13 +534,13 @@
 			}
 		}
 		if reports < c.least || reports > c.most {
-			t.Errorf("%d gateways: %d reports in 10 s, want %d to %d", c.gateways, reports, c.least, c.most)
+			t.Errorf("%d gateways: got %d reports in 10 s, want %d to %d", c.gateways, reports, c.least, c.most)
 		}
 	}
 }
 
-// A gateway whose machine comes back before those of the control nodes was refused by each, and left each alone for a second.
-func TestAGatewayThatStartsBeforeTheControlNodesMeetsThemAtOnce(t *testing.T) {
+// A gateway that started before the control nodes was refused by each of them, and then backed off from each for a second.
+func TestGatewayStartedBeforeControlNodesReachesThemQuickly(t *testing.T) {
 	controlNodes := []*testControlNode{newTestControlNode("a"), newTestControlNode("b"), newTestControlNode("c")}
 	c := &changeLog{r: rand.New(rand.NewSource(1)), state: statemachine.NewState()}
 	c.appendConfig()
@@ -551,23 +556,23 @@
 		s.deliverFrames(nowUs, r, 0)
 	}
 	if most := 2 * 350 / 100; s.openedCount > most+streamCount {
-		t.Errorf("%d tries in 350 ms", s.openedCount)
+		t.Errorf("attempts to open streams in 350 ms: got %d, want at most %d", s.openedCount, most+streamCount)
 	}
 	clear(s.down)
 	upUs := nowUs
 	for s.snapshot == nil || s.snapshot.Declaration == nil {
 		s.deliverFrames(nowUs, r, 0)
 		if nowUs += 50 * clock.Ms; nowUs-upUs > 2*clock.Sec {
-			t.Fatal("it never met them")
+			t.Fatal("the gateway has no declaration 2 s after the control nodes started")
 		}
 	}
 	if tookUs := nowUs - upUs; tookUs > 200*clock.Ms {
-		t.Errorf("a declaration %d ms after the control nodes took calls", tookUs/1000)
+		t.Errorf("declaration after the start of the control nodes: got it after %d ms, want at most 200 ms", tookUs/1000)
 	}
 }
 
-// One that has a declaration serves with it, and leaves a control node alone that does not answer.
-func TestAGatewayWithADeclarationLeavesAControlNodeThatIsDownAlone(t *testing.T) {
+// A gateway with a declaration can serve calls, so it uses the longer backoff for control nodes that do not answer.
+func TestGatewayWithDeclarationBacksOffFromStoppedControlNodes(t *testing.T) {
 	controlNodes := []*testControlNode{newTestControlNode("a"), newTestControlNode("b"), newTestControlNode("c")}
 	c := &changeLog{r: rand.New(rand.NewSource(1)), state: statemachine.NewState()}
 	c.appendConfig()
@@ -590,6 +595,6 @@
 		s.deliverFrames(nowUs, r, 0)
 	}
 	if tries, most := s.openedCount-before, 3*len(s.informer.ControlNodes()); tries > most {
-		t.Errorf("%d tries in 3 s at control nodes that are down, at most %d", tries, most)
+		t.Errorf("attempts to open streams to stopped control nodes in 3 s: got %d, want at most %d", tries, most)
 	}
 }
--- a/internal/dataplane/controlclient/lost_test.go
+++ b/internal/dataplane/controlclient/lost_test.go
@@ -9,9 +9,9 @@
 	"petreltide/internal/process/clock"
 )
 
-// Control nodes that were replaced stay on a gateway's list. However many of them come first in its own order, it meets
-// the one that lives within a round of tries.
-func TestAGatewayMeetsTheControlNodeThatLivesAmongMany(t *testing.T) {
+// Control nodes that were replaced stay on a gateway's list. However many of them precede the live one in the gateway's order, the
+// gateway follows the live one within one round of attempts.
+func TestGatewayFindsLiveControlNodeAmongLostOnes(t *testing.T) {
 	for lost := 1; lost <= 16; lost++ {
 		for seed := range int64(20) {
 			t.Run(fmt.Sprintf("%d lost, seed %d", lost, seed), func(t *testing.T) {
@@ -21,7 +21,8 @@
 	}
 }
 
-// checkFollowsLiveControlNode lets a gateway follow two control nodes and loses both and others that it has heard of; one is left.
+// checkFollowsLiveControlNode lets a gateway follow two control nodes, then stops all control nodes that it knows but one, and checks
+// that it follows that one.
 func checkFollowsLiveControlNode(t *testing.T, lost int, seed int64) {
 	const slackUs = 2 * clock.Sec
 	changes := &changeLog{r: rand.New(rand.NewSource(1)), state: statemachine.NewState()}
@@ -49,20 +50,20 @@
 	roundUs := int64(len(controlNodes)) * openIntervalUs
 	for endUs := nowUs + roundUs + slackUs; s.informer.LiveStreamCount() == 0; nowUs += 50 * clock.Ms {
 		if nowUs > endUs {
-			t.Fatalf("it follows nobody %d ms after the loss", (roundUs+slackUs)/clock.Ms)
+			t.Fatalf("live streams %d ms after the loss: got 0, want at least 1", (roundUs+slackUs)/clock.Ms)
 		}
 		s.deliverFrames(nowUs, r, 0)
 	}
 }
 
-// A control node that answers again is in its place once more.
-func TestAControlNodeThatAnswersIsNoLongerLast(t *testing.T) {
+// A control node that answers again returns to its regular position in the order.
+func TestControlNodeThatAnswersAgainIsNoLongerRankedLast(t *testing.T) {
 	m := NewInformer(Options{Gateway: "g", Incarnation: "i", Seeds: []string{"a"}})
 	m.failedAtUs["a"] = clock.Sec
 	m.sources[1] = &source{stream: 1, addr: "a", live: true}
 	m.setLive(m.sources[1])
 	m.streamClosed(2*clock.Sec, 1)
 	if _, failed := m.failedAtUs["a"]; failed {
-		t.Error("a stream that had brought frames counts as one that never came up")
+		t.Error("a stream that had received frames is recorded as failed")
 	}
 }
--- a/internal/dataplane/controlclient/merge.go
+++ b/internal/dataplane/controlclient/merge.go
@@ -7,7 +7,7 @@
 	"petreltide/internal/api/wire"
 )
 
-// completeSources are the sources that have sent a complete frame; without any, the last one that had.
+// completeSources returns the sources that have received a complete frame, or lastSource if there are none.
 func (i *Informer) completeSources() []*source {
 	sources := []*source{}
 	for _, n := range slices.Sorted(maps.Keys(i.sources)) {
@@ -21,8 +21,8 @@
 	return sources
 }
 
-// mergeReplica joins what the control nodes say of one incarnation: its latest word counts, and it is unreachable only where every
-// control node that knows it says so.
+// mergeReplica merges the rows of one replica incarnation from all complete sources and reports whether the result changed. The
+// latest status counts, and the replica is unreachable only if every control node that knows it reports so.
 func (i *Informer) mergeReplica(id string) (changed bool) {
 	var best wire.ReplicaRow
 	known := false
@@ -51,11 +51,13 @@
 	return changed
 }
 
+// equalRows reports whether two rows are equal in all fields that snapshots contain.
 func equalRows(a, b wire.ReplicaRow) bool {
 	return a.Service == b.Service && a.Addr == b.Addr && a.Zone == b.Zone && a.Slots == b.Slots && a.Draining == b.Draining && a.RemainingMs == b.RemainingMs &&
 		a.Unreachable == b.Unreachable && a.Stale == b.Stale && slices.Equal(a.Units, b.Units)
 }
 
+// mergeReplicas merges the rows of all known replicas and reports whether any result changed.
 func (i *Informer) mergeReplicas() (changed bool) {
 	ids := map[string]bool{}
 	for id := range i.replicas {
@@ -72,6 +74,7 @@
 	return changed
 }
 
+// mergeOrders takes the newest orders and the largest gateway count of all complete sources and reports whether anything changed.
 func (i *Informer) mergeOrders() (changed bool) {
 	gateways := 0
 	for _, s := range i.completeSources() {
@@ -86,7 +89,7 @@
 	return changed
 }
 
-// replaceOrders takes a source's orders for the newest.
+// replaceOrders replaces the orders with those of a source and marks the replicas whose orders differ as changed.
 func (i *Informer) replaceOrders(s *source) {
 	for id, o := range s.orders {
 		if i.orders[id] != o {
@@ -101,7 +104,8 @@
 	i.orders, i.ordersNumber = s.orders, s.ordersNumber
 }
 
-// mergeRows joins two control nodes' words of one incarnation: its own by Seq, what it holds by the ledger's entry.
+// mergeRows merges two control nodes' rows of one incarnation: the replica's own status from the row with the higher Seq, and the
+// loaded units from the row with the higher log index.
 func mergeRows(a, b wire.ReplicaRow) wire.ReplicaRow {
 	unreachable := a.Unreachable && b.Unreachable
 	if b.Seq > a.Seq {
--- a/internal/dataplane/controlclient/snapshot.go
+++ b/internal/dataplane/controlclient/snapshot.go
@@ -9,7 +9,7 @@
 	"petreltide/internal/dataplane/scheduling"
 )
 
-// publish writes what was folded as a snapshot that never changes; it shares with the last one what has not.
+// publish emits the merged state as an immutable snapshot, which shares unchanged parts with the previous one.
 func (i *Informer) publish(nowUs int64) {
 	i.snapshotNumber++
 	snap := &scheduling.Snapshot{
@@ -31,8 +31,8 @@
 	i.emit(InformerEffect{Snapshot: snap})
 }
 
-// copyChanged writes what is new of the replicas that were touched, and gives the services of which a replica came
-// or went: their lists are not right any more. A list that only has new rows is copied and written here.
+// copyChanged writes the changed replicas into the snapshot. It returns the services that gained or lost a replica, whose lists
+// must be rebuilt; a list in which only rows changed is copied and updated here.
 func (i *Informer) copyChanged(snap *scheduling.Snapshot) (relist map[string]bool) {
 	relist = map[string]bool{}
 	if len(i.changed) == 0 {
@@ -65,7 +65,7 @@
 	return relist
 }
 
-// replaceRow writes a replica's row anew in the list of its service, which is copied first if it is not yet.
+// replaceRow replaces a replica's row in the list of its service, which it copies first unless that has been done.
 func replaceRow(snap *scheduling.Snapshot, copied map[string]bool, update *wire.ReplicaUpdate) {
 	if !copied[update.Service] {
 		copied[update.Service] = true
@@ -76,7 +76,7 @@
 	rows[at] = update
 }
 
-// rebuildServiceLists lists the replicas of some services anew, in the order of their names.
+// rebuildServiceLists rebuilds the replica lists of the given services, ordered by replica ID.
 func rebuildServiceLists(snap *scheduling.Snapshot, services map[string]bool) {
 	if len(services) == 0 {
 		return
@@ -91,7 +91,7 @@
 	}
 }
 
-// replicaUpdate is a replica's row as the decider reads it.
+// replicaUpdate converts a replica's row, with its pending order, to the form that the decider reads.
 func (i *Informer) replicaUpdate(r wire.ReplicaRow) *wire.ReplicaUpdate {
 	update := &wire.ReplicaUpdate{
 		ID: r.ID, Incarnation: r.ID, Addr: r.Addr, Zone: r.Zone, Service: r.Service, Slots: r.Slots, Draining: r.Draining, RemainingMs: r.RemainingMs,
--- a/internal/dataplane/controlclient/staleness.go
+++ b/internal/dataplane/controlclient/staleness.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// staleAfterUs is how long a control node may be behind before it is left.
+	// staleAfterUs is how long a control node may be stale before it is replaced, in microseconds.
 	staleAfterUs = 500 * clock.Ms
-	// staleBackoffUs later it may be followed again, and staleZoneBackoffUs later for being near.
-	staleBackoffUs     = 1 * clock.Sec
+	// staleBackoffUs is how long a control node that was replaced as stale is ranked after the others.
+	staleBackoffUs = 1 * clock.Sec
+	// staleZoneBackoffUs is how long such a control node is not preferred for being in the gateway's zone.
 	staleZoneBackoffUs = 5 * clock.Sec
 )
 
-// recordStaleness notes whether a control node says that newer declarations may be in force than it knows.
+// recordStaleness records whether a control node reports that declarations newer than the one it knows may be in force.
 func (i *Informer) recordStaleness(nowUs int64, s *source, stale bool) {
 	switch {
 	case !stale:
@@ -26,12 +27,13 @@
 	}
 }
 
+// wasStale reports whether a control node was stale for too long within the given time before nowUs.
 func (i *Informer) wasStale(nowUs int64, addr string, withinUs int64) bool {
 	lastUs, known := i.staleAtUs[addr]
 	return known && nowUs-lastUs < withinUs
 }
 
-// compareStaleness puts control nodes that were behind of late after the others.
+// compareStaleness orders control nodes that were recently stale after the others.
 func (i *Informer) compareStaleness(nowUs int64, a, b string) int {
 	rank := func(addr string) int {
 		if i.wasStale(nowUs, addr, staleBackoffUs) {
@@ -42,9 +44,9 @@
 	return rank(a) - rank(b)
 }
 
-// replaceStale follows another control node in place of one that has been behind for a while. As long as nobody who is
-// followed is current, one more is followed, so that nothing is lost where all are behind: from the first frame on that
-// says so, one after another.
+// replaceStale replaces a control node that has been stale for staleAfterUs. As long as no followed control node is current, it
+// keeps one extra stream, so that no state is lost if all control nodes are stale. It opens that stream as soon as the first frame
+// reports staleness, and tries the candidates one after another.
 func (i *Informer) replaceStale(nowUs int64) {
 	var current, stale, newest *source
 	anyStale := false
@@ -76,7 +78,7 @@
 	}
 }
 
-// hasFreshCandidate: there is a control node that could be followed, is not, and was not behind of late.
+// hasFreshCandidate reports whether there is a control node that is not followed, is not in backoff, and was not recently stale.
 func (i *Informer) hasFreshCandidate(nowUs int64) bool {
 	followed := map[string]bool{}
 	for _, s := range i.sources {
--- a/internal/dataplane/controlclient/staleness_test.go
+++ b/internal/dataplane/controlclient/staleness_test.go
@@ -11,7 +11,7 @@
 	"petreltide/internal/process/clock"
 )
 
-// staleScenario is five control nodes with one declaration in force, and a gateway that follows two of them.
+// staleScenario has five control nodes with one declaration in force, and a gateway that follows two of them.
 type staleScenario struct {
 	*testGateway
 	nowUs   int64
@@ -34,7 +34,7 @@
 	d.applyTo(func(*testControlNode) bool { return true })
 	d.advance(3 * clock.Sec)
 	if d.informer.LiveStreamCount() != streamCount || d.snapshot == nil || d.snapshot.Revision != 1 {
-		t.Fatalf("%d streams, %+v", d.informer.LiveStreamCount(), d.snapshot)
+		t.Fatalf("start: got %d live streams and snapshot %+v, want %d and revision 1", d.informer.LiveStreamCount(), d.snapshot, streamCount)
 	}
 	return d
 }
@@ -53,7 +53,7 @@
 	}
 }
 
-// followsOnlyStale: every control node that is followed has said that it is behind.
+// followsOnlyStale reports whether every followed control node has reported that it may be stale.
 func (d *staleScenario) followsOnlyStale() bool {
 	for _, s := range d.informer.sources {
 		if s.staleSinceUs == 0 {
@@ -71,8 +71,8 @@
 	return out
 }
 
-// A gateway whose two control nodes are both cut off follows another within two seconds, and has what is in force.
-func TestAGatewayLeavesControlNodesThatAreBehind(t *testing.T) {
+// A gateway whose two control nodes are both partitioned follows another one and has the declaration in force within two seconds.
+func TestGatewayReplacesStaleControlNodes(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		d := newStaleScenario(t, seed)
 		staleNodes := d.followedNodes()
@@ -83,24 +83,24 @@
 		d.applyTo(func(c *testControlNode) bool { return !staleNodes[c] })
 		d.advance(2 * clock.Sec)
 		if d.snapshot.Revision != 2 {
-			t.Fatalf("seed %d: revision %d is known two seconds later", seed, d.snapshot.Revision)
+			t.Fatalf("seed %d: revision two seconds later: got %d, want 2", seed, d.snapshot.Revision)
 		}
 		d.advance(20 * clock.Sec)
 		for c := range d.followedNodes() {
 			if c.stale {
-				t.Errorf("seed %d: %s is followed, which is behind", seed, c.addr)
+				t.Errorf("seed %d: control node %s is followed although it is stale", seed, c.addr)
 			}
 		}
 		if n := len(d.streams); n != streamCount {
-			t.Errorf("seed %d: %d streams", seed, n)
+			t.Errorf("seed %d: open streams: got %d, want %d", seed, n, streamCount)
 		}
 	}
 }
 
-// From the moment on at which nobody who is followed says that he is current, a gateway tries the others one after the other: it is
-// right as soon as the first that answers can have been asked, however many of them are gone.
-func TestAGatewayLooksFurtherAtOnceWhereAllAreBehind(t *testing.T) {
-	// The seeds that the gateway was started with name two control nodes that do not exist any more.
+// As soon as no followed control node reports itself as current, a gateway tries the others one after another, so it has the
+// declaration in force as soon as it can have reached the first one that answers, however many of them are gone.
+func TestGatewayTriesOtherControlNodesAtOnceWhenAllFollowedAreStale(t *testing.T) {
+	// Two of the gateway's seeds are control nodes that no longer exist.
 	const staleSeeds, answerUs = 2, 100 * clock.Ms
 	for gone := range 3 {
 		took := []int64{}
@@ -129,15 +129,15 @@
 		}
 		slices.Sort(took)
 		median, most := took[len(took)/2], took[len(took)-1]
-		t.Logf("%d of 3 others are gone, until it is right: median %d ms, most %d ms", gone, median/clock.Ms, most/clock.Ms)
+		t.Logf("%d of 3 other control nodes are gone: time to the declaration in force: median %d ms, maximum %d ms", gone, median/clock.Ms, most/clock.Ms)
 		if allowedUs := int64(gone+staleSeeds)*openIntervalUs + answerUs; most > allowedUs {
-			t.Errorf("%d of 3 others are gone: %d ms, at most %d", gone, most/clock.Ms, allowedUs/clock.Ms)
+			t.Errorf("%d of 3 other control nodes are gone: time to the declaration in force: got %d ms, want at most %d ms", gone, most/clock.Ms, allowedUs/clock.Ms)
 		}
 	}
 }
 
-// Where all control nodes are behind, a gateway keeps two of them at every moment, and is back with two after.
-func TestAGatewayStaysWithControlNodesWhereAllAreBehind(t *testing.T) {
+// While all control nodes are stale, a gateway always follows at least two of them, and exactly two once they are current again.
+func TestGatewayKeepsStreamsWhileAllControlNodesAreStale(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		d := newStaleScenario(t, seed)
 		for i, c := range d.nodes {
@@ -147,23 +147,23 @@
 		for range 200 {
 			d.advance(50 * clock.Ms)
 			if n := len(d.streams); n < streamCount || n > streamCount+1 {
-				t.Fatalf("seed %d: %d streams", seed, n)
+				t.Fatalf("seed %d: open streams while all are stale: got %d, want %d or %d", seed, n, streamCount, streamCount+1)
 			}
 			if d.snapshot.Replicas["r"] == nil {
-				t.Fatalf("seed %d: the replica is lost", seed)
+				t.Fatalf("seed %d: replica r is missing from the snapshot", seed)
 			}
 		}
 		opened := d.openedCount
 		d.advance(10 * clock.Sec)
 		if n := d.openedCount - opened; n > 40 {
-			t.Errorf("seed %d: %d streams were opened in ten seconds", seed, n)
+			t.Errorf("seed %d: streams opened in ten seconds: got %d, want at most 40", seed, n)
 		}
 		for _, c := range d.nodes {
 			c.stale = false
 		}
 		d.advance(5 * clock.Sec)
 		if n := len(d.streams); n != streamCount {
-			t.Errorf("seed %d: %d streams", seed, n)
+			t.Errorf("seed %d: open streams: got %d, want %d", seed, n, streamCount)
 		}
 	}
 }
--- a/internal/dataplane/controlclient/streams.go
+++ b/internal/dataplane/controlclient/streams.go
@@ -10,6 +10,7 @@
 	"petreltide/internal/process/clock"
 )
 
+// tick closes streams that timed out, opens new ones, expires outlier verdicts, and sends a report if one is due.
 func (i *Informer) tick(nowUs int64, urgent bool) {
 	for _, n := range slices.Sorted(maps.Keys(i.sources)) {
 		if s := i.sources[n]; nowUs-s.receivedAtUs > frameTimeoutUs {
@@ -17,7 +18,7 @@
 		}
 	}
 	if len(i.outliers.Rows) > 0 && nowUs-i.outliersAtUs > outlierTimeoutUs {
-		// Nobody upholds these verdicts any more: this gateway goes by its own sight.
+		// The verdicts are no longer renewed, so this gateway relies on its own outlier detection.
 		i.outliers.Rows = nil
 		if i.snapshot != nil {
 			i.publish(nowUs)
@@ -31,9 +32,9 @@
 	i.report(nowUs, urgent)
 }
 
-// open takes the next control node in this gateway's own order, so that gateways spread over control nodes. Those that
-// did not answer come after the others, the one that was tried longest ago first: however many of them are gone for
-// good, all are tried in turn. The address named first, if any, comes before all.
+// open opens streams to the next control nodes in this gateway's own order, which spreads gateways over the control nodes. Control
+// nodes that did not answer come after the others, starting with the one whose failure is oldest, so that all are tried in turn
+// however many of them are permanently gone. The address in first, if not empty, precedes all others.
 func (i *Informer) open(nowUs int64, first string) {
 	i.openedAtUs = nowUs
 	followed := map[string]bool{}
@@ -69,7 +70,7 @@
 	}
 }
 
-// compareFirst puts one address before all others.
+// compareFirst orders the address first before all others.
 func compareFirst(first, a, b string) int {
 	switch first {
 	case a:
@@ -80,7 +81,8 @@
 	return 0
 }
 
-// zoneControlNode is the control node of this gateway's own zone, if one is known that may be asked.
+// zoneControlNode returns the address of a control node in this gateway's zone that is neither in backoff nor recently stale, or an
+// empty string.
 func (i *Informer) zoneControlNode(nowUs int64) string {
 	for _, id := range slices.Sorted(maps.Keys(i.controlNodes)) {
 		if o := i.controlNodes[id]; o.Zone != "" && o.Zone == i.opts.Zone && nowUs >= i.backoffUntilUs[o.Addr] && !i.wasStale(nowUs, o.Addr, staleZoneBackoffUs) {
@@ -90,8 +92,8 @@
 	return ""
 }
 
-// preferZone lets the control node of this gateway's own zone be the main one, a stream at a time: what goes over a
-// spare stream is little, and the rest then need not cross zones.
+// preferZone makes the control node of this gateway's zone the primary, replacing one stream at a time. A standby stream carries
+// little, so most of the traffic then stays within the zone.
 func (i *Informer) preferZone(nowUs int64) {
 	preferred := i.zoneControlNode(nowUs)
 	if preferred == "" || len(i.sources) != streamCount || i.LiveStreamCount() < streamCount {
@@ -121,7 +123,7 @@
 	}
 }
 
-// rank is this gateway's own order of the control nodes: those of its zone, then by lot.
+// rank returns the position of a control node in this gateway's own order: those of its zone first, then by hash.
 func (i *Informer) rank(addr string) uint64 {
 	for _, o := range i.controlNodes {
 		if o.Addr == addr && o.Zone == i.opts.Zone {
@@ -131,6 +133,8 @@
 	return membership.SpreadHash(i.opts.Gateway + "|" + addr)
 }
 
+// report emits a report if the interval has passed and a source is complete. The report goes to the head of the chain, or to a
+// complete source if the head is unknown or was recently unreachable.
 func (i *Informer) report(nowUs int64, urgent bool) {
 	if urgent {
 		i.urgentAtUs = nowUs
--- a/internal/dataplane/controlclient/subscriber.go
+++ b/internal/dataplane/controlclient/subscriber.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// membershipIntervalUs is how often the control nodes are asked for their view without a lease, and
-	// membershipIdleIntervalUs with one.
-	membershipIntervalUs     = 250 * clock.Ms
+	// membershipIntervalUs is the interval of membership requests to the control nodes while there is no lease.
+	membershipIntervalUs = 250 * clock.Ms
+	// membershipIdleIntervalUs is the same interval while there is a lease.
 	membershipIdleIntervalUs = 1000 * clock.Ms
-	// ackIntervalUs is how often the tail gets a report, which renews the lease.
+	// ackIntervalUs is the interval of reports to the tail, which renew the lease.
 	ackIntervalUs = 200 * clock.Ms
-	// followRetryUs is the shortest time between two streams to the tail.
+	// followRetryUs is the shortest time between the openings of two streams to the tail.
 	followRetryUs = 300 * clock.Ms
-	// followTimeoutUs without a lease ends the stream to the tail.
+	// followTimeoutUs is how long the stream to the tail is kept without a new lease.
 	followTimeoutUs = 2500 * clock.Ms
-	// leaseMarginUs is taken off each lease, so that it ends here before it ends there.
+	// leaseMarginUs is subtracted from each lease, so that it expires at the gateway before it expires at the control nodes.
 	leaseMarginUs = 50 * clock.Ms
 )
 
-// Event is one thing that happened to the subscriber; with all fields but NowUs empty, time has passed.
+// Event is an input of Subscriber.Step. If only NowUs is set, only time has passed.
 type Event struct {
 	NowUs      int64
 	Membership *wire.MembershipResponse
@@ -33,7 +33,7 @@
 	Closed     uint64
 }
 
-// Effect is one thing that the subscriber wants done.
+// Effect is one action that the caller of Subscriber.Step must execute.
 type Effect struct {
 	RequestMembership []string
 	Follow            *Follow
@@ -44,26 +44,26 @@
 	FinalHeartbeats   []membership.RingNode
 }
 
-// Follow asks for the changes that the tail pushes. Number tells streams apart.
+// Follow requests the stream of updates that the tail pushes. Number identifies the stream.
 type Follow struct {
 	Number  uint64
 	Tail    membership.ChainReplica
 	Request wire.SubscribeRequest
 }
 
-// Options are who the subscriber is and where it asks first.
+// Options identify the gateway and name the addresses for the first contact with the control plane.
 type Options struct {
 	Gateway     string
 	Incarnation string
-	// Addr is where others reach this gateway, IP:port.
+	// Addr is the address at which other nodes reach this gateway, as IP:port.
 	Addr string
 	Zone string
-	// Seeds are IP:port of any nodes, for first contact only.
+	// Seeds are the addresses of control nodes for the first contact only, as IP:port.
 	Seeds []string
 }
 
-// Subscriber finds the open tail, follows its updates and keeps the gateway's lease. Seeds are only a
-// first contact: from then on it asks the control nodes it has met.
+// Subscriber finds the current tail of the chain, follows its updates, and keeps the gateway's lease. It contacts the seeds only
+// until it has learned the control nodes.
 type Subscriber struct {
 	opts           Options
 	membership     wire.MembershipResponse
@@ -83,21 +83,21 @@
 	effects        []Effect
 }
 
-// New is a subscriber that knows nothing but its seeds.
+// New returns a subscriber without any state besides the seeds in opts.
 func New(opts Options) *Subscriber {
 	return &Subscriber{opts: opts, monitor: failuredetector.NewMonitor()}
 }
 
-// Suspects are the nodes that this one watches and has not heard for too long.
+// Suspects returns the watched nodes whose heartbeats are overdue.
 func (s *Subscriber) Suspects(nowUs int64) []string { return s.monitor.Suspects(nowUs) }
 
-// Membership is what it was last told of the control nodes and their view.
+// Membership returns the newest known control nodes and their view.
 func (s *Subscriber) Membership() wire.MembershipResponse { return s.membership }
 
-// Tail is the seat that it follows.
+// Tail returns the tail of the newest known view.
 func (s *Subscriber) Tail() membership.ChainReplica { return s.membership.View.Tail() }
 
-// ControlNodes are all addresses that may be a control node's, those that were met first.
+// ControlNodes returns the addresses of all known control nodes, followed by those of the seeds.
 func (s *Subscriber) ControlNodes() []string {
 	addrs := []string{}
 	seen := map[string]bool{s.opts.Addr: true}
@@ -116,7 +116,7 @@
 	return addrs
 }
 
-// Step takes one event and returns what is to be done.
+// Step processes one event and returns the effects to execute.
 func (s *Subscriber) Step(ev Event) []Effect {
 	s.effects = nil
 	switch {
@@ -144,6 +144,8 @@
 	s.membership = w
 }
 
+// applyUpdate publishes the snapshot of an update unless it is older than the current one. An update whose revision is new but which
+// lacks the declaration ends the stream.
 func (s *Subscriber) applyUpdate(nowUs int64, n wire.GatewayUpdate) {
 	if s.snapshot != nil && (n.View < s.snapshot.View || n.Number < s.snapshot.Number) {
 		return
@@ -157,6 +159,7 @@
 	s.ackedAtUs = 0
 }
 
+// applyLease extends the lease, which is counted from the instant at which it was requested. Leases of an older view are ignored.
 func (s *Subscriber) applyLease(nowUs int64, g wire.Lease) {
 	if len(g.Ring) > 0 {
 		s.ring = g.Ring
--- a/internal/dataplane/controlclient/subscriber_test.go
+++ b/internal/dataplane/controlclient/subscriber_test.go
@@ -9,6 +9,7 @@
 	"petreltide/internal/process/clock"
 )
 
+// newFollowingSubscriber returns a subscriber that follows the tail, and the instant of its last step.
 func newFollowingSubscriber(t *testing.T) (*Subscriber, int64) {
 	t.Helper()
 	s := New(Options{Gateway: "d", Incarnation: "i", Addr: "d:1", Seeds: []string{"s1:1", "s2:1"}})
@@ -20,12 +21,12 @@
 		}
 	}
 	if follows != 1 {
-		t.Fatal("the tail is not followed once it is known")
+		t.Fatalf("follow effects after the membership is known: got %d, want 1", follows)
 	}
 	return s, clock.Sec
 }
 
-func TestNewsThatSkipsADeclarationIsNotTaken(t *testing.T) {
+func TestSubscriberIgnoresUpdateThatSkipsDeclaration(t *testing.T) {
 	s, now := newFollowingSubscriber(t)
 	s.Step(Event{NowUs: now + 1, Update: &wire.GatewayUpdate{Number: 5, Revision: 1, Declaration: &configuration.Declaration{Name: "one"}}})
 	applied, followedAgain := false, false
@@ -34,11 +35,11 @@
 		followedAgain = followedAgain || e.Follow != nil
 	}
 	if applied || !followedAgain {
-		t.Fatalf("took %v, followed anew %v", applied, followedAgain)
+		t.Fatalf("update without its declaration: got applied %v, followed again %v, want false, true", applied, followedAgain)
 	}
 }
 
-func TestLeaseIsCountedFromWhenItWasAskedFor(t *testing.T) {
+func TestLeaseIsCountedFromRequestTime(t *testing.T) {
 	s, now := newFollowingSubscriber(t)
 	s.Step(Event{NowUs: now + 1, Update: &wire.GatewayUpdate{Number: 5, View: 3}})
 	var untilUs int64
@@ -46,18 +47,18 @@
 		untilUs = max(untilUs, e.LeaseUs)
 	}
 	if untilUs != now+1_200_000-leaseMarginUs {
-		t.Fatalf("until %d", untilUs)
+		t.Fatalf("end of the lease: got %d, want %d", untilUs, now+1_200_000-leaseMarginUs)
 	}
 	for _, e := range s.Step(Event{NowUs: now + clock.Sec, Lease: &wire.Lease{OK: true, View: 2, SentUs: now + clock.Sec, LeaseUs: 1_200_000}}) {
 		if e.LeaseUs != 0 {
-			t.Fatal("a lease of a lower view was taken")
+			t.Fatalf("lease of an older view: got an extension to %d, want none", e.LeaseUs)
 		}
 	}
 }
 
-func TestSeedsAreOnlyAFirstContact(t *testing.T) {
+func TestSubscriberAsksKnownControlNodesBeforeSeeds(t *testing.T) {
 	s, _ := newFollowingSubscriber(t)
 	if got := s.ControlNodes(); got[0] != "o1:1" {
-		t.Fatalf("asks %v first", got)
+		t.Fatalf("control nodes: got %v, want o1:1 first", got)
 	}
 }
--- a/internal/dataplane/controlclient/verdict_test.go
+++ b/internal/dataplane/controlclient/verdict_test.go
@@ -10,9 +10,9 @@
 	"petreltide/internal/process/clock"
 )
 
-// A verdict reaches a gateway with the next frame and goes only when it is taken back, or when nobody upholds
-// it; a control node that lags undoes nothing.
-func TestVerdictsOnReplicasReachGatewaysInOrder(t *testing.T) {
+// A verdict reaches a gateway with the next frame and stays in effect until it is withdrawn or no longer renewed; a lagging control
+// node does not undo it.
+func TestOutlierVerdictsReachGatewaysInOrder(t *testing.T) {
 	r := rand.New(rand.NewSource(3))
 	c := &changeLog{r: r, state: statemachine.NewState()}
 	c.appendConfig()
@@ -33,26 +33,26 @@
 		return s.snapshot.Verdicts
 	}
 	if rows := pass(clock.Sec); len(rows) > 0 {
-		t.Fatalf("before any verdict: %v", rows)
+		t.Fatalf("verdicts before the first one: got %v, want none", rows)
 	}
 	out := outlier.Verdict{Replica: "r1", AllowedPercent: 0}
 	one.outliers = outlier.Table{Epoch: 2, Number: 1, Rows: []outlier.Verdict{out, {Replica: "r2", Zone: "elsewhere"}}}
 	if rows := pass(clock.Sec); len(rows) != 1 || rows["r1"] != out {
-		t.Errorf("after a verdict for all and one for another zone: %v", rows)
+		t.Errorf("verdicts after one for all zones and one for another zone: got %v, want only r1: %v", rows, out)
 	}
 	two.outliers = outlier.Table{Epoch: 1, Number: 9}
 	if rows := pass(clock.Sec); len(rows) != 1 {
-		t.Errorf("an older table from the other control node undid it: %v", rows)
+		t.Errorf("verdicts after an older table from the other control node: got %v, want one", rows)
 	}
 	if rows := pass(outlierTimeoutUs + clock.Sec); len(rows) != 0 {
-		t.Errorf("long after anybody upheld it: %v", rows)
+		t.Errorf("verdicts after the timeout without a renewal: got %v, want none", rows)
 	}
 	one.outliers = outlier.Table{Epoch: 2, Number: 2, Rows: []outlier.Verdict{out}}
 	if rows := pass(clock.Sec); len(rows) != 1 {
-		t.Errorf("upheld again: %v", rows)
+		t.Errorf("verdicts after a renewal: got %v, want one", rows)
 	}
 	one.outliers = outlier.Table{Epoch: 2, Number: 3}
 	if rows := pass(clock.Sec); len(rows) != 0 {
-		t.Errorf("taken back: %v", rows)
+		t.Errorf("verdicts after the withdrawal: got %v, want none", rows)
 	}
 }
