--- a/internal/controlplane/controller/declared.go
+++ b/internal/controlplane/controller/declared.go
@@ -7,7 +7,7 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// declaredState is the controller's state for declared mode, in which the platform lists the replicas.
+// declaredState is the controller's state for declared mode, in which the replicas are those on the polled list.
 type declaredState struct {
 	listing  platformListing
 	orders   declaredOrders
@@ -16,7 +16,8 @@
 	keyMarks keyExpiry
 }
 
-// declaredMode implements mode for replicas that the platform lists; see the package documentation.
+// declaredMode implements mode for deployments whose replicas are on a list that the controller polls; the package
+// documentation describes the two modes.
 type declaredMode struct{ c *Controller }
 
 // beginLeadership does nothing: replicas in declared mode check the epoch of each order themselves.
--- a/internal/controlplane/controller/doc.go
+++ b/internal/controlplane/controller/doc.go
@@ -6,21 +6,28 @@
 //
 // # Two modes
 //
-// There are two kinds of deployment with one implementation of mode for each (declaredMode, routedMode); the declaration in
-// force selects it. The modes differ in how replicas become known and in how far a replica's answers can be relied on. They
-// share leadership, the writing of changes, the checker of proposals and the membership of the gateways.
-//
-//   - Declared mode uses this project's own interface. The platform lists the replicas, and each replica is asked for its
-//     report. Operators declare models and write placement policies, which package placement runs; shadow policies run beside
-//     the live one. A replica remembers the number of its last order, so that an order can be sent again until it is
-//     acknowledged. Loads are charged to a token bucket in MB. Gateways get grants of attempt numbers and shares of each
-//     replica's slots.
-//   - Routed mode uses the interface of the users' platform. Replicas register themselves by heartbeats, which package
-//     registry stores. The declaration names services with engines, and routes to them. The built-in resident policy treats
-//     the memory of the replicas as a cache. A replica does not know command numbers: it accepts an order only if its order
-//     count equals the count that the order expects, and it is bound to one leader for a lease. The outcome of an order is
-//     therefore determined from the replica's resident units (versionedState), a successor waits out the lease of its
-//     predecessor (predecessorWait), and loads are counted in a sliding window (storeWindow).
+// The words "declared" and "routed" have these meanings in all packages. The declaration (the configuration in force) selects
+// the mode:
+//
+//   - Declared mode: operators configure models, kinds of calls and a placement policy. The replicas are those on a list that
+//     the controller polls. A gateway needs a grant of attempt numbers and a lease to start attempts.
+//   - Routed mode: operators configure routes and services. The replicas register themselves by heartbeats. A gateway needs
+//     neither a grant nor a lease to start attempts.
+//
+// The controller has one implementation of the interface mode for each (declaredMode, routedMode). Both share leadership, the
+// writing of changes, the checker of proposals and the membership of the gateways. They differ as follows:
+//
+//   - In declared mode, replicas implement this project's own interface. The list of replicas comes from an external service,
+//     which the code calls the platform, and each replica is asked for its report. Package placement runs the operators'
+//     placement policy; shadow policies run beside the live one. A replica remembers the number of its last order, so that an
+//     order can be sent again until it is acknowledged. Loads are charged to a token bucket in MB. Gateways get grants of
+//     attempt numbers and shares of each replica's slots.
+//   - In routed mode, replicas implement the interface of the users' platform. Package registry stores their heartbeats. A
+//     service may declare an engine, which holds models in the memory of its replicas; the built-in resident policy treats
+//     that memory as a cache. A replica does not know command numbers: it accepts an order only if its order count equals
+//     the count that the order expects, and it is bound to one leader for a lease. The outcome of an order is therefore
+//     determined from the replica's resident units (versionedState), a new leader sends a replica no order before the lease
+//     of the previous leader has expired there (predecessorWait), and loads are counted in a sliding window (storeWindow).
 //
 // # Invariants
 //
--- a/internal/controlplane/controller/mode.go
+++ b/internal/controlplane/controller/mode.go
@@ -5,8 +5,8 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// mode defines how replicas become known and how orders to them are tracked. There are two implementations for the two kinds
-// of deployment, selected by the declaration in force; see the package documentation.
+// mode defines how replicas become known and how orders to them are tracked. It has one implementation for declared
+// mode and one for routed mode, selected by the declaration in force; the package documentation describes both.
 type mode interface {
 	// beginLeadership records the orders that an earlier leader may still have in flight, before the first event is
 	// processed as leader.
@@ -23,7 +23,7 @@
 	plan(snapshot Snapshot)
 	// collect adds everything that the replicated state should record now to the update.
 	collect(snapshot Snapshot, update *statemachine.LeaderUpdate)
-	// afterWrite continues after the previous change was applied.
+	// afterWrite is called once the previous change has been applied. It sends what depended on that change.
 	afterWrite(snapshot Snapshot)
 }
 
--- a/internal/controlplane/controller/orders_explore_test.go
+++ b/internal/controlplane/controller/orders_explore_test.go
@@ -236,8 +236,9 @@
 	}
 }
 
-// The store window is never exceeded, whatever the demand and whichever control node leads.
-func TestStoreWindowHoldsUnderMaximumLoad(t *testing.T) {
+// The number of loads from the weight store never exceeds the limit of the sliding window, whatever the demand for models and
+// whichever control node leads.
+func TestStoreLoadsStayWithinWindowUnderMaximumDemand(t *testing.T) {
 	loads := 0
 	for seed := range int64(30) {
 		m := storeLoadStress(seed, noMutation)
--- a/internal/controlplane/controller/outdated_report_test.go
+++ b/internal/controlplane/controller/outdated_report_test.go
@@ -64,7 +64,7 @@
 
 // A leader that takes over a pending command and resends it does not issue a command of its own. Here a control node is
 // isolated while the command is pending and later restored from a snapshot in which it is settled, so that it observes
-// neither the resend nor the result. It has to wait out the lease.
+// neither the resend nor the result. It has to wait until the lease has expired.
 func TestUnseenResultCountsAsOrderOfAnotherLeader(t *testing.T) {
 	s := stateWithPendingLoad(t)
 	controller := New("me", Options{LeaseUs: 3 * clock.Sec})
--- a/internal/controlplane/controller/predecessor.go
+++ b/internal/controlplane/controller/predecessor.go
@@ -75,10 +75,12 @@
 	}
 }
 
-// canPlan reports whether the lease has passed since any unobserved order of a predecessor.
+// canPlan reports whether a full lease has passed since the last time at which a previous leader may have sent an order that
+// this process has not observed.
 func (p *predecessorWait) canPlan(nowUs int64) bool { return p.waitUs(nowUs, "") <= 0 }
 
-// canOrder reports whether the lease has also passed since a predecessor may have last ordered this replica.
+// canOrder reports whether canPlan holds and a full lease has passed since a previous leader may have last sent this replica
+// an order.
 func (p *predecessorWait) canOrder(nowUs int64, replica string) bool {
 	return p.waitUs(nowUs, replica) <= 0
 }
@@ -98,9 +100,9 @@
 	return longestUs
 }
 
-// predecessorOrders records when another leader may last have ordered each replica, so that a successor waits out the lease
-// at that replica only. This relies on the rule that an order is sent only for a command that is pending in the replicated
-// state: without such a command there was no order.
+// predecessorOrders records when another leader may last have ordered each replica, so that a new leader waits for the end of
+// the previous leader's lease at that replica only. This relies on the rule that an order is sent only for a command that is
+// pending in the replicated state: without such a command there was no order.
 type predecessorOrders struct {
 	lastOrderUs map[string]int64
 	// replicaOf maps the numbers of pending commands to their replicas.
--- a/internal/controlplane/controller/registry_sync.go
+++ b/internal/controlplane/controller/registry_sync.go
@@ -13,7 +13,7 @@
 	// reportDelayUs is the maximum age of what a replica reports about itself: a report can be delayed in sockets, in
 	// network links and on suspended machines.
 	reportDelayUs = 2 * clock.Sec
-	// unseenRemovedAfterUs is the time after which a replica is removed if no control node hears of it.
+	// unseenRemovedAfterUs is the time after which a replica is removed if the registry has no entry for it.
 	unseenRemovedAfterUs = 15 * clock.Sec
 )
 
@@ -102,7 +102,8 @@
 	}
 }
 
-// recordUnseen removes a replica from the replicated state once no control node has heard of it for long enough.
+// recordUnseen removes a replica from the replicated state once the registry has had no entry for it for
+// unseenRemovedAfterUs.
 func (r *registrySync) recordUnseen(snapshot Snapshot, id string, update *statemachine.LeaderUpdate) {
 	if snapshot.Registry.Entry(id) != nil {
 		delete(r.unseenUs, id)
--- a/internal/controlplane/controller/resident.go
+++ b/internal/controlplane/controller/resident.go
@@ -21,8 +21,9 @@
 	decodeMsPerCall = 25.0
 )
 
-// runResidentPolicy runs the resident policy for each service with an engine. It runs without waiting for the full interval
-// if calls wait for a model that is not placed anywhere.
+// runResidentPolicy runs the built-in placement policy of routed mode (placement.Resident) for each service that declares an
+// engine. The policy runs every residentIntervalUs, or after minResidentIntervalUs if its input has changed, for example
+// because calls wait for a model that no replica has loaded.
 func (c *Controller) runResidentPolicy(snapshot Snapshot) {
 	s := snapshot.State
 	if !c.policies.isDue(snapshot.NowUs, residentIntervalUs, minResidentIntervalUs) || !c.routed.predecessor.canPlan(snapshot.NowUs) {
--- a/internal/controlplane/controller/routed.go
+++ b/internal/controlplane/controller/routed.go
@@ -124,7 +124,7 @@
 func (m routedMode) afterWrite(Snapshot) {}
 
 // OnApplied processes the commands and results of any leader as they are applied; it has to be called on each control node.
-// A successor waits out the leases of these commands and counts their loads. epoch is the epoch of the change, nowUs the
+// A new leader waits until the leases of these commands have expired, and counts their loads. epoch is the epoch of the change, nowUs the
 // time in microseconds.
 func (c *Controller) OnApplied(nowUs int64, epoch uint64, update statemachine.LeaderUpdate, s *statemachine.State) {
 	if s.Doc == nil || !s.Doc.Routed() {
--- a/internal/controlplane/controller/status.go
+++ b/internal/controlplane/controller/status.go
@@ -98,8 +98,9 @@
 	LastCalledAgoMs int64   `json:"agoMs"`
 }
 
-// LeaderStatus is the leader's state in routed mode that is not part of the replicated state. OrderDelayMs is how long the
-// leader still waits out its predecessor before it may order every replica.
+// LeaderStatus is the leader's state in routed mode (see the package documentation) that is not part of the replicated state.
+// OrderDelayMs is the time left until the lease of the previous leader has certainly expired at every replica, so that this
+// leader may order all of them.
 type LeaderStatus struct {
 	Leader       string                  `json:"holder"`
 	Epoch        uint64                  `json:"fence"`
--- a/internal/controlplane/controller/takeover_test.go
+++ b/internal/controlplane/controller/takeover_test.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// A new leader waits out the lease at the replicas that its predecessor ordered recently, and orders the others immediately.
+// A new leader sends no order to a replica that the previous leader ordered recently before the lease there has expired. It
+// orders the other replicas immediately.
 func TestSuccessorWaitsOutLeaseOnlyAtReplicasOrderedByPredecessor(t *testing.T) {
 	withinLease, delaysMs := 0, []int64{}
 	for seed := int64(0); seed < 12; seed++ {
