--- a/internal/controlplane/controlnode/declared_replicas.go
+++ b/internal/controlplane/controlnode/declared_replicas.go
@@ -13,7 +13,8 @@
 	"petreltide/internal/api/wire"
 )
 
-// declaredReplicas is the ReplicaTransport of declared mode: petreltide's own HTTP API of the platform and of replicas.
+// declaredReplicas is the ReplicaTransport of declared mode (see package controller). It calls petreltide's own HTTP API: the
+// replica list at the polled address, and the state and the orders of each replica.
 type declaredReplicas struct{ h *Host }
 
 func (d *declaredReplicas) List(ctx context.Context) (*wire.ReplicaList, error) {
--- a/internal/controlplane/controlnode/event.go
+++ b/internal/controlplane/controlnode/event.go
@@ -25,7 +25,7 @@
 	LogBytes int64
 }
 
-// PersistFailed reports that the disk refused the Persist with this sequence number. The host retries it on its own.
+// PersistFailed reports that writing or syncing the Persist with this sequence number failed. The host retries it on its own.
 type PersistFailed struct{ Seq uint64 }
 
 // SubmitChange submits a change to the replicated state.
--- a/internal/controlplane/controlnode/membership.go
+++ b/internal/controlplane/controlnode/membership.go
@@ -18,8 +18,9 @@
 	return c.Node.ResolveMemberChange(m, evenAlive)
 }
 
-// listFollowableMembers returns the control nodes that gateways may subscribe to: this one and those that it hears from. A
-// control node that is not up to date adds all members of its view, since those that it does not hear from may be up to date.
+// listFollowableMembers returns the control nodes that gateways may subscribe to: this one and those whose heartbeats
+// it receives. A control node that is not up to date adds all members of its view, since those whose heartbeats do not arrive
+// here may be up to date.
 func (c *Core) listFollowableMembers(nowUs int64) []chain.Member {
 	all := []chain.Member{c.Node.Self()}
 	for _, p := range c.Node.Peers() {
--- a/internal/controlplane/controlnode/membership_test.go
+++ b/internal/controlplane/controlnode/membership_test.go
@@ -15,8 +15,8 @@
 	return listed
 }
 
-// A gateway that knows only a partitioned control node learns of the others from it. The others do not list a control node that
-// they do not hear from.
+// A gateway that knows only a partitioned control node learns of the others from it. The others do not list a control node whose
+// heartbeats they do not receive.
 func TestPartitionedControlNodeListsAllMembersOfItsView(t *testing.T) {
 	for isolated := range 3 {
 		for _, cut := range [][2]bool{{true, true}, {true, false}, {false, true}} {
@@ -28,7 +28,7 @@
 			}
 			other := (isolated + 1) % 3
 			if listed := tc.followableAddrs(other); cut[0] && listed[tc.cores[isolated].Node.Self().Addr] {
-				t.Errorf("control node %d lists control node %d although it does not hear from it", other, isolated)
+				t.Errorf("control node %d lists control node %d although it receives no heartbeats from there", other, isolated)
 			}
 		}
 	}
--- a/internal/controlplane/controlnode/persist.go
+++ b/internal/controlplane/controlnode/persist.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// diskRetryInterval is the interval at which a request that the disk refused is retried.
+	// diskRetryInterval is the interval at which a failed write or sync is retried.
 	diskRetryInterval = 250 * time.Millisecond
-	// diskRetriesPerLog is the number of attempts from one log line about a failing request to the next.
+	// diskRetriesPerLog is the number of attempts from one log line about a failing write or sync to the next.
 	diskRetriesPerLog = 40
 )
 
--- a/internal/controlplane/controlnode/restart_lease_test.go
+++ b/internal/controlplane/controlnode/restart_lease_test.go
@@ -91,9 +91,9 @@
 	}
 }
 
-// After a restart of all control nodes the log is applied again. The orders completed in it were sent before this incarnation
-// started, so their lease is counted from its start, and not from when the last control node was back.
-func TestLeaseWaitAfterFullRestartIsMeasuredFromStart(t *testing.T) {
+// When all control nodes restart, the log is replayed. The completed orders in it were sent before this process started, so the
+// wait for the previous leader's lease is counted from the start of the process, not from the return of the last control node.
+func TestLeaseWaitAfterFullRestartCountsFromProcessStart(t *testing.T) {
 	tc := &twoNodeCluster{t: t, nowUs: clock.Sec}
 	tc.start(0)
 	tc.start(1)
