--- a/internal/outlier/baseline.go
+++ b/internal/outlier/baseline.go
@@ -10,13 +10,13 @@
 	attempts      map[string]float64
 	recent        [2]float64
 	windowStartUs int64
-	failureRates  [classes]float64
+	failureRates  [classCount]float64
 	replicas      int
 	attemptsPerS  float64
 }
 
 // rotate begins a new span of counts now and then, and works out the mean anew.
-func (s *serviceStats) rotate(nowUs int64, f *Detector) {
+func (s *serviceStats) rotate(nowUs int64, d *Detector) {
 	if s.windowStartUs == 0 {
 		s.windowStartUs = nowUs
 	}
@@ -26,35 +26,35 @@
 	s.attemptsPerS = s.recent[0] / (float64(nowUs-s.windowStartUs) / 1e6)
 	s.windowStartUs = nowUs
 	s.recent = [2]float64{0, s.recent[0]}
-	for _, sus := range f.suspects {
-		if f.services[sus.service] == s {
-			sus.recent = [2][classes]float64{{}, sus.recent[0]}
+	for _, sus := range d.suspects {
+		if d.services[sus.service] == s {
+			sus.recent = [2][classCount]float64{{}, sus.recent[0]}
 		}
 	}
 }
 
 // updateBaselines sets each service's share of every class over the last spans, without the replicas that fail most.
 func (d *Detector) updateBaselines() {
-	by := map[string][]*suspect{}
+	byService := map[string][]*suspect{}
 	for _, sus := range d.suspects {
-		by[sus.service] = append(by[sus.service], sus)
+		byService[sus.service] = append(byService[sus.service], sus)
 	}
 	for name, s := range d.services {
-		all := by[name]
+		suspects := byService[name]
 		attempts := s.recent[0] + s.recent[1]
 		for c := Success + 1; c < Inconclusive; c++ {
 			counts := []float64{}
-			for _, sus := range all {
+			for _, sus := range suspects {
 				counts = append(counts, sus.recent[0][c]+sus.recent[1][c])
 			}
 			slices.SortFunc(counts, func(a, b float64) int { return cmp.Compare(b, a) })
-			sum := 0.0
+			failures := 0.0
 			for _, n := range counts[min(len(counts), d.maxEjected(s)):] {
-				sum += n
+				failures += n
 			}
 			s.failureRates[c] = 0
 			if attempts > 0 {
-				s.failureRates[c] = min(sum/attempts, 1)
+				s.failureRates[c] = min(failures/attempts, 1)
 			}
 		}
 	}
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -35,16 +35,16 @@
 }
 
 // Inherit takes the verdicts of a predecessor as this one's own: whoever was out is tried again in a while.
-func (d *Detector) Inherit(nowUs int64, epoch uint64, t Table, serviceOf func(replica string) string) {
-	if t.Epoch >= epoch {
-		epoch = t.Epoch + 1
+func (d *Detector) Inherit(nowUs int64, epoch uint64, predecessor Table, serviceOf func(replica string) string) {
+	if predecessor.Epoch >= epoch {
+		epoch = predecessor.Epoch + 1
 	}
-	d.table = Table{Epoch: epoch, Rows: t.Rows}
+	d.table = Table{Epoch: epoch, Rows: predecessor.Rows}
 	d.suspects = map[string]*suspect{}
-	for _, r := range t.Rows {
+	for _, r := range predecessor.Rows {
 		s := d.suspectOf(r.Replica, serviceOf(r.Replica))
 		s.ejections[r.Zone] = &ejection{ejected: true, untilUs: nowUs + d.opts.BaseEjectionUs, count: 1}
-		s.atUs = nowUs
+		s.lastReportUs = nowUs
 	}
 }
 
@@ -95,7 +95,7 @@
 		}
 		svc, sus := d.serviceStatsOf(name), d.suspectOf(c.Replica, name)
 		svc.rotate(nowUs, d)
-		sus.atUs = nowUs
+		sus.lastReportUs = nowUs
 		e := sus.zones[r.Zone]
 		if e == nil {
 			e = &evidence{scale: 1, byGateway: map[string]float64{}, attempts: svc.attempts[r.Zone]}
@@ -108,11 +108,11 @@
 			if !class.IsFailure() || n <= 0 {
 				continue
 			}
-			weighed := float64(n) * weight(class, svc.failureRates[class])
-			if class.mayBeLoad() {
-				loadGain += weighed
+			weighted := float64(n) * weight(class, svc.failureRates[class])
+			if class.canResultFromLoad() {
+				loadGain += weighted
 			} else {
-				gain += weighed
+				gain += weighted
 				e.failures += float64(n)
 			}
 			sus.recent[0][class] += float64(n)
--- a/internal/outlier/evaluation.go
+++ b/internal/outlier/evaluation.go
@@ -21,7 +21,7 @@
 
 // Evaluate works out the verdicts; replicas counts those of each service that live. It is true where the table
 // is news.
-func (d *Detector) Evaluate(nowUs int64, epoch uint64, replicas map[string]int, lives func(replica string) bool) bool {
+func (d *Detector) Evaluate(nowUs int64, epoch uint64, replicas map[string]int, isLive func(replica string) bool) bool {
 	if !d.Due(nowUs) {
 		return false
 	}
@@ -39,7 +39,7 @@
 		}
 	}
 	for id, sus := range d.suspects {
-		if !lives(id) || (nowUs-sus.atUs > expiryUs && len(sus.ejections) == 0) {
+		if !isLive(id) || (nowUs-sus.lastReportUs > expiryUs && len(sus.ejections) == 0) {
 			delete(d.suspects, id)
 		}
 	}
@@ -108,8 +108,8 @@
 }
 
 func (d *Detector) eject(nowUs int64, v *ejection, dead bool) {
-	spanUs := min(d.opts.BaseEjectionUs<<min(v.count, 8), d.opts.MaxEjectionUs)
-	*v = ejection{ejected: true, dead: dead, count: v.count + 1, untilUs: nowUs + spanUs}
+	durationUs := min(d.opts.BaseEjectionUs<<min(v.count, 8), d.opts.MaxEjectionUs)
+	*v = ejection{ejected: true, dead: dead, count: v.count + 1, untilUs: nowUs + durationUs}
 }
 
 // relieve lets a replica have the share of the last stage of probation. One that is late because of what it was sent does
@@ -127,20 +127,20 @@
 // Where far more have passed than that, what fails is not the replicas: all evidence begins anew, against a
 // mean that by then shows it.
 func (d *Detector) ejectSuspects(nowUs int64) {
-	by := map[string][]candidate{}
+	byService := map[string][]candidate{}
 	for _, id := range slices.Sorted(maps.Keys(d.suspects)) {
 		sus := d.suspects[id]
 		if sus.ejections[""].active() {
 			continue
 		}
-		if one, ill := d.evaluateSuspect(id, sus); ill && !sus.ejections[one.zone].active() {
-			by[sus.service] = append(by[sus.service], one)
+		if c, isOutlier := d.evaluateSuspect(id, sus); isOutlier && !sus.ejections[c.zone].active() {
+			byService[sus.service] = append(byService[sus.service], c)
 		}
 	}
-	for name, all := range by {
+	for name, candidates := range byService {
 		svc := d.services[name]
-		most := d.maxEjected(svc)
-		if len(all) > 2*most {
+		maxEjected := d.maxEjected(svc)
+		if len(candidates) > 2*maxEjected {
 			d.ServiceWideFailures++
 			for _, sus := range d.suspects {
 				if sus.service == name {
@@ -149,23 +149,23 @@
 			}
 			continue
 		}
-		slices.SortStableFunc(all, func(a, b candidate) int { return cmp.Compare(b.evidenceRatio, a.evidenceRatio) })
-		for _, one := range all {
-			if d.countActive(name, one.zone) >= most {
+		slices.SortStableFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.evidenceRatio, a.evidenceRatio) })
+		for _, c := range candidates {
+			if d.countActive(name, c.zone) >= maxEjected {
 				continue
 			}
-			sus := d.suspects[one.replica]
-			v := sus.ejections[one.zone]
+			sus := d.suspects[c.replica]
+			v := sus.ejections[c.zone]
 			if v == nil {
 				v = &ejection{}
-				sus.ejections[one.zone] = v
+				sus.ejections[c.zone] = v
 			}
-			if one.loadMayExplain && !d.reliefFailed(nowUs, sus) {
+			if c.loadMayExplain && !d.reliefFailed(nowUs, sus) {
 				d.relieve(nowUs, v)
 			} else {
-				d.eject(nowUs, v, one.dead)
+				d.eject(nowUs, v, c.dead)
 			}
-			if one.zone == "" {
+			if c.zone == "" {
 				maps.DeleteFunc(sus.ejections, func(zone string, _ *ejection) bool { return zone != "" })
 			}
 			clear(sus.zones)
@@ -195,11 +195,11 @@
 func (d *Detector) evaluateSuspect(id string, sus *suspect) (candidate, bool) {
 	svc := d.serviceStatsOf(sus.service)
 	limit := d.threshold(svc)
-	most := limit / minGateways
+	gatewayLimit := limit / minGateways
 	if d.singleGateway {
-		most = limit
+		gatewayLimit = limit
 	}
-	whole, bads, attempts := 0.0, 0.0, 0.0
+	total, failures, attempts := 0.0, 0.0, 0.0
 	for _, zone := range slices.Sorted(maps.Keys(sus.zones)) {
 		e := sus.zones[zone]
 		e.decayByTraffic(svc, zone)
@@ -207,30 +207,30 @@
 			delete(sus.zones, zone)
 			continue
 		}
-		whole, bads, attempts = whole+e.total, bads+e.failures, attempts+(e.attempts-e.fromAttempts)/float64(max(svc.replicas, 1))
+		total, failures, attempts = total+e.total, failures+e.failures, attempts+(e.attempts-e.fromAttempts)/float64(max(svc.replicas, 1))
 	}
-	if whole < limit {
+	if total < limit {
 		return candidate{}, false
 	}
-	worst, worstSum, sum := "", 0.0, 0.0
+	worstZone, worstZoneTotal, cappedTotal := "", 0.0, 0.0
 	for _, zone := range slices.Sorted(maps.Keys(sus.zones)) {
-		part := sus.zones[zone].cappedTotal(most)
-		sum += part
-		if part > worstSum {
-			worst, worstSum = zone, part
+		zoneTotal := sus.zones[zone].cappedTotal(gatewayLimit)
+		cappedTotal += zoneTotal
+		if zoneTotal > worstZoneTotal {
+			worstZone, worstZoneTotal = zone, zoneTotal
 		}
 	}
 	found := candidate{
 		replica:        id,
-		dead:           bads >= max(deadFailureFraction*attempts, minDeadFailures),
-		loadMayExplain: bads < minDeadFailures,
+		dead:           failures >= max(deadFailureFraction*attempts, minDeadFailures),
+		loadMayExplain: failures < minDeadFailures,
 	}
-	if sum >= limit && (sum-worstSum >= limit/4 || len(svc.attempts) == 1) {
-		found.evidenceRatio = sum / limit
+	if cappedTotal >= limit && (cappedTotal-worstZoneTotal >= limit/4 || len(svc.attempts) == 1) {
+		found.evidenceRatio = cappedTotal / limit
 		return found, true
 	}
-	if worstSum >= limit {
-		found.zone, found.evidenceRatio = worst, worstSum/limit
+	if worstZoneTotal >= limit {
+		found.zone, found.evidenceRatio = worstZone, worstZoneTotal/limit
 		return found, true
 	}
 	return candidate{}, false
--- a/internal/outlier/evidence.go
+++ b/internal/outlier/evidence.go
@@ -39,32 +39,32 @@
 }
 
 // add takes one gateway's report: its good attempts there answer what it said before, not what other gateways say.
-func (e *evidence) add(gateway string, good int, gain, most float64) {
-	had := e.byGateway[gateway] * e.scale
-	now := min(max(0, had+float64(good)*weight(Success, 0))+gain, most)
-	e.total = max(0, e.total+now-had)
-	if now > 0 {
-		e.byGateway[gateway] = now / e.scale
+func (e *evidence) add(gateway string, successes int, gain, limit float64) {
+	previous := e.byGateway[gateway] * e.scale
+	updated := min(max(0, previous+float64(successes)*weight(Success, 0))+gain, limit)
+	e.total = max(0, e.total+updated-previous)
+	if updated > 0 {
+		e.byGateway[gateway] = updated / e.scale
 	} else {
 		delete(e.byGateway, gateway)
 	}
 }
 
 // cappedTotal is the sum with no gateway's part above most.
-func (e *evidence) cappedTotal(most float64) (sum float64) {
+func (e *evidence) cappedTotal(limit float64) (sum float64) {
 	for _, gateway := range slices.Sorted(maps.Keys(e.byGateway)) {
-		sum += min(e.byGateway[gateway]*e.scale, most)
+		sum += min(e.byGateway[gateway]*e.scale, limit)
 	}
 	return sum
 }
 
 // suspect is what is known against one replica.
 type suspect struct {
-	service   string
-	zones     map[string]*evidence
-	ejections map[string]*ejection
-	recent    [2][classes]float64
-	atUs      int64
+	service      string
+	zones        map[string]*evidence
+	ejections    map[string]*ejection
+	recent       [2][classCount]float64
+	lastReportUs int64
 	// reliefFailedUs is when it last failed with fewer calls as well, so that load does not explain it; 0 if it never did.
 	reliefFailedUs int64
 }
--- a/internal/outlier/local_detector.go
+++ b/internal/outlier/local_detector.go
@@ -45,7 +45,7 @@
 	replicas map[string]*localReplica
 	attempts map[string]int
 	// failureRates is of each service's classes over about localRateAttempts attempts, all replicas together.
-	failureRates      map[string]*[classes]float64
+	failureRates      map[string]*[classCount]float64
 	attemptIntervalUs map[string]float64
 	lastAttemptUs     map[string]int64
 	unreportedFailure bool
@@ -55,14 +55,14 @@
 // NewLocalDetector is the sight of a gateway that has sent nothing.
 func NewLocalDetector(opts Options) *LocalDetector {
 	return &LocalDetector{
-		opts: opts.withDefaults(), replicas: map[string]*localReplica{}, attempts: map[string]int{}, failureRates: map[string]*[classes]float64{},
+		opts: opts.withDefaults(), replicas: map[string]*localReplica{}, attempts: map[string]int{}, failureRates: map[string]*[classCount]float64{},
 		attemptIntervalUs: map[string]float64{}, lastAttemptUs: map[string]int64{},
 	}
 }
 
 // Record takes what became of an attempt. Of is how many replicas the service has; repeated evidence against one
 // keeps this gateway off it for a time that doubles, and a good attempt ends it.
-func (l *LocalDetector) Record(nowUs int64, service, replica string, class Class, of int) {
+func (l *LocalDetector) Record(nowUs int64, service, replica string, class Class, replicaCount int) {
 	if class != Success && !class.IsFailure() {
 		return
 	}
@@ -80,7 +80,7 @@
 		return
 	}
 	l.unreportedFailure = true
-	l.eject(nowUs, service, r, of)
+	l.eject(nowUs, service, r, replicaCount)
 }
 
 // replica is one replica as this gateway sees it.
@@ -96,18 +96,18 @@
 // score gives the weight of an attempt's outcome against the mean of its service as it was before, and takes it
 // into the mean.
 func (l *LocalDetector) score(service string, class Class) float64 {
-	mean := l.failureRates[service]
-	if mean == nil {
-		mean = &[classes]float64{}
-		l.failureRates[service] = mean
+	rates := l.failureRates[service]
+	if rates == nil {
+		rates = &[classCount]float64{}
+		l.failureRates[service] = rates
 	}
-	gain := weight(class, mean[class])
+	gain := weight(class, rates[class])
 	for c := Success; c < Inconclusive; c++ {
-		hit := 0.0
+		observed := 0.0
 		if c == class {
-			hit = 1
+			observed = 1
 		}
-		mean[c] += (hit - mean[c]) / localRateAttempts
+		rates[c] += (observed - rates[c]) / localRateAttempts
 	}
 	return gain
 }
@@ -138,12 +138,12 @@
 
 // eject keeps this gateway off a replica where the evidence against it is enough, unless too many others of its
 // service are out already.
-func (l *LocalDetector) eject(nowUs int64, service string, r *localReplica, of int) {
-	limit := l.threshold(service, of)
-	if r.evidence < limit || of <= 1 {
+func (l *LocalDetector) eject(nowUs int64, service string, r *localReplica, replicaCount int) {
+	limit := l.threshold(service, replicaCount)
+	if r.evidence < limit || replicaCount <= 1 {
 		return
 	}
-	if nowUs >= r.ejectedUntilUs && l.countEjected(nowUs, service) >= max(1, int(l.opts.MaxEjectedFraction*float64(of))) {
+	if nowUs >= r.ejectedUntilUs && l.countEjected(nowUs, service) >= max(1, int(l.opts.MaxEjectedFraction*float64(replicaCount))) {
 		return
 	}
 	r.ejectedUntilUs = nowUs + min(localBaseEjectionUs<<min(r.ejections, localMaxDoublings), localMaxEjectionUs)
@@ -153,12 +153,12 @@
 }
 
 // threshold is the evidence that chance alone brings up once in localFalseEjectionIntervalUs, in all replicas of a service together.
-func (l *LocalDetector) threshold(service string, of int) float64 {
-	every := l.attemptIntervalUs[service]
-	if every <= 0 {
+func (l *LocalDetector) threshold(service string, replicaCount int) float64 {
+	intervalUs := l.attemptIntervalUs[service]
+	if intervalUs <= 0 {
 		return localMinThreshold
 	}
-	return max(localMinThreshold, math.Log(float64(localFalseEjectionIntervalUs)/(every*float64(max(of, 1)))))
+	return max(localMinThreshold, math.Log(float64(localFalseEjectionIntervalUs)/(intervalUs*float64(max(replicaCount, 1)))))
 }
 
 // Ejected says that this gateway keeps off a replica now.
@@ -189,14 +189,14 @@
 
 // TakeReport gives what has been counted since it was last asked: attempts by service, and the counts of replicas where
 // something failed or that are on trial.
-func (l *LocalDetector) TakeReport(nowUs int64, onTrial func(replica string) bool) (attempts map[string]int, counts []Counts) {
+func (l *LocalDetector) TakeReport(nowUs int64, onProbation func(replica string) bool) (attempts map[string]int, counts []Counts) {
 	attempts, l.attempts, l.unreportedFailure = l.attempts, map[string]int{}, false
 	for _, id := range slices.Sorted(maps.Keys(l.replicas)) {
 		r := l.replicas[id]
-		if len(r.counts.Failures) > 0 || (r.counts.Successes > 0 && onTrial(id)) {
+		if len(r.counts.Failures) > 0 || (r.counts.Successes > 0 && onProbation(id)) {
 			counts = append(counts, r.counts)
 		}
-		if len(r.counts.Failures) > 0 || onTrial(id) {
+		if len(r.counts.Failures) > 0 || onProbation(id) {
 			r.counts = Counts{Replica: id}
 		}
 		if nowUs-r.lastAttemptUs > localExpiryUs {
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -44,13 +44,13 @@
 	Slow
 	// Inconclusive means that it ended for a reason that is not the replica's.
 	Inconclusive
-	classes
+	classCount
 )
 
-var classNames = [classes]string{"", "good", "connect_refused", "connect_timeout", "reset_fresh", "reset_reused", "silence", "error_answer", "broken_stream", "shed", "slow", "inconclusive"}
+var classNames = [classCount]string{"", "good", "connect_refused", "connect_timeout", "reset_fresh", "reset_reused", "silence", "error_answer", "broken_stream", "shed", "slow", "inconclusive"}
 
 func (c Class) String() string {
-	if c < 0 || c >= classes {
+	if c < 0 || c >= classCount {
 		return ""
 	}
 	return classNames[c]
@@ -69,12 +69,12 @@
 	return Unclassified
 }
 
-// mayBeLoad classes may come of load as well: none of them alone makes a replica dead.
-func (c Class) mayBeLoad() bool { return c == ResponseTimeout || c == Slow || c == Shed }
+// canResultFromLoad classes may come of load as well: none of them alone makes a replica dead.
+func (c Class) canResultFromLoad() bool { return c == ResponseTimeout || c == Slow || c == Shed }
 
 const (
 	// failureClasses is the number of classes that are failures.
-	failureClasses = float64(classes) - 4
+	failureClasses = float64(classCount) - 4
 	// outlierFailureRate is the share of failing attempts that an ill replica is taken to have beyond its service's own.
 	// It is found soon from twice that on, and at about half of it never.
 	outlierFailureRate = 0.2
@@ -89,18 +89,18 @@
 // weight is the logarithm of the likelihood ratio of one outcome: of a replica that fails outlierFailureRate of its
 // attempts in some way on top of its service's own failures, against one that fails as its service does. A way
 // to fail that the whole service shows weighs little.
-func weight(c Class, share float64) float64 {
+func weight(c Class, serviceRate float64) float64 {
 	if c == Success {
 		return math.Log(1 - outlierFailureRate)
 	}
 	if !c.IsFailure() {
 		return 0
 	}
-	least := minFailureRate
-	if c.mayBeLoad() {
-		least = minLoadFailureRate
+	minRate := minFailureRate
+	if c.canResultFromLoad() {
+		minRate = minLoadFailureRate
 	}
-	return min(math.Log(1-outlierFailureRate+outlierFailureRate/failureClasses/max(share, least)), maxWeight)
+	return min(math.Log(1-outlierFailureRate+outlierFailureRate/failureClasses/max(serviceRate, minRate)), maxWeight)
 }
 
 // threshold is the evidence at which a replica is ill. A cumulative sum of log likelihood ratios that never
@@ -137,8 +137,8 @@
 }
 
 // NewerThan says whether this table is newer than another.
-func (t Table) NewerThan(o Table) bool {
-	return t.Epoch > o.Epoch || (t.Epoch == o.Epoch && t.Number > o.Number)
+func (t Table) NewerThan(other Table) bool {
+	return t.Epoch > other.Epoch || (t.Epoch == other.Epoch && t.Number > other.Number)
 }
 
 func (r Verdict) String() string {
@@ -170,7 +170,7 @@
 		if r.Zone != "" && r.Zone != zone {
 			continue
 		}
-		if had, ok := rows[r.Replica]; !ok || r.AllowedPercent < had.AllowedPercent {
+		if existing, ok := rows[r.Replica]; !ok || r.AllowedPercent < existing.AllowedPercent {
 			rows[r.Replica] = r
 		}
 	}
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -10,121 +10,121 @@
 )
 
 const (
-	stepUs    = 10 * clock.Ms
-	reportUs  = 750 * clock.Ms
-	hurriedUs = 250 * clock.Ms
-	newsUs    = 120 * clock.Ms
+	stepUs          = 10 * clock.Ms
+	reportUs        = 750 * clock.Ms
+	failureReportUs = 250 * clock.Ms
+	tableDelayUs    = 120 * clock.Ms
 )
 
 // illness is how one replica treats attempts for a while: Part of those of gateways in Zone, "" for all, or of one
 // Gateway, end as Class.
-type illness struct {
+type injectedFault struct {
 	replica       int
 	class         Class
-	part          float64
+	rate          float64
 	zone, gateway string
 	fromUs, toUs  int64
 	// load: it comes of the calls that the replica gets, and ends while it gets fewer.
-	load bool
+	fromLoad bool
 }
 
-type seat struct {
-	id, zone string
-	local    *LocalDetector
-	toldUs   int64
-	rows     map[string]Verdict
+type simulatedGateway struct {
+	id, zone     string
+	local        *LocalDetector
+	lastReportUs int64
+	rows         map[string]Verdict
 }
 
 // world is gateways that send attempts at an even rate to the replicas of one service, and one controller.
-type world struct {
-	r        *rand.Rand
-	opts     Options
-	replicas []string
-	ills     []illness
-	perS     float64
-	common   map[Class]float64
+type simulation struct {
+	r            *rand.Rand
+	opts         Options
+	replicas     []string
+	faults       []injectedFault
+	attemptsPerS float64
+	baseRates    map[Class]float64
 
-	nowUs   int64
-	seats   []*seat
-	fleet   *Detector
-	tables  []Table
-	news    []int64
-	sent    map[int]int
-	failed  map[int]int
-	outMost int
-	outUs   map[string]int64
+	nowUs           int64
+	gateways        []*simulatedGateway
+	detector        *Detector
+	pendingTables   []Table
+	deliveryTimesUs []int64
+	sent            map[int]int
+	failed          map[int]int
+	maxOut          int
+	outUs           map[string]int64
 	// ejections counts how often each replica went out for some gateways; restricted, how often it got fewer calls.
-	ejections  map[string]int
-	restricted map[string]int
-	lastOut    map[string]bool
-	tellers    int
-	told       int
+	ejections         map[string]int
+	restricted        map[string]int
+	lastOut           map[string]bool
+	reportsWithCounts int
+	reports           int
 	// alter changes a table on its way to the gateways: a planted defect.
-	alter func(Table) Table
+	mutate func(Table) Table
 }
 
-func newWorld(seed int64, gateways, replicas int, perS float64, opts Options) *world {
-	w := &world{r: rand.New(rand.NewSource(seed)), opts: opts, perS: perS, common: map[Class]float64{}, fleet: NewDetector(opts), outUs: map[string]int64{}, ejections: map[string]int{}, restricted: map[string]int{}, lastOut: map[string]bool{}}
+func newSimulation(seed int64, gateways, replicas int, attemptsPerS float64, opts Options) *simulation {
+	w := &simulation{r: rand.New(rand.NewSource(seed)), opts: opts, attemptsPerS: attemptsPerS, baseRates: map[Class]float64{}, detector: NewDetector(opts), outUs: map[string]int64{}, ejections: map[string]int{}, restricted: map[string]int{}, lastOut: map[string]bool{}}
 	for i := range replicas {
 		w.replicas = append(w.replicas, fmt.Sprintf("r%03d", i))
 	}
 	for i := range gateways {
-		w.seats = append(w.seats, &seat{id: fmt.Sprintf("d%02d", i), zone: string(rune('a' + i%3)), local: NewLocalDetector(opts), toldUs: int64(i) * 10 * clock.Ms})
+		w.gateways = append(w.gateways, &simulatedGateway{id: fmt.Sprintf("d%02d", i), zone: string(rune('a' + i%3)), local: NewLocalDetector(opts), lastReportUs: int64(i) * 10 * clock.Ms})
 	}
 	return w
 }
 
-func (w *world) lives(string) string { return "s" }
+func (w *simulation) serviceOf(string) string { return "s" }
 
 // run plays until an hour of the day; from then on sent and failed count anew.
-func (w *world) run(untilUs int64) {
+func (w *simulation) run(untilUs int64) {
 	w.sent, w.failed = map[int]int{}, map[int]int{}
 	for w.nowUs < untilUs {
 		w.nowUs += stepUs
-		attempts := w.perS * float64(stepUs) / 1e6
+		attempts := w.attemptsPerS * float64(stepUs) / 1e6
 		n := int(attempts)
 		if w.r.Float64() < attempts-float64(n) {
 			n++
 		}
 		for range n {
-			w.attempt(w.seats[w.r.Intn(len(w.seats))])
+			w.attempt(w.gateways[w.r.Intn(len(w.gateways))])
 		}
-		for _, s := range w.seats {
-			for len(w.news) > 0 && w.nowUs >= w.news[0] {
-				for _, to := range w.seats {
-					to.rows = w.tables[0].ForZone(to.zone)
+		for _, s := range w.gateways {
+			for len(w.deliveryTimesUs) > 0 && w.nowUs >= w.deliveryTimesUs[0] {
+				for _, to := range w.gateways {
+					to.rows = w.pendingTables[0].ForZone(to.zone)
 				}
-				w.news, w.tables = w.news[1:], w.tables[1:]
+				w.deliveryTimesUs, w.pendingTables = w.deliveryTimesUs[1:], w.pendingTables[1:]
 			}
-			if spanUs := w.nowUs - s.toldUs; spanUs >= reportUs || (s.local.HasUnreportedFailures() && spanUs >= hurriedUs) {
-				s.toldUs = w.nowUs
+			if spanUs := w.nowUs - s.lastReportUs; spanUs >= reportUs || (s.local.HasUnreportedFailures() && spanUs >= failureReportUs) {
+				s.lastReportUs = w.nowUs
 				attempts, counts := s.local.TakeReport(w.nowUs, func(id string) bool { row, on := s.rows[id]; return on && row.AllowedPercent > 0 })
-				w.told++
+				w.reports++
 				if len(counts) > 0 {
-					w.tellers++
+					w.reportsWithCounts++
 				}
-				w.fleet.AddReport(w.nowUs, Report{Gateway: s.id, Zone: s.zone, Attempts: attempts, Counts: counts}, w.lives)
+				w.detector.AddReport(w.nowUs, Report{Gateway: s.id, Zone: s.zone, Attempts: attempts, Counts: counts}, w.serviceOf)
 			}
 		}
-		if w.fleet.Evaluate(w.nowUs, 1, map[string]int{"s": len(w.replicas)}, func(string) bool { return true }) {
-			w.tables, w.news = append(w.tables, w.table()), append(w.news, w.nowUs+newsUs)
+		if w.detector.Evaluate(w.nowUs, 1, map[string]int{"s": len(w.replicas)}, func(string) bool { return true }) {
+			w.pendingTables, w.deliveryTimesUs = append(w.pendingTables, w.table()), append(w.deliveryTimesUs, w.nowUs+tableDelayUs)
 		}
 		if w.nowUs%evaluationIntervalUs == 0 {
-			w.look()
+			w.recordVerdicts()
 		}
 	}
 }
 
 // table is what the gateways are told.
-func (w *world) table() Table {
-	if w.alter == nil {
-		return w.fleet.Table()
+func (w *simulation) table() Table {
+	if w.mutate == nil {
+		return w.detector.Table()
 	}
-	return w.alter(w.fleet.Table())
+	return w.mutate(w.detector.Table())
 }
 
 // look notes who is kept off, and for how long the gateways of how many zones.
-func (w *world) look() {
+func (w *simulation) recordVerdicts() {
 	isOut := map[string]bool{}
 	for _, row := range w.table().Rows {
 		w.restricted[row.Replica]++
@@ -138,9 +138,9 @@
 	}
 	w.lastOut = isOut
 	for _, zone := range []string{"a", "b", "c"} {
-		out := w.table().ForZone(zone)
-		w.outMost = max(w.outMost, len(out))
-		for id, row := range out {
+		restricted := w.table().ForZone(zone)
+		w.maxOut = max(w.maxOut, len(restricted))
+		for id, row := range restricted {
 			if row.AllowedPercent == 0 {
 				w.outUs[id] += evaluationIntervalUs / 3
 			}
@@ -148,7 +148,7 @@
 	}
 }
 
-func (w *world) attempt(s *seat) {
+func (w *simulation) attempt(s *simulatedGateway) {
 	at := w.r.Intn(len(w.replicas))
 	for range 20 {
 		row, on := s.rows[w.replicas[at]]
@@ -159,18 +159,18 @@
 	}
 	class, draw := Success, w.r.Float64()
 	for c := ConnectRefused; c < Inconclusive; c++ {
-		if draw < w.common[c] {
+		if draw < w.baseRates[c] {
 			class = c
 			break
 		}
-		draw -= w.common[c]
+		draw -= w.baseRates[c]
 	}
-	for _, ill := range w.ills {
-		if _, fewer := s.rows[w.replicas[at]]; ill.load && fewer {
+	for _, fault := range w.faults {
+		if _, fewer := s.rows[w.replicas[at]]; fault.fromLoad && fewer {
 			continue
 		}
-		if ill.replica == at && w.nowUs >= ill.fromUs && w.nowUs < ill.toUs && (ill.zone == "" || ill.zone == s.zone) && (ill.gateway == "" || ill.gateway == s.id) && w.r.Float64() < ill.part {
-			class = ill.class
+		if fault.replica == at && w.nowUs >= fault.fromUs && w.nowUs < fault.toUs && (fault.zone == "" || fault.zone == s.zone) && (fault.gateway == "" || fault.gateway == s.id) && w.r.Float64() < fault.rate {
+			class = fault.class
 		}
 	}
 	w.sent[at]++
@@ -180,7 +180,7 @@
 	s.local.Record(w.nowUs, "s", w.replicas[at], class, len(w.replicas))
 }
 
-func (w *world) failures() (n int) {
+func (w *simulation) failures() (n int) {
 	for _, f := range w.failed {
 		n += f
 	}
@@ -194,37 +194,37 @@
 	return n
 }
 
-// fleetSize is a deployment: gateways, replicas, attempts a second.
-type fleetSize struct {
+// deployment is a deployment: gateways, replicas, attempts a second.
+type deployment struct {
 	gateways, replicas int
-	perS               float64
+	attemptsPerS       float64
 }
 
 // sizes are two small deployments and two large ones.
-var sizes = []fleetSize{{3, 9, 60}, {8, 12, 150}, {58, 60, 183}, {63, 140, 850}}
+var deployments = []deployment{{3, 9, 60}, {8, 12, 150}, {58, 60, 183}, {63, 140, 850}}
 
-// checkIll says what is wrong with how a seventh of the replicas is dealt with that fails in one way from
+// checkFault says what is wrong with how a seventh of the replicas is dealt with that fails in one way from
 // 10 s to 25 s: what fails of all attempts in the last 10 s of that, who is out that is well, and who still
 // is 17 s after its end.
-func checkIll(seed int64, gateways, replicas int, perS float64, class Class, part float64, opts Options) (string, float64) {
-	w := newWorld(seed, gateways, replicas, perS, opts)
+func checkFault(seed int64, gateways, replicas int, attemptsPerS float64, class Class, rate float64, opts Options) (string, float64) {
+	w := newSimulation(seed, gateways, replicas, attemptsPerS, opts)
 	ill := max(1, replicas/7)
 	for i := range ill {
-		w.ills = append(w.ills, illness{replica: i, class: class, part: part, fromUs: 10 * clock.Sec, toUs: 25 * clock.Sec})
+		w.faults = append(w.faults, injectedFault{replica: i, class: class, rate: rate, fromUs: 10 * clock.Sec, toUs: 25 * clock.Sec})
 	}
 	w.run(15 * clock.Sec)
 	w.run(25 * clock.Sec)
 	share := float64(w.failures()) / float64(sum(w.sent))
-	alone := part * float64(ill) / float64(replicas)
+	alone := rate * float64(ill) / float64(replicas)
 	w.run(42 * clock.Sec)
 	most := max(1, int(defaultMaxEjectedFraction*float64(replicas)))
 	switch {
 	case share > alone/3:
 		return fmt.Sprintf("%.1f%% of all attempts failed, %.1f%% would without any verdict", 100*share, 100*alone), share
-	case w.outMost > most:
-		return fmt.Sprintf("%d of %d replicas were kept off at once, %d may", w.outMost, replicas, most), share
-	case len(w.fleet.Table().Rows) > 0:
-		return fmt.Sprintf("17 s after they are well again: %v", w.fleet.Table().Rows), share
+	case w.maxOut > most:
+		return fmt.Sprintf("%d of %d replicas were kept off at once, %d may", w.maxOut, replicas, most), share
+	case len(w.detector.Table().Rows) > 0:
+		return fmt.Sprintf("17 s after they are well again: %v", w.detector.Table().Rows), share
 	}
 	for i := ill; i < replicas; i++ {
 		if us := w.outUs[w.replicas[i]]; us > 0 {
@@ -235,13 +235,13 @@
 }
 
 func TestSeededIllReplicasAreTakenOutAndComeBack(t *testing.T) {
-	for _, size := range sizes {
+	for _, size := range deployments {
 		for _, c := range []struct {
 			class Class
 			part  float64
 		}{{ErrorResponse, 0.4}, {ResponseTimeout, 1}, {Slow, 1}} {
 			for seed := range 2 - int64(size.gateways)/50 {
-				wrong, share := checkIll(seed, size.gateways, size.replicas, size.perS, c.class, c.part, Options{})
+				wrong, share := checkFault(seed, size.gateways, size.replicas, size.attemptsPerS, c.class, c.part, Options{})
 				if wrong != "" {
 					t.Errorf("%d gateways, %d replicas, %s, seed %d: %s", size.gateways, size.replicas, c.class, seed, wrong)
 				}
@@ -254,29 +254,29 @@
 	}
 }
 
-// lateReplicas plays a day of 30 s on which an eighth of the replicas shows half of its first pieces late from 5 s on,
+// timeOutPerLateReplica plays a day of 30 s on which an eighth of the replicas shows half of its first pieces late from 5 s on,
 // because of its load or not, and gives for how long each of them was out, in seconds.
-func lateReplicas(size fleetSize, load bool, alter func(Table) Table) float64 {
-	w := newWorld(7, size.gateways, size.replicas, size.perS, Options{})
-	w.alter = alter
-	late := size.replicas / 8
-	for i := range late {
-		w.ills = append(w.ills, illness{replica: i, class: ResponseTimeout, part: 0.5, fromUs: 5 * clock.Sec, toUs: 30 * clock.Sec, load: load})
+func timeOutPerLateReplica(size deployment, fromLoad bool, mutate func(Table) Table) float64 {
+	w := newSimulation(7, size.gateways, size.replicas, size.attemptsPerS, Options{})
+	w.mutate = mutate
+	affected := size.replicas / 8
+	for i := range affected {
+		w.faults = append(w.faults, injectedFault{replica: i, class: ResponseTimeout, rate: 0.5, fromUs: 5 * clock.Sec, toUs: 30 * clock.Sec, fromLoad: fromLoad})
 	}
 	w.run(30 * clock.Sec)
 	outUs := int64(0)
 	for _, us := range w.outUs {
 		outUs += us
 	}
-	return float64(outUs) / 1e6 / float64(late)
+	return float64(outUs) / 1e6 / float64(affected)
 }
 
 // Replicas that are late because of what they are sent were out for seconds, one after the other, up to 32 of 140, while
 // the others got their calls as well. Fewer calls help them; those that are ill stay late.
 func TestWhatLoadExplainsTakesNobodyOut(t *testing.T) {
-	for _, size := range sizes[2:] {
+	for _, size := range deployments[2:] {
 		for _, load := range []bool{true, false} {
-			perReplicaS := lateReplicas(size, load, nil)
+			perReplicaS := timeOutPerLateReplica(size, load, nil)
 			t.Logf("%d gateways, %d replicas, comes of load: %v: out for %.1f s of 25 each", size.gateways, size.replicas, load, perReplicaS)
 			if load && perReplicaS > 1 {
 				t.Errorf("%d gateways: replicas that fewer calls would have helped were out for %.1f s each", size.gateways, perReplicaS)
@@ -288,8 +288,8 @@
 	}
 }
 
-// ejectAtOnce is a detector that knows no relief: whoever would get fewer calls gets none.
-func ejectAtOnce(t Table) Table {
+// ejectWithoutRelief is a detector that knows no relief: whoever would get fewer calls gets none.
+func ejectWithoutRelief(t Table) Table {
 	rows := slices.Clone(t.Rows)
 	for i := range rows {
 		if rows[i].AllowedPercent == probationPercents[len(probationPercents)-1] {
@@ -301,8 +301,8 @@
 }
 
 func TestEjectionWithoutReliefIsCaught(t *testing.T) {
-	for _, size := range sizes[2:] {
-		if perReplicaS := lateReplicas(size, true, ejectAtOnce); perReplicaS <= 1 {
+	for _, size := range deployments[2:] {
+		if perReplicaS := timeOutPerLateReplica(size, true, ejectWithoutRelief); perReplicaS <= 1 {
 			t.Errorf("%d gateways: a detector that ejects at once kept busy replicas out for %.1f s each only", size.gateways, perReplicaS)
 		}
 	}
@@ -312,14 +312,14 @@
 // ejected, how many get all their calls to the end, and what fails of all attempts in the second half of the time.
 func TestSeededFalseAndMissedEjections(t *testing.T) {
 	const fromUs, toUs = 5 * clock.Sec, 15 * clock.Sec
-	for _, size := range sizes[1:] {
+	for _, size := range deployments[1:] {
 		for _, c := range []struct {
-			what       string
-			class      Class
-			part       float64
-			load       bool
-			mostMissed float64
-			mostFailed float64
+			name      string
+			class     Class
+			part      float64
+			load      bool
+			maxMissed float64
+			maxFailed float64
 		}{
 			{"busy", ResponseTimeout, 0.5, true, 1, 0.6},
 			{"grey", ResponseTimeout, 0.5, false, 0.02, 0.5},
@@ -329,14 +329,14 @@
 		} {
 			ejections, missed, late, failed, sent := 0, 0, 0, 0, 0
 			for seed := range int64(4) {
-				w := newWorld(20+seed, size.gateways, size.replicas, size.perS, Options{})
+				w := newSimulation(20+seed, size.gateways, size.replicas, size.attemptsPerS, Options{})
 				for i := range max(1, size.replicas/8) {
-					w.ills = append(w.ills, illness{replica: i, class: c.class, part: c.part, fromUs: fromUs, toUs: toUs, load: c.load})
+					w.faults = append(w.faults, injectedFault{replica: i, class: c.class, rate: c.part, fromUs: fromUs, toUs: toUs, fromLoad: c.load})
 				}
 				w.run((fromUs + toUs) / 2)
 				w.run(toUs)
 				failed, sent = failed+w.failures(), sent+sum(w.sent)
-				for _, ill := range w.ills {
+				for _, ill := range w.faults {
 					id := w.replicas[ill.replica]
 					late++
 					ejections += w.ejections[id]
@@ -349,15 +349,15 @@
 			aloneFailed := c.part * float64(max(1, size.replicas/8)) / float64(size.replicas)
 			failedPart := float64(failed) / float64(sent) / aloneFailed
 			t.Logf("%d gateways, %d replicas, %s: %.2f ejections each (%.0f a day), %.0f%% never found, %.2f of the failures without a detector",
-				size.gateways, size.replicas, c.what, ejectionsEach, ejectionsEach*86400e6/float64(toUs-fromUs), 100*missedPart, failedPart)
+				size.gateways, size.replicas, c.name, ejectionsEach, ejectionsEach*86400e6/float64(toUs-fromUs), 100*missedPart, failedPart)
 			if c.load && ejectionsEach > 0.05 {
 				t.Errorf("%d replicas: busy ones were ejected %.2f times each", size.replicas, ejectionsEach)
 			}
-			if missedPart > c.mostMissed {
-				t.Errorf("%d replicas, %s: %.0f%% were never found", size.replicas, c.what, 100*missedPart)
+			if missedPart > c.maxMissed {
+				t.Errorf("%d replicas, %s: %.0f%% were never found", size.replicas, c.name, 100*missedPart)
 			}
-			if failedPart > c.mostFailed {
-				t.Errorf("%d replicas, %s: %.2f of the failures that there were without a detector", size.replicas, c.what, failedPart)
+			if failedPart > c.maxFailed {
+				t.Errorf("%d replicas, %s: %.2f of the failures that there were without a detector", size.replicas, c.name, failedPart)
 			}
 		}
 	}
@@ -365,7 +365,7 @@
 
 func TestPlantedBreaksOfTheDetectorAreCaught(t *testing.T) {
 	for _, c := range []struct {
-		what string
+		name string
 		opts Options
 		part float64
 	}{
@@ -375,38 +375,38 @@
 	} {
 		caught := 0
 		for seed := range int64(3) {
-			if wrong, _ := checkIll(seed, 8, 12, 150, ErrorResponse, c.part, c.opts); wrong != "" {
+			if wrong, _ := checkFault(seed, 8, 12, 150, ErrorResponse, c.part, c.opts); wrong != "" {
 				caught++
 			}
 		}
 		if caught == 0 {
-			t.Errorf("%s: no seed shows it", c.what)
+			t.Errorf("%s: no seed shows it", c.name)
 		}
 	}
 }
 
 func TestOneBadLinkCondemnsNobody(t *testing.T) {
-	for _, size := range sizes {
-		w := newWorld(5, size.gateways, size.replicas, size.perS, Options{})
+	for _, size := range deployments {
+		w := newSimulation(5, size.gateways, size.replicas, size.attemptsPerS, Options{})
 		for i := range w.replicas {
-			w.ills = append(w.ills, illness{replica: i, class: ResponseTimeout, part: 1, gateway: "d01", toUs: 60 * clock.Sec})
+			w.faults = append(w.faults, injectedFault{replica: i, class: ResponseTimeout, rate: 1, gateway: "d01", toUs: 60 * clock.Sec})
 		}
 		w.run(60 * clock.Sec)
-		if w.outMost > 0 {
-			t.Errorf("%d gateways: one gateway that reaches nobody had %d replicas taken out", size.gateways, w.outMost)
+		if w.maxOut > 0 {
+			t.Errorf("%d gateways: one gateway that reaches nobody had %d replicas taken out", size.gateways, w.maxOut)
 		}
 	}
 }
 
 func TestWhatFailsForOneZoneIsKeptFromThatZone(t *testing.T) {
-	for _, size := range sizes[2:] {
-		w := newWorld(6, size.gateways, size.replicas, size.perS, Options{})
-		w.ills = append(w.ills, illness{replica: 0, class: ErrorResponse, part: 0.5, zone: "b", toUs: 60 * clock.Sec})
+	for _, size := range deployments[2:] {
+		w := newSimulation(6, size.gateways, size.replicas, size.attemptsPerS, Options{})
+		w.faults = append(w.faults, injectedFault{replica: 0, class: ErrorResponse, rate: 0.5, zone: "b", toUs: 60 * clock.Sec})
 		w.run(20 * clock.Sec)
 		seen := map[string]bool{}
 		for range 100 {
 			w.run(w.nowUs + 100*clock.Ms)
-			for _, r := range w.fleet.Table().Rows {
+			for _, r := range w.detector.Table().Rows {
 				seen[r.Replica+" "+r.Zone] = true
 			}
 		}
@@ -418,17 +418,17 @@
 
 // Where most look ill, the cause is not theirs: whatever is held against them, the share holds.
 func TestTheFleetIsNotEmptied(t *testing.T) {
-	for _, size := range sizes {
+	for _, size := range deployments {
 		for _, part := range []float64{0.3, 1} {
-			w := newWorld(7, size.gateways, size.replicas, size.perS, Options{})
+			w := newSimulation(7, size.gateways, size.replicas, size.attemptsPerS, Options{})
 			for i := range w.replicas[:size.replicas*4/5] {
-				w.ills = append(w.ills, illness{replica: i, class: ResponseTimeout, part: part, fromUs: 10 * clock.Sec, toUs: 40 * clock.Sec})
+				w.faults = append(w.faults, injectedFault{replica: i, class: ResponseTimeout, rate: part, fromUs: 10 * clock.Sec, toUs: 40 * clock.Sec})
 			}
 			w.run(60 * clock.Sec)
-			if most := max(1, int(defaultMaxEjectedFraction*float64(size.replicas))); w.outMost > most {
-				t.Errorf("%d of %d were kept off at once", w.outMost, size.replicas)
+			if most := max(1, int(defaultMaxEjectedFraction*float64(size.replicas))); w.maxOut > most {
+				t.Errorf("%d of %d were kept off at once", w.maxOut, size.replicas)
 			}
-			if rows := w.fleet.Table().Rows; len(rows) > 0 {
+			if rows := w.detector.Table().Rows; len(rows) > 0 {
 				t.Errorf("%d replicas: 20 s after its end: %v", size.replicas, rows)
 			}
 		}
@@ -438,7 +438,7 @@
 // The false alarms that docs/design-outlier.md gives: every replica fails alike, at rates up to a fifth.
 func TestSeededFalseAlarms(t *testing.T) {
 	for _, size := range []int{1, 3} {
-		size := sizes[size]
+		size := deployments[size]
 		for _, c := range []struct {
 			class Class
 			part  float64
@@ -446,15 +446,15 @@
 			outUs := int64(0)
 			ms := 0
 			const spanUs = 60 * clock.Sec
-			w := newWorld(8, size.gateways, size.replicas, size.perS, Options{})
-			w.common[c.class] = c.part
+			w := newSimulation(8, size.gateways, size.replicas, size.attemptsPerS, Options{})
+			w.baseRates[c.class] = c.part
 			w.run(spanUs)
 			for _, us := range w.outUs {
 				outUs += us
 				ms++
 			}
 			part := float64(outUs) / float64(spanUs) / float64(size.replicas)
-			t.Logf("%d gateways, %d replicas, all fail %.1f%% by %s: %d were out, %.3f%% of their time; %d of %d reports told of it", size.gateways, size.replicas, 100*c.part, c.class, ms, 100*part, w.tellers, w.told)
+			t.Logf("%d gateways, %d replicas, all fail %.1f%% by %s: %d were out, %.3f%% of their time; %d of %d reports told of it", size.gateways, size.replicas, 100*c.part, c.class, ms, 100*part, w.reportsWithCounts, w.reports)
 			if part > 0.01 {
 				t.Errorf("%d replicas, %s in %.1f%%: sound ones were out for %.2f%% of their time", size.replicas, c.class, 100*c.part, 100*part)
 			}
@@ -463,33 +463,33 @@
 }
 
 func TestASuccessorGoesOnFromTheVerdicts(t *testing.T) {
-	f := NewDetector(Options{})
-	had := Table{Epoch: 4, Number: 9, Rows: []Verdict{{"r1", "", 0, true}, {"r2", "b", 12, false}}}
+	d := NewDetector(Options{})
+	predecessor := Table{Epoch: 4, Number: 9, Rows: []Verdict{{"r1", "", 0, true}, {"r2", "b", 12, false}}}
 	lives := func(string) string { return "s" }
-	f.Inherit(clock.Sec, 5, had, lives)
-	f.Evaluate(clock.Sec, 5, map[string]int{"s": 9}, func(string) bool { return true })
-	now := f.Table()
-	if !now.NewerThan(had) || !slices.Equal(now.Rows, []Verdict{{"r1", "", 0, false}, {"r2", "b", 0, false}}) {
-		t.Errorf("it goes on with %+v", now)
+	d.Inherit(clock.Sec, 5, predecessor, lives)
+	d.Evaluate(clock.Sec, 5, map[string]int{"s": 9}, func(string) bool { return true })
+	got := d.Table()
+	if !got.NewerThan(predecessor) || !slices.Equal(got.Rows, []Verdict{{"r1", "", 0, false}, {"r2", "b", 0, false}}) {
+		t.Errorf("it goes on with %+v", got)
 	}
-	f.Evaluate(clock.Sec+defaultBaseEjectionUs+evaluationIntervalUs, 5, map[string]int{"s": 9}, func(string) bool { return true })
-	if rows := f.Table().Rows; len(rows) != 2 || rows[0].AllowedPercent != probationPercents[0] {
+	d.Evaluate(clock.Sec+defaultBaseEjectionUs+evaluationIntervalUs, 5, map[string]int{"s": 9}, func(string) bool { return true })
+	if rows := d.Table().Rows; len(rows) != 2 || rows[0].AllowedPercent != probationPercents[0] {
 		t.Errorf("after their time out: %v", rows)
 	}
 }
 
 func TestWeights(t *testing.T) {
 	for _, c := range []struct {
-		class     Class
-		share     float64
-		least     float64
-		mostBelow float64
+		class Class
+		share float64
+		least float64
+		below float64
 	}{
 		{Success, 0, -0.23, -0.22}, {Unclassified, 0, 0, 0.001}, {ResetReused, 0, 0, 0.001}, {Inconclusive, 0, 0, 0.001},
 		{ErrorResponse, 0, 2.4, 2.7}, {ErrorResponse, 0.5, -0.3, 0}, {ResponseTimeout, 0.025, 0, 0.7}, {ResponseTimeout, 0, 1.7, 1.8},
 	} {
-		if got := weight(c.class, c.share); got < c.least || got >= c.mostBelow {
-			t.Errorf("%s where the service shows it in %.1f%%: %.3f, want %.2f to %.2f", c.class, 100*c.share, got, c.least, c.mostBelow)
+		if got := weight(c.class, c.share); got < c.least || got >= c.below {
+			t.Errorf("%s where the service shows it in %.1f%%: %.3f, want %.2f to %.2f", c.class, 100*c.share, got, c.least, c.below)
 		}
 	}
 }
