--- a/internal/outlier/baseline.go
+++ b/internal/outlier/baseline.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// serviceStats is the mean that its replicas are judged against.
+// serviceStats holds the attempt counts and failure rates of one service, against which its replicas are compared.
 type serviceStats struct {
 	attempts      map[string]float64
 	recent        [2]float64
@@ -15,7 +15,8 @@
 	attemptsPerS  float64
 }
 
-// rotate begins a new span of counts now and then, and works out the mean anew.
+// rotate starts a new counting window once the current one has lasted rateWindowUs, and updates the service's rate of
+// attempts. The counts of its suspects rotate with it.
 func (s *serviceStats) rotate(nowUs int64, d *Detector) {
 	if s.windowStartUs == 0 {
 		s.windowStartUs = nowUs
@@ -33,7 +34,8 @@
 	}
 }
 
-// updateBaselines sets each service's share of every class over the last spans, without the replicas that fail most.
+// updateBaselines sets each service's rate of every failure class over the current and the previous window. For each class
+// it leaves out the maxEjected replicas that fail most.
 func (d *Detector) updateBaselines() {
 	byService := map[string][]*suspect{}
 	for _, sus := range d.suspects {
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Report is what one gateway tells: Attempts are all that ended since its last, by service; Counts are of replicas
-// where something failed, and of those on trial.
+// Report is what one gateway reports. Attempts counts, by service, all attempts that ended since its previous report. Counts
+// has the outcomes at replicas with failures and at those on probation.
 type Report struct {
 	Gateway  string
 	Zone     string
@@ -14,7 +14,7 @@
 	Counts   []Counts
 }
 
-// Detector folds what all gateways tell, and judges.
+// Detector combines the reports of all gateways and decides which replicas are ejected. It is not safe for concurrent use.
 type Detector struct {
 	opts                Options
 	services            map[string]*serviceStats
@@ -29,12 +29,13 @@
 	ServiceWideFailures uint64
 }
 
-// NewDetector is a fleet of which nothing has been told.
+// NewDetector returns a detector that has received no reports.
 func NewDetector(opts Options) *Detector {
 	return &Detector{opts: opts.withDefaults(), services: map[string]*serviceStats{}, suspects: map[string]*suspect{}, gateways: map[string]int64{}}
 }
 
-// Inherit takes the verdicts of a predecessor as this one's own: whoever was out is tried again in a while.
+// Inherit adopts the verdicts of the predecessor's table in a new epoch. Every replica in the table, also one that was on
+// probation, is ejected for BaseEjectionUs and then goes through probation.
 func (d *Detector) Inherit(nowUs int64, epoch uint64, predecessor Table, serviceOf func(replica string) string) {
 	if predecessor.Epoch >= epoch {
 		epoch = predecessor.Epoch + 1
@@ -48,10 +49,10 @@
 	}
 }
 
-// Table are the verdicts that stand, as Judge left them.
+// Table returns the current verdicts, as of the last call of Evaluate.
 func (d *Detector) Table() Table { return d.table }
 
-// Ejected says that a replica is kept from the gateways of all zones, wholly or in part.
+// Ejected reports whether a replica is ejected or on probation for the gateways of all zones.
 func (d *Detector) Ejected(replica string) bool {
 	s := d.suspects[replica]
 	return s != nil && s.ejections[""].active()
@@ -75,8 +76,8 @@
 	return s
 }
 
-// AddReport folds one gateway's report; serviceStatsOf is "" for a replica that is not known. What a gateway's other attempts at
-// a replica came to is not told: they count as good, as many as the replica's even part of what the gateway sent.
+// AddReport adds one gateway's report; serviceOf returns "" for an unknown replica. Reports leave out the attempts at replicas
+// without failures. These count as successes, on the assumption that the gateway spread its attempts evenly over the replicas.
 func (d *Detector) AddReport(nowUs int64, r Report, serviceOf func(replica string) string) {
 	if len(d.gateways) == 0 {
 		d.firstReportUs = nowUs
--- a/internal/outlier/evaluation.go
+++ b/internal/outlier/evaluation.go
@@ -6,21 +6,21 @@
 	"slices"
 )
 
-// candidate is a replica whose evidence has passed the threshold, for the gateways of one zone or for all.
+// candidate is a replica whose evidence has reached the threshold, for the gateways of one zone or, if zone is "", for all.
 type candidate struct {
 	replica       string
 	zone          string
 	evidenceRatio float64
 	dead          bool
-	// loadMayExplain: too few of its failures are of classes that no load brings about.
+	// loadMayExplain is set where fewer than minDeadFailures failures are of classes that load does not cause.
 	loadMayExplain bool
 }
 
-// Due says whether the verdicts are to be worked out again.
+// Due reports whether evaluationIntervalUs has passed since the last evaluation.
 func (d *Detector) Due(nowUs int64) bool { return nowUs-d.evaluatedUs >= evaluationIntervalUs }
 
-// Evaluate works out the verdicts; replicas counts those of each service that live. It is true where the table
-// is news.
+// Evaluate updates the verdicts if they are due, and reports whether the table is to be published: it has changed, or it is
+// not empty and was last published republishIntervalUs ago. replicas is the number of live replicas by service.
 func (d *Detector) Evaluate(nowUs int64, epoch uint64, replicas map[string]int, isLive func(replica string) bool) bool {
 	if !d.Due(nowUs) {
 		return false
@@ -62,7 +62,7 @@
 	return true
 }
 
-// maxEjected is how many replicas of a service may be out or on trial at once.
+// maxEjected returns how many replicas of a service may be ejected or on probation at once: none of a single one.
 func (d *Detector) maxEjected(s *serviceStats) int {
 	if s.replicas < 2 {
 		return 0
@@ -70,12 +70,14 @@
 	return max(1, int(d.opts.MaxEjectedFraction*float64(s.replicas)))
 }
 
+// threshold returns the evidence that ejects a replica of a service, given the service's rate of attempts per replica.
 func (d *Detector) threshold(s *serviceStats) float64 {
 	rate := max(s.attemptsPerS, s.recent[0]/(float64(rateWindowUs)/1e6))
 	return threshold(rate / float64(max(s.replicas, 1)) * float64(d.opts.FalseEjectionIntervalUs) / 1e6)
 }
 
-// advanceProbation tries those again whose time out is over, and lets those rise who do well.
+// advanceProbation moves a suspect whose ejection has expired to probation, moves one that passed a stage of probation to the
+// next, and ejects one again that fails on probation.
 func (d *Detector) advanceProbation(nowUs int64, sus *suspect) {
 	limit := d.threshold(d.serviceStatsOf(sus.service)) / probationDivisor
 	for zone, v := range sus.ejections {
@@ -107,25 +109,27 @@
 	}
 }
 
+// eject ejects a replica for BaseEjectionUs, doubled for each earlier ejection up to MaxEjectionUs.
 func (d *Detector) eject(nowUs int64, v *ejection, dead bool) {
 	durationUs := min(d.opts.BaseEjectionUs<<min(v.count, 8), d.opts.MaxEjectionUs)
 	*v = ejection{ejected: true, dead: dead, count: v.count + 1, untilUs: nowUs + durationUs}
 }
 
-// relieve lets a replica have the share of the last stage of probation. One that is late because of what it was sent does
-// well then; one that is ill goes on failing, and is ejected for it.
+// relieve reduces a replica's load to the share of the last stage of probation. A replica that was late because of its load
+// recovers; a faulty one continues to fail and is ejected.
 func (d *Detector) relieve(nowUs int64, v *ejection) {
 	*v = ejection{relieved: true, sinceUs: nowUs, count: v.count, stage: len(probationPercents) - 1, untilUs: nowUs + d.opts.MaxEjectionUs}
 }
 
-// reliefFailed says whether fewer calls have not helped a replica lately.
+// reliefFailed reports whether the replica recently kept failing under reduced load: within reliefMemorySpans times
+// MaxEjectionUs.
 func (d *Detector) reliefFailed(nowUs int64, sus *suspect) bool {
 	return sus.reliefFailedUs > 0 && nowUs-sus.reliefFailedUs <= reliefMemorySpans*d.opts.MaxEjectionUs
 }
 
-// ejectSuspects takes out whoever has passed the threshold, the plainest first, within the share that may be out.
-// Where far more have passed than that, what fails is not the replicas: all evidence begins anew, against a
-// mean that by then shows it.
+// ejectSuspects ejects or relieves the replicas whose evidence has reached the threshold, those with the most evidence first,
+// up to maxEjected of each service. More than twice as many candidates mean that the service fails as a whole rather than
+// single replicas: all evidence is then reset, and collected against a baseline that by then includes these failures.
 func (d *Detector) ejectSuspects(nowUs int64) {
 	byService := map[string][]candidate{}
 	for _, id := range slices.Sorted(maps.Keys(d.suspects)) {
@@ -173,7 +177,8 @@
 	}
 }
 
-// countActive counts the replicas of a service that gateways of a zone, or all of them, are kept from.
+// countActive counts the replicas of a service that are ejected or on probation for the gateways of a zone or, if zone is "",
+// for the gateways of any zone.
 func (d *Detector) countActive(service, zone string) int {
 	n := 0
 	for _, sus := range d.suspects {
@@ -190,8 +195,10 @@
 	return n
 }
 
-// evaluateSuspect adds the evidence of gateways. One gateway's weighs no more than a share of the threshold, so that a bad
-// link of one condemns nobody; and what only gateways of one zone found holds for that zone alone.
+// evaluateSuspect sums up the evidence of all gateways and reports whether the replica is a candidate for ejection. One
+// gateway's evidence is capped at the threshold divided by minGateways, so that a bad network link of one gateway ejects no
+// replica; a gateway that has reported alone for singleGatewayUs is exempt. Evidence from gateways of one zone only ejects
+// the replica for that zone only.
 func (d *Detector) evaluateSuspect(id string, sus *suspect) (candidate, bool) {
 	svc := d.serviceStatsOf(sus.service)
 	limit := d.threshold(svc)
@@ -236,6 +243,7 @@
 	return candidate{}, false
 }
 
+// verdicts returns the rows of the table, sorted by replica and zone.
 func (d *Detector) verdicts() []Verdict {
 	rows := []Verdict(nil)
 	for _, id := range slices.Sorted(maps.Keys(d.suspects)) {
--- a/internal/outlier/evidence.go
+++ b/internal/outlier/evidence.go
@@ -5,19 +5,20 @@
 	"slices"
 )
 
-// evidence is what the gateways of one zone hold against one replica: one cumulative sum, and by gateway what they
-// brought to it since it was last nothing, in parts of scale.
+// evidence is the evidence of one zone's gateways against one replica: a cumulative sum (total), and the contribution of each
+// gateway since the sum was last zero. A contribution is the value in byGateway times scale.
 type evidence struct {
 	total     float64
 	scale     float64
 	byGateway map[string]float64
 	attempts  float64
-	// failures failed since the sum was last nothing, of about as many attempts as were sent since fromAttempts.
+	// failures counts the failures since the sum was last zero that load does not cause. The attempts of the same time are the
+	// replica's share of attempts - fromAttempts, which count those of the whole zone at the service.
 	failures     float64
 	fromAttempts float64
 }
 
-// decay takes off what good attempts are worth, from every gateway's part alike.
+// decay subtracts amount, the weight of successful attempts, from the sum, and reduces every gateway's contribution in proportion.
 func (e *evidence) decay(amount float64) {
 	if e.total <= amount {
 		e.total, e.scale, e.failures = 0, 1, 0
@@ -28,8 +29,8 @@
 	e.total -= amount
 }
 
-// decayByTraffic takes off what the zone's other attempts at the replica are worth: nobody tells of them, so that they are
-// as many as its even part of what the zone's gateways sent.
+// decayByTraffic subtracts the weight of the zone's unreported attempts at the replica, which count as successes. Their
+// number is the replica's even share of the attempts that the zone's gateways sent.
 func (e *evidence) decayByTraffic(s *serviceStats, zone string) {
 	e.decay((s.attempts[zone] - e.attempts) / float64(max(s.replicas, 1)) * -weight(Success, 0))
 	e.attempts = s.attempts[zone]
@@ -38,7 +39,7 @@
 	}
 }
 
-// add takes one gateway's report: its good attempts there answer what it said before, not what other gateways say.
+// add adds one gateway's report. Its successes reduce only that gateway's own contribution, which is capped at limit.
 func (e *evidence) add(gateway string, successes int, gain, limit float64) {
 	previous := e.byGateway[gateway] * e.scale
 	updated := min(max(0, previous+float64(successes)*weight(Success, 0))+gain, limit)
@@ -50,7 +51,7 @@
 	}
 }
 
-// cappedTotal is the sum with no gateway's part above most.
+// cappedTotal returns the sum of the gateways' contributions, each capped at limit.
 func (e *evidence) cappedTotal(limit float64) (sum float64) {
 	for _, gateway := range slices.Sorted(maps.Keys(e.byGateway)) {
 		sum += min(e.byGateway[gateway]*e.scale, limit)
@@ -58,27 +59,27 @@
 	return sum
 }
 
-// suspect is what is known against one replica.
+// suspect is the state of one replica with reported failures: its evidence and its ejections, each by zone.
 type suspect struct {
 	service      string
 	zones        map[string]*evidence
 	ejections    map[string]*ejection
 	recent       [2][classCount]float64
 	lastReportUs int64
-	// reliefFailedUs is when it last failed with fewer calls as well, so that load does not explain it; 0 if it never did.
+	// reliefFailedUs is when the replica last failed under reduced load, so that load does not explain its failures; 0 if never.
 	reliefFailedUs int64
 }
 
-// ejection is what stands against one replica for the gateways of one zone, or of all: it is ejected, on probation, or
-// cleared and remembered.
+// ejection is the state of one replica for the gateways of one zone, or of all: it is ejected, on probation, or cleared. A
+// cleared one is kept for a while, so that the next ejection lasts longer.
 type ejection struct {
 	ejected bool
 	dead    bool
-	// relieved is probation that no ejection went before: load may explain what failed, so that fewer calls come first.
+	// relieved marks a probation that follows no ejection: load may explain the failures, so that load is reduced first.
 	relieved bool
 	// sinceUs is when the relief began.
 	sinceUs int64
-	// untilUs ends the ejection, or the stage of probation.
+	// untilUs is the end of the ejection or of the stage of probation.
 	untilUs       int64
 	stage         int
 	successes     int
@@ -87,18 +88,19 @@
 	clearedUs     int64
 }
 
+// active reports whether the replica is ejected or on probation. It is false for nil.
 func (v *ejection) active() bool { return v != nil && v.clearedUs == 0 }
 
-// onProbation: it gets a part of its calls, and what becomes of them decides.
+// onProbation reports whether the replica gets a part of its calls, whose outcomes decide whether it is ejected again.
 func (v *ejection) onProbation() bool { return v.active() && !v.ejected }
 
-// settling: calls from before the relief may still be told of as late, whatever the replica does now.
+// settling reports whether calls from before the relief may still be reported as late, whatever the replica does now.
 func (v *ejection) settling(nowUs int64) bool {
 	return v.relieved && nowUs-v.sinceUs < reliefSettleUs
 }
 
-// addProbation takes what became of a replica's calls on probation: the weight of its failures, and that of those of
-// them that load may explain apart.
+// addProbation adds the outcomes of calls on probation. gain is the weight of the failures that load does not cause, loadGain
+// that of the others; successes and loadGain don't count while a relief settles.
 func (v *ejection) addProbation(nowUs int64, successes int, gain, loadGain float64) {
 	v.failureWeight += gain
 	if v.settling(nowUs) {
@@ -108,7 +110,8 @@
 	v.failureWeight += loadGain
 }
 
-// passedStage says whether a stage of probation went well. A relief lasts until enough calls have shown that it helps.
+// passedStage reports whether a stage of probation is passed: by probationSuccesses successes or, except for a relief, by a
+// stage without failures. A relief needs enough successes to show that it helps.
 func (v *ejection) passedStage(nowUs int64) bool {
 	if v.successes >= probationSuccesses {
 		return true
--- a/internal/outlier/local_detector.go
+++ b/internal/outlier/local_detector.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// localFalseEjectionIntervalUs is the time in which one gateway may eject one replica of a service by chance once.
+	// localFalseEjectionIntervalUs is the time in which one gateway may eject one replica of a service once by chance.
 	localFalseEjectionIntervalUs = 60 * clock.Sec
 	// localBaseEjectionUs is how long the first ejection lasts; it doubles up to localMaxEjectionUs.
 	localBaseEjectionUs = 1 * clock.Sec
 	localMaxEjectionUs  = 8 * clock.Sec
-	// localMinThreshold is the least evidence that ejects.
+	// localMinThreshold is the lower bound of the evidence that ejects a replica.
 	localMinThreshold = 2.0
 	// localRateAttempts is the number of attempts over which a service's failure rates are smoothed.
 	localRateAttempts = 512.0
-	// localIntervalAttempts is the number of attempts over which the time between two is smoothed.
+	// localIntervalAttempts is the number of attempts over which the interval between attempts is smoothed.
 	localIntervalAttempts = 64
-	// localMaxDoublings is how often the time out doubles at the most.
+	// localMaxDoublings is how many times the duration of an ejection doubles at most.
 	localMaxDoublings = 4
 	// localMaxSuccesses bounds the successes that one report counts for a replica.
 	localMaxSuccesses = 128
-	// localExpiryUs is how long a replica is remembered that nothing was sent to.
+	// localExpiryUs is how long a replica is kept after its last attempt.
 	localExpiryUs = 30 * clock.Sec
 )
 
@@ -38,13 +38,13 @@
 	counts         Counts
 }
 
-// LocalDetector is one gateway's own sight of replicas: it keeps off those that failed it for a moment, whatever the
-// cause, and counts what the controller is told.
+// LocalDetector is the outlier detector of one gateway. It ejects replicas that fail this gateway's attempts, for seconds and
+// whatever the cause, and counts the outcomes that are reported to the controller.
 type LocalDetector struct {
 	opts     Options
 	replicas map[string]*localReplica
 	attempts map[string]int
-	// failureRates is of each service's classes over about localRateAttempts attempts, all replicas together.
+	// failureRates has the smoothed rate of each class by service, over about localRateAttempts attempts at all its replicas.
 	failureRates      map[string]*[classCount]float64
 	attemptIntervalUs map[string]float64
 	lastAttemptUs     map[string]int64
@@ -52,7 +52,7 @@
 	anyEjectedUntilUs int64
 }
 
-// NewLocalDetector is the sight of a gateway that has sent nothing.
+// NewLocalDetector returns a detector that has recorded no attempts.
 func NewLocalDetector(opts Options) *LocalDetector {
 	return &LocalDetector{
 		opts: opts.withDefaults(), replicas: map[string]*localReplica{}, attempts: map[string]int{}, failureRates: map[string]*[classCount]float64{},
@@ -60,8 +60,8 @@
 	}
 }
 
-// Record takes what became of an attempt. Of is how many replicas the service has; repeated evidence against one
-// keeps this gateway off it for a time that doubles, and a good attempt ends it.
+// Record records the outcome of an attempt; replicaCount is the number of replicas of the service. Enough evidence ejects the
+// replica for this gateway, for a time that doubles with each further ejection. A success after that time resets it.
 func (l *LocalDetector) Record(nowUs int64, service, replica string, class Class, replicaCount int) {
 	if class != Success && !class.IsFailure() {
 		return
@@ -83,7 +83,7 @@
 	l.eject(nowUs, service, r, replicaCount)
 }
 
-// replica is one replica as this gateway sees it.
+// replica returns the state of a replica, which it creates if there is none.
 func (l *LocalDetector) replica(service, id string) *localReplica {
 	r := l.replicas[id]
 	if r == nil {
@@ -93,8 +93,8 @@
 	return r
 }
 
-// score gives the weight of an attempt's outcome against the mean of its service as it was before, and takes it
-// into the mean.
+// score returns the weight of an attempt's outcome relative to the failure rates of its service, and then updates these rates
+// with the outcome.
 func (l *LocalDetector) score(service string, class Class) float64 {
 	rates := l.failureRates[service]
 	if rates == nil {
@@ -112,7 +112,7 @@
 	return gain
 }
 
-// recordInterval smooths the time between two attempts of a service.
+// recordInterval updates the smoothed interval between attempts at a service.
 func (l *LocalDetector) recordInterval(nowUs int64, service string) {
 	if lastUs := l.lastAttemptUs[service]; lastUs > 0 {
 		l.attemptIntervalUs[service] += (float64(nowUs-lastUs) - l.attemptIntervalUs[service]) / localIntervalAttempts
@@ -120,7 +120,7 @@
 	l.lastAttemptUs[service] = nowUs
 }
 
-// recordSuccess counts a good attempt; it ends the time out once that is over.
+// recordSuccess counts a successful attempt. Once the ejection has expired, a success resets the number of ejections.
 func (r *localReplica) recordSuccess(nowUs int64) {
 	r.counts.Successes = min(r.counts.Successes+1, localMaxSuccesses)
 	if nowUs >= r.ejectedUntilUs {
@@ -128,7 +128,7 @@
 	}
 }
 
-// recordFailure counts an attempt that failed.
+// recordFailure counts a failed attempt by its class.
 func (r *localReplica) recordFailure(class Class) {
 	if r.counts.Failures == nil {
 		r.counts.Failures = map[string]int{}
@@ -136,8 +136,8 @@
 	r.counts.Failures[class.String()]++
 }
 
-// eject keeps this gateway off a replica where the evidence against it is enough, unless too many others of its
-// service are out already.
+// eject ejects a replica for this gateway if the evidence has reached the threshold, unless too many other replicas of its
+// service are ejected already.
 func (l *LocalDetector) eject(nowUs int64, service string, r *localReplica, replicaCount int) {
 	limit := l.threshold(service, replicaCount)
 	if r.evidence < limit || replicaCount <= 1 {
@@ -152,7 +152,7 @@
 	l.anyEjectedUntilUs = max(l.anyEjectedUntilUs, r.ejectedUntilUs)
 }
 
-// threshold is the evidence that chance alone brings up once in localFalseEjectionIntervalUs, in all replicas of a service together.
+// threshold returns the evidence that chance alone produces once in localFalseEjectionIntervalUs over all replicas of a service.
 func (l *LocalDetector) threshold(service string, replicaCount int) float64 {
 	intervalUs := l.attemptIntervalUs[service]
 	if intervalUs <= 0 {
@@ -161,7 +161,7 @@
 	return max(localMinThreshold, math.Log(float64(localFalseEjectionIntervalUs)/(intervalUs*float64(max(replicaCount, 1)))))
 }
 
-// Ejected says that this gateway keeps off a replica now.
+// Ejected reports whether a replica is ejected for this gateway.
 func (l *LocalDetector) Ejected(nowUs int64, replica string) bool {
 	if nowUs >= l.anyEjectedUntilUs {
 		return false
@@ -170,10 +170,10 @@
 	return r != nil && nowUs < r.ejectedUntilUs
 }
 
-// AnyEjected says that this gateway keeps off some replica now.
+// AnyEjected reports whether any replica may be ejected for this gateway.
 func (l *LocalDetector) AnyEjected(nowUs int64) bool { return nowUs < l.anyEjectedUntilUs }
 
-// countEjected counts the replicas of a service that this gateway keeps off now.
+// countEjected counts the replicas of a service that are ejected for this gateway.
 func (l *LocalDetector) countEjected(nowUs int64, service string) int {
 	n := 0
 	for _, r := range l.replicas {
@@ -184,11 +184,12 @@
 	return n
 }
 
-// HasUnreportedFailures is true where something failed outright that has not been told.
+// HasUnreportedFailures reports whether an attempt failed since the last report, other than by Shed or Slow. It is always
+// false if the options disable ejection.
 func (l *LocalDetector) HasUnreportedFailures() bool { return l.unreportedFailure }
 
-// TakeReport gives what has been counted since it was last asked: attempts by service, and the counts of replicas where
-// something failed or that are on trial.
+// TakeReport returns the attempts by service since the last call, and the counts of replicas that have failures or, on
+// probation, successes. It resets what it returns.
 func (l *LocalDetector) TakeReport(nowUs int64, onProbation func(replica string) bool) (attempts map[string]int, counts []Counts) {
 	attempts, l.attempts, l.unreportedFailure = l.attempts, map[string]int{}, false
 	for _, id := range slices.Sorted(maps.Keys(l.replicas)) {
--- a/internal/outlier/options.go
+++ b/internal/outlier/options.go
@@ -2,22 +2,23 @@
 
 import "petreltide/internal/process/clock"
 
-// Options bound the verdicts. All may be left out.
+// Options configures detection. A zero field stands for its default.
 type Options struct {
-	// MaxEjectedFraction of a service's replicas may be out or on trial at once. The same share of those that fail
-	// most is left out of the service's own mean, so that a few ill ones do not hide among themselves.
+	// MaxEjectedFraction is the fraction of a service's replicas that may be ejected or on probation at once. The same fraction,
+	// of the replicas that fail most, is left out of the service's baseline, so that a few faulty replicas don't raise the
+	// baseline that they are compared with.
 	MaxEjectedFraction float64
-	// FalseEjectionIntervalUs is the time in which one sound replica may be suspected once for nothing.
+	// FalseEjectionIntervalUs is the time in which one healthy replica may be ejected once by chance.
 	FalseEjectionIntervalUs int64
-	// BaseEjectionUs is how long a replica stays out the first time; it doubles up to MaxEjectionUs.
+	// BaseEjectionUs is how long a first ejection lasts. The time doubles with each further ejection, up to MaxEjectionUs.
 	BaseEjectionUs int64
 	MaxEjectionUs  int64
-	// Disabled takes evidence and judges nobody.
+	// Disabled collects evidence without ejecting any replica.
 	Disabled bool
 }
 
 const (
-	// defaultMaxEjectedFraction and the next three stand for options that are left out.
+	// defaultMaxEjectedFraction and the next three are the defaults of Options.
 	defaultMaxEjectedFraction      = 0.25
 	defaultFalseEjectionIntervalUs = 600 * clock.Sec
 	defaultBaseEjectionUs          = 2 * clock.Sec
@@ -30,28 +31,29 @@
 	probationStageUs = 2 * clock.Sec
 	// baselineIntervalUs is the time between two updates of the services' own failure rates.
 	baselineIntervalUs = 500 * clock.Ms
-	// reliefSettleUs is how long calls from before a relief may still be told of as late.
+	// reliefSettleUs is how long after the start of a relief earlier calls may still be reported as late.
 	reliefSettleUs = 1 * clock.Sec
-	// reliefMemorySpans is how long a relief that did not help is remembered, in spans of the longest ejection.
+	// reliefMemorySpans is how long a relief that did not help is remembered, in multiples of MaxEjectionUs.
 	reliefMemorySpans = 4
 	// probationSuccesses is how many successes end a stage of probation.
 	probationSuccesses = 8
-	// republishIntervalUs is when an unchanged table is published again, for gateways that missed it.
+	// republishIntervalUs is the time after which an unchanged table is published again, for gateways that missed it.
 	republishIntervalUs = 10 * clock.Sec
-	// expiryUs is how long gateways and suspects are remembered that nothing is reported of.
+	// expiryUs is how long gateways and suspects are kept after the last report from or about them.
 	expiryUs = 60 * clock.Sec
-	// minGateways must hold something against a replica before it is ill, where there are as many.
+	// minGateways is the number of gateways that must have evidence against a replica to eject it, unless only one reports.
 	minGateways = 2
 	// singleGatewayUs is how long one gateway must have reported alone before it may eject without another.
 	singleGatewayUs = 10 * clock.Sec
-	// probationDivisor is the part of the threshold that sends one on trial out again: it was ill a moment ago.
+	// probationDivisor divides the threshold for a replica on probation, which failed a moment ago and is ejected again sooner.
 	probationDivisor = 4
-	// deadFailureFraction of the attempts at a replica must have failed, and minDeadFailures of them, for it to be taken as dead.
+	// deadFailureFraction is the fraction of attempts, and minDeadFailures the number, that must have failed for a replica to be
+	// marked dead.
 	deadFailureFraction = 0.7
 	minDeadFailures     = 3
 )
 
-// probationPercents are the shares, in 100, by which a replica comes back.
+// probationPercents has the percentage of its calls that a replica gets in each stage of probation.
 var probationPercents = []int{3, 12, 40}
 
 func (o Options) withDefaults() Options {
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -16,18 +16,19 @@
 	tableDelayUs    = 120 * clock.Ms
 )
 
-// illness is how one replica treats attempts for a while: Part of those of gateways in Zone, "" for all, or of one
-// Gateway, end as Class.
+// injectedFault makes attempts at one replica fail from fromUs to toUs: the fraction rate of the attempts of gateways in zone
+// ("" for all), or of one gateway, ends as class.
 type injectedFault struct {
 	replica       int
 	class         Class
 	rate          float64
 	zone, gateway string
 	fromUs, toUs  int64
-	// load: it comes of the calls that the replica gets, and ends while it gets fewer.
+	// fromLoad marks a fault that the replica's load causes; it pauses while the replica gets fewer calls.
 	fromLoad bool
 }
 
+// simulatedGateway is a gateway with its local detector and the verdicts that it has received.
 type simulatedGateway struct {
 	id, zone     string
 	local        *LocalDetector
@@ -35,7 +36,7 @@
 	rows         map[string]Verdict
 }
 
-// world is gateways that send attempts at an even rate to the replicas of one service, and one controller.
+// world has gateways that send attempts at a constant rate to the replicas of one service, and one controller.
 type simulation struct {
 	r            *rand.Rand
 	opts         Options
@@ -53,13 +54,13 @@
 	failed          map[int]int
 	maxOut          int
 	outUs           map[string]int64
-	// ejections counts how often each replica went out for some gateways; restricted, how often it got fewer calls.
+	// ejections counts how many times each replica was ejected for some gateways; restricted, at how many evaluations it had a verdict.
 	ejections         map[string]int
 	restricted        map[string]int
 	lastOut           map[string]bool
 	reportsWithCounts int
 	reports           int
-	// alter changes a table on its way to the gateways: a planted defect.
+	// alter changes a table on its way to the gateways: a mutation of the detector.
 	mutate func(Table) Table
 }
 
@@ -76,7 +77,7 @@
 
 func (w *simulation) serviceOf(string) string { return "s" }
 
-// run plays until an hour of the day; from then on sent and failed count anew.
+// run simulates until untilUs. It first resets sent and failed.
 func (w *simulation) run(untilUs int64) {
 	w.sent, w.failed = map[int]int{}, map[int]int{}
 	for w.nowUs < untilUs {
@@ -115,7 +116,7 @@
 	}
 }
 
-// table is what the gateways are told.
+// table returns the table that is sent to the gateways.
 func (w *simulation) table() Table {
 	if w.mutate == nil {
 		return w.detector.Table()
@@ -123,7 +124,7 @@
 	return w.mutate(w.detector.Table())
 }
 
-// look notes who is kept off, and for how long the gateways of how many zones.
+// recordVerdicts records which replicas are restricted, and for how long they are ejected, averaged over the zones.
 func (w *simulation) recordVerdicts() {
 	isOut := map[string]bool{}
 	for _, row := range w.table().Rows {
@@ -138,9 +139,9 @@
 	}
 	w.lastOut = isOut
 	for _, zone := range []string{"a", "b", "c"} {
-		restricted := w.table().ForZone(zone)
-		w.maxOut = max(w.maxOut, len(restricted))
-		for id, row := range restricted {
+		verdicts := w.table().ForZone(zone)
+		w.maxOut = max(w.maxOut, len(verdicts))
+		for id, row := range verdicts {
 			if row.AllowedPercent == 0 {
 				w.outUs[id] += evaluationIntervalUs / 3
 			}
@@ -194,47 +195,50 @@
 	return n
 }
 
-// deployment is a deployment: gateways, replicas, attempts a second.
+// deployment is the size of a simulated system: gateways, replicas, and attempts per second.
 type deployment struct {
 	gateways, replicas int
 	attemptsPerS       float64
 }
 
-// sizes are two small deployments and two large ones.
+// deployments has two small deployments and two large ones.
 var deployments = []deployment{{3, 9, 60}, {8, 12, 150}, {58, 60, 183}, {63, 140, 850}}
 
-// checkFault says what is wrong with how a seventh of the replicas is dealt with that fails in one way from
-// 10 s to 25 s: what fails of all attempts in the last 10 s of that, who is out that is well, and who still
-// is 17 s after its end.
+// checkFault makes a seventh of the replicas fail in one way from 10 s to 25 s. It returns a description of what is wrong, "" if
+// nothing is, and the fraction of all attempts that failed in the last 10 s of the fault. It checks:
+//  1. that fraction;
+//  2. the number of replicas that were restricted at once;
+//  3. that no verdict is left 17 s after the fault;
+//  4. that no healthy replica was ejected.
 func checkFault(seed int64, gateways, replicas int, attemptsPerS float64, class Class, rate float64, opts Options) (string, float64) {
 	w := newSimulation(seed, gateways, replicas, attemptsPerS, opts)
-	ill := max(1, replicas/7)
-	for i := range ill {
+	faulty := max(1, replicas/7)
+	for i := range faulty {
 		w.faults = append(w.faults, injectedFault{replica: i, class: class, rate: rate, fromUs: 10 * clock.Sec, toUs: 25 * clock.Sec})
 	}
 	w.run(15 * clock.Sec)
 	w.run(25 * clock.Sec)
 	share := float64(w.failures()) / float64(sum(w.sent))
-	alone := rate * float64(ill) / float64(replicas)
+	alone := rate * float64(faulty) / float64(replicas)
 	w.run(42 * clock.Sec)
 	most := max(1, int(defaultMaxEjectedFraction*float64(replicas)))
 	switch {
 	case share > alone/3:
-		return fmt.Sprintf("%.1f%% of all attempts failed, %.1f%% would without any verdict", 100*share, 100*alone), share
+		return fmt.Sprintf("%.1f%% of all attempts failed, %.1f%% would fail without ejection", 100*share, 100*alone), share
 	case w.maxOut > most:
-		return fmt.Sprintf("%d of %d replicas were kept off at once, %d may", w.maxOut, replicas, most), share
+		return fmt.Sprintf("%d of %d replicas were restricted at once, want at most %d", w.maxOut, replicas, most), share
 	case len(w.detector.Table().Rows) > 0:
-		return fmt.Sprintf("17 s after they are well again: %v", w.detector.Table().Rows), share
+		return fmt.Sprintf("17 s after the end of the fault: got verdicts %v, want none", w.detector.Table().Rows), share
 	}
-	for i := ill; i < replicas; i++ {
+	for i := faulty; i < replicas; i++ {
 		if us := w.outUs[w.replicas[i]]; us > 0 {
-			return fmt.Sprintf("%s was out for %d ms and is well", w.replicas[i], us/1000), share
+			return fmt.Sprintf("healthy replica %s was ejected for %d ms", w.replicas[i], us/1000), share
 		}
 	}
 	return "", share
 }
 
-func TestSeededIllReplicasAreTakenOutAndComeBack(t *testing.T) {
+func TestSeededFaultyReplicasAreEjectedAndReturn(t *testing.T) {
 	for _, size := range deployments {
 		for _, c := range []struct {
 			class Class
@@ -246,7 +250,7 @@
 					t.Errorf("%d gateways, %d replicas, %s, seed %d: %s", size.gateways, size.replicas, c.class, seed, wrong)
 				}
 				if seed == 0 {
-					t.Logf("%d gateways, %d replicas, %s for %.0f%%: %.2f%% of all attempts failed, %.2f%% without", size.gateways, size.replicas, c.class, 100*c.part, 100*share,
+					t.Logf("%d gateways, %d replicas, %s for %.0f%%: %.2f%% of all attempts failed, %.2f%% would without ejection", size.gateways, size.replicas, c.class, 100*c.part, 100*share,
 						100*c.part*float64(max(1, size.replicas/7))/float64(size.replicas))
 				}
 			}
@@ -254,8 +258,8 @@
 	}
 }
 
-// timeOutPerLateReplica plays a day of 30 s on which an eighth of the replicas shows half of its first pieces late from 5 s on,
-// because of its load or not, and gives for how long each of them was out, in seconds.
+// timeOutPerLateReplica simulates 30 s in which, from 5 s on, an eighth of the replicas sends half of its first bytes late,
+// because of its load or not. It returns for how many seconds each of them was ejected on average.
 func timeOutPerLateReplica(size deployment, fromLoad bool, mutate func(Table) Table) float64 {
 	w := newSimulation(7, size.gateways, size.replicas, size.attemptsPerS, Options{})
 	w.mutate = mutate
@@ -271,24 +275,24 @@
 	return float64(outUs) / 1e6 / float64(affected)
 }
 
-// Replicas that are late because of what they are sent were out for seconds, one after the other, up to 32 of 140, while
-// the others got their calls as well. Fewer calls help them; those that are ill stay late.
-func TestWhatLoadExplainsTakesNobodyOut(t *testing.T) {
+// Guards against ejecting replicas that are late only because of their load: they were ejected for seconds, one after the
+// other, up to 32 of 140, while the others got their calls as well. Fewer calls help them, but not a faulty replica.
+func TestReplicasLateFromLoadAreNotEjected(t *testing.T) {
 	for _, size := range deployments[2:] {
 		for _, load := range []bool{true, false} {
 			perReplicaS := timeOutPerLateReplica(size, load, nil)
-			t.Logf("%d gateways, %d replicas, comes of load: %v: out for %.1f s of 25 each", size.gateways, size.replicas, load, perReplicaS)
+			t.Logf("%d gateways, %d replicas, late from load: %v: each ejected for %.1f s of 25", size.gateways, size.replicas, load, perReplicaS)
 			if load && perReplicaS > 1 {
-				t.Errorf("%d gateways: replicas that fewer calls would have helped were out for %.1f s each", size.gateways, perReplicaS)
+				t.Errorf("%d gateways: replicas late from load were ejected for %.1f s each, want at most 1", size.gateways, perReplicaS)
 			}
 			if !load && perReplicaS < 3 {
-				t.Errorf("%d gateways: replicas that are ill were out for %.1f s each only", size.gateways, perReplicaS)
+				t.Errorf("%d gateways: faulty replicas were ejected for %.1f s each, want at least 3", size.gateways, perReplicaS)
 			}
 		}
 	}
 }
 
-// ejectWithoutRelief is a detector that knows no relief: whoever would get fewer calls gets none.
+// ejectWithoutRelief is a mutation: a replica that would get the share of a relief gets no calls at all.
 func ejectWithoutRelief(t Table) Table {
 	rows := slices.Clone(t.Rows)
 	for i := range rows {
@@ -300,16 +304,16 @@
 	return t
 }
 
-func TestEjectionWithoutReliefIsCaught(t *testing.T) {
+func TestEjectionWithoutReliefIsDetected(t *testing.T) {
 	for _, size := range deployments[2:] {
 		if perReplicaS := timeOutPerLateReplica(size, true, ejectWithoutRelief); perReplicaS <= 1 {
-			t.Errorf("%d gateways: a detector that ejects at once kept busy replicas out for %.1f s each only", size.gateways, perReplicaS)
+			t.Errorf("%d gateways: mutation without relief not detected: busy replicas were ejected for %.1f s each, want more than 1", size.gateways, perReplicaS)
 		}
 	}
 }
 
-// The rates of errors that docs/design-outlier.md gives, of 10 s in which an eighth of the replicas fails: how often one is
-// ejected, how many get all their calls to the end, and what fails of all attempts in the second half of the time.
+// Measures the error rates that docs/design-outlier.md gives, over 10 s in which an eighth of the replicas fails: how often a
+// replica is ejected, how many are never restricted, and which fraction of all attempts fails in the second half of the time.
 func TestSeededFalseAndMissedEjections(t *testing.T) {
 	const fromUs, toUs = 5 * clock.Sec, 15 * clock.Sec
 	for _, size := range deployments[1:] {
@@ -322,8 +326,8 @@
 			maxFailed float64
 		}{
 			{"busy", ResponseTimeout, 0.5, true, 1, 0.6},
-			{"grey", ResponseTimeout, 0.5, false, 0.02, 0.5},
-			{"mute", ResponseTimeout, 1, false, 0, 0.2},
+			{"late", ResponseTimeout, 0.5, false, 0.02, 0.5},
+			{"unresponsive", ResponseTimeout, 1, false, 0, 0.2},
 			{"slow", Slow, 1, false, 0, 0.3},
 			{"failing", ErrorResponse, 0.4, false, 0.02, 0.4},
 		} {
@@ -336,8 +340,8 @@
 				w.run((fromUs + toUs) / 2)
 				w.run(toUs)
 				failed, sent = failed+w.failures(), sent+sum(w.sent)
-				for _, ill := range w.faults {
-					id := w.replicas[ill.replica]
+				for _, fault := range w.faults {
+					id := w.replicas[fault.replica]
 					late++
 					ejections += w.ejections[id]
 					if w.restricted[id] == 0 {
@@ -348,30 +352,30 @@
 			ejectionsEach, missedPart := float64(ejections)/float64(late), float64(missed)/float64(late)
 			aloneFailed := c.part * float64(max(1, size.replicas/8)) / float64(size.replicas)
 			failedPart := float64(failed) / float64(sent) / aloneFailed
-			t.Logf("%d gateways, %d replicas, %s: %.2f ejections each (%.0f a day), %.0f%% never found, %.2f of the failures without a detector",
+			t.Logf("%d gateways, %d replicas, %s: %.2f ejections each (%.0f a day), %.0f%% never detected, %.2f of the failures without a detector",
 				size.gateways, size.replicas, c.name, ejectionsEach, ejectionsEach*86400e6/float64(toUs-fromUs), 100*missedPart, failedPart)
 			if c.load && ejectionsEach > 0.05 {
-				t.Errorf("%d replicas: busy ones were ejected %.2f times each", size.replicas, ejectionsEach)
+				t.Errorf("%d replicas: busy ones were ejected %.2f times each, want at most 0.05", size.replicas, ejectionsEach)
 			}
 			if missedPart > c.maxMissed {
-				t.Errorf("%d replicas, %s: %.0f%% were never found", size.replicas, c.name, 100*missedPart)
+				t.Errorf("%d replicas, %s: %.0f%% were never detected, want at most %.0f%%", size.replicas, c.name, 100*missedPart, 100*c.maxMissed)
 			}
 			if failedPart > c.maxFailed {
-				t.Errorf("%d replicas, %s: %.2f of the failures that there were without a detector", size.replicas, c.name, failedPart)
+				t.Errorf("%d replicas, %s: got %.2f of the failures without a detector, want at most %.2f", size.replicas, c.name, failedPart, c.maxFailed)
 			}
 		}
 	}
 }
 
-func TestPlantedBreaksOfTheDetectorAreCaught(t *testing.T) {
+func TestDetectorMutationsAreDetected(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		opts Options
 		part float64
 	}{
-		{"it judges nobody", Options{Disabled: true}, 0.4},
-		{"a replica that is out stays out", Options{BaseEjectionUs: 3600 * clock.Sec, MaxEjectionUs: 3600 * clock.Sec}, 0.4},
-		{"it suspects on anything", Options{FalseEjectionIntervalUs: 1, MaxEjectedFraction: 1}, 0.01},
+		{"ejects no replica", Options{Disabled: true}, 0.4},
+		{"ejections do not expire", Options{BaseEjectionUs: 3600 * clock.Sec, MaxEjectionUs: 3600 * clock.Sec}, 0.4},
+		{"ejects on any failure", Options{FalseEjectionIntervalUs: 1, MaxEjectedFraction: 1}, 0.01},
 	} {
 		caught := 0
 		for seed := range int64(3) {
@@ -380,12 +384,12 @@
 			}
 		}
 		if caught == 0 {
-			t.Errorf("%s: no seed shows it", c.name)
+			t.Errorf("mutation %q: not detected with any seed", c.name)
 		}
 	}
 }
 
-func TestOneBadLinkCondemnsNobody(t *testing.T) {
+func TestBadLinkOfOneGatewayEjectsNoReplica(t *testing.T) {
 	for _, size := range deployments {
 		w := newSimulation(5, size.gateways, size.replicas, size.attemptsPerS, Options{})
 		for i := range w.replicas {
@@ -393,12 +397,12 @@
 		}
 		w.run(60 * clock.Sec)
 		if w.maxOut > 0 {
-			t.Errorf("%d gateways: one gateway that reaches nobody had %d replicas taken out", size.gateways, w.maxOut)
+			t.Errorf("%d gateways: one gateway that reaches no replica had %d replicas restricted, want 0", size.gateways, w.maxOut)
 		}
 	}
 }
 
-func TestWhatFailsForOneZoneIsKeptFromThatZone(t *testing.T) {
+func TestFailuresInOneZoneEjectForThatZoneOnly(t *testing.T) {
 	for _, size := range deployments[2:] {
 		w := newSimulation(6, size.gateways, size.replicas, size.attemptsPerS, Options{})
 		w.faults = append(w.faults, injectedFault{replica: 0, class: ErrorResponse, rate: 0.5, zone: "b", toUs: 60 * clock.Sec})
@@ -411,13 +415,13 @@
 			}
 		}
 		if len(seen) != 1 || !seen["r000 b"] {
-			t.Errorf("%d gateways: verdicts on %v, want r000 for zone b alone", size.gateways, seen)
+			t.Errorf("%d gateways: got verdicts on %v, want r000 for zone b only", size.gateways, seen)
 		}
 	}
 }
 
-// Where most look ill, the cause is not theirs: whatever is held against them, the share holds.
-func TestTheFleetIsNotEmptied(t *testing.T) {
+// Where most replicas fail, the cause lies outside them: MaxEjectedFraction holds whatever the evidence.
+func TestEjectionsStayWithinMaxEjectedFraction(t *testing.T) {
 	for _, size := range deployments {
 		for _, part := range []float64{0.3, 1} {
 			w := newSimulation(7, size.gateways, size.replicas, size.attemptsPerS, Options{})
@@ -426,17 +430,17 @@
 			}
 			w.run(60 * clock.Sec)
 			if most := max(1, int(defaultMaxEjectedFraction*float64(size.replicas))); w.maxOut > most {
-				t.Errorf("%d of %d were kept off at once", w.maxOut, size.replicas)
+				t.Errorf("%d of %d replicas were restricted at once, want at most %d", w.maxOut, size.replicas, most)
 			}
 			if rows := w.detector.Table().Rows; len(rows) > 0 {
-				t.Errorf("%d replicas: 20 s after its end: %v", size.replicas, rows)
+				t.Errorf("%d replicas: 20 s after the end of the fault: got verdicts %v, want none", size.replicas, rows)
 			}
 		}
 	}
 }
 
-// The false alarms that docs/design-outlier.md gives: every replica fails alike, at rates up to a fifth.
-func TestSeededFalseAlarms(t *testing.T) {
+// Measures the false ejections that docs/design-outlier.md gives: all replicas fail at the same rate, of up to a fifth.
+func TestSeededFalseEjections(t *testing.T) {
 	for _, size := range []int{1, 3} {
 		size := deployments[size]
 		for _, c := range []struct {
@@ -454,31 +458,31 @@
 				ms++
 			}
 			part := float64(outUs) / float64(spanUs) / float64(size.replicas)
-			t.Logf("%d gateways, %d replicas, all fail %.1f%% by %s: %d were out, %.3f%% of their time; %d of %d reports told of it", size.gateways, size.replicas, 100*c.part, c.class, ms, 100*part, w.reportsWithCounts, w.reports)
+			t.Logf("%d gateways, %d replicas, all fail %.1f%% by %s: %d were ejected, for %.3f%% of the time; %d of %d reports had counts", size.gateways, size.replicas, 100*c.part, c.class, ms, 100*part, w.reportsWithCounts, w.reports)
 			if part > 0.01 {
-				t.Errorf("%d replicas, %s in %.1f%%: sound ones were out for %.2f%% of their time", size.replicas, c.class, 100*c.part, 100*part)
+				t.Errorf("%d replicas, %s in %.1f%%: healthy replicas were ejected for %.2f%% of the time, want at most 1%%", size.replicas, c.class, 100*c.part, 100*part)
 			}
 		}
 	}
 }
 
-func TestASuccessorGoesOnFromTheVerdicts(t *testing.T) {
+func TestInheritEjectsReplicasOfPredecessorTable(t *testing.T) {
 	d := NewDetector(Options{})
 	predecessor := Table{Epoch: 4, Number: 9, Rows: []Verdict{{"r1", "", 0, true}, {"r2", "b", 12, false}}}
-	lives := func(string) string { return "s" }
-	d.Inherit(clock.Sec, 5, predecessor, lives)
+	serviceOf := func(string) string { return "s" }
+	d.Inherit(clock.Sec, 5, predecessor, serviceOf)
 	d.Evaluate(clock.Sec, 5, map[string]int{"s": 9}, func(string) bool { return true })
 	got := d.Table()
 	if !got.NewerThan(predecessor) || !slices.Equal(got.Rows, []Verdict{{"r1", "", 0, false}, {"r2", "b", 0, false}}) {
-		t.Errorf("it goes on with %+v", got)
+		t.Errorf("inherited table: got %+v, want r1 and, for zone b, r2 ejected, newer than %+v", got, predecessor)
 	}
 	d.Evaluate(clock.Sec+defaultBaseEjectionUs+evaluationIntervalUs, 5, map[string]int{"s": 9}, func(string) bool { return true })
 	if rows := d.Table().Rows; len(rows) != 2 || rows[0].AllowedPercent != probationPercents[0] {
-		t.Errorf("after their time out: %v", rows)
+		t.Errorf("after the inherited ejections: got %v, want 2 verdicts on probation, the first with %d%%", rows, probationPercents[0])
 	}
 }
 
-func TestWeights(t *testing.T) {
+func TestWeightOfOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		class Class
 		share float64
@@ -489,7 +493,7 @@
 		{ErrorResponse, 0, 2.4, 2.7}, {ErrorResponse, 0.5, -0.3, 0}, {ResponseTimeout, 0.025, 0, 0.7}, {ResponseTimeout, 0, 1.7, 1.8},
 	} {
 		if got := weight(c.class, c.share); got < c.least || got >= c.below {
-			t.Errorf("%s where the service shows it in %.1f%%: %.3f, want %.2f to %.2f", c.class, 100*c.share, got, c.least, c.below)
+			t.Errorf("weight of %s with a service rate of %.1f%%: got %.3f, want %.2f to %.2f", c.class, 100*c.share, got, c.least, c.below)
 		}
 	}
 }
