--- a/internal/dataplane/upstream/idle_timeout.go
+++ b/internal/dataplane/upstream/idle_timeout.go
@@ -28,7 +28,7 @@
 	idleUs int64
 }
 
-func (t *idleTimeout) current(nowUs int64) int64 {
+func (t *idleTimeout) currentUs(nowUs int64) int64 {
 	if t == nil || t.timeoutUs == 0 {
 		return unlimitedIdleUs
 	}
@@ -45,8 +45,8 @@
 // recordClose takes a reused connection that ended before the first byte of an answer. One replica alone may be
 // ill; where a second shows the same soon after, it is how long the service keeps connections. short says
 // that it had not lain idle long enough for that: what ended then is the replica's doing.
-func (t *idleTimeout) recordClose(nowUs int64, replica string, idleUs int64) (short bool) {
-	currentUs := t.current(nowUs)
+func (t *idleTimeout) recordClose(nowUs int64, replica string, idleUs int64) (shortIdle bool) {
+	currentUs := t.currentUs(nowUs)
 	if idleUs <= max(currentUs/shortIdleDivisor, minIdleUs) && currentUs < unlimitedIdleUs {
 		return true
 	}
@@ -54,12 +54,12 @@
 		return true
 	}
 	longestUs := int64(0)
-	for other, d := range t.closes {
+	for other, earlier := range t.closes {
 		switch {
-		case nowUs-d.atUs > closeWindowUs:
+		case nowUs-earlier.atUs > closeWindowUs:
 			delete(t.closes, other)
 		case other != replica:
-			longestUs = max(longestUs, d.idleUs)
+			longestUs = max(longestUs, earlier.idleUs)
 		}
 	}
 	t.closes[replica] = earlyClose{nowUs, idleUs}
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -49,18 +49,18 @@
 
 // limitedReader reads a connection up to a bound, so that what never ends takes no memory without end.
 type limitedReader struct {
-	from             net.Conn
+	conn             net.Conn
 	limit, remaining int64
 }
 
 func (r *limitedReader) Read(into []byte) (int, error) {
 	if r.limit == 0 {
-		return r.from.Read(into)
+		return r.conn.Read(into)
 	}
 	if r.remaining <= 0 {
 		return 0, fault.New(fault.TooLarge, "", "more than %d bytes", r.limit)
 	}
-	n, err := r.from.Read(into[:min(int64(len(into)), r.remaining)])
+	n, err := r.conn.Read(into[:min(int64(len(into)), r.remaining)])
 	r.remaining -= int64(n)
 	return n, err
 }
@@ -148,8 +148,8 @@
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetNoDelay(true)
 	}
-	bound := &limitedReader{from: conn}
-	return &Conn{Conn: conn, Reader: bufio.NewReaderSize(bound, 4096), limited: bound, replica: replica}, nil
+	limited := &limitedReader{conn: conn}
+	return &Conn{Conn: conn, Reader: bufio.NewReaderSize(limited, 4096), limited: limited, replica: replica}, nil
 }
 
 func (p *Pool) popIdle(replica string) *Conn {
@@ -201,7 +201,7 @@
 	service := p.service(replica)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.idleTimeouts[service].current(nowUs)
+	return p.idleTimeouts[service].currentUs(nowUs)
 }
 
 // ReportEarlyClose takes a connection on which a request was sent and that ended before the first byte of an answer. It
@@ -213,18 +213,18 @@
 	}
 	service, nowUs := p.service(c.replica), clock.NowUs()
 	p.mu.Lock()
-	l := p.idleTimeouts[service]
-	if l == nil {
-		l = &idleTimeout{closes: map[string]earlyClose{}}
-		p.idleTimeouts[service] = l
+	timeout := p.idleTimeouts[service]
+	if timeout == nil {
+		timeout = &idleTimeout{closes: map[string]earlyClose{}}
+		p.idleTimeouts[service] = timeout
 	}
-	short := l.recordClose(nowUs, c.replica, c.idleUs)
-	dead := []*Conn{}
-	if !short {
+	shortIdle := timeout.recordClose(nowUs, c.replica, c.idleUs)
+	expired := []*Conn{}
+	if !shortIdle {
 		remaining := []*Conn{}
 		for _, other := range p.idle[c.replica] {
 			if nowUs-other.idleSinceUs >= c.idleUs/2 {
-				dead = append(dead, other)
+				expired = append(expired, other)
 			} else {
 				remaining = append(remaining, other)
 			}
@@ -232,10 +232,10 @@
 		p.idle[c.replica] = remaining
 	}
 	p.mu.Unlock()
-	for _, other := range dead {
+	for _, other := range expired {
 		p.Discard(other)
 	}
-	return !short
+	return !shortIdle
 }
 
 // Discard closes a connection that is not to be used again.
@@ -290,14 +290,14 @@
 	if err != nil {
 		return false
 	}
-	still := false
+	isOpenAndEmpty := false
 	if err := raw.Read(func(fd uintptr) bool {
 		var b [1]byte
-		_, _, got := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		still = got == unix.EAGAIN
+		_, _, errno := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		isOpenAndEmpty = errno == unix.EAGAIN
 		return true
 	}); err != nil {
 		return false
 	}
-	return still
+	return isOpenAndEmpty
 }
