--- a/internal/dataplane/upstream/doc.go
+++ b/internal/dataplane/upstream/doc.go
@@ -1,4 +1,4 @@
-// Package upstream keeps a gateway's connections to replicas: it opens them within bounds, sends one request on
-// each at a time, reads its answer, and keeps idle ones for the next. The adapter of the users' platform calls it.
-// It never sends a request a second time; whether that may be done is its caller's question.
+// Package upstream pools a gateway's connections to replicas. It opens connections within limits, hands each one out for one
+// request at a time, and keeps idle connections for reuse. Package platform uses it. It never retries a request; whether a retry is
+// allowed is up to the caller.
 package upstream
--- a/internal/dataplane/upstream/idle_timeout_test.go
+++ b/internal/dataplane/upstream/idle_timeout_test.go
@@ -6,7 +6,7 @@
 	"petreltide/internal/process/clock"
 )
 
-func TestHowLongIdleConnectionsAreUsedAgain(t *testing.T) {
+func TestIdleTimeoutFollowsEarlyCloses(t *testing.T) {
 	type observedClose struct {
 		atMs      int64
 		replica   string
@@ -19,42 +19,42 @@
 		atMs   int64
 		wantMs int64
 	}{
-		{"none was found dead", nil, 1000, unlimitedIdleUs / clock.Ms},
-		{"one replica's alone may be ill", []observedClose{{100, "a", 900, false}, {200, "a", 800, false}}, 300, unlimitedIdleUs / clock.Ms},
-		{"two replicas' show how long they are kept", []observedClose{{100, "a", 900, false}, {200, "b", 800, false}}, 300, 400},
-		{"those of long ago show nothing", []observedClose{{100, "a", 900, false}, {20_000, "b", 800, false}}, 20_100, unlimitedIdleUs / clock.Ms},
-		{"it falls further", []observedClose{{100, "a", 900, false}, {200, "b", 800, false}, {300, "c", 300, false}}, 400, 150},
-		{"one that had hardly lain idle is the replica's doing", []observedClose{{100, "a", 900, false}, {200, "b", 800, false}, {300, "c", 90, true}}, 400, 400},
-		{"nor is one that was used a moment ago", []observedClose{{100, "a", 20, true}, {200, "b", 10, true}}, 300, unlimitedIdleUs / clock.Ms},
-		{"it rises while none is", []observedClose{{100, "a", 900, false}, {200, "b", 800, false}}, 4300, 625},
-		{"it is never less than a moment", []observedClose{{100, "a", 60, false}, {200, "b", 60, false}}, 300, minIdleUs / clock.Ms},
+		{"no early close", nil, 1000, unlimitedIdleUs / clock.Ms},
+		{"early closes by one replica only may mean that it is faulty", []observedClose{{100, "a", 900, false}, {200, "a", 800, false}}, 300, unlimitedIdleUs / clock.Ms},
+		{"early closes by two replicas lower the timeout", []observedClose{{100, "a", 900, false}, {200, "b", 800, false}}, 300, 400},
+		{"early closes outside the window do not count", []observedClose{{100, "a", 900, false}, {20_000, "b", 800, false}}, 20_100, unlimitedIdleUs / clock.Ms},
+		{"a further early close lowers the timeout again", []observedClose{{100, "a", 900, false}, {200, "b", 800, false}, {300, "c", 300, false}}, 400, 150},
+		{"early close after a short idle time is attributed to the replica", []observedClose{{100, "a", 900, false}, {200, "b", 800, false}, {300, "c", 90, true}}, 400, 400},
+		{"early closes right after use do not count", []observedClose{{100, "a", 20, true}, {200, "b", 10, true}}, 300, unlimitedIdleUs / clock.Ms},
+		{"the timeout rises without early closes", []observedClose{{100, "a", 900, false}, {200, "b", 800, false}}, 4300, 625},
+		{"the timeout is at least the minimum", []observedClose{{100, "a", 60, false}, {200, "b", 60, false}}, 300, minIdleUs / clock.Ms},
 	} {
 		timeout := &idleTimeout{closes: map[string]earlyClose{}}
 		for _, d := range c.closes {
 			if shortIdle := timeout.recordClose(d.atMs*clock.Ms, d.replica, d.idleMs*clock.Ms); shortIdle != d.shortIdle {
-				t.Errorf("%s: one idle for %d ms: the replica's doing %t", c.name, d.idleMs, shortIdle)
+				t.Errorf("%s: early close after %d ms idle: got shortIdle %t, want %t", c.name, d.idleMs, shortIdle, d.shortIdle)
 			}
 		}
 		if got := timeout.currentUs(c.atMs*clock.Ms) / clock.Ms; got != c.wantMs {
-			t.Errorf("%s: %d ms, want %d", c.name, got, c.wantMs)
+			t.Errorf("%s: idle timeout: got %d ms, want %d ms", c.name, got, c.wantMs)
 		}
 	}
 }
 
-// Whose end it was: the connection's own where it had lain idle, the replica's where it was new or fresh from use.
-func TestWhatEndsOnAReusedConnection(t *testing.T) {
+// An early close is attributed to the connection if it had been idle, and to the replica if it was new or had just been used.
+func TestReportEarlyCloseAttributesCloseByIdleTime(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		conn     Conn
 		wantIdle bool
 	}{
-		{"it was new", Conn{replica: "a"}, false},
-		{"it had lain idle", Conn{replica: "a", Reused: true, idleUs: 300 * clock.Ms}, true},
-		{"it was used a moment ago", Conn{replica: "a", Reused: true, idleUs: 5 * clock.Ms}, false},
+		{"new connection", Conn{replica: "a"}, false},
+		{"reused after being idle", Conn{replica: "a", Reused: true, idleUs: 300 * clock.Ms}, true},
+		{"reused right after use", Conn{replica: "a", Reused: true, idleUs: 5 * clock.Ms}, false},
 	} {
 		p := New(Options{MaxConnsPerReplica: func(string) int { return 4 }, ServiceOf: func(string) string { return "s" }})
 		if got := p.ReportEarlyClose(&c.conn); got != c.wantIdle {
-			t.Errorf("%s: its own end %t", c.name, got)
+			t.Errorf("%s: ReportEarlyClose: got %t, want %t", c.name, got, c.wantIdle)
 		}
 	}
 	p := New(Options{MaxConnsPerReplica: func(string) int { return 4 }, ServiceOf: func(string) string { return "s" }})
@@ -62,6 +62,6 @@
 		p.ReportEarlyClose(&Conn{replica: replica, Reused: true, idleUs: 300 * clock.Ms})
 	}
 	if maxIdleUs := p.maxIdleUs(clock.NowUs(), "c"); maxIdleUs > 200*clock.Ms {
-		t.Errorf("connections of the same service are used again after %d ms", maxIdleUs/clock.Ms)
+		t.Errorf("idle timeout of another replica of the service: got %d ms, want at most 200 ms", maxIdleUs/clock.Ms)
 	}
 }
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -14,40 +14,44 @@
 	"petreltide/internal/process/clock"
 )
 
-// Options bound the connections of one gateway.
+// Options configure a Pool.
 type Options struct {
-	// LocalIP is the address that connections leave from; nil or unspecified: the system's choice.
+	// LocalIP is the local address of connections; if it is nil or unspecified, the system chooses one.
 	LocalIP net.IP
-	// DialTimeoutUs bounds a dial, in microseconds; 0 is no bound but the context's.
+	// DialTimeoutUs bounds a dial, in microseconds; 0 means that only the context bounds it.
 	DialTimeoutUs int64
-	// IdleTimeoutUs is how long a connection may be idle where the replica does not say, in microseconds.
+	// IdleTimeoutUs is how long a connection may be idle if the replica does not announce a timeout, in microseconds.
 	IdleTimeoutUs int64
-	// MaxConnsPerReplica is asked before each dial, as shares change with the number of gateways. It must be set.
+	// MaxConnsPerReplica returns the connection limit of a replica. It is called before each dial, since a gateway's share changes with
+	// the number of gateways. It is required.
 	MaxConnsPerReplica func(replica string) int
-	// ServiceOf names a replica's service, whose connections are taken to have one idle timeout; nil: each replica is
-	// its own.
+	// ServiceOf returns a replica's service; connections to all replicas of a service share one idle timeout. If it is nil, each
+	// replica counts as a service of its own.
 	ServiceOf func(replica string) string
 }
 
 // Conn is a connection to one incarnation of a replica.
 type Conn struct {
 	net.Conn
+	// Reader reads from the connection within the limit of LimitReads.
 	Reader *bufio.Reader
+	// Reused is true if the connection has carried an earlier request.
 	Reused bool
 
 	limited *limitedReader
 	replica string
-	// expiresAtUs and idleSinceUs are instants, idleUs is how long it was idle before its present use; microseconds.
+	// expiresAtUs and idleSinceUs are instants, and idleUs is how long the connection was idle before its current use; all in
+	// microseconds.
 	expiresAtUs int64
 	idleSinceUs int64
 	idleUs      int64
 }
 
-// LimitReads lets no more than so many bytes be read from here on, beside those that are buffered; a read beyond
-// is a fault. 0 lifts it.
+// LimitReads limits how many bytes can be read from now on, in addition to those already buffered. A read beyond the limit fails
+// with fault.TooLarge. 0 removes the limit.
 func (c *Conn) LimitReads(bytes int64) { c.limited.limit, c.limited.remaining = bytes, bytes }
 
-// limitedReader reads a connection up to a bound, so that what never ends takes no memory without end.
+// limitedReader reads from a connection up to a limit, so that an endless response does not exhaust the memory.
 type limitedReader struct {
 	conn             net.Conn
 	limit, remaining int64
@@ -58,26 +62,28 @@
 		return r.conn.Read(into)
 	}
 	if r.remaining <= 0 {
-		return 0, fault.New(fault.TooLarge, "", "more than %d bytes", r.limit)
+		return 0, fault.New(fault.TooLarge, "", "the response exceeds %d bytes", r.limit)
 	}
 	n, err := r.conn.Read(into[:min(int64(len(into)), r.remaining)])
 	r.remaining -= int64(n)
 	return n, err
 }
 
-// Pool keeps connections to replicas between calls; the one used last is taken first, so that the
-// others lapse by themselves.
+// Pool keeps idle connections to replicas for reuse. The most recently used connection is reused first, so that surplus ones expire.
+// It is safe for concurrent use.
 type Pool struct {
-	opts         Options
-	dialer       net.Dialer
-	mu           sync.Mutex
-	idle         map[string][]*Conn
+	opts   Options
+	dialer net.Dialer
+	mu     sync.Mutex
+	idle   map[string][]*Conn
+	// open counts the open connections by replica, including those being dialed.
 	open         map[string]int
 	idleTimeouts map[string]*idleTimeout
-	Dialed       int64
+	// Dialed counts the dials so far.
+	Dialed int64
 }
 
-// New is a pool without connections.
+// New returns a pool without connections.
 func New(opts Options) *Pool {
 	p := &Pool{opts: opts, idle: map[string][]*Conn{}, open: map[string]int{}, idleTimeouts: map[string]*idleTimeout{}}
 	p.dialer = net.Dialer{Timeout: time.Duration(opts.DialTimeoutUs) * time.Microsecond, KeepAlive: -1}
@@ -87,7 +93,7 @@
 	return p
 }
 
-// Get gives a connection that was sound a moment ago, or a new one.
+// Get returns an idle connection that shows no sign of being closed, or dials a new one.
 func (p *Pool) Get(ctx context.Context, replica, addr string) (*Conn, error) {
 	if c := p.getIdle(replica); c != nil {
 		return c, nil
@@ -95,7 +101,7 @@
 	return p.dial(ctx, replica, addr)
 }
 
-// GetUnused gives a connection that has carried nothing; where there may be no more of them, an idle one gives way.
+// GetUnused dials a connection that has carried no request yet. At the connection limit it closes an idle connection first.
 func (p *Pool) GetUnused(ctx context.Context, replica, addr string) (*Conn, error) {
 	c, err := p.dial(ctx, replica, addr)
 	var f *fault.Fault
@@ -110,7 +116,7 @@
 	return p.dial(ctx, replica, addr)
 }
 
-// getIdle is an idle connection that may be used again, or nil.
+// getIdle returns an idle connection that can be reused, or nil. It closes those that cannot.
 func (p *Pool) getIdle(replica string) *Conn {
 	for {
 		c := p.popIdle(replica)
@@ -127,12 +133,14 @@
 	}
 }
 
+// dial opens a connection. It fails with fault.Overloaded at the connection limit, with fault.ReplicaRejected if the replica refuses or
+// resets the connection, and otherwise with fault.ReplicaFailed.
 func (p *Pool) dial(ctx context.Context, replica, addr string) (*Conn, error) {
 	p.mu.Lock()
 	limit := p.opts.MaxConnsPerReplica(replica)
 	if p.open[replica] >= limit {
 		p.mu.Unlock()
-		return nil, fault.New(fault.Overloaded, replica, "all %d connections are taken", limit)
+		return nil, fault.New(fault.Overloaded, replica, "all %d connections are in use", limit)
 	}
 	p.open[replica]++
 	p.Dialed++
@@ -152,6 +160,7 @@
 	return &Conn{Conn: conn, Reader: bufio.NewReaderSize(limited, 4096), limited: limited, replica: replica}, nil
 }
 
+// popIdle removes and returns the most recently used idle connection to a replica, or nil.
 func (p *Pool) popIdle(replica string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,6 +173,7 @@
 	return c
 }
 
+// release decrements the number of open connections to a replica.
 func (p *Pool) release(replica string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,8 +182,8 @@
 	}
 }
 
-// PutIdle back a connection on which an answer was read whole; idleUs 0 means that the replica did not say
-// how long it keeps it.
+// PutIdle returns a connection to the pool after a complete response was read from it. idleUs is the idle timeout that the replica
+// announced, or 0 if it announced none. The connection is closed if idleUs is negative or unread data is buffered.
 func (p *Pool) PutIdle(c *Conn, idleUs int64) {
 	if idleUs == 0 {
 		idleUs = p.opts.IdleTimeoutUs
@@ -197,6 +207,7 @@
 	return p.opts.ServiceOf(replica)
 }
 
+// maxIdleUs returns the current idle timeout of a replica's service, in microseconds.
 func (p *Pool) maxIdleUs(nowUs int64, replica string) int64 {
 	service := p.service(replica)
 	p.mu.Lock()
@@ -204,9 +215,9 @@
 	return p.idleTimeouts[service].currentUs(nowUs)
 }
 
-// ReportEarlyClose takes a connection on which a request was sent and that ended before the first byte of an answer. It
-// is true where the connection itself may have been dead before: it was reused, and lay idle for a while.
-// All others to that replica that have lain idle as long go with it.
+// ReportEarlyClose records that a connection on which a request was sent ended before the first byte of a response. It returns true
+// if the connection may have been closed before the request, that is, if it was reused after it had been idle for a while. In that
+// case it also closes all connections to the replica that have been idle for at least half as long.
 func (p *Pool) ReportEarlyClose(c *Conn) bool {
 	if !c.Reused {
 		return false
@@ -238,13 +249,13 @@
 	return !shortIdle
 }
 
-// Discard closes a connection that is not to be used again.
+// Discard closes a connection instead of returning it to the pool.
 func (p *Pool) Discard(c *Conn) {
 	_ = c.Close()
 	p.release(c.replica)
 }
 
-// CloseIdle closes what has lain idle for too long, and everything to replicas that are gone.
+// CloseIdle closes idle connections that have expired, and all idle connections to replicas that are not known any more.
 func (p *Pool) CloseIdle(nowUs int64, known func(replica string) bool) {
 	p.mu.Lock()
 	expired := []*Conn{}
@@ -269,7 +280,7 @@
 	}
 }
 
-// OpenConns are the open connections by replica.
+// OpenConns returns the number of open connections by replica.
 func (p *Pool) OpenConns() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -280,7 +291,7 @@
 	return n
 }
 
-// noPendingInput: nothing has come on an idle connection, neither its end nor bytes that belong to no call.
+// noPendingInput reports whether an idle connection has received neither its end nor bytes that belong to no call.
 func noPendingInput(c *Conn) bool {
 	tcp, isTCP := c.Conn.(*net.TCPConn)
 	if !isTCP {
