--- a/internal/controlplane/storage/catchup_test.go
+++ b/internal/controlplane/storage/catchup_test.go
@@ -11,7 +11,7 @@
 	"petreltide/internal/process/clock"
 )
 
-func routeNamed(i int, version uint64) configuration.Route {
+func newRoute(i int, version uint64) configuration.Route {
 	source := fmt.Sprintf(`{"name":"route-%d","host":"host-%d.example","prefix":"/place-%d/","repeat":"idempotent","waitMs":%d,"tries":3,"goesTo":[{"pool":"s","part":100}],"owner":"o%d"}`, i, i%7, i, 4000+version, i%40)
 	return configuration.Route{
 		Name: fmt.Sprint("route-", i), Host: fmt.Sprintf("host-%d.example", i%7), Prefix: fmt.Sprintf("/place-%d/", i),
@@ -20,10 +20,10 @@
 	}
 }
 
-func routesNamed(count int, version uint64) []configuration.Route {
+func newRoutes(count int, version uint64) []configuration.Route {
 	all := []configuration.Route{}
 	for i := range count {
-		all = append(all, routeNamed(i, version))
+		all = append(all, newRoute(i, version))
 	}
 	return all
 }
@@ -33,113 +33,113 @@
 	return func(version uint64) *statemachine.ConfigChange {
 		change := &statemachine.ConfigChange{Base: version - 1, Version: version}
 		if version%10 == 1 {
-			change.Doc = &configuration.Declaration{Name: "day", Version: version, Routes: routesNamed(routes, version), Services: []configuration.Service{{Name: "s"}}}
+			change.Doc = &configuration.Declaration{Name: "day", Version: version, Routes: newRoutes(routes, version), Services: []configuration.Service{{Name: "s"}}}
 		} else {
-			change.Edit = &configuration.Edit{Version: version, Routes: routesNamed(3, version)}
+			change.Edit = &configuration.Edit{Version: version, Routes: newRoutes(3, version)}
 		}
 		return change
 	}
 }
 
 // lost is what a machine comes back with.
-type lost string
+type diskFate string
 
 const (
-	nothingLost lost = "its old disk"
-	diskLost    lost = "an empty disk"
+	diskKept     diskFate = "its old disk"
+	diskReplaced diskFate = "an empty disk"
 )
 
-func (m *member) comeBack(with lost) {
-	if with == diskLost {
+func (m *member) restart(fate diskFate) {
+	if fate == diskReplaced {
 		m.loseDisk()
 	} else {
-		m.disk = m.disk.afterOnePowerLoss(rand.New(rand.NewSource(1))).settled()
+		m.disk = m.disk.randomAfterPowerLoss(rand.New(rand.NewSource(1))).withAllDurable()
 	}
-	m.received, m.copies = 0, 0
+	m.receivedBytes, m.snapshotBytes = 0, 0
 	m.start(false)
 }
 
-// caughtUpWithin is how long a member that was down may take until it has its seat, its vote and all that was
+// maxCatchUpUs is how long a member that was down may take until it has its seat, its vote and all that was
 // acknowledged, while changes go on.
-const caughtUpWithin = 4 * clock.Sec
+const maxCatchUpUs = 4 * clock.Sec
 
-// acknowledgeUs is the users' bound on an acknowledgement: acknowledgeMs and 3 ms a route.
-func acknowledgeUs(routes int) int64 { return 4*clock.Sec + int64(routes)*3*clock.Ms }
+// maxAcknowledgeUs is the users' bound on an acknowledgement: acknowledgeMs and 3 ms a route.
+func maxAcknowledgeUs(routes int) int64 { return 4*clock.Sec + int64(routes)*3*clock.Ms }
 
 // A member that was down through many changes is caught up soon while they go on, at the cost of one copy, and no
 // acknowledgement waits for it.
 func TestMemberDownDuringManyChangesCatchesUp(t *testing.T) {
-	type absence struct {
+	type testCase struct {
 		routes, changes, place int
-		with                   lost
+		fate                   diskFate
 	}
-	cases := []absence{}
+	cases := []testCase{}
 	for place := range 3 {
-		for _, with := range []lost{nothingLost, diskLost} {
-			cases = append(cases, absence{10, 2000, place, with}, absence{900, 150, place, with})
+		for _, fate := range []diskFate{diskKept, diskReplaced} {
+			cases = append(cases, testCase{10, 2000, place, fate}, testCase{900, 150, place, fate})
 		}
 	}
-	cases = append(cases, absence{900, 2000, 2, nothingLost})
-	if raced {
-		cases = []absence{{10, 100, 0, nothingLost}, {10, 100, 2, diskLost}}
+	cases = append(cases, testCase{900, 2000, 2, diskKept})
+	if raceEnabled {
+		cases = []testCase{{10, 100, 0, diskKept}, {10, 100, 2, diskReplaced}}
 	}
 	for _, c := range cases {
-		t.Run(fmt.Sprintf("%d routes, %d changes, place %d, %s", c.routes, c.changes, c.place, c.with), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d routes, %d changes, place %d, %s", c.routes, c.changes, c.place, c.fate), func(t *testing.T) {
 			t.Parallel()
-			if why := downThrough(t, newCluster(t, c.routes, replaceAndEdit(c.routes)), c.changes, c.place, c.with, costs{linkNsPerByte, codeNsPerByte}); why != "" {
-				t.Fatal(why)
+			if violation := runAbsence(t, newCluster(t, c.routes, replaceAndEdit(c.routes)), c.changes, c.place, c.fate, costs{linkNsPerByte, codeNsPerByte}); violation != "" {
+				t.Fatal(violation)
 			}
 		})
 	}
 }
 
-// downThrough takes a member away for so many changes, and says what is wrong with its return.
-func downThrough(t *testing.T, c *cluster, changes, place int, with lost, copyCosts costs) string {
-	c.acknowledge(20)
-	before := c.worstUs
-	m := c.place(place)
+// runAbsence takes a member away for so many changes, and says what is wrong with its return.
+func runAbsence(t *testing.T, c *cluster, changes, place int, fate diskFate, snapshotCosts costs) string {
+	c.awaitChanges(20)
+	slowestBeforeUs := c.slowestUs
+	m := c.memberAt(place)
 	m.stop()
-	c.worstUs = 0
-	c.acknowledge(changes)
-	atLossUs := c.worstUs
-	c.worstUs, c.copyCosts = 0, copyCosts
-	m.comeBack(with)
-	backUs, from := c.nowUs, c.changes
-	if !c.pass(caughtUpWithin, m.caughtUp) {
-		c.fail("not caught up after %d ms: %s, %s, at %d of %d", caughtUpWithin/clock.Ms, m.node.Phase(), m.node.WaitReason(), m.node.CommitIndex(), c.newest)
+	c.slowestUs = 0
+	c.awaitChanges(changes)
+	slowestDuringAbsenceUs := c.slowestUs
+	c.slowestUs, c.snapshotCosts = 0, snapshotCosts
+	m.restart(fate)
+	restartUs, firstChange := c.nowUs, c.changes
+	if !c.advance(maxCatchUpUs, m.caughtUp) {
+		c.fail("not caught up after %d ms: %s, %s, at %d of %d", maxCatchUpUs/clock.Ms, m.node.Phase(), m.node.WaitReason(), m.node.CommitIndex(), c.acknowledgedIndex)
 	}
-	tookUs, copied := c.nowUs-backUs, m.copies
-	c.pass(2*clock.Sec, nil)
-	if waitsUs := c.nowUs - c.sentUs; c.change != nil {
-		c.worstUs = max(c.worstUs, waitsUs)
+	tookUs, snapshotBytes := c.nowUs-restartUs, m.snapshotBytes
+	c.advance(2*clock.Sec, nil)
+	if waitingUs := c.nowUs - c.sentUs; c.change != nil {
+		c.slowestUs = max(c.slowestUs, waitingUs)
 	}
-	if c.worstUs > acknowledgeUs(c.routes) {
-		c.fail("change %d was acknowledged after %d ms", c.slowest, c.worstUs/clock.Ms)
+	if c.slowestUs > maxAcknowledgeUs(c.routes) {
+		c.fail("change %d was acknowledged after %d ms", c.slowestChange, c.slowestUs/clock.Ms)
 	}
-	if c.changes < from+5 {
-		c.fail("only %d changes meanwhile", c.changes-from)
+	if c.changes < firstChange+5 {
+		c.fail("only %d changes meanwhile", c.changes-firstChange)
 	}
-	if state := int64(len(m.node.State().Encode())); copied > 2*state+64<<10 {
-		c.fail("%d bytes of copies for a state of %d", copied, state)
+	if state := int64(len(m.node.State().Encode())); snapshotBytes > 2*state+64<<10 {
+		c.fail("%d bytes of copies for a state of %d", snapshotBytes, state)
 	}
-	if c.mostDisk > diskHalf {
-		c.fail("%d bytes on a disk", c.mostDisk)
+	if c.maxDiskBytes > halfDiskBytes {
+		c.fail("%d bytes on a disk", c.maxDiskBytes)
 	}
 	t.Logf("caught up after %d ms, %d KB received in 2 s more, %d KB of them copies; slowest acknowledgement before %d ms, at the loss %d ms, meanwhile %d ms; %d changes meanwhile; up to %.1f MB on a disk",
-		tookUs/clock.Ms, m.received>>10, copied>>10, before/clock.Ms, atLossUs/clock.Ms, c.worstUs/clock.Ms, c.changes-from, float64(c.mostDisk)/(1<<20))
-	return c.wrong
+		tookUs/clock.Ms, m.receivedBytes>>10, snapshotBytes>>10, slowestBeforeUs/clock.Ms, slowestDuringAbsenceUs/clock.Ms, c.slowestUs/clock.Ms, c.changes-firstChange, float64(c.maxDiskBytes)/(1<<20))
+	return c.violation
 }
 
 // Each must be seen: a link too slow for a copy, and a core that does nothing else while it encodes one.
 func TestCatchUpCheckCanFail(t *testing.T) {
-	for planted, c := range map[string]costs{
+	for mutation, c := range map[string]costs{
 		"a slow link":    {linkNs: 200_000, codeNs: codeNsPerByte},
 		"a core held up": {linkNs: linkNsPerByte, codeNs: 200_000},
 	} {
-		why := downThrough(t, newCluster(t, 10, replaceAndEdit(10)), 300, 1, nothingLost, c)
-		if why == "" {
-			t.Errorf("%s: not seen", planted)
+		violation := runAbsence(t, newCluster(t, 10, replaceAndEdit(10)), 300, 1, diskKept, c)
+		if violation == "" {
+			t.Errorf("%s: not seen", mutation)
 		}
-		t.Logf("%s: %s", planted, why)
+		t.Logf("%s: %s", mutation, violation)
 	}
 }
--- a/internal/controlplane/storage/cluster_test.go
+++ b/internal/controlplane/storage/cluster_test.go
@@ -40,23 +40,23 @@
 	members []*member
 	routes  int
 	starts  int
-	// copyCosts are those of a whole state; the others always cost the same.
-	copyCosts costs
-
-	change   *statemachine.Change
-	sentUs   int64
-	next     func(version uint64) *statemachine.ConfigChange
-	changes  uint64
-	gapUs    int64
-	worstUs  int64
-	slowest  uint64
-	newest   uint64
-	mostDisk int64
-	// logMost is the size of a log that is begun anew, keepMost the number of entries kept; 0 for the usual ones.
-	logMost  int64
-	keepMost int
+	// snapshotCosts are those of a whole state; the others always cost the same.
+	snapshotCosts costs
+
+	change            *statemachine.Change
+	sentUs            int64
+	nextChange        func(version uint64) *statemachine.ConfigChange
+	changes           uint64
+	changeIntervalUs  int64
+	slowestUs         int64
+	slowestChange     uint64
+	acknowledgedIndex uint64
+	maxDiskBytes      int64
+	// maxLogBytes is the size of a log that is begun anew, maxRetainedEntries the number of entries kept; 0 for the usual ones.
+	maxLogBytes        int64
+	maxRetainedEntries int
 	// wrong is the first rule that was broken.
-	wrong string
+	violation string
 }
 
 // costs are what a byte of a copy costs on a link and on a core.
@@ -65,7 +65,7 @@
 // member is one machine: its process while it lives, its disk, core and link.
 type member struct {
 	cluster *cluster
-	me      chain.Member
+	self    chain.Member
 	node    *chain.Node
 	store   *Store
 	disk    *powerDisk
@@ -74,12 +74,12 @@
 	diskUs  int64
 	linkUs  int64
 	// received counts the bytes of messages from others, and copies those of them that carried a whole state.
-	received, copies int64
-	saves            []chain.Persist
-	// losesPowerIn counts down the changes of the disk that a copy takes; before the last one power is lost, and
+	receivedBytes, snapshotBytes int64
+	persistQueue                 []chain.Persist
+	// powerLossCountdown counts down the changes of the disk that a copy takes; before the last one power is lost, and
 	// leaves one of the disks that it may leave.
-	losesPowerIn int
-	leaves       func(all []*powerDisk) *powerDisk
+	powerLossCountdown int
+	chooseDisk         func(all []*powerDisk) *powerDisk
 }
 
 type event struct {
@@ -102,13 +102,13 @@
 	return last
 }
 
-func (c *cluster) at(us int64, run func()) {
+func (c *cluster) scheduleAt(us int64, run func()) {
 	c.events++
 	heap.Push(&c.queue, event{max(us, c.nowUs), c.events, run})
 }
 
 // pass lets time go on until the moment, or until done says so.
-func (c *cluster) pass(us int64, done func() bool) bool {
+func (c *cluster) advance(us int64, done func() bool) bool {
 	endUs := c.nowUs + us
 	for len(c.queue) > 0 && c.queue[0].atUs <= endUs {
 		e := heap.Pop(&c.queue).(event)
@@ -126,15 +126,15 @@
 	return newBoundedCluster(t, routes, next, 0, 0)
 }
 
-func newBoundedCluster(t *testing.T, routes int, next func(version uint64) *statemachine.ConfigChange, logMost int64, keepMost int) *cluster {
-	c := &cluster{t: t, nowUs: clock.Sec, routes: routes, next: next, gapUs: 20 * clock.Ms, logMost: logMost, keepMost: keepMost, copyCosts: costs{linkNsPerByte, codeNsPerByte}}
+func newBoundedCluster(t *testing.T, routes int, next func(version uint64) *statemachine.ConfigChange, maxLogBytes int64, maxRetainedEntries int) *cluster {
+	c := &cluster{t: t, nowUs: clock.Sec, routes: routes, nextChange: next, changeIntervalUs: 20 * clock.Ms, maxLogBytes: maxLogBytes, maxRetainedEntries: maxRetainedEntries, snapshotCosts: costs{linkNsPerByte, codeNsPerByte}}
 	for _, name := range []string{"a", "b", "c"} {
-		c.members = append(c.members, &member{cluster: c, me: chain.Member{ID: name + "-1", Name: name, Addr: name, Zone: name}, disk: newPowerDisk()})
+		c.members = append(c.members, &member{cluster: c, self: chain.Member{ID: name + "-1", Name: name, Addr: name, Zone: name}, disk: newPowerDisk()})
 	}
 	for _, m := range c.members {
 		m.start(true)
 	}
-	if !c.pass(20*clock.Sec, func() bool { return c.whole() }) {
+	if !c.advance(20*clock.Sec, func() bool { return c.allCaughtUp() }) {
 		t.Fatal("it was not founded")
 	}
 	c.submitNext()
@@ -145,21 +145,21 @@
 	c := m.cluster
 	c.starts++
 	m.boot++
-	m.coreUs, m.diskUs, m.linkUs, m.saves = 0, 0, 0, nil
-	opened, err := openFiles(m.disk, "/data", chain.Owner{MemberID: m.me.ID, Name: m.me.Name})
+	m.coreUs, m.diskUs, m.linkUs, m.persistQueue = 0, 0, 0, nil
+	opened, err := openFiles(m.disk, "/data", chain.Owner{MemberID: m.self.ID, Name: m.self.Name})
 	if err != nil {
-		c.fail("%s does not open: %v", m.me.Name, err)
+		c.fail("%s does not open: %v", m.self.Name, err)
 		m.loseDisk()
 		m.start(false)
 		return
 	}
 	m.store = opened.Store
-	m.me.ID = m.store.Owner().MemberID
+	m.self.ID = m.store.Owner().MemberID
 	opts := chain.Options{
-		Self: m.me, Incarnation: fmt.Sprint(m.me.ID, "/", c.starts), AutoMembership: true,
+		Self: m.self, Incarnation: fmt.Sprint(m.self.ID, "/", c.starts), AutoMembership: true,
 		HelloIntervalUs: 200 * clock.Ms, HeartbeatIntervalUs: 200 * clock.Ms, SuspectTimeoutUs: 800 * clock.Ms, LeaseDurationUs: 700 * clock.Ms,
 		VoteRecoveryTimeoutUs: 900 * clock.Ms, GatherTimeoutUs: 1300 * clock.Ms, PrepareTimeoutUs: 200 * clock.Ms,
-		MaxLogBytes: c.logMost, MaxRetainedEntries: c.keepMost, UnsyncedLog: opened.WriteErr != nil,
+		MaxLogBytes: c.maxLogBytes, MaxRetainedEntries: c.maxRetainedEntries, UnsyncedLog: opened.WriteErr != nil,
 	}
 	if first {
 		opts.BootstrapAddrs, opts.FirstStart = []string{"a", "b", "c"}, true
@@ -169,10 +169,10 @@
 	}
 	addrs := []string{}
 	for _, other := range c.members {
-		addrs = append(addrs, other.me.Addr)
+		addrs = append(addrs, other.self.Addr)
 	}
-	m.handle(handleUs, chain.AddrsLearned{Addrs: addrs})
-	m.insist(chain.OpeningPersistSeq, c.nowUs+syncUs, func() error {
+	m.enqueue(handleUs, chain.AddrsLearned{Addrs: addrs})
+	m.retry(chain.OpeningPersistSeq, c.nowUs+syncUs, func() error {
 		if _, err := m.store.Write(nil, false); err != nil {
 			return err
 		}
@@ -185,15 +185,15 @@
 // loseDisk gives the machine an empty disk, with which it is another member.
 func (m *member) loseDisk() {
 	m.disk = newPowerDisk()
-	m.me.ID = fmt.Sprint(m.me.Name, "-", m.cluster.starts+10)
+	m.self.ID = fmt.Sprint(m.self.Name, "-", m.cluster.starts+10)
 }
 
 func (m *member) stop() { m.node, m.boot = nil, m.boot+1 }
 
 // later runs something at a moment, if the process still lives by then.
-func (m *member) later(us int64, run func()) {
+func (m *member) scheduleAt(us int64, run func()) {
 	boot := m.boot
-	m.cluster.at(us, func() {
+	m.cluster.scheduleAt(us, func() {
 		if m.node != nil && m.boot == boot {
 			run()
 		}
@@ -201,14 +201,14 @@
 }
 
 func (m *member) tick() {
-	m.handle(handleUs, chain.Tick{})
-	m.later(m.cluster.nowUs+tickUs, m.tick)
+	m.enqueue(handleUs, chain.Tick{})
+	m.scheduleAt(m.cluster.nowUs+tickUs, m.tick)
 }
 
 // handle gives the member an event once its core has come to it.
-func (m *member) handle(costUs int64, ev chain.Event) {
+func (m *member) enqueue(costUs int64, ev chain.Event) {
 	m.coreUs = max(m.coreUs, m.cluster.nowUs) + costUs
-	m.later(m.coreUs, func() { m.step(ev) })
+	m.scheduleAt(m.coreUs, func() { m.step(ev) })
 }
 
 func (m *member) step(ev chain.Event) {
@@ -218,8 +218,8 @@
 		case chain.Send:
 			m.send(e.Addr, e.Msg)
 		case chain.Persist:
-			if m.saves = append(m.saves, e); len(m.saves) == 1 {
-				m.save()
+			if m.persistQueue = append(m.persistQueue, e); len(m.persistQueue) == 1 {
+				m.persistNext()
 			}
 		case chain.Applied:
 			if e.Entry.Change.Config != nil {
@@ -227,7 +227,7 @@
 			}
 		}
 	}
-	c.judge(m)
+	c.checkInvariants(m)
 }
 
 func (m *member) send(addr string, msg chain.Msg) {
@@ -236,64 +236,64 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	size, bulk := int64(len(raw)), msg.CarriesSnapshot()
+	size, carriesSnapshot := int64(len(raw)), msg.CarriesSnapshot()
 	cost := costs{linkNsPerByte, codeNsPerByte}
-	if bulk {
-		cost = c.copyCosts
+	if carriesSnapshot {
+		cost = c.snapshotCosts
 	}
 	codeUs := size * cost.codeNs / 1000
 	m.coreUs = max(m.coreUs, c.nowUs) + codeUs
 	m.linkUs = max(m.linkUs, m.coreUs) + size*cost.linkNs/1000
 	for _, to := range c.members {
-		if to.me.Addr != addr || to == m {
+		if to.self.Addr != addr || to == m {
 			continue
 		}
-		c.at(m.linkUs+linkDelayUs, func() {
+		c.scheduleAt(m.linkUs+linkDelayUs, func() {
 			if to.node == nil {
 				return
 			}
-			to.received += size
-			if bulk {
-				to.copies += size
+			to.receivedBytes += size
+			if carriesSnapshot {
+				to.snapshotBytes += size
 			}
-			held := chain.Msg{}
-			if err := json.Unmarshal(raw, &held); err != nil {
+			received := chain.Msg{}
+			if err := json.Unmarshal(raw, &received); err != nil {
 				c.t.Fatal(err)
 			}
-			to.handle(handleUs+codeUs, chain.MessageReceived{Msg: &held})
+			to.enqueue(handleUs+codeUs, chain.MessageReceived{Msg: &received})
 		})
 	}
 }
 
 // save writes the oldest save that waits, as a control node does: one at a time, copies beside the log.
-func (m *member) save() {
+func (m *member) persistNext() {
 	c := m.cluster
-	s := m.saves[0]
+	s := m.persistQueue[0]
 	m.diskUs = max(m.diskUs, c.nowUs) + syncUs
 	if s.Compact {
 		m.diskUs += syncUs
 	}
-	m.insist(s.Seq, m.diskUs, func() error {
+	m.retry(s.Seq, m.diskUs, func() error {
 		from, err := m.store.Write(s.Records, s.Compact)
 		if err != nil {
 			return err
 		}
 		if s.Snapshot != nil {
-			m.insist(s.Seq, c.nowUs+3*syncUs, func() error { return m.keep(s, from) })
+			m.retry(s.Seq, c.nowUs+3*syncUs, func() error { return m.saveSnapshot(s, from) })
 		} else {
 			m.step(chain.Persisted{Seq: s.Seq, LogBytes: m.store.LogBytes()})
 		}
-		c.weigh(m)
-		if m.saves = m.saves[1:]; len(m.saves) > 0 {
-			m.save()
+		c.recordDiskUsage(m)
+		if m.persistQueue = m.persistQueue[1:]; len(m.persistQueue) > 0 {
+			m.persistNext()
 		}
 		return nil
 	})
 }
 
 // insist tries the same again until the disk takes it; the chain hears of the first refusal.
-func (m *member) insist(seq uint64, us int64, try func() error) {
-	m.later(us, func() {
+func (m *member) retry(seq uint64, us int64, try func() error) {
+	m.scheduleAt(us, func() {
 		err := try()
 		var bad *fault.Fault
 		switch {
@@ -301,58 +301,58 @@
 			m.cluster.t.Fatal(err)
 		case err != nil:
 			m.step(chain.PersistRefused{Seq: seq})
-			m.insist(seq, m.cluster.nowUs+retrySaveUs, try)
+			m.retry(seq, m.cluster.nowUs+retrySaveUs, try)
 		}
 	})
 }
 
-func (m *member) keep(s chain.Persist, from uint64) error {
-	left := m.powerLostWhile(func() error { return m.store.SaveSnapshot(*s.Snapshot, from) })
-	if left.disk != nil {
+func (m *member) saveSnapshot(s chain.Persist, from uint64) error {
+	result := m.runWithPowerLoss(func() error { return m.store.SaveSnapshot(*s.Snapshot, from) })
+	if result.disk != nil {
 		m.stop()
-		m.disk = left.disk.settled()
+		m.disk = result.disk.withAllDurable()
 		return nil
 	}
-	m.cluster.weigh(m)
-	if left.err == nil && s.Compact {
-		left.err = m.store.Compact(from)
+	m.cluster.recordDiskUsage(m)
+	if result.err == nil && s.Compact {
+		result.err = m.store.Compact(from)
 	}
-	if left.err == nil {
+	if result.err == nil {
 		m.step(chain.Persisted{Seq: s.Seq, LogBytes: m.store.LogBytes()})
 	}
-	return left.err
+	return result.err
 }
 
-// leftOver is how a piece of work ended: with an error or none, or with a loss of power that left a disk.
-type leftOver struct {
+// workResult is how a piece of work ended: with an error or none, or with a loss of power that left a disk.
+type workResult struct {
 	disk *powerDisk
 	err  error
 }
 
-func (m *member) powerLostWhile(work func() error) (left leftOver) {
-	if m.losesPowerIn == 0 {
-		return leftOver{err: work()}
+func (m *member) runWithPowerLoss(work func() error) (result workResult) {
+	if m.powerLossCountdown == 0 {
+		return workResult{err: work()}
 	}
 	m.disk.before = func() {
-		if m.losesPowerIn--; m.losesPowerIn == 0 {
-			left.disk = m.leaves(m.disk.afterPowerLoss())
+		if m.powerLossCountdown--; m.powerLossCountdown == 0 {
+			result.disk = m.chooseDisk(m.disk.afterPowerLoss())
 		}
 	}
-	left.err = work()
+	result.err = work()
 	m.disk.before = nil
-	if left.disk == nil && m.losesPowerIn == 1 {
-		m.losesPowerIn, left.disk = 0, m.leaves(m.disk.afterPowerLoss())
+	if result.disk == nil && m.powerLossCountdown == 1 {
+		m.powerLossCountdown, result.disk = 0, m.chooseDisk(m.disk.afterPowerLoss())
 	}
-	return left
+	return result
 }
 
 // weigh notes the most that a disk has held.
-func (c *cluster) weigh(m *member) {
+func (c *cluster) recordDiskUsage(m *member) {
 	sum := int64(0)
 	for _, f := range m.disk.names {
 		sum += int64(len(f.data))
 	}
-	c.mostDisk = max(c.mostDisk, sum)
+	c.maxDiskBytes = max(c.maxDiskBytes, sum)
 }
 
 func (c *cluster) head() *member {
@@ -365,10 +365,10 @@
 }
 
 // place finds the member at a place of the newest view.
-func (c *cluster) place(at int) *member {
+func (c *cluster) memberAt(at int) *member {
 	order := c.head().node.View().Replicas
 	for _, m := range c.members {
-		if m.me.ID == order[at].ID {
+		if m.self.ID == order[at].ID {
 			return m
 		}
 	}
@@ -376,7 +376,7 @@
 }
 
 // whole: every member that lives has a seat, a vote and all that was acknowledged.
-func (c *cluster) whole() bool {
+func (c *cluster) allCaughtUp() bool {
 	for _, m := range c.members {
 		if m.node == nil || !m.caughtUp() {
 			return false
@@ -388,14 +388,14 @@
 func (m *member) caughtUp() bool {
 	n := m.node
 	view := n.View()
-	return n.Phase() == chain.PhaseServing && n.WaitReason() == "" && view.IsVoter(m.me.ID) && len(view.Replicas) == 3 && n.CommitIndex()+2 >= m.cluster.newest
+	return n.Phase() == chain.PhaseServing && n.WaitReason() == "" && view.IsVoter(m.self.ID) && len(view.Replicas) == 3 && n.CommitIndex()+2 >= m.cluster.acknowledgedIndex
 }
 
 // submitNext begins the next change; it is sent again until it is acknowledged.
 func (c *cluster) submitNext() {
 	c.changes++
 	c.sentUs = c.nowUs
-	c.change = &statemachine.Change{ID: fmt.Sprint("change-", c.changes), Config: c.next(c.changes)}
+	c.change = &statemachine.Change{ID: fmt.Sprint("change-", c.changes), Config: c.nextChange(c.changes)}
 	c.submit(c.change)
 }
 
@@ -404,21 +404,21 @@
 		return
 	}
 	if h := c.head(); h != nil {
-		held := *change
-		h.handle(handleUs, chain.ChangeSubmitted{Change: &held})
+		submitted := *change
+		h.enqueue(handleUs, chain.ChangeSubmitted{Change: &submitted})
 	}
-	c.at(c.nowUs+resubmitUs, func() { c.submit(change) })
+	c.scheduleAt(c.nowUs+resubmitUs, func() { c.submit(change) })
 }
 
 // judge holds what a member may say against what was acknowledged, and takes the acknowledgement of the change that
 // is under way.
-func (c *cluster) judge(m *member) {
+func (c *cluster) checkInvariants(m *member) {
 	n := m.node
-	if n.IsTailReady(c.nowUs) && n.CommitIndex() < c.newest {
-		c.fail("%s answers as tail at %d, %d was acknowledged", m.me.ID, n.CommitIndex(), c.newest)
+	if n.IsTailReady(c.nowUs) && n.CommitIndex() < c.acknowledgedIndex {
+		c.fail("%s answers as tail at %d, %d was acknowledged", m.self.ID, n.CommitIndex(), c.acknowledgedIndex)
 	}
-	if n.IsHeadConfirmed(c.nowUs) && n.LastIndex() < c.newest {
-		c.fail("%s gives orders at %d, %d was acknowledged", m.me.ID, n.LastIndex(), c.newest)
+	if n.IsHeadConfirmed(c.nowUs) && n.LastIndex() < c.acknowledgedIndex {
+		c.fail("%s gives orders at %d, %d was acknowledged", m.self.ID, n.LastIndex(), c.acknowledgedIndex)
 	}
 	if c.change == nil {
 		return
@@ -430,28 +430,28 @@
 	if out.Fault != nil {
 		c.fail("change %d: %v", c.changes, out.Fault)
 	}
-	c.acknowledged(out.Index)
+	c.recordAcknowledgement(out.Index)
 }
 
-func (c *cluster) acknowledged(index uint64) {
-	if tookUs := c.nowUs - c.sentUs; tookUs > c.worstUs {
-		c.worstUs, c.slowest = tookUs, c.changes
+func (c *cluster) recordAcknowledgement(index uint64) {
+	if tookUs := c.nowUs - c.sentUs; tookUs > c.slowestUs {
+		c.slowestUs, c.slowestChange = tookUs, c.changes
 	}
-	c.newest = index
+	c.acknowledgedIndex = index
 	c.change = nil
-	c.at(c.nowUs+c.gapUs, c.submitNext)
+	c.scheduleAt(c.nowUs+c.changeIntervalUs, c.submitNext)
 }
 
 func (c *cluster) fail(format string, args ...any) {
-	if c.wrong == "" {
-		c.wrong = fmt.Sprintf("at %d ms: ", c.nowUs/clock.Ms) + fmt.Sprintf(format, args...)
+	if c.violation == "" {
+		c.violation = fmt.Sprintf("at %d ms: ", c.nowUs/clock.Ms) + fmt.Sprintf(format, args...)
 	}
 }
 
 // acknowledge lets so many changes be acknowledged, within a time for each.
-func (c *cluster) acknowledge(count int) {
+func (c *cluster) awaitChanges(count int) {
 	want := c.changes + uint64(count)
-	c.pass(int64(count)*2*clock.Sec+20*clock.Sec, func() bool { return c.changes >= want || c.wrong != "" })
+	c.advance(int64(count)*2*clock.Sec+20*clock.Sec, func() bool { return c.changes >= want || c.violation != "" })
 	if c.changes < want {
 		c.fail("%d changes of %d", c.changes, want)
 	}
--- a/internal/controlplane/storage/codec.go
+++ b/internal/controlplane/storage/codec.go
@@ -19,18 +19,18 @@
 
 // EncodeRecord puts a checksum before a payload.
 func EncodeRecord(payload []byte) []byte {
-	framed := make([]byte, checksumBytes, checksumBytes+len(payload))
-	binary.LittleEndian.PutUint32(framed, crc32.Checksum(payload, castagnoli))
-	return append(framed, payload...)
+	record := make([]byte, checksumBytes, checksumBytes+len(payload))
+	binary.LittleEndian.PutUint32(record, crc32.Checksum(payload, castagnoli))
+	return append(record, payload...)
 }
 
 // DecodeRecord is the payload of a frame, or the fault that its checksum shows.
-func DecodeRecord(framed []byte) ([]byte, *fault.Fault) {
-	if len(framed) < checksumBytes {
-		return nil, fault.New(fault.DamagedData, "", "a record of %d bytes has no checksum", len(framed))
+func DecodeRecord(record []byte) ([]byte, *fault.Fault) {
+	if len(record) < checksumBytes {
+		return nil, fault.New(fault.DamagedData, "", "a record of %d bytes has no checksum", len(record))
 	}
-	payload := framed[checksumBytes:]
-	if binary.LittleEndian.Uint32(framed) != crc32.Checksum(payload, castagnoli) {
+	payload := record[checksumBytes:]
+	if binary.LittleEndian.Uint32(record) != crc32.Checksum(payload, castagnoli) {
 		return nil, fault.New(fault.DamagedData, "", "checksum does not match")
 	}
 	return payload, nil
@@ -88,14 +88,14 @@
 	if err := zip.Close(); err != nil {
 		return nil, err
 	}
-	framed := buf.Bytes()
-	binary.LittleEndian.PutUint32(framed, crc32.Checksum(framed[checksumBytes:], castagnoli))
-	return framed, nil
+	record := buf.Bytes()
+	binary.LittleEndian.PutUint32(record, crc32.Checksum(record[checksumBytes:], castagnoli))
+	return record, nil
 }
 
 // decodeSnapshot reads a copy as it lies on the disk.
-func decodeSnapshot(framed []byte) (*storedSnapshot, *fault.Fault) {
-	payload, bad := DecodeRecord(framed)
+func decodeSnapshot(record []byte) (*storedSnapshot, *fault.Fault) {
+	payload, bad := DecodeRecord(record)
 	if bad != nil {
 		return nil, bad
 	}
--- a/internal/controlplane/storage/codec_test.go
+++ b/internal/controlplane/storage/codec_test.go
@@ -14,11 +14,11 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// opensWith says by which fault a folder is refused; what lies in it must be as it was.
-func opensWith(t *testing.T, dir string) fault.Code {
+// openFault says by which fault a folder is refused; what lies in it must be as it was.
+func openFault(t *testing.T, dir string) fault.Code {
 	t.Helper()
-	before := contents(t, dir)
-	_, err := reopened(t, dir)
+	before := readFiles(t, dir)
+	_, err := reopen(t, dir)
 	var bad *fault.Fault
 	if err != nil && !errors.As(err, &bad) {
 		t.Fatal("no typed error: ", err)
@@ -26,7 +26,7 @@
 	if bad == nil {
 		return ""
 	}
-	for path, raw := range contents(t, dir) {
+	for path, raw := range readFiles(t, dir) {
 		if !bytes.Equal(raw, before[path]) {
 			t.Fatalf("%s was changed", path)
 		}
@@ -38,7 +38,7 @@
 	return bad.Code
 }
 
-func contents(t *testing.T, dir string) map[string][]byte {
+func readFiles(t *testing.T, dir string) map[string][]byte {
 	t.Helper()
 	all := map[string][]byte{}
 	paths, err := filepath.Glob(filepath.Join(dir, logDir, "*"))
@@ -63,8 +63,8 @@
 		"a record that says nothing": `[{}]`,
 		"beside one that is known":   `[{"whole":1},{"lease":{}}]`,
 	} {
-		dir := filled(t, 5)
-		o, err := Open(dir, mine)
+		dir := newFilledDir(t, 5)
+		o, err := Open(dir, testOwner)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,14 +74,14 @@
 		if err := o.Store.Close(); err != nil {
 			t.Fatal(err)
 		}
-		if code := opensWith(t, dir); code != fault.UnknownFormat {
+		if code := openFault(t, dir); code != fault.UnknownFormat {
 			t.Errorf("%s: %q", name, code)
 		}
 	}
 }
 
 // rewritten puts other JSON in a copy's place, with a checksum that fits.
-func rewritten(t *testing.T, dir, text string) {
+func replaceSnapshot(t *testing.T, dir, text string) {
 	t.Helper()
 	var buf bytes.Buffer
 	zip := gzip.NewWriter(&buf)
@@ -103,9 +103,9 @@
 		`{"index":2,"view":1,"state":{"epoch":"x"},"from":1}`: fault.DamagedData,
 		`{"index":2,"view":1,"state":{"epoch":1},"from":1}`:   "",
 	} {
-		dir := filled(t, 3)
-		rewritten(t, dir, text)
-		if code := opensWith(t, dir); code != want {
+		dir := newFilledDir(t, 3)
+		replaceSnapshot(t, dir, text)
+		if code := openFault(t, dir); code != want {
 			t.Errorf("%s: %q", text, code)
 		}
 	}
@@ -113,8 +113,8 @@
 
 // A copy that is damaged in any one byte is refused, and so is one that is cut short.
 func TestDamagedSnapshotIsRefused(t *testing.T) {
-	dir := filled(t, 3)
-	o, err := Open(dir, mine)
+	dir := newFilledDir(t, 3)
+	o, err := Open(dir, testOwner)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,15 +124,15 @@
 	if err := o.Store.Close(); err != nil {
 		t.Fatal(err)
 	}
-	at := filepath.Join(dir, logDir, snapshotName)
-	raw, err := os.ReadFile(at)
+	path := filepath.Join(dir, logDir, snapshotName)
+	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range raw {
-		spoilt := bytes.Clone(raw)
-		spoilt[i] ^= 1
-		for _, damaged := range [][]byte{spoilt, raw[:i]} {
+		flipped := bytes.Clone(raw)
+		flipped[i] ^= 1
+		for _, damaged := range [][]byte{flipped, raw[:i]} {
 			if _, bad := decodeSnapshot(damaged); bad == nil || bad.Code != fault.DamagedData {
 				t.Fatalf("byte %d: %v", i, bad)
 			}
--- a/internal/controlplane/storage/crash_test.go
+++ b/internal/controlplane/storage/crash_test.go
@@ -19,20 +19,20 @@
 
 // user drives a store as a control node does, and knows which histories may come back at any moment: the one that it
 // was told is saved, and the same with what is under way.
-type user struct {
-	disk   *powerDisk
-	store  *Store
-	saved  history
-	trying []func(history) history
+type storeDriver struct {
+	disk       *powerDisk
+	store      *Store
+	saved      history
+	inProgress []func(history) history
 	// copies are the histories that copies stand for, by the view in which they are marked.
-	copies *[]history
-	writer string
+	snapshots *[]history
+	idPrefix  string
 }
 
 // allowed lists the histories that may come back now.
-func (u *user) allowed() []string {
+func (u *storeDriver) allowedHistories() []string {
 	all := []history{u.saved}
-	for _, try := range u.trying {
+	for _, try := range u.inProgress {
 		for _, h := range slices.Clone(all) {
 			all = append(all, try(slices.Clone(h)))
 		}
@@ -46,15 +46,15 @@
 
 // attempt does one thing as often as the disk refuses it. What it does to the history may come back from its
 // beginning on, and must from its end on.
-func (u *user) attempt(then func(history) history, try func() error) error {
-	u.trying = append(u.trying, then)
+func (u *storeDriver) retry(effect func(history) history, try func() error) error {
+	u.inProgress = append(u.inProgress, effect)
 	for range 200 {
 		err := try()
 		var bad *fault.Fault
 		switch {
 		case err == nil:
-			u.saved = then(slices.Clone(u.saved))
-			u.trying = u.trying[:len(u.trying)-1]
+			u.saved = effect(slices.Clone(u.saved))
+			u.inProgress = u.inProgress[:len(u.inProgress)-1]
 			return nil
 		case errors.As(err, &bad):
 			return err
@@ -66,30 +66,30 @@
 func unchanged(h history) history { return h }
 
 // write adds so many entries as one save.
-func (u *user) write(fresh bool, count int) (from uint64, err error) {
+func (u *storeDriver) write(fresh bool, count int) (from uint64, err error) {
 	records, ids := []chain.Record{}, history{}
 	for i := range count {
 		index := uint64(len(u.saved) + i + 1)
-		r := entry(index)
-		r.Entry.Change.ID = fmt.Sprint(u.writer, index)
+		r := newEntryRecord(index)
+		r.Entry.Change.ID = fmt.Sprint(u.idPrefix, index)
 		records, ids = append(records, r), append(ids, r.Entry.Change.ID)
 	}
-	err = u.attempt(func(h history) history { return append(h, ids...) }, func() (err error) {
+	err = u.retry(func(h history) history { return append(h, ids...) }, func() (err error) {
 		from, err = u.store.Write(records, fresh)
 		return err
 	})
 	return from, err
 }
 
-func (u *user) copyOf(h history) chain.Snapshot {
-	*u.copies = append(*u.copies, slices.Clone(h))
-	return chain.Snapshot{Index: uint64(len(h)), View: uint64(len(*u.copies)), State: statemachine.NewState()}
+func (u *storeDriver) newSnapshot(h history) chain.Snapshot {
+	*u.snapshots = append(*u.snapshots, slices.Clone(h))
+	return chain.Snapshot{Index: uint64(len(h)), View: uint64(len(*u.snapshots)), State: statemachine.NewState()}
 }
 
 // compact begins the log anew on a copy, while another save is written between two changes of the disk that
 // keeping the copy takes.
-func (u *user) compact(between int) error {
-	c := u.copyOf(u.saved)
+func (u *storeDriver) compact(interleaveAt int) error {
+	c := u.newSnapshot(u.saved)
 	from, err := u.write(true, 1)
 	if err != nil {
 		return err
@@ -99,14 +99,14 @@
 		if outer != nil {
 			outer()
 		}
-		if changes++; changes == between {
+		if changes++; changes == interleaveAt {
 			inner := u.disk.before
 			u.disk.before = outer
 			_, err = u.write(false, 2)
 			u.disk.before = inner
 		}
 	}
-	kept := u.attempt(unchanged, func() error { return u.store.SaveSnapshot(c, from) })
+	kept := u.retry(unchanged, func() error { return u.store.SaveSnapshot(c, from) })
 	u.disk.before = outer
 	if kept != nil || err != nil {
 		return errors.Join(kept, err)
@@ -114,13 +114,13 @@
 	if _, err := u.write(false, 1); err != nil {
 		return err
 	}
-	return u.attempt(unchanged, func() error { return u.store.Compact(from) })
+	return u.retry(unchanged, func() error { return u.store.Compact(from) })
 }
 
 // adopt takes a peer's copy in the place of a history that ends otherwise.
-func (u *user) adopt() error {
-	theirs := append(slices.Clone(u.saved[:len(u.saved)-1]), "partner's", "partner's too")
-	c := u.copyOf(theirs)
+func (u *storeDriver) installPeerSnapshot() error {
+	peerHistory := append(slices.Clone(u.saved[:len(u.saved)-1]), "partner's", "partner's too")
+	c := u.newSnapshot(peerHistory)
 	from, err := u.store.Write(nil, false)
 	for range 200 {
 		if err == nil {
@@ -131,43 +131,43 @@
 	if err != nil {
 		return err
 	}
-	return u.attempt(func(history) history { return theirs }, func() error { return u.store.SaveSnapshot(c, from) })
+	return u.retry(func(history) history { return peerHistory }, func() error { return u.store.SaveSnapshot(c, from) })
 }
 
-const smallSegment = 250
+const testSegmentBytes = 250
 
 // enter opens the folder. Once it is open and the disk takes bytes, what was found counts as saved.
-func (u *user) enter(want []string) error {
-	o, err := openFiles(u.disk, "/data", mine)
+func (u *storeDriver) open(want []string) error {
+	o, err := openFiles(u.disk, "/data", testOwner)
 	if err != nil {
 		return err
 	}
-	found, err := u.told(o.Records)
+	recovered, err := u.historyOf(o.Records)
 	if err != nil {
 		return err
 	}
-	if !slices.Contains(want, found.String()) {
-		return fmt.Errorf("found %q, want one of %q", found, want)
+	if !slices.Contains(want, recovered.String()) {
+		return fmt.Errorf("found %q, want one of %q", recovered, want)
 	}
 	u.store = o.Store
-	u.store.log.maxSegmentBytes = smallSegment
+	u.store.log.maxSegmentBytes = testSegmentBytes
 	if o.WriteErr != nil {
-		if err := u.attempt(unchanged, func() error { _, err := u.store.Write(nil, false); return err }); err != nil {
+		if err := u.retry(unchanged, func() error { _, err := u.store.Write(nil, false); return err }); err != nil {
 			return err
 		}
 	}
-	u.saved, u.trying = found, nil
+	u.saved, u.inProgress = recovered, nil
 	return nil
 }
 
 // told is the history that records tell to a member that starts from them. What of the log is still there before a
 // copy may begin anywhere; behind the last copy nothing is missing.
-func (u *user) told(records []chain.Record) (history, error) {
+func (u *storeDriver) historyOf(records []chain.Record) (history, error) {
 	h, gap := history{}, uint64(0)
 	for _, r := range records {
 		switch {
 		case r.Snapshot != nil:
-			h, gap = slices.Clone((*u.copies)[r.Snapshot.View-1]), 0
+			h, gap = slices.Clone((*u.snapshots)[r.Snapshot.View-1]), 0
 		case r.Entry != nil && r.Entry.Index <= uint64(len(h)):
 			h = append(h[:r.Entry.Index-1], r.Entry.Change.ID)
 		case r.Entry != nil && r.Entry.Index == uint64(len(h))+1:
@@ -184,63 +184,63 @@
 
 // explorer goes through every disk that may be left, and checks what each gives back.
 type explorer struct {
-	copies []history
-	seen   map[string]bool
-	losses int
-	kills  int
-	deep   bool
-	// whileOpening plants a lie in the disk as long as a store with a log is opened.
-	whileOpening lie
-	wrong        string
+	copies             []history
+	seen               map[string]bool
+	disksChecked       int
+	kills              int
+	continuesAfterLoss bool
+	// mutationWhileOpening plants a lie in the disk as long as a store with a log is opened.
+	mutationWhileOpening mutation
+	violation            string
 }
 
 func (x *explorer) fail(format string, args ...any) {
-	if x.wrong == "" {
-		x.wrong = fmt.Sprintf(format, args...)
+	if x.violation == "" {
+		x.violation = fmt.Sprintf(format, args...)
 	}
 }
 
 // reopened checks what a disk gives back to a process that only opens it.
-func (x *explorer) reopened(d *powerDisk, want []string, when string) {
-	key := fmt.Sprint(d.mark(), want)
-	if x.seen[key] || x.wrong != "" {
+func (x *explorer) checkReopen(d *powerDisk, want []string, when string) {
+	key := fmt.Sprint(d.fingerprint(), want)
+	if x.seen[key] || x.violation != "" {
 		return
 	}
 	x.seen[key] = true
-	x.losses++
-	u := &user{disk: d.settled(), copies: &x.copies}
-	if err := u.enter(want); err != nil {
+	x.disksChecked++
+	u := &storeDriver{disk: d.withAllDurable(), snapshots: &x.copies}
+	if err := u.open(want); err != nil {
 		x.fail("%s: %v", when, err)
 	}
 }
 
 // continued starts another process on a disk, lets it write, compact and forget, and takes its power before each
 // change: also while it opens.
-func (x *explorer) continued(d *powerDisk, want []string, when string) {
-	key := fmt.Sprint("on", d.mark(), len(d.pending), want)
-	if x.seen[key] || x.wrong != "" {
+func (x *explorer) checkContinue(d *powerDisk, want []string, when string) {
+	key := fmt.Sprint("on", d.fingerprint(), len(d.pending), want)
+	if x.seen[key] || x.violation != "" {
 		return
 	}
 	x.seen[key] = true
-	u := &user{disk: d, copies: &x.copies, writer: "second-"}
+	u := &storeDriver{disk: d, snapshots: &x.copies, idPrefix: "second-"}
 	allowed := func() []string { return want }
 	d.before = func() {
-		if x.wrong != "" {
+		if x.violation != "" {
 			return
 		}
-		for _, left := range d.afterPowerLoss() {
-			x.reopened(left, allowed(), when+", then power lost before change "+fmt.Sprint(d.changes))
+		for _, remaining := range d.afterPowerLoss() {
+			x.checkReopen(remaining, allowed(), when+", then power lost before change "+fmt.Sprint(d.changes))
 		}
 	}
-	if d.holdsLog() {
-		d.lie = x.whileOpening
+	if d.hasLog() {
+		d.mutation = x.mutationWhileOpening
 	}
-	if err := u.enter(want); err != nil {
+	if err := u.open(want); err != nil {
 		x.fail("%s: %v", when, err)
 		return
 	}
-	d.lie = noLie
-	allowed = u.allowed
+	d.mutation = noMutation
+	allowed = u.allowedHistories
 	d.before()
 	for _, step := range []func() error{
 		func() error { _, err := u.write(false, 1); return err },
@@ -254,16 +254,16 @@
 }
 
 // life is a store's whole life, with every way in which it changes the disk.
-func (x *explorer) life(u *user, betweens [2]int) error {
+func (x *explorer) runLifecycle(u *storeDriver, interleaving [2]int) error {
 	write := func(count int) func() error {
 		return func() error { _, err := u.write(false, count); return err }
 	}
 	for _, step := range []func() error{
-		func() error { return u.enter([]string{""}) },
+		func() error { return u.open([]string{""}) },
 		write(1), write(2), write(1), write(3),
-		func() error { return u.compact(betweens[0]) },
-		write(2), write(1), u.adopt, write(1), write(2),
-		func() error { return u.compact(betweens[1]) },
+		func() error { return u.compact(interleaving[0]) },
+		write(2), write(1), u.installPeerSnapshot, write(1), write(2),
+		func() error { return u.compact(interleaving[1]) },
 		write(1),
 	} {
 		if err := step(); err != nil {
@@ -274,26 +274,26 @@
 }
 
 // explore lives a life on a disk and looks at all that each moment may leave.
-func (x *explorer) explore(d *powerDisk, betweens [2]int) (changes int) {
+func (x *explorer) explore(d *powerDisk, interleaving [2]int) (changes int) {
 	x.seen = map[string]bool{}
-	u := &user{disk: d, copies: &x.copies, writer: "first-"}
+	u := &storeDriver{disk: d, snapshots: &x.copies, idPrefix: "first-"}
 	d.before = func() {
-		if x.wrong != "" {
+		if x.violation != "" {
 			return
 		}
 		when := fmt.Sprint("before change ", d.changes)
-		for _, left := range d.afterPowerLoss() {
-			x.reopened(left, u.allowed(), when+" power lost")
-			if x.deep {
-				x.continued(left.settled(), u.allowed(), when+" power lost")
+		for _, remaining := range d.afterPowerLoss() {
+			x.checkReopen(remaining, u.allowedHistories(), when+" power lost")
+			if x.continuesAfterLoss {
+				x.checkContinue(remaining.withAllDurable(), u.allowedHistories(), when+" power lost")
 			}
 		}
-		if x.deep {
+		if x.continuesAfterLoss {
 			x.kills++
-			x.continued(d.copied(), u.allowed(), when+" killed")
+			x.checkContinue(d.clone(), u.allowedHistories(), when+" killed")
 		}
 	}
-	if err := x.life(u, betweens); err != nil {
+	if err := x.runLifecycle(u, interleaving); err != nil {
 		x.fail("%v", err)
 	}
 	d.before()
@@ -304,42 +304,42 @@
 // store makes; every name and every write that no sync covered is kept or lost by itself. All that was reported
 // as saved comes back, in order and once, and at most what was under way besides.
 func TestPowerLossAtEveryStep(t *testing.T) {
-	betweens := [][2]int{{0, 0}, {1, 2}, {2, 3}, {3, 4}, {4, 5}, {5, 1}}
-	if raced {
-		betweens = betweens[:1]
+	interleavings := [][2]int{{0, 0}, {1, 2}, {2, 3}, {3, 4}, {4, 5}, {5, 1}}
+	if raceEnabled {
+		interleavings = interleavings[:1]
 	}
-	for _, between := range betweens {
-		t.Run(fmt.Sprint(between), func(t *testing.T) {
+	for _, interleaving := range interleavings {
+		t.Run(fmt.Sprint(interleaving), func(t *testing.T) {
 			t.Parallel()
-			x := &explorer{deep: true}
-			changes := x.explore(newPowerDisk(), between)
-			if x.wrong != "" {
-				t.Fatal(x.wrong)
+			x := &explorer{continuesAfterLoss: true}
+			changes := x.explore(newPowerDisk(), interleaving)
+			if x.violation != "" {
+				t.Fatal(x.violation)
 			}
-			if changes < 60 || x.losses < 500 {
-				t.Fatalf("%d changes, %d disks: too few to prove anything", changes, x.losses)
+			if changes < 60 || x.disksChecked < 500 {
+				t.Fatalf("%d changes, %d disks: too few to prove anything", changes, x.disksChecked)
 			}
-			t.Logf("%d changes of the disk, %d kills, %d disks left by a loss of power", changes, x.kills, x.losses)
+			t.Logf("%d changes of the disk, %d kills, %d disks left by a loss of power", changes, x.kills, x.disksChecked)
 		})
 	}
 }
 
 // The same while the disk is full for a while, from every change on.
 func TestPowerLossWhileDiskIsFull(t *testing.T) {
-	plain := &explorer{}
-	changes := plain.explore(newPowerDisk(), [2]int{})
-	if plain.wrong != "" {
-		t.Fatal(plain.wrong)
+	baseline := &explorer{}
+	changes := baseline.explore(newPowerDisk(), [2]int{})
+	if baseline.violation != "" {
+		t.Fatal(baseline.violation)
 	}
 	losses := 0
 	for _, span := range []int{1, 4, 40} {
 		for from := 1; from <= changes; from++ {
 			d, x := newPowerDisk(), &explorer{}
 			d.fullFrom, d.fullSpan = from, span
-			if x.explore(d, [2]int{}); x.wrong != "" {
-				t.Fatalf("full from change %d on, %d times: %s", from, span, x.wrong)
+			if x.explore(d, [2]int{}); x.violation != "" {
+				t.Fatalf("full from change %d on, %d times: %s", from, span, x.violation)
 			}
-			losses += x.losses
+			losses += x.disksChecked
 		}
 	}
 	t.Logf("%d changes, each the first that a full disk refuses, 1, 4 and 40 times: %d disks left by a loss of power", changes, losses)
@@ -348,71 +348,71 @@
 // Each defect must be seen: of the disk, of a store that does not make sure of what it finds, and of a user that
 // forgets the log before the copy is kept.
 func TestPowerLossCheckCanFail(t *testing.T) {
-	for _, planted := range []lie{foldersAreUnsynced, copiesAreUnsynced, logIsUnsynced} {
+	for _, planted := range []mutation{skipDirSync, skipSnapshotSync, skipLogSync} {
 		d, x := newPowerDisk(), &explorer{}
-		d.lie = planted
+		d.mutation = planted
 		x.explore(d, [2]int{})
-		if x.wrong == "" {
+		if x.violation == "" {
 			t.Errorf("%s: not seen", planted)
 		}
-		t.Log(planted, ": ", x.wrong)
+		t.Log(planted, ": ", x.violation)
 	}
-	for _, planted := range []lie{foldersAreUnsynced, logIsUnsynced} {
-		x := &explorer{deep: true, whileOpening: planted}
+	for _, planted := range []mutation{skipDirSync, skipLogSync} {
+		x := &explorer{continuesAfterLoss: true, mutationWhileOpening: planted}
 		x.explore(newPowerDisk(), [2]int{})
-		if x.wrong == "" {
+		if x.violation == "" {
 			t.Errorf("while a store opens %s: not seen", planted)
 		}
-		t.Log("while a store opens ", planted, ": ", x.wrong)
+		t.Log("while a store opens ", planted, ": ", x.violation)
 	}
 	d, x := newPowerDisk(), &explorer{seen: map[string]bool{}}
-	u := &user{disk: d, copies: &x.copies, writer: "first-"}
+	u := &storeDriver{disk: d, snapshots: &x.copies, idPrefix: "first-"}
 	d.before = func() {
-		for _, left := range d.afterPowerLoss() {
-			x.reopened(left, u.allowed(), fmt.Sprint("before change ", d.changes))
+		for _, remaining := range d.afterPowerLoss() {
+			x.checkReopen(remaining, u.allowedHistories(), fmt.Sprint("before change ", d.changes))
 		}
 	}
-	if err := x.forgetsFirst(u); err != nil {
+	if err := x.compactBeforeSnapshot(u); err != nil {
 		x.fail("%v", err)
 	}
-	if x.wrong == "" {
+	if x.violation == "" {
 		t.Error("a log that is forgotten before its copy is kept: not seen")
 	}
-	t.Log("forgotten first: ", x.wrong)
+	t.Log("forgotten first: ", x.violation)
 }
 
-// forgetsFirst is the planted order: the log goes before its copy is kept.
-func (x *explorer) forgetsFirst(u *user) error {
-	if err := u.enter([]string{""}); err != nil {
+// compactBeforeSnapshot is the planted order: the log goes before its copy is kept.
+func (x *explorer) compactBeforeSnapshot(u *storeDriver) error {
+	if err := u.open([]string{""}); err != nil {
 		return err
 	}
 	if _, err := u.write(false, 3); err != nil {
 		return err
 	}
-	c := u.copyOf(u.saved)
+	c := u.newSnapshot(u.saved)
 	from, err := u.write(true, 1)
 	if err != nil {
 		return err
 	}
-	if err := u.attempt(unchanged, func() error { return u.store.Compact(from) }); err != nil {
+	if err := u.retry(unchanged, func() error { return u.store.Compact(from) }); err != nil {
 		return err
 	}
-	return u.attempt(unchanged, func() error { return u.store.SaveSnapshot(c, from) })
+	return u.retry(unchanged, func() error { return u.store.SaveSnapshot(c, from) })
 }
 
 // What a disk gives back while it refuses every sync does not count as saved until it takes one.
 func TestWriteErrorOfOpenIsReported(t *testing.T) {
 	d, copies := newPowerDisk(), []history{}
-	u := &user{disk: d, copies: &copies, writer: "first-"}
-	if err := u.enter([]string{""}); err != nil {
+	u := &storeDriver{disk: d, snapshots: &copies, idPrefix: "first-"}
+	if err := u.open([]string{""}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := u.write(false, 1); err != nil {
 		t.Fatal(err)
 	}
-	killed := d.copied()
+	killed := d.clone()
 	killed.fullFrom, killed.fullSpan = 1, 3
-	o, err := openFiles(killed, "/data", mine)
+	o, err := openFiles(killed, "/data", testOwner)
 	if err != nil || o.WriteErr == nil {
 		t.Fatal(o, err)
 	}
--- a/internal/controlplane/storage/lock.go
+++ b/internal/controlplane/storage/lock.go
@@ -30,27 +30,27 @@
 		return &DirLock{}, nil
 	}
 	path := filepath.Join(folder, lockName)
-	held, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o640)
+	lockFile, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o640)
 	if err != nil {
 		return &DirLock{}, nil
 	}
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
-	again := time.NewTicker(lockRetryInterval)
-	defer again.Stop()
+	retry := time.NewTicker(lockRetryInterval)
+	defer retry.Stop()
 	for {
-		err := syscall.Flock(int(held.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
+		err := syscall.Flock(int(lockFile.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		if !errors.Is(err, syscall.EWOULDBLOCK) && !errors.Is(err, syscall.EINTR) {
-			return &DirLock{file: held}, nil
+			return &DirLock{file: lockFile}, nil
 		}
 		if owner, _ := os.ReadFile(path); len(owner) > 0 && string(owner) != name {
-			_ = held.Close()
+			_ = lockFile.Close()
 			return nil, fault.New(fault.ForeignData, folder, "the folder is in use by %q, not by %q", owner, name)
 		}
 		select {
-		case <-again.C:
+		case <-retry.C:
 		case <-deadline.C:
-			_ = held.Close()
+			_ = lockFile.Close()
 			return nil, fault.New(fault.DataNotWritable, path, "another process uses this folder")
 		}
 	}
--- a/internal/controlplane/storage/lock_test.go
+++ b/internal/controlplane/storage/lock_test.go
@@ -21,18 +21,18 @@
 	if _, err := Lock(folder, "core-1", 120*time.Millisecond); !errors.As(err, &bad) || bad.Code != fault.DataNotWritable {
 		t.Fatalf("a second one beside it: %v", err)
 	}
-	got := make(chan error, 1)
+	secondErr := make(chan error, 1)
 	go func() {
 		second, err := Lock(folder, "core-1", 20*time.Second)
 		if err == nil {
 			err = second.Close()
 		}
-		got <- err
+		secondErr <- err
 	}()
 	if err := first.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-got; err != nil {
+	if err := <-secondErr; err != nil {
 		t.Fatalf("once the first has ended: %v", err)
 	}
 }
--- a/internal/controlplane/storage/power_loss_test.go
+++ b/internal/controlplane/storage/power_loss_test.go
@@ -16,8 +16,8 @@
 // the last sync of its file, each may be there, missing or torn. Not even the sync of a new file makes its name
 // last here. A process that is killed leaves all as it was.
 type powerDisk struct {
-	names   map[string]*content
-	lasting map[string]*content
+	names   map[string]*fileContent
+	durable map[string]*fileContent
 	pending []nameChange
 
 	changes int
@@ -26,44 +26,44 @@
 	// fullFrom and fullSpan say from which change on, and how often, the disk refuses what takes room: writes, new
 	// names and syncs.
 	fullFrom, fullSpan int
-	lie                lie
+	mutation           mutation
 }
 
 // content is what one file holds, and what of it has been synced. A folder has none of either.
-type content struct {
+type fileContent struct {
 	folder  bool
 	data    []byte
 	synced  []byte
-	pending []write
+	pending []pendingWrite
 }
 
 // write is a change of a file's bytes that no sync has covered: bytes put at a place, or a new length.
-type write struct {
-	at    int
-	bytes []byte
-	isCut bool
+type pendingWrite struct {
+	at           int
+	bytes        []byte
+	isTruncation bool
 }
 
 // nameChange is a name that was made, renamed or removed and that no sync of its folder has covered.
 type nameChange struct {
 	folder   string
 	from, to string
-	of       *content
+	file     *fileContent
 }
 
 // lie is a defect of the file system, planted to show that the check sees it.
-type lie string
+type mutation string
 
 const (
-	noLie              lie = ""
-	foldersAreUnsynced lie = "the sync of a folder does nothing"
-	copiesAreUnsynced  lie = "a copy is renamed before it is synced"
-	logIsUnsynced      lie = "the sync of the log does nothing"
+	noMutation       mutation = ""
+	skipDirSync      mutation = "the sync of a folder does nothing"
+	skipSnapshotSync mutation = "a copy is renamed before it is synced"
+	skipLogSync      mutation = "the sync of the log does nothing"
 )
 
 func newPowerDisk() *powerDisk {
-	root := &content{folder: true}
-	return &powerDisk{names: map[string]*content{"/data": root}, lasting: map[string]*content{"/data": root}}
+	root := &fileContent{folder: true}
+	return &powerDisk{names: map[string]*fileContent{"/data": root}, durable: map[string]*fileContent{"/data": root}}
 }
 
 // change counts one change of the disk; the disk may refuse it.
@@ -79,22 +79,22 @@
 	return nil
 }
 
-func (d *powerDisk) renamed(from, to string, of *content) {
+func (d *powerDisk) changeName(from, to string, of *fileContent) {
 	path := to
 	if to == "" {
 		path = from
 	}
-	d.pending = append(d.pending, nameChange{folder: filepath.Dir(path), from: from, to: to, of: of})
+	d.pending = append(d.pending, nameChange{folder: filepath.Dir(path), from: from, to: to, file: of})
 	d.pending[len(d.pending)-1].apply(d.names)
 }
 
 // apply carries the change out on a set of names; where the name stands for another file by now, that one stays.
-func (c nameChange) apply(names map[string]*content) {
-	if c.from != "" && names[c.from] == c.of {
+func (c nameChange) apply(names map[string]*fileContent) {
+	if c.from != "" && names[c.from] == c.file {
 		delete(names, c.from)
 	}
 	if c.to != "" {
-		names[c.to] = c.of
+		names[c.to] = c.file
 	}
 }
 
@@ -105,13 +105,13 @@
 	if err := d.change(true); err != nil {
 		return err
 	}
-	d.renamed("", path, &content{folder: true})
+	d.changeName("", path, &fileContent{folder: true})
 	return nil
 }
 
 func (d *powerDisk) DirNames(folder string) ([]string, error) {
 	if d.names[folder] == nil {
-		return nil, missing(folder)
+		return nil, notExistError(folder)
 	}
 	found := []string{}
 	for path := range d.names {
@@ -125,7 +125,7 @@
 func (d *powerDisk) ReadFile(path string) ([]byte, error) {
 	f := d.names[path]
 	if f == nil || d.names[filepath.Dir(path)] == nil {
-		return nil, missing(path)
+		return nil, notExistError(path)
 	}
 	return slices.Clone(f.data), nil
 }
@@ -133,7 +133,7 @@
 func (d *powerDisk) Size(path string) (int64, error) {
 	f := d.names[path]
 	if f == nil {
-		return 0, missing(path)
+		return 0, notExistError(path)
 	}
 	return int64(len(f.data)), nil
 }
@@ -144,27 +144,27 @@
 	}
 	f := d.names[path]
 	if f == nil {
-		f = &content{}
-		d.renamed("", path, f)
+		f = &fileContent{}
+		d.changeName("", path, f)
 	} else {
-		f.cut(0)
+		f.truncate(0)
 	}
-	return &powerFile{disk: d, path: path, of: f}, nil
+	return &powerFile{disk: d, path: path, content: f}, nil
 }
 
 func (d *powerDisk) Append(path string) (file, error) {
 	f := d.names[path]
 	if f == nil {
-		return nil, missing(path)
+		return nil, notExistError(path)
 	}
-	return &powerFile{disk: d, path: path, of: f}, nil
+	return &powerFile{disk: d, path: path, content: f}, nil
 }
 
 func (d *powerDisk) Truncate(path string, size int64) error {
 	if err := d.change(false); err != nil {
 		return err
 	}
-	d.names[path].cut(int(size))
+	d.names[path].truncate(int(size))
 	return nil
 }
 
@@ -172,59 +172,59 @@
 	if err := d.change(true); err != nil {
 		return err
 	}
-	d.renamed(from, to, d.names[from])
+	d.changeName(from, to, d.names[from])
 	return nil
 }
 
 func (d *powerDisk) Remove(path string) error {
 	f := d.names[path]
 	if f == nil {
-		return missing(path)
+		return notExistError(path)
 	}
 	if err := d.change(false); err != nil {
 		return err
 	}
-	d.renamed(path, "", f)
+	d.changeName(path, "", f)
 	return nil
 }
 
 func (d *powerDisk) SyncDir(path string) error {
 	if d.names[path] == nil {
-		return missing(path)
+		return notExistError(path)
 	}
 	if err := d.change(true); err != nil {
 		return err
 	}
-	if d.lie == foldersAreUnsynced {
+	if d.mutation == skipDirSync {
 		return nil
 	}
 	d.pending = slices.DeleteFunc(d.pending, func(c nameChange) bool {
 		if c.folder != path {
 			return false
 		}
-		c.apply(d.lasting)
+		c.apply(d.durable)
 		return true
 	})
 	return nil
 }
 
-func (f *content) cut(size int) {
+func (f *fileContent) truncate(size int) {
 	f.data = f.data[:size:size]
-	f.pending = append(f.pending, write{at: size, isCut: true})
+	f.pending = append(f.pending, pendingWrite{at: size, isTruncation: true})
 }
 
 type powerFile struct {
-	disk *powerDisk
-	path string
-	of   *content
+	disk    *powerDisk
+	path    string
+	content *fileContent
 }
 
 func (h *powerFile) Write(raw []byte) (int, error) {
 	if err := h.disk.change(true); err != nil {
 		return 0, err
 	}
-	w := write{at: len(h.of.data), bytes: slices.Clone(raw)}
-	h.of.data, h.of.pending = put(h.of.data, w.at, raw), append(h.of.pending, w)
+	w := pendingWrite{at: len(h.content.data), bytes: slices.Clone(raw)}
+	h.content.data, h.content.pending = spliceBytes(h.content.data, w.at, raw), append(h.content.pending, w)
 	return len(raw), nil
 }
 
@@ -233,17 +233,17 @@
 		return err
 	}
 	isCopy := strings.HasPrefix(filepath.Base(h.path), snapshotName)
-	if h.disk.lie == copiesAreUnsynced && isCopy || h.disk.lie == logIsUnsynced && !isCopy {
+	if h.disk.mutation == skipSnapshotSync && isCopy || h.disk.mutation == skipLogSync && !isCopy {
 		return nil
 	}
-	h.of.synced, h.of.pending = slices.Clip(h.of.data), nil
+	h.content.synced, h.content.pending = slices.Clip(h.content.data), nil
 	return nil
 }
 
 func (h *powerFile) Close() error { return nil }
 
 // put is a file's bytes with some more at a place; what lies between its end and there reads as zeros.
-func put(data []byte, at int, more []byte) []byte {
+func spliceBytes(data []byte, at int, more []byte) []byte {
 	if at == len(data) {
 		return append(data, more...)
 	}
@@ -255,20 +255,20 @@
 
 // remains lists what of a file's bytes a loss of power may leave: each write there, missing, cut short, or as long
 // as it was with zeros for the rest.
-func (f *content) remains() [][]byte {
+func (f *fileContent) possibleData() [][]byte {
 	all := [][]byte{f.synced}
 	for _, w := range f.pending {
 		more := [][]byte{}
 		for _, data := range all {
 			more = append(more, data)
-			if w.isCut {
+			if w.isTruncation {
 				more = append(more, data[:min(len(data), w.at)])
 				continue
 			}
 			half := w.bytes[:(len(w.bytes)+1)/2]
 			zeros := make([]byte, len(w.bytes)-len(half))
 			for _, left := range [][]byte{w.bytes, w.bytes[:1], half, append(slices.Clone(half), zeros...)} {
-				more = append(more, put(slices.Clip(data), w.at, left))
+				more = append(more, spliceBytes(slices.Clip(data), w.at, left))
 			}
 		}
 		all = more
@@ -279,25 +279,25 @@
 // afterPowerLoss lists every disk that a loss of power at this moment may leave.
 func (d *powerDisk) afterPowerLoss() []*powerDisk {
 	left := []*powerDisk{}
-	for kept := range 1 << len(d.pending) {
-		names := map[string]*content{}
-		for path, f := range d.lasting {
+	for keptNames := range 1 << len(d.pending) {
+		names := map[string]*fileContent{}
+		for path, f := range d.durable {
 			names[path] = f
 		}
 		for i, c := range d.pending {
-			if kept>>i&1 == 1 {
+			if keptNames>>i&1 == 1 {
 				c.apply(names)
 			}
 		}
-		left = append(left, spread(names)...)
+		left = append(left, dataCombinations(names)...)
 	}
 	return left
 }
 
-// afterOnePowerLoss draws one of the disks that a loss of power may leave, where there are too many to list.
-func (d *powerDisk) afterOnePowerLoss(r *rand.Rand) *powerDisk {
-	names := map[string]*content{}
-	for path, f := range d.lasting {
+// randomAfterPowerLoss draws one of the disks that a loss of power may leave, where there are too many to list.
+func (d *powerDisk) randomAfterPowerLoss(r *rand.Rand) *powerDisk {
+	names := map[string]*fileContent{}
+	for path, f := range d.durable {
 		names[path] = f
 	}
 	for _, c := range d.pending {
@@ -305,47 +305,47 @@
 			c.apply(names)
 		}
 	}
-	left := &powerDisk{names: map[string]*content{}, lie: d.lie}
+	left := &powerDisk{names: map[string]*fileContent{}, mutation: d.mutation}
 	for _, path := range slices.Sorted(maps.Keys(names)) {
-		if reachable(names, path) {
+		if isReachable(names, path) {
 			f := names[path]
-			data := f.oneRemains(r)
-			left.names[path] = &content{folder: f.folder, data: data, synced: data}
+			data := f.randomData(r)
+			left.names[path] = &fileContent{folder: f.folder, data: data, synced: data}
 		}
 	}
 	return left
 }
 
-// oneRemains draws what of a file's bytes is left.
-func (f *content) oneRemains(r *rand.Rand) []byte {
+// randomData draws what of a file's bytes is left.
+func (f *fileContent) randomData(r *rand.Rand) []byte {
 	data := f.synced
 	for _, w := range f.pending {
-		all := (&content{synced: data, pending: []write{w}}).remains()
+		all := (&fileContent{synced: data, pending: []pendingWrite{w}}).possibleData()
 		data = all[r.Intn(len(all))]
 	}
 	return data
 }
 
 // spread gives one disk for each choice of what remains of each file.
-func spread(names map[string]*content) []*powerDisk {
+func dataCombinations(names map[string]*fileContent) []*powerDisk {
 	paths := []string{}
 	for path := range names {
-		if reachable(names, path) {
+		if isReachable(names, path) {
 			paths = append(paths, path)
 		}
 	}
 	slices.Sort(paths)
-	all := []*powerDisk{{names: map[string]*content{}}}
+	all := []*powerDisk{{names: map[string]*fileContent{}}}
 	for _, path := range paths {
 		f := names[path]
 		more := []*powerDisk{}
 		for _, d := range all {
-			for _, data := range f.remains() {
-				c := &powerDisk{names: map[string]*content{}}
-				for other, held := range d.names {
-					c.names[other] = held
+			for _, data := range f.possibleData() {
+				c := &powerDisk{names: map[string]*fileContent{}}
+				for other, file := range d.names {
+					c.names[other] = file
 				}
-				c.names[path] = &content{folder: f.folder, data: data, synced: data}
+				c.names[path] = &fileContent{folder: f.folder, data: data, synced: data}
 				more = append(more, c)
 			}
 		}
@@ -355,7 +355,7 @@
 }
 
 // reachable: a file whose folder was lost is lost with it.
-func reachable(names map[string]*content, path string) bool {
+func isReachable(names map[string]*fileContent, path string) bool {
 	for dir := filepath.Dir(path); dir != "/"; dir = filepath.Dir(dir) {
 		if names[dir] == nil {
 			return false
@@ -365,46 +365,46 @@
 }
 
 // copied is the same disk for another process, with what was not synced still unsynced.
-func (d *powerDisk) copied() *powerDisk {
-	twins := map[*content]*content{}
-	twin := func(f *content) *content {
-		if twins[f] == nil {
-			twins[f] = &content{folder: f.folder, data: slices.Clone(f.data), synced: f.synced, pending: slices.Clone(f.pending)}
+func (d *powerDisk) clone() *powerDisk {
+	clones := map[*fileContent]*fileContent{}
+	cloneFile := func(f *fileContent) *fileContent {
+		if clones[f] == nil {
+			clones[f] = &fileContent{folder: f.folder, data: slices.Clone(f.data), synced: f.synced, pending: slices.Clone(f.pending)}
 		}
-		return twins[f]
+		return clones[f]
 	}
-	c := &powerDisk{names: map[string]*content{}, lasting: map[string]*content{}, lie: d.lie}
+	c := &powerDisk{names: map[string]*fileContent{}, durable: map[string]*fileContent{}, mutation: d.mutation}
 	for path, f := range d.names {
-		c.names[path] = twin(f)
+		c.names[path] = cloneFile(f)
 	}
-	for path, f := range d.lasting {
-		c.lasting[path] = twin(f)
+	for path, f := range d.durable {
+		c.durable[path] = cloneFile(f)
 	}
 	for _, p := range d.pending {
-		p.of = twin(p.of)
+		p.file = cloneFile(p.file)
 		c.pending = append(c.pending, p)
 	}
 	return c
 }
 
 // settled begins a disk's next span of power, where all that is there lasts.
-func (d *powerDisk) settled() *powerDisk {
-	c := &powerDisk{names: d.names, lie: d.lie}
-	c = c.copied()
+func (d *powerDisk) withAllDurable() *powerDisk {
+	c := &powerDisk{names: d.names, mutation: d.mutation}
+	c = c.clone()
 	for path, f := range c.names {
-		c.lasting[path] = f
+		c.durable[path] = f
 	}
 	return c
 }
 
-// holdsLog: there is a segment of a log.
-func (d *powerDisk) holdsLog() bool {
+// hasLog: there is a segment of a log.
+func (d *powerDisk) hasLog() bool {
 	_, found := d.names[filepath.Join("/data", logDir, segmentName(1))]
 	return found
 }
 
 // mark tells disks apart by what they hold.
-func (d *powerDisk) mark() string {
+func (d *powerDisk) fingerprint() string {
 	paths := []string{}
 	for path := range d.names {
 		paths = append(paths, path)
--- a/internal/controlplane/storage/race_off_test.go
+++ b/internal/controlplane/storage/race_off_test.go
@@ -2,4 +2,4 @@
 
 package storage
 
-const raced = false
+const raceEnabled = false
--- a/internal/controlplane/storage/storage.go
+++ b/internal/controlplane/storage/storage.go
@@ -46,18 +46,18 @@
 
 // Open reads all records. A torn last record is cut, since its sync cannot have
 // returned; damage anywhere before it is a fault for the caller to name.
-func Open(folder string, seal chain.Owner) (*OpenResult, error) {
-	return openFiles(osFileSystem{}, folder, seal)
+func Open(folder string, owner chain.Owner) (*OpenResult, error) {
+	return openFiles(osFileSystem{}, folder, owner)
 }
 
-func openFiles(fs fileSystem, folder string, seal chain.Owner) (*OpenResult, error) {
+func openFiles(fs fileSystem, folder string, owner chain.Owner) (*OpenResult, error) {
 	dir := filepath.Join(folder, logDir)
 	s := &Store{dir: dir, files: fs, log: &wal{files: fs, dir: dir, maxSegmentBytes: maxSegmentBytes}}
 	opened := &OpenResult{Store: s}
 	if err := opened.read(); err != nil {
 		return nil, err
 	}
-	if bad := opened.checkOwner(seal); bad != nil {
+	if bad := opened.checkOwner(owner); bad != nil {
 		return nil, bad
 	}
 	_ = fs.Remove(filepath.Join(dir, snapshotName+tempSuffix))
@@ -72,14 +72,14 @@
 // read reads the copy and all records of the log.
 func (o *OpenResult) read() error {
 	s := o.Store
-	held, err := s.readSnapshot()
+	snapshot, err := s.readSnapshot()
 	if err != nil {
 		return err
 	}
 	o.TornBytes, err = s.log.load(func(payload []byte) error {
-		if held != nil && s.log.nextIndex >= held.FirstRecord {
-			o.Records = append(o.Records, chain.Record{Snapshot: &held.Snapshot})
-			held = nil
+		if snapshot != nil && s.log.nextIndex >= snapshot.FirstRecord {
+			o.Records = append(o.Records, chain.Record{Snapshot: &snapshot.Snapshot})
+			snapshot = nil
 		}
 		batch, bad := decodeRecords(payload)
 		if bad != nil {
@@ -95,14 +95,14 @@
 	if err != nil {
 		return fault.New(fault.DataNotWritable, s.dir, "%v", err)
 	}
-	if held != nil {
-		o.Records = append(o.Records, chain.Record{Snapshot: &held.Snapshot})
+	if snapshot != nil {
+		o.Records = append(o.Records, chain.Record{Snapshot: &snapshot.Snapshot})
 	}
 	return nil
 }
 
 // checkOwner finds the seal among the records, which must be of this name, or takes the given one for an empty folder.
-func (o *OpenResult) checkOwner(seal chain.Owner) *fault.Fault {
+func (o *OpenResult) checkOwner(owner chain.Owner) *fault.Fault {
 	s := o.Store
 	for _, r := range o.Records {
 		if r.Owner != nil {
@@ -113,9 +113,9 @@
 	case s.owner.MemberID == "" && len(o.Records) > 0:
 		return fault.New(fault.ForeignData, s.dir, "records without a seal")
 	case s.owner.MemberID == "":
-		o.Created, s.owner = true, seal
-	case s.owner.Name != seal.Name:
-		return fault.New(fault.ForeignData, s.dir, "the folder belongs to %q, not to %q", s.owner.Name, seal.Name)
+		o.Created, s.owner = true, owner
+	case s.owner.Name != owner.Name:
+		return fault.New(fault.ForeignData, s.dir, "the folder belongs to %q, not to %q", s.owner.Name, owner.Name)
 	default:
 		s.ownerWritten = true
 	}
@@ -163,19 +163,19 @@
 // nothing in the log before that is read on top of it. It returns once the copy would outlast a loss of
 // power; until then the older one and the log stand.
 func (s *Store) SaveSnapshot(c chain.Snapshot, from uint64) error {
-	framed, err := encodeSnapshot(storedSnapshot{c, from})
+	record, err := encodeSnapshot(storedSnapshot{c, from})
 	if err != nil {
 		return err
 	}
 	if err := s.beforeSync(); err != nil {
 		return err
 	}
-	at := filepath.Join(s.dir, snapshotName)
-	if err := s.writeNew(at+tempSuffix, framed); err != nil {
-		_ = s.files.Remove(at + tempSuffix)
+	path := filepath.Join(s.dir, snapshotName)
+	if err := s.writeNew(path+tempSuffix, record); err != nil {
+		_ = s.files.Remove(path + tempSuffix)
 		return err
 	}
-	if err := s.files.Rename(at+tempSuffix, at); err != nil {
+	if err := s.files.Rename(path+tempSuffix, path); err != nil {
 		return err
 	}
 	return s.files.SyncDir(s.dir)
@@ -198,14 +198,14 @@
 }
 
 func (s *Store) readSnapshot() (*storedSnapshot, error) {
-	framed, err := s.files.ReadFile(filepath.Join(s.dir, snapshotName))
+	record, err := s.files.ReadFile(filepath.Join(s.dir, snapshotName))
 	if os.IsNotExist(err) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, fault.New(fault.DataNotWritable, s.dir, "%v", err)
 	}
-	c, bad := decodeSnapshot(framed)
+	c, bad := decodeSnapshot(record)
 	if bad != nil {
 		return nil, fault.New(bad.Code, s.dir, "the copy: %s", bad.Detail)
 	}
--- a/internal/controlplane/storage/storage_test.go
+++ b/internal/controlplane/storage/storage_test.go
@@ -15,21 +15,21 @@
 	"petreltide/internal/process/clock"
 )
 
-var mine = chain.Owner{MemberID: "core-1-aa", Name: "core-1"}
+var testOwner = chain.Owner{MemberID: "core-1-aa", Name: "core-1"}
 
-func entry(i uint64) chain.Record {
+func newEntryRecord(i uint64) chain.Record {
 	return chain.Record{Entry: &chain.Entry{Index: i, View: 1, Change: statemachine.Change{ID: "c"}}}
 }
 
-func filled(t *testing.T, n uint64) string {
+func newFilledDir(t *testing.T, n uint64) string {
 	t.Helper()
 	dir := t.TempDir()
-	o, err := Open(dir, mine)
+	o, err := Open(dir, testOwner)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := uint64(1); i <= n; i++ {
-		if _, err := o.Store.Write([]chain.Record{entry(i)}, false); err != nil {
+		if _, err := o.Store.Write([]chain.Record{newEntryRecord(i)}, false); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -48,7 +48,7 @@
 	return names[len(names)-1]
 }
 
-func reopened(t *testing.T, dir string) (*OpenResult, error) {
+func reopen(t *testing.T, dir string) (*OpenResult, error) {
 	t.Helper()
 	o, err := Open(dir, chain.Owner{MemberID: "core-1-bb", Name: "core-1"})
 	if err == nil {
@@ -58,18 +58,18 @@
 }
 
 func TestRecordsAndOwnerSurviveReopen(t *testing.T) {
-	o, err := reopened(t, filled(t, 5))
+	o, err := reopen(t, newFilledDir(t, 5))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(o.Records) != 6 || o.Created || o.Store.Owner() != mine || o.Records[5].Entry.Index != 5 {
+	if len(o.Records) != 6 || o.Created || o.Store.Owner() != testOwner || o.Records[5].Entry.Index != 5 {
 		t.Fatalf("%d records, fresh %v, %+v", len(o.Records), o.Created, o.Store.Owner())
 	}
 }
 
 func TestTornLastRecordIsTruncated(t *testing.T) {
 	for cut := 1; cut < 50; cut += 7 {
-		dir := filled(t, 5)
+		dir := newFilledDir(t, 5)
 		raw, err := os.ReadFile(lastSegment(t, dir))
 		if err != nil {
 			t.Fatal(err)
@@ -77,21 +77,21 @@
 		if err := os.WriteFile(lastSegment(t, dir), raw[:len(raw)-cut], 0o640); err != nil {
 			t.Fatal(err)
 		}
-		o, err := reopened(t, dir)
+		o, err := reopen(t, dir)
 		if err != nil {
 			t.Fatalf("cut %d: %v", cut, err)
 		}
 		if len(o.Records) != 5 || o.TornBytes == 0 {
 			t.Fatalf("cut %d: %d records", cut, len(o.Records))
 		}
-		if _, err := o.Store.Write([]chain.Record{entry(5)}, false); err != nil {
+		if _, err := o.Store.Write([]chain.Record{newEntryRecord(5)}, false); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
 func TestDamageInsideLogIsReportedNotTruncated(t *testing.T) {
-	dir := filled(t, 8)
+	dir := newFilledDir(t, 8)
 	path := lastSegment(t, dir)
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -101,7 +101,7 @@
 	if err := os.WriteFile(path, raw, 0o640); err != nil {
 		t.Fatal(err)
 	}
-	_, err = reopened(t, dir)
+	_, err = reopen(t, dir)
 	var bad *fault.Fault
 	if !errors.As(err, &bad) || bad.Code != fault.DamagedData {
 		t.Fatalf("got %v", err)
@@ -117,13 +117,13 @@
 	if _, err := os.Stat(kept); err != nil {
 		t.Fatal(err)
 	}
-	if o, err := reopened(t, dir); err != nil || !o.Created || o.Store.Owner().MemberID == mine.MemberID {
+	if o, err := reopen(t, dir); err != nil || !o.Created || o.Store.Owner().MemberID == testOwner.MemberID {
 		t.Fatal("a set-aside folder must come back as a new member", err)
 	}
 }
 
 func TestForeignDirIsRefused(t *testing.T) {
-	dir := filled(t, 2)
+	dir := newFilledDir(t, 2)
 	_, err := Open(dir, chain.Owner{MemberID: "core-9-zz", Name: "core-9"})
 	var bad *fault.Fault
 	if !errors.As(err, &bad) || bad.Code != fault.ForeignData {
@@ -133,29 +133,29 @@
 
 // A copy stands for the log before it only once it is kept; killed at any point between, nothing is lost.
 func TestLogIsCompactedOnlyOnceSnapshotIsSynced(t *testing.T) {
-	for at, want := range map[string]struct{ records, copied int }{
+	for stage, want := range map[string]struct{ records, snapshots int }{
 		"written": {50 + 1 + 2, 0}, "half kept": {50 + 1 + 2, 0}, "kept": {50 + 1 + 2 + 1, 1}, "forgotten": {3, 1},
 	} {
-		dir := filled(t, 50)
-		o, err := Open(dir, mine)
+		dir := newFilledDir(t, 50)
+		o, err := Open(dir, testOwner)
 		if err != nil {
 			t.Fatal(err)
 		}
-		from, err := o.Store.Write([]chain.Record{entry(51)}, true)
+		from, err := o.Store.Write([]chain.Record{newEntryRecord(51)}, true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if at == "half kept" {
+		if stage == "half kept" {
 			if err := os.WriteFile(filepath.Join(dir, logDir, snapshotName+".new"), []byte("half"), 0o644); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if at == "kept" || at == "forgotten" {
+		if stage == "kept" || stage == "forgotten" {
 			if err := o.Store.SaveSnapshot(chain.Snapshot{Index: 50, View: 2, State: statemachine.NewState()}, from); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if at == "forgotten" {
+		if stage == "forgotten" {
 			if err := o.Store.Compact(from); err != nil {
 				t.Fatal(err)
 			}
@@ -163,18 +163,18 @@
 		if err := o.Store.Close(); err != nil {
 			t.Fatal(err)
 		}
-		o, err = reopened(t, dir)
+		o, err = reopen(t, dir)
 		if err != nil {
-			t.Fatal(at, err)
+			t.Fatal(stage, err)
 		}
-		copied := 0
+		snapshotCount := 0
 		for _, r := range o.Records {
 			if r.Snapshot != nil {
-				copied++
+				snapshotCount++
 			}
 		}
-		if len(o.Records) != want.records || copied != want.copied || o.Store.Owner() != mine {
-			t.Errorf("%s: %d records, %d copies, want %+v", at, len(o.Records), copied, want)
+		if len(o.Records) != want.records || snapshotCount != want.snapshots || o.Store.Owner() != testOwner {
+			t.Errorf("%s: %d records, %d copies, want %+v", stage, len(o.Records), snapshotCount, want)
 		}
 	}
 }
@@ -182,8 +182,8 @@
 // A control node that was put out of the view with entries nobody else had takes a peer's copy. Restarted, it
 // must not find those entries again behind the copy.
 func TestSnapshotIsReplayedAtItsLogPosition(t *testing.T) {
-	dir := filled(t, 15)
-	o, err := Open(dir, mine)
+	dir := newFilledDir(t, 15)
+	o, err := Open(dir, testOwner)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -199,11 +199,11 @@
 	}
 	last := func() uint64 {
 		t.Helper()
-		o, err := reopened(t, dir)
+		o, err := reopen(t, dir)
 		if err != nil {
 			t.Fatal(err)
 		}
-		node, err := chain.NewNode(chain.Options{Self: chain.Member{ID: mine.MemberID}, Incarnation: "x"}, o.Records, clock.Sec)
+		node, err := chain.NewNode(chain.Options{Self: chain.Member{ID: testOwner.MemberID}, Incarnation: "x"}, o.Records, clock.Sec)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -224,8 +224,8 @@
 }
 
 func TestDamagedSnapshotIsNeverLoaded(t *testing.T) {
-	dir := filled(t, 3)
-	o, err := Open(dir, mine)
+	dir := newFilledDir(t, 3)
+	o, err := Open(dir, testOwner)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -235,17 +235,17 @@
 	if err := o.Store.Close(); err != nil {
 		t.Fatal(err)
 	}
-	at := filepath.Join(dir, logDir, snapshotName)
-	raw, err := os.ReadFile(at)
+	path := filepath.Join(dir, logDir, snapshotName)
+	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	raw[len(raw)/2] ^= 4
-	if err := os.WriteFile(at, raw, 0o644); err != nil {
+	if err := os.WriteFile(path, raw, 0o644); err != nil {
 		t.Fatal(err)
 	}
 	var bad *fault.Fault
-	if _, err := reopened(t, dir); !errors.As(err, &bad) || bad.Code != fault.DamagedData {
+	if _, err := reopen(t, dir); !errors.As(err, &bad) || bad.Code != fault.DamagedData {
 		t.Fatalf("got %v", err)
 	}
 }
--- a/internal/controlplane/storage/wal.go
+++ b/internal/controlplane/storage/wal.go
@@ -53,26 +53,26 @@
 	if err != nil {
 		return nil, err
 	}
-	firsts := []uint64{}
+	firstIndexes := []uint64{}
 	for _, name := range names {
 		if first, err := strconv.ParseUint(name, 10, 64); err == nil && len(name) == segmentNameDigits && first > 0 {
-			firsts = append(firsts, first)
+			firstIndexes = append(firstIndexes, first)
 		}
 	}
-	slices.Sort(firsts)
-	return firsts, nil
+	slices.Sort(firstIndexes)
+	return firstIndexes, nil
 }
 
 // load reads the records that are there and says how many bytes of a torn last one are not among them.
 // It changes nothing: a process that was killed may have left records and names without a sync, and they last only
 // once repair has returned.
-func (w *wal) load(each func(payload []byte) error) (cut int, err error) {
-	firsts, err := w.segmentStarts()
+func (w *wal) load(handle func(payload []byte) error) (tornBytes int, err error) {
+	firstIndexes, err := w.segmentStarts()
 	if err != nil {
 		return 0, err
 	}
 	w.nextIndex = 1
-	for i, first := range firsts {
+	for i, first := range firstIndexes {
 		if i > 0 && first != w.nextIndex {
 			return 0, fault.New(fault.DamagedData, w.dir, "record %d is missing", w.nextIndex)
 		}
@@ -83,20 +83,20 @@
 			return 0, err
 		}
 		end := len(raw)
-		if i == len(firsts)-1 {
+		if i == len(firstIndexes)-1 {
 			end = intactBytes(raw)
 		}
-		s.syncedBytes, cut = int64(end), len(raw)-end
+		s.syncedBytes, tornBytes = int64(end), len(raw)-end
 		for raw = raw[:end]; len(raw) > 0; {
-			framed, rest, ok := splitRecord(raw)
+			record, rest, ok := splitRecord(raw)
 			if !ok {
 				return 0, fault.New(fault.DamagedData, w.dir, "record %d is cut short", w.nextIndex)
 			}
-			payload, bad := DecodeRecord(framed)
+			payload, bad := DecodeRecord(record)
 			if bad != nil {
 				return 0, fault.New(fault.DamagedData, w.dir, "record %d: %s", w.nextIndex, bad.Detail)
 			}
-			if err := each(payload); err != nil {
+			if err := handle(payload); err != nil {
 				return 0, err
 			}
 			raw = rest
@@ -104,8 +104,8 @@
 		}
 		w.segments = append(w.segments, s)
 	}
-	w.needsRepair = len(firsts) > 0
-	return cut, nil
+	w.needsRepair = len(firstIndexes) > 0
+	return tornBytes, nil
 }
 
 // append returns once the record is synced. After an error nothing of it is in the log.
@@ -127,8 +127,8 @@
 			return err
 		}
 	}
-	framed := EncodeRecord(payload)
-	raw := append(binary.AppendUvarint(make([]byte, 0, len(framed)+binary.MaxVarintLen64), uint64(len(framed))), framed...)
+	record := EncodeRecord(payload)
+	raw := append(binary.AppendUvarint(make([]byte, 0, len(record)+binary.MaxVarintLen64), uint64(len(record))), record...)
 	if err := writeAll(w.tailFile, raw); err != nil {
 		w.closeTail()
 		return err
@@ -162,10 +162,10 @@
 	if err != nil {
 		return err
 	}
-	synced := w.syncNewNames()
-	if synced != nil {
+	syncErr := w.syncNewNames()
+	if syncErr != nil {
 		_ = tail.Close()
-		return synced
+		return syncErr
 	}
 	w.segments, w.tailFile, w.needsRepair = append(w.segments, s), tail, false
 	return nil
@@ -215,11 +215,11 @@
 
 // removeOrphans removes segments that were made for a record which never came.
 func (w *wal) removeOrphans() error {
-	firsts, err := w.segmentStarts()
+	firstIndexes, err := w.segmentStarts()
 	if err != nil {
 		return err
 	}
-	for _, first := range firsts {
+	for _, first := range firstIndexes {
 		if slices.ContainsFunc(w.segments, func(s segment) bool { return s.firstIndex == first }) {
 			continue
 		}
@@ -299,7 +299,7 @@
 }
 
 // splitRecord takes the first record off; false where it is not all there.
-func splitRecord(raw []byte) (framed, rest []byte, ok bool) {
+func splitRecord(raw []byte) (record, rest []byte, ok bool) {
 	size, n := binary.Uvarint(raw)
 	if n <= 0 || uint64(len(raw)-n) < size {
 		return nil, nil, false
@@ -313,11 +313,11 @@
 func intactBytes(raw []byte) int {
 	end := 0
 	for end < len(raw) {
-		framed, rest, ok := splitRecord(raw[end:])
+		record, rest, ok := splitRecord(raw[end:])
 		if !ok {
 			break
 		}
-		if _, bad := DecodeRecord(framed); bad != nil && (len(rest) == 0 || allZero(raw[end:])) {
+		if _, bad := DecodeRecord(record); bad != nil && (len(rest) == 0 || allZero(raw[end:])) {
 			break
 		}
 		end = len(raw) - len(rest)
