--- a/internal/controlplane/registry/conflict_test.go
+++ b/internal/controlplane/registry/conflict_test.go
@@ -10,15 +10,15 @@
 // old, and its word for them made another control node believe that a replica had let go of a model.
 func TestHeartbeatReadLateIsConfirmedAtItsEarliestTime(t *testing.T) {
 	at := 10 * clock.Sec
-	woken, other := New(unreachableUs), New(unreachableUs)
+	resumed, other := New(unreachableUs), New(unreachableUs)
 	other.HandleHeartbeat(at-4*clock.Sec, heartbeat("r", "1", 3, withUnits("m")))
-	woken.ReadDelayUs = 5 * clock.Sec
-	woken.HandleHeartbeat(at, heartbeat("r", "1", 4))
-	if e := woken.Entry("r"); e.ConfirmedUs != at-5*clock.Sec || e.LastHeartbeatUs != at {
+	resumed.ReadDelayUs = 5 * clock.Sec
+	resumed.HandleHeartbeat(at, heartbeat("r", "1", 4))
+	if e := resumed.Entry("r"); e.ConfirmedUs != at-5*clock.Sec || e.LastHeartbeatUs != at {
 		t.Fatalf("heard at %d, said at %d", e.LastHeartbeatUs, e.ConfirmedUs)
 	}
-	woken.ReadDelayUs = 0
-	other.Merge(at+clock.Ms, woken.GossipSince(at+clock.Ms, 0, true))
+	resumed.ReadDelayUs = 0
+	other.Merge(at+clock.Ms, resumed.GossipSince(at+clock.Ms, 0, true))
 	if e := other.Entry("r"); e.ConfirmedUs != at-4*clock.Sec || e.LastHeartbeatUs != at {
 		t.Fatalf("told on: heard at %d, said at %d", e.LastHeartbeatUs, e.ConfirmedUs)
 	}
@@ -26,8 +26,8 @@
 	if e := other.Entry("r"); e.ConfirmedUs != at+clock.Sec {
 		t.Fatalf("a fresh word holds since %d", e.ConfirmedUs)
 	}
-	woken.Merge(at+clock.Sec, other.GossipSince(at+clock.Sec, woken.Revision, true))
-	if e := woken.Entry("r"); e.ConfirmedUs != at+clock.Sec {
+	resumed.Merge(at+clock.Sec, other.GossipSince(at+clock.Sec, resumed.Revision, true))
+	if e := resumed.Entry("r"); e.ConfirmedUs != at+clock.Sec {
 		t.Fatalf("a sign of life holds since %d", e.ConfirmedUs)
 	}
 }
@@ -35,7 +35,7 @@
 // A word may come seconds late, also one of the incarnation before, and to a control node that never heard of that incarnation.
 func TestLateHeartbeatOfPredecessorDoesNotRemoveSuccessor(t *testing.T) {
 	at := 20 * clock.Sec
-	lives := func(t *testing.T, r *Registry) {
+	requireCurrent := func(t *testing.T, r *Registry) {
 		t.Helper()
 		if e := r.Entry("new"); e == nil || e.Removed {
 			t.Fatalf("the incarnation that speaks has ended: %+v", e)
@@ -45,36 +45,36 @@
 		r := New(unreachableUs)
 		r.HandleHeartbeat(at, heartbeat("new", "1", 3))
 		r.HandleHeartbeat(at+200*clock.Ms, heartbeat("old", "1", 90))
-		lives(t, r)
+		requireCurrent(t, r)
 		r.HandleHeartbeat(at+1200*clock.Ms, heartbeat("new", "1", 4))
-		lives(t, r)
+		requireCurrent(t, r)
 	})
 	t.Run("heard first by an office that came back empty", func(t *testing.T) {
-		back, other := New(unreachableUs), New(unreachableUs)
+		restarted, other := New(unreachableUs), New(unreachableUs)
 		other.HandleHeartbeat(at, heartbeat("new", "1", 3))
-		back.HandleHeartbeat(at+200*clock.Ms, heartbeat("old", "1", 90))
+		restarted.HandleHeartbeat(at+200*clock.Ms, heartbeat("old", "1", 90))
 		for us := at + 300*clock.Ms; us < at+4*clock.Sec; us += 300 * clock.Ms {
 			other.HandleHeartbeat(us, heartbeat("new", "1", uint64(us)))
-			back.Merge(us, other.GossipSince(us, 0, true))
-			other.Merge(us, back.GossipSince(us, 0, true))
+			restarted.Merge(us, other.GossipSince(us, 0, true))
+			other.Merge(us, restarted.GossipSince(us, 0, true))
 		}
-		for _, r := range []*Registry{back, other} {
-			lives(t, r)
+		for _, r := range []*Registry{restarted, other} {
+			requireCurrent(t, r)
 			if e := r.Entry("old"); e != nil && !e.Removed {
 				t.Fatalf("the incarnation before counts as there: %+v", e)
 			}
 		}
 	})
 	t.Run("two lives heard by two offices at the same time", func(t *testing.T) {
-		back, other := New(unreachableUs), New(unreachableUs)
-		back.HandleHeartbeat(at, heartbeat("old", "1", 90))
+		restarted, other := New(unreachableUs), New(unreachableUs)
+		restarted.HandleHeartbeat(at, heartbeat("old", "1", 90))
 		other.HandleHeartbeat(at-100*clock.Ms, heartbeat("new", "1", 3))
-		back.Merge(at, other.GossipSince(at, 0, true))
-		other.Merge(at, back.GossipSince(at, 0, true))
-		if e := back.Entry("new"); e != nil && e.Removed {
+		restarted.Merge(at, other.GossipSince(at, 0, true))
+		other.Merge(at, restarted.GossipSince(at, 0, true))
+		if e := restarted.Entry("new"); e != nil && e.Removed {
 			t.Fatal("the incarnation that speaks has ended at the control node that heard the late word")
 		}
-		lives(t, other)
+		requireCurrent(t, other)
 	})
 	t.Run("a new life is taken once the one before is silent", func(t *testing.T) {
 		r := New(unreachableUs)
@@ -82,7 +82,7 @@
 		for us := at + 300*clock.Ms; us <= at+2*clock.Sec; us += 300 * clock.Ms {
 			r.HandleHeartbeat(us, heartbeat("new", "1", uint64(us)))
 		}
-		lives(t, r)
+		requireCurrent(t, r)
 		if !r.Entry("old").Removed {
 			t.Fatal("two incarnations at one address")
 		}
--- a/internal/controlplane/registry/registry_test.go
+++ b/internal/controlplane/registry/registry_test.go
@@ -35,8 +35,8 @@
 
 func TestRegistryTakesOnlyNewerHeartbeats(t *testing.T) {
 	for name, c := range map[string]struct {
-		words []receivedHeartbeat
-		want  ReplicaStatus
+		heartbeats []receivedHeartbeat
+		want       ReplicaStatus
 	}{
 		"a late word":             {[]receivedHeartbeat{{heartbeat("r", "1", 5, withDraining(0)), true}, {heartbeat("r", "1", 4), false}, {heartbeat("r", "1", 5), false}}, heartbeat("r", "1", 5, withDraining(0))},
 		"the same again":          {[]receivedHeartbeat{{heartbeat("r", "1", 1), true}, {heartbeat("r", "1", 2), false}}, heartbeat("r", "1", 2)},
@@ -46,9 +46,9 @@
 		"cold, then warm":         {[]receivedHeartbeat{{heartbeat("r", "1", 1, func(r *ReplicaStatus) { r.WarmUpMs = 80 }), true}, {heartbeat("r", "1", 2, func(r *ReplicaStatus) { r.WarmUpMs = 40 }), false}, {heartbeat("r", "1", 3), true}}, heartbeat("r", "1", 3)},
 	} {
 		r := New(unreachableUs)
-		for i, w := range c.words {
+		for i, received := range c.heartbeats {
 			before := r.Revision
-			if got := r.HandleHeartbeat(int64(i), w.status); got != w.changed || (r.Revision > before) != w.changed {
+			if got := r.HandleHeartbeat(int64(i), received.status); got != received.changed || (r.Revision > before) != received.changed {
 				t.Errorf("%s: word %d changed it: %v, revision %d after %d", name, i, got, r.Revision, before)
 			}
 		}
@@ -100,58 +100,58 @@
 	}
 
 	// A control node that came back empty hears the new incarnation, and then another control node's word of the old one.
-	lagging, back := New(unreachableUs), New(unreachableUs)
+	lagging, restarted := New(unreachableUs), New(unreachableUs)
 	lagging.HandleHeartbeat(0, heartbeat("old", "1", 7))
-	back.HandleHeartbeat(3*clock.Sec, heartbeat("new", "1", 1))
-	back.Merge(3*clock.Sec, lagging.GossipSince(3*clock.Sec, 0, true))
-	if back.Entry("new").Removed {
+	restarted.HandleHeartbeat(3*clock.Sec, heartbeat("new", "1", 1))
+	restarted.Merge(3*clock.Sec, lagging.GossipSince(3*clock.Sec, 0, true))
+	if restarted.Entry("new").Removed {
 		t.Fatal("a late word of the incarnation before ended the one that came after")
 	}
-	if e := back.Entry("old"); e == nil || !e.Removed {
+	if e := restarted.Entry("old"); e == nil || !e.Removed {
 		t.Fatal("the incarnation before counts as there")
 	}
-	lagging.Merge(3*clock.Sec, back.GossipSince(3*clock.Sec, 0, true))
+	lagging.Merge(3*clock.Sec, restarted.GossipSince(3*clock.Sec, 0, true))
 	if lagging.Entry("new") == nil || lagging.Entry("new").Removed || !lagging.Entry("old").Removed {
 		t.Fatal("the other control node does not learn of the new incarnation")
 	}
 }
 
 func TestPausedControlNodeMarksNobodyUnreachableOrAlive(t *testing.T) {
-	frozen, awake := New(unreachableUs), New(unreachableUs)
+	paused, running := New(unreachableUs), New(unreachableUs)
 	for us := int64(0); us <= 2*clock.Sec; us += 250 * clock.Ms {
-		frozen.Sweep(us)
-		awake.Sweep(us)
+		paused.Sweep(us)
+		running.Sweep(us)
 	}
-	for _, r := range []*Registry{frozen, awake} {
+	for _, r := range []*Registry{paused, running} {
 		r.HandleHeartbeat(2*clock.Sec, heartbeat("lives", "1", 1))
 		r.HandleHeartbeat(2*clock.Sec, heartbeat("died", "2", 1))
 	}
-	since := awake.Revision
+	since := running.Revision
 	for us := 2 * clock.Sec; us <= 12*clock.Sec; us += 250 * clock.Ms {
-		awake.HandleHeartbeat(us, heartbeat("lives", "1", uint64(us)))
-		awake.Sweep(us)
+		running.HandleHeartbeat(us, heartbeat("lives", "1", uint64(us)))
+		running.Sweep(us)
 	}
-	if !awake.Entry("died").Unreachable || awake.Entry("lives").Unreachable {
+	if !running.Entry("died").Unreachable || running.Entry("lives").Unreachable {
 		t.Fatal("silence is not seen")
 	}
-	if notes := awake.GossipSince(12*clock.Sec, since, true); len(notes) != 2 || notes[0].ID != "died" || notes[0].Status == nil || notes[1].Status != nil {
-		t.Errorf("%+v", notes)
+	if gossip := running.GossipSince(12*clock.Sec, since, true); len(gossip) != 2 || gossip[0].ID != "died" || gossip[0].Status == nil || gossip[1].Status != nil {
+		t.Errorf("%+v", gossip)
 	}
-	frozen.Sweep(12 * clock.Sec)
-	if frozen.Entry("lives").Unreachable || frozen.Entry("died").Unreachable {
+	paused.Sweep(12 * clock.Sec)
+	if paused.Entry("lives").Unreachable || paused.Entry("died").Unreachable {
 		t.Error("it was the control node that was silent")
 	}
-	awake.Merge(12*clock.Sec, frozen.GossipSince(12*clock.Sec, frozen.Revision, true))
-	if !awake.Entry("died").Unreachable {
+	running.Merge(12*clock.Sec, paused.GossipSince(12*clock.Sec, paused.Revision, true))
+	if !running.Entry("died").Unreachable {
 		t.Error("a control node that was frozen tells of a replica as heard lately")
 	}
 	for us := 12 * clock.Sec; us <= 16*clock.Sec; us += 250 * clock.Ms {
-		frozen.Sweep(us)
+		paused.Sweep(us)
 	}
-	if !frozen.Entry("died").Unreachable {
+	if !paused.Entry("died").Unreachable {
 		t.Error("and it never finds out")
 	}
-	if !awake.HandleHeartbeat(17*clock.Sec, heartbeat("died", "2", 2)) || awake.Entry("died").Unreachable {
+	if !running.HandleHeartbeat(17*clock.Sec, heartbeat("died", "2", 2)) || running.Entry("died").Unreachable {
 		t.Error("it spoke again")
 	}
 }
@@ -159,34 +159,34 @@
 // Three control nodes hear replicas at random and tell each other, while messages are lost. Once none is lost any
 // more, all know the same, and what ended is known as ended.
 func TestSeededRegistriesConvergeAfterMessageLoss(t *testing.T) {
-	lost, asked := 0, 0
+	lost, resyncs := 0, 0
 	for seed := int64(0); seed < 300; seed++ {
 		r := rand.New(rand.NewSource(seed))
 		controlNodes := []*Registry{New(unreachableUs), New(unreachableUs), New(unreachableUs)}
 		since := map[[2]int]uint64{}
-		wants := [3]bool{}
-		seqs, ended := map[string]uint64{}, map[string]bool{}
-		tell := func(nowUs int64, lose int) {
+		needsResync := [3]bool{}
+		seqs, removed := map[string]uint64{}, map[string]bool{}
+		exchangeGossip := func(nowUs int64, lossPercent int) {
 			for i, from := range controlNodes {
 				for j, to := range controlNodes {
 					if i == j {
 						continue
 					}
-					notes, wanted := from.GossipSince(nowUs, since[[2]int{i, j}], true), wants[i]
+					gossip, resync := from.GossipSince(nowUs, since[[2]int{i, j}], true), needsResync[i]
 					since[[2]int{i, j}] = from.Revision
-					if r.Intn(100) < lose {
+					if r.Intn(100) < lossPercent {
 						lost++
 						continue
 					}
-					to.Merge(nowUs, notes)
-					if wanted {
+					to.Merge(nowUs, gossip)
+					if resync {
 						since[[2]int{j, i}] = 0
 					}
 				}
 			}
 			for i, o := range controlNodes {
-				if wants[i] = o.ConsumeResyncRequest(); wants[i] {
-					asked++
+				if needsResync[i] = o.ConsumeResyncRequest(); needsResync[i] {
+					resyncs++
 				}
 			}
 		}
@@ -199,7 +199,7 @@
 			switch o := controlNodes[r.Intn(3)]; {
 			case r.Intn(25) == 0:
 				o.Remove(nowUs, id)
-				ended[id] = true
+				removed[id] = true
 			case incarnation >= 6 && n < 40, incarnation < 3 && n >= 30:
 			default:
 				o.HandleHeartbeat(nowUs, heartbeat(id, addr, seqs[id], func(status *ReplicaStatus) {
@@ -208,7 +208,7 @@
 				}))
 			}
 			if n%3 == 0 {
-				tell(nowUs, 50)
+				exchangeGossip(nowUs, 50)
 			}
 			for _, o := range controlNodes {
 				o.Sweep(nowUs)
@@ -216,9 +216,9 @@
 		}
 		for range 6 {
 			nowUs += 10 * clock.Ms
-			tell(nowUs, 0)
+			exchangeGossip(nowUs, 0)
 		}
-		view := func(o *Registry) map[string]ReplicaStatus {
+		statuses := func(o *Registry) map[string]ReplicaStatus {
 			all := map[string]ReplicaStatus{}
 			for _, id := range o.IDs() {
 				status := o.Entry(id).ReplicaStatus
@@ -231,13 +231,13 @@
 			return all
 		}
 		for i := 1; i < 3; i++ {
-			if diff := cmp.Diff(view(controlNodes[0]), view(controlNodes[i])); diff != "" {
+			if diff := cmp.Diff(statuses(controlNodes[0]), statuses(controlNodes[i])); diff != "" {
 				t.Fatalf("seed %d: control node %d differs: %s", seed, i, diff)
 			}
 		}
 		addrs := map[string]string{}
-		for id, status := range view(controlNodes[0]) {
-			if ended[id] && !status.Removed {
+		for id, status := range statuses(controlNodes[0]) {
+			if removed[id] && !status.Removed {
 				t.Fatalf("seed %d: %s has ended and is there", seed, id)
 			}
 			if other := addrs[status.Addr]; !status.Removed && other != "" {
@@ -248,9 +248,9 @@
 			}
 		}
 	}
-	t.Logf("%d messages lost, %d times all rows were asked for", lost, asked)
-	if lost < 1000 || asked < 100 {
-		t.Errorf("%d messages lost, %d times asked: it proves little", lost, asked)
+	t.Logf("%d messages lost, %d times all rows were asked for", lost, resyncs)
+	if lost < 1000 || resyncs < 100 {
+		t.Errorf("%d messages lost, %d times asked: it proves little", lost, resyncs)
 	}
 }
 
