--- a/internal/controlplane/registry/change_log.go
+++ b/internal/controlplane/registry/change_log.go
@@ -2,16 +2,16 @@
 
 import "sort"
 
-// maxChangeLog bounds the change log; its older half is dropped beyond.
+// maxChangeLog bounds the change log. When it is exceeded, the older half is dropped.
 const maxChangeLog = 8192
 
-// changeRecord is one change in the log, which spares readers of small changes a look through all entries.
+// changeRecord is one change in the change log, which lets readers find a few changes without scanning all entries.
 type changeRecord struct {
 	revision uint64
 	id       string
 }
 
-// recordChange gives an entry that changed the next revision.
+// recordChange assigns the next revision to an entry that changed and appends the change to the log.
 func (r *Registry) recordChange(e *Entry) {
 	e.checksum = checksum(&e.ReplicaStatus)
 	r.Revision++
@@ -22,8 +22,8 @@
 	}
 }
 
-// ChangedSince returns the IDs of the entries that changed after a revision, each once, in no order. Forgotten ones are
-// not among them.
+// ChangedSince returns the IDs of the entries that changed after a revision, without duplicates and in no particular order.
+// Entries that were forgotten are not included.
 func (r *Registry) ChangedSince(revision uint64) []string {
 	if len(r.changes) == 0 || r.changes[0].revision > revision+1 {
 		ids := []string{}
--- a/internal/controlplane/registry/entry.go
+++ b/internal/controlplane/registry/entry.go
@@ -2,32 +2,34 @@
 
 import "petreltide/internal/process/clock"
 
-// Entry is what a control node knows of one incarnation. Times are by the control node's own clock.
+// Entry is a control node's record of one incarnation. Times are in us of the control node's own clock.
 type Entry struct {
-	// ReplicaStatus is the newest status. Its Seq may be lower than that of the last heartbeat: gossip may confirm a
-	// status without sending it.
+	// ReplicaStatus is the newest status. Its Seq may be lower than that of the last heartbeat, as gossip may confirm a status
+	// without sending it.
 	ReplicaStatus
-	// LastHeartbeatUs is when the newest heartbeat came to some control node; of a removed incarnation, when it was removed.
+	// LastHeartbeatUs is when a control node received the newest heartbeat; for a removed incarnation, when it was removed.
 	LastHeartbeatUs int64
-	// ConfirmedUs is the latest time at which the status surely still held.
+	// ConfirmedUs is the latest time at which the status is known to have been valid.
 	ConfirmedUs int64
-	// EndUs is when the replica said that its time is up; 0 where it named none.
+	// EndUs is the time at which the replica announced it will end; 0 where it announced none.
 	EndUs int64
-	// Revision is the registry's at the entry's last change.
+	// Revision is the registry's revision at the entry's last change.
 	Revision uint64
-	// Unreachable says that no heartbeat has come for too long.
+	// Unreachable reports that the replica's heartbeats are overdue.
 	Unreachable bool
 
 	// lastSeq is the highest sequence number received.
-	lastSeq  uint64
+	lastSeq uint64
+	// checksum is the checksum of ReplicaStatus at its last recorded change.
 	checksum uint32
-	// lastDirectUs is when this control node itself received a heartbeat; 0 where it never did.
+	// lastDirectUs is when this control node itself last received a heartbeat of the replica; 0 where it never did.
 	lastDirectUs int64
-	// gossipedUs is when the last round of gossip to all control nodes ended.
+	// gossipedUs is when the last gossip round to all control nodes ended.
 	gossipedUs int64
 }
 
-// setStatus replaces the status, but keeps a stage or a remaining time that the new one leaves out.
+// setStatus replaces the status. It keeps the previous stage, and the remaining time of a draining replica, where the new
+// status omits them.
 func (e *Entry) setStatus(heartbeatUs int64, status ReplicaStatus) {
 	before := e.ReplicaStatus
 	e.ReplicaStatus = status
@@ -40,7 +42,7 @@
 	}
 }
 
-// setEnd computes when a replica that named its remaining time is taken away.
+// setEnd sets EndUs for a replica that announced its remaining time.
 func (e *Entry) setEnd(heartbeatUs, remainingMs int64) {
 	if remainingMs > 0 {
 		e.EndUs = heartbeatUs + remainingMs*clock.Ms
--- a/internal/controlplane/registry/gossip.go
+++ b/internal/controlplane/registry/gossip.go
@@ -2,25 +2,26 @@
 
 import "petreltide/internal/process/clock"
 
-// GossipEntry is what one control node tells another of a replica: the status where it may be new to the other, else
-// only that a heartbeat came, with a checksum of the status.
+// GossipEntry is one control node's message to another about a replica. It carries the status where the receiver may not have
+// it, and otherwise only reports a heartbeat, with a checksum of the status.
 type GossipEntry struct {
 	ID string `json:"id"`
-	// Seq is of the newest heartbeat.
+	// Seq is the sequence number of the newest heartbeat.
 	Seq uint64 `json:"seq"`
-	// Checksum is of the status that the sender has.
+	// Checksum is the checksum of the sender's status.
 	Checksum uint32 `json:"mark"`
-	// AgeMs is how long ago the newest heartbeat came, in ms.
+	// AgeMs is the time since the newest heartbeat was received, in ms.
 	AgeMs int64 `json:"agoMs"`
-	// ConfirmedAgeMs is how long ago the status surely still held, in ms: a heartbeat may have lain unread.
+	// ConfirmedAgeMs is the time since the status was last known to be valid, in ms. It may exceed AgeMs, as a heartbeat may
+	// have waited unread in a socket.
 	ConfirmedAgeMs int64 `json:"saidMs"`
-	// Status is nil where it has not changed.
+	// Status is nil where the status has not changed.
 	Status *ReplicaStatus `json:"row,omitempty"`
 }
 
-// Merge takes another control node's gossip, and reports whether it changed anything that others must learn of. Where an
-// entry without a status names one that this control node does not have, a resync is due. Removals come first, as
-// another incarnation may have the address by now.
+// Merge applies another control node's gossip and reports whether it changed anything that must be propagated. A resync is
+// requested where an entry without a status refers to a status that this control node does not have. Removals are applied
+// first, as another incarnation may use the address by now.
 func (r *Registry) Merge(nowUs int64, entries []GossipEntry) (changed bool) {
 	for _, gossip := range entries {
 		if gossip.Status != nil && gossip.Status.Removed {
@@ -38,7 +39,8 @@
 	return changed
 }
 
-// confirm takes gossip without a status: the one that is known still holds, or it has been missed and a resync is due.
+// confirm applies gossip without a status: it confirms the known status, or requests a resync where this control node missed
+// the status.
 func (r *Registry) confirm(nowUs, heartbeatUs, confirmedUs int64, gossip GossipEntry) (changed bool) {
 	e := r.entries[gossip.ID]
 	if e == nil || (!e.Removed && gossip.Seq > e.lastSeq && gossip.Checksum != e.checksum) {
@@ -58,16 +60,16 @@
 	return true
 }
 
-// ConsumeResyncRequest returns true once after gossip named something that this control node has missed.
+// ConsumeResyncRequest reports whether gossip referred to a status that this control node missed, and clears the request.
 func (r *Registry) ConsumeResyncRequest() bool {
 	needed := r.needsResync
 	r.needsResync = false
 	return needed
 }
 
-// GossipSince returns the gossip for control nodes that have had everything up to a revision of this registry; 0 for all.
-// It holds the statuses that changed and, with includeAlive, a sign of life of replicas whose heartbeat came to this
-// control node since EndGossipRound, and the removals of the last seconds once more.
+// GossipSince returns the gossip for control nodes that have received everything up to a revision of this registry; 0 returns
+// all. It contains the statuses that changed. With includeAlive it also contains a confirmation for each replica whose
+// heartbeat this control node received since EndGossipRound, and repeats the removals of the last removedGossipUs.
 func (r *Registry) GossipSince(nowUs int64, since uint64, includeAlive bool) []GossipEntry {
 	gossip := []GossipEntry{}
 	for _, id := range r.IDs() {
@@ -85,7 +87,7 @@
 	return gossip
 }
 
-// GossipOf returns the status of one replica for other control nodes; nil where it is not known.
+// GossipOf returns the status of one replica as gossip for other control nodes; nil where the replica is not known.
 func (r *Registry) GossipOf(nowUs int64, id string) []GossipEntry {
 	e := r.entries[id]
 	if e == nil {
@@ -96,12 +98,12 @@
 	return []GossipEntry{entry}
 }
 
-// gossip is a sign of life without the status.
+// gossip returns a gossip entry without the status.
 func (e *Entry) gossip(nowUs int64) GossipEntry {
 	return GossipEntry{ID: e.ID, Seq: e.lastSeq, Checksum: e.checksum, AgeMs: (nowUs - e.LastHeartbeatUs) / clock.Ms, ConfirmedAgeMs: (nowUs - e.ConfirmedUs) / clock.Ms}
 }
 
-// gossipStatus is the status for other control nodes, with the remaining time counted from the last heartbeat.
+// gossipStatus returns the status for other control nodes, with the remaining time counted from the last heartbeat.
 func (e *Entry) gossipStatus() *ReplicaStatus {
 	status := e.ReplicaStatus
 	status.Seq = e.lastSeq
@@ -111,7 +113,7 @@
 	return &status
 }
 
-// EndGossipRound ends a round of gossip to all other control nodes.
+// EndGossipRound records that a gossip round to all other control nodes has ended.
 func (r *Registry) EndGossipRound(nowUs int64) {
 	for _, e := range r.entries {
 		e.gossipedUs = nowUs
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -8,41 +8,41 @@
 )
 
 const (
-	// maxEntries bounds the incarnations that are known, removed ones among them; more are not taken.
+	// maxEntries bounds the known incarnations, including removed ones. Further incarnations are ignored.
 	maxEntries = 20_000
-	// forgetUs is how long nothing must have come of an incarnation, removed or not, before it is forgotten.
+	// forgetUs is the time without a heartbeat, or since its removal, after which an incarnation is forgotten.
 	forgetUs = 60 * clock.Sec
-	// removedGossipUs is how long a removal is repeated in gossip: no later message would show that it was lost.
+	// removedGossipUs is how long a removal is repeated in gossip, as no later message would reveal that it was lost.
 	removedGossipUs = 10 * clock.Sec
 )
 
-// Registry is one control node's soft state of all replicas, from their own heartbeats and other control nodes' gossip.
-// Of two statuses of an incarnation the one with the higher Seq counts.
+// Registry is one control node's soft state of all replicas, built from their heartbeats and from other control nodes' gossip.
+// Of two statuses of an incarnation, the one with the higher Seq wins.
 type Registry struct {
-	// Revision rises with every change that others must learn of.
+	// Revision increases with every change that must be propagated.
 	Revision uint64
-	// UnreachableAfterUs is how long no heartbeat of a replica may come before it is unreachable.
+	// UnreachableAfterUs is the time without a heartbeat after which a replica is unreachable.
 	UnreachableAfterUs int64
-	// ReadDelayUs is how long what is read now may have lain unread: a control node that wakes from a pause finds
-	// heartbeats in its sockets that were true before it. 0 where it was not paused.
+	// ReadDelayUs bounds how long a message that is read now may have waited unread. After a pause, a control node reads
+	// heartbeats from its sockets that may have been sent before the pause. 0 where it was not paused.
 	ReadDelayUs int64
 
 	entries map[string]*Entry
 	changes []changeRecord
-	// sortedIDs are the keys of entries; nil after one came or went.
+	// sortedIDs caches the sorted keys of entries; nil after an entry was added or deleted.
 	sortedIDs []string
-	// lastSweepUs is when Sweep ran last; 0 before the first.
+	// lastSweepUs is when Sweep last ran; 0 before the first run.
 	lastSweepUs int64
-	// needsResync says that gossip named something that this control node has missed.
+	// needsResync reports that gossip referred to a status that this control node missed.
 	needsResync bool
 }
 
-// New returns an empty registry that calls a replica unreachable after unreachableAfterUs without a heartbeat.
+// New returns an empty registry that marks a replica as unreachable after unreachableAfterUs without a heartbeat.
 func New(unreachableAfterUs int64) *Registry {
 	return &Registry{UnreachableAfterUs: unreachableAfterUs, entries: map[string]*Entry{}}
 }
 
-// HandleHeartbeat takes a replica's own heartbeat. changed reports whether others must learn of it.
+// HandleHeartbeat applies a heartbeat received from a replica. changed reports whether the change must be propagated.
 func (r *Registry) HandleHeartbeat(nowUs int64, status ReplicaStatus) (changed bool) {
 	changed = r.receive(nowUs, nowUs, nowUs-r.ReadDelayUs, status)
 	if e := r.entries[status.ID]; e != nil {
@@ -51,8 +51,8 @@
 	return changed
 }
 
-// receive takes a status that was sent at heartbeatUs and surely held until confirmedUs, both by this control node's
-// clock, and reports whether it changed anything that others must learn of.
+// receive applies a status that was received at heartbeatUs and is known to have been valid at confirmedUs, both by this control
+// node's clock. It reports whether the change must be propagated.
 func (r *Registry) receive(nowUs, heartbeatUs, confirmedUs int64, status ReplicaStatus) bool {
 	e := r.entries[status.ID]
 	if e == nil {
@@ -74,8 +74,8 @@
 	return changed
 }
 
-// register takes the first status of an incarnation. The one that it follows at its address is removed; where the known
-// one is the later, the new one is entered as removed.
+// register adds an entry for the first status of an incarnation and removes its predecessor at the same address. Where the
+// known incarnation is the later one, the new one is added as removed; where the order is undecided, nothing is added.
 func (r *Registry) register(nowUs, heartbeatUs, confirmedUs int64, status ReplicaStatus) bool {
 	if len(r.entries) >= maxEntries || status.ID == "" {
 		return false
@@ -98,7 +98,7 @@
 	return true
 }
 
-// Remove records that an incarnation has ended; nothing that comes of it later counts. It reports whether that is new.
+// Remove records that an incarnation has ended, after which its heartbeats are ignored. It reports whether the removal is new.
 func (r *Registry) Remove(nowUs int64, id string) bool {
 	e := r.entries[id]
 	if e == nil {
@@ -118,8 +118,8 @@
 	return true
 }
 
-// Sweep marks replicas whose heartbeats are overdue as unreachable and forgets those of which nothing came for long. A
-// control node that was itself paused since the last sweep moves all heartbeats on by the pause.
+// Sweep marks replicas whose heartbeats are overdue as unreachable and forgets incarnations after forgetUs. If the control node
+// itself was paused since the last sweep, Sweep first shifts the times of all heartbeats by the pause.
 func (r *Registry) Sweep(nowUs int64) {
 	if nowUs-r.lastSweepUs > r.UnreachableAfterUs/2 && r.lastSweepUs > 0 {
 		for _, e := range r.entries {
@@ -142,7 +142,7 @@
 	}
 }
 
-// IDs returns all incarnations in order. The caller must not change the list.
+// IDs returns the sorted IDs of all known incarnations. The caller must not modify the slice.
 func (r *Registry) IDs() []string {
 	if r.sortedIDs == nil {
 		r.sortedIDs = slices.Sorted(maps.Keys(r.entries))
@@ -150,8 +150,8 @@
 	return r.sortedIDs
 }
 
-// Entry returns the entry of one incarnation; nil where it is not known. The caller must not change it.
+// Entry returns the entry of an incarnation; nil where it is not known. The caller must not modify the entry.
 func (r *Registry) Entry(id string) *Entry { return r.entries[id] }
 
-// Len returns how many incarnations are known, removed ones among them.
+// Len returns the number of known incarnations, including removed ones.
 func (r *Registry) Len() int { return len(r.entries) }
--- a/internal/controlplane/registry/registry_test.go
+++ b/internal/controlplane/registry/registry_test.go
@@ -38,22 +38,23 @@
 		heartbeats []receivedHeartbeat
 		want       ReplicaStatus
 	}{
-		"a late word":             {[]receivedHeartbeat{{heartbeat("r", "1", 5, withDraining(0)), true}, {heartbeat("r", "1", 4), false}, {heartbeat("r", "1", 5), false}}, heartbeat("r", "1", 5, withDraining(0))},
-		"the same again":          {[]receivedHeartbeat{{heartbeat("r", "1", 1), true}, {heartbeat("r", "1", 2), false}}, heartbeat("r", "1", 2)},
-		"what it holds":           {[]receivedHeartbeat{{heartbeat("r", "1", 1), true}, {heartbeat("r", "1", 2, withUnits("m", "m/a1")), true}}, heartbeat("r", "1", 2, withUnits("m", "m/a1"))},
-		"a notice":                {[]receivedHeartbeat{{heartbeat("r", "1", 1), true}, {heartbeat("r", "1", 2, withDraining(900)), true}, {heartbeat("r", "1", 3, withDraining(500)), false}}, heartbeat("r", "1", 3, withDraining(500))},
-		"a notice without a time": {[]receivedHeartbeat{{heartbeat("r", "1", 1, withDraining(900)), true}, {heartbeat("r", "1", 2, withDraining(0)), true}}, heartbeat("r", "1", 2, withDraining(900))},
-		"cold, then warm":         {[]receivedHeartbeat{{heartbeat("r", "1", 1, func(r *ReplicaStatus) { r.WarmUpMs = 80 }), true}, {heartbeat("r", "1", 2, func(r *ReplicaStatus) { r.WarmUpMs = 40 }), false}, {heartbeat("r", "1", 3), true}}, heartbeat("r", "1", 3)},
+		"late heartbeat":                    {[]receivedHeartbeat{{heartbeat("r", "1", 5, withDraining(0)), true}, {heartbeat("r", "1", 4), false}, {heartbeat("r", "1", 5), false}}, heartbeat("r", "1", 5, withDraining(0))},
+		"unchanged status":                  {[]receivedHeartbeat{{heartbeat("r", "1", 1), true}, {heartbeat("r", "1", 2), false}}, heartbeat("r", "1", 2)},
+		"changed units":                     {[]receivedHeartbeat{{heartbeat("r", "1", 1), true}, {heartbeat("r", "1", 2, withUnits("m", "m/a1")), true}}, heartbeat("r", "1", 2, withUnits("m", "m/a1"))},
+		"start of draining":                 {[]receivedHeartbeat{{heartbeat("r", "1", 1), true}, {heartbeat("r", "1", 2, withDraining(900)), true}, {heartbeat("r", "1", 3, withDraining(500)), false}}, heartbeat("r", "1", 3, withDraining(500))},
+		"draining without a remaining time": {[]receivedHeartbeat{{heartbeat("r", "1", 1, withDraining(900)), true}, {heartbeat("r", "1", 2, withDraining(0)), true}}, heartbeat("r", "1", 2, withDraining(900))},
+		"end of warm-up":                    {[]receivedHeartbeat{{heartbeat("r", "1", 1, func(r *ReplicaStatus) { r.WarmUpMs = 80 }), true}, {heartbeat("r", "1", 2, func(r *ReplicaStatus) { r.WarmUpMs = 40 }), false}, {heartbeat("r", "1", 3), true}}, heartbeat("r", "1", 3)},
 	} {
 		r := New(unreachableUs)
 		for i, received := range c.heartbeats {
 			before := r.Revision
 			if got := r.HandleHeartbeat(int64(i), received.status); got != received.changed || (r.Revision > before) != received.changed {
-				t.Errorf("%s: word %d changed it: %v, revision %d after %d", name, i, got, r.Revision, before)
+				t.Errorf("%s: heartbeat %d: got changed %v, revision %d after %d; want changed %v",
+					name, i, got, r.Revision, before, received.changed)
 			}
 		}
 		if diff := cmp.Diff(c.want, r.Entry("r").ReplicaStatus); diff != "" {
-			t.Errorf("%s: %s", name, diff)
+			t.Errorf("%s: status (-want +got):\n%s", name, diff)
 		}
 	}
 }
@@ -63,27 +64,27 @@
 	r.HandleHeartbeat(1, heartbeat("r", "1", 3))
 	other.Merge(1, r.GossipSince(1, 0, true))
 	if !r.Remove(2, "r") || r.Remove(3, "r") {
-		t.Fatal("it ends once")
+		t.Fatal("Remove must report a new removal the first time and none the second")
 	}
 	if r.HandleHeartbeat(3, heartbeat("r", "1", 900)) || !r.Entry("r").Removed {
-		t.Error("a late word brought it back")
+		t.Error("late heartbeat restored a removed incarnation, want it ignored")
 	}
 	other.HandleHeartbeat(3, heartbeat("r", "1", 4))
 	if !other.Merge(4, r.GossipSince(4, 0, true)) || !other.Entry("r").Removed {
-		t.Error("the other control node does not learn of its end")
+		t.Error("gossip did not remove the incarnation at the other control node, want it removed")
 	}
 	if other.Merge(5, []GossipEntry{{ID: "r", Seq: 9, Status: &ReplicaStatus{ID: "r", Addr: "1", Seq: 9}}}) || !other.Entry("r").Removed {
-		t.Error("a word from elsewhere brought it back")
+		t.Error("gossip restored a removed incarnation, want it ignored")
 	}
 	if !r.Remove(6, "never-heard") || r.HandleHeartbeat(7, heartbeat("never-heard", "9", 1)) {
-		t.Error("an end that came before every word does not hold")
+		t.Error("incarnation removed before its first heartbeat was registered by that heartbeat, want it to stay removed")
 	}
 	r.Sweep(7)
 	for us := int64(7); us < forgetUs+2*clock.Sec; us += clock.Sec {
 		r.Sweep(us)
 	}
 	if r.Entry("r") != nil {
-		t.Error("it is kept for ever")
+		t.Errorf("removed incarnation after %d us: got an entry, want none", forgetUs)
 	}
 }
 
@@ -92,31 +93,32 @@
 	r.HandleHeartbeat(0, heartbeat("old", "1", 7))
 	r.HandleHeartbeat(2*clock.Sec, heartbeat("new", "1", 1))
 	if !r.Entry("old").Removed || r.Entry("new").Removed {
-		t.Fatal("two incarnations at one address")
+		t.Fatalf("two incarnations at an address: got removed %v and %v, want true and false",
+			r.Entry("old").Removed, r.Entry("new").Removed)
 	}
 	r.HandleHeartbeat(2*clock.Sec, heartbeat("beside", "2", 1))
 	if r.Entry("new").Removed {
-		t.Fatal("one at another address ended it")
+		t.Fatal("incarnation at another address removed this one, want it not removed")
 	}
 
-	// A control node that came back empty hears the new incarnation, and then another control node's word of the old one.
+	// A control node that restarted without state receives a heartbeat of the new incarnation, and then gossip about the old one.
 	lagging, restarted := New(unreachableUs), New(unreachableUs)
 	lagging.HandleHeartbeat(0, heartbeat("old", "1", 7))
 	restarted.HandleHeartbeat(3*clock.Sec, heartbeat("new", "1", 1))
 	restarted.Merge(3*clock.Sec, lagging.GossipSince(3*clock.Sec, 0, true))
 	if restarted.Entry("new").Removed {
-		t.Fatal("a late word of the incarnation before ended the one that came after")
+		t.Fatal("late gossip about the old incarnation removed the new one, want it not removed")
 	}
 	if e := restarted.Entry("old"); e == nil || !e.Removed {
-		t.Fatal("the incarnation before counts as there")
+		t.Fatalf("old incarnation: got entry %+v, want a removed one", e)
 	}
 	lagging.Merge(3*clock.Sec, restarted.GossipSince(3*clock.Sec, 0, true))
 	if lagging.Entry("new") == nil || lagging.Entry("new").Removed || !lagging.Entry("old").Removed {
-		t.Fatal("the other control node does not learn of the new incarnation")
+		t.Fatal("gossip to the lagging control node: want the new incarnation registered and the old one removed")
 	}
 }
 
-func TestPausedControlNodeMarksNobodyUnreachableOrAlive(t *testing.T) {
+func TestPausedControlNodeMarksNoReplicaUnreachableOrReachable(t *testing.T) {
 	paused, running := New(unreachableUs), New(unreachableUs)
 	for us := int64(0); us <= 2*clock.Sec; us += 250 * clock.Ms {
 		paused.Sweep(us)
@@ -132,32 +134,33 @@
 		running.Sweep(us)
 	}
 	if !running.Entry("died").Unreachable || running.Entry("lives").Unreachable {
-		t.Fatal("silence is not seen")
+		t.Fatalf("unreachable at the running control node: got died %v, lives %v; want true, false",
+			running.Entry("died").Unreachable, running.Entry("lives").Unreachable)
 	}
 	if gossip := running.GossipSince(12*clock.Sec, since, true); len(gossip) != 2 || gossip[0].ID != "died" || gossip[0].Status == nil || gossip[1].Status != nil {
-		t.Errorf("%+v", gossip)
+		t.Errorf("gossip: got %+v, want the status of died and a confirmation of lives", gossip)
 	}
 	paused.Sweep(12 * clock.Sec)
 	if paused.Entry("lives").Unreachable || paused.Entry("died").Unreachable {
-		t.Error("it was the control node that was silent")
+		t.Error("control node marked a replica as unreachable for its own pause, want none unreachable")
 	}
 	running.Merge(12*clock.Sec, paused.GossipSince(12*clock.Sec, paused.Revision, true))
 	if !running.Entry("died").Unreachable {
-		t.Error("a control node that was frozen tells of a replica as heard lately")
+		t.Error("gossip of a paused control node made replica died reachable, want it unreachable")
 	}
 	for us := 12 * clock.Sec; us <= 16*clock.Sec; us += 250 * clock.Ms {
 		paused.Sweep(us)
 	}
 	if !paused.Entry("died").Unreachable {
-		t.Error("and it never finds out")
+		t.Error("control node that was paused did not mark replica died as unreachable later, want it unreachable")
 	}
 	if !running.HandleHeartbeat(17*clock.Sec, heartbeat("died", "2", 2)) || running.Entry("died").Unreachable {
-		t.Error("it spoke again")
+		t.Error("heartbeat of an unreachable replica: want it reachable, reported as a change")
 	}
 }
 
-// Three control nodes hear replicas at random and tell each other, while messages are lost. Once none is lost any
-// more, all know the same, and what ended is known as ended.
+// Three control nodes receive heartbeats at random and exchange gossip while messages are lost. Once no more messages are lost,
+// all have the same statuses, removed incarnations are removed everywhere, and no address has two incarnations.
 func TestSeededRegistriesConvergeAfterMessageLoss(t *testing.T) {
 	lost, resyncs := 0, 0
 	for seed := int64(0); seed < 300; seed++ {
@@ -232,48 +235,49 @@
 		}
 		for i := 1; i < 3; i++ {
 			if diff := cmp.Diff(statuses(controlNodes[0]), statuses(controlNodes[i])); diff != "" {
-				t.Fatalf("seed %d: control node %d differs: %s", seed, i, diff)
+				t.Fatalf("seed %d: statuses of control nodes 0 and %d differ (-0 +%d):\n%s", seed, i, i, diff)
 			}
 		}
 		addrs := map[string]string{}
 		for id, status := range statuses(controlNodes[0]) {
 			if removed[id] && !status.Removed {
-				t.Fatalf("seed %d: %s has ended and is there", seed, id)
+				t.Fatalf("seed %d: incarnation %s: got not removed, want removed", seed, id)
 			}
 			if other := addrs[status.Addr]; !status.Removed && other != "" {
-				t.Fatalf("seed %d: %s and %s at one address", seed, id, other)
+				t.Fatalf("seed %d: address %s: got incarnations %s and %s, want one", seed, status.Addr, id, other)
 			}
 			if !status.Removed {
 				addrs[status.Addr] = id
 			}
 		}
 	}
-	t.Logf("%d messages lost, %d times all rows were asked for", lost, resyncs)
+	t.Logf("%d messages lost, %d resyncs requested", lost, resyncs)
 	if lost < 1000 || resyncs < 100 {
-		t.Errorf("%d messages lost, %d times asked: it proves little", lost, resyncs)
+		t.Errorf("got %d messages lost and %d resyncs requested, want at least 1000 and 100", lost, resyncs)
 	}
 }
 
-// The time that a replica has left runs on between its words, and what nobody heard of takes no room without end.
-func TestRemainingTimeRunsOnAndRemovalsAreBounded(t *testing.T) {
+// The end of a draining replica stays fixed between heartbeats that announce a remaining time, and removals of unknown
+// incarnations are bounded by maxEntries.
+func TestEndOfDrainingReplicaIsFixedAndRemovalsAreBounded(t *testing.T) {
 	r, other := New(unreachableUs), New(unreachableUs)
 	r.HandleHeartbeat(clock.Sec, heartbeat("r", "1", 1, withDraining(900), func(r *ReplicaStatus) { r.Stage = "decode" }))
 	r.HandleHeartbeat(2*clock.Sec, heartbeat("r", "1", 2, withDraining(0)))
 	other.Merge(2*clock.Sec, r.GossipSince(2*clock.Sec, 0, true))
 	if e := r.Entry("r"); e.EndUs != clock.Sec+900*clock.Ms || e.Stage != "decode" {
-		t.Errorf("it ends at %d us in stage %q", e.EndUs, e.Stage)
+		t.Errorf("got end %d us, stage %q; want %d us, decode", e.EndUs, e.Stage, clock.Sec+900*clock.Ms)
 	}
 	if e := other.Entry("r"); e.EndUs > 2*clock.Sec+clock.Ms {
-		t.Errorf("elsewhere it ends at %d us", e.EndUs)
+		t.Errorf("end at the other control node: got %d us, want at most %d us", e.EndUs, 2*clock.Sec+clock.Ms)
 	}
 	r.HandleHeartbeat(3*clock.Sec, heartbeat("r", "1", 3, withDraining(500)))
 	if e := r.Entry("r"); e.EndUs != 3*clock.Sec+500*clock.Ms {
-		t.Errorf("a later word says %d us", e.EndUs)
+		t.Errorf("end after a later announcement: got %d us, want %d us", e.EndUs, 3*clock.Sec+500*clock.Ms)
 	}
 	for i := range maxEntries + 10 {
 		r.Remove(4*clock.Sec, fmt.Sprint("x", i))
 	}
 	if r.Len() > maxEntries || r.Remove(4*clock.Sec, "") {
-		t.Errorf("%d rows", r.Len())
+		t.Errorf("entries: got %d, want at most %d, and no entry with an empty ID", r.Len(), maxEntries)
 	}
 }
