--- a/internal/controlplane/storage/bounds_test.go
+++ b/internal/controlplane/storage/bounds_test.go
@@ -13,8 +13,8 @@
 	"petreltide/internal/process/clock"
 )
 
-// trio is three members of which the middle one has a store; what it has on its disk is counted with every
-// operation.
+// testChain is a chain of three members, of which the middle one has a store. The size of the files on its disk is checked at
+// every disk operation.
 type testChain struct {
 	nowUs             int64
 	nodes             []*chain.Node
@@ -113,13 +113,14 @@
 	}
 }
 
+// randomHex returns random text of about the given size, which does not compress well.
 func randomHex(r *rand.Rand, bytes int) string {
 	raw := make([]byte, bytes/2)
 	r.Read(raw)
 	return hex.EncodeToString(raw)
 }
 
-// changed plays declarations of a size, each another, that take the place of one another.
+// submitDeclarations submits different declarations of the given size, each of which replaces the previous one.
 func (b *testChain) submitDeclarations(t *testing.T, count, bytes int) {
 	r := rand.New(rand.NewSource(1))
 	for i := range count {
@@ -129,11 +130,11 @@
 	}
 	b.advance(t, 10)
 	if b.acknowledgedCount < count {
-		t.Fatalf("%d of %d acknowledged", b.acknowledgedCount, count)
+		t.Fatalf("acknowledged changes: got %d, want %d", b.acknowledgedCount, count)
 	}
 }
 
-// edited plays numbered edits of one declaration, which the ledger keeps for those that are behind.
+// submitEdits submits numbered edits of one declaration, which the state retains for gateways that are behind.
 func (b *testChain) submitEdits(t *testing.T, count, bytes int) {
 	r := rand.New(rand.NewSource(2))
 	routes := func() []configuration.Route {
@@ -150,17 +151,18 @@
 	}
 	b.advance(t, 10)
 	if v := b.nodes[1].State().Version(); v != uint64(count)+1 {
-		t.Fatalf("version %d after %d edits", v, count)
+		t.Fatalf("version after %d edits: got %d, want %d", count, v, count+1)
 	}
 }
 
+// halfDiskBytes is half of a disk of 128 MB.
 const halfDiskBytes = 64 << 20
 
-// What a control node has on its disk, a copy that is being kept beside the one before included, stays under half
-// of a disk of 128 MB, however much passes through it.
-func TestADiskOf128MBIsNeverHalfFull(t *testing.T) {
+// A control node's files, including a snapshot that is being written beside the previous one, stay below half of a disk of
+// 128 MB, however many changes pass through the log. Without a bound on the log the same workload must exceed that size.
+func TestDiskUsageStaysBelowHalfOf128MB(t *testing.T) {
 	if raceEnabled {
-		t.Skip("too slow under the race detector, and all of it is one goroutine")
+		t.Skip("too slow under the race detector, and the test uses one goroutine")
 	}
 	for name, workload := range map[string]func(b *testChain, t *testing.T){
 		"declarations of 4 MB":   func(b *testChain, t *testing.T) { b.submitDeclarations(t, 20, 4<<20) },
@@ -172,19 +174,21 @@
 			b := newTestChain(t, 0)
 			workload(b, t)
 			if b.maxDiskBytes > halfDiskBytes || b.snapshotCount < 2 {
-				t.Errorf("up to %d bytes on the disk, %d copies kept", b.maxDiskBytes, b.snapshotCount)
+				t.Errorf("got up to %d bytes on disk and %d snapshots, want at most %d bytes and at least 2 snapshots",
+					b.maxDiskBytes, b.snapshotCount, halfDiskBytes)
 			}
-			t.Logf("up to %.1f MB on the disk, %d copies kept", float64(b.maxDiskBytes)/(1<<20), b.snapshotCount)
+			t.Logf("up to %.1f MB on disk, %d snapshots saved", float64(b.maxDiskBytes)/(1<<20), b.snapshotCount)
 			unbounded := newTestChain(t, 1<<40)
 			workload(unbounded, t)
 			if unbounded.maxDiskBytes <= halfDiskBytes {
-				t.Errorf("without a bound only %d bytes: the check proves nothing", unbounded.maxDiskBytes)
+				t.Errorf("disk usage without a log bound: got %d bytes, want more than %d, as the check can't fail otherwise",
+					unbounded.maxDiskBytes, halfDiskBytes)
 			}
 		})
 	}
 }
 
-// flapped plays members that come and go while nothing is written.
+// rejoinRepeatedly restarts a member 200 times, so that views change while no entry is written.
 func rejoinRepeatedly(t *testing.T, maxLogBytes int64) *testChain {
 	b := newTestChain(t, maxLogBytes)
 	b.submitDeclarations(t, 1, 100)
@@ -198,19 +202,21 @@
 		b.advance(t, 60)
 	}
 	if views := b.nodes[1].View().Number; views < 200 {
-		t.Fatalf("only %d views", views)
+		t.Fatalf("view number after 200 restarts: got %d, want at least 200", views)
 	}
 	return b
 }
 
-// Views come and go and nothing is written: the log is begun anew all the same.
+// A log that grows only by view changes is compacted too. Without a bound on the log the same workload must exceed the limit.
 func TestLogOfViewsOnlyIsBounded(t *testing.T) {
 	const maxLogBytes = 32 << 10
 	b := rejoinRepeatedly(t, maxLogBytes)
 	if b.snapshotCount == 0 || b.store.LogBytes() > 2*maxLogBytes {
-		t.Errorf("%d copies, a log of %d bytes", b.snapshotCount, b.store.LogBytes())
+		t.Errorf("got %d snapshots and a log of %d bytes, want at least 1 snapshot and at most %d bytes",
+			b.snapshotCount, b.store.LogBytes(), 2*maxLogBytes)
 	}
 	if b := rejoinRepeatedly(t, 1<<40); b.store.LogBytes() <= 2*maxLogBytes {
-		t.Errorf("without a bound only %d bytes: the check proves nothing", b.store.LogBytes())
+		t.Errorf("log without a bound: got %d bytes, want more than %d, as the check can't fail otherwise",
+			b.store.LogBytes(), 2*maxLogBytes)
 	}
 }
--- a/internal/controlplane/storage/catchup_test.go
+++ b/internal/controlplane/storage/catchup_test.go
@@ -28,7 +28,7 @@
 	return all
 }
 
-// replaceAndEdit gives every tenth change as a whole configuration and the others as edits of three routes.
+// replaceAndEdit returns a function that makes every tenth change a complete declaration and the others edits of three routes.
 func replaceAndEdit(routes int) func(version uint64) *statemachine.ConfigChange {
 	return func(version uint64) *statemachine.ConfigChange {
 		change := &statemachine.ConfigChange{Base: version - 1, Version: version}
@@ -41,7 +41,7 @@
 	}
 }
 
-// lost is what a machine comes back with.
+// diskFate is the disk that a stopped machine restarts with.
 type diskFate string
 
 const (
@@ -49,6 +49,7 @@
 	diskReplaced diskFate = "an empty disk"
 )
 
+// restart starts a stopped member, with an empty disk or with the disk that a power loss left.
 func (m *member) restart(fate diskFate) {
 	if fate == diskReplaced {
 		m.loseDisk()
@@ -59,15 +60,15 @@
 	m.start(false)
 }
 
-// maxCatchUpUs is how long a member that was down may take until it has its seat, its vote and all that was
-// acknowledged, while changes go on.
+// maxCatchUpUs bounds the time that a restarted member may take to rejoin the view, regain its vote and receive all
+// acknowledged entries while changes continue.
 const maxCatchUpUs = 4 * clock.Sec
 
-// maxAcknowledgeUs is the users' bound on an acknowledgement: acknowledgeMs and 3 ms a route.
+// maxAcknowledgeUs is the users' limit for an acknowledgement: acknowledgeMs plus 3 ms per route.
 func maxAcknowledgeUs(routes int) int64 { return 4*clock.Sec + int64(routes)*3*clock.Ms }
 
-// A member that was down through many changes is caught up soon while they go on, at the cost of one copy, and no
-// acknowledgement waits for it.
+// A member that was down during many changes catches up within maxCatchUpUs while changes continue, receives about one
+// snapshot, and delays no acknowledgement beyond maxAcknowledgeUs.
 func TestMemberDownDuringManyChangesCatchesUp(t *testing.T) {
 	type testCase struct {
 		routes, changes, place int
@@ -93,7 +94,7 @@
 	}
 }
 
-// runAbsence takes a member away for so many changes, and says what is wrong with its return.
+// runAbsence stops a member for the given number of changes, restarts it and returns the first rule that was violated.
 func runAbsence(t *testing.T, c *cluster, changes, place int, fate diskFate, snapshotCosts costs) string {
 	c.awaitChanges(20)
 	slowestBeforeUs := c.slowestUs
@@ -106,7 +107,8 @@
 	m.restart(fate)
 	restartUs, firstChange := c.nowUs, c.changes
 	if !c.advance(maxCatchUpUs, m.caughtUp) {
-		c.fail("not caught up after %d ms: %s, %s, at %d of %d", maxCatchUpUs/clock.Ms, m.node.Phase(), m.node.WaitReason(), m.node.CommitIndex(), c.acknowledgedIndex)
+		c.fail("restarted member has not caught up after %d ms: phase %s, waiting for %q, at entry %d of %d",
+			maxCatchUpUs/clock.Ms, m.node.Phase(), m.node.WaitReason(), m.node.CommitIndex(), c.acknowledgedIndex)
 	}
 	tookUs, snapshotBytes := c.nowUs-restartUs, m.snapshotBytes
 	c.advance(2*clock.Sec, nil)
@@ -114,31 +116,34 @@
 		c.slowestUs = max(c.slowestUs, waitingUs)
 	}
 	if c.slowestUs > maxAcknowledgeUs(c.routes) {
-		c.fail("change %d was acknowledged after %d ms", c.slowestChange, c.slowestUs/clock.Ms)
+		c.fail("change %d was acknowledged after %d ms, want at most %d ms",
+			c.slowestChange, c.slowestUs/clock.Ms, maxAcknowledgeUs(c.routes)/clock.Ms)
 	}
 	if c.changes < firstChange+5 {
-		c.fail("only %d changes meanwhile", c.changes-firstChange)
+		c.fail("changes since the restart: got %d, want at least 5", c.changes-firstChange)
 	}
 	if state := int64(len(m.node.State().Encode())); snapshotBytes > 2*state+64<<10 {
-		c.fail("%d bytes of copies for a state of %d", snapshotBytes, state)
+		c.fail("received snapshots: got %d bytes, want at most %d for a state of %d bytes", snapshotBytes, 2*state+64<<10, state)
 	}
 	if c.maxDiskBytes > halfDiskBytes {
-		c.fail("%d bytes on a disk", c.maxDiskBytes)
+		c.fail("disk usage: got %d bytes, want at most %d", c.maxDiskBytes, halfDiskBytes)
 	}
-	t.Logf("caught up after %d ms, %d KB received in 2 s more, %d KB of them copies; slowest acknowledgement before %d ms, at the loss %d ms, meanwhile %d ms; %d changes meanwhile; up to %.1f MB on a disk",
+	t.Logf("caught up after %d ms; %d KB received until 2 s later, %d KB of them snapshots until caught up; slowest acknowledgement "+
+		"before the absence %d ms, during it %d ms, since the restart %d ms; %d changes since the restart; up to %.1f MB on a disk",
 		tookUs/clock.Ms, m.receivedBytes>>10, snapshotBytes>>10, slowestBeforeUs/clock.Ms, slowestDuringAbsenceUs/clock.Ms, c.slowestUs/clock.Ms, c.changes-firstChange, float64(c.maxDiskBytes)/(1<<20))
 	return c.violation
 }
 
-// Each must be seen: a link too slow for a copy, and a core that does nothing else while it encodes one.
+// Mutations of the cost model that the check must detect: a link that is too slow for a snapshot, and a core that is blocked
+// while it encodes one.
 func TestCatchUpCheckCanFail(t *testing.T) {
 	for mutation, c := range map[string]costs{
-		"a slow link":    {linkNs: 200_000, codeNs: codeNsPerByte},
-		"a core held up": {linkNs: linkNsPerByte, codeNs: 200_000},
+		"slow link":    {linkNs: 200_000, codeNs: codeNsPerByte},
+		"blocked core": {linkNs: linkNsPerByte, codeNs: 200_000},
 	} {
 		violation := runAbsence(t, newCluster(t, 10, replaceAndEdit(10)), 300, 1, diskKept, c)
 		if violation == "" {
-			t.Errorf("%s: not seen", mutation)
+			t.Errorf("mutation %q: got no violation, want one", mutation)
 		}
 		t.Logf("%s: %s", mutation, violation)
 	}
--- a/internal/controlplane/storage/cluster_test.go
+++ b/internal/controlplane/storage/cluster_test.go
@@ -13,9 +13,9 @@
 	"petreltide/internal/process/clock"
 )
 
-// What things cost in a cluster. A core encodes and decodes JSON and packs a copy at about these rates (a state of
-// 488 KB took 9.5, 11.5 and 10.7 ms on one machine; twice that is charged), and a change takes its time to apply
-// with each route (5.7 ms at 900).
+// Costs in a simulated cluster. The core's costs approximate encoding and decoding JSON and compressing a snapshot: a state
+// of 488 KB took 9.5, 11.5 and 10.7 ms on one machine, and twice that is charged. The cost of applying a change grows with
+// the number of routes (5.7 ms at 900 routes).
 const (
 	linkDelayUs     = 500
 	linkNsPerByte   = 8
@@ -29,9 +29,8 @@
 	resubmitUs      = 400 * clock.Ms
 )
 
-// cluster is a chain with the store's own code on disks in memory, under simulated time: links with a delay and a
-// bandwidth, disks that take a millisecond for a sync, and one core for each member, which is charged for what it
-// encodes, decodes and applies.
+// cluster is a chain whose members use the store on in-memory disks under simulated time. Links have a delay and a bandwidth,
+// a disk takes a millisecond for a sync, and each member has one core, which is charged for encoding, decoding and applying.
 type cluster struct {
 	t       *testing.T
 	nowUs   int64
@@ -40,7 +39,7 @@
 	members []*member
 	routes  int
 	starts  int
-	// snapshotCosts are those of a whole state; the others always cost the same.
+	// snapshotCosts are the costs of messages that carry a snapshot; the costs of other messages are constant.
 	snapshotCosts costs
 
 	change            *statemachine.Change
@@ -52,17 +51,18 @@
 	slowestChange     uint64
 	acknowledgedIndex uint64
 	maxDiskBytes      int64
-	// maxLogBytes is the size of a log that is begun anew, maxRetainedEntries the number of entries kept; 0 for the usual ones.
+	// maxLogBytes is the log size that triggers compaction, maxRetainedEntries the number of entries retained; 0 selects the
+	// defaults.
 	maxLogBytes        int64
 	maxRetainedEntries int
-	// wrong is the first rule that was broken.
+	// violation describes the first rule that was violated; empty where none was.
 	violation string
 }
 
-// costs are what a byte of a copy costs on a link and on a core.
+// costs are the costs of one byte of a message, in ns, on a link and on a core.
 type costs struct{ linkNs, codeNs int64 }
 
-// member is one machine: its process while it lives, its disk, core and link.
+// member is one machine: its disk, core and link, and its process, whose node is nil while it is stopped.
 type member struct {
 	cluster *cluster
 	self    chain.Member
@@ -73,11 +73,12 @@
 	coreUs  int64
 	diskUs  int64
 	linkUs  int64
-	// received counts the bytes of messages from others, and copies those of them that carried a whole state.
+	// receivedBytes counts the bytes of received messages, snapshotBytes those of messages that carried a snapshot.
 	receivedBytes, snapshotBytes int64
 	persistQueue                 []chain.Persist
-	// powerLossCountdown counts down the changes of the disk that a copy takes; before the last one power is lost, and
-	// leaves one of the disks that it may leave.
+	// powerLossCountdown counts down the disk changes made while a snapshot is saved. When it reaches 0, power is lost before
+	// that change, and chooseDisk selects one of the possible remaining disks. A countdown of 1 after the last change loses
+	// power there. A countdown that starts at 0 injects no power loss.
 	powerLossCountdown int
 	chooseDisk         func(all []*powerDisk) *powerDisk
 }
@@ -107,7 +108,7 @@
 	heap.Push(&c.queue, event{max(us, c.nowUs), c.events, run})
 }
 
-// pass lets time go on until the moment, or until done says so.
+// advance runs events for the given simulated time, or until done returns true, and reports whether done did.
 func (c *cluster) advance(us int64, done func() bool) bool {
 	endUs := c.nowUs + us
 	for len(c.queue) > 0 && c.queue[0].atUs <= endUs {
@@ -135,7 +136,7 @@
 		m.start(true)
 	}
 	if !c.advance(20*clock.Sec, func() bool { return c.allCaughtUp() }) {
-		t.Fatal("it was not founded")
+		t.Fatal("cluster was not bootstrapped within 20 s of simulated time")
 	}
 	c.submitNext()
 	return c
@@ -148,7 +149,7 @@
 	m.coreUs, m.diskUs, m.linkUs, m.persistQueue = 0, 0, 0, nil
 	opened, err := openFiles(m.disk, "/data", chain.Owner{MemberID: m.self.ID, Name: m.self.Name})
 	if err != nil {
-		c.fail("%s does not open: %v", m.self.Name, err)
+		c.fail("store of %s does not open: %v", m.self.Name, err)
 		m.loseDisk()
 		m.start(false)
 		return
@@ -182,7 +183,7 @@
 	m.tick()
 }
 
-// loseDisk gives the machine an empty disk, with which it is another member.
+// loseDisk replaces the machine's disk by an empty one, which makes it a new member.
 func (m *member) loseDisk() {
 	m.disk = newPowerDisk()
 	m.self.ID = fmt.Sprint(m.self.Name, "-", m.cluster.starts+10)
@@ -190,7 +191,7 @@
 
 func (m *member) stop() { m.node, m.boot = nil, m.boot+1 }
 
-// later runs something at a moment, if the process still lives by then.
+// scheduleAt calls run at a time if the process is still running then.
 func (m *member) scheduleAt(us int64, run func()) {
 	boot := m.boot
 	m.cluster.scheduleAt(us, func() {
@@ -205,7 +206,7 @@
 	m.scheduleAt(m.cluster.nowUs+tickUs, m.tick)
 }
 
-// handle gives the member an event once its core has come to it.
+// enqueue passes an event to the member once its core has spent costUs on it.
 func (m *member) enqueue(costUs int64, ev chain.Event) {
 	m.coreUs = max(m.coreUs, m.cluster.nowUs) + costUs
 	m.scheduleAt(m.coreUs, func() { m.step(ev) })
@@ -265,7 +266,8 @@
 	}
 }
 
-// save writes the oldest save that waits, as a control node does: one at a time, copies beside the log.
+// persistNext carries out the oldest queued Persist, as a control node does: one at a time, but snapshots concurrently with
+// the log.
 func (m *member) persistNext() {
 	c := m.cluster
 	s := m.persistQueue[0]
@@ -291,7 +293,7 @@
 	})
 }
 
-// insist tries the same again until the disk takes it; the chain hears of the first refusal.
+// retry repeats an operation until the disk accepts it, and reports every refusal to the chain.
 func (m *member) retry(seq uint64, us int64, try func() error) {
 	m.scheduleAt(us, func() {
 		err := try()
@@ -306,6 +308,7 @@
 	})
 }
 
+// saveSnapshot saves a snapshot and compacts the log; an injected power loss stops the member.
 func (m *member) saveSnapshot(s chain.Persist, from uint64) error {
 	result := m.runWithPowerLoss(func() error { return m.store.SaveSnapshot(*s.Snapshot, from) })
 	if result.disk != nil {
@@ -323,12 +326,13 @@
 	return result.err
 }
 
-// workResult is how a piece of work ended: with an error or none, or with a loss of power that left a disk.
+// workResult is the result of an operation: its error, and the remaining disk where power was lost.
 type workResult struct {
 	disk *powerDisk
 	err  error
 }
 
+// runWithPowerLoss runs an operation with the power loss that powerLossCountdown requests.
 func (m *member) runWithPowerLoss(work func() error) (result workResult) {
 	if m.powerLossCountdown == 0 {
 		return workResult{err: work()}
@@ -346,7 +350,7 @@
 	return result
 }
 
-// weigh notes the most that a disk has held.
+// recordDiskUsage updates the maximum size of a disk's files.
 func (c *cluster) recordDiskUsage(m *member) {
 	sum := int64(0)
 	for _, f := range m.disk.names {
@@ -364,7 +368,7 @@
 	return nil
 }
 
-// place finds the member at a place of the newest view.
+// memberAt returns the member at a position of the head's view.
 func (c *cluster) memberAt(at int) *member {
 	order := c.head().node.View().Replicas
 	for _, m := range c.members {
@@ -375,7 +379,7 @@
 	return nil
 }
 
-// whole: every member that lives has a seat, a vote and all that was acknowledged.
+// allCaughtUp reports whether every member is running and has caught up.
 func (c *cluster) allCaughtUp() bool {
 	for _, m := range c.members {
 		if m.node == nil || !m.caughtUp() {
@@ -385,13 +389,15 @@
 	return true
 }
 
+// caughtUp reports whether the member serves as a voter of a complete view and has committed all acknowledged entries but the
+// last two.
 func (m *member) caughtUp() bool {
 	n := m.node
 	view := n.View()
 	return n.Phase() == chain.PhaseServing && n.WaitReason() == "" && view.IsVoter(m.self.ID) && len(view.Replicas) == 3 && n.CommitIndex()+2 >= m.cluster.acknowledgedIndex
 }
 
-// submitNext begins the next change; it is sent again until it is acknowledged.
+// submitNext submits the next change, which is resent until it is acknowledged.
 func (c *cluster) submitNext() {
 	c.changes++
 	c.sentUs = c.nowUs
@@ -410,15 +416,15 @@
 	c.scheduleAt(c.nowUs+resubmitUs, func() { c.submit(change) })
 }
 
-// judge holds what a member may say against what was acknowledged, and takes the acknowledgement of the change that
-// is under way.
+// checkInvariants checks that a ready tail and a confirmed head have all acknowledged entries, and records the acknowledgement
+// of the current change.
 func (c *cluster) checkInvariants(m *member) {
 	n := m.node
 	if n.IsTailReady(c.nowUs) && n.CommitIndex() < c.acknowledgedIndex {
-		c.fail("%s answers as tail at %d, %d was acknowledged", m.self.ID, n.CommitIndex(), c.acknowledgedIndex)
+		c.fail("%s is ready as the tail at entry %d, but entry %d was acknowledged", m.self.ID, n.CommitIndex(), c.acknowledgedIndex)
 	}
 	if n.IsHeadConfirmed(c.nowUs) && n.LastIndex() < c.acknowledgedIndex {
-		c.fail("%s gives orders at %d, %d was acknowledged", m.self.ID, n.LastIndex(), c.acknowledgedIndex)
+		c.fail("%s is confirmed as the head at entry %d, but entry %d was acknowledged", m.self.ID, n.LastIndex(), c.acknowledgedIndex)
 	}
 	if c.change == nil {
 		return
@@ -428,7 +434,7 @@
 		return
 	}
 	if out.Fault != nil {
-		c.fail("change %d: %v", c.changes, out.Fault)
+		c.fail("change %d: got fault %v, want none", c.changes, out.Fault)
 	}
 	c.recordAcknowledgement(out.Index)
 }
@@ -442,17 +448,18 @@
 	c.scheduleAt(c.nowUs+c.changeIntervalUs, c.submitNext)
 }
 
+// fail records a violation with the simulated time, unless one is recorded already.
 func (c *cluster) fail(format string, args ...any) {
 	if c.violation == "" {
 		c.violation = fmt.Sprintf("at %d ms: ", c.nowUs/clock.Ms) + fmt.Sprintf(format, args...)
 	}
 }
 
-// acknowledge lets so many changes be acknowledged, within a time for each.
+// awaitChanges runs the cluster until count more changes were submitted, within 2 s of simulated time each plus 20 s.
 func (c *cluster) awaitChanges(count int) {
 	want := c.changes + uint64(count)
 	c.advance(int64(count)*2*clock.Sec+20*clock.Sec, func() bool { return c.changes >= want || c.violation != "" })
 	if c.changes < want {
-		c.fail("%d changes of %d", c.changes, want)
+		c.fail("submitted changes: got %d, want %d", c.changes, want)
 	}
 }
--- a/internal/controlplane/storage/codec.go
+++ b/internal/controlplane/storage/codec.go
@@ -15,16 +15,17 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
+// checksumBytes is the size of the CRC-32C checksum at the start of a record.
 const checksumBytes = 4
 
-// EncodeRecord puts a checksum before a payload.
+// EncodeRecord returns a payload with its checksum prepended.
 func EncodeRecord(payload []byte) []byte {
 	record := make([]byte, checksumBytes, checksumBytes+len(payload))
 	binary.LittleEndian.PutUint32(record, crc32.Checksum(payload, castagnoli))
 	return append(record, payload...)
 }
 
-// DecodeRecord is the payload of a frame, or the fault that its checksum shows.
+// DecodeRecord returns the payload of a record, or a DamagedData fault where its checksum is missing or does not match.
 func DecodeRecord(record []byte) ([]byte, *fault.Fault) {
 	if len(record) < checksumBytes {
 		return nil, fault.New(fault.DamagedData, "", "a record of %d bytes has no checksum", len(record))
@@ -36,8 +37,8 @@
 	return payload, nil
 }
 
-// decodeRecords reads one record of the log, a batch. What this version does not know is a fault, not something to leave out:
-// the rest would be read as a history that it is not.
+// decodeRecords decodes the payload of one log record, which is a batch of chain records. Content that this version does
+// not know is a fault and is not skipped: the remaining records alone would give a different history.
 func decodeRecords(payload []byte) ([]chain.Record, *fault.Fault) {
 	var batch []chain.Record
 	if bad := decodeStrict(bytes.NewReader(payload), &batch); bad != nil {
@@ -45,15 +46,17 @@
 	}
 	for _, r := range batch {
 		if r == (chain.Record{}) {
-			return nil, fault.New(fault.UnknownFormat, "", "it says nothing")
+			return nil, fault.New(fault.UnknownFormat, "", "the batch contains an empty record")
 		}
 	}
 	return batch, nil
 }
 
-// unknownFieldPrefix begins the error by which the JSON package tells that a field is not known.
+// unknownFieldPrefix is the prefix of the error that package json returns for an unknown field.
 const unknownFieldPrefix = "json: unknown field "
 
+// decodeStrict decodes JSON and returns an UnknownFormat fault for an unknown field and a DamagedData fault for any other
+// error.
 func decodeStrict(from io.Reader, into any) *fault.Fault {
 	decoder := json.NewDecoder(from)
 	decoder.DisallowUnknownFields()
@@ -62,19 +65,20 @@
 	case err == nil:
 		return nil
 	case strings.HasPrefix(err.Error(), unknownFieldPrefix):
-		return fault.New(fault.UnknownFormat, "", "%v: a later version wrote it", err)
+		return fault.New(fault.UnknownFormat, "", "%v: written by a later version", err)
 	}
 	return fault.New(fault.DamagedData, "", "%v", err)
 }
 
-// storedSnapshot is a copy as it is put away, with the place of the log's record that it stands before: what is in the
-// log before that place came before the copy.
+// storedSnapshot is a snapshot as it is stored, with the number of the first log record that follows it. Records with
+// lower numbers precede the snapshot.
 type storedSnapshot struct {
 	chain.Snapshot
 	FirstRecord uint64 `json:"from"`
 }
 
-// encodeSnapshot is a copy as it lies on the disk, where for a while there are two of it beside the log.
+// encodeSnapshot returns the file content of a snapshot. It is compressed because the disk holds two snapshots beside the
+// log while one replaces the other.
 func encodeSnapshot(c storedSnapshot) ([]byte, error) {
 	var buf bytes.Buffer
 	buf.Write(make([]byte, checksumBytes))
@@ -93,7 +97,7 @@
 	return record, nil
 }
 
-// decodeSnapshot reads a copy as it lies on the disk.
+// decodeSnapshot decodes the file content of a snapshot.
 func decodeSnapshot(record []byte) (*storedSnapshot, *fault.Fault) {
 	payload, bad := DecodeRecord(record)
 	if bad != nil {
--- a/internal/controlplane/storage/codec_test.go
+++ b/internal/controlplane/storage/codec_test.go
@@ -14,26 +14,26 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// openFault says by which fault a folder is refused; what lies in it must be as it was.
+// openFault opens a folder and returns the code of the fault; empty where it opens. A refused folder must be unmodified.
 func openFault(t *testing.T, dir string) fault.Code {
 	t.Helper()
 	before := readFiles(t, dir)
 	_, err := reopen(t, dir)
 	var bad *fault.Fault
 	if err != nil && !errors.As(err, &bad) {
-		t.Fatal("no typed error: ", err)
+		t.Fatalf("got error %v, want a fault", err)
 	}
 	if bad == nil {
 		return ""
 	}
 	for path, raw := range readFiles(t, dir) {
 		if !bytes.Equal(raw, before[path]) {
-			t.Fatalf("%s was changed", path)
+			t.Fatalf("%s was modified by a refused Open", path)
 		}
 		delete(before, path)
 	}
 	if len(before) > 0 {
-		t.Fatalf("removed: %v", before)
+		t.Fatalf("files removed by a refused Open: %v", before)
 	}
 	return bad.Code
 }
@@ -53,15 +53,15 @@
 	return all
 }
 
-// What a later version wrote is refused as such, wherever in a record it stands, and left as it is.
+// A record with content that only a later version knows is refused as UnknownFormat at every nesting level, and not modified.
 func TestRecordOfUnknownFormatIsRefused(t *testing.T) {
 	for name, payload := range map[string]string{
-		"another kind of record":     `[{"lease":{"until":5}}]`,
-		"one more field of an entry": `[{"entry":{"index":6,"view":1,"change":{"id":"c"},"after":5}}]`,
-		"another kind of change":     `[{"entry":{"index":6,"view":1,"change":{"id":"c","quota":{}}}}]`,
-		"one more field of a view":   `[{"view":{"number":2,"voters":null,"order":null,"weights":[1]}}]`,
-		"a record that says nothing": `[{}]`,
-		"beside one that is known":   `[{"whole":1},{"lease":{}}]`,
+		"unknown record type":                   `[{"lease":{"until":5}}]`,
+		"unknown field of an entry":             `[{"entry":{"index":6,"view":1,"change":{"id":"c"},"after":5}}]`,
+		"unknown change type":                   `[{"entry":{"index":6,"view":1,"change":{"id":"c","quota":{}}}}]`,
+		"unknown field of a view":               `[{"view":{"number":2,"voters":null,"order":null,"weights":[1]}}]`,
+		"empty record":                          `[{}]`,
+		"unknown record type after a known one": `[{"whole":1},{"lease":{}}]`,
 	} {
 		dir := newFilledDir(t, 5)
 		o, err := Open(dir, testOwner)
@@ -75,12 +75,12 @@
 			t.Fatal(err)
 		}
 		if code := openFault(t, dir); code != fault.UnknownFormat {
-			t.Errorf("%s: %q", name, code)
+			t.Errorf("%s: got code %q, want %q", name, code, fault.UnknownFormat)
 		}
 	}
 }
 
-// rewritten puts other JSON in a copy's place, with a checksum that fits.
+// replaceSnapshot replaces the stored snapshot by other JSON with a valid checksum.
 func replaceSnapshot(t *testing.T, dir, text string) {
 	t.Helper()
 	var buf bytes.Buffer
@@ -106,12 +106,12 @@
 		dir := newFilledDir(t, 3)
 		replaceSnapshot(t, dir, text)
 		if code := openFault(t, dir); code != want {
-			t.Errorf("%s: %q", text, code)
+			t.Errorf("snapshot %s: got code %q, want %q", text, code, want)
 		}
 	}
 }
 
-// A copy that is damaged in any one byte is refused, and so is one that is cut short.
+// A snapshot with a flipped bit in any byte is refused, and so is one truncated at any byte.
 func TestDamagedSnapshotIsRefused(t *testing.T) {
 	dir := newFilledDir(t, 3)
 	o, err := Open(dir, testOwner)
@@ -134,7 +134,7 @@
 		flipped[i] ^= 1
 		for _, damaged := range [][]byte{flipped, raw[:i]} {
 			if _, bad := decodeSnapshot(damaged); bad == nil || bad.Code != fault.DamagedData {
-				t.Fatalf("byte %d: %v", i, bad)
+				t.Fatalf("snapshot damaged or truncated at byte %d: got fault %v, want code %q", i, bad, fault.DamagedData)
 			}
 		}
 	}
--- a/internal/controlplane/storage/crash_test.go
+++ b/internal/controlplane/storage/crash_test.go
@@ -12,24 +12,24 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// history names the change at each index, the first at 1.
+// history lists the change IDs of the log by index; the first has index 1.
 type history []string
 
 func (h history) String() string { return strings.Join(h, " ") }
 
-// user drives a store as a control node does, and knows which histories may come back at any moment: the one that it
-// was told is saved, and the same with what is under way.
+// storeDriver drives a store as a control node does and tracks which histories may be recovered at any moment: the
+// acknowledged one, and the same with operations in progress.
 type storeDriver struct {
 	disk       *powerDisk
 	store      *Store
 	saved      history
 	inProgress []func(history) history
-	// copies are the histories that copies stand for, by the view in which they are marked.
+	// snapshots are the histories that snapshots represent. A snapshot's View is its number here, the first being 1.
 	snapshots *[]history
 	idPrefix  string
 }
 
-// allowed lists the histories that may come back now.
+// allowedHistories lists the histories that may be recovered now.
 func (u *storeDriver) allowedHistories() []string {
 	all := []history{u.saved}
 	for _, try := range u.inProgress {
@@ -44,8 +44,8 @@
 	return texts
 }
 
-// attempt does one thing as often as the disk refuses it. What it does to the history may come back from its
-// beginning on, and must from its end on.
+// retry repeats an operation while the disk refuses it. Its effect on the history may be recovered once it has begun, and must
+// be recovered once it has returned.
 func (u *storeDriver) retry(effect func(history) history, try func() error) error {
 	u.inProgress = append(u.inProgress, effect)
 	for range 200 {
@@ -60,12 +60,13 @@
 			return err
 		}
 	}
-	return errors.New("the disk takes bytes again, and the store does not")
+	return errors.New("the store still fails after 200 attempts")
 }
 
+// unchanged is the effect of an operation that leaves the history as it is.
 func unchanged(h history) history { return h }
 
-// write adds so many entries as one save.
+// write writes count entries as one batch.
 func (u *storeDriver) write(fresh bool, count int) (from uint64, err error) {
 	records, ids := []chain.Record{}, history{}
 	for i := range count {
@@ -86,8 +87,8 @@
 	return chain.Snapshot{Index: uint64(len(h)), View: uint64(len(*u.snapshots)), State: statemachine.NewState()}
 }
 
-// compact begins the log anew on a copy, while another save is written between two changes of the disk that
-// keeping the copy takes.
+// compact saves a snapshot and compacts the log before it. Another batch is written before disk change number interleaveAt of
+// the snapshot; 0 writes none.
 func (u *storeDriver) compact(interleaveAt int) error {
 	c := u.newSnapshot(u.saved)
 	from, err := u.write(true, 1)
@@ -117,9 +118,9 @@
 	return u.retry(unchanged, func() error { return u.store.Compact(from) })
 }
 
-// adopt takes a peer's copy in the place of a history that ends otherwise.
+// installPeerSnapshot replaces the history, whose last entry differs, by a snapshot of a peer.
 func (u *storeDriver) installPeerSnapshot() error {
-	peerHistory := append(slices.Clone(u.saved[:len(u.saved)-1]), "partner's", "partner's too")
+	peerHistory := append(slices.Clone(u.saved[:len(u.saved)-1]), "peer-1", "peer-2")
 	c := u.newSnapshot(peerHistory)
 	from, err := u.store.Write(nil, false)
 	for range 200 {
@@ -134,9 +135,11 @@
 	return u.retry(func(history) history { return peerHistory }, func() error { return u.store.SaveSnapshot(c, from) })
 }
 
+// testSegmentBytes is small enough that a lifecycle uses several segments.
 const testSegmentBytes = 250
 
-// enter opens the folder. Once it is open and the disk takes bytes, what was found counts as saved.
+// open opens the folder and checks that the recovered history is one of want. Once the disk accepts writes, that history counts
+// as saved.
 func (u *storeDriver) open(want []string) error {
 	o, err := openFiles(u.disk, "/data", testOwner)
 	if err != nil {
@@ -147,7 +150,7 @@
 		return err
 	}
 	if !slices.Contains(want, recovered.String()) {
-		return fmt.Errorf("found %q, want one of %q", recovered, want)
+		return fmt.Errorf("recovered history: got %q, want one of %q", recovered, want)
 	}
 	u.store = o.Store
 	u.store.log.maxSegmentBytes = testSegmentBytes
@@ -160,8 +163,8 @@
 	return nil
 }
 
-// told is the history that records tell to a member that starts from them. What of the log is still there before a
-// copy may begin anywhere; behind the last copy nothing is missing.
+// historyOf returns the history that a member recovers from records. The log that remains before a snapshot may start
+// anywhere; after the last snapshot no entry may be missing.
 func (u *storeDriver) historyOf(records []chain.Record) (history, error) {
 	h, gap := history{}, uint64(0)
 	for _, r := range records {
@@ -177,19 +180,19 @@
 		}
 	}
 	if gap > 0 {
-		return nil, fmt.Errorf("entry %d behind a history of %d", gap, len(h))
+		return nil, fmt.Errorf("entry %d follows a history of %d entries", gap, len(h))
 	}
 	return h, nil
 }
 
-// explorer goes through every disk that may be left, and checks what each gives back.
+// explorer enumerates every disk that may remain after a power loss or kill, and checks what is recovered from each.
 type explorer struct {
-	copies             []history
+	snapshots          []history
 	seen               map[string]bool
 	disksChecked       int
 	kills              int
 	continuesAfterLoss bool
-	// mutationWhileOpening plants a lie in the disk as long as a store with a log is opened.
+	// mutationWhileOpening is a mutation of the disk that is active while a store with a log is opened.
 	mutationWhileOpening mutation
 	violation            string
 }
@@ -200,7 +203,7 @@
 	}
 }
 
-// reopened checks what a disk gives back to a process that only opens it.
+// checkReopen checks what a process that only opens the store recovers from a disk.
 func (x *explorer) checkReopen(d *powerDisk, want []string, when string) {
 	key := fmt.Sprint(d.fingerprint(), want)
 	if x.seen[key] || x.violation != "" {
@@ -208,21 +211,21 @@
 	}
 	x.seen[key] = true
 	x.disksChecked++
-	u := &storeDriver{disk: d.withAllDurable(), snapshots: &x.copies}
+	u := &storeDriver{disk: d.withAllDurable(), snapshots: &x.snapshots}
 	if err := u.open(want); err != nil {
 		x.fail("%s: %v", when, err)
 	}
 }
 
-// continued starts another process on a disk, lets it write, compact and forget, and takes its power before each
-// change: also while it opens.
+// checkContinue runs another process on a disk: it opens the store, writes, and compacts. Power is lost before each of its disk
+// changes, including those made while it opens.
 func (x *explorer) checkContinue(d *powerDisk, want []string, when string) {
 	key := fmt.Sprint("on", d.fingerprint(), len(d.pending), want)
 	if x.seen[key] || x.violation != "" {
 		return
 	}
 	x.seen[key] = true
-	u := &storeDriver{disk: d, snapshots: &x.copies, idPrefix: "second-"}
+	u := &storeDriver{disk: d, snapshots: &x.snapshots, idPrefix: "second-"}
 	allowed := func() []string { return want }
 	d.before = func() {
 		if x.violation != "" {
@@ -247,13 +250,13 @@
 		func() error { return u.compact(0) },
 	} {
 		if err := step(); err != nil {
-			x.fail("%s, going on: %v", when, err)
+			x.fail("%s, continuing: %v", when, err)
 		}
 	}
 	d.before()
 }
 
-// life is a store's whole life, with every way in which it changes the disk.
+// runLifecycle runs a store through every operation that changes the disk.
 func (x *explorer) runLifecycle(u *storeDriver, interleaving [2]int) error {
 	write := func(count int) func() error {
 		return func() error { _, err := u.write(false, count); return err }
@@ -273,10 +276,10 @@
 	return nil
 }
 
-// explore lives a life on a disk and looks at all that each moment may leave.
+// explore runs a lifecycle on a disk, checks every disk that may remain before each change, and returns the number of changes.
 func (x *explorer) explore(d *powerDisk, interleaving [2]int) (changes int) {
 	x.seen = map[string]bool{}
-	u := &storeDriver{disk: d, snapshots: &x.copies, idPrefix: "first-"}
+	u := &storeDriver{disk: d, snapshots: &x.snapshots, idPrefix: "first-"}
 	d.before = func() {
 		if x.violation != "" {
 			return
@@ -300,9 +303,9 @@
 	return d.changes
 }
 
-// Power is lost, or the process killed and its successor's power lost, before every change of the disk that a
-// store makes; every name and every write that no sync covered is kept or lost by itself. All that was reported
-// as saved comes back, in order and once, and at most what was under way besides.
+// Before every disk change that a store makes, power is lost, or the process is killed and its successor loses power. Each
+// unsynced name and write is independently kept or lost. Everything that was acknowledged must be recovered, in order and
+// once, and beyond it at most the operations in progress.
 func TestPowerLossAtEveryStep(t *testing.T) {
 	interleavings := [][2]int{{0, 0}, {1, 2}, {2, 3}, {3, 4}, {4, 5}, {5, 1}}
 	if raceEnabled {
@@ -317,14 +320,14 @@
 				t.Fatal(x.violation)
 			}
 			if changes < 60 || x.disksChecked < 500 {
-				t.Fatalf("%d changes, %d disks: too few to prove anything", changes, x.disksChecked)
+				t.Fatalf("got %d disk changes and %d disks checked, want at least 60 and 500", changes, x.disksChecked)
 			}
-			t.Logf("%d changes of the disk, %d kills, %d disks left by a loss of power", changes, x.kills, x.disksChecked)
+			t.Logf("%d disk changes, %d kills, %d disks checked after a power loss", changes, x.kills, x.disksChecked)
 		})
 	}
 }
 
-// The same while the disk is full for a while, from every change on.
+// The check of TestPowerLossAtEveryStep, without kills, on a disk that is full for 1, 4 or 40 refusals from each change on.
 func TestPowerLossWhileDiskIsFull(t *testing.T) {
 	baseline := &explorer{}
 	changes := baseline.explore(newPowerDisk(), [2]int{})
@@ -337,36 +340,37 @@
 			d, x := newPowerDisk(), &explorer{}
 			d.fullFrom, d.fullSpan = from, span
 			if x.explore(d, [2]int{}); x.violation != "" {
-				t.Fatalf("full from change %d on, %d times: %s", from, span, x.violation)
+				t.Fatalf("disk full from change %d on for %d refusals: %s", from, span, x.violation)
 			}
 			losses += x.disksChecked
 		}
 	}
-	t.Logf("%d changes, each the first that a full disk refuses, 1, 4 and 40 times: %d disks left by a loss of power", changes, losses)
+	t.Logf("%d changes, each the first that a full disk refuses, for 1, 4 and 40 refusals; %d disks checked after a power loss",
+		changes, losses)
 }
 
-// Each defect must be seen: of the disk, of a store that does not make sure of what it finds, and of a user that
-// forgets the log before the copy is kept.
+// The check must detect each mutation: of the disk, of the syncs that a store makes when it opens, and of the order of
+// operations, where the log is compacted before the snapshot is saved.
 func TestPowerLossCheckCanFail(t *testing.T) {
-	for _, planted := range []mutation{skipDirSync, skipSnapshotSync, skipLogSync} {
+	for _, defect := range []mutation{skipDirSync, skipSnapshotSync, skipLogSync} {
 		d, x := newPowerDisk(), &explorer{}
-		d.mutation = planted
+		d.mutation = defect
 		x.explore(d, [2]int{})
 		if x.violation == "" {
-			t.Errorf("%s: not seen", planted)
+			t.Errorf("mutation %q: got no violation, want one", defect)
 		}
-		t.Log(planted, ": ", x.violation)
+		t.Log(defect, ": ", x.violation)
 	}
-	for _, planted := range []mutation{skipDirSync, skipLogSync} {
-		x := &explorer{continuesAfterLoss: true, mutationWhileOpening: planted}
+	for _, defect := range []mutation{skipDirSync, skipLogSync} {
+		x := &explorer{continuesAfterLoss: true, mutationWhileOpening: defect}
 		x.explore(newPowerDisk(), [2]int{})
 		if x.violation == "" {
-			t.Errorf("while a store opens %s: not seen", planted)
+			t.Errorf("mutation %q while a store opens: got no violation, want one", defect)
 		}
-		t.Log("while a store opens ", planted, ": ", x.violation)
+		t.Log("while a store opens ", defect, ": ", x.violation)
 	}
 	d, x := newPowerDisk(), &explorer{seen: map[string]bool{}}
-	u := &storeDriver{disk: d, snapshots: &x.copies, idPrefix: "first-"}
+	u := &storeDriver{disk: d, snapshots: &x.snapshots, idPrefix: "first-"}
 	d.before = func() {
 		for _, remaining := range d.afterPowerLoss() {
 			x.checkReopen(remaining, u.allowedHistories(), fmt.Sprint("before change ", d.changes))
@@ -376,12 +380,12 @@
 		x.fail("%v", err)
 	}
 	if x.violation == "" {
-		t.Error("a log that is forgotten before its copy is kept: not seen")
+		t.Error("log compacted before its snapshot is saved: got no violation, want one")
 	}
-	t.Log("forgotten first: ", x.violation)
+	t.Log("log compacted before its snapshot is saved: ", x.violation)
 }
 
-// compactBeforeSnapshot is the planted order: the log goes before its copy is kept.
+// compactBeforeSnapshot is a mutation of the order of operations: the log is compacted before the snapshot is saved.
 func (x *explorer) compactBeforeSnapshot(u *storeDriver) error {
 	if err := u.open([]string{""}); err != nil {
 		return err
@@ -400,10 +404,10 @@
 	return u.retry(unchanged, func() error { return u.store.SaveSnapshot(c, from) })
 }
 
-// What a disk gives back while it refuses every sync does not count as saved until it takes one.
+// Records read from a disk that refuses every sync are not reported as saved until a sync succeeds.
 func TestWriteErrorOfOpenIsReported(t *testing.T) {
-	d, copies := newPowerDisk(), []history{}
-	u := &storeDriver{disk: d, snapshots: &copies, idPrefix: "first-"}
+	d, snapshots := newPowerDisk(), []history{}
+	u := &storeDriver{disk: d, snapshots: &snapshots, idPrefix: "first-"}
 	if err := u.open([]string{""}); err != nil {
 		t.Fatal(err)
 	}
@@ -414,11 +418,11 @@
 	killed.fullFrom, killed.fullSpan = 1, 3
 	o, err := openFiles(killed, "/data", testOwner)
 	if err != nil || o.WriteErr == nil {
-		t.Fatal(o, err)
+		t.Fatalf("open on a full disk: got %+v, error %v; want a result with WriteErr", o, err)
 	}
 	for range 2 {
 		if _, err := o.Store.Write(nil, false); err == nil {
-			t.Fatal("it is said to be saved while the disk refuses")
+			t.Fatal("Write on a full disk: got no error, want one")
 		}
 	}
 	if _, err := o.Store.Write(nil, false); err != nil {
--- a/internal/controlplane/storage/disk_fault_off.go
+++ b/internal/controlplane/storage/disk_fault_off.go
@@ -2,4 +2,5 @@
 
 package storage
 
+// beforeSync does nothing in a build without the tag diskfaults.
 func (s *Store) beforeSync() error { return nil }
--- a/internal/controlplane/storage/disk_fault_on.go
+++ b/internal/controlplane/storage/disk_fault_on.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// beforeSync lets a test slow, stall or fill this disk by files beside the log. It is not part of the
-// product: only a build with the tag diskfaults has it.
+// beforeSync injects disk faults for tests: files beside the log directory make it delay, block, or return ENOSPC. Only a
+// build with the tag diskfaults contains it; the product does not.
 func (s *Store) beforeSync() error {
 	folder := filepath.Dir(s.dir)
 	_ = os.WriteFile(filepath.Join(folder, "diskfaults"), nil, 0o644)
--- a/internal/controlplane/storage/disk_refusal_test.go
+++ b/internal/controlplane/storage/disk_refusal_test.go
@@ -16,9 +16,8 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// trial is a file system in memory that refuses one stretch of its operations, and that knows what a
-// loss of power would leave. After a sync that failed it has dropped what was to be synced, and shows it
-// all the same, as systems do.
+// refusingDisk is an in-memory file system that refuses a range of its operations and models what a power loss would leave.
+// A failed sync drops the unsynced data from what a power loss leaves while reads still return it, as operating systems do.
 type refusingDisk struct {
 	files, durable          map[string]*inode
 	ops                     int
@@ -34,13 +33,14 @@
 	dropped      int
 }
 
+// newRefusingDisk returns an empty disk that refuses nothing.
 func newRefusingDisk() *refusingDisk {
 	return &refusingDisk{files: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
 var errEIO = syscall.EIO
 
-// op counts an operation that changes something, and refuses it where it is this one's turn.
+// op counts a modifying operation and refuses it if it is in the range to refuse.
 func (d *refusingDisk) op(what string) error {
 	d.ops++
 	if d.beforeOp != nil {
@@ -113,7 +113,7 @@
 		return err
 	}
 	f := d.files[path]
-	if d.mode != "truncate lies" {
+	if d.mode != "truncate without effect" {
 		f.data = f.data[:size:size]
 	}
 	if f.dropped >= int(size) {
@@ -177,7 +177,7 @@
 		h.inode.dropped = len(h.inode.synced)
 		return &os.PathError{Op: "sync", Path: h.path, Err: errEIO}
 	}
-	if h.disk.mode == "sync lies" {
+	if h.disk.mode == "sync without effect" {
 		return nil
 	}
 	syncedBefore := len(h.inode.synced)
@@ -198,8 +198,8 @@
 
 func (h *handle) Close() error { return nil }
 
-// left is the disk as another process finds it: after a kill, or after a loss of power with what was not
-// synced gone, or half of it gone.
+// afterLoss returns the disk as another process finds it: with all data after a kill, and without unsynced data or with half
+// of it after a power loss.
 func (d *refusingDisk) afterLoss(loss string) *refusingDisk {
 	remaining := newRefusingDisk()
 	from := d.files
@@ -220,7 +220,7 @@
 	return remaining
 }
 
-// caller tries the same again until the disk takes it, as a control node does.
+// retryingCaller drives a store and retries each operation until the disk accepts it, as a control node does.
 type retryingCaller struct {
 	store         *Store
 	synced        []uint64
@@ -239,7 +239,7 @@
 			return err
 		}
 	}
-	return errors.New("the disk takes bytes again, and the store does not")
+	return errors.New("the store still fails after 60 attempts")
 }
 
 func (c *retryingCaller) write(fresh bool, indexes ...uint64) (from uint64, err error) {
@@ -258,15 +258,15 @@
 	return from, err
 }
 
-// found holds what a folder gives back against what was synced: all of it, in order and once, and at
-// most the one write under way besides.
+// verify opens the store on a disk and returns a violation unless everything that was synced is recovered, in order and once,
+// and beyond it at most the write in progress.
 func (c *retryingCaller) verify(d *refusingDisk) string {
 	o, err := openFiles(d, "/data", chain.Owner{MemberID: "core-1-zz", Name: "core-1"})
 	if err != nil {
 		return err.Error()
 	}
 	if len(c.synced) > 0 && (o.Created || o.Store.Owner() != testOwner) {
-		return fmt.Sprintf("it came back as %+v, fresh %v", o.Store.Owner(), o.Created)
+		return fmt.Sprintf("got owner %+v, created %v; want owner %+v of an existing folder", o.Store.Owner(), o.Created, testOwner)
 	}
 	got := []uint64{}
 	snapshotIndex := uint64(0)
@@ -279,7 +279,7 @@
 		}
 	}
 	if snapshotIndex < c.snapshotIndex {
-		return fmt.Sprintf("the copy at %d is gone: found %d", c.snapshotIndex, snapshotIndex)
+		return fmt.Sprintf("index of the snapshot: got %d, want at least %d", snapshotIndex, c.snapshotIndex)
 	}
 	want := slices.Clone(c.synced)
 	for len(want) > 0 && want[0] <= snapshotIndex && (len(got) == 0 || want[0] < got[0]) {
@@ -288,10 +288,11 @@
 	if slices.Equal(got, want) || (len(c.inProgress) > 0 && slices.Equal(got, append(want, c.inProgress...))) {
 		return ""
 	}
-	return fmt.Sprintf("got %v, want %v, under way %v, copy %d", got, want, c.inProgress, snapshotIndex)
+	return fmt.Sprintf("entries: got %v, want %v, with %v in progress and a snapshot at %d", got, want, c.inProgress, snapshotIndex)
 }
 
-// life is a store's whole life: records, a copy with a fresh beginning, forgetting, and records again.
+// runLifecycle writes records, saves a snapshot, compacts the log and writes more records, twice. It returns the first
+// violation that verify finds and the number of entries written.
 func runLifecycle(d *refusingDisk, verify func(c *retryingCaller) string) (string, int) {
 	c := &retryingCaller{}
 	var o *OpenResult
@@ -345,8 +346,10 @@
 	return failure, len(c.synced)
 }
 
+// losses are the ways in which a process ends: killed, or by a power loss that drops all or half of the unsynced data.
 var losses = []string{"killed", "lost", "torn"}
 
+// verifyAfterLosses returns a function that verifies what is recovered from the disk after each of losses.
 func verifyAfterLosses(d *refusingDisk) func(c *retryingCaller) string {
 	return func(c *retryingCaller) string {
 		for _, loss := range losses {
@@ -358,12 +361,12 @@
 	}
 }
 
-// Whatever the disk refuses, and for however long: the same is tried again, and at every moment all that
-// was synced is there, once and in order, after a kill and after a loss of power.
+// Whichever operation the disk refuses and however often, the retried write is recorded once, and at every moment all synced
+// entries are recovered, once and in order, after a kill and after a power loss.
 func TestRefusedWriteIsRetriedExactlyOnce(t *testing.T) {
 	baseline := newRefusingDisk()
 	if reason, n := runLifecycle(baseline, verifyAfterLosses(baseline)); reason != "" || n < 30 {
-		t.Fatal(reason, n)
+		t.Fatalf("without refusals: got violation %q and %d entries, want none and at least 30", reason, n)
 	}
 	spans, stride := []int{1, 3, 20}, 1
 	if raceEnabled {
@@ -377,21 +380,21 @@
 					d := newRefusingDisk()
 					d.mode, d.refuseFrom, d.refuseCount = mode, from, span
 					if reason, _ := runLifecycle(d, verifyAfterLosses(d)); reason != "" {
-						t.Fatalf("%d operations from %d on refused: %s", span, from, reason)
+						t.Fatalf("%d operations refused from operation %d on: %s", span, from, reason)
 					}
 					if d.refused == 0 {
-						t.Fatalf("nothing was refused from %d on", from)
+						t.Fatalf("operations refused from operation %d on: got 0, want at least 1", from)
 					}
 				}
 			})
 		}
 	}
-	t.Logf("%d operations, each refused alone and as the first of 3 and of 20", baseline.ops)
+	t.Logf("%d operations, each the first of each tested number of refusals", baseline.ops)
 }
 
-// The check itself must be able to fail: a disk that does not cut, and one that does not sync.
+// The check must detect two mutations: a disk on which truncate has no effect, and one on which sync has none.
 func TestRefusedWriteCheckCanFail(t *testing.T) {
-	for _, mode := range []string{"truncate lies", "sync lies"} {
+	for _, mode := range []string{"truncate without effect", "sync without effect"} {
 		detected := false
 		for from := 1; from <= 80 && !detected; from++ {
 			d := newRefusingDisk()
@@ -400,7 +403,7 @@
 			detected = reason != ""
 		}
 		if !detected {
-			t.Errorf("%s was not caught", mode)
+			t.Errorf("mutation %q: got no violation, want one", mode)
 		}
 	}
 }
--- a/internal/controlplane/storage/diskuse_test.go
+++ b/internal/controlplane/storage/diskuse_test.go
@@ -8,7 +8,7 @@
 	"petreltide/internal/process/clock"
 )
 
-// used is what a member's disk, log and state take.
+// diskUsage is the size of a member's files, of its log and of its encoded state, in bytes.
 type diskUsage struct{ disk, log, state int64 }
 
 func (m *member) usage() (u diskUsage) {
@@ -18,10 +18,11 @@
 	return diskUsage{u.disk, m.store.LogBytes(), int64(len(m.node.State().Encode()))}
 }
 
-// What a member has on its disk, and its state, stay bounded however many changes pass.
-func TestDiskUsageOverManyChanges(t *testing.T) {
+// A member's disk usage and state size stay bounded over many changes. Without a bound on the log the same workload must
+// exceed the limit.
+func TestDiskUsageIsBoundedOverManyChanges(t *testing.T) {
 	if raceEnabled {
-		t.Skip("too slow under the race detector, and all of it is one goroutine")
+		t.Skip("too slow under the race detector, and the test uses one goroutine")
 	}
 	const changes, steps = 20_000, 10
 	c := newCluster(t, 10, replaceAndEdit(10))
@@ -30,7 +31,8 @@
 	for step := range steps {
 		c.awaitChanges(changes / steps)
 		u := c.memberAt(1).usage()
-		t.Logf("after %d changes: %d KB on the disk, %d KB of them log, a state of %d KB; %.1f MB at most so far", c.changes-1, u.disk>>10, u.log>>10, u.state>>10, float64(c.maxDiskBytes)/(1<<20))
+		t.Logf("after %d changes: %d KB on disk, %d KB of them log, a state of %d KB; at most %.1f MB on a disk so far",
+			c.changes-1, u.disk>>10, u.log>>10, u.state>>10, float64(c.maxDiskBytes)/(1<<20))
 		if step == steps/2 {
 			midway = u
 		}
@@ -39,23 +41,24 @@
 		t.Fatal(c.violation)
 	}
 	if c.maxDiskBytes > halfDiskBytes/4 {
-		t.Errorf("%d bytes on a disk", c.maxDiskBytes)
+		t.Errorf("disk usage: got %d bytes, want at most %d", c.maxDiskBytes, halfDiskBytes/4)
 	}
 	if u := c.memberAt(1).usage(); u.state > midway.state*11/10 {
-		t.Errorf("a state of %d bytes, %d in the middle of the day", u.state, midway.state)
+		t.Errorf("state size after all changes: got %d bytes, want at most 110%% of the %d bytes midway", u.state, midway.state)
 	}
 	unbounded := newBoundedCluster(t, 10, replaceAndEdit(10), 1<<40, 1<<30)
 	unbounded.changeIntervalUs = 2 * clock.Ms
 	unbounded.awaitChanges(changes * 4 / 5)
 	if unbounded.maxDiskBytes <= halfDiskBytes/4 {
-		t.Errorf("without a bound only %d bytes: the check proves nothing", unbounded.maxDiskBytes)
+		t.Errorf("disk usage without a log bound: got %d bytes, want more than %d, as the check can't fail otherwise",
+			unbounded.maxDiskBytes, halfDiskBytes/4)
 	}
-	t.Logf("without a bound %.1f MB", float64(unbounded.maxDiskBytes)/(1<<20))
+	t.Logf("without a log bound: at most %.1f MB on a disk", float64(unbounded.maxDiskBytes)/(1<<20))
 }
 
-// A disk is full for twenty seconds, from any moment on, while snapshots are taken again and again: the member goes
-// on, the others acknowledge without it, its disk does not grow, and it is caught up soon after room is there.
-func TestDiskFullForLong(t *testing.T) {
+// A disk is full for 20 s from a random moment on while snapshots are saved repeatedly. The member keeps running, the others
+// acknowledge changes without it, its disk does not grow, and it catches up within maxCatchUpUs once space is free.
+func TestMemberRecoversFromFullDisk(t *testing.T) {
 	const maxLogBytes = 64 << 10
 	seeds := int64(6)
 	if raceEnabled {
@@ -77,6 +80,7 @@
 	}
 }
 
+// runFullDisk fills the disk of one member for 20 s, optionally restarts it meanwhile, and returns the first violation.
 func runFullDisk(c *cluster, place int, r *rand.Rand, restarted bool) string {
 	c.awaitChanges(100 + r.Intn(200))
 	c.advance(r.Int63n(100*clock.Ms), nil)
@@ -91,18 +95,19 @@
 	}
 	c.advance(15*clock.Sec, nil)
 	if m.node.IsDurable(c.acknowledgedIndex) {
-		c.fail("it counts %d as kept with a full disk", c.acknowledgedIndex)
+		c.fail("entry %d is durable at a member whose disk is full", c.acknowledgedIndex)
 	}
 	if c.changes < before+300 {
-		c.fail("only %d changes in 20 s", c.changes-before)
+		c.fail("changes in 20 s: got %d, want at least 300", c.changes-before)
 	}
 	m.disk.fullSpan = 0
 	if !c.advance(maxCatchUpUs, m.caughtUp) {
-		c.fail("not caught up %d ms after room is there: %s, %s", maxCatchUpUs/clock.Ms, m.node.Phase(), m.node.WaitReason())
+		c.fail("member has not caught up %d ms after space was freed: phase %s, waiting for %q",
+			maxCatchUpUs/clock.Ms, m.node.Phase(), m.node.WaitReason())
 	}
 	c.awaitChanges(5)
 	if c.maxDiskBytes > 2<<20 {
-		c.fail("%d bytes on a disk", c.maxDiskBytes)
+		c.fail("disk usage: got %d bytes, want at most %d", c.maxDiskBytes, 2<<20)
 	}
 	return c.violation
 }
--- a/internal/controlplane/storage/file_system.go
+++ b/internal/controlplane/storage/file_system.go
@@ -5,7 +5,7 @@
 	"os"
 )
 
-// fileSystem is what the store needs of a file system; a test puts one in its place that refuses.
+// fileSystem is the file system interface that the store uses. Tests replace it to inject errors and power losses.
 type fileSystem interface {
 	MkdirAll(path string) error
 	DirNames(folder string) ([]string, error)
@@ -19,12 +19,14 @@
 	SyncDir(path string) error
 }
 
+// file is an open file that the store appends to.
 type file interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
+// osFileSystem implements fileSystem with package os.
 type osFileSystem struct{}
 
 func (osFileSystem) MkdirAll(path string) error { return os.MkdirAll(path, 0o755) }
--- a/internal/controlplane/storage/lock.go
+++ b/internal/controlplane/storage/lock.go
@@ -15,16 +15,17 @@
 	lockRetryInterval = 50 * time.Millisecond
 )
 
-// DirLock keeps every other process off a data folder until it is closed or this process ends. Its file holds the
-// name of the member that uses the folder.
+// DirLock is an exclusive lock of a data folder, held until it is closed or the process ends. Its file contains the name of
+// the member that uses the folder.
 type DirLock struct {
-	// file is nil where the disk refuses to hold a lock.
+	// file is nil where the disk does not support the lock.
 	file *os.File
 }
 
-// Lock takes the lock of a data folder for the member of a name. It waits so long for a process that holds it, as one
-// that was told to end may take a moment; not for one of another member, whose folder it is: foreign_data. A disk that
-// refuses to hold a lock is used without one: it may still take records.
+// Lock acquires the lock of a data folder for the member called name. It waits up to wait for a process of the same member
+// that holds the lock, as a process that was asked to stop may take a moment, and then returns a DataNotWritable fault. If a
+// process of another member holds the lock, it returns a ForeignData fault at once. On a disk that does not support the lock
+// it returns a DirLock without a file, as the disk may still accept records.
 func Lock(folder, name string, wait time.Duration) (*DirLock, error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return &DirLock{}, nil
@@ -56,8 +57,8 @@
 	}
 }
 
-// WriteOwner writes down which member uses the folder, once it is known to be that member's. Where the disk takes no bytes,
-// others learn only that it is in use.
+// WriteOwner stores the name of the member that uses the folder; call it once the folder is known to belong to that member.
+// Where the write fails, other processes learn only that the folder is in use.
 func (l *DirLock) WriteOwner(name string) {
 	if l.file == nil {
 		return
@@ -70,7 +71,7 @@
 	}
 }
 
-// Close lets go of the folder.
+// Close releases the lock.
 func (l *DirLock) Close() error {
 	if l.file == nil {
 		return nil
--- a/internal/controlplane/storage/lock_test.go
+++ b/internal/controlplane/storage/lock_test.go
@@ -10,7 +10,7 @@
 	"petreltide/internal/api/fault"
 )
 
-// A folder is one process's: the next one waits for it, and gives up where it does not end.
+// Only one process holds a folder's lock. Another process waits for it, and gives up after its timeout.
 func TestDirIsLockedByOneProcess(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "data")
 	first, err := Lock(folder, "core-1", time.Second)
@@ -19,7 +19,7 @@
 	}
 	var bad *fault.Fault
 	if _, err := Lock(folder, "core-1", 120*time.Millisecond); !errors.As(err, &bad) || bad.Code != fault.DataNotWritable {
-		t.Fatalf("a second one beside it: %v", err)
+		t.Fatalf("lock of a folder in use: got error %v, want code %q", err, fault.DataNotWritable)
 	}
 	secondErr := make(chan error, 1)
 	go func() {
@@ -33,11 +33,11 @@
 		t.Fatal(err)
 	}
 	if err := <-secondErr; err != nil {
-		t.Fatalf("once the first has ended: %v", err)
+		t.Fatalf("lock after the holder closed it: got error %v, want none", err)
 	}
 }
 
-// A disk that takes no lock is used all the same.
+// On a disk that does not support the lock file, Lock succeeds without one.
 func TestDiskWithoutLockSupportIsUsed(t *testing.T) {
 	folder := t.TempDir()
 	if err := os.Mkdir(filepath.Join(folder, lockName), 0o755); err != nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-// A folder that another member's process uses is told apart from one that is only in use, and nobody waits for it.
+// A folder locked by a process of another member is refused as ForeignData at once, without waiting.
 func TestDirLockedByAnotherMemberIsForeign(t *testing.T) {
 	folder := t.TempDir()
 	first, err := Lock(folder, "core-1", time.Second)
@@ -60,7 +60,7 @@
 	first.WriteOwner("core-1")
 	var bad *fault.Fault
 	if _, err := Lock(folder, "other", time.Hour); !errors.As(err, &bad) || bad.Code != fault.ForeignData {
-		t.Fatalf("another member beside it: %v", err)
+		t.Fatalf("lock of another member's folder: got error %v, want code %q", err, fault.ForeignData)
 	}
 	if err := first.Close(); err != nil {
 		t.Fatal(err)
@@ -68,11 +68,11 @@
 	for _, name := range []string{"core-1", "core-10"} {
 		next, err := Lock(folder, name, time.Millisecond)
 		if err != nil {
-			t.Fatalf("%s once it has ended: %v", name, err)
+			t.Fatalf("lock by %s after the holder closed it: got error %v, want none", name, err)
 		}
 		next.WriteOwner(name)
 		if owner, err := os.ReadFile(filepath.Join(folder, lockName)); err != nil || string(owner) != name {
-			t.Errorf("the lock is %s's, and says %q, %v", name, owner, err)
+			t.Errorf("owner in the lock file: got %q, error %v; want %q", owner, err, name)
 		}
 		if err := next.Close(); err != nil {
 			t.Fatal(err)
--- a/internal/controlplane/storage/power_loss_test.go
+++ b/internal/controlplane/storage/power_loss_test.go
@@ -11,25 +11,27 @@
 	"syscall"
 )
 
-// powerDisk is a file system in memory that knows what a loss of power may leave: of every name that was made,
-// renamed or removed since the last sync of its folder, each may be kept or lost by itself; of every write since
-// the last sync of its file, each may be there, missing or torn. Not even the sync of a new file makes its name
-// last here. A process that is killed leaves all as it was.
+// powerDisk is an in-memory file system that models what a power loss may leave:
+//   - Each name created, renamed or removed since the last sync of its folder is independently kept or lost. Syncing a new
+//     file does not make its name durable.
+//   - Each write since the last sync of its file is independently complete, missing or torn.
+//
+// A killed process leaves everything as it was.
 type powerDisk struct {
 	names   map[string]*fileContent
 	durable map[string]*fileContent
 	pending []nameChange
 
 	changes int
-	// before is called ahead of every change.
+	// before is called before every change.
 	before func()
-	// fullFrom and fullSpan say from which change on, and how often, the disk refuses what takes room: writes, new
-	// names and syncs.
+	// fullFrom is the first change at which the disk is full, fullSpan the number of changes that it then refuses. It refuses
+	// changes that need space: writes, new names and syncs.
 	fullFrom, fullSpan int
 	mutation           mutation
 }
 
-// content is what one file holds, and what of it has been synced. A folder has none of either.
+// fileContent is the current, synced and unsynced content of a file. A folder has none.
 type fileContent struct {
 	folder  bool
 	data    []byte
@@ -37,28 +39,28 @@
 	pending []pendingWrite
 }
 
-// write is a change of a file's bytes that no sync has covered: bytes put at a place, or a new length.
+// pendingWrite is an unsynced change of a file's bytes: bytes written at an offset, or a truncation.
 type pendingWrite struct {
 	at           int
 	bytes        []byte
 	isTruncation bool
 }
 
-// nameChange is a name that was made, renamed or removed and that no sync of its folder has covered.
+// nameChange is an unsynced creation, renaming or removal of a name.
 type nameChange struct {
 	folder   string
 	from, to string
 	file     *fileContent
 }
 
-// lie is a defect of the file system, planted to show that the check sees it.
+// mutation is a deliberate defect of the file system, injected to test that the checks detect it.
 type mutation string
 
 const (
 	noMutation       mutation = ""
-	skipDirSync      mutation = "the sync of a folder does nothing"
-	skipSnapshotSync mutation = "a copy is renamed before it is synced"
-	skipLogSync      mutation = "the sync of the log does nothing"
+	skipDirSync      mutation = "folder sync without effect"
+	skipSnapshotSync mutation = "snapshot sync without effect"
+	skipLogSync      mutation = "log sync without effect"
 )
 
 func newPowerDisk() *powerDisk {
@@ -66,7 +68,7 @@
 	return &powerDisk{names: map[string]*fileContent{"/data": root}, durable: map[string]*fileContent{"/data": root}}
 }
 
-// change counts one change of the disk; the disk may refuse it.
+// change counts one change of the disk and returns an error where the disk is full.
 func (d *powerDisk) change(needsRoom bool) error {
 	d.changes++
 	if d.before != nil {
@@ -79,6 +81,7 @@
 	return nil
 }
 
+// changeName applies a name change and records it as unsynced. An empty from creates a name, an empty to removes one.
 func (d *powerDisk) changeName(from, to string, of *fileContent) {
 	path := to
 	if to == "" {
@@ -88,7 +91,7 @@
 	d.pending[len(d.pending)-1].apply(d.names)
 }
 
-// apply carries the change out on a set of names; where the name stands for another file by now, that one stays.
+// apply applies the change to a set of names. A name that refers to another file by now is not removed.
 func (c nameChange) apply(names map[string]*fileContent) {
 	if c.from != "" && names[c.from] == c.file {
 		delete(names, c.from)
@@ -242,7 +245,7 @@
 
 func (h *powerFile) Close() error { return nil }
 
-// put is a file's bytes with some more at a place; what lies between its end and there reads as zeros.
+// spliceBytes returns data with more written at an offset; a gap before the offset is filled with zeros.
 func spliceBytes(data []byte, at int, more []byte) []byte {
 	if at == len(data) {
 		return append(data, more...)
@@ -253,8 +256,8 @@
 	return out
 }
 
-// remains lists what of a file's bytes a loss of power may leave: each write there, missing, cut short, or as long
-// as it was with zeros for the rest.
+// possibleData lists the file contents that a power loss may leave: each unsynced write is complete, missing, cut short, or of
+// full length with its second half zeroed.
 func (f *fileContent) possibleData() [][]byte {
 	all := [][]byte{f.synced}
 	for _, w := range f.pending {
@@ -276,7 +279,7 @@
 	return all
 }
 
-// afterPowerLoss lists every disk that a loss of power at this moment may leave.
+// afterPowerLoss lists every disk that a power loss at this moment may leave.
 func (d *powerDisk) afterPowerLoss() []*powerDisk {
 	left := []*powerDisk{}
 	for keptNames := range 1 << len(d.pending) {
@@ -294,7 +297,7 @@
 	return left
 }
 
-// randomAfterPowerLoss draws one of the disks that a loss of power may leave, where there are too many to list.
+// randomAfterPowerLoss returns a random one of the disks that a power loss may leave, for cases with too many to list.
 func (d *powerDisk) randomAfterPowerLoss(r *rand.Rand) *powerDisk {
 	names := map[string]*fileContent{}
 	for path, f := range d.durable {
@@ -316,7 +319,7 @@
 	return left
 }
 
-// randomData draws what of a file's bytes is left.
+// randomData returns a random one of the contents that a power loss may leave.
 func (f *fileContent) randomData(r *rand.Rand) []byte {
 	data := f.synced
 	for _, w := range f.pending {
@@ -326,7 +329,7 @@
 	return data
 }
 
-// spread gives one disk for each choice of what remains of each file.
+// dataCombinations returns one disk for each combination of the possible contents of the files.
 func dataCombinations(names map[string]*fileContent) []*powerDisk {
 	paths := []string{}
 	for path := range names {
@@ -354,7 +357,7 @@
 	return all
 }
 
-// reachable: a file whose folder was lost is lost with it.
+// isReachable reports whether all folders above a path exist; a file whose folder was lost is lost too.
 func isReachable(names map[string]*fileContent, path string) bool {
 	for dir := filepath.Dir(path); dir != "/"; dir = filepath.Dir(dir) {
 		if names[dir] == nil {
@@ -364,7 +367,7 @@
 	return true
 }
 
-// copied is the same disk for another process, with what was not synced still unsynced.
+// clone returns a deep copy of the disk for another process, with unsynced changes still unsynced.
 func (d *powerDisk) clone() *powerDisk {
 	clones := map[*fileContent]*fileContent{}
 	cloneFile := func(f *fileContent) *fileContent {
@@ -387,7 +390,7 @@
 	return c
 }
 
-// settled begins a disk's next span of power, where all that is there lasts.
+// withAllDurable returns a copy of the disk in which all names are durable, as after power is restored.
 func (d *powerDisk) withAllDurable() *powerDisk {
 	c := &powerDisk{names: d.names, mutation: d.mutation}
 	c = c.clone()
@@ -397,13 +400,13 @@
 	return c
 }
 
-// hasLog: there is a segment of a log.
+// hasLog reports whether the disk contains the first segment of a log.
 func (d *powerDisk) hasLog() bool {
 	_, found := d.names[filepath.Join("/data", logDir, segmentName(1))]
 	return found
 }
 
-// mark tells disks apart by what they hold.
+// fingerprint returns a text that identifies the disk's content.
 func (d *powerDisk) fingerprint() string {
 	paths := []string{}
 	for path := range d.names {
--- a/internal/controlplane/storage/race_off_test.go
+++ b/internal/controlplane/storage/race_off_test.go
@@ -2,4 +2,5 @@
 
 package storage
 
+// raceEnabled reports whether the race detector is enabled.
 const raceEnabled = false
--- a/internal/controlplane/storage/race_on_test.go
+++ b/internal/controlplane/storage/race_on_test.go
@@ -2,4 +2,5 @@
 
 package storage
 
-const raced = true
+// raceEnabled reports whether the race detector is enabled.
+const raceEnabled = true
--- a/internal/controlplane/storage/restored_test.go
+++ b/internal/controlplane/storage/restored_test.go
@@ -8,19 +8,20 @@
 	"petreltide/internal/process/clock"
 )
 
-// settle lets the cluster mend itself, and then take more changes with every member caught up.
+// awaitRecovery waits until every member has caught up, and then for five more changes.
 func (c *cluster) awaitRecovery(when string) {
 	if !c.advance(20*clock.Sec, func() bool { return c.violation != "" || c.allCaughtUp() }) {
 		for _, m := range c.members {
 			if m.node == nil || !m.caughtUp() {
-				c.fail("%s: %s is not back after 20 s", when, m.self.ID)
+				c.fail("%s: %s has not caught up after 20 s", when, m.self.ID)
 			}
 		}
 	}
 	c.awaitChanges(5)
 }
 
-// losePowerEverywhere takes the power from all members in the midst of their work; the disk of one of them may be lost.
+// losePowerEverywhere interrupts the power of all members while they work, and restarts them. The disk of member number wiped
+// is replaced by an empty one; -1 keeps all disks.
 func (c *cluster) losePowerEverywhere(r *rand.Rand, wiped int) {
 	c.advance(r.Int63n(40*clock.Ms), nil)
 	for _, m := range c.members {
@@ -39,7 +40,7 @@
 	}
 }
 
-// recoveryScenarios are ways in which members come back with less than the others have.
+// recoveryScenarios are ways in which members restart with less data than the others have.
 var recoveryScenarios = map[string]func(c *cluster, r *rand.Rand){
 	"all lose power": func(c *cluster, r *rand.Rand) {
 		for range 3 {
@@ -48,30 +49,30 @@
 			c.awaitRecovery("after the loss of power")
 		}
 	},
-	"all lose power and one its disk": func(c *cluster, r *rand.Rand) {
+	"all lose power and one loses its disk": func(c *cluster, r *rand.Rand) {
 		c.awaitChanges(1 + r.Intn(30))
 		c.losePowerEverywhere(r, r.Intn(3))
 		c.awaitRecovery("after the loss of power")
 	},
-	"each takes a copy in turn, then all lose power": func(c *cluster, r *rand.Rand) {
+	"each installs a snapshot in turn, then all lose power": func(c *cluster, r *rand.Rand) {
 		for _, m := range c.members {
 			c.awaitChanges(1 + r.Intn(5))
 			m.stop()
 			c.awaitChanges(10)
 			m.restart(diskKept)
-			c.awaitRecovery("after a copy")
+			c.awaitRecovery("after a snapshot")
 		}
 		c.losePowerEverywhere(r, -1)
 		c.awaitRecovery("after the loss of power")
 	},
-	"an old disk comes back as the others lose power": func(c *cluster, r *rand.Rand) {
+	"one restarts with an old disk as the others lose power": func(c *cluster, r *rand.Rand) {
 		c.awaitChanges(5)
 		c.memberAt(r.Intn(3)).stop()
 		c.awaitChanges(40)
 		c.losePowerEverywhere(r, -1)
 		c.awaitRecovery("after the loss of power")
 	},
-	"an old disk comes back and the others go": func(c *cluster, r *rand.Rand) {
+	"one restarts with an old disk and the others stop": func(c *cluster, r *rand.Rand) {
 		c.awaitChanges(5)
 		m := c.memberAt(r.Intn(3))
 		m.stop()
@@ -89,9 +90,9 @@
 		for _, other := range others {
 			other.restart(diskKept)
 		}
-		c.awaitRecovery("after the others are back")
+		c.awaitRecovery("after the others restarted")
 	},
-	"an empty disk comes back and the head goes": func(c *cluster, r *rand.Rand) {
+	"one restarts with an empty disk and the head stops": func(c *cluster, r *rand.Rand) {
 		c.awaitChanges(10)
 		m := c.memberAt(2)
 		m.stop()
@@ -102,12 +103,12 @@
 		head.stop()
 		c.advance(3*clock.Sec, nil)
 		head.restart(diskKept)
-		c.awaitRecovery("after the head is back")
+		c.awaitRecovery("after the head restarted")
 	},
 }
 
-// A member that was restored never answers as tail, nor gives orders, with less than was acknowledged, whatever its
-// disk came back with; and what was acknowledged is what the next change builds on.
+// A restarted member never serves as a ready tail or a confirmed head without all acknowledged entries, whatever data its disk
+// has, and the next change builds on the acknowledged ones.
 func TestRestoredMembersNeverServeOlderState(t *testing.T) {
 	seeds := int64(12)
 	if raceEnabled {
@@ -126,11 +127,12 @@
 	}
 }
 
+// The check must detect each mutation of the disks.
 func TestRestoredMembersCheckCanFail(t *testing.T) {
 	for defect, scenario := range map[mutation]string{
 		skipLogSync:      "all lose power",
-		skipDirSync:      "each takes a copy in turn, then all lose power",
-		skipSnapshotSync: "each takes a copy in turn, then all lose power",
+		skipDirSync:      "each installs a snapshot in turn, then all lose power",
+		skipSnapshotSync: "each installs a snapshot in turn, then all lose power",
 	} {
 		violation := ""
 		for seed := int64(0); seed < 20 && violation == ""; seed++ {
@@ -142,15 +144,15 @@
 			violation = c.violation
 		}
 		if violation == "" {
-			t.Errorf("%s: not seen", defect)
+			t.Errorf("mutation %q: got no violation, want one", defect)
 		}
 		t.Log(defect, ": ", violation)
 	}
 }
 
-// Power is lost before every change of the disk that the installing of a copy takes, and each disk that may be left
-// comes back: the member is caught up all the same, and never speaks for less than was acknowledged.
-func TestSnapshotHalfInstalledAtPowerLoss(t *testing.T) {
+// Power is lost before every disk change made while a snapshot is installed, and the member restarts with each disk that may
+// remain. It catches up, and never serves without all acknowledged entries.
+func TestMemberRecoversFromPowerLossDuringSnapshotInstall(t *testing.T) {
 	const installChanges = 5
 	for lossAt := 1; lossAt <= installChanges+1; lossAt++ {
 		for place := range 3 {
@@ -160,7 +162,7 @@
 					c := newCluster(t, 3, replaceAndEdit(3))
 					all = runInterruptedInstall(c, place, lossAt, choice)
 					if c.violation != "" {
-						t.Fatalf("disk %d of %d: %s", choice, all, c.violation)
+						t.Fatalf("remaining disk %d of %d: %s", choice, all, c.violation)
 					}
 				}
 			})
@@ -168,7 +170,8 @@
 	}
 }
 
-// runInterruptedInstall says how many disks the loss of power might have left.
+// runInterruptedInstall interrupts the installation of a snapshot by a power loss, restarts the member with the chosen remaining
+// disk, and returns the number of possible remaining disks.
 func runInterruptedInstall(c *cluster, place, lossAt, choice int) (all int) {
 	c.awaitChanges(10)
 	m := c.memberAt(place)
@@ -181,13 +184,13 @@
 	m.powerLossCountdown = lossAt
 	m.restart(diskKept)
 	if !c.advance(5*clock.Sec, func() bool { return m.node == nil }) {
-		c.fail("it was given no copy")
+		c.fail("member at position %d received no snapshot within 5 s", place)
 		return all
 	}
 	c.advance(clock.Sec, nil)
 	m.start(false)
 	if !c.advance(maxCatchUpUs, m.caughtUp) {
-		c.fail("not caught up after the second loss")
+		c.fail("member has not caught up %d ms after the power loss", maxCatchUpUs/clock.Ms)
 	}
 	c.awaitChanges(5)
 	return all
--- a/internal/controlplane/storage/storage.go
+++ b/internal/controlplane/storage/storage.go
@@ -12,9 +12,8 @@
 	"petreltide/internal/controlplane/chain"
 )
 
-// Store keeps the log and, beside it, the newest copy of the state. One goroutine writes the log;
-// a copy is kept by another meanwhile. After a write that the disk refused, the same may be tried again:
-// what is in the store then is what it was before.
+// Store stores the log and the newest snapshot. One goroutine may write the log while another saves a snapshot. A write
+// that failed leaves the stored content unchanged and may be retried.
 type Store struct {
 	dir          string
 	files        fileSystem
@@ -24,17 +23,17 @@
 	ownerWritten bool
 }
 
-// OpenResult is what a folder held.
+// OpenResult is an opened store and the content that was found in its folder.
 type OpenResult struct {
 	Store *Store
-	// Records are those of the log in order, with the copy in the place where it was taken.
+	// Records are the records of the log in order, with the snapshot at the position at which it was taken.
 	Records []chain.Record
-	// Created: the folder was empty, and now bears the seal that Open was given.
+	// Created reports that the folder was empty; it now belongs to the owner passed to Open.
 	Created bool
-	// TornBytes is how many bytes of a torn last record are not among the records.
+	// TornBytes is the size of the torn last record that was dropped; 0 where there was none.
 	TornBytes int
-	// WriteErr is why the disk took no bytes while the folder was opened. All of it is read all the same;
-	// what could not be written goes before the next records.
+	// WriteErr is the error of the write that Open made; nil where it succeeded. Records is complete in either case, and the
+	// next Write first repeats what could not be written.
 	WriteErr error
 }
 
@@ -44,8 +43,9 @@
 	tempSuffix   = ".new"
 )
 
-// Open reads all records. A torn last record is cut, since its sync cannot have
-// returned; damage anywhere before it is a fault for the caller to name.
+// Open opens the store in a folder and reads all records. A torn last record is dropped, since its sync can't have returned.
+// Damage anywhere before it is returned as a fault, and so is a folder whose owner has a name other than that of owner. An
+// empty folder becomes owner's.
 func Open(folder string, owner chain.Owner) (*OpenResult, error) {
 	return openFiles(osFileSystem{}, folder, owner)
 }
@@ -69,7 +69,7 @@
 	return opened, nil
 }
 
-// read reads the copy and all records of the log.
+// read reads the snapshot and all records of the log.
 func (o *OpenResult) read() error {
 	s := o.Store
 	snapshot, err := s.readSnapshot()
@@ -101,7 +101,8 @@
 	return nil
 }
 
-// checkOwner finds the seal among the records, which must be of this name, or takes the given one for an empty folder.
+// checkOwner finds the owner among the records and returns a fault unless it has the given owner's name. An empty folder
+// gets the given owner.
 func (o *OpenResult) checkOwner(owner chain.Owner) *fault.Fault {
 	s := o.Store
 	for _, r := range o.Records {
@@ -111,7 +112,7 @@
 	}
 	switch {
 	case s.owner.MemberID == "" && len(o.Records) > 0:
-		return fault.New(fault.ForeignData, s.dir, "records without a seal")
+		return fault.New(fault.ForeignData, s.dir, "the records name no owner")
 	case s.owner.MemberID == "":
 		o.Created, s.owner = true, owner
 	case s.owner.Name != owner.Name:
@@ -122,12 +123,12 @@
 	return nil
 }
 
-// Owner is whose folder this is.
+// Owner returns the member that the folder belongs to.
 func (s *Store) Owner() chain.Owner { return s.owner }
 
-// Write returns once the records are synced, with their place in the log. fresh begins them with what a
-// log needs, so that all before them can go once a copy is kept. Without records it only makes good what
-// a write before has left.
+// Write appends records as one batch and returns its record number once the batch is synced. With fresh, the batch starts a
+// new segment and begins with the owner, so that the log before it can be removed once a snapshot is saved. A call without
+// records only repairs what a failed write left behind.
 func (s *Store) Write(records []chain.Record, fresh bool) (from uint64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,16 +153,16 @@
 	return from, nil
 }
 
-// LogBytes is how much of the disk the log takes.
+// LogBytes returns the size of the log on disk in bytes.
 func (s *Store) LogBytes() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.log.sizeBytes()
 }
 
-// SaveSnapshot puts a copy in the place of the one before; from is the place of the record that it stands before, and
-// nothing in the log before that is read on top of it. It returns once the copy would outlast a loss of
-// power; until then the older one and the log stand.
+// SaveSnapshot replaces the stored snapshot. from is the number of the first log record that follows the snapshot; records
+// before it are not replayed on top of it. SaveSnapshot returns once the snapshot survives a power loss; until then the
+// previous snapshot and the log remain valid.
 func (s *Store) SaveSnapshot(c chain.Snapshot, from uint64) error {
 	record, err := encodeSnapshot(storedSnapshot{c, from})
 	if err != nil {
@@ -181,6 +182,7 @@
 	return s.files.SyncDir(s.dir)
 }
 
+// writeNew creates a file with the given content and syncs the file, not its folder.
 func (s *Store) writeNew(path string, raw []byte) error {
 	f, err := s.files.Create(path)
 	if err != nil {
@@ -190,13 +192,14 @@
 	return writeAll(f, raw)
 }
 
-// Compact drops the log before a place, once a copy stands for it.
+// Compact removes log segments whose records all precede a record number. Call it once a snapshot replaces them.
 func (s *Store) Compact(before uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.log.compact(before)
 }
 
+// readSnapshot returns the stored snapshot, or nil where there is none.
 func (s *Store) readSnapshot() (*storedSnapshot, error) {
 	record, err := s.files.ReadFile(filepath.Join(s.dir, snapshotName))
 	if os.IsNotExist(err) {
@@ -207,12 +210,12 @@
 	}
 	c, bad := decodeSnapshot(record)
 	if bad != nil {
-		return nil, fault.New(bad.Code, s.dir, "the copy: %s", bad.Detail)
+		return nil, fault.New(bad.Code, s.dir, "the snapshot: %s", bad.Detail)
 	}
 	return c, nil
 }
 
-// Close lets go of the files; what was synced is on the disk already.
+// Close closes the open file. Everything that was acknowledged is already synced.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -220,7 +223,7 @@
 	return nil
 }
 
-// Quarantine keeps a damaged folder under another name, so that nothing is erased.
+// Quarantine renames the log folder of a damaged data folder, so that no data is erased, and returns its new path.
 func Quarantine(folder, suffix string) (string, error) {
 	to := filepath.Join(folder, logDir+".damaged-"+suffix)
 	if err := os.Rename(filepath.Join(folder, logDir), to); err != nil {
--- a/internal/controlplane/storage/storage_test.go
+++ b/internal/controlplane/storage/storage_test.go
@@ -21,6 +21,7 @@
 	return chain.Record{Entry: &chain.Entry{Index: i, View: 1, Change: statemachine.Change{ID: "c"}}}
 }
 
+// newFilledDir returns a folder with the owner record and n entries.
 func newFilledDir(t *testing.T, n uint64) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -43,11 +44,12 @@
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(dir, logDir, "0*"))
 	if err != nil || len(names) == 0 {
-		t.Fatal(names, err)
+		t.Fatalf("segments in %s: got %v, error %v; want at least one", dir, names, err)
 	}
 	return names[len(names)-1]
 }
 
+// reopen opens a folder for the same member name with a new member ID.
 func reopen(t *testing.T, dir string) (*OpenResult, error) {
 	t.Helper()
 	o, err := Open(dir, chain.Owner{MemberID: "core-1-bb", Name: "core-1"})
@@ -63,7 +65,8 @@
 		t.Fatal(err)
 	}
 	if len(o.Records) != 6 || o.Created || o.Store.Owner() != testOwner || o.Records[5].Entry.Index != 5 {
-		t.Fatalf("%d records, fresh %v, %+v", len(o.Records), o.Created, o.Store.Owner())
+		t.Fatalf("got %d records, created %v, owner %+v; want 6 records, false, owner %+v, last entry 5",
+			len(o.Records), o.Created, o.Store.Owner(), testOwner)
 	}
 }
 
@@ -79,10 +82,11 @@
 		}
 		o, err := reopen(t, dir)
 		if err != nil {
-			t.Fatalf("cut %d: %v", cut, err)
+			t.Fatalf("log without its last %d bytes: got error %v, want none", cut, err)
 		}
 		if len(o.Records) != 5 || o.TornBytes == 0 {
-			t.Fatalf("cut %d: %d records", cut, len(o.Records))
+			t.Fatalf("log without its last %d bytes: got %d records, %d torn bytes; want 5 records, some torn bytes",
+				cut, len(o.Records), o.TornBytes)
 		}
 		if _, err := o.Store.Write([]chain.Record{newEntryRecord(5)}, false); err != nil {
 			t.Fatal(err)
@@ -108,7 +112,7 @@
 	}
 	after, err := os.ReadFile(path)
 	if err != nil || len(after) != len(raw) {
-		t.Fatal("the damaged file was changed")
+		t.Fatalf("damaged segment after Open: got %d bytes, error %v; want %d bytes", len(after), err, len(raw))
 	}
 	kept, err := Quarantine(dir, "x")
 	if err != nil {
@@ -118,7 +122,7 @@
 		t.Fatal(err)
 	}
 	if o, err := reopen(t, dir); err != nil || !o.Created || o.Store.Owner().MemberID == testOwner.MemberID {
-		t.Fatal("a set-aside folder must come back as a new member", err)
+		t.Fatalf("open after Quarantine: got %+v, error %v; want an empty folder of a new member", o, err)
 	}
 }
 
@@ -131,10 +135,10 @@
 	}
 }
 
-// A copy stands for the log before it only once it is kept; killed at any point between, nothing is lost.
+// The log before a snapshot may be removed only once the snapshot is saved. A kill at any stage of this loses nothing.
 func TestLogIsCompactedOnlyOnceSnapshotIsSynced(t *testing.T) {
 	for stage, want := range map[string]struct{ records, snapshots int }{
-		"written": {50 + 1 + 2, 0}, "half kept": {50 + 1 + 2, 0}, "kept": {50 + 1 + 2 + 1, 1}, "forgotten": {3, 1},
+		"new segment": {50 + 1 + 2, 0}, "partial snapshot": {50 + 1 + 2, 0}, "snapshot saved": {50 + 1 + 2 + 1, 1}, "log compacted": {3, 1},
 	} {
 		dir := newFilledDir(t, 50)
 		o, err := Open(dir, testOwner)
@@ -145,17 +149,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if stage == "half kept" {
+		if stage == "partial snapshot" {
 			if err := os.WriteFile(filepath.Join(dir, logDir, snapshotName+".new"), []byte("half"), 0o644); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if stage == "kept" || stage == "forgotten" {
+		if stage == "snapshot saved" || stage == "log compacted" {
 			if err := o.Store.SaveSnapshot(chain.Snapshot{Index: 50, View: 2, State: statemachine.NewState()}, from); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if stage == "forgotten" {
+		if stage == "log compacted" {
 			if err := o.Store.Compact(from); err != nil {
 				t.Fatal(err)
 			}
@@ -174,13 +178,14 @@
 			}
 		}
 		if len(o.Records) != want.records || snapshotCount != want.snapshots || o.Store.Owner() != testOwner {
-			t.Errorf("%s: %d records, %d copies, want %+v", stage, len(o.Records), snapshotCount, want)
+			t.Errorf("%s: got %d records, %d snapshots, owner %+v; want %+v, owner %+v",
+				stage, len(o.Records), snapshotCount, o.Store.Owner(), want, testOwner)
 		}
 	}
 }
 
-// A control node that was put out of the view with entries nobody else had takes a peer's copy. Restarted, it
-// must not find those entries again behind the copy.
+// A control node that was removed from the view with entries that no other member had installs a peer's snapshot. After a
+// restart, it must not replay those entries on top of the snapshot.
 func TestSnapshotIsReplayedAtItsLogPosition(t *testing.T) {
 	dir := newFilledDir(t, 15)
 	o, err := Open(dir, testOwner)
@@ -210,13 +215,13 @@
 		return node.LastIndex()
 	}
 	if got := last(); got != 12 {
-		t.Errorf("after the copy at 12 the last entry is %d", got)
+		t.Errorf("last entry after the snapshot at 12: got %d, want 12", got)
 	}
 	if _, err := o.Store.Write([]chain.Record{{Entry: &chain.Entry{Index: 13, View: 2}}}, false); err != nil {
 		t.Fatal(err)
 	}
 	if got := last(); got != 13 {
-		t.Errorf("with one entry behind the copy at 12 the last is %d", got)
+		t.Errorf("last entry with one entry after the snapshot at 12: got %d, want 13", got)
 	}
 	if err := o.Store.Close(); err != nil {
 		t.Fatal(err)
@@ -250,18 +255,18 @@
 	}
 }
 
-func FuzzUnframe(f *testing.F) {
+func FuzzDecodeRecord(f *testing.F) {
 	f.Add(EncodeRecord([]byte("hello")))
 	f.Add([]byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		payload, bad := DecodeRecord(raw)
 		if bad == nil && string(EncodeRecord(payload)) != string(raw) {
-			t.Fatal("a frame was taken that its payload would not give")
+			t.Fatalf("record %x was decoded to a payload that encodes differently", raw)
 		}
 	})
 }
 
-func FuzzIntact(f *testing.F) {
+func FuzzIntactBytes(f *testing.F) {
 	whole := []byte{}
 	for i := 0; i < 3; i++ {
 		framed := EncodeRecord([]byte("record"))
@@ -277,11 +282,12 @@
 		raw = raw[:len(raw)-cut]
 		kept := intactBytes(raw)
 		if kept < 0 || kept > len(raw) || intactBytes(raw[:kept]) != kept {
-			t.Fatal(kept, len(raw))
+			t.Fatalf("intactBytes: got %d for %d bytes, want a length within the data that is intact itself", kept, len(raw))
 		}
 		if _, _, ok := splitRecord(raw[kept:]); ok && !allZero(raw[kept:]) {
 			if framed, rest, _ := splitRecord(raw[kept:]); len(rest) > 0 {
-				t.Fatalf("cut at %d of %d, before a record of %d and %d more bytes", kept, len(raw), len(framed), len(rest))
+				t.Fatalf("truncated at byte %d of %d, before a complete record of %d bytes and %d further bytes",
+					kept, len(raw), len(framed), len(rest))
 			}
 		}
 	})
--- a/internal/controlplane/storage/wal.go
+++ b/internal/controlplane/storage/wal.go
@@ -14,30 +14,35 @@
 )
 
 const (
+	// maxSegmentBytes is the default size at which a new segment is started.
 	maxSegmentBytes   = 4 << 20
 	segmentNameDigits = 20
 )
 
-// segment is one file of the log; size is how much of it was synced.
+// segment is one file of the log.
 type segment struct {
-	firstIndex  uint64
+	// firstIndex is the number of the segment's first record.
+	firstIndex uint64
+	// syncedBytes is how much of the file was synced.
 	syncedBytes int64
 }
 
-// wal is a write-ahead log in segments. A record is one batch, written at once and lying in one segment,
-// so that a write that fails can leave a piece behind in one place only: beyond what was synced, at the
-// end. The piece is cut off before anything is written again.
+// wal is a write-ahead log in segments. A record is one batch that is written at once into one segment, so a failed write can
+// leave partial data only at the end of the last segment, beyond the synced bytes. The partial data is truncated before the
+// next write.
 type wal struct {
-	files     fileSystem
-	dir       string
-	segments  []segment
+	files    fileSystem
+	dir      string
+	segments []segment
+	// nextIndex is the number of the next record; the first record has number 1.
 	nextIndex uint64
-	tailFile  file
-	// needsRepair: the files may hold more than was synced, and the folders names that a loss of power would take.
+	// tailFile is the last segment, open for appending; nil where it is not open.
+	tailFile file
+	// needsRepair reports that files may contain bytes, and folders names, that were not synced.
 	needsRepair bool
-	// removalUnsynced: names that are gone may come back until the folder is synced.
+	// removalUnsynced reports that removed names may reappear after a power loss, as the folder is not synced yet.
 	removalUnsynced bool
-	// maxSegmentBytes is the size at which a segment is full.
+	// maxSegmentBytes is the size at which a new segment is started.
 	maxSegmentBytes int64
 }
 
@@ -45,6 +50,7 @@
 
 func (w *wal) path(s segment) string { return filepath.Join(w.dir, segmentName(s.firstIndex)) }
 
+// segmentStarts returns the first record numbers of the segments in the folder, in ascending order.
 func (w *wal) segmentStarts() ([]uint64, error) {
 	names, err := w.files.DirNames(w.dir)
 	if errors.Is(err, os.ErrNotExist) {
@@ -63,9 +69,8 @@
 	return firstIndexes, nil
 }
 
-// load reads the records that are there and says how many bytes of a torn last one are not among them.
-// It changes nothing: a process that was killed may have left records and names without a sync, and they last only
-// once repair has returned.
+// load passes the payload of each record to handle and returns the size of a torn last record, which is dropped. It modifies
+// no file: a killed process may have left unsynced records and names, which are durable only once repair has returned.
 func (w *wal) load(handle func(payload []byte) error) (tornBytes int, err error) {
 	firstIndexes, err := w.segmentStarts()
 	if err != nil {
@@ -108,7 +113,7 @@
 	return tornBytes, nil
 }
 
-// append returns once the record is synced. After an error nothing of it is in the log.
+// append appends a record and returns once it is synced. After an error the record is not part of the log.
 func (w *wal) append(payload []byte, fresh bool) error {
 	if err := w.repair(); err != nil {
 		return err
@@ -139,6 +144,7 @@
 	return nil
 }
 
+// writeAll writes all bytes to a file and syncs it.
 func writeAll(f file, raw []byte) error {
 	n, err := f.Write(raw)
 	if err == nil && n < len(raw) {
@@ -150,7 +156,7 @@
 	return err
 }
 
-// startSegment starts a segment: a record never goes on in another file than it began in.
+// startSegment creates the segment for the next record. A record never spans two segments.
 func (w *wal) startSegment() error {
 	w.closeTail()
 	w.needsRepair = true
@@ -171,7 +177,7 @@
 	return nil
 }
 
-// syncNewNames makes a new segment's name last, and with the first one the folder's own.
+// syncNewNames syncs the name of a new segment and, for the first segment, the name of the log folder.
 func (w *wal) syncNewNames() error {
 	if len(w.segments) == 0 {
 		return w.syncFolders()
@@ -179,8 +185,8 @@
 	return w.files.SyncDir(w.dir)
 }
 
-// closeTail lets go of the open file. What a failed sync left in it is never relied on: the system may have
-// dropped those pages, and would show them all the same.
+// closeTail closes the open file. Data in it after a failed sync is never relied on: the system may have dropped the dirty
+// pages, and reads would still return them.
 func (w *wal) closeTail() {
 	if w.tailFile != nil {
 		_ = w.tailFile.Close()
@@ -188,7 +194,7 @@
 	}
 }
 
-// repair takes away what a write that failed has left beyond the last record, and makes all that is left last.
+// repair removes what a failed write left beyond the last record, and syncs the last segment and the names.
 func (w *wal) repair() error {
 	if !w.needsRepair {
 		return nil
@@ -213,7 +219,7 @@
 	return nil
 }
 
-// removeOrphans removes segments that were made for a record which never came.
+// removeOrphans removes segments that were created for a record that was never written.
 func (w *wal) removeOrphans() error {
 	firstIndexes, err := w.segmentStarts()
 	if err != nil {
@@ -231,7 +237,7 @@
 	return nil
 }
 
-// syncFolders makes the names of the segments and of the log's own folder last.
+// syncFolders syncs the names of the segments and of the log folder.
 func (w *wal) syncFolders() error {
 	if err := w.files.SyncDir(w.dir); err != nil {
 		return err
@@ -239,8 +245,8 @@
 	return w.files.SyncDir(filepath.Dir(w.dir))
 }
 
-// repairSegment gives a segment the length that it should have and syncs it. Bytes that were synced and are gone are a
-// fault that no later write mends.
+// repairSegment truncates a segment to its synced length and syncs it. It returns a DamagedData fault where synced bytes are
+// missing, which no later write can repair.
 func (w *wal) repairSegment(s segment) error {
 	size, err := w.files.Size(w.path(s))
 	if errors.Is(err, os.ErrNotExist) || (err == nil && size < s.syncedBytes) {
@@ -262,6 +268,7 @@
 	return f.Sync()
 }
 
+// syncRemoved syncs the folder where the removal of a segment is not synced yet.
 func (w *wal) syncRemoved() error {
 	if !w.removalUnsynced {
 		return nil
@@ -273,8 +280,8 @@
 	return nil
 }
 
-// compact drops whole segments before a record, the oldest first, so that there is never a gap between
-// two that are left. It needs no room on the disk.
+// compact removes whole segments that precede a record, the oldest first, so that the remaining segments never have a gap. It
+// needs no free disk space.
 func (w *wal) compact(before uint64) error {
 	for {
 		if err := w.syncRemoved(); err != nil {
@@ -290,6 +297,7 @@
 	}
 }
 
+// sizeBytes returns the number of synced bytes in all segments.
 func (w *wal) sizeBytes() int64 {
 	var sum int64
 	for _, s := range w.segments {
@@ -298,7 +306,7 @@
 	return sum
 }
 
-// splitRecord takes the first record off; false where it is not all there.
+// splitRecord splits off the first record; ok is false where the record is incomplete.
 func splitRecord(raw []byte) (record, rest []byte, ok bool) {
 	size, n := binary.Uvarint(raw)
 	if n <= 0 || uint64(len(raw)-n) < size {
@@ -308,8 +316,8 @@
 	return raw[n:end], raw[end:], true
 }
 
-// intactBytes is how much of the last segment is there but for a torn last record, whose sync cannot have
-// returned. Damage before it is not torn, and stays in.
+// intactBytes returns the size of the last segment without a torn last record, whose sync can't have returned. Damage before
+// the last record is not a torn write, so it is included for load to report.
 func intactBytes(raw []byte) int {
 	end := 0
 	for end < len(raw) {
