--- a/internal/dataplane/controlclient/subscriber.go
+++ b/internal/dataplane/controlclient/subscriber.go
@@ -25,23 +25,36 @@
 
 // Event is an input of Subscriber.Step. If only NowUs is set, only time has passed.
 type Event struct {
-	NowUs      int64
+	// NowUs is the instant of the event, in microseconds.
+	NowUs int64
+	// Membership is a control node's response to a membership request.
 	Membership *wire.MembershipResponse
-	Update     *wire.GatewayUpdate
-	Lease      *wire.Lease
-	Heartbeat  *membership.Heartbeat
-	Closed     uint64
+	// Update was received on the stream from the tail.
+	Update *wire.GatewayUpdate
+	// Lease is the tail's response to a report.
+	Lease *wire.Lease
+	// Heartbeat was received from a node that this gateway watches.
+	Heartbeat *membership.Heartbeat
+	// Closed is the number of a stream that ended; 0 if none did.
+	Closed uint64
 }
 
 // Effect is one action that the caller of Subscriber.Step must execute.
 type Effect struct {
+	// RequestMembership are the addresses to send a membership request to.
 	RequestMembership []string
-	Follow            *Follow
-	Report            *membership.ChainReplica
-	Snapshot          *scheduling.Snapshot
-	LeaseUs           int64
-	Heartbeats        []membership.RingNode
-	FinalHeartbeats   []membership.RingNode
+	// Follow is the stream to open, which replaces the current one.
+	Follow *Follow
+	// Report is the replica of the chain to send a report to.
+	Report *membership.ChainReplica
+	// Snapshot is the new control state.
+	Snapshot *scheduling.Snapshot
+	// LeaseUs is the new end of the lease, in microseconds.
+	LeaseUs int64
+	// Heartbeats are the nodes to send a heartbeat to, and FinalHeartbeats those that get the last one because they no longer watch
+	// this gateway.
+	Heartbeats      []membership.RingNode
+	FinalHeartbeats []membership.RingNode
 }
 
 // Follow requests the stream of updates that the tail pushes. Number identifies the stream.
--- a/internal/dataplane/gateway/attempts.go
+++ b/internal/dataplane/gateway/attempts.go
@@ -207,8 +207,8 @@
 // cancelAttempt cancels an attempt at its replica and returns when the replica confirms that the attempt has ended, so that the
 // slot is free before the decider counts it as free. It gives up after cancelTimeout.
 func (h *Host) cancelAttempt(st scheduling.AttemptStart) {
-	ctx, done := context.WithTimeout(h.act.Ctx, cancelTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(h.act.Ctx, cancelTimeout)
+	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+st.Addr+"/v1/legs/"+attemptNumber(st.Attempt)+"?inc="+st.Incarnation, nil)
 	if err != nil {
 		return
--- a/internal/dataplane/gateway/authentication.go
+++ b/internal/dataplane/gateway/authentication.go
@@ -81,6 +81,7 @@
 	return failure.Code == fault.NotFound || failure.Code == fault.NoLease || (failure.Code == fault.Unauthenticated && a.Key != "")
 }
 
+// undecided returns the retryable fault of a gateway that cannot tell whether a newer declaration admits the request.
 func undecided(format string, args ...any) *fault.Fault {
 	failure := fault.New(fault.NoLease, "", format, args...)
 	failure.RetryMs = staleRetryMs
--- a/internal/dataplane/gateway/host.go
+++ b/internal/dataplane/gateway/host.go
@@ -72,7 +72,7 @@
 	// callNumber is the last number that was assigned to a call without an ID.
 	callNumber atomic.Int64
 
-	// act owns the fields from here to streams, except membership, which any goroutine may load.
+	// act owns the fields from here to admissions, except membership, which any goroutine may load.
 	act        *actor.Actor
 	lastTickUs int64
 	// workers are the goroutines that wait for decisions, by call ID.
@@ -166,7 +166,7 @@
 func (h *Host) SetConnectionCounter(open func() map[string]int) { h.openConnections = open }
 
 // AddListener adds a listener. It must be called before Run.
-func (h *Host) AddListener(d Listener) { h.listeners = append(h.listeners, d) }
+func (h *Host) AddListener(l Listener) { h.listeners = append(h.listeners, l) }
 
 // Run serves until ctx is done, then drains: queued calls and open streams have up to DrainMs to end.
 func (h *Host) Run(ctx context.Context) error {
@@ -183,9 +183,9 @@
 	h.act.Spawn(func() { h.act.Loop(interval, h.tick) })
 	_ = h.info.Log("msg", "started", "incarnation", h.incarnation, "disabled", h.settings.Disable.String())
 	failed := make(chan error, len(h.listeners))
-	for _, d := range h.listeners {
+	for _, l := range h.listeners {
 		go func() {
-			if err := d.Serve(); err != nil {
+			if err := l.Serve(); err != nil {
 				failed <- err
 			}
 		}()
@@ -212,8 +212,8 @@
 			hasActiveCalls = h.activeCalls.Load() > 0
 		}
 	}
-	closing, done := context.WithTimeout(context.Background(), 2*time.Second)
-	defer done()
+	closing, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+	defer cancel()
 	err = server.Shutdown(closing)
 	_ = server.Close()
 	h.act.End()
@@ -229,17 +229,17 @@
 	if len(h.listeners) == 0 {
 		return
 	}
-	for _, d := range h.listeners {
-		d.BeginDrain()
+	for _, l := range h.listeners {
+		l.BeginDrain()
 	}
 	linger := time.NewTimer(time.Duration(h.settings.LingerMs) * time.Millisecond)
 	defer linger.Stop()
 	<-linger.C
 	h.post(scheduling.DrainEnded{})
-	closing, done := context.WithTimeout(context.Background(), time.Duration(max(h.settings.DrainMs-h.settings.LingerMs, 100))*time.Millisecond)
-	defer done()
-	for _, d := range h.listeners {
-		_ = d.Shutdown(closing)
+	closing, cancel := context.WithTimeout(context.Background(), time.Duration(max(h.settings.DrainMs-h.settings.LingerMs, 100))*time.Millisecond)
+	defer cancel()
+	for _, l := range h.listeners {
+		_ = l.Shutdown(closing)
 	}
 }
 
@@ -260,8 +260,10 @@
 	h.stepSubscriber(controlclient.Event{})
 }
 
+// post queues an event for the decider.
 func (h *Host) post(ev scheduling.Event) { h.act.Tell(func() { h.step(ev) }) }
 
+// do runs act on the actor and waits for it. It returns false if the actor has ended.
 func (h *Host) do(act func()) bool { return h.act.Do(h.act.Ctx, act) }
 
 // step passes an event to the decider and executes the resulting effects. It runs on the actor.
--- a/internal/dataplane/gateway/informer.go
+++ b/internal/dataplane/gateway/informer.go
@@ -84,13 +84,13 @@
 	for _, e := range effects {
 		switch {
 		case e.Open != nil:
-			ctx, done := context.WithCancel(h.act.Ctx)
-			h.streams[e.Open.Number] = done
+			ctx, cancel := context.WithCancel(h.act.Ctx)
+			h.streams[e.Open.Number] = cancel
 			stream := *e.Open
 			h.act.Spawn(func() { h.followFrames(ctx, stream) })
 		case e.Close != 0:
-			if done := h.streams[e.Close]; done != nil {
-				done()
+			if cancel := h.streams[e.Close]; cancel != nil {
+				cancel()
 			}
 			delete(h.streams, e.Close)
 		case e.Report != "":
@@ -135,8 +135,8 @@
 }
 
 func (h *Host) sendReport(addr string, report wire.Report) {
-	ctx, done := context.WithTimeout(h.act.Ctx, 600*time.Millisecond)
-	defer done()
+	ctx, cancel := context.WithTimeout(h.act.Ctx, 600*time.Millisecond)
+	defer cancel()
 	if _, err := rpc.NewCaller[wire.Report, wire.Ack](h.nodeClient, addr, rpc.TellPath).Call(ctx, &report); err != nil && h.act.Ctx.Err() == nil {
 		h.act.Tell(func() { h.stepInformer(controlclient.InformerEvent{Unreachable: addr}) })
 	}
--- a/internal/dataplane/gateway/quota.go
+++ b/internal/dataplane/gateway/quota.go
@@ -78,7 +78,7 @@
 	for _, e := range h.quota.Step(clock.NowUs(), ev) {
 		switch e := e.(type) {
 		case quota.Query:
-			h.act.Spawn(func() { h.sendQuotaAsk(e) })
+			h.act.Spawn(func() { h.sendQuotaQuery(e) })
 		case quota.Decision:
 			if decided := h.admissions[e.ID]; decided != nil {
 				delete(h.admissions, e.ID)
@@ -88,14 +88,14 @@
 	}
 }
 
-// sendQuotaAsk sends one quota request to one control node, without retries.
-func (h *Host) sendQuotaAsk(a quota.Query) {
-	ctx, done := context.WithTimeout(h.act.Ctx, time.Duration(a.TimeoutUs)*time.Microsecond)
-	defer done()
-	response, err := rpc.NewCaller[wire.QuotaRequest, wire.QuotaResponse](h.nodeClient, a.Addr, rpc.QuotaPath).Call(ctx, a.Request)
+// sendQuotaQuery sends one quota request to one control node, without retries.
+func (h *Host) sendQuotaQuery(q quota.Query) {
+	ctx, cancel := context.WithTimeout(h.act.Ctx, time.Duration(q.TimeoutUs)*time.Microsecond)
+	defer cancel()
+	response, err := rpc.NewCaller[wire.QuotaRequest, wire.QuotaResponse](h.nodeClient, q.Addr, rpc.QuotaPath).Call(ctx, q.Request)
 	if err != nil {
-		h.act.Tell(func() { h.stepQuota(quota.QueryFailed{Query: a.Number}) })
+		h.act.Tell(func() { h.stepQuota(quota.QueryFailed{Query: q.Number}) })
 		return
 	}
-	h.act.Tell(func() { h.stepQuota(quota.ResponseReceived{Query: a.Number, Response: response}) })
+	h.act.Tell(func() { h.stepQuota(quota.ResponseReceived{Query: q.Number, Response: response}) })
 }
--- a/internal/dataplane/gateway/stream.go
+++ b/internal/dataplane/gateway/stream.go
@@ -30,8 +30,10 @@
 	w           http.ResponseWriter
 	flush       func() error
 	headersSent bool
-	failed      bool
-	chunks      []string
+	// failed is true once a write to the caller has failed.
+	failed bool
+	// chunks are all chunks of the answer so far, including those received before a resumption.
+	chunks []string
 }
 
 func (s *stream) sendHeaders() {
--- a/internal/dataplane/gateway/subscriber.go
+++ b/internal/dataplane/gateway/subscriber.go
@@ -30,8 +30,8 @@
 			if h.cancelFollow != nil {
 				h.cancelFollow()
 			}
-			ctx, done := context.WithCancel(h.act.Ctx)
-			h.cancelFollow = done
+			ctx, cancel := context.WithCancel(h.act.Ctx)
+			h.cancelFollow = cancel
 			follow := *e.Follow
 			h.act.Spawn(func() { h.follow(ctx, follow) })
 		case e.Report != nil:
@@ -63,14 +63,14 @@
 func (h *Host) postSubscriber(ev controlclient.Event) { h.act.Tell(func() { h.stepSubscriber(ev) }) }
 
 func (h *Host) sendHeartbeat(addr string, b membership.Heartbeat) {
-	ctx, done := context.WithTimeout(h.act.Ctx, time.Duration(failuredetector.HeartbeatIntervalUs)*time.Microsecond)
-	defer done()
+	ctx, cancel := context.WithTimeout(h.act.Ctx, time.Duration(failuredetector.HeartbeatIntervalUs)*time.Microsecond)
+	defer cancel()
 	_, _ = rpc.NewCaller[membership.Heartbeat, wire.Ack](h.nodeClient, addr, rpc.BeatPath).Call(ctx, &b)
 }
 
 func (h *Host) requestMembership(addr string) {
-	ctx, done := context.WithTimeout(h.act.Ctx, 400*time.Millisecond)
-	defer done()
+	ctx, cancel := context.WithTimeout(h.act.Ctx, 400*time.Millisecond)
+	defer cancel()
 	w, err := rpc.NewCaller[wire.MembershipRequest, wire.MembershipResponse](h.nodeClient, addr, rpc.WherePath).Call(ctx, &wire.MembershipRequest{})
 	if err == nil {
 		h.postSubscriber(controlclient.Event{Membership: w})
@@ -94,8 +94,8 @@
 // reportToTail sends this gateway's report to the tail, which acknowledges updates, and passes the lease in the response to the
 // subscriber.
 func (h *Host) reportToTail(tail membership.ChainReplica, report wire.Report) {
-	ctx, done := context.WithTimeout(h.act.Ctx, 600*time.Millisecond)
-	defer done()
+	ctx, cancel := context.WithTimeout(h.act.Ctx, 600*time.Millisecond)
+	defer cancel()
 	lease, err := rpc.NewCaller[wire.Report, wire.Lease](h.nodeClient, tail.Addr, rpc.AckPath).Call(ctx, &report)
 	if err == nil && lease.SentUs == report.SentUs {
 		h.postSubscriber(controlclient.Event{Lease: lease})
@@ -111,8 +111,8 @@
 
 // Submit submits a change through the first control node that answers, trying them in turn.
 func (h *Host) Submit(ctx context.Context, c wire.KeySubmission) (*wire.Result, error) {
-	ctx, done := context.WithTimeout(ctx, submitTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
+	defer cancel()
 	var lastErr error
 	controlNodes, executed := actor.Ask(h.act.Ctx, h.act, h.subscriber.ControlNodes)
 	if !executed {
