--- a/internal/controlplane/chain/auto_membership_test.go
+++ b/internal/controlplane/chain/auto_membership_test.go
@@ -217,19 +217,19 @@
 	}
 	tc.views[v.Number] = v
 	if prior, seen := tc.views[v.Number-1]; seen {
-		came, went := 0, 0
+		added, removed := 0, 0
 		for _, m := range v.Voters {
 			if !prior.IsVoter(m.ID) {
-				came++
+				added++
 			}
 		}
 		for _, m := range prior.Voters {
 			if !v.IsVoter(m.ID) {
-				went++
+				removed++
 			}
 		}
-		if came > 1 || went > 1 || len(v.Voters) < min(len(tc.founderAddrs), minVoters) {
-			tc.violation = fmt.Sprintf("between views %d and %d %d voters were added and %d removed: %v and %v", prior.Number, v.Number, came, went, prior.Voters, v.Voters)
+		if added > 1 || removed > 1 || len(v.Voters) < min(len(tc.founderAddrs), minVoters) {
+			tc.violation = fmt.Sprintf("between views %d and %d %d voters were added and %d removed: %v and %v", prior.Number, v.Number, added, removed, prior.Voters, v.Voters)
 		}
 	}
 }
@@ -305,7 +305,7 @@
 }
 
 func (tc *testCluster) checkInvariants() {
-	open := []string{}
+	readyTails := []string{}
 	for _, s := range tc.members {
 		if s.node != nil {
 			tc.lastAcked = max(tc.lastAcked, s.node.durableIndex())
@@ -313,7 +313,7 @@
 	}
 	for _, s := range tc.members {
 		if s.node != nil && s.node.IsTailReady(tc.nowUs) {
-			open = append(open, s.member.ID)
+			readyTails = append(readyTails, s.member.ID)
 			if s.node.CommitIndex() < tc.lastAcked {
 				tc.violation = fmt.Sprintf("%s is ready as the tail at commit index %d, but index %d was acknowledged", s.member.ID, s.node.CommitIndex(), tc.lastAcked)
 			}
@@ -322,8 +322,8 @@
 			}
 		}
 	}
-	if len(open) > 1 {
-		tc.violation = fmt.Sprintf("two ready tails: %v", open)
+	if len(readyTails) > 1 {
+		tc.violation = fmt.Sprintf("two ready tails: %v", readyTails)
 	}
 	if tc.violation != "" {
 		tc.t.Fatalf("at %d ms: %s", tc.nowUs/1000, tc.violation)
@@ -367,7 +367,7 @@
 	return ""
 }
 
-func (tc *testCluster) requireSettled(withinUs int64, what string) {
+func (tc *testCluster) requireSettled(withinUs int64, stage string) {
 	tc.t.Helper()
 	for endUs := tc.nowUs + withinUs; tc.nowUs < endUs; tc.advance(100 * clock.Ms) {
 		if tc.unsettledReason() == "" {
@@ -377,7 +377,7 @@
 			}
 		}
 	}
-	tc.t.Fatalf("%s: not settled after %d s: %s; last acknowledged index %d", what, withinUs/clock.Sec, tc.unsettledReason(), tc.lastAcked)
+	tc.t.Fatalf("%s: not settled after %d s: %s; last acknowledged index %d", stage, withinUs/clock.Sec, tc.unsettledReason(), tc.lastAcked)
 }
 
 func TestBootstrapByAddresses(t *testing.T) {
@@ -455,7 +455,7 @@
 func TestExtraVoterIsRemoved(t *testing.T) {
 	for seed := int64(0); seed < 4; seed++ {
 		tc := newSettledCluster(t, seed, 3, 3)
-		leaves := tc.members[int(seed)%3]
+		leaving := tc.members[int(seed)%3]
 		fresh := &testMember{member: Member{ID: "new-0", Name: "new", Addr: "anew"}}
 		tc.members = append(tc.members, fresh)
 		tc.start(fresh, false)
@@ -463,10 +463,10 @@
 		if v := fresh.node.view; len(v.Voters) != 4 || v.ExtraVoters != 1 {
 			t.Fatalf("seed %d: got voters %v with %d extra, want 4 with 1 extra", seed, v.Voters, v.ExtraVoters)
 		}
-		tc.stop(leaves)
-		leaves.removed = true
+		tc.stop(leaving)
+		leaving.removed = true
 		tc.requireSettled(40*clock.Sec, "one member removed")
-		if v := fresh.node.view; len(v.Voters) != 3 || v.ExtraVoters != 0 || v.IsVoter(leaves.member.ID) {
+		if v := fresh.node.view; len(v.Voters) != 3 || v.ExtraVoters != 0 || v.IsVoter(leaving.member.ID) {
 			t.Fatalf("seed %d: got voters %v with %d extra, want 3 remaining members with none extra", seed, v.Voters, v.ExtraVoters)
 		}
 	}
@@ -499,7 +499,7 @@
 			t.Parallel()
 			controlNodes := []int{3, 3, 5}[seed%3]
 			tc := newSettledCluster(t, seed, controlNodes, 3)
-			first := len(tc.views)
+			viewsBefore := len(tc.views)
 			for range 14 {
 				live := tc.remainingMembers()
 				s := live[tc.r.Intn(len(live))]
@@ -553,8 +553,8 @@
 				tc.advance(tc.r.Int63n(2 * clock.Sec))
 			}
 			tc.requireSettled(60*clock.Sec, "finally")
-			if len(tc.views) < first+3 || tc.lastAcked < 100 {
-				t.Errorf("got %d views and last acknowledged index %d, want at least %d and 100 for a meaningful test", len(tc.views), tc.lastAcked, first+3)
+			if len(tc.views) < viewsBefore+3 || tc.lastAcked < 100 {
+				t.Errorf("got %d views and last acknowledged index %d, want at least %d and 100 for a meaningful test", len(tc.views), tc.lastAcked, viewsBefore+3)
 			}
 		})
 	}
--- a/internal/controlplane/chain/bootstrap_test.go
+++ b/internal/controlplane/chain/bootstrap_test.go
@@ -24,8 +24,8 @@
 	for seed := range int64(360) {
 		tc := newBootstrappingCluster(t, seed, 3+2*int(seed%2))
 		killed := tc.members[:1+seed%3]
-		unkept := func(s *testMember) bool { return len(s.disk) == 0 }
-		for endUs := tc.nowUs + clock.Sec; slices.ContainsFunc(killed, unkept) && tc.nowUs < endUs; {
+		hasNoRecord := func(s *testMember) bool { return len(s.disk) == 0 }
+		for endUs := tc.nowUs + clock.Sec; slices.ContainsFunc(killed, hasNoRecord) && tc.nowUs < endUs; {
 			tc.advance(clock.Ms)
 		}
 		tc.advance(seed / 3 * 3 * clock.Ms)
--- a/internal/controlplane/chain/disk_stall_test.go
+++ b/internal/controlplane/chain/disk_stall_test.go
@@ -11,8 +11,8 @@
 // stallAllDisks stalls all disks for spanUs, each from a moment when it has a sync outstanding. Then the disks recover in the
 // given order, apartUs apart, the first one immediately.
 func (tc *testCluster) stallAllDisks(order []int, spanUs, apartUs int64) {
-	for _, seat := range slices.Backward(tc.members[0].node.View().Replicas) {
-		s := tc.memberAt(seat.Addr)
+	for _, replica := range slices.Backward(tc.members[0].node.View().Replicas) {
+		s := tc.memberAt(replica.Addr)
 		for len(s.pendingSyncs) == 0 {
 			tc.advance(stepUs)
 		}
@@ -71,8 +71,8 @@
 
 // stallDisksWithOneIdle stalls all disks for spanUs while each member but one has a sync outstanding.
 func (tc *testCluster) stallDisksWithOneIdle(idle int, spanUs int64) {
-	for _, seat := range slices.Backward(tc.members[0].node.View().Replicas) {
-		s := tc.memberAt(seat.Addr)
+	for _, replica := range slices.Backward(tc.members[0].node.View().Replicas) {
+		s := tc.memberAt(replica.Addr)
 		for (len(s.pendingSyncs) > 0) == (s == tc.members[idle]) {
 			tc.advance(stepUs)
 		}
--- a/internal/controlplane/chain/durable_test.go
+++ b/internal/controlplane/chain/durable_test.go
@@ -51,12 +51,12 @@
 }
 
 // viewWithZones returns a view with voters and replicas in the given zones.
-func viewWithZones(voters, seated string) View {
+func viewWithZones(voters, replicas string) View {
 	v := View{Number: 1}
 	for i, zone := range strings.Fields(voters) {
 		v.Voters = append(v.Voters, Member{ID: fmt.Sprint("m", i), Zone: zone})
 	}
-	for i, zone := range strings.Fields(seated) {
+	for i, zone := range strings.Fields(replicas) {
 		v.Replicas = append(v.Replicas, Replica{Member: Member{ID: fmt.Sprint("m", i), Zone: zone}})
 	}
 	return v
@@ -64,9 +64,9 @@
 
 func TestWritesNeedEnoughReplicasInEnoughZones(t *testing.T) {
 	for _, c := range []struct {
-		copies, zones  int
-		voters, seated string
-		taken          bool
+		minReplicas, minZones int
+		voters, replicas      string
+		accepts               bool
 	}{
 		{2, 1, "a b c", "a b", true},
 		{2, 1, "a b c", "a", false},
@@ -80,9 +80,9 @@
 		{4, 1, "a b c", "a b c", false},
 		{1, 1, "a b c", "a", false},
 	} {
-		n := &Node{opts: Options{MinReplicas: c.copies, MinZones: c.zones}.withDefaults(), view: viewWithZones(c.voters, c.seated)}
-		if n.AcceptsWrites() != c.taken {
-			t.Errorf("%d replicas in %d zones needed, voters in %s, replicas in %s: got AcceptsWrites %v", c.copies, c.zones, c.voters, c.seated, !c.taken)
+		n := &Node{opts: Options{MinReplicas: c.minReplicas, MinZones: c.minZones}.withDefaults(), view: viewWithZones(c.voters, c.replicas)}
+		if n.AcceptsWrites() != c.accepts {
+			t.Errorf("%d replicas in %d zones needed, voters in %s, replicas in %s: got AcceptsWrites %v", c.minReplicas, c.minZones, c.voters, c.replicas, !c.accepts)
 		}
 	}
 }
@@ -91,9 +91,9 @@
 func TestWritesNeedEnoughRegions(t *testing.T) {
 	regions := map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
 	for _, c := range []struct {
-		regions        int
-		voters, seated string
-		taken          bool
+		minRegions       int
+		voters, replicas string
+		accepts          bool
 	}{
 		{1, "a1 a2 b1", "a1 a2", true},
 		{2, "a1 a2 b1", "a1 a2", false},
@@ -103,13 +103,13 @@
 		{3, "a1 b1 other", "a1 b1", false},
 		{2, "a1 a2 b1 b2 other", "a1 a2 other", true},
 	} {
-		n := &Node{opts: Options{MinReplicas: 2, MinRegions: c.regions, Regions: regions}.withDefaults(), view: viewWithZones(c.voters, c.seated)}
-		if n.AcceptsWrites() != c.taken {
-			t.Errorf("%d regions needed, voters in %s, replicas in %s: got AcceptsWrites %v", c.regions, c.voters, c.seated, !c.taken)
+		n := &Node{opts: Options{MinReplicas: 2, MinRegions: c.minRegions, Regions: regions}.withDefaults(), view: viewWithZones(c.voters, c.replicas)}
+		if n.AcceptsWrites() != c.accepts {
+			t.Errorf("%d regions needed, voters in %s, replicas in %s: got AcceptsWrites %v", c.minRegions, c.voters, c.replicas, !c.accepts)
 		}
 		n.opts.MinRegions = 0
 		if !n.AcceptsWrites() {
-			t.Errorf("voters in %s, replicas in %s: got AcceptsWrites false without a bound on regions", c.voters, c.seated)
+			t.Errorf("voters in %s, replicas in %s: got AcceptsWrites false without a bound on regions", c.voters, c.replicas)
 		}
 	}
 }
--- a/internal/controlplane/chain/explore_members_test.go
+++ b/internal/controlplane/chain/explore_members_test.go
@@ -259,18 +259,18 @@
 
 // countVoteChanges returns the number of voters that were added or removed, whichever is larger.
 func countVoteChanges(a, b View) int {
-	came, went := 0, 0
+	added, removed := 0, 0
 	for _, v := range b.Voters {
 		if !a.IsVoter(v.ID) {
-			came++
+			added++
 		}
 	}
 	for _, v := range a.Voters {
 		if !b.IsVoter(v.ID) {
-			went++
+			removed++
 		}
 	}
-	return max(came, went)
+	return max(added, removed)
 }
 
 // diskHolds reports whether a disk holds the entry at an index, or a snapshot that includes it.
@@ -531,23 +531,23 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			m := all[name]()
-			first := len(m.views)
-			sum := exploreStats{}
+			viewsBefore := len(m.views)
+			total := exploreStats{}
 			for n := range maxMemberPathLength {
 				if n%stride == 0 {
 					e, violation := exploreMachines(m.clone(), depth, 2, recoveryStride)
 					if violation != "" {
 						t.Fatalf("from state %d: %s", n, violation)
 					}
-					sum.add(e)
+					total.add(e)
 				}
 				if m.advanceFirstAction(); m.violation != "" {
 					t.Fatal(m.violation)
 				}
 			}
-			t.Logf("%d states within %d actions, recovery checked from %d, up to %d losses, %d view changes, %d entries acknowledged", sum.states, depth, sum.recoveries, sum.losses, sum.views-first, sum.acked)
-			if sum.states < 200 || sum.recoveries < 5 {
-				t.Errorf("got %+v, want at least 200 states and 5 recoveries for a meaningful test", sum)
+			t.Logf("%d states within %d actions, recovery checked from %d, up to %d losses, %d view changes, %d entries acknowledged", total.states, depth, total.recoveries, total.losses, total.views-viewsBefore, total.acked)
+			if total.states < 200 || total.recoveries < 5 {
+				t.Errorf("got %+v, want at least 200 states and 5 recoveries for a meaningful test", total)
 			}
 		})
 	}
--- a/internal/controlplane/chain/explore_test.go
+++ b/internal/controlplane/chain/explore_test.go
@@ -333,7 +333,7 @@
 }
 
 func (sc *smallChain) checkInvariants() {
-	open := []string{}
+	readyTails := []string{}
 	maxAcked := uint64(0)
 	for index := range sc.acked {
 		maxAcked = max(maxAcked, index)
@@ -345,7 +345,7 @@
 	}
 	for _, p := range sc.members {
 		if p.node != nil && p.node.IsTailReady(sc.nowUs) {
-			open = append(open, p.member.ID)
+			readyTails = append(readyTails, p.member.ID)
 			if p.node.CommitIndex() < maxAcked {
 				sc.violation = fmt.Sprintf("%s is ready as the tail at commit index %d, but index %d was acknowledged", p.member.ID, p.node.CommitIndex(), maxAcked)
 			}
@@ -354,8 +354,8 @@
 			}
 		}
 	}
-	if len(open) > 1 {
-		sc.violation = fmt.Sprintf("two ready tails: %v", open)
+	if len(readyTails) > 1 {
+		sc.violation = fmt.Sprintf("two ready tails: %v", readyTails)
 	}
 }
 
@@ -632,7 +632,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			sc := all[name]()
-			first := len(sc.views)
+			viewsBefore := len(sc.views)
 			states, views, acked, starts := 0, 0, 0, 0
 			for n := 0; n < maxPathLength; n++ {
 				if n%stride == 0 {
@@ -645,9 +645,9 @@
 					t.Fatal(sc.violation)
 				}
 			}
-			t.Logf("%d states within %d actions of %d start states, %d view changes, %d entries acknowledged", states, depth, starts, views-first, acked)
-			if states < 200 || views == first {
-				t.Errorf("got %d states and %d view changes, want at least 200 and 1 for a meaningful test", states, views-first)
+			t.Logf("%d states within %d actions of %d start states, %d view changes, %d entries acknowledged", states, depth, starts, views-viewsBefore, acked)
+			if states < 200 || views == viewsBefore {
+				t.Errorf("got %d states and %d view changes, want at least 200 and 1 for a meaningful test", states, views-viewsBefore)
 			}
 		})
 	}
--- a/internal/controlplane/chain/foreign_message_test.go
+++ b/internal/controlplane/chain/foreign_message_test.go
@@ -10,19 +10,19 @@
 
 // foreignMessages returns messages that must be rejected: from members of another chain, and of a later version.
 func foreignMessages(n *Node) map[string]Msg {
-	other := n.View()
-	other.Number, other.System = other.Number+1, "elsewhere-1"
-	other.Replicas = []Replica{{Member: Member{ID: "elsewhere-1", Name: "elsewhere", Addr: "x"}, Incarnation: "x/1"}}
-	other.Voters = []Member{other.Replicas[0].Member}
-	from := other.Voters[0]
+	foreign := n.View()
+	foreign.Number, foreign.System = foreign.Number+1, "elsewhere-1"
+	foreign.Replicas = []Replica{{Member: Member{ID: "elsewhere-1", Name: "elsewhere", Addr: "x"}, Incarnation: "x/1"}}
+	foreign.Voters = []Member{foreign.Replicas[0].Member}
+	from := foreign.Voters[0]
 	head := n.View().Replicas[0]
 	return map[string]Msg{
-		"a hello with a newer view":       {From: from, Incarnation: "x/1", Hello: &Hello{Member: from, Incarnation: "x/1", Phase: PhaseServing, View: other}},
+		"a hello with a newer view":       {From: from, Incarnation: "x/1", Hello: &Hello{Member: from, Incarnation: "x/1", Phase: PhaseServing, View: foreign}},
 		"a hello with the same number":    {From: from, Incarnation: "x/1", Hello: &Hello{Member: from, Incarnation: "x/1", Phase: PhaseStandby, View: View{Number: n.View().Number, System: "elsewhere-1"}, SnapshotIndex: 1}},
-		"a hello with a foreign proposal": {From: from, Incarnation: "x/1", Hello: &Hello{Member: from, Incarnation: "x/1", AcceptedProposal: &AcceptedProposal{View: other}}},
-		"an accept":                       {From: from, Incarnation: "x/1", Accept: &Accept{Number: other.Number, Ballot: Ballot{Round: 99, Proposer: from.ID}, View: other}},
-		"a promise of a foreign proposal": {From: from, Incarnation: "x/1", Promise: &Promise{Number: other.Number, OK: true, AcceptedProposal: &AcceptedProposal{View: other}}},
-		"a hello of a later version":      {Version: MessageVersion + 1, From: head.Member, Incarnation: "later", Hello: &Hello{Member: head.Member, Incarnation: "later", View: View{Number: 99, Voters: other.Voters}}},
+		"a hello with a foreign proposal": {From: from, Incarnation: "x/1", Hello: &Hello{Member: from, Incarnation: "x/1", AcceptedProposal: &AcceptedProposal{View: foreign}}},
+		"an accept":                       {From: from, Incarnation: "x/1", Accept: &Accept{Number: foreign.Number, Ballot: Ballot{Round: 99, Proposer: from.ID}, View: foreign}},
+		"a promise of a foreign proposal": {From: from, Incarnation: "x/1", Promise: &Promise{Number: foreign.Number, OK: true, AcceptedProposal: &AcceptedProposal{View: foreign}}},
+		"a hello of a later version":      {Version: MessageVersion + 1, From: head.Member, Incarnation: "later", Hello: &Hello{Member: head.Member, Incarnation: "later", View: View{Number: 99, Voters: foreign.Voters}}},
 		"an entry of a later version":     {Version: MessageVersion + 1, From: head.Member, Incarnation: head.Incarnation, Forward: &Forward{View: n.View().Number, Entries: []Entry{{Index: n.LastIndex() + 1}}}},
 		"a submit of a later version":     {Version: MessageVersion + 1, From: head.Member, Incarnation: head.Incarnation, Submit: &statemachine.Change{ID: "later"}},
 	}
--- a/internal/controlplane/chain/lease_release_test.go
+++ b/internal/controlplane/chain/lease_release_test.go
@@ -86,12 +86,12 @@
 
 // newLeaseVoter returns a voter of view 5, whose tail is c, and a function that delivers a message from another member to it.
 func newLeaseVoter(t *testing.T, me string) (n *Node, receive func(from string, m Msg) []Effect) {
-	seat := func(id string) Replica { return Replica{Member: Member{ID: id, Addr: id}, Incarnation: id + "1"} }
-	v := View{Number: 5, Replicas: []Replica{seat("a"), seat("b"), seat("c")}}
+	replica := func(id string) Replica { return Replica{Member: Member{ID: id, Addr: id}, Incarnation: id + "1"} }
+	v := View{Number: 5, Replicas: []Replica{replica("a"), replica("b"), replica("c")}}
 	for _, s := range v.Replicas {
 		v.Voters = append(v.Voters, s.Member)
 	}
-	n, err := NewNode(Options{Self: seat(me).Member, Incarnation: me + "1"}, []Record{{View: &v}, {CaughtUpView: 5}}, clock.Sec)
+	n, err := NewNode(Options{Self: replica(me).Member, Incarnation: me + "1"}, []Record{{View: &v}, {CaughtUpView: 5}}, clock.Sec)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 	nowUs := 4 * clock.Sec
 	return n, func(from string, m Msg) []Effect {
 		nowUs += clock.Ms
-		m.From, m.Incarnation = seat(from).Member, seat(from).Incarnation
+		m.From, m.Incarnation = replica(from).Member, replica(from).Incarnation
 		return n.Step(nowUs, MessageReceived{Msg: &m})
 	}
 }
--- a/internal/controlplane/chain/lease_yield_test.go
+++ b/internal/controlplane/chain/lease_yield_test.go
@@ -9,18 +9,18 @@
 // A voter that has accepted a next view with another tail grants no lease to the current tail, as the others may decide that view
 // at any moment. If no other member completes the view, the voter proposes it itself.
 func TestVoterThatAcceptedAnotherTailGrantsNoLease(t *testing.T) {
-	seat := func(id string) Replica { return Replica{Member: Member{ID: id, Addr: id}, Incarnation: id + "1"} }
+	replica := func(id string) Replica { return Replica{Member: Member{ID: id, Addr: id}, Incarnation: id + "1"} }
 	view := func(number uint64, order ...string) View {
-		v := View{Number: number, Voters: []Member{seat("a").Member, seat("b").Member, seat("c").Member}}
+		v := View{Number: number, Voters: []Member{replica("a").Member, replica("b").Member, replica("c").Member}}
 		for _, id := range order {
-			v.Replicas = append(v.Replicas, seat(id))
+			v.Replicas = append(v.Replicas, replica(id))
 		}
 		return v
 	}
-	with := func(v View, voters ...string) View {
+	withVoters := func(v View, voters ...string) View {
 		v.Voters = nil
 		for _, id := range voters {
-			v.Voters = append(v.Voters, seat(id).Member)
+			v.Voters = append(v.Voters, replica(id).Member)
 		}
 		return v
 	}
@@ -30,21 +30,21 @@
 	}{
 		"no view accepted":            {View{}, true},
 		"the same tail":               {view(6, "a", "c"), true},
-		"a voter added":               {with(view(6, "a", "d", "c"), "a", "b", "c", "d"), true},
-		"a voter removed":             {with(view(6, "a", "c"), "a", "c"), true},
-		"a voter replaced":            {with(view(6, "a", "d", "c"), "a", "c", "d"), false},
+		"a voter added":               {withVoters(view(6, "a", "d", "c"), "a", "b", "c", "d"), true},
+		"a voter removed":             {withVoters(view(6, "a", "c"), "a", "c"), true},
+		"a voter replaced":            {withVoters(view(6, "a", "d", "c"), "a", "c", "d"), false},
 		"another tail":                {view(6, "a", "b"), false},
-		"the tail's next incarnation": {View{Number: 6, Voters: view(6).Voters, Replicas: []Replica{seat("a"), {Member: seat("c").Member, Incarnation: "c2"}}}, false},
+		"the tail's next incarnation": {View{Number: 6, Voters: view(6).Voters, Replicas: []Replica{replica("a"), {Member: replica("c").Member, Incarnation: "c2"}}}, false},
 	} {
 		v := view(5, "a", "b", "c")
-		n, err := NewNode(Options{Self: seat("a").Member, Incarnation: "a1"}, []Record{{View: &v}, {CaughtUpView: 5}}, clock.Sec)
+		n, err := NewNode(Options{Self: replica("a").Member, Incarnation: "a1"}, []Record{{View: &v}, {CaughtUpView: 5}}, clock.Sec)
 		if err != nil {
 			t.Fatal(err)
 		}
 		n.votesRecovered = true
 		nowUs := 4 * clock.Sec
 		receive := func(from string, m Msg) []Effect {
-			m.From, m.Incarnation = seat(from).Member, seat(from).Incarnation
+			m.From, m.Incarnation = replica(from).Member, replica(from).Incarnation
 			return n.Step(nowUs, MessageReceived{Msg: &m})
 		}
 		if c.next.Number > 0 {
--- a/internal/controlplane/chain/partition_test.go
+++ b/internal/controlplane/chain/partition_test.go
@@ -67,7 +67,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			sc := all[name]()
-			first := len(sc.views)
+			viewsBefore := len(sc.views)
 			states, views := 0, 0
 			for n := 0; n < maxPartitionPathLength; n++ {
 				if n%stride == 0 {
@@ -80,9 +80,9 @@
 					t.Fatal(sc.violation)
 				}
 			}
-			t.Logf("%d states, %d view changes", states, views-first)
-			if states < 200 || views == first {
-				t.Errorf("got %d states and %d view changes, want at least 200 and 1 for a meaningful test", states, views-first)
+			t.Logf("%d states, %d view changes", states, views-viewsBefore)
+			if states < 200 || views == viewsBefore {
+				t.Errorf("got %d states and %d view changes, want at least 200 and 1 for a meaningful test", states, views-viewsBefore)
 			}
 		})
 	}
--- a/internal/controlplane/chain/refused_test.go
+++ b/internal/controlplane/chain/refused_test.go
@@ -38,7 +38,7 @@
 		{"killed process, connections refused", true, 300 * clock.Ms, 0},
 		{"lost machine", false, 1100 * clock.Ms, 700 * clock.Ms},
 	} {
-		took := []int64{}
+		durationsUs := []int64{}
 		for seed := range int64(20) {
 			tc, lost := newFourVoterCluster(t, seed)
 			tc.refusesConnections = c.refuses
@@ -48,10 +48,10 @@
 			for !allSeeThreeVoters(tc) && tc.nowUs-sinceUs < 5*clock.Sec {
 				tc.advance(stepUs)
 			}
-			took = append(took, tc.nowUs-sinceUs)
+			durationsUs = append(durationsUs, tc.nowUs-sinceUs)
 		}
-		slices.Sort(took)
-		median, most := took[len(took)/2], took[len(took)-1]
+		slices.Sort(durationsUs)
+		median, most := durationsUs[len(durationsUs)/2], durationsUs[len(durationsUs)-1]
 		t.Logf("%s: three voters after %d ms (median), %d ms at most", c.what, median/clock.Ms, most/clock.Ms)
 		if most > c.mostUs || median < c.leastUs {
 			t.Errorf("%s: got three voters after %d ms (median), %d ms at most, want a median of at least %d ms and %d ms at most", c.what, median/clock.Ms, most/clock.Ms, c.leastUs/clock.Ms, c.mostUs/clock.Ms)
--- a/internal/controlplane/chain/replaced_vote_test.go
+++ b/internal/controlplane/chain/replaced_vote_test.go
@@ -8,9 +8,9 @@
 )
 
 // cutBetween cuts every link between two groups of control nodes; messages in flight there are lost.
-func (tc *testCluster) cutBetween(one, other []*testMember) {
-	for _, a := range one {
-		for _, b := range other {
+func (tc *testCluster) cutBetween(left, right []*testMember) {
+	for _, a := range left {
+		for _, b := range right {
 			tc.cutLinks[[2]string{a.member.Addr, b.member.Addr}] = true
 		}
 	}
--- a/internal/controlplane/chain/restart_test.go
+++ b/internal/controlplane/chain/restart_test.go
@@ -40,8 +40,8 @@
 		}
 		tc.advance(stepUs)
 	}
-	waits := func(s *testMember) bool { return s.node.View().Number <= before || !s.node.isServing() }
-	for slices.ContainsFunc(tc.members, waits) {
+	isBehind := func(s *testMember) bool { return s.node.View().Number <= before || !s.node.isServing() }
+	for slices.ContainsFunc(tc.members, isBehind) {
 		if tc.advance(stepUs); tc.nowUs-lastUs > 2*clock.Sec {
 			tc.t.Fatalf("got no view of all members 2 s after the last start, want one after view %d", before)
 		}
@@ -57,14 +57,14 @@
 		size    int
 		apartUs int64
 	}{{3, powerLossSpreadUs}, {5, powerLossSpreadUs}, {3, killSpreadUs}, {5, killSpreadUs}} {
-		took := []int64{}
+		durationsUs := []int64{}
 		for seed := int64(1); seed <= 60; seed++ {
 			tc := newFleetTimedCluster(t, seed, c.size)
-			took = append(took, tc.restartAll(c.apartUs))
+			durationsUs = append(durationsUs, tc.restartAll(c.apartUs))
 			tc.requireSettled(30*clock.Sec, "after the restart")
 		}
-		slices.Sort(took)
-		median, most := took[len(took)/2], took[len(took)-1]
+		slices.Sort(durationsUs)
+		median, most := durationsUs[len(durationsUs)/2], durationsUs[len(durationsUs)-1]
 		t.Logf("%d members up to %d ms apart, from the last start to the view: median %d ms, maximum %d ms", c.size, c.apartUs/1000, median/1000, most/1000)
 		if most > maxViewDelayUs {
 			t.Errorf("%d members up to %d ms apart: got up to %d ms from the last start to the view, want at most %d ms", c.size, c.apartUs/1000, most/1000, maxViewDelayUs/1000)
--- a/internal/controlplane/chain/unsynced_log_test.go
+++ b/internal/controlplane/chain/unsynced_log_test.go
@@ -11,19 +11,19 @@
 // view, in which it is the second of three replicas.
 func restartedMember(t *testing.T, unsynced bool) *Node {
 	t.Helper()
-	seats := []Replica{}
+	replicas := []Replica{}
 	for _, id := range []string{"a", "b", "c"} {
-		seats = append(seats, Replica{Member: Member{ID: id, Name: id, Addr: id}, Incarnation: id + "/2"})
+		replicas = append(replicas, Replica{Member: Member{ID: id, Name: id, Addr: id}, Incarnation: id + "/2"})
 	}
-	voters := []Member{seats[0].Member, seats[1].Member, seats[2].Member}
-	old := View{Number: 1, Voters: voters, Replicas: []Replica{{Member: seats[0].Member, Incarnation: "a/1"}, {Member: seats[1].Member, Incarnation: "b/1"}, {Member: seats[2].Member, Incarnation: "c/1"}}}
+	voters := []Member{replicas[0].Member, replicas[1].Member, replicas[2].Member}
+	old := View{Number: 1, Voters: voters, Replicas: []Replica{{Member: replicas[0].Member, Incarnation: "a/1"}, {Member: replicas[1].Member, Incarnation: "b/1"}, {Member: replicas[2].Member, Incarnation: "c/1"}}}
 	records := []Record{{View: &old}, {CaughtUpView: 1}, {Entry: &Entry{Index: 1, View: 1, Change: statemachine.Change{ID: "first"}}}}
-	n, err := NewNode(Options{Self: seats[1].Member, Incarnation: "b/2", UnsyncedLog: unsynced}, records, clock.Sec)
+	n, err := NewNode(Options{Self: replicas[1].Member, Incarnation: "b/2", UnsyncedLog: unsynced}, records, clock.Sec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := View{Number: 2, Voters: voters, Replicas: seats}
-	head := Hello{Member: seats[0].Member, Incarnation: "a/2", Phase: PhaseServing, View: next, LastIndex: 1, LastView: 1, CaughtUp: true}
+	next := View{Number: 2, Voters: voters, Replicas: replicas}
+	head := Hello{Member: replicas[0].Member, Incarnation: "a/2", Phase: PhaseServing, View: next, LastIndex: 1, LastView: 1, CaughtUp: true}
 	n.Step(clock.Sec+clock.Ms, MessageReceived{Msg: &Msg{From: head.Member, Incarnation: head.Incarnation, Hello: &head}})
 	if !n.isServing() || n.position() != 1 {
 		t.Fatalf("got phase %s and position %d, want serving and 1", n.phase, n.position())
--- a/internal/controlplane/chain/validate_test.go
+++ b/internal/controlplane/chain/validate_test.go
@@ -14,7 +14,7 @@
 	from := tc.members[0]
 	next := n.View()
 	next.Number++
-	with := func(change func(*View)) View {
+	modified := func(change func(*View)) View {
 		v := next
 		v.Voters, v.Replicas = append([]Member(nil), v.Voters...), append([]Replica(nil), v.Replicas...)
 		change(&v)
@@ -31,15 +31,15 @@
 		"an accept with the maximum ballot":        {Accept: &Accept{Number: next.Number, Ballot: high, View: next}},
 		"a rejection with the maximum ballot":      {Promise: &Promise{Number: next.Number, PromisedBallot: high}},
 		"a hello that promised the maximum ballot": {Hello: &Hello{Member: from.member, Incarnation: from.opts.Incarnation, View: n.View(), PromisedBallot: high}},
-		"an accept of another view number":         {Accept: accept(with(func(v *View) { v.Number++ }))},
+		"an accept of another view number":         {Accept: accept(modified(func(v *View) { v.Number++ }))},
 		"an accept of a view without members":      {Accept: accept(View{Number: next.Number, System: next.System})},
-		"an accept without replicas":               {Accept: accept(with(func(v *View) { v.Replicas = nil }))},
-		"an accept with one voter twice":           {Accept: accept(with(func(v *View) { v.Voters[1] = v.Voters[0] }))},
-		"an accept with a voter without an ID":     {Accept: accept(with(func(v *View) { v.Voters[1].ID = "" }))},
-		"a hello with the maximum view number":     {Hello: hello(with(func(v *View) { v.Number = math.MaxUint64 }))},
-		"a hello with one replica twice":           {Hello: hello(with(func(v *View) { v.Replicas[1] = v.Replicas[0] }))},
-		"a hello with a replica without an ID":     {Hello: hello(with(func(v *View) { v.Replicas[1].ID = "" }))},
-		"a hello with negative extra voters":       {Hello: hello(with(func(v *View) { v.ExtraVoters = -1 }))},
+		"an accept without replicas":               {Accept: accept(modified(func(v *View) { v.Replicas = nil }))},
+		"an accept with one voter twice":           {Accept: accept(modified(func(v *View) { v.Voters[1] = v.Voters[0] }))},
+		"an accept with a voter without an ID":     {Accept: accept(modified(func(v *View) { v.Voters[1].ID = "" }))},
+		"a hello with the maximum view number":     {Hello: hello(modified(func(v *View) { v.Number = math.MaxUint64 }))},
+		"a hello with one replica twice":           {Hello: hello(modified(func(v *View) { v.Replicas[1] = v.Replicas[0] }))},
+		"a hello with a replica without an ID":     {Hello: hello(modified(func(v *View) { v.Replicas[1].ID = "" }))},
+		"a hello with negative extra voters":       {Hello: hello(modified(func(v *View) { v.ExtraVoters = -1 }))},
 		"a snapshot of an empty state":             {Forward: &Forward{View: n.view.Number, Snapshot: &Snapshot{Index: n.LastIndex() + 9, State: &statemachine.State{}}}},
 		"a snapshot without a state":               {InstallSnapshot: &InstallSnapshot{View: n.view.Number, Incarnation: n.opts.Incarnation}},
 		"a snapshot with a nil replica":            {Forward: &Forward{View: n.view.Number, Snapshot: &Snapshot{Index: n.LastIndex() + 9, State: malformedState()}}},
