--- a/internal/controlplane/placement/placement.go
+++ b/internal/controlplane/placement/placement.go
@@ -98,8 +98,8 @@
 func Run(p configuration.Policy, fleet Fleet) (answer RunResult) {
 	answer.Policy = p.Name
 	t := newThread(p.Name)
-	wakeup := time.AfterFunc(MaxRunTime, func() { t.Cancel("time cap") })
-	defer wakeup.Stop()
+	timer := time.AfterFunc(MaxRunTime, func() { t.Cancel("time cap") })
+	defer timer.Stop()
 	defer func() {
 		answer.Steps = t.ExecutionSteps()
 		if r := recover(); r != nil {
--- a/internal/controlplane/placement/placement_test.go
+++ b/internal/controlplane/placement/placement_test.go
@@ -40,8 +40,8 @@
 	if a.Fault == nil {
 		t.Fatal("a policy wrote into the fleet's state")
 	}
-	twice := configuration.Policy{Name: "p", Source: "def propose(fleet):\n  return [{'step': 'load', 'replica': r, 'unit': m} for r in ['x', 'y'] for m in fleet['models']]"}
-	if a, b := Run(twice, fleet), Run(twice, fleet); len(a.Proposals) != 2 || a.Proposals[1] != b.Proposals[1] || a.Steps != b.Steps {
+	policy := configuration.Policy{Name: "p", Source: "def propose(fleet):\n  return [{'step': 'load', 'replica': r, 'unit': m} for r in ['x', 'y'] for m in fleet['models']]"}
+	if a, b := Run(policy, fleet), Run(policy, fleet); len(a.Proposals) != 2 || a.Proposals[1] != b.Proposals[1] || a.Steps != b.Steps {
 		t.Fatal("two runs differ")
 	}
 }
--- a/internal/controlplane/placement/resident_adapters.go
+++ b/internal/controlplane/placement/resident_adapters.go
@@ -48,7 +48,7 @@
 	}
 	best := adapterSlot{index: -1}
 	for i := range r.in.Candidates {
-		if slot, may := r.adapterCandidate(i, m); may && (best.index < 0 || slot.cost < best.cost) {
+		if slot, ok := r.adapterCandidate(i, m); ok && (best.index < 0 || slot.cost < best.cost) {
 			best = slot
 		}
 	}
@@ -84,7 +84,7 @@
 }
 
 // adapterCandidate weighs a replica as the place for one more adapter of a model.
-func (r *residentRun) adapterCandidate(i int, m *configuration.EngineModel) (slot adapterSlot, may bool) {
+func (r *residentRun) adapterCandidate(i int, m *configuration.EngineModel) (slot adapterSlot, ok bool) {
 	candidate := &r.in.Candidates[i]
 	if !candidate.Usable || candidate.Unloading == m.Name {
 		return slot, false
--- a/internal/controlplane/placement/resident_copies.go
+++ b/internal/controlplane/placement/resident_copies.go
@@ -148,8 +148,8 @@
 func (r *residentRun) placeModel(name string) {
 	best, bestCost := -1, 0.0
 	for i := range r.in.Candidates {
-		cost, may := r.placeCost(i, name)
-		if may && (best < 0 || cost < bestCost) {
+		cost, ok := r.placeCost(i, name)
+		if ok && (best < 0 || cost < bestCost) {
 			best, bestCost = i, cost
 		}
 	}
@@ -161,7 +161,7 @@
 }
 
 // placeCost is the time until a model is at a replica, in ms, and what is lost by it there in the same measure.
-func (r *residentRun) placeCost(i int, name string) (costMs float64, may bool) {
+func (r *residentRun) placeCost(i int, name string) (costMs float64, ok bool) {
 	candidate, m := &r.in.Candidates[i], r.modelByName[name]
 	if !candidate.Usable || r.busy[i] {
 		return 0, false
--- a/internal/controlplane/placement/resident_test.go
+++ b/internal/controlplane/placement/resident_test.go
@@ -14,7 +14,7 @@
 )
 
 // hall is a random fleet: a ledger with replicas of one service, and what calls ask of it.
-type hall struct {
+type randomFleet struct {
 	r     *rand.Rand
 	s     *statemachine.State
 	in    Service
@@ -22,45 +22,45 @@
 	index uint64
 }
 
-func (h *hall) apply(c statemachine.Change) statemachine.Outcome {
-	h.index++
-	return h.s.Apply(h.index, c)
+func (f *randomFleet) apply(c statemachine.Change) statemachine.Outcome {
+	f.index++
+	return f.s.Apply(f.index, c)
 }
 
-func newHall(t *testing.T, seed int64) *hall {
+func newRandomFleet(t *testing.T, seed int64) *randomFleet {
 	t.Helper()
 	r := rand.New(rand.NewSource(seed))
-	h := &hall{r: r, s: statemachine.NewState(), ages: map[string]map[string]int64{}}
+	f := &randomFleet{r: r, s: statemachine.NewState(), ages: map[string]map[string]int64{}}
 	e := &configuration.Engine{Slots: 8, CacheTokens: 1, CapacityMB: 100, MaxAdapters: r.Intn(5), LoadsPerSecond: 2}
 	for i := range 3 + r.Intn(18) {
 		e.Models = append(e.Models, configuration.EngineModel{Name: fmt.Sprint("m", i), SizeMB: 5 + r.Int63n(60), LoadMs: 500 + r.Int63n(2000), Adapters: r.Intn(4), AdapterMB: 1 + r.Int63n(4)})
 	}
 	doc := &configuration.Declaration{Version: 1, Services: []configuration.Service{{Name: "s", Engine: e}}}
-	if out := h.apply(statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: doc}}); out.Fault != nil {
+	if out := f.apply(statemachine.Change{ID: "c", Config: &statemachine.ConfigChange{Version: 1, Doc: doc}}); out.Fault != nil {
 		t.Fatal(out.Fault)
 	}
 	for i := range 1 + r.Intn(9) {
 		n := statemachine.ReplicaUpdate{ID: fmt.Sprint("r", i), Incarnation: "i", Addr: "a", Zone: "z", CapacityMB: 100, Slots: 8, Service: "s", ResidentKnown: true, Draining: r.Intn(10) == 0, Unreachable: r.Intn(10) == 0}
-		left, places := int64(100), e.MaxAdapters
+		freeMb, freeSlots := int64(100), e.MaxAdapters
 		for _, m := range r.Perm(len(e.Models)) {
-			if m := e.Models[m]; m.SizeMB <= left && r.Intn(3) > 0 {
+			if m := e.Models[m]; m.SizeMB <= freeMb && r.Intn(3) > 0 {
 				n.Resident = append(n.Resident, statemachine.ResidentUnit{Unit: m.Name, SizeMB: m.SizeMB})
-				left -= m.SizeMB
+				freeMb -= m.SizeMB
 				for a := 1; a <= m.Adapters; a++ {
-					if places > 0 && m.AdapterMB <= left && r.Intn(2) == 0 {
+					if freeSlots > 0 && m.AdapterMB <= freeMb && r.Intn(2) == 0 {
 						n.Resident = append(n.Resident, statemachine.ResidentUnit{Unit: fmt.Sprint(m.Name, "/a", a), SizeMB: m.AdapterMB})
-						places, left = places-1, left-m.AdapterMB
+						freeSlots, freeMb = freeSlots-1, freeMb-m.AdapterMB
 					}
 				}
 			}
 		}
-		if r.Intn(20) == 0 && left > 3 {
+		if r.Intn(20) == 0 && freeMb > 3 {
 			n.Resident = append(n.Resident, statemachine.ResidentUnit{Unit: "of an older configuration", SizeMB: 3})
 		}
-		h.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{n}}})
-		h.ages[n.ID] = map[string]int64{}
+		f.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Replicas: []statemachine.ReplicaUpdate{n}}})
+		f.ages[n.ID] = map[string]int64{}
 	}
-	h.in = Service{Name: "s", Engine: e, Models: map[string]Demand{}, Adapters: map[string]Demand{}, StoreLoadsLeft: r.Intn(4), MinSpares: r.Intn(3)}
+	f.in = Service{Name: "s", Engine: e, Models: map[string]Demand{}, Adapters: map[string]Demand{}, StoreLoadsLeft: r.Intn(4), MinSpares: r.Intn(3)}
 	for _, m := range e.Models {
 		if r.Intn(3) > 0 {
 			n := Demand{Rate: []float64{0, 0.2, 0.5, 2, 20}[r.Intn(5)], IdleMs: r.Int63n(30_000)}
@@ -68,51 +68,51 @@
 			if r.Intn(3) == 0 {
 				n.Waiting = r.Intn(6)
 			}
-			h.in.Models[m.Name] = n
+			f.in.Models[m.Name] = n
 			for a := 1; a <= m.Adapters; a++ {
-				h.in.Adapters[fmt.Sprint(m.Name, "/a", a)] = Demand{Rate: r.Float64(), Waiting: r.Intn(3), IdleMs: r.Int63n(9000)}
+				f.in.Adapters[fmt.Sprint(m.Name, "/a", a)] = Demand{Rate: r.Float64(), Waiting: r.Intn(3), IdleMs: r.Int63n(9000)}
 			}
 		}
 	}
-	return h
+	return f
 }
 
 // homes reads the ledger as the controller does.
-func (h *hall) homes(fresh bool) {
-	h.in.Candidates = nil
-	for _, id := range h.s.ReplicaIDs() {
-		r := h.s.Replicas[id]
-		home := Candidate{ID: id, Usable: !r.Draining && !r.Unreachable, FreeMb: r.CapacityMB - h.s.ReservedMB(id), SizeMbOf: maps.Clone(r.Resident), WarmUnits: maps.Clone(r.EverLoaded),
-			Running: map[string]int{}, Unstarted: map[string]int{}, ResidentMs: h.ages[id]}
-		if t, pending := h.s.Pending[id]; pending {
-			home.Busy = true
-			if home.Loading = t.Unit; t.Action == statemachine.Unload {
-				home.Loading, home.Unloading = "", t.Unit
+func (f *randomFleet) refreshCandidates(randomize bool) {
+	f.in.Candidates = nil
+	for _, id := range f.s.ReplicaIDs() {
+		r := f.s.Replicas[id]
+		candidate := Candidate{ID: id, Usable: !r.Draining && !r.Unreachable, FreeMb: r.CapacityMB - f.s.ReservedMB(id), SizeMbOf: maps.Clone(r.Resident), WarmUnits: maps.Clone(r.EverLoaded),
+			Running: map[string]int{}, Unstarted: map[string]int{}, ResidentMs: f.ages[id]}
+		if t, pending := f.s.Pending[id]; pending {
+			candidate.Busy = true
+			if candidate.Loading = t.Unit; t.Action == statemachine.Unload {
+				candidate.Loading, candidate.Unloading = "", t.Unit
 			}
 		}
 		for unit := range r.Resident {
-			if fresh {
-				home.Running[unit], home.Unstarted[unit] = h.r.Intn(3), max(0, h.r.Intn(4)-2)
-				h.ages[id][unit] = h.r.Int63n(4000)
+			if randomize {
+				candidate.Running[unit], candidate.Unstarted[unit] = f.r.Intn(3), max(0, f.r.Intn(4)-2)
+				f.ages[id][unit] = f.r.Int63n(4000)
 			}
 		}
-		h.in.Candidates = append(h.in.Candidates, home)
+		f.in.Candidates = append(f.in.Candidates, candidate)
 	}
 }
 
-func (h *hall) held(model string) (n int) {
-	for _, home := range h.in.Candidates {
-		if _, has := home.SizeMbOf[model]; (has && home.Unloading != model || home.Loading == model) && home.Usable {
+func (f *randomFleet) copyCount(model string) (n int) {
+	for _, candidate := range f.in.Candidates {
+		if _, has := candidate.SizeMbOf[model]; (has && candidate.Unloading != model || candidate.Loading == model) && candidate.Usable {
 			n++
 		}
 	}
 	return n
 }
 
-func (h *hall) home(id string) *Candidate {
-	for i := range h.in.Candidates {
-		if h.in.Candidates[i].ID == id {
-			return &h.in.Candidates[i]
+func (f *randomFleet) candidate(id string) *Candidate {
+	for i := range f.in.Candidates {
+		if f.in.Candidates[i].ID == id {
+			return &f.in.Candidates[i]
 		}
 	}
 	return nil
@@ -122,54 +122,54 @@
 func TestSeededProposalsAreAcceptedAndKeepNeededModels(t *testing.T) {
 	loads, unloads := 0, 0
 	for seed := int64(0); seed < 1500; seed++ {
-		h := newHall(t, seed)
+		f := newRandomFleet(t, seed)
 		for round := 0; round < 4; round++ {
-			h.homes(true)
-			proposals, _ := Resident(h.in)
-			tickets, verdicts := CheckRouted(h.s, h.in.StoreLoadsLeft, proposals)
+			f.refreshCandidates(true)
+			proposals, _ := Resident(f.in)
+			tickets, verdicts := CheckRouted(f.s, f.in.StoreLoadsLeft, proposals)
 			for _, v := range verdicts {
 				if v.Fault != nil {
 					t.Fatalf("seed %d: the checker refuses %+v: %v", seed, v.Proposal, v.Fault)
 				}
 			}
-			out := h.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Commands: tickets}})
+			out := f.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Commands: tickets}})
 			if len(out.Faults) > 0 {
 				t.Fatalf("seed %d: the ledger refuses: %v", seed, out.Faults)
 			}
 			fromStore := 0
-			gone := map[string]int{}
+			unloaded := map[string]int{}
 			for _, p := range proposals {
-				home, n := h.home(p.Replica), h.in.Models[p.Unit]
+				candidate, n := f.candidate(p.Replica), f.in.Models[p.Unit]
 				switch {
-				case !home.Usable || home.Busy:
+				case !candidate.Usable || candidate.Busy:
 					t.Fatalf("seed %d: %+v at a replica that is not free for it", seed, p)
 				case p.Step == statemachine.Load:
-					if loads++; !strings.Contains(p.Unit, "/") && !home.WarmUnits[p.Unit] {
+					if loads++; !strings.Contains(p.Unit, "/") && !candidate.WarmUnits[p.Unit] {
 						fromStore++
 					}
-				case strings.Contains(p.Unit, "/") || h.s.Doc.EngineModel("s", p.Unit) == nil:
+				case strings.Contains(p.Unit, "/") || f.s.Doc.EngineModel("s", p.Unit) == nil:
 					unloads++
 				default:
 					unloads++
-					gone[p.Unit]++
-					if n.Waiting > 0 && h.held(p.Unit) <= gone[p.Unit] {
+					unloaded[p.Unit]++
+					if n.Waiting > 0 && f.copyCount(p.Unit) <= unloaded[p.Unit] {
 						t.Fatalf("seed %d: %+v, and calls wait for it", seed, p)
 					}
-					if n.Rate >= secondCopyRate && h.held(p.Unit) <= gone[p.Unit] {
+					if n.Rate >= secondCopyRate && f.copyCount(p.Unit) <= unloaded[p.Unit] {
 						t.Fatalf("seed %d: %+v, the last copy of what is called %.1f times a second", seed, p, n.Rate)
 					}
-					if home.Unstarted[p.Unit] > 0 || (home.ResidentMs[p.Unit] > 0 && home.ResidentMs[p.Unit] < minResidentMs) {
+					if candidate.Unstarted[p.Unit] > 0 || (candidate.ResidentMs[p.Unit] > 0 && candidate.ResidentMs[p.Unit] < minResidentMs) {
 						t.Fatalf("seed %d: %+v, with calls that have not begun or only just there", seed, p)
 					}
 				}
 			}
-			if fromStore > h.in.StoreLoadsLeft {
-				t.Fatalf("seed %d: %d loads from the store, %d are left", seed, fromStore, h.in.StoreLoadsLeft)
+			if fromStore > f.in.StoreLoadsLeft {
+				t.Fatalf("seed %d: %d loads from the store, %d are left", seed, fromStore, f.in.StoreLoadsLeft)
 			}
-			h.waitingFirst(t, seed, proposals)
-			for _, id := range slices.Sorted(maps.Keys(h.s.Pending)) {
-				if h.r.Intn(2) == 0 {
-					h.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: h.s.Pending[id].Number, Succeeded: h.r.Intn(4) > 0}}}})
+			f.checkWaitingModelsFirst(t, seed, proposals)
+			for _, id := range slices.Sorted(maps.Keys(f.s.Pending)) {
+				if f.r.Intn(2) == 0 {
+					f.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: f.s.Pending[id].Number, Succeeded: f.r.Intn(4) > 0}}}})
 				}
 			}
 		}
@@ -180,13 +180,13 @@
 	}
 }
 
-// waitingFirst: nothing is fetched that no call waits for while a model that calls wait for, and nobody has,
+// checkWaitingModelsFirst: nothing is fetched that no call waits for while a model that calls wait for, and nobody has,
 // would fit at a replica that is free.
-func (h *hall) waitingFirst(t *testing.T, seed int64, proposals []Proposal) {
+func (f *randomFleet) checkWaitingModelsFirst(t *testing.T, seed int64, proposals []Proposal) {
 	served, other := map[string]bool{}, ""
 	for _, p := range proposals {
 		if p.Step == statemachine.Load && !strings.Contains(p.Unit, "/") {
-			if served[p.Unit] = true; h.in.Models[p.Unit].Waiting == 0 {
+			if served[p.Unit] = true; f.in.Models[p.Unit].Waiting == 0 {
 				other = p.Unit
 			}
 		}
@@ -194,16 +194,16 @@
 			served[name] = true
 		}
 	}
-	for name, n := range h.in.Models {
-		if n.Waiting == 0 || h.held(name) > 0 || served[name] || other == "" {
+	for name, n := range f.in.Models {
+		if n.Waiting == 0 || f.copyCount(name) > 0 || served[name] || other == "" {
 			continue
 		}
-		for _, home := range h.in.Candidates {
-			if taken := slices.ContainsFunc(proposals, func(p Proposal) bool { return p.Replica == home.ID && p.Unit != other }); taken || home.Busy || !home.Usable {
+		for _, candidate := range f.in.Candidates {
+			if taken := slices.ContainsFunc(proposals, func(p Proposal) bool { return p.Replica == candidate.ID && p.Unit != other }); taken || candidate.Busy || !candidate.Usable {
 				continue
 			}
-			if _, has := home.SizeMbOf[name]; !has && home.FreeMb >= h.s.Doc.EngineModel("s", name).SizeMB && (home.WarmUnits[name] || h.in.StoreLoadsLeft > 0) {
-				t.Fatalf("seed %d: %s is fetched, and calls wait for %s, which fits at %s", seed, other, name, home.ID)
+			if _, has := candidate.SizeMbOf[name]; !has && candidate.FreeMb >= f.s.Doc.EngineModel("s", name).SizeMB && (candidate.WarmUnits[name] || f.in.StoreLoadsLeft > 0) {
+				t.Fatalf("seed %d: %s is fetched, and calls wait for %s, which fits at %s", seed, other, name, candidate.ID)
 			}
 		}
 	}
@@ -214,55 +214,55 @@
 func TestSeededPolicyConverges(t *testing.T) {
 	rounds := 0
 	for seed := int64(0); seed < 400; seed++ {
-		h := newHall(t, seed)
-		h.in.StoreLoadsLeft = 3
+		f := newRandomFleet(t, seed)
+		f.in.StoreLoadsLeft = 3
 		wanted := ""
-		for _, m := range h.in.Engine.Models {
-			n := h.in.Models[m.Name]
+		for _, m := range f.in.Engine.Models {
+			n := f.in.Models[m.Name]
 			n.Waiting = 0
 			if seed%2 == 0 {
 				n.Rate, n.Utilization, n.IdleMs = 0, 0, 1<<30
 			}
-			h.in.Models[m.Name] = n
+			f.in.Models[m.Name] = n
 			wanted = m.Name
 		}
-		for unit, n := range h.in.Adapters {
+		for unit, n := range f.in.Adapters {
 			n.Waiting = 0
-			h.in.Adapters[unit] = n
+			f.in.Adapters[unit] = n
 		}
 		usable := false
-		for _, id := range h.s.ReplicaIDs() {
-			r := h.s.Replicas[id]
+		for _, id := range f.s.ReplicaIDs() {
+			r := f.s.Replicas[id]
 			usable = usable || (!r.Draining && !r.Unreachable)
 		}
-		quiet := 0
-		said := []Proposal{}
-		for round := 0; quiet < 3; round++ {
+		idleRounds := 0
+		history := []Proposal{}
+		for round := 0; idleRounds < 3; round++ {
 			if round > 200 {
-				t.Fatalf("seed %d: it never comes to rest; the last it proposed: %+v", seed, said[len(said)-6:])
+				t.Fatalf("seed %d: it never comes to rest; the last it proposed: %+v", seed, history[len(history)-6:])
 			}
-			h.homes(false)
-			if n := h.in.Models[wanted]; seed%2 == 0 && usable {
+			f.refreshCandidates(false)
+			if n := f.in.Models[wanted]; seed%2 == 0 && usable {
 				n.Rate, n.IdleMs, n.Waiting = 0.5, 0, 1
-				if h.held(wanted) > 0 {
+				if f.copyCount(wanted) > 0 {
 					n.Waiting = 0
 				}
-				h.in.Models[wanted] = n
+				f.in.Models[wanted] = n
 			}
-			proposals, _ := Resident(h.in)
-			said = append(said, proposals...)
-			tickets, _ := CheckRouted(h.s, h.in.StoreLoadsLeft, proposals)
-			h.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Commands: tickets}})
-			for _, id := range slices.Sorted(maps.Keys(h.s.Pending)) {
-				h.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: h.s.Pending[id].Number, Succeeded: true}}}})
+			proposals, _ := Resident(f.in)
+			history = append(history, proposals...)
+			tickets, _ := CheckRouted(f.s, f.in.StoreLoadsLeft, proposals)
+			f.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Commands: tickets}})
+			for _, id := range slices.Sorted(maps.Keys(f.s.Pending)) {
+				f.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Results: []statemachine.CommandResult{{Number: f.s.Pending[id].Number, Succeeded: true}}}})
 			}
-			quiet++
+			idleRounds++
 			if len(tickets) > 0 {
-				quiet = 0
+				idleRounds = 0
 			}
 			rounds++
 		}
-		if h.homes(false); seed%2 == 0 && usable && h.held(wanted) == 0 {
+		if f.refreshCandidates(false); seed%2 == 0 && usable && f.copyCount(wanted) == 0 {
 			t.Fatalf("seed %d: it rests, and calls wait for %s", seed, wanted)
 		}
 	}
@@ -296,26 +296,26 @@
 	e := &configuration.Engine{Slots: 8, CacheTokens: 1, CapacityMB: 100, LoadsPerSecond: 40, Models: []configuration.EngineModel{{Name: "hot", SizeMB: 60, LoadMs: 2000}, {Name: "cold", SizeMB: 60, LoadMs: 2000}}}
 	in := Service{Name: "s", Engine: e, StoreLoadsLeft: 10, Models: map[string]Demand{"hot": {Rate: 30, Utilization: 2.8}, "cold": {IdleMs: 60_000}}, Adapters: map[string]Demand{}}
 	for i := range 8 {
-		h := Candidate{ID: fmt.Sprint("r", i), Usable: true, FreeMb: 40, SizeMbOf: map[string]int64{"cold": 60}}
+		candidate := Candidate{ID: fmt.Sprint("r", i), Usable: true, FreeMb: 40, SizeMbOf: map[string]int64{"cold": 60}}
 		switch i {
 		case 0:
-			h.SizeMbOf = map[string]int64{"hot": 60}
+			candidate.SizeMbOf = map[string]int64{"hot": 60}
 		case 1, 2:
-			h.Busy, h.Unloading, h.ReservedFor = true, "cold", "hot"
+			candidate.Busy, candidate.Unloading, candidate.ReservedFor = true, "cold", "hot"
 		case 3:
-			h.FreeMb, h.SizeMbOf, h.ReservedFor = 100, map[string]int64{}, "hot"
+			candidate.FreeMb, candidate.SizeMbOf, candidate.ReservedFor = 100, map[string]int64{}, "hot"
 		}
-		in.Candidates = append(in.Candidates, h)
+		in.Candidates = append(in.Candidates, candidate)
 	}
 	out, _ := Resident(in)
-	begun := map[string]int{}
+	started := map[string]int{}
 	for _, p := range out {
 		if (p.Step == statemachine.Load && p.Unit == "hot") || p.For == "hot" {
-			begun[p.Replica]++
+			started[p.Replica]++
 		}
 	}
-	if len(begun) != 2 || begun["r3"] != 1 {
-		t.Errorf("begun at %v: want r3, where there is room by now, and one more beside it", begun)
+	if len(started) != 2 || started["r3"] != 1 {
+		t.Errorf("begun at %v: want r3, where there is room by now, and one more beside it", started)
 	}
 	in.Models["hot"] = Demand{Rate: 4, Utilization: 1.2}
 	if out, _ := Resident(in); slices.ContainsFunc(out, func(p Proposal) bool { return p.For == "hot" }) {
--- a/internal/controlplane/placement/resident_victims.go
+++ b/internal/controlplane/placement/resident_victims.go
@@ -45,8 +45,8 @@
 			break
 		}
 		if r.modelByName[v.unit] != nil {
-			unitLoss, may := r.lossOf(i, v.unit)
-			if !may {
+			unitLoss, evictable := r.lossOf(i, v.unit)
+			if !evictable {
 				continue
 			}
 			v.loss = unitLoss
@@ -72,7 +72,7 @@
 			}
 			continue
 		}
-		if loss, may := r.lossOf(i, unit); may {
+		if loss, evictable := r.lossOf(i, unit); evictable {
 			all = append(all, victim{unit, mb + r.adaptersMb(candidate, unit), loss})
 		}
 	}
@@ -99,16 +99,16 @@
 
 // lossOf is what is lost if a model goes from a replica: little while more than enough others hold it, else
 // by how often and how lately it was called for.
-func (r *residentRun) lossOf(i int, unit string) (loss float64, may bool) {
+func (r *residentRun) lossOf(i int, unit string) (loss float64, evictable bool) {
 	candidate, n := &r.in.Candidates[i], r.in.Models[unit]
 	copies := max(r.copies[unit], 1)
 	if r.mustStay(candidate, unit, copies) {
 		return 0, false
 	}
 	_, called := r.in.Models[unit]
-	_, came := candidate.ResidentMs[unit]
+	_, loadedLater := candidate.ResidentMs[unit]
 	switch {
-	case !called && !came:
+	case !called && !loadedLater:
 		loss = initialValue / float64(copies)
 	case isFrequentlyCalled(n):
 		loss = n.Rate / float64(copies)
--- a/internal/controlplane/scaler/scaler.go
+++ b/internal/controlplane/scaler/scaler.go
@@ -140,11 +140,11 @@
 
 // sortByUrgency sorts models by rate and weight; without a rate, by weight alone.
 func (p *plan) sortByUrgency(order []int) {
-	urgent := func(i int) float64 {
+	urgency := func(i int) float64 {
 		weight := p.in.Doc.Models[i].Weight
 		return p.counts[i].Rate*float64(1+weight) + float64(weight)/weightOnlyDivisor
 	}
-	sort.SliceStable(order, func(a, b int) bool { return urgent(order[a]) > urgent(order[b]) })
+	sort.SliceStable(order, func(a, b int) bool { return urgency(order[a]) > urgency(order[b]) })
 }
 
 // placeFirst gives each model one replica, while there is room at all.
--- a/internal/controlplane/scaler/scaler_test.go
+++ b/internal/controlplane/scaler/scaler_test.go
@@ -21,13 +21,13 @@
 func TestChooseFollowsPublishedRule(t *testing.T) {
 	long := table(10, 400, 20, 300, 30, 200, 40, 195)
 	for _, c := range []struct {
-		name    string
-		table   []configuration.CapacityPoint
-		rate    float64
-		most    int
-		similar int
-		want    int
-		covers  bool
+		name         string
+		table        []configuration.CapacityPoint
+		rate         float64
+		maxReplicas  int
+		tolerancePct int
+		want         int
+		covers       bool
 	}{
 		{"covers the rate at the lowest latency", long, 15, 9, 0, 4, true},
 		{"similar latency takes fewer", long, 15, 9, 5, 3, true},
@@ -38,7 +38,7 @@
 		{"similar but not covering does not count", table(10, 100, 20, 100), 15, 9, 50, 2, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p, covers := Choose(c.table, c.rate, c.most, c.similar)
+			p, covers := Choose(c.table, c.rate, c.maxReplicas, c.tolerancePct)
 			if p.Replicas != c.want || covers != c.covers {
 				t.Fatalf("chose %d (covers %v), want %d (%v)", p.Replicas, covers, c.want, c.covers)
 			}
@@ -88,11 +88,11 @@
 	in = fleetOf(12, 1, 0)
 	in.Rates["m11"] = 5
 	got := counts(in)
-	held := 0
+	placed := 0
 	for _, n := range got {
-		held += n
+		placed += n
 	}
-	if held != 10 || got["m11"] != 1 {
+	if placed != 10 || got["m11"] != 1 {
 		t.Fatalf("room for ten, the one in demand among them, got %v", got)
 	}
 	in = fleetOf(1, 3, 0)
@@ -111,14 +111,14 @@
 	for i := range in.Doc.Models {
 		in.Rates[in.Doc.Models[i].Name] = float64(i)
 	}
-	least := time.Hour
+	fastest := time.Hour
 	for i := 0; i < 20; i++ {
-		began := time.Now()
+		start := time.Now()
 		Decide(in)
-		least = min(least, time.Since(began))
+		fastest = min(fastest, time.Since(start))
 	}
-	t.Logf("30 models over 9 replicas: %v", least)
-	if least > time.Second/2 {
-		t.Fatalf("the search takes %v", least)
+	t.Logf("30 models over 9 replicas: %v", fastest)
+	if fastest > time.Second/2 {
+		t.Fatalf("the search takes %v", fastest)
 	}
 }
