--- a/internal/controlplane/placement/check.go
+++ b/internal/controlplane/placement/check.go
@@ -9,39 +9,40 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// Verdict is what the checker said to a proposal; Fault is nil where it was taken.
+// Verdict is the result of checking a proposal; Fault is nil if the proposal was accepted.
 type Verdict struct {
 	Proposal Proposal     `json:"proposal"`
 	Fault    *fault.Fault `json:"fault,omitempty"`
 }
 
-// Check takes or refuses each proposal against a running account of room, rate and pending
-// orders, so that two proposals of one answer cannot both use the same room.
+// Check accepts or rejects each proposal for replicas listed by the platform. Capacity, store rate and pending commands
+// are accounted for across the proposals, so that two proposals of one result cannot both use the same capacity.
 func Check(s *statemachine.State, freeTokensMb float64, proposals []Proposal) (tickets []statemachine.ReplicaCommand, verdicts []Verdict) {
 	a := &checker{state: s, ordered: map[string]bool{}, pendingLoads: s.PendingLoads(), tokensMb: freeTokensMb}
 	return a.checkAll(proposals, a.checkDeclared)
 }
 
-// CheckRouted takes or refuses each proposal for services with engines, against a running account of
-// room, places, pending orders and what the store still gives.
+// CheckRouted accepts or rejects each proposal for services with engines. Capacity, pending commands and the
+// remaining store loads are accounted for across the proposals, with at most one command per replica.
 func CheckRouted(s *statemachine.State, storeLeft int, proposals []Proposal) (tickets []statemachine.ReplicaCommand, verdicts []Verdict) {
 	a := &checker{state: s, ordered: map[string]bool{}, storeLeft: storeLeft}
 	return a.checkAll(proposals, a.checkRouted)
 }
 
-// checker is what the proposals of one answer have used up so far.
+// checker accounts for what the accepted proposals of one result have used so far.
 type checker struct {
 	state *statemachine.State
-	// ordered are replicas that have a ticket of this answer; each gets one at the most.
+	// ordered is the set of replicas that already have a command from this result; each gets at most one.
 	ordered map[string]bool
-	// pendingLoads are those that are pending or taken, tokensMb what may be loaded now; both of replicas that the platform lists.
+	// pendingLoads counts the loads that are pending or accepted, and tokensMb is how much may be loaded now.
+	// Both apply to replicas listed by the platform.
 	pendingLoads int
 	tokensMb     float64
-	// storeLeft is how many loads the store still gives to replicas that make themselves known.
+	// storeLeft is how many more loads the store allows for self-registered replicas.
 	storeLeft int
 }
 
-// checkAll gives a verdict on each proposal, in order, and the tickets of those that were taken.
+// checkAll returns a verdict for each proposal, in order, and the commands for the accepted proposals.
 func (c *checker) checkAll(proposals []Proposal, check func(Proposal) (statemachine.ReplicaCommand, *fault.Fault)) (tickets []statemachine.ReplicaCommand, verdicts []Verdict) {
 	for _, p := range proposals {
 		t, f := check(p)
@@ -55,7 +56,7 @@
 	return tickets, verdicts
 }
 
-// checkDeclared checks a proposal for a replica that the platform lists.
+// checkDeclared checks a proposal for a replica listed by the platform.
 func (c *checker) checkDeclared(p Proposal) (statemachine.ReplicaCommand, *fault.Fault) {
 	r := c.state.Replicas[p.Replica]
 	if r == nil {
@@ -82,8 +83,8 @@
 	return t, nil
 }
 
-// checkStep checks that a replica may get an order, and that the step is one: an unload of what is held there, whose
-// ticket is whole with that, or a load.
+// checkStep checks that the replica has no pending command and that the step is either a load or the unload of a
+// resident unit. The command returned for an unload is complete; that for a load still lacks its size.
 func (c *checker) checkStep(r *statemachine.Replica, p Proposal) (statemachine.ReplicaCommand, *fault.Fault) {
 	t := statemachine.ReplicaCommand{Revision: c.state.Revision, Replica: r.ID, Incarnation: r.Incarnation, Action: p.Step, Unit: p.Unit, Reason: p.Why}
 	if _, pending := c.state.Pending[p.Replica]; pending || c.ordered[p.Replica] {
@@ -103,7 +104,7 @@
 	return t, fault.New(fault.PolicyInvalidResult, p.Replica, "no such step %q", p.Step)
 }
 
-// checkNoAdaptersLeft: a model does not go from a replica while adapters of it are there.
+// checkNoAdaptersLeft rejects the unload of a model while adapters of that model are resident on the replica.
 func (c *checker) checkNoAdaptersLeft(r *statemachine.Replica, p Proposal) *fault.Fault {
 	for unit := range r.Resident {
 		if adapter := c.state.Doc.Adapter(unit); adapter != nil && adapter.Model == p.Unit {
@@ -113,7 +114,8 @@
 	return nil
 }
 
-// checkMayLoad: a listed replica stays, does not hold a unit yet, has its model if it is an adapter, and has room for it.
+// checkMayLoad checks that a listed replica accepts loads, that the unit is not resident there yet, that the model of
+// an adapter is resident, and that the unit fits.
 func (c *checker) checkMayLoad(r *statemachine.Replica, p Proposal, sizeMb int64) *fault.Fault {
 	if !r.AcceptsLoads(c.state.Doc) {
 		return fault.New(fault.ReplicaDraining, p.Replica, "it is leaving, dark or in an emptied zone")
@@ -129,7 +131,7 @@
 	return c.checkCapacity(r, p, sizeMb)
 }
 
-// checkCapacity: a unit fits beside all that is held or on its way.
+// checkCapacity checks that a unit fits beside all resident units and pending loads.
 func (c *checker) checkCapacity(r *statemachine.Replica, p Proposal, sizeMb int64) *fault.Fault {
 	if reservedMb := c.state.ReservedMB(r.ID); reservedMb+sizeMb > r.CapacityMB {
 		return fault.New(fault.InsufficientCapacity, p.Replica, "%s takes %d MB, %d of %d MB are taken", p.Unit, sizeMb, reservedMb, r.CapacityMB)
@@ -137,7 +139,7 @@
 	return nil
 }
 
-// spendStoreRate takes a load out of what the weight store bears now.
+// spendStoreRate charges a load against the weight store's concurrency and rate limits, or rejects the load.
 func (c *checker) spendStoreRate(p Proposal, sizeMb int64) *fault.Fault {
 	if c.pendingLoads >= c.state.Doc.Store.Loads {
 		return fault.New(fault.StoreRateLimited, p.Replica, "%d loads are running", c.pendingLoads)
@@ -150,7 +152,7 @@
 	return nil
 }
 
-// Summary counts verdicts by fault, in one line for logs.
+// Summary returns the number of verdicts by fault code as one line for logs.
 func Summary(verdicts []Verdict) string {
 	byCode := map[string]int{}
 	for _, v := range verdicts {
--- a/internal/controlplane/placement/doc.go
+++ b/internal/controlplane/placement/doc.go
@@ -1,5 +1,5 @@
-// Package placement decides which replica should hold which model: policies written in Starlark, and the built-in
-// one that treats replicas' memory as a cache (Resident). It checks each proposal against the ledger before it
-// becomes an order. Package controller calls it, and the command line to compile a policy. It never orders
-// anything, and a policy's program reaches nothing but what it is given.
+// Package placement decides which replica should hold which model. It runs policies written in Starlark and the
+// built-in policy that treats the replicas' memory as a cache (Resident), and checks each proposal against the
+// replicated state before the proposal becomes a command. Package controller calls it; the command line calls it to
+// compile a policy. The package itself sends no commands, and a policy's program can access nothing but its argument.
 package placement
--- a/internal/controlplane/placement/placement.go
+++ b/internal/controlplane/placement/placement.go
@@ -13,27 +13,27 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// Bounds of one run of a policy: interpreter steps, proposals it may make, and time.
+// Limits of one policy run: interpreter steps, proposals returned, and elapsed time.
 const (
 	MaxSteps     = 3_000_000
 	MaxProposals = 64
 	MaxRunTime   = 400 * time.Millisecond
 )
 
-// maxReasonBytes bounds the reason that a policy gives for a proposal, in bytes.
+// maxReasonBytes is the length in bytes to which the reason that a policy gives for a proposal is truncated.
 const maxReasonBytes = 200
 
-// Proposal is one load or unload that a policy wants. Unit is a model, or an adapter as model/adapter.
+// Proposal is one load or unload that a policy requests. Unit is a model, or an adapter as model/adapter.
 type Proposal struct {
 	Step    statemachine.Action `json:"step"`
 	Replica string              `json:"replica"`
 	Unit    string              `json:"unit"`
 	Why     string              `json:"why,omitempty"`
-	// For is the unit that an unload makes room for.
+	// For is the unit for which an unload frees capacity.
 	For string `json:"for,omitempty"`
 }
 
-// Replica is one replica as a policy sees it. Sizes are in MB; InFlight counts requests that run there.
+// Replica is one replica as presented to a policy. Sizes are in MB; InFlight is the number of requests running on the replica.
 type Replica struct {
 	ID         string
 	Zone       string
@@ -47,8 +47,8 @@
 	InFlight   int
 }
 
-// Fleet is all that a policy sees: the declaration, the scaler's counts, arrivals a second and waiting requests by
-// model, and the replicas.
+// Fleet is the complete input of a policy: the declaration, the scaler's replica counts, the arrival rate per second
+// and the number of waiting requests by model or adapter, and the replicas.
 type Fleet struct {
 	Doc      *configuration.Declaration
 	Counts   []scaler.Count
@@ -57,7 +57,8 @@
 	Replicas []Replica
 }
 
-// RunResult is what a run of a policy gave: its proposals, or the fault that ended it, and the steps it took.
+// RunResult is the outcome of a policy run: the proposals, or the fault that ended the run, and the number of
+// interpreter steps executed.
 type RunResult struct {
 	Policy    string
 	Proposals []Proposal
@@ -65,15 +66,17 @@
 	Steps     uint64
 }
 
+// dialect is the set of Starlark language options for policies.
 var dialect = &syntax.FileOptions{Set: true, While: true, TopLevelControl: true, GlobalReassign: true}
 
+// newThread returns an interpreter thread that is limited to MaxSteps and discards printed output.
 func newThread(name string) *starlark.Thread {
 	t := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
 	t.SetMaxExecutionSteps(MaxSteps)
 	return t
 }
 
-// Compile checks a policy's source without running its decision; nil where it may be used.
+// Compile checks a policy's source without calling its propose function. It returns nil if the policy can be used.
 func Compile(name, source string) *fault.Fault {
 	_, program, err := starlark.SourceProgramOptions(dialect, name+".star", source, func(string) bool { return false })
 	if err != nil {
@@ -93,8 +96,8 @@
 	return nil
 }
 
-// Run asks a policy for proposals. It is deterministic but for the time cap, which only ever
-// turns an answer into a typed fault.
+// Run executes a policy and returns its proposals. The result is deterministic except for the time limit, which can
+// only replace the result by a typed fault.
 func Run(p configuration.Policy, fleet Fleet) (answer RunResult) {
 	answer.Policy = p.Name
 	t := newThread(p.Name)
@@ -127,6 +130,7 @@
 	return answer
 }
 
+// runFault converts an interpreter error to PolicyLimit if the step or time limit was exceeded, else to PolicyFailed.
 func runFault(name string, err error) *fault.Fault {
 	text := err.Error()
 	if strings.Contains(text, "too many steps") || strings.Contains(text, "time cap") {
@@ -135,7 +139,7 @@
 	return fault.New(fault.PolicyFailed, name, "%s", text)
 }
 
-// parseAnswer takes a policy's answer, a list of dicts, as proposals.
+// parseAnswer converts a policy's return value, a list of dicts, to proposals.
 func parseAnswer(name string, result starlark.Value) ([]Proposal, *fault.Fault) {
 	list, ok := result.(*starlark.List)
 	if !ok {
@@ -159,7 +163,7 @@
 	return proposals, nil
 }
 
-// parseProposal takes one dict of a policy's answer.
+// parseProposal converts one dict of a policy's return value to a proposal; i is its index for error messages.
 func parseProposal(name string, i int, d *starlark.Dict) (p Proposal, f *fault.Fault) {
 	for _, item := range d.Items() {
 		key, okKey := starlark.AsString(item[0])
@@ -183,7 +187,7 @@
 	return p, nil
 }
 
-// toStarlark gives a fleet as policies read it.
+// toStarlark returns the fleet as the dict that is passed to a policy's propose function.
 func (f Fleet) toStarlark() *starlark.Dict {
 	str := func(s string) starlark.Value { return starlark.String(s) }
 	num := func(n int64) starlark.Value { return starlark.MakeInt64(n) }
@@ -212,6 +216,7 @@
 	return newDict("counts", counts, "models", models, "adapters", adapters, "replicas", starlark.NewList(replicas))
 }
 
+// newDict returns a dict of alternating string keys and Starlark values.
 func newDict(pairs ...any) *starlark.Dict {
 	d := starlark.NewDict(len(pairs) / 2)
 	for i := 0; i < len(pairs); i += 2 {
--- a/internal/controlplane/placement/resident.go
+++ b/internal/controlplane/placement/resident.go
@@ -5,22 +5,25 @@
 	"petreltide/internal/api/feature"
 )
 
-// ResidentName is the policy that is built in for services with an engine: it treats the replicas' room as
-// a cache of models. Others are written as programs; every proposal is checked alike.
+// ResidentName is the name of the built-in policy for services with an engine, which treats the replicas' memory as
+// a cache of models. Other policies are Starlark programs; the proposals of both kinds are checked in the same way.
 const ResidentName = "resident"
 
-// Demand is what calls ask of a model or an adapter. Rate is calls a second, Demand the share of one
-// replica's time that they take; Waiting calls find no replica that has it.
+// Demand is the load that calls place on a model or an adapter. Rate is in calls per second. Utilization is the
+// share of one replica's time that the calls take. Waiting counts calls for which no replica holds the unit.
+// IdleMs is the time since the last call.
 type Demand struct {
 	Rate        float64
 	Utilization float64
 	Waiting     int
-	// Unstarted calls are at replicas and have no first piece yet.
+	// Unstarted counts calls that were sent to replicas and have not produced their first output yet.
 	Unstarted int
 	IdleMs    int64
 }
 
-// Candidate is one replica of a service with an engine.
+// Candidate is one replica of a service with an engine. SizeMbOf holds the resident units and their sizes. WarmUnits
+// were loaded there before, so that loading them again does not use the weight store. Running and Unstarted count
+// calls by unit. ResidentMs is the time since a unit was loaded; units present since registration are missing.
 type Candidate struct {
 	ID        string
 	Usable    bool
@@ -30,15 +33,15 @@
 	WarmUnits map[string]bool
 	Loading   string
 	Unloading string
-	// ReservedFor is the model that room was made for here a moment ago.
+	// ReservedFor is the model for which capacity on this replica was freed recently.
 	ReservedFor string
 	Running     map[string]int
 	Unstarted   map[string]int
 	ResidentMs  map[string]int64
 }
 
-// Service is one service's part of the fleet, as the resident policy reads it. StoreLoadsLeft is how many loads
-// from the store may begin now.
+// Service is the input of the resident policy for one service. StoreLoadsLeft is how many loads from the weight
+// store may begin now. MinSpares is the number of replicas that should have room for one more model.
 type Service struct {
 	Name           string
 	Engine         *configuration.Engine
@@ -47,7 +50,7 @@
 	Adapters       map[string]Demand
 	StoreLoadsLeft int
 	MinSpares      int
-	// Disable are mechanisms that are switched off.
+	// Disable is the set of disabled features.
 	Disable feature.Disabled
 }
 
@@ -55,13 +58,13 @@
 type residentRun struct {
 	in          Service
 	modelByName map[string]*configuration.EngineModel
-	// By replica, in the order of in.Homes: MB that are free, whether it has its proposal of this run, the share of
-	// its time that calls take, and what may go from it.
+	// By replica, in the order of in.Candidates: free MB, whether the replica is busy or has a proposal of this run,
+	// the share of its time that calls take, and the units that may be evicted (nil until first needed).
 	freeMb      []int64
 	busy        []bool
 	utilization []float64
 	victims     [][]victim
-	// By model: copies that there are or that are coming, and how many there should be.
+	// By model: the number of copies that are resident or loading, and the number wanted.
 	copies       map[string]int
 	wantedCopies map[string]int
 	// storeLoadsLeft is how many loads from the store may still be proposed.
@@ -71,8 +74,9 @@
 	unplaced  []string
 }
 
-// Resident proposes loads for models that calls wait for, then for adapters, then copies of models whose
-// calls take more than their replicas should give, and unloads what is worth least to make room for them.
+// Resident proposes loads of models that calls wait for and further copies of models whose calls exceed the target
+// utilization of their replicas, then loads of adapters, and evicts the least valuable units to free capacity for
+// them. It also returns the models and adapters for which no replica was found.
 func Resident(in Service) (proposals []Proposal, unplaced []string) {
 	run := newResidentRun(in)
 	usable := run.countCopies()
@@ -102,7 +106,8 @@
 	return run
 }
 
-// countCopies counts at how many usable replicas each model is or is coming, and how many are usable.
+// countCopies counts the usable replicas on which each model is resident or loading, and returns the number of usable
+// replicas.
 func (r *residentRun) countCopies() (usable int) {
 	for i := range r.in.Candidates {
 		candidate := &r.in.Candidates[i]
@@ -122,7 +127,7 @@
 	return usable
 }
 
-// computeWantedCopies says how many copies of each model there should be, as far as there is room.
+// computeWantedCopies sets the wanted number of copies of each model, limited by the capacity.
 func (r *residentRun) computeWantedCopies(usable int) {
 	for name, n := range r.in.Models {
 		if r.modelByName[name] != nil {
@@ -132,7 +137,7 @@
 	r.limitToCapacity(usable)
 }
 
-// spreadDemand divides what each model's calls take among the replicas that hold it.
+// spreadDemand divides each model's utilization evenly among the replicas that hold the model.
 func (r *residentRun) spreadDemand() {
 	for i := range r.in.Candidates {
 		for unit := range r.in.Candidates[i].SizeMbOf {
@@ -143,8 +148,8 @@
 	}
 }
 
-// continueReservations goes on with what room was made for, at the replica where it was made, and counts it as on its
-// way: more copies may be begun beside it.
+// continueReservations proposes the next step for each model that a replica is reserved for, on that replica, and
+// counts the model as loading there, so that further copies can be started on other replicas at the same time.
 func (r *residentRun) continueReservations() {
 	for i := range r.in.Candidates {
 		candidate := &r.in.Candidates[i]
--- a/internal/controlplane/placement/resident_adapters.go
+++ b/internal/controlplane/placement/resident_adapters.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// minAdapterResidentMs is how long an adapter stays where it came.
+	// minAdapterResidentMs is the time after its load during which an adapter is not evicted.
 	minAdapterResidentMs = 800
-	// adapterRecencyDecayMs is over how long an adapter's last call loses its worth.
+	// adapterRecencyDecayMs is the time constant with which the value of an adapter's last call decays.
 	adapterRecencyDecayMs = 5000
-	// neighborCost is what each adapter beside it costs one, evictionCost what it costs that another has to go first.
+	// neighborCost is the placement cost of each adapter already on the replica, and evictionCost the additional cost
+	// if another adapter has to be evicted first.
 	neighborCost = 0.02
 	evictionCost = 0.5
 )
 
-// placeAdapters gives each adapter that calls wait for a place beside its model.
+// placeAdapters places each adapter that calls wait for on a replica that holds its model.
 func (r *residentRun) placeAdapters() {
 	units := []string{}
 	for unit, n := range r.in.Adapters {
@@ -38,8 +39,8 @@
 	}
 }
 
-// placeAdapter proposes the first step by which an adapter comes to the replica with its model where that costs least,
-// unless it is somewhere already.
+// placeAdapter proposes the first step to load an adapter on the replica of the lowest cost among those that hold its
+// model. It does nothing if the adapter is already resident or loading on a usable replica.
 func (r *residentRun) placeAdapter(unit string) {
 	model, adapter := configuration.SplitUnit(unit)
 	m := r.modelByName[model]
@@ -62,7 +63,8 @@
 	}
 }
 
-// isAdapterPlaced: some usable replica, from which its model does not go, holds an adapter or is loading it.
+// isAdapterPlaced reports whether a usable replica that is not unloading the adapter's model holds or is loading the
+// adapter.
 func (r *residentRun) isAdapterPlaced(unit, model string) bool {
 	for i := range r.in.Candidates {
 		candidate := &r.in.Candidates[i]
@@ -76,14 +78,15 @@
 	return false
 }
 
-// adapterSlot is a place for an adapter: the replica, the adapter that has to go first, if any, and what it costs.
+// adapterSlot is a possible location of an adapter: the replica (-1 for none), the adapter to evict first ("" for none),
+// and the cost.
 type adapterSlot struct {
 	index  int
 	victim string
 	cost   float64
 }
 
-// adapterCandidate weighs a replica as the place for one more adapter of a model.
+// adapterCandidate returns the cost of placing one more adapter of a model on a replica, and whether that is possible.
 func (r *residentRun) adapterCandidate(i int, m *configuration.EngineModel) (slot adapterSlot, ok bool) {
 	candidate := &r.in.Candidates[i]
 	if !candidate.Usable || candidate.Unloading == m.Name {
@@ -105,7 +108,8 @@
 	return slot, true
 }
 
-// leastValuableAdapter counts a replica's adapters, and names the one that is worth least of those that are not young.
+// leastValuableAdapter returns the number of adapters on a replica, and the least valuable adapter among those resident
+// for at least minAdapterResidentMs.
 func (r *residentRun) leastValuableAdapter(candidate *Candidate) (count int, leastValuable string, minValue float64) {
 	for other := range candidate.SizeMbOf {
 		if _, adapter := configuration.SplitUnit(other); adapter == "" {
@@ -124,7 +128,7 @@
 	return count, leastValuable, minValue
 }
 
-// propose gives a replica its proposal of this run.
+// propose appends a proposal for a replica and marks the replica as busy for the rest of this run.
 func (r *residentRun) propose(i int, step statemachine.Action, unit, why string) {
 	r.busy[i] = true
 	r.proposals = append(r.proposals, Proposal{Step: step, Replica: r.in.Candidates[i].ID, Unit: unit, Why: why})
--- a/internal/controlplane/placement/resident_copies.go
+++ b/internal/controlplane/placement/resident_copies.go
@@ -8,33 +8,34 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// How many copies of a model there should be.
+// Parameters of the wanted number of copies of a model.
 const (
-	// maxUtilization is the share of a replica's time that calls for one model should take.
+	// maxUtilization is the target maximum share of a replica's time that calls for one model take.
 	maxUtilization = 0.33
-	// maxUnstarted is how many calls without a first piece a copy bears.
+	// maxUnstarted is the number of calls without a first output per copy above which more copies are wanted.
 	maxUnstarted = 2.5
-	// secondCopyRate is the rate of calls from which a model gets a second copy.
+	// secondCopyRate is the rate, in calls per second, from which a model gets a second copy.
 	secondCopyRate = 0.6
-	// maxCopiesFraction and maxReliefFraction are the parts of the room that copies may take, all and those of models whose
-	// copies bear more than reliefUtilization each.
+	// maxCopiesFraction is the fraction of the capacity up to which any further copies are added. maxReliefFraction is
+	// the higher limit for copies of models whose utilization per copy exceeds reliefUtilization.
 	maxCopiesFraction = 0.5
 	maxReliefFraction = 0.85
 	reliefUtilization = 0.8
 )
 
-// Where a copy goes: the time that steps take, and the time that what is lost is put at.
+// Cost model for choosing the replica of a new copy: the duration of loads and unloads in ms, and the ms that one unit
+// of eviction loss or of utilization counts as.
 const (
 	warmLoadMs    = 600
 	unloadMs      = 300
 	lossMs        = 4000
 	utilizationMs = 1500
-	// noCopyUrgency is added to the urgency of a model without a copy.
+	// noCopyUrgency is added to the urgency of a model that has no copy.
 	noCopyUrgency = 3
 )
 
-// copiesFor is how many replicas should hold a model that is called for so: by how much of a replica's time
-// its calls take, and more than now where calls pile up at those that have it.
+// copiesFor returns how many replicas should hold a model under the given demand. The number follows from the
+// utilization, and exceeds the current number of copies if unstarted calls accumulate at the replicas that hold it.
 func (r *residentRun) copiesFor(name string, n Demand) int {
 	switch {
 	case n.Rate <= 0 && n.Waiting == 0:
@@ -49,9 +50,10 @@
 	return want
 }
 
-// limitToCapacity cuts what is wanted to the room there is: one copy of each model first, then one more at a time
-// where a copy relieves most. What keeps replicas from falling behind goes first and may take most of the
-// room, copies beyond that no more than their part of it.
+// limitToCapacity reduces the wanted copies to the capacity. Each model that wants several copies gets one first; then
+// copies are added one at a time where each relieves the others most. Copies of overloaded models (above
+// reliefUtilization) come first and may use up to maxReliefFraction of the capacity; other copies are added only up to
+// maxCopiesFraction.
 func (r *residentRun) limitToCapacity(usable int) {
 	capacityMb := float64(usable) * float64(r.in.Engine.CapacityMB)
 	c := &copyPlan{run: r, granted: map[string]int{}}
@@ -69,7 +71,7 @@
 	}
 }
 
-// copyPlan counts the copies of models that more than one copy is wanted of, and the room that they take.
+// copyPlan holds the copies granted to models that want more than one copy, and the capacity that these copies take.
 type copyPlan struct {
 	run     *residentRun
 	names   []string
@@ -82,7 +84,8 @@
 	c.spentMb += c.run.modelByName[name].SizeMB
 }
 
-// addUpTo adds copies while all take no more than maxMb, of models whose copies bear more than minUtilization each.
+// addUpTo adds copies of models whose utilization per copy exceeds minUtilization, as long as all copies together take
+// at most maxMb.
 func (c *copyPlan) addUpTo(maxMb int64, minUtilization float64) {
 	for {
 		name := c.mostRelievedModel(maxMb, minUtilization)
@@ -93,8 +96,8 @@
 	}
 }
 
-// mostRelievedModel names the model of which one more copy takes most load from each of the others; "" where none may
-// be added.
+// mostRelievedModel returns the model for which one more copy reduces the utilization per copy most, or "" if no copy
+// can be added.
 func (c *copyPlan) mostRelievedModel(maxMb int64, minUtilization float64) string {
 	best, relief := "", 0.0
 	for _, name := range c.names {
@@ -109,13 +112,12 @@
 	return best
 }
 
-// needsCopy: calls wait for a model that nobody has, or too few have it.
+// needsCopy reports whether a model has fewer copies than wanted. A model without any copy also needs waiting calls.
 func (r *residentRun) needsCopy(name string) bool {
 	return r.copies[name] < r.wantedCopies[name] && (r.copies[name] > 0 || r.in.Models[name].Waiting > 0)
 }
 
-// placeModels places those that nobody holds though calls wait, and those that are held by too few, as it
-// presses most.
+// placeModels places all models that need a copy, in descending order of urgency.
 func (r *residentRun) placeModels() {
 	names := []string{}
 	for name := range r.wantedCopies {
@@ -134,7 +136,7 @@
 	}
 }
 
-// urgency is how much a further copy of a model presses; one that nobody has comes before most others.
+// urgency returns the priority of a further copy of a model. A model without a copy precedes most others.
 func (r *residentRun) urgency(name string) float64 {
 	n := r.in.Models[name]
 	if r.copies[name] == 0 {
@@ -143,8 +145,7 @@
 	return (float64(n.Unstarted) + 2*n.Utilization) / float64(r.copies[name])
 }
 
-// placeModel finds the replica at which a model is soonest there at the least harm, and proposes the first
-// step towards it.
+// placeModel selects the replica with the lowest placement cost for a model and proposes the first step to load it there.
 func (r *residentRun) placeModel(name string) {
 	best, bestCost := -1, 0.0
 	for i := range r.in.Candidates {
@@ -160,7 +161,8 @@
 	r.placeModelAt(best, name)
 }
 
-// placeCost is the time until a model is at a replica, in ms, and what is lost by it there in the same measure.
+// placeCost returns the cost in ms of placing a model on a replica: the time until it is loaded, plus the eviction loss
+// and the utilization of the replica converted to ms. It reports false if the model cannot be placed there.
 func (r *residentRun) placeCost(i int, name string) (costMs float64, ok bool) {
 	candidate, m := &r.in.Candidates[i], r.modelByName[name]
 	if !candidate.Usable || r.busy[i] {
@@ -172,8 +174,8 @@
 	if !candidate.WarmUnits[name] && r.storeLoadsLeft <= 0 {
 		return 0, false
 	}
-	out, loss, ok := r.evictionFor(i, m.SizeMB)
-	if !ok {
+	out, loss, fits := r.evictionFor(i, m.SizeMB)
+	if !fits {
 		return 0, false
 	}
 	costMs = float64(m.LoadMs)
@@ -183,7 +185,7 @@
 	return costMs + (unloadMs*float64(len(out)) + lossMs*loss + utilizationMs*r.utilization[i]), true
 }
 
-// placeModelAt proposes the next step by which a model comes to a replica.
+// placeModelAt proposes the next step to load a model on a replica: an eviction if capacity is missing, else the load.
 func (r *residentRun) placeModelAt(i int, name string) {
 	candidate := &r.in.Candidates[i]
 	if r.busy[i] {
@@ -201,7 +203,7 @@
 	r.load(i, name, "asked for")
 }
 
-// load proposes a load, and counts the copy as there.
+// load proposes a load and counts the new copy at once.
 func (r *residentRun) load(i int, name, why string) {
 	if !r.in.Candidates[i].WarmUnits[name] {
 		r.storeLoadsLeft--
@@ -210,7 +212,7 @@
 	r.propose(i, statemachine.Load, name, why)
 }
 
-// unload counts a copy out at once, so that no second one of it goes for the same reason.
+// unload proposes an unload and stops counting the copy at once, so that no second copy is evicted for the same reason.
 func (r *residentRun) unload(i int, unit, why string) {
 	r.copies[unit]--
 	r.propose(i, statemachine.Unload, unit, why)
--- a/internal/controlplane/placement/resident_spares.go
+++ b/internal/controlplane/placement/resident_spares.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// maxSpareLoss is the most that may be lost for a spare.
+	// maxSpareLoss is the eviction loss below which a replica may be turned into a spare.
 	maxSpareLoss = 0.4
-	// minSpareIdleMs is how long an adapter was not called for that goes for a spare place.
+	// minSpareIdleMs is the minimum idle time of an adapter that is evicted to keep a slot free.
 	minSpareIdleMs = 4000
-	// neverCalledMs stands for the time since the last call of what was never called.
+	// neverCalledMs is the idle time assumed for an adapter that was never called.
 	neverCalledMs = 1 << 40
 )
 
-// keepSpares keeps room for one more model free on a few replicas, and a place for one more adapter on those
-// that are full, so that what is asked for next need not wait for something to go first.
+// keepSpares keeps capacity for one more model free on MinSpares replicas, evicting for at most one spare per run, and frees
+// a slot for one more adapter on replicas whose adapter slots are full, so that the next load need not wait for an eviction.
 func (r *residentRun) keepSpares() {
 	var largestMb int64
 	for _, m := range r.modelByName {
@@ -39,14 +39,15 @@
 	}
 }
 
-// spareCandidate is a replica that could become one: what goes first there, and what is lost by it; at is -1 for none.
+// spareCandidate is a replica that could become a spare, with the unit to evict first and the eviction loss; index is
+// -1 for none.
 type spareCandidate struct {
 	index  int
 	victim string
 	loss   float64
 }
 
-// isSpare: a replica has room for the largest model, or a model is going from it.
+// isSpare reports whether a replica has room for the largest model and is not busy, or is unloading a model.
 func (r *residentRun) isSpare(i int, largestMb int64) bool {
 	candidate := &r.in.Candidates[i]
 	if candidate.Unloading != "" && r.modelByName[candidate.Unloading] != nil {
@@ -55,7 +56,8 @@
 	return r.freeMb[i] >= largestMb && !r.busy[i]
 }
 
-// betterSpare gives replica i where less is lost by making room there than at the best so far, else that one.
+// betterSpare returns replica i if freeing capacity there has a lower eviction loss than the best candidate so far,
+// else that candidate.
 func (r *residentRun) betterSpare(best spareCandidate, i int, largestMb int64) spareCandidate {
 	victims, loss, ok := r.evictionFor(i, largestMb)
 	if ok && loss < maxSpareLoss && (best.index < 0 || loss < best.loss) {
@@ -64,7 +66,8 @@
 	return best
 }
 
-// freeAdapterSlot unloads the adapter that was not called for longest, where no place is free and that is long enough.
+// freeAdapterSlot unloads the adapter with the longest idle time if the replica has no free adapter slot and that time
+// exceeds minSpareIdleMs.
 func (r *residentRun) freeAdapterSlot(i int) {
 	candidate := &r.in.Candidates[i]
 	if !candidate.Usable || r.busy[i] {
--- a/internal/controlplane/placement/resident_test.go
+++ b/internal/controlplane/placement/resident_test.go
@@ -13,7 +13,8 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// hall is a random fleet: a ledger with replicas of one service, and what calls ask of it.
+// randomFleet is a replicated state with replicas of one service, and a policy input with random demand.
+// ages holds the time since each unit was loaded, in ms, by replica and unit.
 type randomFleet struct {
 	r     *rand.Rand
 	s     *statemachine.State
@@ -77,7 +78,8 @@
 	return f
 }
 
-// homes reads the ledger as the controller does.
+// refreshCandidates rebuilds the candidates from the replicated state as the controller does. With randomize, it also
+// sets new random call counts and unit ages.
 func (f *randomFleet) refreshCandidates(randomize bool) {
 	f.in.Candidates = nil
 	for _, id := range f.s.ReplicaIDs() {
@@ -100,6 +102,7 @@
 	}
 }
 
+// copyCount returns the number of usable candidates that hold a model and are not unloading it, or are loading it.
 func (f *randomFleet) copyCount(model string) (n int) {
 	for _, candidate := range f.in.Candidates {
 		if _, has := candidate.SizeMbOf[model]; (has && candidate.Unloading != model || candidate.Loading == model) && candidate.Usable {
@@ -118,7 +121,8 @@
 	return nil
 }
 
-// What the policy proposes is what the checker and the ledger take, in any fleet; what calls need stays.
+// For random fleets, every proposal of the policy is accepted by the checker and the replicated state, and models that
+// calls need are not evicted.
 func TestSeededProposalsAreAcceptedAndKeepNeededModels(t *testing.T) {
 	loads, unloads := 0, 0
 	for seed := int64(0); seed < 1500; seed++ {
@@ -129,12 +133,12 @@
 			tickets, verdicts := CheckRouted(f.s, f.in.StoreLoadsLeft, proposals)
 			for _, v := range verdicts {
 				if v.Fault != nil {
-					t.Fatalf("seed %d: the checker refuses %+v: %v", seed, v.Proposal, v.Fault)
+					t.Fatalf("seed %d: CheckRouted rejected proposal %+v: %v", seed, v.Proposal, v.Fault)
 				}
 			}
 			out := f.apply(statemachine.Change{LeaderUpdate: &statemachine.LeaderUpdate{Commands: tickets}})
 			if len(out.Faults) > 0 {
-				t.Fatalf("seed %d: the ledger refuses: %v", seed, out.Faults)
+				t.Fatalf("seed %d: replicated state rejected commands: %v", seed, out.Faults)
 			}
 			fromStore := 0
 			unloaded := map[string]int{}
@@ -142,7 +146,7 @@
 				candidate, n := f.candidate(p.Replica), f.in.Models[p.Unit]
 				switch {
 				case !candidate.Usable || candidate.Busy:
-					t.Fatalf("seed %d: %+v at a replica that is not free for it", seed, p)
+					t.Fatalf("seed %d: proposal %+v for a replica that is busy or not usable", seed, p)
 				case p.Step == statemachine.Load:
 					if loads++; !strings.Contains(p.Unit, "/") && !candidate.WarmUnits[p.Unit] {
 						fromStore++
@@ -153,18 +157,19 @@
 					unloads++
 					unloaded[p.Unit]++
 					if n.Waiting > 0 && f.copyCount(p.Unit) <= unloaded[p.Unit] {
-						t.Fatalf("seed %d: %+v, and calls wait for it", seed, p)
+						t.Fatalf("seed %d: proposal %+v evicts the last copy of a model that %d calls wait for", seed, p, n.Waiting)
 					}
 					if n.Rate >= secondCopyRate && f.copyCount(p.Unit) <= unloaded[p.Unit] {
-						t.Fatalf("seed %d: %+v, the last copy of what is called %.1f times a second", seed, p, n.Rate)
+						t.Fatalf("seed %d: proposal %+v evicts the last copy of a model with %.1f calls per second", seed, p, n.Rate)
 					}
 					if candidate.Unstarted[p.Unit] > 0 || (candidate.ResidentMs[p.Unit] > 0 && candidate.ResidentMs[p.Unit] < minResidentMs) {
-						t.Fatalf("seed %d: %+v, with calls that have not begun or only just there", seed, p)
+						t.Fatalf("seed %d: proposal %+v evicts a model with %d unstarted calls, resident for %d ms; want 0 and at least %d ms",
+							seed, p, candidate.Unstarted[p.Unit], candidate.ResidentMs[p.Unit], minResidentMs)
 					}
 				}
 			}
 			if fromStore > f.in.StoreLoadsLeft {
-				t.Fatalf("seed %d: %d loads from the store, %d are left", seed, fromStore, f.in.StoreLoadsLeft)
+				t.Fatalf("seed %d: loads from the store: got %d, want at most %d", seed, fromStore, f.in.StoreLoadsLeft)
 			}
 			f.checkWaitingModelsFirst(t, seed, proposals)
 			for _, id := range slices.Sorted(maps.Keys(f.s.Pending)) {
@@ -176,12 +181,12 @@
 	}
 	t.Logf("%d loads, %d unloads", loads, unloads)
 	if loads < 1000 || unloads < 500 {
-		t.Errorf("%d loads, %d unloads: it proves little", loads, unloads)
+		t.Errorf("coverage of the seeds: got %d loads and %d unloads, want at least 1000 and 500", loads, unloads)
 	}
 }
 
-// checkWaitingModelsFirst: nothing is fetched that no call waits for while a model that calls wait for, and nobody has,
-// would fit at a replica that is free.
+// checkWaitingModelsFirst checks that no model without waiting calls is loaded while a model that has waiting calls and
+// no copy would fit on an idle replica.
 func (f *randomFleet) checkWaitingModelsFirst(t *testing.T, seed int64, proposals []Proposal) {
 	served, other := map[string]bool{}, ""
 	for _, p := range proposals {
@@ -203,14 +208,14 @@
 				continue
 			}
 			if _, has := candidate.SizeMbOf[name]; !has && candidate.FreeMb >= f.s.Doc.EngineModel("s", name).SizeMB && (candidate.WarmUnits[name] || f.in.StoreLoadsLeft > 0) {
-				t.Fatalf("seed %d: %s is fetched, and calls wait for %s, which fits at %s", seed, other, name, candidate.ID)
+				t.Fatalf("seed %d: model %s is loaded although calls wait for model %s, which fits on replica %s", seed, other, name, candidate.ID)
 			}
 		}
 	}
 }
 
-// With needs that stay as they are the policy comes to rest, and a model that calls wait for is there by then
-// if every other could go.
+// With constant demand the policy stops making proposals. If all other models can be evicted, a model that calls wait
+// for is resident by then.
 func TestSeededPolicyConverges(t *testing.T) {
 	rounds := 0
 	for seed := int64(0); seed < 400; seed++ {
@@ -239,7 +244,7 @@
 		history := []Proposal{}
 		for round := 0; idleRounds < 3; round++ {
 			if round > 200 {
-				t.Fatalf("seed %d: it never comes to rest; the last it proposed: %+v", seed, history[len(history)-6:])
+				t.Fatalf("seed %d: policy still makes proposals after 200 rounds; last proposals: %+v", seed, history[len(history)-6:])
 			}
 			f.refreshCandidates(false)
 			if n := f.in.Models[wanted]; seed%2 == 0 && usable {
@@ -263,14 +268,14 @@
 			rounds++
 		}
 		if f.refreshCandidates(false); seed%2 == 0 && usable && f.copyCount(wanted) == 0 {
-			t.Fatalf("seed %d: it rests, and calls wait for %s", seed, wanted)
+			t.Fatalf("seed %d: policy stopped making proposals although calls wait for model %s", seed, wanted)
 		}
 	}
 	t.Logf("%d rounds", rounds)
 }
 
-// What was called once gives way before what has stood there from the start: the platform put that there, and
-// the next models to be called for are among them.
+// A model that was loaded later and is called rarely is evicted before a model that was resident from the start: the
+// platform placed the initial models, and the models called next are among them.
 func TestInitialModelsAreEvictedLater(t *testing.T) {
 	e := &configuration.Engine{Slots: 8, CapacityMB: 100, LoadsPerSecond: 2}
 	for i := range 4 {
@@ -282,16 +287,16 @@
 	}
 	proposals, _ := Resident(in)
 	if len(proposals) != 1 || proposals[0].Unit != "m1" || proposals[0].For != "m2" {
-		t.Errorf("%+v, want m1 to make room for m2", proposals)
+		t.Errorf("proposals: got %+v, want m1 evicted for m2", proposals)
 	}
 	in.Models["m1"] = Demand{Rate: 2, Utilization: 0.2}
 	if proposals, _ = Resident(in); len(proposals) != 1 || proposals[0].Unit != "m0" {
-		t.Errorf("%+v, want m0 to make room for m2 while m1 is called often", proposals)
+		t.Errorf("proposals with m1 called frequently: got %+v, want m0 evicted for m2", proposals)
 	}
 }
 
-// A model whose calls went from 5 to 90 a second within six seconds got a copy every 0.45 s: while room was
-// made for one at one replica, no other was begun elsewhere.
+// Guards against serialized scaling: a model whose rate rose from 5 to 90 calls per second within six seconds got only
+// one copy every 0.45 s, because no other copy was started while capacity was being freed for one on another replica.
 func TestReservationsDoNotDelayFurtherCopies(t *testing.T) {
 	e := &configuration.Engine{Slots: 8, CacheTokens: 1, CapacityMB: 100, LoadsPerSecond: 40, Models: []configuration.EngineModel{{Name: "hot", SizeMB: 60, LoadMs: 2000}, {Name: "cold", SizeMB: 60, LoadMs: 2000}}}
 	in := Service{Name: "s", Engine: e, StoreLoadsLeft: 10, Models: map[string]Demand{"hot": {Rate: 30, Utilization: 2.8}, "cold": {IdleMs: 60_000}}, Adapters: map[string]Demand{}}
@@ -315,15 +320,15 @@
 		}
 	}
 	if len(started) != 2 || started["r3"] != 1 {
-		t.Errorf("begun at %v: want r3, where there is room by now, and one more beside it", started)
+		t.Errorf("replicas with a started copy: got %v, want r3, which has free capacity by now, and one more", started)
 	}
 	in.Models["hot"] = Demand{Rate: 4, Utilization: 1.2}
 	if out, _ := Resident(in); slices.ContainsFunc(out, func(p Proposal) bool { return p.For == "hot" }) {
-		t.Errorf("%v: four copies are wanted, and four are held or on their way", out)
+		t.Errorf("proposals: got %v, want no eviction for hot: four copies are wanted, and four are resident or reserved", out)
 	}
 }
 
-// A spare is made ahead of calls, and not at all where that is switched off.
+// Spare capacity is freed before calls need it, and not at all if the feature is disabled.
 func TestSpareCapacityIsMadeUnlessDisabled(t *testing.T) {
 	e := &configuration.Engine{Slots: 8, CapacityMB: 100, LoadsPerSecond: 2, Models: []configuration.EngineModel{{Name: "m", SizeMB: 60, LoadMs: 1000}}}
 	in := Service{Name: "s", Engine: e, StoreLoadsLeft: 2, MinSpares: 1, Models: map[string]Demand{}, Adapters: map[string]Demand{}}
@@ -331,10 +336,10 @@
 		in.Candidates = append(in.Candidates, Candidate{ID: fmt.Sprint("r", i), Usable: true, FreeMb: 40, SizeMbOf: map[string]int64{"m": 60}})
 	}
 	if out, _ := Resident(in); len(out) != 1 || out[0].Step != statemachine.Unload {
-		t.Errorf("%v: want room for one more model at one replica", out)
+		t.Errorf("proposals: got %v, want one unload that frees a spare", out)
 	}
 	in.Disable = feature.Disabled{feature.SpareCapacity}
 	if out, _ := Resident(in); len(out) != 0 {
-		t.Errorf("%v: want nothing", out)
+		t.Errorf("proposals with SpareCapacity disabled: got %v, want none", out)
 	}
 }
--- a/internal/controlplane/placement/resident_victims.go
+++ b/internal/controlplane/placement/resident_victims.go
@@ -8,33 +8,33 @@
 	"petreltide/internal/api/configuration"
 )
 
-// What is lost if a model goes from a replica, in calls a second.
+// Parameters of the eviction loss: the value that is lost if a model is evicted from a replica, in calls per second.
 const (
-	// initialValue is that of a model that came with the replica and was never called for.
+	// initialValue is the value of a model that was resident from the start and was never called.
 	initialValue = 0.1
-	// rareDiscount is the part of its rate that a model counts which is called for seldom, surplusDiscount the part of its
-	// worth that one counts of which there are more copies than wanted.
+	// rareDiscount is the factor applied to the rate of a model that is called rarely, and surplusDiscount the factor
+	// applied to the loss of a model that has more copies than wanted.
 	rareDiscount    = 0.1
 	surplusDiscount = 0.2
-	// recencyValue is that of a call just now; it decays over recencyDecayMs.
+	// recencyValue is the value of a call made just now; it decays exponentially with time constant recencyDecayMs.
 	recencyValue   = 0.05
 	recencyDecayMs = 15000
-	// runningModelValue is that of a model that calls run on, runningCallValue that of each of them.
+	// runningModelValue is the value of a model with running calls, and runningCallValue that of each of these calls.
 	runningModelValue = 0.5
 	runningCallValue  = 0.3
-	// minResidentMs is how long a model stays where it came.
+	// minResidentMs is the time after its load during which a model is not evicted.
 	minResidentMs = 1500
 )
 
-// victim is a unit that may go from a replica, and what would be lost.
+// victim is a unit that may be evicted from a replica, with the size that the eviction frees and its loss.
 type victim struct {
 	unit   string
 	sizeMb int64
 	loss   float64
 }
 
-// evictionFor names what would have to go for a model of this size, least worth first; an adapter goes with
-// its model.
+// evictionFor returns the units to evict from replica i, least valuable first, to fit a model of the given size, the
+// total loss, and whether the model then fits. Adapters are evicted with their model.
 func (r *residentRun) evictionFor(i int, sizeMb int64) (victims []string, loss float64, ok bool) {
 	freeMb := r.freeMb[i]
 	if freeMb >= sizeMb {
@@ -58,7 +58,7 @@
 	return victims, loss, freeMb >= sizeMb
 }
 
-// victimsAt are a replica's units, least worth first; they are put in order once a run.
+// victimsAt returns the units that may be evicted from a replica, least valuable first. The list is sorted once per run.
 func (r *residentRun) victimsAt(i int) []victim {
 	if r.victims[i] != nil {
 		return r.victims[i]
@@ -86,7 +86,7 @@
 	return all
 }
 
-// adaptersMb is the room that a model's adapters take at a replica.
+// adaptersMb returns the capacity that a model's adapters take on a replica.
 func (r *residentRun) adaptersMb(candidate *Candidate, model string) int64 {
 	var sumMb int64
 	for unit, mb := range candidate.SizeMbOf {
@@ -97,8 +97,8 @@
 	return sumMb
 }
 
-// lossOf is what is lost if a model goes from a replica: little while more than enough others hold it, else
-// by how often and how lately it was called for.
+// lossOf returns the loss of evicting a model from a replica, and whether the model may be evicted. The loss follows
+// from how often and how recently the model was called, and is low if the model has more copies than wanted.
 func (r *residentRun) lossOf(i int, unit string) (loss float64, evictable bool) {
 	candidate, n := &r.in.Candidates[i], r.in.Models[unit]
 	copies := max(r.copies[unit], 1)
@@ -127,8 +127,11 @@
 	return loss, true
 }
 
-// mustStay: a model is not to go from a replica, as copies of what is called for often, what is wanted at once,
-// what has only just come and what calls have not begun on.
+// mustStay reports whether a model must not be evicted from a replica. That is the case if:
+//  1. calls wait for the model and it has at most one copy,
+//  2. the model was loaded less than minResidentMs ago,
+//  3. calls sent to this replica for the model have not started yet, or
+//  4. the model is called frequently and has no more copies than wanted.
 func (r *residentRun) mustStay(candidate *Candidate, unit string, copies int) bool {
 	n := r.in.Models[unit]
 	if n.Waiting > 0 && copies <= 1 {
@@ -143,4 +146,5 @@
 	return isFrequentlyCalled(n) && copies <= r.wantedCopies[unit]
 }
 
+// isFrequentlyCalled reports whether a model's call rate is at least half of secondCopyRate.
 func isFrequentlyCalled(n Demand) bool { return n.Rate >= secondCopyRate/2 }
--- a/internal/controlplane/placement/routed.go
+++ b/internal/controlplane/placement/routed.go
@@ -6,7 +6,7 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// checkRouted checks a proposal for a replica that makes itself known.
+// checkRouted checks a proposal for a self-registered replica of a service with an engine.
 func (c *checker) checkRouted(p Proposal) (statemachine.ReplicaCommand, *fault.Fault) {
 	r := c.state.Replicas[p.Replica]
 	if r == nil || r.Service == "" {
