--- a/internal/controlplane/storage/codec_test.go
+++ b/internal/controlplane/storage/codec_test.go
@@ -14,31 +14,31 @@
 	"petreltide/internal/controlplane/statemachine"
 )
 
-// opensWith says by which fault a folder is refused; what lies in it must be as it was.
-func opensWith(t *testing.T, dir string) fault.Code {
+// openFault opens a folder and returns the code of the fault; empty where it opens. A refused folder must be unmodified.
+func openFault(t *testing.T, dir string) fault.Code {
 	t.Helper()
-	before := contents(t, dir)
-	_, err := reopened(t, dir)
+	before := readFiles(t, dir)
+	_, err := reopen(t, dir)
 	var bad *fault.Fault
 	if err != nil && !errors.As(err, &bad) {
-		t.Fatal("no typed error: ", err)
+		t.Fatalf("got error %v, want a fault", err)
 	}
 	if bad == nil {
 		return ""
 	}
-	for path, raw := range contents(t, dir) {
+	for path, raw := range readFiles(t, dir) {
 		if !bytes.Equal(raw, before[path]) {
-			t.Fatalf("%s was changed", path)
+			t.Fatalf("%s was modified by a refused Open", path)
 		}
 		delete(before, path)
 	}
 	if len(before) > 0 {
-		t.Fatalf("removed: %v", before)
+		t.Fatalf("files removed by a refused Open: %v", before)
 	}
 	return bad.Code
 }
 
-func contents(t *testing.T, dir string) map[string][]byte {
+func readFiles(t *testing.T, dir string) map[string][]byte {
 	t.Helper()
 	all := map[string][]byte{}
 	paths, err := filepath.Glob(filepath.Join(dir, logDir, "*"))
@@ -53,18 +53,18 @@
 	return all
 }
 
-// What a later version wrote is refused as such, wherever in a record it stands, and left as it is.
+// A record with content that only a later version knows is refused as UnknownFormat at every nesting level, and not modified.
 func TestRecordOfUnknownFormatIsRefused(t *testing.T) {
 	for name, payload := range map[string]string{
-		"another kind of record":     `[{"lease":{"until":5}}]`,
-		"one more field of an entry": `[{"entry":{"index":6,"view":1,"change":{"id":"c"},"after":5}}]`,
-		"another kind of change":     `[{"entry":{"index":6,"view":1,"change":{"id":"c","quota":{}}}}]`,
-		"one more field of a view":   `[{"view":{"number":2,"voters":null,"order":null,"weights":[1]}}]`,
-		"a record that says nothing": `[{}]`,
-		"beside one that is known":   `[{"whole":1},{"lease":{}}]`,
+		"unknown record type":                   `[{"lease":{"until":5}}]`,
+		"unknown field of an entry":             `[{"entry":{"index":6,"view":1,"change":{"id":"c"},"after":5}}]`,
+		"unknown change type":                   `[{"entry":{"index":6,"view":1,"change":{"id":"c","quota":{}}}}]`,
+		"unknown field of a view":               `[{"view":{"number":2,"voters":null,"order":null,"weights":[1]}}]`,
+		"empty record":                          `[{}]`,
+		"unknown record type after a known one": `[{"whole":1},{"lease":{}}]`,
 	} {
-		dir := filled(t, 5)
-		o, err := Open(dir, mine)
+		dir := newFilledDir(t, 5)
+		o, err := Open(dir, testOwner)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,14 +74,14 @@
 		if err := o.Store.Close(); err != nil {
 			t.Fatal(err)
 		}
-		if code := opensWith(t, dir); code != fault.UnknownFormat {
-			t.Errorf("%s: %q", name, code)
+		if code := openFault(t, dir); code != fault.UnknownFormat {
+			t.Errorf("%s: got code %q, want %q", name, code, fault.UnknownFormat)
 		}
 	}
 }
 
-// rewritten puts other JSON in a copy's place, with a checksum that fits.
-func rewritten(t *testing.T, dir, text string) {
+// replaceSnapshot replaces the stored snapshot by other JSON with a valid checksum.
+func replaceSnapshot(t *testing.T, dir, text string) {
 	t.Helper()
 	var buf bytes.Buffer
 	zip := gzip.NewWriter(&buf)
@@ -103,18 +103,18 @@
 		`{"index":2,"view":1,"state":{"epoch":"x"},"from":1}`: fault.DamagedData,
 		`{"index":2,"view":1,"state":{"epoch":1},"from":1}`:   "",
 	} {
-		dir := filled(t, 3)
-		rewritten(t, dir, text)
-		if code := opensWith(t, dir); code != want {
-			t.Errorf("%s: %q", text, code)
+		dir := newFilledDir(t, 3)
+		replaceSnapshot(t, dir, text)
+		if code := openFault(t, dir); code != want {
+			t.Errorf("snapshot %s: got code %q, want %q", text, code, want)
 		}
 	}
 }
 
-// A copy that is damaged in any one byte is refused, and so is one that is cut short.
+// A snapshot with a flipped bit in any byte is refused, and so is one truncated at any byte.
 func TestDamagedSnapshotIsRefused(t *testing.T) {
-	dir := filled(t, 3)
-	o, err := Open(dir, mine)
+	dir := newFilledDir(t, 3)
+	o, err := Open(dir, testOwner)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,17 +124,17 @@
 	if err := o.Store.Close(); err != nil {
 		t.Fatal(err)
 	}
-	at := filepath.Join(dir, logDir, snapshotName)
-	raw, err := os.ReadFile(at)
+	path := filepath.Join(dir, logDir, snapshotName)
+	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range raw {
-		spoilt := bytes.Clone(raw)
-		spoilt[i] ^= 1
-		for _, damaged := range [][]byte{spoilt, raw[:i]} {
+		flipped := bytes.Clone(raw)
+		flipped[i] ^= 1
+		for _, damaged := range [][]byte{flipped, raw[:i]} {
 			if _, bad := decodeSnapshot(damaged); bad == nil || bad.Code != fault.DamagedData {
-				t.Fatalf("byte %d: %v", i, bad)
+				t.Fatalf("snapshot damaged or truncated at byte %d: got fault %v, want code %q", i, bad, fault.DamagedData)
 			}
 		}
 	}
