--- a/internal/controlplane/storage/storage_test.go
+++ b/internal/controlplane/storage/storage_test.go
@@ -15,21 +15,22 @@
 	"petreltide/internal/process/clock"
 )
 
-var mine = chain.Owner{MemberID: "core-1-aa", Name: "core-1"}
+var testOwner = chain.Owner{MemberID: "core-1-aa", Name: "core-1"}
 
-func entry(i uint64) chain.Record {
+func newEntryRecord(i uint64) chain.Record {
 	return chain.Record{Entry: &chain.Entry{Index: i, View: 1, Change: statemachine.Change{ID: "c"}}}
 }
 
-func filled(t *testing.T, n uint64) string {
+// newFilledDir returns a folder with the owner record and n entries.
+func newFilledDir(t *testing.T, n uint64) string {
 	t.Helper()
 	dir := t.TempDir()
-	o, err := Open(dir, mine)
+	o, err := Open(dir, testOwner)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := uint64(1); i <= n; i++ {
-		if _, err := o.Store.Write([]chain.Record{entry(i)}, false); err != nil {
+		if _, err := o.Store.Write([]chain.Record{newEntryRecord(i)}, false); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -43,12 +44,13 @@
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(dir, logDir, "0*"))
 	if err != nil || len(names) == 0 {
-		t.Fatal(names, err)
+		t.Fatalf("segments in %s: got %v, error %v; want at least one", dir, names, err)
 	}
 	return names[len(names)-1]
 }
 
-func reopened(t *testing.T, dir string) (*OpenResult, error) {
+// reopen opens a folder for the same member name with a new member ID.
+func reopen(t *testing.T, dir string) (*OpenResult, error) {
 	t.Helper()
 	o, err := Open(dir, chain.Owner{MemberID: "core-1-bb", Name: "core-1"})
 	if err == nil {
@@ -58,18 +60,19 @@
 }
 
 func TestRecordsAndOwnerSurviveReopen(t *testing.T) {
-	o, err := reopened(t, filled(t, 5))
+	o, err := reopen(t, newFilledDir(t, 5))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(o.Records) != 6 || o.Created || o.Store.Owner() != mine || o.Records[5].Entry.Index != 5 {
-		t.Fatalf("%d records, fresh %v, %+v", len(o.Records), o.Created, o.Store.Owner())
+	if len(o.Records) != 6 || o.Created || o.Store.Owner() != testOwner || o.Records[5].Entry.Index != 5 {
+		t.Fatalf("got %d records, created %v, owner %+v; want 6 records, false, owner %+v, last entry 5",
+			len(o.Records), o.Created, o.Store.Owner(), testOwner)
 	}
 }
 
 func TestTornLastRecordIsTruncated(t *testing.T) {
 	for cut := 1; cut < 50; cut += 7 {
-		dir := filled(t, 5)
+		dir := newFilledDir(t, 5)
 		raw, err := os.ReadFile(lastSegment(t, dir))
 		if err != nil {
 			t.Fatal(err)
@@ -77,21 +80,22 @@
 		if err := os.WriteFile(lastSegment(t, dir), raw[:len(raw)-cut], 0o640); err != nil {
 			t.Fatal(err)
 		}
-		o, err := reopened(t, dir)
+		o, err := reopen(t, dir)
 		if err != nil {
-			t.Fatalf("cut %d: %v", cut, err)
+			t.Fatalf("log without its last %d bytes: got error %v, want none", cut, err)
 		}
 		if len(o.Records) != 5 || o.TornBytes == 0 {
-			t.Fatalf("cut %d: %d records", cut, len(o.Records))
+			t.Fatalf("log without its last %d bytes: got %d records, %d torn bytes; want 5 records, some torn bytes",
+				cut, len(o.Records), o.TornBytes)
 		}
-		if _, err := o.Store.Write([]chain.Record{entry(5)}, false); err != nil {
+		if _, err := o.Store.Write([]chain.Record{newEntryRecord(5)}, false); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
 func TestDamageInsideLogIsReportedNotTruncated(t *testing.T) {
-	dir := filled(t, 8)
+	dir := newFilledDir(t, 8)
 	path := lastSegment(t, dir)
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -101,14 +105,14 @@
 	if err := os.WriteFile(path, raw, 0o640); err != nil {
 		t.Fatal(err)
 	}
-	_, err = reopened(t, dir)
+	_, err = reopen(t, dir)
 	var bad *fault.Fault
 	if !errors.As(err, &bad) || bad.Code != fault.DamagedData {
 		t.Fatalf("got %v", err)
 	}
 	after, err := os.ReadFile(path)
 	if err != nil || len(after) != len(raw) {
-		t.Fatal("the damaged file was changed")
+		t.Fatalf("damaged segment after Open: got %d bytes, error %v; want %d bytes", len(after), err, len(raw))
 	}
 	kept, err := Quarantine(dir, "x")
 	if err != nil {
@@ -117,13 +121,13 @@
 	if _, err := os.Stat(kept); err != nil {
 		t.Fatal(err)
 	}
-	if o, err := reopened(t, dir); err != nil || !o.Created || o.Store.Owner().MemberID == mine.MemberID {
-		t.Fatal("a set-aside folder must come back as a new member", err)
+	if o, err := reopen(t, dir); err != nil || !o.Created || o.Store.Owner().MemberID == testOwner.MemberID {
+		t.Fatalf("open after Quarantine: got %+v, error %v; want an empty folder of a new member", o, err)
 	}
 }
 
 func TestForeignDirIsRefused(t *testing.T) {
-	dir := filled(t, 2)
+	dir := newFilledDir(t, 2)
 	_, err := Open(dir, chain.Owner{MemberID: "core-9-zz", Name: "core-9"})
 	var bad *fault.Fault
 	if !errors.As(err, &bad) || bad.Code != fault.ForeignData {
@@ -131,31 +135,31 @@
 	}
 }
 
-// A copy stands for the log before it only once it is kept; killed at any point between, nothing is lost.
+// The log before a snapshot may be removed only once the snapshot is saved. A kill at any stage of this loses nothing.
 func TestLogIsCompactedOnlyOnceSnapshotIsSynced(t *testing.T) {
-	for at, want := range map[string]struct{ records, copied int }{
-		"written": {50 + 1 + 2, 0}, "half kept": {50 + 1 + 2, 0}, "kept": {50 + 1 + 2 + 1, 1}, "forgotten": {3, 1},
+	for stage, want := range map[string]struct{ records, snapshots int }{
+		"new segment": {50 + 1 + 2, 0}, "partial snapshot": {50 + 1 + 2, 0}, "snapshot saved": {50 + 1 + 2 + 1, 1}, "log compacted": {3, 1},
 	} {
-		dir := filled(t, 50)
-		o, err := Open(dir, mine)
+		dir := newFilledDir(t, 50)
+		o, err := Open(dir, testOwner)
 		if err != nil {
 			t.Fatal(err)
 		}
-		from, err := o.Store.Write([]chain.Record{entry(51)}, true)
+		from, err := o.Store.Write([]chain.Record{newEntryRecord(51)}, true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if at == "half kept" {
+		if stage == "partial snapshot" {
 			if err := os.WriteFile(filepath.Join(dir, logDir, snapshotName+".new"), []byte("half"), 0o644); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if at == "kept" || at == "forgotten" {
+		if stage == "snapshot saved" || stage == "log compacted" {
 			if err := o.Store.SaveSnapshot(chain.Snapshot{Index: 50, View: 2, State: statemachine.NewState()}, from); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if at == "forgotten" {
+		if stage == "log compacted" {
 			if err := o.Store.Compact(from); err != nil {
 				t.Fatal(err)
 			}
@@ -163,27 +167,28 @@
 		if err := o.Store.Close(); err != nil {
 			t.Fatal(err)
 		}
-		o, err = reopened(t, dir)
+		o, err = reopen(t, dir)
 		if err != nil {
-			t.Fatal(at, err)
+			t.Fatal(stage, err)
 		}
-		copied := 0
+		snapshotCount := 0
 		for _, r := range o.Records {
 			if r.Snapshot != nil {
-				copied++
+				snapshotCount++
 			}
 		}
-		if len(o.Records) != want.records || copied != want.copied || o.Store.Owner() != mine {
-			t.Errorf("%s: %d records, %d copies, want %+v", at, len(o.Records), copied, want)
+		if len(o.Records) != want.records || snapshotCount != want.snapshots || o.Store.Owner() != testOwner {
+			t.Errorf("%s: got %d records, %d snapshots, owner %+v; want %+v, owner %+v",
+				stage, len(o.Records), snapshotCount, o.Store.Owner(), want, testOwner)
 		}
 	}
 }
 
-// A control node that was put out of the view with entries nobody else had takes a peer's copy. Restarted, it
-// must not find those entries again behind the copy.
+// A control node that was removed from the view with entries that no other member had installs a peer's snapshot. After a
+// restart, it must not replay those entries on top of the snapshot.
 func TestSnapshotIsReplayedAtItsLogPosition(t *testing.T) {
-	dir := filled(t, 15)
-	o, err := Open(dir, mine)
+	dir := newFilledDir(t, 15)
+	o, err := Open(dir, testOwner)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -199,24 +204,24 @@
 	}
 	last := func() uint64 {
 		t.Helper()
-		o, err := reopened(t, dir)
+		o, err := reopen(t, dir)
 		if err != nil {
 			t.Fatal(err)
 		}
-		node, err := chain.NewNode(chain.Options{Self: chain.Member{ID: mine.MemberID}, Incarnation: "x"}, o.Records, clock.Sec)
+		node, err := chain.NewNode(chain.Options{Self: chain.Member{ID: testOwner.MemberID}, Incarnation: "x"}, o.Records, clock.Sec)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return node.LastIndex()
 	}
 	if got := last(); got != 12 {
-		t.Errorf("after the copy at 12 the last entry is %d", got)
+		t.Errorf("last entry after the snapshot at 12: got %d, want 12", got)
 	}
 	if _, err := o.Store.Write([]chain.Record{{Entry: &chain.Entry{Index: 13, View: 2}}}, false); err != nil {
 		t.Fatal(err)
 	}
 	if got := last(); got != 13 {
-		t.Errorf("with one entry behind the copy at 12 the last is %d", got)
+		t.Errorf("last entry with one entry after the snapshot at 12: got %d, want 13", got)
 	}
 	if err := o.Store.Close(); err != nil {
 		t.Fatal(err)
@@ -224,8 +229,8 @@
 }
 
 func TestDamagedSnapshotIsNeverLoaded(t *testing.T) {
-	dir := filled(t, 3)
-	o, err := Open(dir, mine)
+	dir := newFilledDir(t, 3)
+	o, err := Open(dir, testOwner)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -235,33 +240,33 @@
 	if err := o.Store.Close(); err != nil {
 		t.Fatal(err)
 	}
-	at := filepath.Join(dir, logDir, snapshotName)
-	raw, err := os.ReadFile(at)
+	path := filepath.Join(dir, logDir, snapshotName)
+	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	raw[len(raw)/2] ^= 4
-	if err := os.WriteFile(at, raw, 0o644); err != nil {
+	if err := os.WriteFile(path, raw, 0o644); err != nil {
 		t.Fatal(err)
 	}
 	var bad *fault.Fault
-	if _, err := reopened(t, dir); !errors.As(err, &bad) || bad.Code != fault.DamagedData {
+	if _, err := reopen(t, dir); !errors.As(err, &bad) || bad.Code != fault.DamagedData {
 		t.Fatalf("got %v", err)
 	}
 }
 
-func FuzzUnframe(f *testing.F) {
+func FuzzDecodeRecord(f *testing.F) {
 	f.Add(EncodeRecord([]byte("hello")))
 	f.Add([]byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		payload, bad := DecodeRecord(raw)
 		if bad == nil && string(EncodeRecord(payload)) != string(raw) {
-			t.Fatal("a frame was taken that its payload would not give")
+			t.Fatalf("record %x was decoded to a payload that encodes differently", raw)
 		}
 	})
 }
 
-func FuzzIntact(f *testing.F) {
+func FuzzIntactBytes(f *testing.F) {
 	whole := []byte{}
 	for i := 0; i < 3; i++ {
 		framed := EncodeRecord([]byte("record"))
@@ -277,11 +282,12 @@
 		raw = raw[:len(raw)-cut]
 		kept := intactBytes(raw)
 		if kept < 0 || kept > len(raw) || intactBytes(raw[:kept]) != kept {
-			t.Fatal(kept, len(raw))
+			t.Fatalf("intactBytes: got %d for %d bytes, want a length within the data that is intact itself", kept, len(raw))
 		}
 		if _, _, ok := splitRecord(raw[kept:]); ok && !allZero(raw[kept:]) {
 			if framed, rest, _ := splitRecord(raw[kept:]); len(rest) > 0 {
-				t.Fatalf("cut at %d of %d, before a record of %d and %d more bytes", kept, len(raw), len(framed), len(rest))
+				t.Fatalf("truncated at byte %d of %d, before a complete record of %d bytes and %d further bytes",
+					kept, len(raw), len(framed), len(rest))
 			}
 		}
 	})
