--- a/internal/failuredetector/monitor_test.go
+++ b/internal/failuredetector/monitor_test.go
@@ -16,15 +16,15 @@
 	}
 	loads, moved := map[string]int{}, 0
 	for _, n := range ring {
-		named := WatchersOf(ring, n.ID)
-		if len(named) != WatchersPerNode || named[0].ID == n.ID || named[1].ID == n.ID || named[0] == named[1] {
-			t.Fatalf("%s is watched by %v", n.ID, named)
+		watchers := WatchersOf(ring, n.ID)
+		if len(watchers) != WatchersPerNode || watchers[0].ID == n.ID || watchers[1].ID == n.ID || watchers[0] == watchers[1] {
+			t.Fatalf("%s is watched by %v", n.ID, watchers)
 		}
-		for _, w := range named {
+		for _, w := range watchers {
 			loads[w.ID]++
 		}
 		if n.ID != "n3" {
-			moved += len(Departed(named, WatchersOf(append(append([]Node{}, ring[:3]...), ring[4:]...), n.ID)))
+			moved += len(Departed(watchers, WatchersOf(append(append([]Node{}, ring[:3]...), ring[4:]...), n.ID)))
 		}
 	}
 	if moved > 2*WatchersPerNode {
@@ -38,31 +38,31 @@
 }
 
 func TestPausedMonitorSuspectsNobody(t *testing.T) {
-	w := NewMonitor()
-	w.Receive(clock.Sec, Heartbeat{ID: "a"})
-	if got := w.Suspects(60 * clock.Sec); len(got) != 0 {
+	m := NewMonitor()
+	m.Receive(clock.Sec, Heartbeat{ID: "a"})
+	if got := m.Suspects(60 * clock.Sec); len(got) != 0 {
 		t.Fatalf("just woken, it accuses %v", got)
 	}
 	for nowUs := 60 * clock.Sec; nowUs < 62*clock.Sec; nowUs += HeartbeatIntervalUs {
-		w.Suspects(nowUs)
+		m.Suspects(nowUs)
 	}
-	if diff := cmp.Diff([]string{"a"}, w.Suspects(62*clock.Sec)); diff != "" {
+	if diff := cmp.Diff([]string{"a"}, m.Suspects(62*clock.Sec)); diff != "" {
 		t.Fatal(diff)
 	}
-	w.Receive(62*clock.Sec, Heartbeat{ID: "a", Final: true})
-	if got := w.Suspects(62*clock.Sec + 1); len(got) != 0 {
+	m.Receive(62*clock.Sec, Heartbeat{ID: "a", Final: true})
+	if got := m.Suspects(62*clock.Sec + 1); len(got) != 0 {
 		t.Fatal("it accuses one that took its leave")
 	}
 }
 
 func TestQuorumNeedsMoreThanOneWatcher(t *testing.T) {
-	j := NewSuspicionQuorum()
-	j.Report(1, SuspicionReport{Reporter: "x", Suspects: []string{"a"}})
-	if j.Suspected(2, "a") {
+	q := NewSuspicionQuorum()
+	q.Report(1, SuspicionReport{Reporter: "x", Suspects: []string{"a"}})
+	if q.Suspected(2, "a") {
 		t.Fatal("one vote")
 	}
-	j.Report(2, SuspicionReport{Reporter: "y", Suspects: []string{"a"}})
-	if !j.Suspected(3, "a") || j.Suspected(3, "b") || j.Suspected(3+SuspectAfterUs, "a") {
+	q.Report(2, SuspicionReport{Reporter: "y", Suspects: []string{"a"}})
+	if !q.Suspected(3, "a") || q.Suspected(3, "b") || q.Suspected(3+SuspectAfterUs, "a") {
 		t.Fatal("two fresh votes convict, stale ones do not")
 	}
 }
--- a/internal/failuredetector/ring.go
+++ b/internal/failuredetector/ring.go
@@ -37,10 +37,10 @@
 }
 
 // Departed returns the nodes of before that are not among now.
-func Departed(before, now []Node) []Node {
+func Departed(before, after []Node) []Node {
 	departed := []Node{}
 	for _, b := range before {
-		if !slices.Contains(now, b) {
+		if !slices.Contains(after, b) {
 			departed = append(departed, b)
 		}
 	}
