--- a/internal/failuredetector/doc.go
+++ b/internal/failuredetector/doc.go
@@ -1,11 +1,12 @@
-// Package failuredetector finds failed nodes without a monitor of their own. Every node sends heartbeats to the
-// WatchersPerNode that follow it on a hash ring (Monitor), and it is suspected once that many of them have reported that
-// its heartbeats are overdue (SuspicionQuorum). Package distribution lays the ring; packages controlnode and gateway send
-// heartbeats and reports.
+// Package failuredetector detects failed nodes without a dedicated monitoring service. Every node sends heartbeats to the
+// WatchersPerNode nodes that follow it on a hash ring, where a Monitor records them. A node is suspected once all of these
+// watchers have reported its heartbeats as overdue (SuspicionQuorum). Package distribution builds the ring; packages
+// controlnode and gateway send heartbeats and reports.
 //
 // Invariants:
-//   - It never acts on a suspicion, and one watcher alone can raise none.
-//   - A watcher that was itself paused suspects nobody for the time of its pause.
+//   - The package never acts on a suspicion.
+//   - The report of one watcher alone never makes a node suspected.
+//   - A watcher that was itself paused suspects no node because of heartbeats that it missed during its pause.
 //
 // Times are microseconds of the caller's clock. The types are not safe for concurrent use.
 package failuredetector
--- a/internal/failuredetector/monitor_test.go
+++ b/internal/failuredetector/monitor_test.go
@@ -18,7 +18,7 @@
 	for _, n := range ring {
 		watchers := WatchersOf(ring, n.ID)
 		if len(watchers) != WatchersPerNode || watchers[0].ID == n.ID || watchers[1].ID == n.ID || watchers[0] == watchers[1] {
-			t.Fatalf("%s is watched by %v", n.ID, watchers)
+			t.Fatalf("watchers of %s: got %v, want two distinct other nodes", n.ID, watchers)
 		}
 		for _, w := range watchers {
 			loads[w.ID]++
@@ -28,30 +28,30 @@
 		}
 	}
 	if moved > 2*WatchersPerNode {
-		t.Fatalf("%d watchers moved as one node left", moved)
+		t.Fatalf("%d watchers were reassigned after one node left, want at most %d", moved, 2*WatchersPerNode)
 	}
 	for id, n := range loads {
 		if n > WatchersPerNode {
-			t.Fatalf("%s watches %d", id, n)
+			t.Fatalf("%s watches %d nodes, want at most %d", id, n, WatchersPerNode)
 		}
 	}
 }
 
-func TestPausedMonitorSuspectsNobody(t *testing.T) {
+func TestMonitorSuspectsNoNodeAfterOwnPause(t *testing.T) {
 	m := NewMonitor()
 	m.Receive(clock.Sec, Heartbeat{ID: "a"})
 	if got := m.Suspects(60 * clock.Sec); len(got) != 0 {
-		t.Fatalf("just woken, it accuses %v", got)
+		t.Fatalf("suspects right after the pause: got %v, want none", got)
 	}
 	for nowUs := 60 * clock.Sec; nowUs < 62*clock.Sec; nowUs += HeartbeatIntervalUs {
 		m.Suspects(nowUs)
 	}
 	if diff := cmp.Diff([]string{"a"}, m.Suspects(62*clock.Sec)); diff != "" {
-		t.Fatal(diff)
+		t.Fatalf("suspects after two seconds without heartbeats (-want +got):\n%s", diff)
 	}
 	m.Receive(62*clock.Sec, Heartbeat{ID: "a", Final: true})
 	if got := m.Suspects(62*clock.Sec + 1); len(got) != 0 {
-		t.Fatal("it accuses one that took its leave")
+		t.Fatalf("suspects after the final heartbeat: got %v, want none", got)
 	}
 }
 
@@ -59,10 +59,10 @@
 	q := NewSuspicionQuorum()
 	q.Report(1, SuspicionReport{Reporter: "x", Suspects: []string{"a"}})
 	if q.Suspected(2, "a") {
-		t.Fatal("one vote")
+		t.Fatal("node a is suspected after the report of one watcher")
 	}
 	q.Report(2, SuspicionReport{Reporter: "y", Suspects: []string{"a"}})
 	if !q.Suspected(3, "a") || q.Suspected(3, "b") || q.Suspected(3+SuspectAfterUs, "a") {
-		t.Fatal("two fresh votes convict, stale ones do not")
+		t.Fatal("want only node a suspected, after two current reports, and not after they expired")
 	}
 }
--- a/internal/failuredetector/quorum.go
+++ b/internal/failuredetector/quorum.go
@@ -1,19 +1,20 @@
 package failuredetector
 
-// SuspicionReport is all that one watcher suspects at a time.
+// SuspicionReport has all nodes that one watcher suspects at one time.
 type SuspicionReport struct {
 	Reporter string `json:"by"`
-	// Suspects are the IDs of nodes; an empty report takes earlier suspicions back.
+	// Suspects has the IDs of the suspected nodes. An empty report withdraws earlier suspicions.
 	Suspects []string `json:"silent"`
 }
 
-// SuspicionQuorum counts the watchers that suspect a node: one alone may itself be partitioned.
+// SuspicionQuorum decides by the reports of watchers which nodes are suspected. The report of one watcher alone is not enough,
+// because the watcher itself may be partitioned.
 type SuspicionQuorum struct {
-	// reports are the newest by reporter.
+	// reports has the latest report of each reporter.
 	reports map[string]timedReport
 }
 
-// timedReport is a report with the time it came.
+// timedReport is a report with the time at which it arrived.
 type timedReport struct {
 	suspects   []string
 	receivedUs int64
@@ -24,12 +25,12 @@
 	return &SuspicionQuorum{reports: map[string]timedReport{}}
 }
 
-// Report takes a watcher's report in place of its last.
+// Report records a watcher's report, which replaces the watcher's previous one.
 func (q *SuspicionQuorum) Report(nowUs int64, report SuspicionReport) {
 	q.reports[report.Reporter] = timedReport{report.Suspects, nowUs}
 }
 
-// Suspected reports whether WatchersPerNode watchers suspect a node, by reports of the last SuspectAfterUs.
+// Suspected reports whether at least WatchersPerNode watchers suspect a node, by their reports of the last SuspectAfterUs.
 func (q *SuspicionQuorum) Suspected(nowUs int64, id string) bool {
 	votes := 0
 	for reporter, report := range q.reports {
--- a/internal/failuredetector/ring.go
+++ b/internal/failuredetector/ring.go
@@ -7,17 +7,17 @@
 	"petreltide/internal/api/membership"
 )
 
-// WatchersPerNode is how many nodes watch each one. All of them must suspect it before it counts as suspected.
+// WatchersPerNode is the number of nodes that watch each node. All of them must suspect a node for it to be suspected.
 const WatchersPerNode = 2
 
-// Node is one member of the ring. Gateways are sent the ring, so that it stands in the API.
+// Node is one member of the ring. The ring is sent to gateways, so its type is part of the API.
 type Node = membership.RingNode
 
-// ringPosition hashes an ID to its position.
+// ringPosition returns the position of an ID on the ring, a hash of it.
 func ringPosition(id string) uint64 { return membership.SpreadHash(id) }
 
-// WatchersOf returns the nodes that watch id: the first WatchersPerNode that follow its position on the ring, fewer
-// where there are no more.
+// WatchersOf returns the nodes that watch id: the first WatchersPerNode nodes after its position on the ring, or all other
+// nodes if there are fewer.
 func WatchersOf(ring []Node, id string) []Node {
 	others := []Node{}
 	for _, n := range ring {
@@ -36,7 +36,7 @@
 	return others[:min(WatchersPerNode, len(others))]
 }
 
-// Departed returns the nodes of before that are not among now.
+// Departed returns the nodes of before that are not in after.
 func Departed(before, after []Node) []Node {
 	departed := []Node{}
 	for _, b := range before {
