--- a/internal/statistics/histogram.go
+++ b/internal/statistics/histogram.go
@@ -13,43 +13,43 @@
 type Histogram map[int]uint64
 
 // Add counts one time.
-func (s Histogram) Add(spanUs int64) {
-	at := 0
-	if spanUs > 100 {
-		at = min(maxBucket, int(math.Log(float64(spanUs)/100)/math.Log(bucketRatio))+1)
+func (h Histogram) Add(durationUs int64) {
+	bucket := 0
+	if durationUs > 100 {
+		bucket = min(maxBucket, int(math.Log(float64(durationUs)/100)/math.Log(bucketRatio))+1)
 	}
-	s[at]++
+	h[bucket]++
 }
 
 // Merge adds the counts of another spread.
-func (s Histogram) Merge(o Histogram) {
-	for at, n := range o {
-		s[at] += n
+func (h Histogram) Merge(other Histogram) {
+	for bucket, n := range other {
+		h[bucket] += n
 	}
 }
 
 // Count is how many times were counted.
-func (s Histogram) Count() uint64 {
+func (h Histogram) Count() uint64 {
 	var sum uint64
-	for _, n := range s {
+	for _, n := range h {
 		sum += n
 	}
 	return sum
 }
 
 // QuantileMs is the middle of the bucket that holds this part of all times. Those never seen to end
-// count as mostMs: left out, they would make what serves nobody look quick.
-func (s Histogram) QuantileMs(part float64, unseen uint64, mostMs float64) float64 {
-	whole := s.Count() + unseen
-	if whole == 0 {
+// count as maxMs: left out, they would make what serves nobody look quick.
+func (h Histogram) QuantileMs(quantile float64, unfinished uint64, maxMs float64) float64 {
+	total := h.Count() + unfinished
+	if total == 0 {
 		return 0
 	}
-	before := uint64(0)
-	for at := 0; at <= maxBucket; at++ {
-		before += s[at]
-		if s[at] > 0 && float64(before) >= part*float64(whole) {
-			return min(mostMs, 0.1*math.Pow(bucketRatio, float64(at)-0.5))
+	cumulative := uint64(0)
+	for bucket := 0; bucket <= maxBucket; bucket++ {
+		cumulative += h[bucket]
+		if h[bucket] > 0 && float64(cumulative) >= quantile*float64(total) {
+			return min(maxMs, 0.1*math.Pow(bucketRatio, float64(bucket)-0.5))
 		}
 	}
-	return mostMs
+	return maxMs
 }
--- a/internal/statistics/paired.go
+++ b/internal/statistics/paired.go
@@ -29,17 +29,17 @@
 		d.Low, d.High = math.Inf(-1), math.Inf(1)
 		return d
 	}
-	sum := 0.0
+	squares := 0.0
 	for i := 0; i < n; i++ {
-		off := b[i] - a[i] - d.Mean
-		sum += off * off
+		deviation := b[i] - a[i] - d.Mean
+		squares += deviation * deviation
 	}
 	t := 1.96
 	if n-1 < len(studentT) {
 		t = studentT[n-1]
 	}
-	half := t * math.Sqrt(sum/float64(n-1)/float64(n))
-	d.Low, d.High = d.Mean-half, d.Mean+half
+	halfWidth := t * math.Sqrt(squares/float64(n-1)/float64(n))
+	d.Low, d.High = d.Mean-halfWidth, d.Mean+halfWidth
 	return d
 }
 
--- a/internal/statistics/paired_test.go
+++ b/internal/statistics/paired_test.go
@@ -8,7 +8,7 @@
 
 func TestPairedIntervalHoldsTheTruthAboutNineteenTimesInTwenty(t *testing.T) {
 	r := rand.New(rand.NewSource(7))
-	held, nothing := 0, 0
+	covered, insignificant := 0, 0
 	const rounds = 2000
 	for i := 0; i < rounds; i++ {
 		var a, b, c []float64
@@ -19,13 +19,13 @@
 			c = append(c, base+r.NormFloat64())
 		}
 		if d := Paired(a, b); d.Low <= 2 && d.High >= 2 {
-			held++
+			covered++
 		}
 		if !Paired(a, c).Significant() {
-			nothing++
+			insignificant++
 		}
 	}
-	for _, n := range []int{held, nothing} {
+	for _, n := range []int{covered, insignificant} {
 		if share := float64(n) / rounds; math.Abs(share-0.95) > 0.02 {
 			t.Fatalf("share %.3f, want about 0.95", share)
 		}
