--- a/internal/statistics/doc.go
+++ b/internal/statistics/doc.go
@@ -1,4 +1,4 @@
-// Package statistics holds the statistics of comparisons: histograms of times, and paired differences with their
-// confidence interval. Packages scheduling and comparison call it. It keeps no samples, only buckets, and never
-// drops a call that was not seen to end.
+// Package statistics has the statistics of comparisons: histograms of durations, and paired differences with their confidence
+// interval. Packages scheduling and comparison use it. Histograms keep no samples, only buckets, and their quantiles include
+// calls whose end was not observed.
 package statistics
--- a/internal/statistics/histogram.go
+++ b/internal/statistics/histogram.go
@@ -3,16 +3,16 @@
 import "math"
 
 const (
-	// bucketRatio is how much wider a bucket is than the one before; the first ends at 100 microseconds.
+	// bucketRatio is the ratio of a bucket's upper bound to that of the previous bucket. The first bucket ends at 100 microseconds.
 	bucketRatio = 1.1
-	// maxBucket is the last bucket, which takes all longer times.
+	// maxBucket is the index of the last bucket, which counts all longer durations.
 	maxBucket = 160
 )
 
-// Histogram counts times in buckets, each a tenth wider than the one before.
+// Histogram counts durations by the index of their bucket. Bucket widths grow exponentially, by a tenth from each to the next.
 type Histogram map[int]uint64
 
-// Add counts one time.
+// Add counts one duration, given in microseconds.
 func (h Histogram) Add(durationUs int64) {
 	bucket := 0
 	if durationUs > 100 {
@@ -21,14 +21,14 @@
 	h[bucket]++
 }
 
-// Merge adds the counts of another spread.
+// Merge adds the counts of another histogram.
 func (h Histogram) Merge(other Histogram) {
 	for bucket, n := range other {
 		h[bucket] += n
 	}
 }
 
-// Count is how many times were counted.
+// Count returns the number of counted durations.
 func (h Histogram) Count() uint64 {
 	var sum uint64
 	for _, n := range h {
@@ -37,8 +37,9 @@
 	return sum
 }
 
-// QuantileMs is the middle of the bucket that holds this part of all times. Those never seen to end
-// count as maxMs: left out, they would make what serves nobody look quick.
+// QuantileMs returns a quantile in milliseconds: the middle of the bucket that contains it on a log scale, at most maxMs, and 0 without
+// calls. quantile is between 0 and 1. The unfinished calls, whose end was not observed, count as maxMs: if they were left out,
+// a system that completes no calls would look fast.
 func (h Histogram) QuantileMs(quantile float64, unfinished uint64, maxMs float64) float64 {
 	total := h.Count() + unfinished
 	if total == 0 {
--- a/internal/statistics/paired.go
+++ b/internal/statistics/paired.go
@@ -2,20 +2,22 @@
 
 import "math"
 
-// PairedDifference is the mean of paired differences b-a with the interval that holds it nineteen times in twenty.
+// PairedDifference is the mean of the paired differences b-a with its 95% confidence interval, from Low to High.
 type PairedDifference struct {
 	Mean, Low, High float64
 	Pairs           int
 }
 
-// Significant says that the interval leaves zero out.
+// Significant reports whether the confidence interval excludes zero. It is false for fewer than two pairs.
 func (d PairedDifference) Significant() bool { return d.Pairs > 1 && (d.Low > 0 || d.High < 0) }
 
-// Student's t for 97.5% by degrees of freedom; beyond the list the normal value is near enough.
+// studentT has the 97.5% quantiles of Student's t-distribution by degrees of freedom. Beyond the list, the quantile of the normal
+// distribution is close enough.
 var studentT = []float64{0, 12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
 	2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042}
 
-// Paired compares two series, pair by pair; what is longer in one of them is left out.
+// Paired returns the difference of two series, pair by pair. Values of the longer series without a counterpart are left out. The
+// interval of a single pair is infinite.
 func Paired(a, b []float64) PairedDifference {
 	n := min(len(a), len(b))
 	d := PairedDifference{Pairs: n}
@@ -43,7 +45,7 @@
 	return d
 }
 
-// Mean is the arithmetic mean, 0 of no values.
+// Mean returns the arithmetic mean, 0 for no values.
 func Mean(values []float64) float64 {
 	sum := 0.0
 	for _, v := range values {
--- a/internal/statistics/paired_test.go
+++ b/internal/statistics/paired_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestPairedIntervalHoldsTheTruthAboutNineteenTimesInTwenty(t *testing.T) {
+func TestPairedIntervalCoversTrueDifferenceIn95PercentOfRounds(t *testing.T) {
 	r := rand.New(rand.NewSource(7))
 	covered, insignificant := 0, 0
 	const rounds = 2000
@@ -27,10 +27,10 @@
 	}
 	for _, n := range []int{covered, insignificant} {
 		if share := float64(n) / rounds; math.Abs(share-0.95) > 0.02 {
-			t.Fatalf("share %.3f, want about 0.95", share)
+			t.Fatalf("fraction of rounds with a correct interval: got %.3f, want 0.95 within 0.02", share)
 		}
 	}
 	if Paired([]float64{1, 2, 3}, []float64{1, 2, 3}).Significant() || Paired([]float64{1}, []float64{9}).Significant() {
-		t.Fatal("a difference is seen where there is none, or only one pair")
+		t.Fatal("got a significant difference for equal series or for a single pair, want none")
 	}
 }
