--- a/internal/controlplane/scaler/scaler.go
+++ b/internal/controlplane/scaler/scaler.go
@@ -88,9 +88,9 @@
 // leaving ones; the spares' room is left out when counts are raised above one.
 func Decide(in Input) []Count {
 	p := newPlan(in)
-	order := p.lookUpWanted()
+	order := p.computeWantedReplicas()
 	p.sortByUrgency(order)
-	p.placeFirst(order)
+	p.placeFirstReplicas(order)
 	p.addReplicas(order)
 	p.lookUpPerformance()
 	return p.counts
@@ -121,8 +121,8 @@
 	return p
 }
 
-// lookUpWanted looks up how many replicas each model should have, and gives the places of those that should have any.
-func (p *plan) lookUpWanted() (order []int) {
+// computeWantedReplicas looks up how many replicas each model should have, and gives the places of those that should have any.
+func (p *plan) computeWantedReplicas() (order []int) {
 	usable := len(p.in.Usable)
 	order = make([]int, 0, len(p.counts))
 	for i, m := range p.in.Doc.Models {
@@ -147,8 +147,8 @@
 	sort.SliceStable(order, func(a, b int) bool { return urgency(order[a]) > urgency(order[b]) })
 }
 
-// placeFirst gives each model one replica, while there is room at all.
-func (p *plan) placeFirst(order []int) {
+// placeFirstReplicas gives each model one replica, while there is room at all.
+func (p *plan) placeFirstReplicas(order []int) {
 	for _, i := range order {
 		if sizeMb := p.in.Doc.Models[i].SizeMB; p.usedMb+sizeMb <= p.capacityMb {
 			p.counts[i].Replicas = 1
--- a/internal/controlplane/scaler/scaler_test.go
+++ b/internal/controlplane/scaler/scaler_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-func fleetOf(models, replicas, spares int) Input {
+func newInput(models, replicas, spares int) Input {
 	in := Input{Doc: &configuration.Declaration{Scaler: configuration.Scaler{StandbyReplicas: spares}}, Rates: map[string]float64{}, Waiting: map[string]int{}}
 	for i := 0; i < models; i++ {
 		in.Doc.Models = append(in.Doc.Models, configuration.Model{
@@ -71,12 +71,12 @@
 }
 
 func TestDecideKeepsSparesWithinCapacity(t *testing.T) {
-	in := fleetOf(1, 4, 2)
+	in := newInput(1, 4, 2)
 	in.Rates["m0"] = 35
 	if diff := cmp.Diff(map[string]int{"m0": 2}, counts(in)); diff != "" {
 		t.Fatal("two of four are spares:", diff)
 	}
-	in = fleetOf(1, 6, 2)
+	in = newInput(1, 6, 2)
 	in.Rates["m0"] = 35
 	if diff := cmp.Diff(map[string]int{"m0": 4}, counts(in)); diff != "" {
 		t.Fatal("new replicas are counted at once:", diff)
@@ -85,7 +85,7 @@
 	if diff := cmp.Diff(map[string]int{"m0": 1}, counts(in)); diff != "" {
 		t.Fatal("leaving ones are not:", diff)
 	}
-	in = fleetOf(12, 1, 0)
+	in = newInput(12, 1, 0)
 	in.Rates["m11"] = 5
 	got := counts(in)
 	placed := 0
@@ -95,7 +95,7 @@
 	if placed != 10 || got["m11"] != 1 {
 		t.Fatalf("room for ten, the one in demand among them, got %v", got)
 	}
-	in = fleetOf(1, 3, 0)
+	in = newInput(1, 3, 0)
 	in.Doc.Models[0].Weight = 0
 	if diff := cmp.Diff(map[string]int{"m0": 0}, counts(in)); diff != "" {
 		t.Fatal("no weight, no demand, no copy:", diff)
@@ -107,7 +107,7 @@
 }
 
 func TestDecideRunsWellBelowOneSecond(t *testing.T) {
-	in := fleetOf(30, 9, 2)
+	in := newInput(30, 9, 2)
 	for i := range in.Doc.Models {
 		in.Rates[in.Doc.Models[i].Name] = float64(i)
 	}
