--- a/internal/controlplane/scaler/doc.go
+++ b/internal/controlplane/scaler/doc.go
@@ -1,3 +1,4 @@
-// Package scaler turns arrival rates and offline latency tables into a number of replicas for each model, as
-// SpotServe does. Package controller calls it before the policy. It never says which replica holds what.
+// Package scaler computes the number of replicas of each model from arrival rates and latency tables measured offline,
+// as SpotServe does. Package controller calls it before it runs the placement policy. The scaler does not decide which
+// replica holds which model.
 package scaler
--- a/internal/controlplane/scaler/scaler.go
+++ b/internal/controlplane/scaler/scaler.go
@@ -6,13 +6,14 @@
 	"petreltide/internal/api/configuration"
 )
 
-// Replica is one replica and how much it holds.
+// Replica is one usable replica and its capacity in MB.
 type Replica struct {
 	ID         string
 	CapacityMb int64
 }
 
-// Input is what the counts depend on: calls a second and calls waiting by model, and the replicas that can be used.
+// Input is the input of Decide: the declaration, the calls per second and the waiting calls by model, and the usable
+// replicas.
 type Input struct {
 	Doc     *configuration.Declaration
 	Rates   map[string]float64
@@ -20,8 +21,10 @@
 	Usable  []Replica
 }
 
-// Count is how many replicas a model gets, and Wanted how many it would get if there were room. PerSecond and LatencyMs
-// are those of the table at Replicas; Covers says that they bear the rate.
+// Count is the decision for one model. Replicas is the number of replicas that the model gets, and Wanted the number
+// it would get with enough capacity. Rate is the demand in calls per second, waiting calls included. PerSecond and
+// LatencyMs are the throughput and latency in the model's table at Replicas; Covers reports whether that throughput
+// covers the rate.
 type Count struct {
 	Model     string  `json:"model"`
 	Replicas  int     `json:"replicas"`
@@ -33,15 +36,19 @@
 }
 
 const (
-	// queueSeconds is the time over which calls that wait are spread when they are counted as a rate.
+	// queueSeconds is the time in seconds over which waiting calls are spread when they are counted as a rate.
 	queueSeconds = 10.0
-	// weightOnlyDivisor makes a weight without a rate less urgent than any rate.
+	// weightOnlyDivisor scales the weight of a model down so that a weight without a rate ranks below any rate.
 	weightOnlyDivisor = 1e6
 )
 
-// Choose is the source's rule for one model over counts 1..most: lowest latency among those
-// that cover the rate, fewer replicas when latencies are similar, and the most throughput
-// when nothing covers.
+// Choose applies SpotServe's rule to one model. Among the counts 1..maxReplicas it selects:
+//  1. the count with the lowest latency of those whose throughput covers the rate,
+//  2. the lowest covering count instead whose latency is within similarPct percent of that,
+//  3. the count with the highest throughput if no count covers the rate.
+//
+// It reports whether the selected count covers the rate. If maxReplicas is below 1 or the table is empty, it returns
+// the zero point and false.
 func Choose(table []configuration.CapacityPoint, rate float64, maxReplicas, similarPct int) (configuration.CapacityPoint, bool) {
 	maxReplicas = min(maxReplicas, len(table))
 	if maxReplicas < 1 {
@@ -61,7 +68,7 @@
 	return *best, true
 }
 
-// fastestPoint is the point of the lowest latency that covers the rate; nil where none does.
+// fastestPoint returns the point with the lowest latency that covers the rate, or nil if none does.
 func fastestPoint(table []configuration.CapacityPoint, rate float64) *configuration.CapacityPoint {
 	var best *configuration.CapacityPoint
 	for i := range table {
@@ -73,7 +80,7 @@
 	return best
 }
 
-// highestThroughput is the point of the most throughput.
+// highestThroughput returns the point with the highest throughput; of equal ones, the first.
 func highestThroughput(table []configuration.CapacityPoint) *configuration.CapacityPoint {
 	best := &table[0]
 	for i := range table {
@@ -84,8 +91,8 @@
 	return best
 }
 
-// Decide gives every model its count. The usable replicas include new ones and exclude
-// leaving ones; the spares' room is left out when counts are raised above one.
+// Decide returns the replica count of every model, in the order of the declaration. The usable replicas include new ones
+// and exclude draining ones. The capacity of the spares is not used to raise counts above one.
 func Decide(in Input) []Count {
 	p := newPlan(in)
 	order := p.computeWantedReplicas()
@@ -96,12 +103,13 @@
 	return p.counts
 }
 
-// plan is one run of Decide: the counts so far, and the room that they take.
+// plan is the state of one run of Decide: the counts so far and the capacity that they take.
 type plan struct {
 	in     Input
 	spares int
 	counts []Count
-	// capacityMb is the room of all usable replicas, budgetMb that without the largest as spares.
+	// capacityMb is the total capacity of the usable replicas. budgetMb is the capacity without the largest replicas,
+	// which are reserved as spares. usedMb is the capacity taken by the counts.
 	capacityMb, budgetMb, usedMb int64
 }
 
@@ -121,7 +129,8 @@
 	return p
 }
 
-// computeWantedReplicas looks up how many replicas each model should have, and gives the places of those that should have any.
+// computeWantedReplicas sets the wanted number of replicas of each model that has a weight or demand, and returns the
+// indices of these models.
 func (p *plan) computeWantedReplicas() (order []int) {
 	usable := len(p.in.Usable)
 	order = make([]int, 0, len(p.counts))
@@ -138,7 +147,7 @@
 	return order
 }
 
-// sortByUrgency sorts models by rate and weight; without a rate, by weight alone.
+// sortByUrgency sorts model indices in descending order of rate and weight; models without a rate by weight alone.
 func (p *plan) sortByUrgency(order []int) {
 	urgency := func(i int) float64 {
 		weight := p.in.Doc.Models[i].Weight
@@ -147,7 +156,7 @@
 	sort.SliceStable(order, func(a, b int) bool { return urgency(order[a]) > urgency(order[b]) })
 }
 
-// placeFirstReplicas gives each model one replica, while there is room at all.
+// placeFirstReplicas gives each model one replica as far as the total capacity, spares included, allows.
 func (p *plan) placeFirstReplicas(order []int) {
 	for _, i := range order {
 		if sizeMb := p.in.Doc.Models[i].SizeMB; p.usedMb+sizeMb <= p.capacityMb {
@@ -157,7 +166,7 @@
 	}
 }
 
-// addReplicas gives models one replica more in turns, up to what they want and the spares leave room for.
+// addReplicas raises the counts round-robin by one replica, up to the wanted number and the capacity without spares.
 func (p *plan) addReplicas(order []int) {
 	for raised := true; raised; {
 		raised = false
@@ -172,7 +181,7 @@
 	}
 }
 
-// lookUpPerformance adds what the tables say of the counts.
+// lookUpPerformance sets the throughput and latency of each count from the model's table.
 func (p *plan) lookUpPerformance() {
 	for i := range p.counts {
 		c := &p.counts[i]
