--- a/internal/api/fault/decode.go
+++ b/internal/api/fault/decode.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// DecodeJSON reads one JSON value and refuses fields that the target does not know, by the name of the field where the
-// decoder gives it.
+// DecodeJSON decodes a single JSON value into the target. It rejects fields that the target does not have; the returned
+// fault names the field if the decoder reports it.
 func DecodeJSON(raw []byte, into any) *Fault {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
@@ -22,7 +22,7 @@
 	return nil
 }
 
-// fieldOf names the field that a decoder stumbled over, where it says so.
+// fieldOf returns the name of the field that a decoding error refers to, or "" if the error names none.
 func fieldOf(err error) string {
 	var mismatch *json.UnmarshalTypeError
 	if errors.As(err, &mismatch) {
--- a/internal/api/fault/fault.go
+++ b/internal/api/fault/fault.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// Code names what went wrong. It is what callers and operators see, so that a code keeps its name.
+// Code identifies a kind of fault. Callers and operators see it, so an existing code must not be renamed.
 type Code string
 
-// Codes of requests, which callers see, and below them those of orders, policies, settings and data, which operators
-// see.
+// The first group holds the codes of requests, which callers see. The second group holds the codes of orders, policies,
+// settings and data, which operators see.
 const (
 	BadJSON         Code = "bad_json"
 	TooLarge        Code = "too_large"
@@ -31,11 +31,11 @@
 	KeyEnded        Code = "key_ended"
 	KeysFull        Code = "keys_full"
 	Draining        Code = "draining"
-	// Unauthenticated means: no tenant holds the key of a request that needs one.
+	// Unauthenticated means that a request needs a key and no tenant holds the key that it carries.
 	Unauthenticated Code = "unauthenticated"
-	// QuotaExceeded means: the tenant's requests have reached its limit over all gateways.
+	// QuotaExceeded means that the tenant's requests have reached its limit over all gateways.
 	QuotaExceeded Code = "quota_exceeded"
-	// QuotaUnanswered means: nobody could say in time whether they have.
+	// QuotaUnanswered means that no control node answered in time whether the limit has been reached.
 	QuotaUnanswered Code = "quota_unanswered"
 
 	InvalidConfig          Code = "invalid_config"
@@ -73,7 +73,7 @@
 	NotRestored            Code = "not_restored"
 )
 
-// Whether a replica ran a request: not at all, perhaps, to its end, in part.
+// Values of Fault.Run, which says whether a replica ran a request: not at all, unknown, completely, or in part.
 const (
 	RunNone    = "none"
 	RunUnknown = "unknown"
@@ -81,8 +81,8 @@
 	RunPartial = "partial"
 )
 
-// Fault is one thing that went wrong, or a list of them under one code. Run is set for requests alone; RetryMs is how
-// long to wait before trying again, 0 for no advice; Revision is the configuration in force where an order was refused.
+// Fault is a single error, or a list of errors under one code. Run is set for requests only. RetryMs is the time in ms to
+// wait before a retry; 0 means no advice. Revision is the configuration revision in force if an order was refused.
 type Fault struct {
 	Code     Code    `json:"code"`
 	Field    string  `json:"field,omitempty"`
@@ -107,32 +107,32 @@
 	return text
 }
 
-// New makes a fault; the detail is formatted as fmt.Sprintf does. Field may be empty.
+// New returns a fault whose detail is formatted by fmt.Sprintf. The field may be empty.
 func New(code Code, field, format string, args ...any) *Fault {
 	return &Fault{Code: code, Field: field, Detail: fmt.Sprintf(format, args...)}
 }
 
-// List collects faults, so that all of an input are told at once. Its zero value is ready to use.
+// List collects faults, so that all faults of an input are reported together. The zero value is an empty list, ready to use.
 type List struct {
 	Faults []Fault
 }
 
-// Add puts a fault on the sheet; nil is passed over.
+// Add appends a fault to the list; nil is ignored.
 func (s *List) Add(f *Fault) {
 	if f != nil {
 		s.Faults = append(s.Faults, *f)
 	}
 }
 
-// Addf makes a fault as New does and puts it on the sheet.
+// Addf appends a fault made by New.
 func (s *List) Addf(code Code, field, format string, args ...any) {
 	s.Add(New(code, field, format, args...))
 }
 
-// Any says whether anything is on the sheet.
+// Any reports whether the list holds a fault.
 func (s *List) Any() bool { return len(s.Faults) > 0 }
 
-// Combined is one fault with all of the sheet inside, or nil where the sheet is empty.
+// Combined returns one fault that contains all faults of the list, or nil if the list is empty.
 func (s *List) Combined(code Code) *Fault {
 	if !s.Any() {
 		return nil
--- a/internal/api/feature/feature.go
+++ b/internal/api/feature/feature.go
@@ -1,5 +1,5 @@
-// Package feature names the mechanisms that a deployment may switch off, so that what each of them is worth can be
-// measured on the program as it is. All are on by default; none depends on another.
+// Package feature defines the feature gates: mechanisms that a deployment may disable, so that the benefit of each can be
+// measured on the unmodified program. All are enabled by default; none depends on another.
 package feature
 
 import (
@@ -9,43 +9,43 @@
 	"petreltide/internal/api/fault"
 )
 
-// Gate is one mechanism.
+// Gate is the name of a mechanism that can be disabled.
 type Gate string
 
-// The mechanisms, and what happens without each.
+// The gates, with what each mechanism does and what happens if it is disabled.
 const (
-	// DemandForecast raises a model that has only begun to be called to what others of its route are called.
-	// Without it copies follow what is counted.
+	// DemandForecast raises the estimated demand of a model that has only begun to receive calls to that of other models
+	// of its route. Without it the number of copies follows the counted calls.
 	DemandForecast Gate = "DemandForecast"
-	// EarlyRefusal sends a call back at once whose model cannot be there in time. Without it the call waits.
+	// EarlyRefusal refuses a call immediately if its model cannot be loaded in time. Without it the call waits.
 	EarlyRefusal Gate = "EarlyRefusal"
-	// FleetOutliers keeps all gateways off replicas at which attempts of many fail. Without it each gateway goes by
-	// its own attempts.
+	// FleetOutliers keeps all gateways from sending to replicas at which attempts of many gateways fail. Without it each
+	// gateway considers its own attempts only.
 	FleetOutliers Gate = "FleetOutliers"
-	// OverloadRefusal refuses calls for a model whose calls are late now, with when to come back. Without it all of them
-	// are sent on.
+	// OverloadRefusal refuses calls for a model whose calls are currently late, and says when to retry. Without it all
+	// calls are forwarded.
 	OverloadRefusal Gate = "OverloadRefusal"
-	// PrefixAffinity prefers replicas that have been sent the first parts of a prompt. Without it all are alike.
+	// PrefixAffinity prefers replicas that have been sent the first parts of a prompt. Without it there is no such preference.
 	PrefixAffinity Gate = "PrefixAffinity"
-	// SpareCapacity keeps room for one more model, and places for adapters, free ahead of calls. Without it room is made
-	// once it is asked for.
+	// SpareCapacity keeps capacity for one more model, and slots for adapters, free ahead of calls. Without it capacity
+	// is freed only when it is requested.
 	SpareCapacity Gate = "SpareRoom"
-	// ZonePreference prefers replicas of the gateway's own zone. Without it all zones are alike.
+	// ZonePreference prefers replicas in the gateway's own zone. Without it there is no preference between zones.
 	ZonePreference Gate = "ZonePreference"
 )
 
-// Gates are all mechanisms that may be switched off, in the order of their names.
+// Gates returns all gates, sorted by name.
 func Gates() []Gate {
 	return []Gate{DemandForecast, EarlyRefusal, FleetOutliers, OverloadRefusal, PrefixAffinity, SpareCapacity, ZonePreference}
 }
 
-// Disabled are the mechanisms that are switched off; nil leaves all on.
+// Disabled lists the disabled gates; nil means that all are enabled.
 type Disabled []Gate
 
-// Has says whether a mechanism is switched off.
+// Has reports whether a gate is disabled.
 func (o Disabled) Has(g Gate) bool { return slices.Contains(o, g) }
 
-// String lists them as Parse reads them.
+// String returns the names of the gates, separated by commas.
 func (o Disabled) String() string {
 	names := make([]string, len(o))
 	for i, g := range o {
@@ -54,7 +54,7 @@
 	return strings.Join(names, ",")
 }
 
-// Check refuses a name that is no mechanism, and one that stands twice.
+// Check returns a fault if a name is no gate or is listed twice, and nil otherwise.
 func (o Disabled) Check() *fault.Fault {
 	for i, g := range o {
 		if !slices.Contains(Gates(), g) {
--- a/internal/api/feature/feature_test.go
+++ b/internal/api/feature/feature_test.go
@@ -7,26 +7,26 @@
 	"petreltide/internal/api/fault"
 )
 
-func TestGatesAreListedOnceAndInOrder(t *testing.T) {
+func TestGatesAreUniqueAndSorted(t *testing.T) {
 	if !slices.IsSorted(Gates()) || len(slices.Compact(Gates())) != len(Gates()) {
-		t.Errorf("%v", Gates())
+		t.Errorf("Gates(): got %v, want unique names in sorted order", Gates())
 	}
 	if bad := Disabled(Gates()).Check(); bad != nil {
-		t.Error(bad)
+		t.Errorf("Check of all gates: got %v, want nil", bad)
 	}
 }
 
-func TestWhatIsNoMechanismIsRefused(t *testing.T) {
+func TestDisabledCheckRejectsUnknownAndDuplicateGates(t *testing.T) {
 	for name, off := range map[string]Disabled{"unknown": {"SpareRooms"}, "empty": {""}, "twice": {SpareCapacity, SpareCapacity}} {
 		if bad := off.Check(); bad == nil || bad.Code != fault.BadSettings {
-			t.Errorf("%s: %v", name, bad)
+			t.Errorf("%s: Check: got %v, want %s", name, bad, fault.BadSettings)
 		}
 	}
 }
 
-func TestOff(t *testing.T) {
+func TestDisabledHasListedGatesOnly(t *testing.T) {
 	off := Disabled{SpareCapacity}
 	if !off.Has(SpareCapacity) || off.Has(EarlyRefusal) || Disabled(nil).Has(SpareCapacity) {
-		t.Error("what is named is off, and nothing else")
+		t.Errorf("Has of %v and of nil: want true for %s in the former only", off, SpareCapacity)
 	}
 }
--- a/internal/api/membership/doc.go
+++ b/internal/api/membership/doc.go
@@ -1,6 +1,6 @@
-// Package membership says who the control nodes are: their identities, the views of their replication chain, and the ring
-// on which gateways watch each other. Control nodes decide views (package chain) and send them; gateways follow them to
-// find the tail, which gives leases. It holds values and what can be read off them, and decides nothing.
+// Package membership defines the identities of the control nodes, the views of their replication chain, and the ring on
+// which gateways monitor each other. Control nodes decide on views (package chain) and send them; gateways follow them to
+// find the tail, which grants leases. The package holds values and their accessors, and makes no decisions.
 //
 // Sources: chain replication (van Renesse and Schneider, 2004) for head, tail and order; single-decree Paxos for the voters
 // of a view.
--- a/internal/api/membership/hash.go
+++ b/internal/api/membership/hash.go
@@ -2,8 +2,8 @@
 
 import "hash/fnv"
 
-// SpreadHash hashes a text to a number. FNV-1a alone leaves similar texts close together; the first step of MurmurHash3's
-// finalizer spreads them.
+// SpreadHash returns a 64-bit hash of a text. FNV-1a alone gives similar texts hashes that are close together; the first
+// step of MurmurHash3's finalizer spreads them.
 func SpreadHash(text string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(text))
--- a/internal/api/membership/membership.go
+++ b/internal/api/membership/membership.go
@@ -1,6 +1,6 @@
 package membership
 
-// Member is a control node by the identity that its disk holds; a new disk is another member.
+// Member is a control node, identified by the ID stored on its disk; with a new disk it is another member.
 type Member struct {
 	ID   string `json:"id"`
 	Name string `json:"name"`
@@ -8,7 +8,8 @@
 	Zone string `json:"zone"`
 }
 
-// ChainReplica is a place in the order of a view, held by one process of a member: one that restarts has lost it.
+// ChainReplica is a position in the order of a view. It is held by one process of a member, and a process that restarts
+// loses it.
 type ChainReplica struct {
 	Member
 	Incarnation string `json:"inc"`
--- a/internal/api/membership/ring.go
+++ b/internal/api/membership/ring.go
@@ -1,15 +1,15 @@
 package membership
 
-// RingNode is one gateway on the ring on which gateways watch each other.
+// RingNode is a gateway on the ring on which gateways monitor each other.
 type RingNode struct {
-	// ID tells processes apart that followed each other at one address.
+	// ID distinguishes successive processes at the same address.
 	ID   string `json:"id"`
 	Addr string `json:"addr"`
 }
 
-// Heartbeat is what a gateway sends to its watchers on the ring.
+// Heartbeat is the message that a gateway sends to its monitors on the ring.
 type Heartbeat struct {
 	ID string `json:"id"`
-	// Final says that no more will come, since the sender shuts down in order.
+	// Final means that this is the last heartbeat, as the sender shuts down in an orderly way.
 	Final bool `json:"last,omitempty"`
 }
--- a/internal/api/membership/view.go
+++ b/internal/api/membership/view.go
@@ -1,25 +1,28 @@
 package membership
 
-// MaxNumber bounds the numbers of views and the rounds of ballots in messages: whatever is taken up can be followed by
-// a higher one. A chain that changes its view a thousand times a second takes longer than a hundred million years.
+// MaxNumber is the exclusive upper bound of view numbers and ballot rounds in messages, so that any accepted number can be
+// followed by a higher one. A chain that changes its view a thousand times a second needs more than a hundred million
+// years to reach it.
 const MaxNumber = 1 << 62
 
-// View says, under a number, who votes on the next view and which processes hold the log, head first.
+// View is a numbered configuration of the chain: the members that vote on the next view, and the processes that hold the
+// log, head first.
 type View struct {
-	// Number rises with each view; 0 is the founding of the chain.
+	// Number increases with each view; 0 is the founding view of the chain.
 	Number uint64 `json:"number"`
-	// Voters decide the next view.
+	// Voters decide on the next view.
 	Voters []Member `json:"voters"`
 	// Replicas are the processes that hold the log, from the head to the tail.
 	Replicas []ChainReplica `json:"order"`
-	// ExtraVoters counts the voters that control nodes took in by themselves beside those that were there: as many
-	// votes of silent ones may be dropped.
+	// ExtraVoters is the number of voters that control nodes added by themselves to the existing ones. As many silent
+	// voters may be removed.
 	ExtraVoters int `json:"extra,omitempty"`
-	// System names the chain: whoever founded another one is foreign. It is empty in chains founded before it was kept.
+	// System identifies the chain; a member that founded another chain is foreign. It is empty in chains that were founded
+	// before this field was stored.
 	System string `json:"system,omitempty"`
 }
 
-// Head is the seat that takes writes; a zero one where the view has no seats.
+// Head returns the replica that accepts writes, or the zero value if the view has no replicas.
 func (v View) Head() ChainReplica {
 	if len(v.Replicas) == 0 {
 		return ChainReplica{}
@@ -27,7 +30,7 @@
 	return v.Replicas[0]
 }
 
-// Tail is the seat that acknowledges and answers; a zero one where the view has no seats.
+// Tail returns the replica that acknowledges writes and answers reads, or the zero value if the view has no replicas.
 func (v View) Tail() ChainReplica {
 	if len(v.Replicas) == 0 {
 		return ChainReplica{}
@@ -35,7 +38,7 @@
 	return v.Replicas[len(v.Replicas)-1]
 }
 
-// Position is where in the order a process has its seat, -1 if it has none.
+// Position returns the index of a process in the order of replicas, or -1 if it is not among them.
 func (v View) Position(id, incarnation string) int {
 	for i, s := range v.Replicas {
 		if s.ID == id && s.Incarnation == incarnation {
@@ -45,7 +48,7 @@
 	return -1
 }
 
-// HasReplica says that some process of this member has a seat.
+// HasReplica reports whether a process of this member is among the replicas.
 func (v View) HasReplica(id string) bool {
 	for _, s := range v.Replicas {
 		if s.ID == id {
@@ -55,7 +58,7 @@
 	return false
 }
 
-// IsVoter says that this member is a voter of the view.
+// IsVoter reports whether this member is a voter of the view.
 func (v View) IsVoter(id string) bool {
 	for _, m := range v.Voters {
 		if m.ID == id {
@@ -65,7 +68,7 @@
 	return false
 }
 
-// QuorumSize of view 0, the founding, is everybody.
+// QuorumSize returns the number of voters that form a quorum: a majority, or all voters in view 0, the founding view.
 func (v View) QuorumSize() int {
 	if v.Number == 0 {
 		return len(v.Voters)
@@ -73,7 +76,8 @@
 	return len(v.Voters)/2 + 1
 }
 
-// IsValid says whether a view that was received can be taken up: every member has an identity and is named once. A view may be named by its number alone.
+// IsValid reports whether a received view can be adopted: every member has an ID and is listed at most once among the
+// voters and among the replicas, and the numbers are in range. A view may consist of its number alone.
 func (v View) IsValid() bool {
 	if v.Number >= MaxNumber || v.ExtraVoters < 0 {
 		return false
