--- a/internal/api/membership/view.go
+++ b/internal/api/membership/view.go
@@ -30,7 +30,7 @@
 	return v.Replicas[0]
 }
 
-// Tail returns the replica that acknowledges writes and answers reads, or the zero value if the view has no replicas.
+// Tail returns the replica that acknowledges writes and answers queries, or the zero value if the view has no replicas.
 func (v View) Tail() ChainReplica {
 	if len(v.Replicas) == 0 {
 		return ChainReplica{}
--- a/internal/api/wire/doc.go
+++ b/internal/api/wire/doc.go
@@ -1,3 +1,3 @@
-// Package wire holds the messages that the system's own processes and its stand-in replicas exchange as JSON.
-// Packages rpc's callers send them. It has no behaviour but encoding, and a field once sent keeps its name.
+// Package wire defines the JSON messages that the system's processes and its simulated replicas exchange. They are sent by
+// the users of package rpc. The package only encodes messages; a field that has ever been sent must keep its JSON name.
 package wire
--- a/internal/api/wire/frame.go
+++ b/internal/api/wire/frame.go
@@ -11,13 +11,14 @@
 	"petreltide/internal/outlier"
 )
 
-// Frame is one push of differences from a control node down a gateway's stream. The first of a stream is whole.
-// Revision and the declaration or the edits that lead to it come together; From is where the edits begin.
+// Frame is a message on the stream from a control node to a gateway; it carries what changed since the previous frame. The
+// first frame of a stream is complete. Revision is sent together with the declaration of that revision, or with the edits
+// that lead to it; EditsFrom is the revision that the edits start from.
 type Frame struct {
 	ControlNode string `json:"office"`
 	Complete    bool   `json:"whole,omitempty"`
 	CaughtUp    bool   `json:"settled,omitempty"`
-	// PossiblyStale says that the control node may be cut off: newer declarations may be in force than it knows.
+	// PossiblyStale means that the control node may be partitioned: declarations newer than those it knows may be in force.
 	PossiblyStale bool                       `json:"behind,omitempty"`
 	View          *membership.View           `json:"view,omitempty"`
 	ControlNodes  []membership.Member        `json:"offices,omitempty"`
@@ -28,7 +29,7 @@
 	Replicas      []ReplicaRow               `json:"replicas,omitempty"`
 	Orders        *PendingOrders             `json:"orders,omitempty"`
 	GatewayCount  int                        `json:"desks,omitempty"`
-	// Outliers are the verdicts on replicas, where they have changed.
+	// Outliers is the table of outlier verdicts on replicas, if it has changed.
 	Outliers *outlier.Table `json:"outliers,omitempty"`
 
 	encode sync.Once
@@ -36,36 +37,37 @@
 	err    error
 }
 
-// ReplicaRow is a replica's own word and what the control node makes of its silence.
+// ReplicaRow is the status reported by a replica, with the control node's judgment of its reachability.
 type ReplicaRow struct {
 	ReplicaStatus
 	Unreachable bool `json:"dark,omitempty"`
-	// Index is the ledger entry that last said what it holds; Units follow the greatest.
+	// Index is the log index of the entry that last recorded the units it holds; the Units with the greatest index apply.
 	Index uint64 `json:"index,omitempty"`
-	// Stale rows come from the ledger: they are where a replica was before the control nodes came back. One that
-	// is gone says no more than that the ledger has let it go.
+	// Stale means that the row comes from the replicated log: it is the state of the replica before the control nodes
+	// restarted. A stale row with Removed set says only that the log no longer lists the replica.
 	Stale bool `json:"stale,omitempty"`
 }
 
-// PendingOrders are what stands at replicas, numbered by the ledger entry that last touched them: all of it in a
-// whole frame, else what has changed since the stream's last.
+// PendingOrders are the orders pending at replicas. Number is the log index of the entry that last changed them. A complete
+// frame lists all of them, any other frame those that changed since the previous frame of the stream.
 type PendingOrders struct {
 	Number uint64         `json:"number"`
 	Rows   []PendingOrder `json:"rows"`
 }
 
-// PendingOrder is an order that stands: what will be there, or will not be any more. Without a unit none
-// stands there any longer.
+// PendingOrder is a pending order to load a unit at a replica, or to unload it if Unload is set. An empty unit means that
+// no order is pending at the replica any longer.
 type PendingOrder struct {
 	Replica string `json:"replica"`
 	Unit    string `json:"unit,omitempty"`
 	Unload  bool   `json:"unload,omitempty"`
 }
 
+// minGzipBytes is the minimum size of an encoded frame that is compressed.
 const minGzipBytes = 512
 
-// Encoded is the frame as JSON, zipped where that is worthwhile: written once however many gateways it goes
-// to. It must not change after.
+// Encoded returns the frame as JSON, compressed with gzip if it has at least minGzipBytes. A frame is encoded only once,
+// however many gateways it is sent to, and must not be modified after the first call.
 func (f *Frame) Encoded() ([]byte, error) {
 	f.encode.Do(func() {
 		type bare Frame
--- a/internal/api/wire/idempotency.go
+++ b/internal/api/wire/idempotency.go
@@ -1,15 +1,15 @@
 package wire
 
-// KeyRecord is who first used a caller's idempotency key, and how that call ended.
+// KeyRecord records which call first used a caller's idempotency key, and how that call ended.
 type KeyRecord struct {
-	// Gateway and GatewayIncarnation are the process that claimed the key.
+	// Gateway and GatewayIncarnation identify the process that claimed the key.
 	Gateway            string `json:"desk"`
 	GatewayIncarnation string `json:"deskInc"`
-	// Call is the gateway's ID of the call that claimed it.
+	// Call is the ID that the gateway gave to the call that claimed the key.
 	Call string `json:"call"`
-	// Ended is how far the call had run when it ended, as the gateway put it; empty while it may still run.
+	// Ended is how far the call had run when it ended, as reported by the gateway; empty while it may still be running.
 	Ended string `json:"ended,omitempty"`
-	// Index is the log index of the claim. Keys are forgotten from the lowest on.
+	// Index is the log index of the claim. Keys are evicted in ascending order of it.
 	Index uint64 `json:"index"`
 }
 
@@ -20,8 +20,8 @@
 	Gateway            string `json:"desk"`
 	GatewayIncarnation string `json:"deskInc"`
 	Call               string `json:"call"`
-	// End is how far the call had run; empty in a claim. It has no effect beside Release.
+	// End is how far the call had run; empty in a claim. It is ignored if Release is set.
 	End string `json:"end,omitempty"`
-	// Release frees the key, as the call did not run at all.
+	// Release frees the key, because the call did not run at all.
 	Release bool `json:"free,omitempty"`
 }
--- a/internal/api/wire/key_submission.go
+++ b/internal/api/wire/key_submission.go
@@ -1,10 +1,10 @@
 package wire
 
-// KeySubmission is what a gateway submits to a control node to claim, end or release an idempotency key. Its JSON is that of
-// a change of the state machine which holds nothing else, and the control node reads it as one.
+// KeySubmission is the message with which a gateway asks a control node to claim, end or release an idempotency key. Its
+// JSON is that of a state machine change with no other content, and the control node decodes it as such a change.
 type KeySubmission struct {
-	// ID names the change; one that is submitted again has the same ID.
+	// ID identifies the change; a resubmitted change has the same ID.
 	ID string `json:"id"`
-	// Key is what is claimed, ended or released.
+	// Key is the claim, end or release.
 	Key *KeyChange `json:"key,omitempty"`
 }
--- a/internal/api/wire/outcome.go
+++ b/internal/api/wire/outcome.go
@@ -4,31 +4,31 @@
 	"petreltide/internal/api/fault"
 )
 
-// Outcome is what became of a change.
+// Outcome is the result of a change: applied, or refused with a fault.
 type Outcome struct {
-	// ID is the change's.
+	// ID is the ID of the change.
 	ID string `json:"id"`
 	// Index is the log index at which the change was first applied or refused.
 	Index uint64 `json:"index"`
-	// Revision is what was in force after a configuration or membership change: the operators' version where they number
-	// theirs, else the revision.
+	// Revision is the one in force after a configuration or membership change: the operators' version if they number
+	// their declarations, else the revision.
 	Revision uint64 `json:"revision,omitempty"`
-	// Fault says why the change was refused as a whole; nil where it was applied.
+	// Fault is the reason why the change was refused as a whole; nil if it was applied.
 	Fault *fault.Fault `json:"fault,omitempty"`
 	// Key is the record of an idempotency key that was claimed, by this call or an earlier one.
 	Key *KeyRecord `json:"key,omitempty"`
-	// Repeated says that the change, or the key it claims, had been applied or refused before.
+	// Repeated means that the change, or the claim of its key, had already been applied or refused.
 	Repeated bool `json:"again,omitempty"`
-	// IsMembership says that this is the outcome of a membership change.
+	// IsMembership means that this is the outcome of a membership change.
 	IsMembership bool `json:"member,omitempty"`
-	// Digest is that of the request which the change came with; empty where its ID names the content already.
+	// Digest is the digest of the request that carried the change; empty if the ID already identifies the content.
 	Digest string `json:"digest,omitempty"`
-	// Faults are the parts of a leader's update that were refused, while the rest of it was applied.
+	// Faults are the faults of those parts of a leader's update that were refused while the rest was applied.
 	Faults []fault.Fault `json:"faults,omitempty"`
 }
 
-// ForContent returns the outcome as the answer to a change of this content. An ID that comes again with another content
-// names another change, which is refused. Where one of the two has no digest they count as the same.
+// ForContent returns the outcome to report for a change whose content has the given digest. An ID that is reused with other
+// content denotes a different change, which is refused. If either digest is empty, the contents are taken to be equal.
 func (o Outcome) ForContent(digest string) Outcome {
 	if o.Digest == "" || digest == "" || o.Digest == digest {
 		return o
@@ -38,7 +38,8 @@
 	return refused
 }
 
-// RefusesOther says that this is the refusal of another content under the same ID, and says nothing of this one.
+// RefusesOther reports whether this outcome is the refusal of other content under the same ID, so that it says nothing about
+// the content with the given digest.
 func (o Outcome) RefusesOther(digest string) bool {
 	return o.Fault != nil && o.Fault.Code == fault.ForeignChange && o.Digest != digest
 }
--- a/internal/api/wire/wire.go
+++ b/internal/api/wire/wire.go
@@ -6,7 +6,7 @@
 	"petreltide/internal/outlier"
 )
 
-// GatewayUpdate is numbered by the ledger index that last touched what gateways act on.
+// GatewayUpdate is the state that a gateway acts on. Number is the log index of the entry that last changed this state.
 type GatewayUpdate struct {
 	Number      uint64                     `json:"number"`
 	View        uint64                     `json:"view"`
@@ -17,9 +17,9 @@
 	Grants      []Grant                    `json:"grants"`
 }
 
-// ReplicaUpdate is one replica as a gateway needs it. Share is how many requests this gateway may have there at once;
-// RemainingMs is how long a leaving replica stays; Stale says that the row comes from
-// the ledger, from before the control nodes came back.
+// ReplicaUpdate is the state of a replica that a gateway needs. MaxInFlight is the number of requests that this gateway may
+// have in flight there; RemainingMs is how long a draining replica stays; Stale means that the row comes from the replicated
+// log, from before the control nodes restarted.
 type ReplicaUpdate struct {
 	ID          string   `json:"id"`
 	Incarnation string   `json:"inc"`
@@ -37,7 +37,7 @@
 	Loading     string   `json:"loading,omitempty"`
 }
 
-// SubscribeRequest asks a control node for a stream. Revision and Number are what the gateway knows already.
+// SubscribeRequest asks a control node for a stream. Revision and Number are those that the gateway already has.
 type SubscribeRequest struct {
 	Gateway     string `json:"desk"`
 	Incarnation string `json:"inc"`
@@ -45,12 +45,13 @@
 	Zone        string `json:"zone"`
 	Revision    uint64 `json:"revision"`
 	Number      uint64 `json:"number"`
-	// Standby streams stand by beside another one: they carry no demand.
+	// Standby means that the stream is a backup for another one; it carries no demand.
 	Standby bool `json:"spare,omitempty"`
 }
 
-// Report is what a gateway tells a control node, and asks a lease with. Arrivals (a second) and Waiting are by unit, InFlight
-// by replica and Left by "replica|unit"; SentUs is by the gateway's own clock.
+// Report is the message with which a gateway reports its load to a control node and requests a lease. Arrivals (per second)
+// and Queued are keyed by unit, InFlight by replica and UnusedGrants by "replica|unit". SentUs is the time in microseconds
+// on the gateway's own clock.
 type Report struct {
 	Gateway      string                 `json:"desk"`
 	Incarnation  string                 `json:"inc"`
@@ -66,25 +67,28 @@
 	UnusedGrants map[string]UnusedGrant `json:"left,omitempty"`
 	Draining     bool                   `json:"draining,omitempty"`
 	Suspects     []string               `json:"silent,omitempty"`
-	// PromptTokens of prompts a second, by model; Recent are arrivals of the last second or two; Paths are
-	// arrivals a second by "route|model"; Runs are attempts under way and Unread those without a first piece, by "replica|model".
+	// PromptTokens is the number of prompt tokens per second, by model. RecentArrivals are the arrivals of the last second
+	// or two. RouteArrivals are the arrivals per second, by "route|model". ModelInFlight is the number of attempts in flight
+	// and PendingPrefill the number of those without a first chunk, by "replica|model".
 	PromptTokens   map[string]float64 `json:"tokens,omitempty"`
 	RecentArrivals map[string]float64 `json:"recent,omitempty"`
 	RouteArrivals  map[string]float64 `json:"paths,omitempty"`
 	ModelInFlight  map[string]int     `json:"runs,omitempty"`
 	PendingPrefill map[string]int     `json:"unread,omitempty"`
-	// Attempts ended since the last report, by service; Outcomes at replicas where one failed or that are on trial.
+	// Attempts is the number of attempts that ended since the last report, by service. Outcomes are the outcome counts at
+	// replicas where an attempt failed or that are on probation.
 	Attempts map[string]int   `json:"legs,omitempty"`
 	Outcomes []outlier.Counts `json:"outcomes,omitempty"`
 }
 
-// UnusedGrant is how much of a grant a gateway has not used.
+// UnusedGrant is the number of attempt numbers of a grant that a gateway has not used.
 type UnusedGrant struct {
 	Ticket    uint64 `json:"ticket"`
 	Remaining uint64 `json:"left"`
 }
 
-// Lease answers a report. SentUs is the report's own, so that the gateway counts LeaseUs from when it sent it.
+// Lease answers a report. SentUs is copied from the report, so that the gateway measures LeaseUs from the time at which it
+// sent the report.
 type Lease struct {
 	OK      bool                  `json:"ok"`
 	View    uint64                `json:"view"`
@@ -94,29 +98,30 @@
 	Ring    []membership.RingNode `json:"ring,omitempty"`
 }
 
-// MembershipRequest asks a control node for the members that it knows.
+// MembershipRequest asks a control node for its view and the control nodes that it knows.
 type MembershipRequest struct {
 	From membership.Member `json:"from"`
 }
 
-// MembershipResponse answers MembershipRequest with the chain's view and all control nodes known.
+// MembershipResponse answers a MembershipRequest with the chain's view and all known control nodes.
 type MembershipResponse struct {
 	View         membership.View     `json:"view"`
 	ControlNodes []membership.Member `json:"offices"`
 }
 
-// Result is what became of a change, told to the control node that took it. Everywhere says that all gateways have it.
+// Result reports the outcome of a change to the control node that accepted it. OnAllGateways means that all gateways have
+// received the change.
 type Result struct {
 	Outcome       Outcome `json:"outcome"`
 	OnAllGateways bool    `json:"everywhere"`
 }
 
-// Ack says no more than that a message has arrived.
+// Ack is the empty answer that confirms the receipt of a message.
 type Ack struct{}
 
-// Replica and platform interfaces, outward.
+// The types below are the messages of the interfaces to replicas and to the platform.
 
-// ReplicaState is what a replica answers when it is asked what it holds and does.
+// ReplicaState is a replica's answer to a query for its loaded units and current work.
 type ReplicaState struct {
 	ID          string         `json:"id"`
 	Incarnation string         `json:"inc"`
@@ -124,34 +129,34 @@
 	LastOrder   *OrderState    `json:"last,omitempty"`
 	Active      int            `json:"active"`
 
-	// Of replicas that do not name their last order: whether one is under way, how many they took, and
-	// which units they hold.
+	// Busy, Orders and Units are reported by replicas that do not report LastOrder: whether an order is in progress, the
+	// number of orders accepted, and the loaded units.
 	Busy   bool     `json:"busy,omitempty"`
 	Orders uint64   `json:"orders,omitempty"`
 	Units  []string `json:"units,omitempty"`
 }
 
-// Order is one order to a replica: a ticket of the ledger, under the epoch of the controller that sends it.
+// Order is an order to a replica: a command from the replicated log, with the epoch of the controller that sends it.
 type Order struct {
 	Command ReplicaCommand `json:"ticket"`
 	Epoch   uint64         `json:"epoch"`
-	// Leader is who leads; Expected is how many orders the replica has taken, where it is known.
+	// Leader is the current leader; ExpectedOrders is the number of orders that the replica has accepted, if known.
 	Leader         string  `json:"holder,omitempty"`
 	ExpectedOrders *uint64 `json:"expected,omitempty"`
 }
 
-// What is known of an order. OrderRunning, OrderDone and OrderFailed are what a replica says of one that it has taken.
+// States of an order. OrderRunning, OrderDone and OrderFailed are reported by a replica for an order that it has accepted.
 const (
 	OrderRunning = "running"
 	OrderDone    = "done"
 	OrderFailed  = "failed"
-	// OrderInDoubt means that no answer came; the order may have been taken.
+	// OrderInDoubt means that no answer was received; the order may have been accepted.
 	OrderInDoubt = "in_doubt"
-	// OrderBusy means that another order is under way there, or that this one was counted wrong.
+	// OrderBusy means that another order is in progress at the replica, or that ExpectedOrders did not match.
 	OrderBusy = "busy"
 )
 
-// OrderState is what is known of an order; State is one of the constants above.
+// OrderState is the known state of an order; State is one of the constants above.
 type OrderState struct {
 	Number uint64 `json:"number"`
 	Epoch  uint64 `json:"epoch"`
@@ -159,19 +164,19 @@
 	Reason string `json:"why,omitempty"`
 }
 
-// ReplicaList is the platform's list of replicas; a greater Version is newer.
+// ReplicaList is the platform's list of replicas; a higher Version is newer.
 type ReplicaList struct {
 	Version  uint64          `json:"version"`
 	Replicas []ListedReplica `json:"replicas"`
 }
 
-// ListedReady and ListedDraining are the states of a replica on the platform's list.
+// ListedReady and ListedDraining are the states of a replica in the platform's list.
 const (
 	ListedReady    = "ready"
 	ListedDraining = "draining"
 )
 
-// ListedReplica is a replica on the platform's list; RemainingMs is how long one that is draining stays.
+// ListedReplica is a replica in the platform's list; RemainingMs is how long a draining replica stays.
 type ListedReplica struct {
 	ID          string `json:"id"`
 	Addr        string `json:"addr"`
@@ -182,7 +187,8 @@
 	RemainingMs int64  `json:"leftMs,omitempty"`
 }
 
-// Attempt is one attempt of a request at a replica. Had are the pieces that the caller has, and First the number of the next.
+// Attempt is one attempt of a request at a replica. Received are the chunks that the caller already has, and NextChunk is
+// the number of the next one.
 type Attempt struct {
 	ID          string   `json:"leg"`
 	Ticket      uint64   `json:"ticket"`
@@ -197,7 +203,7 @@
 	MaxOutput   int      `json:"mostOut,omitempty"`
 }
 
-// Chunk is one line of a replica's answer.
+// Chunk is one line of a replica's response.
 type Chunk struct {
 	AttemptID string `json:"leg"`
 	Number    int    `json:"n,omitempty"`
@@ -206,7 +212,7 @@
 	Error     string `json:"err,omitempty"`
 }
 
-// AttemptRefusal is why a replica did not give an answer; Started says whether the attempt may have run.
+// AttemptRefusal is the reason why a replica did not answer an attempt; Started reports whether the attempt may have run.
 type AttemptRefusal struct {
 	Code    string `json:"code"`
 	Started bool   `json:"started"`
