--- a/internal/outlier/evaluation.go
+++ b/internal/outlier/evaluation.go
@@ -6,22 +6,22 @@
 	"slices"
 )
 
-// candidate is a replica whose evidence has passed the threshold, for the gateways of one zone or for all.
+// candidate is a replica whose evidence has reached the threshold, for the gateways of one zone or, if zone is "", for all.
 type candidate struct {
 	replica       string
 	zone          string
 	evidenceRatio float64
 	dead          bool
-	// loadMayExplain: too few of its failures are of classes that no load brings about.
+	// loadMayExplain is set where fewer than minDeadFailures failures are of classes that load does not cause.
 	loadMayExplain bool
 }
 
-// Due says whether the verdicts are to be worked out again.
+// Due reports whether evaluationIntervalUs has passed since the last evaluation.
 func (d *Detector) Due(nowUs int64) bool { return nowUs-d.evaluatedUs >= evaluationIntervalUs }
 
-// Evaluate works out the verdicts; replicas counts those of each service that live. It is true where the table
-// is news.
-func (d *Detector) Evaluate(nowUs int64, epoch uint64, replicas map[string]int, lives func(replica string) bool) bool {
+// Evaluate updates the verdicts if they are due, and reports whether the table is to be published: it has changed, or it is
+// not empty and was last published republishIntervalUs ago. replicas is the number of live replicas by service.
+func (d *Detector) Evaluate(nowUs int64, epoch uint64, replicas map[string]int, isLive func(replica string) bool) bool {
 	if !d.Due(nowUs) {
 		return false
 	}
@@ -39,7 +39,7 @@
 		}
 	}
 	for id, sus := range d.suspects {
-		if !lives(id) || (nowUs-sus.atUs > expiryUs && len(sus.ejections) == 0) {
+		if !isLive(id) || (nowUs-sus.lastReportUs > expiryUs && len(sus.ejections) == 0) {
 			delete(d.suspects, id)
 		}
 	}
@@ -62,7 +62,7 @@
 	return true
 }
 
-// maxEjected is how many replicas of a service may be out or on trial at once.
+// maxEjected returns how many replicas of a service may be ejected or on probation at once: none of a single one.
 func (d *Detector) maxEjected(s *serviceStats) int {
 	if s.replicas < 2 {
 		return 0
@@ -70,12 +70,14 @@
 	return max(1, int(d.opts.MaxEjectedFraction*float64(s.replicas)))
 }
 
+// threshold returns the evidence that ejects a replica of a service, given the service's rate of attempts per replica.
 func (d *Detector) threshold(s *serviceStats) float64 {
 	rate := max(s.attemptsPerS, s.recent[0]/(float64(rateWindowUs)/1e6))
 	return threshold(rate / float64(max(s.replicas, 1)) * float64(d.opts.FalseEjectionIntervalUs) / 1e6)
 }
 
-// advanceProbation tries those again whose time out is over, and lets those rise who do well.
+// advanceProbation moves a suspect whose ejection has expired to probation, moves one that passed a stage of probation to the
+// next, and ejects one again that fails on probation.
 func (d *Detector) advanceProbation(nowUs int64, sus *suspect) {
 	limit := d.threshold(d.serviceStatsOf(sus.service)) / probationDivisor
 	for zone, v := range sus.ejections {
@@ -107,40 +109,42 @@
 	}
 }
 
+// eject ejects a replica for BaseEjectionUs, doubled for each earlier ejection up to MaxEjectionUs.
 func (d *Detector) eject(nowUs int64, v *ejection, dead bool) {
-	spanUs := min(d.opts.BaseEjectionUs<<min(v.count, 8), d.opts.MaxEjectionUs)
-	*v = ejection{ejected: true, dead: dead, count: v.count + 1, untilUs: nowUs + spanUs}
+	durationUs := min(d.opts.BaseEjectionUs<<min(v.count, 8), d.opts.MaxEjectionUs)
+	*v = ejection{ejected: true, dead: dead, count: v.count + 1, untilUs: nowUs + durationUs}
 }
 
-// relieve lets a replica have the share of the last stage of probation. One that is late because of what it was sent does
-// well then; one that is ill goes on failing, and is ejected for it.
+// relieve reduces a replica's load to the share of the last stage of probation. A replica that was late because of its load
+// recovers; a faulty one continues to fail and is ejected.
 func (d *Detector) relieve(nowUs int64, v *ejection) {
 	*v = ejection{relieved: true, sinceUs: nowUs, count: v.count, stage: len(probationPercents) - 1, untilUs: nowUs + d.opts.MaxEjectionUs}
 }
 
-// reliefFailed says whether fewer calls have not helped a replica lately.
+// reliefFailed reports whether the replica recently kept failing under reduced load: within reliefMemorySpans times
+// MaxEjectionUs.
 func (d *Detector) reliefFailed(nowUs int64, sus *suspect) bool {
 	return sus.reliefFailedUs > 0 && nowUs-sus.reliefFailedUs <= reliefMemorySpans*d.opts.MaxEjectionUs
 }
 
-// ejectSuspects takes out whoever has passed the threshold, the plainest first, within the share that may be out.
-// Where far more have passed than that, what fails is not the replicas: all evidence begins anew, against a
-// mean that by then shows it.
+// ejectSuspects ejects or relieves the replicas whose evidence has reached the threshold, those with the most evidence first,
+// up to maxEjected of each service. More than twice as many candidates mean that the service fails as a whole rather than
+// single replicas: all evidence is then reset, and collected against a baseline that by then includes these failures.
 func (d *Detector) ejectSuspects(nowUs int64) {
-	by := map[string][]candidate{}
+	byService := map[string][]candidate{}
 	for _, id := range slices.Sorted(maps.Keys(d.suspects)) {
 		sus := d.suspects[id]
 		if sus.ejections[""].active() {
 			continue
 		}
-		if one, ill := d.evaluateSuspect(id, sus); ill && !sus.ejections[one.zone].active() {
-			by[sus.service] = append(by[sus.service], one)
+		if c, isOutlier := d.evaluateSuspect(id, sus); isOutlier && !sus.ejections[c.zone].active() {
+			byService[sus.service] = append(byService[sus.service], c)
 		}
 	}
-	for name, all := range by {
+	for name, candidates := range byService {
 		svc := d.services[name]
-		most := d.maxEjected(svc)
-		if len(all) > 2*most {
+		maxEjected := d.maxEjected(svc)
+		if len(candidates) > 2*maxEjected {
 			d.ServiceWideFailures++
 			for _, sus := range d.suspects {
 				if sus.service == name {
@@ -149,23 +153,23 @@
 			}
 			continue
 		}
-		slices.SortStableFunc(all, func(a, b candidate) int { return cmp.Compare(b.evidenceRatio, a.evidenceRatio) })
-		for _, one := range all {
-			if d.countActive(name, one.zone) >= most {
+		slices.SortStableFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.evidenceRatio, a.evidenceRatio) })
+		for _, c := range candidates {
+			if d.countActive(name, c.zone) >= maxEjected {
 				continue
 			}
-			sus := d.suspects[one.replica]
-			v := sus.ejections[one.zone]
+			sus := d.suspects[c.replica]
+			v := sus.ejections[c.zone]
 			if v == nil {
 				v = &ejection{}
-				sus.ejections[one.zone] = v
+				sus.ejections[c.zone] = v
 			}
-			if one.loadMayExplain && !d.reliefFailed(nowUs, sus) {
+			if c.loadMayExplain && !d.reliefFailed(nowUs, sus) {
 				d.relieve(nowUs, v)
 			} else {
-				d.eject(nowUs, v, one.dead)
+				d.eject(nowUs, v, c.dead)
 			}
-			if one.zone == "" {
+			if c.zone == "" {
 				maps.DeleteFunc(sus.ejections, func(zone string, _ *ejection) bool { return zone != "" })
 			}
 			clear(sus.zones)
@@ -173,7 +177,8 @@
 	}
 }
 
-// countActive counts the replicas of a service that gateways of a zone, or all of them, are kept from.
+// countActive counts the replicas of a service that are ejected or on probation for the gateways of a zone or, if zone is "",
+// for the gateways of any zone.
 func (d *Detector) countActive(service, zone string) int {
 	n := 0
 	for _, sus := range d.suspects {
@@ -190,16 +195,18 @@
 	return n
 }
 
-// evaluateSuspect adds the evidence of gateways. One gateway's weighs no more than a share of the threshold, so that a bad
-// link of one condemns nobody; and what only gateways of one zone found holds for that zone alone.
+// evaluateSuspect sums up the evidence of all gateways and reports whether the replica is a candidate for ejection. One
+// gateway's evidence is capped at the threshold divided by minGateways, so that a bad network link of one gateway ejects no
+// replica; a gateway that has reported alone for singleGatewayUs is exempt. Evidence from gateways of one zone only ejects
+// the replica for that zone only.
 func (d *Detector) evaluateSuspect(id string, sus *suspect) (candidate, bool) {
 	svc := d.serviceStatsOf(sus.service)
 	limit := d.threshold(svc)
-	most := limit / minGateways
+	gatewayLimit := limit / minGateways
 	if d.singleGateway {
-		most = limit
+		gatewayLimit = limit
 	}
-	whole, bads, attempts := 0.0, 0.0, 0.0
+	total, failures, attempts := 0.0, 0.0, 0.0
 	for _, zone := range slices.Sorted(maps.Keys(sus.zones)) {
 		e := sus.zones[zone]
 		e.decayByTraffic(svc, zone)
@@ -207,35 +214,36 @@
 			delete(sus.zones, zone)
 			continue
 		}
-		whole, bads, attempts = whole+e.total, bads+e.failures, attempts+(e.attempts-e.fromAttempts)/float64(max(svc.replicas, 1))
+		total, failures, attempts = total+e.total, failures+e.failures, attempts+(e.attempts-e.fromAttempts)/float64(max(svc.replicas, 1))
 	}
-	if whole < limit {
+	if total < limit {
 		return candidate{}, false
 	}
-	worst, worstSum, sum := "", 0.0, 0.0
+	worstZone, worstZoneTotal, cappedTotal := "", 0.0, 0.0
 	for _, zone := range slices.Sorted(maps.Keys(sus.zones)) {
-		part := sus.zones[zone].cappedTotal(most)
-		sum += part
-		if part > worstSum {
-			worst, worstSum = zone, part
+		zoneTotal := sus.zones[zone].cappedTotal(gatewayLimit)
+		cappedTotal += zoneTotal
+		if zoneTotal > worstZoneTotal {
+			worstZone, worstZoneTotal = zone, zoneTotal
 		}
 	}
 	found := candidate{
 		replica:        id,
-		dead:           bads >= max(deadFailureFraction*attempts, minDeadFailures),
-		loadMayExplain: bads < minDeadFailures,
+		dead:           failures >= max(deadFailureFraction*attempts, minDeadFailures),
+		loadMayExplain: failures < minDeadFailures,
 	}
-	if sum >= limit && (sum-worstSum >= limit/4 || len(svc.attempts) == 1) {
-		found.evidenceRatio = sum / limit
+	if cappedTotal >= limit && (cappedTotal-worstZoneTotal >= limit/4 || len(svc.attempts) == 1) {
+		found.evidenceRatio = cappedTotal / limit
 		return found, true
 	}
-	if worstSum >= limit {
-		found.zone, found.evidenceRatio = worst, worstSum/limit
+	if worstZoneTotal >= limit {
+		found.zone, found.evidenceRatio = worstZone, worstZoneTotal/limit
 		return found, true
 	}
 	return candidate{}, false
 }
 
+// verdicts returns the rows of the table, sorted by replica and zone.
 func (d *Detector) verdicts() []Verdict {
 	rows := []Verdict(nil)
 	for _, id := range slices.Sorted(maps.Keys(d.suspects)) {
