--- a/internal/outlier/evidence.go
+++ b/internal/outlier/evidence.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// add adds one gateway's report. Its successes reduce only that gateway's own contribution, which is capped at limit.
+// add takes in one gateway's report. Its successes reduce only that gateway's own contribution, which is capped at limit.
 func (e *evidence) add(gateway string, successes int, gain, limit float64) {
 	previous := e.byGateway[gateway] * e.scale
 	updated := min(max(0, previous+float64(successes)*weight(Success, 0))+gain, limit)
@@ -91,7 +91,7 @@
 // active reports whether the replica is ejected or on probation. It is false for nil.
 func (v *ejection) active() bool { return v != nil && v.clearedUs == 0 }
 
-// onProbation reports whether the replica gets a part of its calls, whose outcomes decide whether it is ejected again.
+// onProbation reports whether the replica gets a part of its calls, whose outcomes decide whether it is ejected.
 func (v *ejection) onProbation() bool { return v.active() && !v.ejected }
 
 // settling reports whether calls from before the relief may still be reported as late, whatever the replica does now.
