--- a/internal/api/settings/settings.go
+++ b/internal/api/settings/settings.go
@@ -16,7 +16,7 @@
 	"petreltide/internal/process/clock"
 )
 
-// ControlNode are the settings of a control node. Times are milliseconds, addresses IP:port.
+// ControlNode holds the settings of a control node. Times are in milliseconds, addresses have the form IP:port.
 type ControlNode struct {
 	Name         string   `json:"name" validate:"required,max=64,hostname_rfc1123"`
 	Listen       string   `json:"listen" validate:"required"`
@@ -27,36 +27,38 @@
 	Platform     string   `json:"platform"`
 	FoundingSize int      `json:"founding" validate:"min=0,max=7"`
 
-	// Founders are the control nodes that begin a new chain together, by address; in place of FoundingSize.
+	// Founders are the addresses of the control nodes that found a new chain together; an alternative to FoundingSize.
 	Founders []string `json:"founders,omitempty" validate:"max=7"`
-	// MinReplicas is how many synced copies an acknowledgement needs.
+	// MinReplicas is the minimum number of synced copies before a write is acknowledged.
 	MinReplicas int `json:"copiesLeast,omitempty" validate:"min=0,max=7"`
-	// MinZones is in how many zones those copies must lie.
+	// MinZones is the minimum number of zones that hold those copies.
 	MinZones int `json:"zonesLeast,omitempty" validate:"min=0,max=7"`
-	// MinRegions is in how many regions those copies must lie; Regions names the region of each zone.
+	// MinRegions is the minimum number of regions that hold those copies; Regions maps each zone to its region.
 	MinRegions int               `json:"minRegions,omitempty" validate:"min=0,max=7"`
 	Regions    map[string]string `json:"regions,omitempty"`
-	// Membership says who changes the control nodes: operators by command, or the control nodes themselves, that take in
-	// an empty one in the place of one that is silent.
+	// Membership determines who changes the set of control nodes: operators by command, or the control nodes themselves,
+	// which replace a silent one by an empty one.
 	Membership Membership `json:"members,omitempty" validate:"omitempty,oneof=command self"`
-	// LeaseMs is how long replicas hold to one who orders them after its last order.
+	// LeaseMs is how long after its last order replicas stay bound to the control node that sends them orders.
 	LeaseMs        int64   `json:"leaseMs,omitempty" validate:"min=0,max=3600000"`
 	HeartbeatMs    int64   `json:"heartbeatMs,omitempty" validate:"min=0,max=3600000"`
 	StoreWindowMs  int64   `json:"storeWindowMs,omitempty" validate:"min=0,max=3600000"`
 	StoreOvershoot float64 `json:"storeOvershoot,omitempty" validate:"min=0,max=10"`
 	MemoryMB       int     `json:"memoryMb,omitempty" validate:"min=0"`
-	// HandoverTimeoutMs is how long a control node that is told to end waits for others to take its seat and vote over.
+	// HandoverTimeoutMs is how long a control node that is told to shut down waits for others to take over its place in the
+	// chain and its vote.
 	HandoverTimeoutMs int64 `json:"leaveMs,omitempty" validate:"min=0,max=3600000"`
-	// Quota bounds what tenants with a limit may run beyond it.
+	// Quota bounds by how much tenants with a limit may exceed it.
 	Quota   Quota   `json:"quota,omitzero"`
 	Outlier Outlier `json:"outlier,omitempty"`
-	// Disable names mechanisms to switch off, to measure what they are worth.
+	// Disable lists feature gates to disable, in order to measure the benefit of each mechanism.
 	Disable feature.Disabled `json:"disable,omitempty"`
 }
 
-// Outlier bounds the verdicts on replicas by what became of their attempts; what is left out is as usual.
-// MaxEjectedShare of a service's replicas may be kept off at once; FalsePositiveMs is the time in which a sound one may be
-// suspected once; EjectionMs is its first time out, which doubles up to MaxEjectionMs. CountOnly counts and ejects nobody.
+// Outlier holds the bounds of outlier detection, which judges replicas by the outcomes of their attempts. A zero field stands
+// for the default. MaxEjectedShare is the maximum share of a service's replicas that may be ejected at the same time.
+// FalsePositiveMs is the interval in which a healthy replica may be suspected once. EjectionMs is the duration of the first
+// ejection, which doubles up to MaxEjectionMs. With CountOnly, outcomes are counted but no replica is ejected.
 type Outlier struct {
 	MaxEjectedShare float64 `json:"mostShare,omitempty" validate:"min=0,max=1"`
 	FalsePositiveMs int64   `json:"falseMs,omitempty" validate:"min=0,max=86400000"`
@@ -65,69 +67,70 @@
 	CountOnly       bool    `json:"off,omitempty"`
 }
 
-// Options are these bounds in microseconds.
+// Options returns the bounds as options of the detector, with times in microseconds.
 func (o Outlier) Options() outlier.Options {
 	return outlier.Options{MaxEjectedFraction: o.MaxEjectedShare, FalseEjectionIntervalUs: o.FalsePositiveMs * clock.Ms, BaseEjectionUs: o.EjectionMs * clock.Ms, MaxEjectionUs: o.MaxEjectionMs * clock.Ms, Disabled: o.CountOnly}
 }
 
-// OptionsWithout are these bounds with mechanisms switched off.
+// OptionsWithout returns the options, with ejection disabled if the FleetOutliers gate is disabled.
 func (o Outlier) OptionsWithout(off feature.Disabled) outlier.Options {
 	opts := o.Options()
 	opts.Disabled = opts.Disabled || off.Has(feature.FleetOutliers)
 	return opts
 }
 
-// Membership says who changes the members of the chain.
+// Membership determines who changes the members of the chain.
 type Membership string
 
-// OperatorMembership leaves it to operators, AutomaticMembership to the control nodes themselves.
+// With OperatorMembership operators change the members, with AutomaticMembership the control nodes do so themselves.
 const (
 	OperatorMembership  Membership = "command"
 	AutomaticMembership Membership = "self"
 )
 
-// Quota says how far the requests of a tenant that all gateways run may exceed its limit: in every span of WindowMs at most
-// (rate x WindowMs + burst) x (1 + Overshoot) + Slack. A WindowMs of 0 stands for 5 s.
+// Quota bounds by how much the requests of a tenant, over all gateways, may exceed its limit. In every interval of WindowMs
+// at most (rate x WindowMs + burst) x (1 + Overshoot) + Slack requests run. A WindowMs of 0 stands for 5 s.
 type Quota struct {
 	WindowMs  int64   `json:"windowMs,omitempty" validate:"min=0,max=3600000"`
 	Overshoot float64 `json:"overshoot,omitempty" validate:"min=0,max=10"`
 	Slack     float64 `json:"slack,omitempty" validate:"min=0"`
 }
 
-// Revocation says what a gateway does that has not heard from a current control node for WithinMs: with Closed it refuses
-// requests that need a key until it hears again, else it goes on with the keys that it last knew.
+// Revocation determines what a gateway does if it has not heard from a current control node for WithinMs. If Closed is set,
+// it refuses requests that need a key until it hears from one again; otherwise it continues with the last known keys.
 type Revocation struct {
 	Closed   bool  `json:"closed,omitempty"`
 	WithinMs int64 `json:"withinMs,omitempty" validate:"required_if=Closed true,min=0,max=3600000"`
 }
 
-// Attempts says what a gateway needs in order to send: attempt numbers that the controller granted under a lease (the
-// declared platform), or nothing but the configuration in force, with which a gateway that is cut off goes on (the routed one).
+// Attempts determines what a gateway needs in order to send attempts: attempt numbers granted by the controller under a lease
+// (on the declared platform), or only the configuration in force, with which a partitioned gateway continues (on the routed
+// platform).
 type Attempts string
 
-// GrantedAttempts want a lease, LeaselessAttempts only a configuration.
+// GrantedAttempts requires a lease, LeaselessAttempts only a configuration.
 const (
 	GrantedAttempts   Attempts = "granted"
 	LeaselessAttempts Attempts = "declared"
 )
 
-// RetryBudget bounds the further attempts of all gateways together, for each service: Ratio of its calls plus Slack in
-// every span of WindowMs.
+// RetryBudget bounds the retries of all gateways together, for each service: in every interval of WindowMs at most Ratio
+// times the number of its calls, plus Slack.
 type RetryBudget struct {
 	Ratio    float64 `json:"ratio,omitempty" validate:"min=0,max=10"`
 	Slack    float64 `json:"slack,omitempty" validate:"min=0"`
 	WindowMs int64   `json:"windowMs,omitempty" validate:"min=0,max=3600000"`
 }
 
-// FirstTokenTimeout is how long callers of streaming routes wait for the first token: the longest of MinMs, LatencyTargets
-// times the route's latency target and TokenGaps times its longest gap between tokens.
+// FirstTokenTimeout determines how long callers of streaming routes wait for the first token: the maximum of MinMs,
+// LatencyTargets times the route's latency target, and TokenGaps times the route's maximum gap between tokens.
 type FirstTokenTimeout struct {
 	MinMs          int64 `json:"leastMs,omitempty" validate:"min=0,max=3600000"`
 	LatencyTargets int64 `json:"aims,omitempty" validate:"min=0,max=1000"`
 	TokenGaps      int64 `json:"gaps,omitempty" validate:"min=0,max=1000"`
 }
 
-// Gateway are the settings of a gateway. Times are milliseconds, addresses IP:port.
+// Gateway holds the settings of a gateway. Times are in milliseconds, addresses have the form IP:port.
 type Gateway struct {
 	Name      string   `json:"name" validate:"required,max=64,hostname_rfc1123"`
 	Listen    string   `json:"listen" validate:"required"`
@@ -140,21 +143,22 @@
 
 	Attempts    Attempts    `json:"legs,omitempty" validate:"omitempty,oneof=granted declared"`
 	RetryBudget RetryBudget `json:"budget,omitempty"`
-	// FirstTokenTimeout is how long callers of streaming routes wait for a first piece.
+	// FirstTokenTimeout bounds how long callers of streaming routes wait for the first chunk.
 	FirstTokenTimeout FirstTokenTimeout `json:"patience,omitempty"`
-	// LingerMs is how long new connections are still taken after SIGTERM, until nobody sends them here.
+	// LingerMs is how long new connections are still accepted after SIGTERM, until clients no longer open them here.
 	LingerMs int64 `json:"lingerMs,omitempty" validate:"min=0,max=3600000"`
-	// MaxConnections bounds this gateway's connections to all replicas together.
+	// MaxConnections is the maximum number of connections from this gateway to all replicas together.
 	MaxConnections int `json:"connectionsMost,omitempty" validate:"min=0"`
 	MemoryMB       int `json:"memoryMb,omitempty" validate:"min=0"`
-	// Revocation is what becomes of keys while no current control node is heard.
+	// Revocation determines how keys are treated while the gateway hears from no current control node.
 	Revocation Revocation `json:"revocation,omitzero"`
 	Outlier    Outlier    `json:"outlier,omitempty"`
-	// Disable names mechanisms to switch off, to measure what they are worth.
+	// Disable lists feature gates to disable, in order to measure the benefit of each mechanism.
 	Disable feature.Disabled `json:"disable,omitempty"`
 }
 
-// Read lays a settings file over what v holds; a flag given on the command line is laid on later.
+// Read decodes a settings file into v and keeps the values that the file does not set. Command line flags are applied later
+// and take precedence. An empty path reads nothing.
 func Read(path string, v any) *fault.Fault {
 	if path == "" {
 		return nil
@@ -169,8 +173,8 @@
 	return nil
 }
 
-// Check fills in the advertised address and returns all that is wrong, nil for nothing. It tries whether the data folder
-// takes a file.
+// Check sets the advertised address if it is empty and returns all faults of the settings, or nil if there are none. It
+// creates the data folder and writes a file there to check that it is writable.
 func (c *ControlNode) Check() *fault.Fault {
 	faults := configuration.Validate(fault.BadSettings, c)
 	c.Advertise = checkAdvertised(faults, c.Listen, c.Advertise)
@@ -189,7 +193,7 @@
 	return faults.Combined(fault.BadSettings)
 }
 
-// Check fills in the advertised address and returns all that is wrong, nil for nothing.
+// Check sets the advertised address if it is empty and returns all faults of the settings, or nil if there are none.
 func (g *Gateway) Check() *fault.Fault {
 	faults := configuration.Validate(fault.BadSettings, g)
 	g.Advertise = checkAdvertised(faults, g.Listen, g.Advertise)
@@ -211,7 +215,8 @@
 	}
 }
 
-// checkAdvertised is the address that others are told; they cannot dial one that stands for all.
+// checkAdvertised returns the address that is advertised to peers, by default the listen address. It adds a fault for an
+// unspecified IP address, which peers can't dial.
 func checkAdvertised(faults *fault.List, listen, advertise string) string {
 	if advertise == "" {
 		advertise = listen
@@ -233,7 +238,8 @@
 	}
 }
 
-// isTransient: the disk takes nothing now, which is no fault of the settings and may pass.
+// isTransient reports whether the error is a full quota, a full disk or an I/O error. Such a condition may pass and is no
+// fault of the settings.
 func isTransient(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EIO)
 }
--- a/internal/api/settings/settings_test.go
+++ b/internal/api/settings/settings_test.go
@@ -9,10 +9,10 @@
 	"petreltide/internal/api/fault"
 )
 
-func TestADiskThatTakesNothingNowIsNoFaultOfTheSettings(t *testing.T) {
+func TestTransientDiskErrorsAreNotSettingsFaults(t *testing.T) {
 	for err, want := range map[error]bool{syscall.ENOSPC: true, syscall.EIO: true, syscall.EDQUOT: true, syscall.EACCES: false, syscall.EROFS: false, syscall.ENOTDIR: false} {
 		if got := isTransient(&os.PathError{Op: "open", Path: "x", Err: err}); got != want {
-			t.Errorf("%v: waits %v, want %v", err, got, want)
+			t.Errorf("isTransient(%v): got %v, want %v", err, got, want)
 		}
 	}
 	file := filepath.Join(t.TempDir(), "file")
@@ -22,12 +22,12 @@
 	faults := &fault.List{}
 	checkWritable(faults, filepath.Join(file, "data"))
 	if faults.Combined(fault.BadSettings) == nil {
-		t.Error("a folder inside a file was taken")
+		t.Error("checkWritable of a folder below a regular file: got no fault, want one")
 	}
 }
 
-// A bound of 0 ms would refuse every key.
-func TestRevocationThatIsClosedNamesItsBound(t *testing.T) {
+// With a bound of 0 ms a closed revocation would refuse every key.
+func TestClosedRevocationRequiresBound(t *testing.T) {
 	for name, c := range map[string]struct {
 		set Revocation
 		fit bool
@@ -40,7 +40,7 @@
 	} {
 		g := Gateway{Name: "g", Listen: "127.0.0.1:1", Zone: "a", Seeds: []string{"127.0.0.1:2"}, MaxQueue: 1, MaxBodyKB: 1, Revocation: c.set}
 		if bad := g.Check(); (bad == nil) != c.fit {
-			t.Errorf("%s: %v", name, bad)
+			t.Errorf("%s: Check: got %v, want valid %v", name, bad, c.fit)
 		}
 	}
 }
