--- a/internal/api/configuration/bare.go
+++ b/internal/api/configuration/bare.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// Digest is a hash of what an operator sent, so that the same order is known when it is sent again.
+// Digest returns a hash of an operator's request, by which the same request is recognized when it is sent again.
 func Digest(raw []byte) string {
 	h := fnv.New128a()
 	_, _ = h.Write(raw)
 	return fmt.Sprintf("%x", h.Sum(nil))
 }
 
-// WithoutSource is the declaration without the operator's own text, as gateways need it.
+// WithoutSource returns an indexed copy of the declaration without the operator's own text, as it is sent to gateways.
 func (d *Declaration) WithoutSource() *Declaration {
 	n := *d
 	n.Index = nil
@@ -24,7 +24,7 @@
 	return n.Indexed()
 }
 
-// WithoutSource is the edit without the operator's own text, as gateways need it.
+// WithoutSource returns a copy of the edit without the operator's own text, as it is sent to gateways.
 func (e *Edit) WithoutSource() *Edit {
 	n := *e
 	n.Routes = routesWithoutSource(e.Routes)
--- a/internal/api/configuration/check_edited_test.go
+++ b/internal/api/configuration/check_edited_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// editor draws edits of a declaration, of which many are at fault in their own fields or in what items say of each
-// other.
+// editor generates random edits of a declaration. Many of them are invalid, in the fields of an item or in the references
+// and conflicts between items.
 type editor struct{ r *rand.Rand }
 
 func (e editor) one(of ...string) string { return of[e.r.Intn(len(of))] }
@@ -62,8 +62,8 @@
 	return edit
 }
 
-// Whatever an edit does to a valid declaration, checking what it names says the same as checking everything.
-func TestAnEditOfAValidDeclarationIsCheckedAsTheWhole(t *testing.T) {
+// For random edits of a valid declaration, CheckEdited must return the same faults as the complete check.
+func TestCheckEditedEqualsCheckRoutesForEditsOfValidDeclaration(t *testing.T) {
 	valid, refused := 0, 0
 	for seed := int64(1); seed <= 200; seed++ {
 		e := editor{rand.New(rand.NewSource(seed))}
@@ -81,7 +81,7 @@
 			}
 			whole := next.CheckRoutes()
 			if diff := cmp.Diff(whole, next.CheckEdited(edit)); diff != "" {
-				t.Fatalf("seed %d, version %d: %s", seed, version, diff)
+				t.Fatalf("seed %d, version %d: CheckEdited differs from CheckRoutes (-CheckRoutes +CheckEdited):\n%s", seed, version, diff)
 			}
 			if whole != nil {
 				refused++
@@ -92,13 +92,13 @@
 		}
 	}
 	if valid < 1000 || refused < 1000 {
-		t.Fatalf("%d edits were valid and %d were not: the run proves nothing", valid, refused)
+		t.Fatalf("too few samples: got %d valid and %d invalid edits, want at least 1000 of each", valid, refused)
 	}
 }
 
-// Checking an edit looks at the fields of what it names alone: those of 400 routes for each of 224 edits took a
-// restarted control node more than 100 ms.
-func TestAnEditIsCheckedByWhatItNames(t *testing.T) {
+// CheckEdited must validate the fields of the edited items only: validating those of 400 routes for each of 224 edits took
+// a restarted control node more than 100 ms.
+func TestCheckEditedAllocationsDoNotGrowWithUneditedRoutes(t *testing.T) {
 	allocations := func(routes int) float64 {
 		doc := &Declaration{Version: 1, Services: []Service{{Name: "s0"}}}
 		for i := range routes {
@@ -115,6 +115,6 @@
 		})
 	}
 	if few, many := allocations(10), allocations(400); many > few+20 {
-		t.Errorf("%.0f allocations at 400 routes, %.0f at 10", many, few)
+		t.Errorf("CheckEdited: got %.0f allocations with 400 routes, want at most 20 more than the %.0f with 10", many, few)
 	}
 }
--- a/internal/api/configuration/check_routes.go
+++ b/internal/api/configuration/check_routes.go
@@ -7,14 +7,15 @@
 	"petreltide/internal/api/fault"
 )
 
-// CheckRoutes collects what is wrong with routes, services, tenants and limits: the fields of each item by their tags, then
-// what items say of each other.
+// CheckRoutes returns all faults of routes, services, tenants and limits, or nil if there are none. It validates the fields
+// of each item by their tags, and the references and conflicts between items.
 func (d *Declaration) CheckRoutes() *fault.Fault {
 	return d.checkRoutes(func(string) bool { return true }, true)
 }
 
-// CheckEdited is CheckRoutes of a declaration that an edit has made of a valid one: the fields of items that the edit
-// does not name have been checked. The log of a restarted control node may hold hundreds of edits.
+// CheckEdited is like CheckRoutes for the result of applying an edit to a valid declaration. It skips the fields of items
+// that the edit does not name, as they have been validated before: the log of a restarted control node may hold hundreds of
+// edits.
 func (d *Declaration) CheckEdited(e *Edit) *fault.Fault {
 	edited := make(map[string]bool, len(e.Routes)+len(e.Services)+len(e.Tenants))
 	for i := range e.Tenants {
@@ -29,7 +30,7 @@
 	return d.checkRoutes(func(name string) bool { return edited[name] }, e.Limits != nil)
 }
 
-// checkRoutes checks the fields of the items whose names are new, and those of the limits if they are.
+// checkRoutes validates the fields of the items for whose names isNew is true, and those of the limits if newLimits is true.
 func (d *Declaration) checkRoutes(isNew func(name string) bool, newLimits bool) *fault.Fault {
 	c := routeChecker{
 		faults: &fault.List{}, isNew: isNew,
@@ -51,18 +52,18 @@
 	return c.faults.Combined(fault.InvalidConfig)
 }
 
-// routeKey is where a route's calls come in; host is in lower case.
+// routeKey identifies the calls that a route receives by host, in lower case, and path prefix.
 type routeKey struct{ host, prefix string }
 
-// routeChecker goes through a declaration once, services before routes, and gathers its faults.
+// routeChecker validates a declaration in one pass, services before routes, and collects its faults.
 type routeChecker struct {
 	faults *fault.List
-	// services and routes are the names so far.
+	// services and routes are the names seen so far.
 	services map[string]bool
 	routes   map[string]bool
-	// byKey are the numbers of the routes so far.
+	// byKey maps the keys of the routes seen so far to their indexes.
 	byKey map[routeKey]int
-	// tenants are the names so far, keyHolders the numbers of the tenants that hold a key, by its digest.
+	// tenants are the names seen so far. keyHolders maps the digest of a key to the index of the tenant that holds it.
 	tenants    map[string]bool
 	keyHolders map[string]int
 	isNew      func(name string) bool
@@ -76,7 +77,7 @@
 	c.faults.Addf(fault.InvalidConfig, field, format, args...)
 }
 
-// fields checks one item by its tags; path is where it stands in the declaration.
+// fields validates one item by its tags; path is its position in the declaration.
 func (c *routeChecker) fields(path string, item any) {
 	for _, f := range Validate(fault.InvalidConfig, item).Faults {
 		f.Field = path + "." + f.Field
@@ -84,7 +85,7 @@
 	}
 }
 
-// unique notes a name that was seen before.
+// unique adds a fault for a name that was seen before.
 func (c *routeChecker) unique(seen map[string]bool, path func(int) string, i int, name string) {
 	if seen[name] {
 		c.addf(path(i)+".name", "%q is named twice", name)
--- a/internal/api/configuration/declaration.go
+++ b/internal/api/configuration/declaration.go
@@ -14,7 +14,7 @@
 	"petreltide/internal/api/fault"
 )
 
-// Declaration is all that operators have declared.
+// Declaration is the complete configuration declared by operators, in one of the two forms described for the package.
 type Declaration struct {
 	Name         string    `json:"name" validate:"required,max=64"`
 	Zones        []string  `json:"zones" validate:"required,min=1,max=16,unique,dive,required,max=32"`
@@ -28,51 +28,52 @@
 	Models       []Model   `json:"models" validate:"required,min=1,max=1024,unique=Name,dive"`
 	Adapters     []Adapter `json:"adapters,omitempty" validate:"max=4096,unique=Name,dive"`
 
-	// Version is the operators' own number of it. A declaration with routes is checked by CheckRoutes:
-	// its services' engines stand for replica, store, models and adapters, its routes for kinds.
+	// Version is the operators' own version number of a declaration by routes, 0 for a declaration by kinds. A declaration by
+	// routes is validated by CheckRoutes: its services' engines take the place of replica, store, models and adapters, and
+	// its routes that of kinds.
 	Version  uint64    `json:"version,omitempty" validate:"-"`
 	Routes   []Route   `json:"routes,omitempty" validate:"-"`
 	Services []Service `json:"services,omitempty" validate:"-"`
 	Limits   *Limits   `json:"limits,omitempty" validate:"-"`
 	Tenants  []Tenant  `json:"tenants,omitempty" validate:"-"`
-	// RequireKeys says that requests need a tenant's key, except those of public routes: tenants were declared, also
-	// where none is left.
+	// RequireKeys means that requests need a tenant's key, except on public routes. It is set once tenants have been
+	// declared, and stays set if none is left.
 	RequireKeys bool `json:"requireKeys,omitempty" validate:"-"`
 
 	Index *Index `json:"-" validate:"-"`
 }
 
-// Routed declarations send by routes to services.
+// Routed reports whether the declaration is by routes and services, rather than by kinds.
 func (d *Declaration) Routed() bool { return d.Version > 0 }
 
-// Replica says how much a replica holds.
+// Replica declares the capacity of a replica.
 type Replica struct {
 	CapacityMB int64 `json:"roomMb" validate:"required,min=1"`
 }
 
-// Store bounds what all replicas together load from the store of weights: how many at once, and how many MB a second
-// with what burst.
+// Store bounds the loads of all replicas together from the store of weights: the number of concurrent loads, and the rate in
+// MB per second with a burst in MB.
 type Store struct {
 	Loads       int   `json:"loads" validate:"required,min=1,max=64"`
 	MBPerSecond int64 `json:"mbPerSecond" validate:"required,min=1"`
 	BurstMB     int64 `json:"burstMb" validate:"required,min=1"`
 }
 
-// Scaler says how counts follow rates: spare replicas, how alike two latencies must be to prefer fewer replicas, and over
-// how long rates are measured.
+// Scaler configures how replica counts follow call rates: the number of standby replicas, the difference in percent up to
+// which two latencies count as equal, so that fewer replicas are preferred, and the window over which rates are measured.
 type Scaler struct {
 	StandbyReplicas     int `json:"spares" validate:"min=0,max=64"`
 	LatencyTolerancePct int `json:"similarPct" validate:"min=0,max=100"`
 	WindowMs            int `json:"windowMs" validate:"required,min=500,max=600000"`
 }
 
-// Policy is a placement policy: its name and its Starlark program.
+// Policy is a placement policy with its name and its Starlark program.
 type Policy struct {
 	Name   string `json:"name" validate:"required,max=64"`
 	Source string `json:"source" validate:"required,max=65536"`
 }
 
-// Kind is a class of calls; Urgency 9 is the most urgent.
+// Kind is a class of calls. Urgency ranges from 1 to 9; 9 is the most urgent.
 type Kind struct {
 	Name       string `json:"name" validate:"required,max=64"`
 	Urgency    int    `json:"urgency" validate:"required,min=1,max=9"`
@@ -80,7 +81,8 @@
 	DeadlineMs int64  `json:"expiryMs" validate:"required,min=100,max=86400000"`
 }
 
-// Model is a model with its offline table; Weight says how much it counts beside others of the same rate.
+// Model is a model with its capacity table, which is measured offline. Weight is its importance relative to other models
+// with the same rate.
 type Model struct {
 	Name     string          `json:"name" validate:"required,max=64"`
 	SizeMB   int64           `json:"sizeMb" validate:"required,min=1"`
@@ -89,14 +91,14 @@
 	Capacity []CapacityPoint `json:"table" validate:"required,min=1,max=64,dive"`
 }
 
-// CapacityPoint is what a number of replicas of one model bear, and how fast they answer.
+// CapacityPoint is the throughput that a number of replicas of one model sustain, and their latency.
 type CapacityPoint struct {
 	Replicas       int     `json:"replicas" validate:"required,min=1"`
 	CallsPerSecond float64 `json:"perSecond" validate:"required,gt=0"`
 	LatencyMs      int64   `json:"latencyMs" validate:"required,min=1"`
 }
 
-// Adapter is an adapter of one model, loaded beside it.
+// Adapter is an adapter of one model, loaded in addition to it.
 type Adapter struct {
 	Name   string `json:"name" validate:"required,max=64"`
 	Model  string `json:"model" validate:"required"`
@@ -104,17 +106,18 @@
 	LoadMs int64  `json:"loadMs" validate:"required,min=1"`
 }
 
-// Model finds a model by name; nil where there is none.
+// Model returns the model of that name, or nil if there is none.
 func (d *Declaration) Model(name string) *Model {
 	return findByName(d.Models, name, func(m *Model) string { return m.Name })
 }
 
-// Adapter finds an adapter by name; nil where there is none.
+// Adapter returns the adapter of that name, or nil if there is none.
 func (d *Declaration) Adapter(name string) *Adapter {
 	return findByName(d.Adapters, name, func(a *Adapter) string { return a.Name })
 }
 
-// Kind finds a kind by name, or makes one of the route of that name; nil where there is neither.
+// Kind returns the kind of that name or, in a declaration by routes, a kind derived from the route of that name. It returns
+// nil if there is none.
 func (d *Declaration) Kind(name string) *Kind {
 	if d.Routed() {
 		if r := d.Route(name); r != nil {
@@ -125,13 +128,13 @@
 	return findByName(d.Kinds, name, func(k *Kind) string { return k.Name })
 }
 
-// IsDrained says whether operators have emptied a zone.
+// IsDrained reports whether operators have drained a zone.
 func (d *Declaration) IsDrained(zone string) bool { return slices.Contains(d.DrainedZones, zone) }
 
-// HasZone says whether a zone is declared.
+// HasZone reports whether a zone is declared.
 func (d *Declaration) HasZone(zone string) bool { return slices.Contains(d.Zones, zone) }
 
-// UnitSize is the room a model or an adapter takes; ok is false for an unknown name.
+// UnitSize returns the size of a model or an adapter; ok is false for an unknown name.
 func (d *Declaration) UnitSize(unit string) (sizeMb, loadMs int64, ok bool) {
 	if m := d.Model(unit); m != nil {
 		return m.SizeMB, m.LoadMs, true
@@ -152,7 +155,7 @@
 	return v
 }
 
-// Validate runs the tags over any tagged struct and collects all faults with their paths.
+// Validate validates a struct by its validate tags and returns all faults, with the paths of the fields.
 func Validate(code fault.Code, v any) *fault.List {
 	faults := &fault.List{}
 	err := validate.Struct(v)
@@ -185,10 +188,10 @@
 	return text
 }
 
-// PolicyCheck compiles a policy source; it is handed in so that this package needs no interpreter.
+// PolicyCheck compiles the source of a policy. It is passed in so that this package does not depend on an interpreter.
 type PolicyCheck func(name, source string) *fault.Fault
 
-// Decode reads one declaration and refuses fields that it does not know. It checks nothing else.
+// Decode decodes one declaration and rejects unknown fields. It performs no other validation.
 func Decode(raw []byte) (*Declaration, *fault.Fault) {
 	d := &Declaration{}
 	if bad := fault.DecodeJSON(raw, d); bad != nil {
@@ -197,8 +200,8 @@
 	return d, nil
 }
 
-// Check returns all that is wrong with a declaration by kinds, nil for nothing; policy may be nil. Declarations by routes
-// are checked by CheckRoutes.
+// Check returns all faults of a declaration by kinds, or nil if there are none. If policy is nil, policies are not compiled.
+// Declarations by routes are validated by CheckRoutes.
 func Check(d *Declaration, policy PolicyCheck) *fault.Fault {
 	faults := Validate(fault.InvalidConfig, d)
 	for i, z := range d.DrainedZones {
@@ -258,7 +261,7 @@
 	}
 }
 
-// Parse decodes a declaration and checks it.
+// Parse decodes a declaration by kinds and validates it with Check.
 func Parse(raw []byte, policy PolicyCheck) (*Declaration, *fault.Fault) {
 	d, f := Decode(raw)
 	if f != nil {
@@ -270,7 +273,7 @@
 	return d, nil
 }
 
-// Merge lays a JSON merge patch on a declaration and returns the text of the result, unchecked.
+// Merge applies a JSON merge patch to a declaration and returns the resulting JSON without validating it.
 func Merge(base *Declaration, patch []byte) ([]byte, *fault.Fault) {
 	raw, err := json.Marshal(base)
 	if err != nil {
--- a/internal/api/configuration/doc.go
+++ b/internal/api/configuration/doc.go
@@ -1,10 +1,13 @@
-// Package configuration is the configuration that operators declare, and the checks that a declaration and an edit of it
-// must pass: how it is decoded, checked, merged, edited and looked up. Nearly every package reads it. It never fetches
-// anything, and a declaration that was checked is never changed in place.
+// Package configuration defines the configuration that operators declare: how it is decoded, validated, merged, edited and
+// looked up. Nearly every package reads it. The package performs no network access, and a validated declaration is never
+// modified in place.
 //
-// A Declaration has one of two forms. By kinds, for petreltide's own interface: models, adapters, kinds of call with their
-// priority, and a placement policy; it is replaced or patched under a revision. By routes, for the users' platform:
-// routes and services, of which some have an engine with models; it is replaced or edited under the operators' own
-// version numbers. Declaration.Routed tells which one it is. They are two because each interface fixes its own form, and
-// one declaration is never of both.
+// A Declaration has one of two forms, which Declaration.Routed distinguishes:
+//
+//   - By kinds, for petreltide's own interface: models, adapters, kinds of call with their priority, and a placement policy.
+//     It is replaced or patched under a revision.
+//   - By routes, for the users' platform: routes and services, some of which have an engine with models. It is replaced or
+//     edited under the operators' own version numbers.
+//
+// There are two forms because each interface prescribes its own; a declaration never has both.
 package configuration
--- a/internal/api/configuration/edit.go
+++ b/internal/api/configuration/edit.go
@@ -4,7 +4,8 @@
 	"petreltide/internal/api/fault"
 )
 
-// Edit changes named routes, services and tenants and leaves the rest.
+// Edit adds, replaces or removes routes, services and tenants by name, and replaces the limits if it has any. Everything
+// else stays unchanged.
 type Edit struct {
 	Version        uint64    `json:"version"`
 	Routes         []Route   `json:"routes,omitempty"`
@@ -16,7 +17,7 @@
 	RemoveTenants  []string  `json:"removeTenants,omitempty"`
 }
 
-// Apply is the declaration with an edit applied; the old one stays as it is.
+// Apply returns a copy of the declaration with an edit applied; the receiver is not modified.
 func (d *Declaration) Apply(e *Edit) (*Declaration, *fault.Fault) {
 	faults := &fault.List{}
 	n := *d
@@ -38,8 +39,8 @@
 	return &n, faults.Combined(fault.InvalidConfig)
 }
 
-// itemsEdit changes a list of named items: those in upsert take the place of the item of their name or come last,
-// those in remove go. What is in both stays.
+// itemsEdit edits a list of named items. An item in upsert replaces the item of the same name or is appended; the items named
+// in remove are removed. An item that is in both is kept.
 type itemsEdit[T any] struct {
 	field  string
 	upsert []T
@@ -73,7 +74,7 @@
 	return edited
 }
 
-// byName finds the items to place by their names, and notes a name that comes twice.
+// byName returns the indexes of the upserted items by name, and adds a fault for a duplicate name.
 func (e *itemsEdit[T]) byName(faults *fault.List) map[string]int {
 	at := map[string]int{}
 	for i := range e.upsert {
--- a/internal/api/configuration/engine.go
+++ b/internal/api/configuration/engine.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// adapterLoadMs is how long an adapter's load is reckoned to take.
+// adapterLoadMs is the estimated time in ms to load an adapter.
 const adapterLoadMs = 50
 
-// Engine is what a model service's replicas can hold and bear. Sizes are MB, rounded up for what is
-// held and down for the room; Stride is the tokens in one event of a stream.
+// Engine describes the capacity of the replicas of a model service. Sizes are in MB; those of units are rounded up and the
+// capacity is rounded down. Stride is the number of tokens in one event of a stream.
 type Engine struct {
 	Slots          int           `json:"slots" validate:"min=1,max=65536"`
 	CacheTokens    int64         `json:"cacheTokens" validate:"min=1"`
@@ -20,7 +20,7 @@
 	Models         []EngineModel `json:"models" validate:"max=8192,unique=Name,dive"`
 }
 
-// EngineModel is a model that a service's replicas may load, with adapters a1 to a<Adapters>.
+// EngineModel is a model that a service's replicas may load, with adapters named a1 to a<Adapters>.
 type EngineModel struct {
 	Name      string `json:"name" validate:"required,max=256"`
 	SizeMB    int64  `json:"sizeMb" validate:"min=1"`
@@ -29,13 +29,13 @@
 	AdapterMB int64  `json:"adapterMb,omitempty" validate:"min=0"`
 }
 
-// SplitUnit splits a unit into model and adapter: "m" or "m/a3".
+// SplitUnit splits a unit name into model and adapter; the adapter of "m" is empty, that of "m/a3" is "a3".
 func SplitUnit(unit string) (model, adapter string) {
 	model, adapter, _ = strings.Cut(unit, "/")
 	return model, adapter
 }
 
-// UnitName is the name under which a model, or an adapter of it, is loaded.
+// UnitName returns the unit name of a model, or of an adapter of it if adapter is not empty.
 func UnitName(model, adapter string) string {
 	if adapter == "" {
 		return model
@@ -43,7 +43,8 @@
 	return model + "/" + adapter
 }
 
-// EngineUnitSize is the room a model or an adapter of it takes at a service's replicas.
+// EngineUnitSize returns the size in MB and the load time in ms of a model, or of an adapter of it, at a service's replicas.
+// ok is false for an unknown unit.
 func (d *Declaration) EngineUnitSize(service, unit string) (sizeMb, loadMs int64, ok bool) {
 	model, adapter := SplitUnit(unit)
 	m := d.EngineModel(service, model)
@@ -59,7 +60,7 @@
 	return m.AdapterMB, adapterLoadMs, true
 }
 
-// HasAdapter says whether the model has an adapter of a name; they are named a1, a2 and so on.
+// HasAdapter reports whether the model has an adapter of that name; adapters are named a1, a2 and so on.
 func (m *EngineModel) HasAdapter(name string) bool {
 	if len(name) < 2 || name[0] != 'a' || name[1] == '0' {
 		return false
@@ -74,8 +75,8 @@
 	return n >= 1 && n <= m.Adapters
 }
 
-// MaxConcurrentLoads is how many loads the store bears at full speed: what it allows a second times how long
-// a load takes on average.
+// MaxConcurrentLoads returns the number of concurrent loads that the store sustains at full speed: the loads that it allows
+// per second times the average duration of a load. It is at least 1.
 func (e *Engine) MaxConcurrentLoads() int {
 	if len(e.Models) == 0 {
 		return 1
--- a/internal/api/configuration/file.go
+++ b/internal/api/configuration/file.go
@@ -11,7 +11,8 @@
 	"petreltide/internal/api/fault"
 )
 
-// ReadFile takes YAML or JSON; a policy may name a program beside the file, which is put in.
+// ReadFile reads a declaration in YAML or JSON and returns it as JSON. A policy may name its program as a file, relative to
+// the folder of the declaration; the content of that file is inlined.
 func ReadFile(path string) ([]byte, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/api/configuration/fuzz_test.go
+++ b/internal/api/configuration/fuzz_test.go
@@ -16,7 +16,7 @@
 		d, bad := Parse(raw, nil)
 		if bad != nil {
 			if bad.Code == "" {
-				t.Fatal("an untyped refusal")
+				t.Fatalf("Parse: got fault %v without a code", bad)
 			}
 			return
 		}
@@ -25,12 +25,12 @@
 			t.Fatal(err)
 		}
 		if _, bad := Parse(again, nil); bad != nil {
-			t.Fatalf("what was taken is refused when sent again: %v", bad)
+			t.Fatalf("Parse of the encoded declaration: got %v, want nil", bad)
 		}
 		merged, bad := Merge(d, patch)
 		if bad != nil {
 			if bad.Code != fault.BadJSON {
-				t.Fatal(bad)
+				t.Fatalf("Merge: got %v, want %s", bad, fault.BadJSON)
 			}
 			return
 		}
--- a/internal/api/configuration/index.go
+++ b/internal/api/configuration/index.go
@@ -4,7 +4,7 @@
 	"strings"
 )
 
-// Index finds what a declaration names without walking it.
+// Index holds lookup tables of a declaration, so that a lookup does not scan its lists.
 type Index struct {
 	models   map[string]int
 	adapters map[string]int
@@ -13,11 +13,12 @@
 	units    map[string]*EngineModel
 	hosts    map[string]map[string]*Route
 	tenants  map[string]*Tenant
-	// keyHolders are the tenants by the digests of their keys.
+	// keyHolders maps the digest of a key to the tenant that holds it.
 	keyHolders map[string]*Tenant
 }
 
-// Indexed builds the index of a declaration that will not change any more, once.
+// Indexed builds the index of the declaration, if it has none, and returns the declaration. The declaration must not be
+// modified afterwards.
 func (d *Declaration) Indexed() *Declaration {
 	if d.Index != nil {
 		return d
@@ -63,7 +64,7 @@
 	return d
 }
 
-// findByName finds the first item of a name; nil where there is none.
+// findByName returns the first item of that name, or nil if there is none.
 func findByName[T any](all []T, name string, of func(*T) string) *T {
 	for i := range all {
 		if of(&all[i]) == name {
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// Route is the route of a name; nil where there is none.
+// Route returns the route of that name, or nil if there is none.
 func (d *Declaration) Route(name string) *Route {
 	if d.Index != nil {
 		return d.Index.routes[name]
@@ -81,7 +82,7 @@
 	return findByName(d.Routes, name, func(r *Route) string { return r.Name })
 }
 
-// Service is the service of a name; nil where there is none.
+// Service returns the service of that name, or nil if there is none.
 func (d *Declaration) Service(name string) *Service {
 	if d.Index != nil {
 		return d.Index.services[name]
@@ -89,7 +90,7 @@
 	return findByName(d.Services, name, func(s *Service) string { return s.Name })
 }
 
-// EngineModel is a model as a service's engine names it; nil where it does not.
+// EngineModel returns a model of a service's engine, or nil if there is none.
 func (d *Declaration) EngineModel(service, model string) *EngineModel {
 	if d.Index != nil {
 		return d.Index.units[service+"\x00"+model]
@@ -101,7 +102,8 @@
 	return findByName(s.Engine.Models, model, func(m *EngineModel) string { return m.Name })
 }
 
-// Match finds the route with the longest prefix that begins the path; every prefix ends with a slash.
+// Match returns the route of the host with the longest prefix of the path, or nil if there is none. A port in host is
+// ignored. Every prefix ends with a slash. A declaration without an index matches nothing.
 func (d *Declaration) Match(host, path string) *Route {
 	if d.Index == nil {
 		return nil
--- a/internal/api/configuration/routes.go
+++ b/internal/api/configuration/routes.go
@@ -4,18 +4,18 @@
 	"encoding/json"
 )
 
-// RetryClass says what may be sent to a second replica once a first may have run it.
+// RetryClass determines which calls may be sent to a second replica after a first one may have run them.
 type RetryClass string
 
-// The kinds of routes. A streaming route may be repeated only where it is resumable.
+// The retry classes. Calls of a streaming route may be retried only if the route is resumable.
 const (
 	Streaming     RetryClass = "streaming"
 	Idempotent    RetryClass = "idempotent"
 	NonIdempotent RetryClass = "non_idempotent"
 )
 
-// Route sends the calls of one host and path prefix to services. Source is the operator's own text of
-// it, given back as it came; times are milliseconds, Priority 0 is the most urgent.
+// Route sends the calls for one host and path prefix to services. Source is the operator's own text of the route, which is
+// returned unchanged. Times are in milliseconds. Priority 0 is the most urgent.
 type Route struct {
 	Name            string            `json:"name" validate:"required,max=256"`
 	Host            string            `json:"host" validate:"required,max=256"`
@@ -29,23 +29,23 @@
 	MaxAttempts     int               `json:"attemptsMost" validate:"min=1,max=64"`
 	Affinity        bool              `json:"affinity,omitempty"`
 	Resumable       bool              `json:"resumable,omitempty"`
-	// Public routes take requests without a key.
+	// Public means that the route accepts requests without a key.
 	Public bool            `json:"public,omitempty"`
 	Source json.RawMessage `json:"source,omitempty" validate:"-"`
 }
 
-// WeightedService is a service's share of a route.
+// WeightedService is a service that receives a share of a route's calls in proportion to its weight.
 type WeightedService struct {
 	Service string `json:"service" validate:"required"`
 	Weight  int    `json:"weight" validate:"min=0,max=1000000"`
 }
 
-// Retryable calls may run more than once: those of idempotent routes, and streams that may be resumed.
+// Retryable reports whether the route's calls may run more than once: the route is idempotent, or streaming and resumable.
 func (r *Route) Retryable() bool {
 	return r.RetryClass == Idempotent || (r.RetryClass == Streaming && r.Resumable)
 }
 
-// PickService draws by weight from a number that is spread evenly, such as a hash of the call's id.
+// PickService returns a service chosen by weight from a uniformly distributed number, such as a hash of the call's ID.
 func (r *Route) PickService(hash uint64) string {
 	if len(r.Split) == 1 {
 		return r.Split[0].Service
@@ -64,7 +64,7 @@
 	return r.Split[len(r.Split)-1].Service
 }
 
-// SendsTo says whether the route sends anything to a service.
+// SendsTo reports whether the route sends calls to a service, that is with a weight above 0.
 func (r *Route) SendsTo(service string) bool {
 	for _, w := range r.Split {
 		if w.Service == service && w.Weight > 0 {
@@ -74,7 +74,7 @@
 	return false
 }
 
-// Service is a set of replicas that routes send to. Source is the operator's own text of it.
+// Service is a set of replicas that routes send calls to. Source is the operator's own text of the service.
 type Service struct {
 	Name           string          `json:"name" validate:"required,max=256"`
 	HealthPath     string          `json:"health,omitempty"`
@@ -83,7 +83,7 @@
 	Source         json.RawMessage `json:"source,omitempty" validate:"-"`
 }
 
-// Limits bound what a caller may send and how long it may take; 0 leaves the product's own bound.
+// Limits bounds what a caller may send and how long it may take; 0 stands for the built-in bound.
 type Limits struct {
 	MaxHeaderBytes  int             `json:"headerBytesMost,omitempty" validate:"min=0"`
 	MaxBodyBytes    int64           `json:"bodyBytesMost,omitempty" validate:"min=0"`
--- a/internal/api/configuration/split_test.go
+++ b/internal/api/configuration/split_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Each part of a split gets its share of the calls by its weight, and one of weight 0 none.
-func TestEachPartOfASplitGetsItsShare(t *testing.T) {
+// Services of a split are picked in proportion to their weights; a service of weight 0 is not picked.
+func TestPickServiceFollowsWeights(t *testing.T) {
 	const calls = 20_000
 	route := &Route{Split: []WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "none", Weight: 0}, {Service: "c", Weight: 25}}}
 	r := rand.New(rand.NewSource(1))
@@ -18,7 +18,7 @@
 	for _, part := range route.Split {
 		want := float64(part.Weight) / 125
 		if got := float64(counts[part.Service]) / calls; math.Abs(got-want) > 0.01 {
-			t.Errorf("%s gets %.3f of the calls, want %.3f", part.Service, got, want)
+			t.Errorf("share of calls of service %s: got %.3f, want %.3f", part.Service, got, want)
 		}
 	}
 }
--- a/internal/api/configuration/tenants.go
+++ b/internal/api/configuration/tenants.go
@@ -12,34 +12,35 @@
 	"petreltide/internal/api/fault"
 )
 
-// Tenant is a customer whose requests carry one of its keys. The keys themselves stand in Source alone, which is given
-// back to the operator as it came and never leaves the control nodes.
+// Tenant is a customer whose requests carry one of its keys. The keys themselves are contained only in Source, which is
+// returned to the operator unchanged and otherwise never leaves the control nodes.
 type Tenant struct {
 	Name string `json:"name" validate:"required,max=256"`
-	// KeyDigests are the KeyDigest of each key; none: nobody can call as this tenant.
+	// KeyDigests holds the KeyDigest of each key. If it is empty, no request can be made as this tenant.
 	KeyDigests []string `json:"keyDigests,omitempty" validate:"max=1024,dive,len=64,hexadecimal"`
-	// Priority goes before that of the route, 0 is the most urgent; nil: the route's counts.
+	// Priority overrides the priority of the route; 0 is the most urgent. If it is nil, the route's priority applies.
 	Priority *int `json:"priority,omitempty" validate:"omitempty,min=0,max=1000"`
-	// RatePerSecond is how many requests a second all gateways together may run; 0 is no limit.
+	// RatePerSecond is the number of requests per second that all gateways together may run; 0 means no limit.
 	RatePerSecond float64 `json:"ratePerSecond,omitempty" validate:"min=0,max=1000000000"`
-	// Burst is how many requests may run beyond the rate at once.
+	// Burst is the number of requests that may run at once in excess of the rate.
 	Burst  float64         `json:"burst,omitempty" validate:"min=0,max=1000000000"`
 	Source json.RawMessage `json:"source,omitempty" validate:"-"`
 }
 
-// IsLimited says whether the tenant's requests are counted over all gateways.
+// IsLimited reports whether the tenant has a rate limit, for which its requests are counted over all gateways.
 func (t *Tenant) IsLimited() bool { return t.RatePerSecond > 0 }
 
-// maxKeyBytes bounds a key: it must fit a header beside others.
+// maxKeyBytes is the maximum length of a key, which must fit into the header of a request beside other fields.
 const maxKeyBytes = 512
 
-// KeyDigest is what stands for a key wherever the key itself need not be read back.
+// KeyDigest returns the SHA-256 digest of a key in hexadecimal. It is used instead of the key wherever the key itself need
+// not be read back.
 func KeyDigest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// CheckKey says what keeps a text from being a key, without repeating it; nil where nothing does.
+// CheckKey returns a fault if the text is not a valid key, and nil otherwise. The fault does not contain the text.
 func CheckKey(key string) *fault.Fault {
 	switch {
 	case key == "":
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// Tenant is the tenant of a name; nil where there is none.
+// Tenant returns the tenant of that name, or nil if there is none.
 func (d *Declaration) Tenant(name string) *Tenant {
 	if d.Index != nil {
 		return d.Index.tenants[name]
@@ -60,7 +61,7 @@
 	return findByName(d.Tenants, name, func(t *Tenant) string { return t.Name })
 }
 
-// TenantOfKey is the tenant that holds a key; nil where nobody does.
+// TenantOfKey returns the tenant that holds a key, or nil if there is none.
 func (d *Declaration) TenantOfKey(key string) *Tenant {
 	digest := KeyDigest(key)
 	if d.Index != nil {
@@ -74,15 +75,15 @@
 	return nil
 }
 
-// Allows says whether a route takes the requests of a tenant, "" for those of nobody that is known: where keys are
-// required, only a tenant's, except on public routes.
+// Allows reports whether a route accepts the requests of a tenant; "" stands for requests of no known tenant. If keys are
+// required, only requests of a declared tenant are accepted, except on public routes.
 func (d *Declaration) Allows(r *Route, tenant string) bool {
 	return !d.RequireKeys || r.Public || d.Tenant(tenant) != nil
 }
 
 func tenantPath(i int) string { return fmt.Sprintf("tenants[%d]", i) }
 
-// tenant checks the fields of one tenant where it is new, and that nobody before it has its name or one of its keys.
+// tenant validates the fields of a tenant if it is new, and checks that no preceding tenant has its name or one of its keys.
 func (c *routeChecker) tenant(i int, t *Tenant) {
 	if c.isNew(t.Name) {
 		c.fields(tenantPath(i), t)
@@ -99,7 +100,7 @@
 	}
 }
 
-// isHeaderValue says whether a text reaches the other side of a header unchanged.
+// isHeaderValue reports whether a text can be transmitted as a header value unchanged.
 func isHeaderValue(text string) bool {
 	return text == strings.TrimSpace(text) && !strings.ContainsFunc(text, unicode.IsControl)
 }
