--- a/internal/controlplane/placement/resident.go
+++ b/internal/controlplane/placement/resident.go
@@ -23,7 +23,8 @@
 
 // Candidate is one replica of a service with an engine. SizeMbOf holds the resident units and their sizes. WarmUnits
 // were loaded there before, so that loading them again does not use the weight store. Running and Unstarted count
-// calls by unit. ResidentMs is the time since a unit was loaded; units present since registration are missing.
+// calls by unit. ResidentMs is the time in ms since a unit was loaded; it lacks units whose load the controller did not
+// observe, such as those present from the start.
 type Candidate struct {
 	ID        string
 	Usable    bool
