--- a/internal/statistics/histogram.go
+++ b/internal/statistics/histogram.go
@@ -3,53 +3,54 @@
 import "math"
 
 const (
-	// bucketRatio is how much wider a bucket is than the one before; the first ends at 100 microseconds.
+	// bucketRatio is the ratio of a bucket's upper bound to that of the previous bucket. The first bucket ends at 100 microseconds.
 	bucketRatio = 1.1
-	// maxBucket is the last bucket, which takes all longer times.
+	// maxBucket is the index of the last bucket, which counts all longer durations.
 	maxBucket = 160
 )
 
-// Histogram counts times in buckets, each a tenth wider than the one before.
+// Histogram counts durations by the index of their bucket. Bucket widths grow exponentially, by a tenth from each to the next.
 type Histogram map[int]uint64
 
-// Add counts one time.
-func (s Histogram) Add(spanUs int64) {
-	at := 0
-	if spanUs > 100 {
-		at = min(maxBucket, int(math.Log(float64(spanUs)/100)/math.Log(bucketRatio))+1)
+// Add counts one duration, given in microseconds.
+func (h Histogram) Add(durationUs int64) {
+	bucket := 0
+	if durationUs > 100 {
+		bucket = min(maxBucket, int(math.Log(float64(durationUs)/100)/math.Log(bucketRatio))+1)
 	}
-	s[at]++
+	h[bucket]++
 }
 
-// Merge adds the counts of another spread.
-func (s Histogram) Merge(o Histogram) {
-	for at, n := range o {
-		s[at] += n
+// Merge adds the counts of another histogram.
+func (h Histogram) Merge(other Histogram) {
+	for bucket, n := range other {
+		h[bucket] += n
 	}
 }
 
-// Count is how many times were counted.
-func (s Histogram) Count() uint64 {
+// Count returns the number of counted durations.
+func (h Histogram) Count() uint64 {
 	var sum uint64
-	for _, n := range s {
+	for _, n := range h {
 		sum += n
 	}
 	return sum
 }
 
-// QuantileMs is the middle of the bucket that holds this part of all times. Those never seen to end
-// count as mostMs: left out, they would make what serves nobody look quick.
-func (s Histogram) QuantileMs(part float64, unseen uint64, mostMs float64) float64 {
-	whole := s.Count() + unseen
-	if whole == 0 {
+// QuantileMs returns a quantile in milliseconds: the middle of the bucket that contains it on a log scale, at most maxMs, and 0 without
+// calls. quantile is between 0 and 1. The unfinished calls, whose end was not observed, count as maxMs: if they were left out,
+// a system that completes no calls would look fast.
+func (h Histogram) QuantileMs(quantile float64, unfinished uint64, maxMs float64) float64 {
+	total := h.Count() + unfinished
+	if total == 0 {
 		return 0
 	}
-	before := uint64(0)
-	for at := 0; at <= maxBucket; at++ {
-		before += s[at]
-		if s[at] > 0 && float64(before) >= part*float64(whole) {
-			return min(mostMs, 0.1*math.Pow(bucketRatio, float64(at)-0.5))
+	cumulative := uint64(0)
+	for bucket := 0; bucket <= maxBucket; bucket++ {
+		cumulative += h[bucket]
+		if h[bucket] > 0 && float64(cumulative) >= quantile*float64(total) {
+			return min(maxMs, 0.1*math.Pow(bucketRatio, float64(bucket)-0.5))
 		}
 	}
-	return mostMs
+	return maxMs
 }
