--- a/internal/controlplane/quota/ledger_test.go
+++ b/internal/controlplane/quota/ledger_test.go
@@ -156,7 +156,8 @@
 			for _, role := range c.roles {
 				l.SetRole(nowUs, role)
 			}
-			// A non-voter has no reserve, so that only the main bucket grants during warm-up.
+			// Only voters may grant from the reserve bucket. A non-voter grants only from the main bucket, which fills up during its
+			// first window (the warm-up).
 			l.role.Voter = false
 			if got := takeTokens(l, nowUs, false, 1000); got != c.want {
 				t.Errorf("granted: got %d, want %d", got, c.want)
@@ -309,7 +310,7 @@
 }
 
 // An event is counted for at least one window and at most one window and one slot.
-func TestSlidingWindowCountsEventsForOneWindowToOneSlotMore(t *testing.T) {
+func TestSlidingWindowKeepsEventAtLeastOneWindowAndAtMostOneSlotLonger(t *testing.T) {
 	const slotUs = testWindowUs / windowSlots
 	r := rand.New(rand.NewSource(1))
 	type event struct{ atUs, n int64 }
--- a/internal/controlplane/quota/model_test.go
+++ b/internal/controlplane/quota/model_test.go
@@ -19,11 +19,12 @@
 
 const (
 	noMutation quotaMutation = iota
-	// mutationIgnoreLease: an isolated tail keeps counting after its lease has expired.
+	// mutationIgnoreLease: an isolated tail continues to grant tokens after its lease has expired.
 	mutationIgnoreLease
 	// mutationStartFull: a new tail starts with full buckets, without warm-up.
 	mutationStartFull
-	// mutationKeepBuckets: a returning tail keeps its buckets although another process has counted.
+	// mutationKeepBuckets: a process that becomes the tail again keeps its old buckets although another process has granted tokens
+	// meanwhile.
 	mutationKeepBuckets
 	// mutationReserveOnJoin: a member that replaces a voter grants from its reserve in its first window.
 	mutationReserveOnJoin
--- a/internal/controlplane/statemachine/configuration.go
+++ b/internal/controlplane/statemachine/configuration.go
@@ -12,7 +12,7 @@
 	Base uint64 `json:"base"`
 	// Version is the operator-assigned version of the resulting declaration; 0 where operators don't number declarations.
 	Version uint64 `json:"version,omitempty"`
-	// Doc is the complete declaration; nil beside an edit.
+	// Doc is the complete declaration; not needed, and ignored, if Edit is set.
 	Doc *configuration.Declaration `json:"doc,omitempty"`
 	// Edit changes the declaration in force. It requires a Version and takes precedence over Doc.
 	Edit *configuration.Edit `json:"edit,omitempty"`
--- a/internal/controlplane/statemachine/leader_update.go
+++ b/internal/controlplane/statemachine/leader_update.go
@@ -90,7 +90,8 @@
 	out.Faults = rejected.Faults
 }
 
-// setQuotas replaces the quotas of each known replica whose slots cover their sum, and reports whether it replaced any.
+// setQuotas replaces the quotas of each known replica if the new quotas add up to no more than its slots, and reports whether
+// any were replaced.
 func (s *State) setQuotas(byReplica map[string]map[string]int) (changed bool) {
 	for id, quotas := range byReplica {
 		total := 0
--- a/internal/controlplane/statemachine/outcomes_test.go
+++ b/internal/controlplane/statemachine/outcomes_test.go
@@ -71,7 +71,7 @@
 
 // The refusal of a change whose base version is not in force yet is final: a copy of the change that is still in flight must
 // not be applied once that version is in force.
-func TestVersionRefusedBeforeItsBaseIsNeverApplied(t *testing.T) {
+func TestChangeRefusedAheadOfItsBaseStaysRefused(t *testing.T) {
 	s := NewState()
 	applyVersions(t, s, 5)
 	early := versionChange(6, 7, versionDoc(7, versionRoute("b", 1, "s")), nil)
@@ -97,7 +97,7 @@
 
 // The remembered refusals of changes ahead of their base are bounded, and dropped once the base is passed. Beyond the bound
 // the outcome is in doubt, as the change may still be applied later.
-func TestEarlyRefusalsAreBounded(t *testing.T) {
+func TestRememberedRefusalsOfChangesAheadOfBaseAreBounded(t *testing.T) {
 	s := NewState()
 	applyVersions(t, s, 1)
 	early := func(n int) Change {
--- a/internal/controlplane/statemachine/state_test.go
+++ b/internal/controlplane/statemachine/state_test.go
@@ -97,7 +97,7 @@
 	mustApply(t, s, Change{ID: "g2", Epoch: 1, LeaderUpdate: &LeaderUpdate{Grants: []GrantRequest{request("x", 10)}, RemovedGateways: []string{"y"}}})
 	second := s.Grants[Grant{Gateway: "x", Replica: "r0", Model: "a"}.Key()]
 	if first.To > second.From || second.From < 16 || first.Number == second.Number {
-		t.Fatalf("grants overlap or share a number: got %+v, then %+v", first, second)
+		t.Fatalf("grants: got %+v, then %+v, want different numbers, no overlap, and the second from 16 or later", first, second)
 	}
 	if _, kept := s.Grants[Grant{Gateway: "y", Replica: "r0", Model: "a"}.Key()]; kept {
 		t.Fatal("removed gateway y still has a grant")
--- a/internal/controlplane/statemachine/tenants_test.go
+++ b/internal/controlplane/statemachine/tenants_test.go
@@ -16,7 +16,7 @@
 	"petreltide/internal/api/fault"
 )
 
-// versionTenant returns a tenant whose Source is the operator's source text, including the keys.
+// versionTenant returns a tenant whose Source is its JSON as the operator submitted it, including the keys.
 func versionTenant(name string, keys ...string) configuration.Tenant {
 	source, err := json.Marshal(map[string]any{"name": name, "keys": keys})
 	if err != nil {
--- a/internal/dataplane/gateway/authentication.go
+++ b/internal/dataplane/gateway/authentication.go
@@ -72,8 +72,8 @@
 	return route, tenant, failure
 }
 
-// isUndecided reports whether a rejection may be lifted by a newer declaration, or by a frame which confirms that there is none:
-// it concerns a key, an unknown route, or a gateway that is not current.
+// isUndecided reports whether a newer declaration, or a frame confirming that there is none, could still turn this rejection into
+// an acceptance. That is so for an unknown key or route, and at a gateway that has not received a recent frame (NoLease).
 func isUndecided(a scheduling.RouteLookup, failure *fault.Fault) bool {
 	if failure == nil {
 		return false
@@ -109,8 +109,8 @@
 	return r.Closed && (currentUs == 0 || nowUs-currentUs > r.WithinMs*clock.Ms)
 }
 
-// setCurrent records the instant of the newest frame from a current control node, in microseconds, and wakes held lookups when the
-// gateway becomes current again. It runs on the actor.
+// setCurrent records when the newest frame arrived from a control node that was up to date, in microseconds, and wakes held lookups
+// when the gateway becomes current again. It runs on the actor.
 func (h *Host) setCurrent(us int64) {
 	lastUs := h.currentUs.Swap(us)
 	if us > 0 && (lastUs == 0 || us-lastUs > currentWithinUs) {
--- a/internal/dataplane/gateway/authentication_test.go
+++ b/internal/dataplane/gateway/authentication_test.go
@@ -148,7 +148,7 @@
 }
 
 // A gateway that was stopped or partitioned serves the requests it holds as soon as it receives a frame of a current control node.
-func TestHeldRequestsAreServedWhenGatewayBecomesCurrentAgain(t *testing.T) {
+func TestRequestsHeldAtStaleGatewayAreServedOnceItIsUpToDate(t *testing.T) {
 	h := newHostWithKeys(t, settings.Revocation{Closed: true, WithinMs: 5000}, "k1")
 	h.maxLookupHoldUs = longHoldUs
 	h.setCurrent(clock.NowUs() - 20*clock.Sec)
--- a/internal/dataplane/gateway/host.go
+++ b/internal/dataplane/gateway/host.go
@@ -57,9 +57,10 @@
 
 	// snapshot is the newest control state, which any goroutine may load; nil before the first.
 	snapshot atomic.Pointer[scheduling.Snapshot]
-	// leaseUs is the instant until which this gateway may send attempts, in microseconds; 0 without a lease.
+	// leaseUs is the time until which this gateway may send attempts, in microseconds; 0 without a lease.
 	leaseUs atomic.Int64
-	// currentUs is the instant of the newest frame from a current control node, in microseconds; 0 before the first.
+	// currentUs is when the newest frame arrived from a control node that was up to date, in microseconds; 0 before the first.
+	// The gateway is current while this time is recent (isCurrent).
 	currentUs atomic.Int64
 	// updates wakes held lookups when a newer declaration arrives or the gateway becomes current again.
 	updates *broadcast
@@ -87,7 +88,7 @@
 	streams map[uint64]context.CancelFunc
 	// quota requests admission for the calls of tenants with a limit.
 	quota *quota.Client
-	// admissions are the channels of the goroutines that wait for such a decision, by call ID.
+	// admissions are the channels, by call ID, on which waiting goroutines receive the quota decision for their call.
 	admissions map[string]chan<- quota.Decision
 	// listeners does not change after Run has started.
 	listeners []Listener
