--- a/internal/controlplane/chain/auto_membership_test.go
+++ b/internal/controlplane/chain/auto_membership_test.go
@@ -450,8 +450,8 @@
 	}
 }
 
-// A control node that joins before the one it replaces has left becomes an extra voter, and the other voter is removed once it
-// is silent.
+// If a new control node joins while the one that it replaces still runs, there is one voter too many. The replaced one is removed
+// as a voter once its heartbeats stop.
 func TestExtraVoterIsRemoved(t *testing.T) {
 	for seed := int64(0); seed < 4; seed++ {
 		tc := newSettledCluster(t, seed, 3, 3)
@@ -474,7 +474,7 @@
 
 // A new control node may replace a voter that is only partitioned, as it cannot tell. The partitioned one then replaces the
 // voter that was lost, so that no vote stays with a lost member.
-func TestNoVoteStaysWithLostMember(t *testing.T) {
+func TestLostVoterIsReplacedAfterPartitionHeals(t *testing.T) {
 	for seed := int64(0); seed < 6; seed++ {
 		tc := newSettledCluster(t, seed, 5, 3)
 		tc.cutLinks[[2]string{"a1", "a0"}], tc.cutLinks[[2]string{"a1", "a2"}], tc.cutLinks[[2]string{"a1", "a3"}], tc.cutLinks[[2]string{"a1", "a4"}] = true, true, true, true
--- a/internal/controlplane/chain/bootstrap_test.go
+++ b/internal/controlplane/chain/bootstrap_test.go
@@ -40,9 +40,10 @@
 	}
 }
 
-// TestHeadAppendsFirstEntry bootstraps a chain of five with three founders, where an acknowledgement needs three replicas, and
-// removes the head permanently before its first write. Joining members need an entry to get a snapshot of.
-func TestHeadAppendsFirstEntry(t *testing.T) {
+// TestNewHeadAppendsFirstEntryAfterFounderIsLost bootstraps a chain of five with three founders, where an acknowledgement needs
+// three replicas, and removes the head permanently before its first write. The new head has to append a first entry, because
+// joining members need one to get a snapshot of.
+func TestNewHeadAppendsFirstEntryAfterFounderIsLost(t *testing.T) {
 	for seed := range int64(40) {
 		tc := newBootstrappingCluster(t, seed, 5)
 		for endUs := tc.nowUs + 10*clock.Sec; len(tc.views) == 0 && tc.nowUs < endUs; {
--- a/internal/controlplane/chain/disk_stall_test.go
+++ b/internal/controlplane/chain/disk_stall_test.go
@@ -38,7 +38,7 @@
 				tc.advance(2 * clock.Sec)
 				for _, s := range tc.members {
 					if now := s.node.View(); now.Number != viewNumber {
-						t.Fatalf("%s is in view %d of %d members, and was in view %d of three", s.member.ID, now.Number, len(now.Replicas), viewNumber)
+						t.Fatalf("%s: got view %d with %d members after the stall, want unchanged view %d with 3 members", s.member.ID, now.Number, len(now.Replicas), viewNumber)
 					}
 				}
 				if tc.lastAcked <= ackedBefore {
@@ -61,7 +61,7 @@
 				tc.advance(2 * clock.Sec)
 				for _, s := range tc.members {
 					if now := s.node.View(); now.Number != viewNumber {
-						t.Fatalf("%s is in view %d of %d members, and was in view %d of three", s.member.ID, now.Number, len(now.Replicas), viewNumber)
+						t.Fatalf("%s: got view %d with %d members after the stall, want unchanged view %d with 3 members", s.member.ID, now.Number, len(now.Replicas), viewNumber)
 					}
 				}
 			})
--- a/internal/controlplane/chain/explore_members_test.go
+++ b/internal/controlplane/chain/explore_members_test.go
@@ -41,7 +41,7 @@
 	lostPromise     mutation = "promises are not persisted"
 )
 
-// caughtUpTicks returns the time to catch up, in ticks.
+// caughtUpTicks returns how many ticks to wait after a repair until the new member counts as caught up.
 func (me *memberExplorer) caughtUpTicks() int {
 	if me.maxLosses() > 1 {
 		return int(catchUpTwoLossesUs/me.tickDurationUs()) + 1
--- a/internal/controlplane/chain/node.go
+++ b/internal/controlplane/chain/node.go
@@ -18,7 +18,7 @@
 
 	// Time, in microseconds. It advances with the times of the events only.
 
-	// nowUs is the time of the current event, startedUs that of NewNode.
+	// nowUs is the time of the current event; startedUs is the time at which NewNode was called.
 	nowUs, startedUs int64
 	// awakeUs is how long this process has run. Of a gap between two events, such as a pause of the process, at most half of
 	// SuspectTimeoutUs counts. The silence of other members is measured by it, as messages that arrived during a pause may be
--- a/internal/controlplane/chain/repair_test.go
+++ b/internal/controlplane/chain/repair_test.go
@@ -286,7 +286,7 @@
 
 // All processes are killed while the successor of a lost machine is joining. Once the time to catch up after the last restart is
 // over, the successor must have taken over completely, so that the next loss may come.
-func TestRepairInterruptedByKillOfAllMembers(t *testing.T) {
+func TestRepairCompletesAfterKillOfAllMembers(t *testing.T) {
 	for _, controlNodes := range []int{3, 5} {
 		for _, how := range []repairMethod{repairReplaced, repairEmptied} {
 			t.Run(fmt.Sprintf("%d control nodes/%s", controlNodes, how), func(t *testing.T) {
--- a/internal/controlplane/chain/restart.go
+++ b/internal/controlplane/chain/restart.go
@@ -4,8 +4,9 @@
 	"sort"
 )
 
-// maybeProposeAfterRestart proposes a view when no member serves. The replicas of the newest view compare their logs, and the one
-// with the longest complete log proposes itself as the head.
+// maybeProposeAfterRestart proposes a view when no reachable member serves (PhaseServing) and has caught up, as after a restart of
+// all members. The replicas of the newest view compare their logs, and the one with the longest complete log proposes itself as the
+// head.
 func (n *Node) maybeProposeAfterRestart() {
 	type candidate struct {
 		replica        Replica
--- a/internal/controlplane/chain/restart_test.go
+++ b/internal/controlplane/chain/restart_test.go
@@ -72,9 +72,10 @@
 	}
 }
 
-// Guards against a head that is not confirmed. Members that restart together send their heartbeats at the same time. When each
-// member forwarded the head's time stamp only with its own next heartbeat, a head of five got its confirmation too late, and issued
-// no orders for as long as that lasted.
+// A head issues orders only while the tail has recently confirmed one of its time stamps (IsHeadConfirmed). Members that restart
+// together send their heartbeats at the same time; this must not delay the confirmation. When each member forwarded the head's
+// time stamp only with its own next heartbeat, the head of a chain of five got the confirmation too late, and issued no orders for
+// as long as that lasted.
 func TestHeadIsConfirmedWhenHeartbeatsCoincide(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		for seed := int64(1); seed <= 20; seed++ {
--- a/internal/controlplane/chain/start_test.go
+++ b/internal/controlplane/chain/start_test.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// Checks that the invariants detect the mutation: without start numbers both processes act for their member, and a walk must find
-// a violation.
+// The mutation removes the start numbers: a process and its copy then both act as the same member. One of the random walks must
+// find a violation of the invariants.
 func TestRandomWalksDetectMissingStartNumbers(t *testing.T) {
 	for seed := range uint64(300) {
 		sc, violation := walkWithCopiedMember(seed, 600, stripStarts)
@@ -166,7 +166,7 @@
 	t.Fatal("no walk of 300 found a violation without start numbers")
 }
 
-// The older process is fenced when it hears of the newer one, at any position in the chain.
+// The older process is fenced when a message names the newer one, at any position in the chain.
 func TestOlderProcessIsFenced(t *testing.T) {
 	for original, role := range []string{"head", "middle", "tail"} {
 		sc := newSmallChain()
@@ -180,7 +180,8 @@
 		older, newer := sc.members[original].node, sc.members[copied].node
 		switch {
 		case older.phase != PhaseFenced || older.IsTailReady(sc.nowUs) || older.IsHead():
-			t.Errorf("%s: got older process in phase %s, want fenced", role, older.phase)
+			t.Errorf("%s: older process: got phase %s, tail ready %v, head %v, want fenced, false, false", role, older.phase,
+				older.IsTailReady(sc.nowUs), older.IsHead())
 		case newer.phase != PhaseServing:
 			t.Errorf("%s: got newer process in phase %s, want serving; waits for %q", role, newer.phase, newer.WaitReason())
 		}
@@ -196,7 +197,7 @@
 // This is the limit of fencing: while the voters on both sides of a partition cannot hear each other, a copy on one side and the
 // original on the other cannot be distinguished from a restart and a loss. The copy still waits for VoteRecoveryTimeoutUs before
 // it votes.
-func TestPartitionedCopyWaitsForVoteRecoveryTimeout(t *testing.T) {
+func TestPartitionedProcessCopyVotesOnlyAfterVoteRecoveryTimeout(t *testing.T) {
 	sc := newSmallChain()
 	sc.write()
 	sc.deliverAll()
@@ -216,15 +217,17 @@
 	}
 }
 
-// Two of three control nodes are killed and restarted while the third is paused or partitioned for longer than they wait for it. The
-// third still knows their previous starts, and its messages about them are in flight. These must not fence any process.
+// Two of three control nodes are killed and restarted while the third is paused or partitioned for longer than
+// VoteRecoveryTimeoutUs. Delayed messages from the third, which name the start numbers that the two had before, must not fence any
+// process.
 func TestRestartUnseenByOneMemberFencesNoProcess(t *testing.T) {
 	for seed := range int64(40) {
 		tc := newFleetTimedCluster(t, seed, 3)
 		order := tc.remainingMembers()[0].node.View().Replicas
 		unaware := tc.memberAt(order[seed%3].Addr)
 		for turn := range 3 {
-			// Each member has restarted alone before, so that the third knows start numbers that the others forget when they restart.
+			// First each member restarts alone. Afterwards the third member knows start numbers that the other two lose when they
+			// restart together.
 			for _, s := range tc.members {
 				tc.stop(s)
 				tc.start(s, false)
--- a/internal/controlplane/chain/tenure_test.go
+++ b/internal/controlplane/chain/tenure_test.go
@@ -5,8 +5,9 @@
 	"maps"
 )
 
-// tailTenures checks an invariant that the counts of package quota depend on: between two times at which a process is ready as the
-// tail, in the same view or in two consecutive ones, no other process is ready. The zero value is ready to use.
+// tailTenures checks that a process's time as the ready tail is not interrupted: if it is ready (IsTailReady) twice in one view, or
+// in two consecutive views, no other process was ready in between. Package quota relies on this when it counts granted tokens. The
+// zero value is ready to use.
 type tailTenures struct {
 	// last is the last tenure of each process, by its incarnation; count is the number of tenures so far. A tenure is an
 	// uninterrupted period in which one process alone is ready.
--- a/internal/controlplane/chain/unsynced_log_test.go
+++ b/internal/controlplane/chain/unsynced_log_test.go
@@ -47,7 +47,7 @@
 	heartbeatUs := clock.Sec + 30*clock.Ms
 	heartbeat := MessageReceived{Msg: &Msg{From: Member{ID: "a", Addr: "a"}, Incarnation: "a/2", Forward: &Forward{View: 2, LastIndex: 1, HeadTimeUs: 1}}}
 	if n := restartedMember(t, false); highestAcked(n, heartbeatUs, heartbeat) != 1 || n.isDiskStalled() {
-		t.Fatal("a synced log is not acknowledged, or its disk counts as stalled")
+		t.Fatalf("member with a synced log: got disk stalled %v, want acknowledged index 1 and stalled false", n.isDiskStalled())
 	}
 	n := restartedMember(t, true)
 	if last := highestAcked(n, heartbeatUs, heartbeat); last != 0 || !n.isDiskStalled() || !n.refusesToVote() {
--- a/internal/controlplane/chain/view_change.go
+++ b/internal/controlplane/chain/view_change.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// desiredView returns the view that should follow the current one, and whether it differs from that.
+// desiredView returns the view that should come next, and whether it differs from the current view.
 func (n *Node) desiredView() (desired View, changed bool) {
 	desired = View{Number: n.view.Number + 1, Voters: n.view.Voters, ExtraVoters: n.view.ExtraVoters, System: n.view.System}
 	for _, s := range n.view.Replicas {
