--- a/internal/process/actor/actor.go
+++ b/internal/process/actor/actor.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Actor is one goroutine that owns a state, and the helpers that live as long as it does.
+// Actor is a goroutine that owns a state, together with helper goroutines of the same lifetime.
 type Actor struct {
 	mailbox chan func()
 	Ctx     context.Context
@@ -15,13 +15,14 @@
 	group   sync.WaitGroup
 }
 
-// New makes an actor whose mailbox holds so many functions before Tell and Ask wait. It runs nothing until Loop is called.
+// New returns an actor whose mailbox holds the given number of functions before Tell and Ask block. It runs nothing until
+// Loop is called.
 func New(mailboxCapacity int) *Actor {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Actor{mailbox: make(chan func(), mailboxCapacity), Ctx: ctx, stop: stop}
 }
 
-// Spawn runs a helper on a goroutine of its own; End waits for it.
+// Spawn runs a helper on its own goroutine; End waits for it to return.
 func (a *Actor) Spawn(run func()) {
 	a.group.Add(1)
 	go func() {
@@ -30,7 +31,7 @@
 	}()
 }
 
-// Loop runs what is told and asked, and tick, until the actor is ended.
+// Loop runs the functions in the mailbox, and tick at the given interval, until the actor is stopped.
 func (a *Actor) Loop(every time.Duration, tick func()) {
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
@@ -46,7 +47,8 @@
 	}
 }
 
-// Tell puts a function into the mailbox and does not wait until it has run. Once the actor has ended it is dropped.
+// Tell puts a function into the mailbox and does not wait for it to run; it blocks while the mailbox is full. Once the actor
+// has been stopped, the function is dropped.
 func (a *Actor) Tell(act func()) {
 	select {
 	case a.mailbox <- act:
@@ -54,12 +56,12 @@
 	}
 }
 
-// Ask runs act on the actor and waits for its value. False, with the zero value, means that act has not
-// run and never will: whoever stops waiting takes it back. Once act has begun Ask waits for its end, also
-// past ctx, so that nobody goes on beside a function that still runs.
+// Ask runs act on the actor and waits for its value. If it returns false, with the zero value, act has not run and never
+// will: a caller that stops waiting cancels it. Once act has started, Ask waits until it returns, even after ctx is done, so
+// that the caller does not continue while the function is still running.
 func Ask[T any](ctx context.Context, a *Actor, act func() T) (T, bool) {
 	var none T
-	var taken atomic.Bool // by the actor, to run it, or by the caller, who no longer wants it
+	var taken atomic.Bool // set by the actor before it runs act, or by the caller to cancel it
 	value := make(chan T, 1)
 	select {
 	case a.mailbox <- func() {
@@ -84,17 +86,17 @@
 	return <-value, true
 }
 
-// Do runs act on the actor and waits for it. It returns nothing that act could have written: only Ask
-// brings a value back.
+// Do runs act on the actor, waits for it and reports whether it ran, under the same conditions as Ask. To get a value back
+// from act, use Ask.
 func (a *Actor) Do(ctx context.Context, act func()) bool {
 	_, ran := Ask(ctx, a, func() struct{} { act(); return struct{}{} })
 	return ran
 }
 
-// Stop ends the loop and every helper that watches Ctx; End waits for them too.
+// Stop cancels Ctx, which ends the loop and every helper that watches Ctx. It does not wait for them; End does.
 func (a *Actor) Stop() { a.stop() }
 
-// End ends the loop as Stop does, and waits until every helper has returned.
+// End stops the actor like Stop and waits until every helper has returned.
 func (a *Actor) End() {
 	a.stop()
 	a.group.Wait()
--- a/internal/process/actor/actor_test.go
+++ b/internal/process/actor/actor_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// An asker whose context ends while the question runs is told both that it ran and its answer, or neither.
-// Both sides touch the answer, so the race detector sees a shared one.
-func TestAnAskerWhoLeftSeesNothingOfTheAnswer(t *testing.T) {
+// If the context of Ask is canceled while the function runs, Ask must return either true with the value or false with the
+// zero value. Both goroutines access the value, so the race detector finds a value that is shared.
+func TestAskReturnsConsistentResultIfContextIsCanceledWhileFunctionRuns(t *testing.T) {
 	a := New(4)
 	a.Spawn(func() { a.Loop(time.Hour, func() {}) })
 	defer a.End()
@@ -28,30 +28,30 @@
 			return 7
 		})
 		if ran != (got == 7) {
-			t.Fatalf("ran %v with the answer %d", ran, got)
+			t.Fatalf("Ask: got %d, %v, want 7, true or 0, false", got, ran)
 		}
 		<-over
 	}
 }
 
-func TestAskBringsBackTheAnswerAndSaysWhenTheActorHasEnded(t *testing.T) {
+func TestAskReturnsValueAndFalseAfterEnd(t *testing.T) {
 	a := New(4)
 	a.Spawn(func() { a.Loop(time.Hour, func() {}) })
 	if got, ran := Ask(context.Background(), a, func() string { return "seen" }); !ran || got != "seen" {
-		t.Fatalf("got %q, ran %v", got, ran)
+		t.Fatalf("Ask: got %q, %v, want \"seen\", true", got, ran)
 	}
 	a.End()
 	if got, ran := Ask(context.Background(), a, func() string { return "seen" }); ran || got != "" {
-		t.Fatalf("after the end got %q, ran %v", got, ran)
+		t.Fatalf("Ask after End: got %q, %v, want \"\", false", got, ran)
 	}
 	if a.Do(context.Background(), func() {}) {
-		t.Fatal("an ended actor ran something")
+		t.Fatal("Do after End: got true, want false")
 	}
 }
 
 func start(a *Actor) { a.Spawn(func() { a.Loop(time.Hour, func() {}) }) }
 
-// busy keeps the actor in one function until the returned call.
+// busy blocks the actor in a function until the returned function is called.
 func busy(a *Actor) (free func()) {
 	begun, gate := make(chan struct{}), make(chan struct{})
 	a.Tell(func() {
@@ -67,7 +67,7 @@
 	ran   bool
 }
 
-func TestAFunctionNobodyWaitsForNeverRuns(t *testing.T) {
+func TestAskCancelsQueuedFunction(t *testing.T) {
 	for name, end := range map[string]func(a *Actor, cancel func()){
 		"the caller's context ends": func(_ *Actor, cancel func()) { cancel() },
 		"the actor stops":           func(a *Actor, _ func()) { a.Stop() },
@@ -92,20 +92,20 @@
 				end(a, cancel)
 				synctest.Wait()
 				if g := <-got; g != (answer{}) {
-					t.Errorf("before the function ran, Ask told %+v", g)
+					t.Errorf("Ask of a function that has not started: got %+v, want the zero value and false", g)
 				}
 				free()
 				synctest.Wait()
 				a.End()
 				if ran {
-					t.Error("it ran after its caller was told that it had not")
+					t.Error("function ran after Ask returned false")
 				}
 			})
 		})
 	}
 }
 
-func TestAFunctionThatBeganIsWaitedFor(t *testing.T) {
+func TestAskWaitsForStartedFunction(t *testing.T) {
 	for name, end := range map[string]func(a *Actor, cancel func()){
 		"the caller's context ends": func(_ *Actor, cancel func()) { cancel() },
 		"the actor stops":           func(a *Actor, _ func()) { a.Stop() },
@@ -130,12 +130,12 @@
 				synctest.Wait()
 				select {
 				case g := <-got:
-					t.Errorf("while the function ran, Ask told %+v", g)
+					t.Errorf("Ask returned %+v while the function was running", g)
 					close(gate)
 				default:
 					close(gate)
 					if g := <-got; g != (answer{7, true}) {
-						t.Errorf("the function ran to its end, Ask told %+v", g)
+						t.Errorf("Ask of a function that returned 7: got %+v, want 7 and true", g)
 					}
 				}
 				a.End()
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestAFullMailboxIsWaitedForUntilTheContextEnds(t *testing.T) {
+func TestDoWaitsForFullMailboxUntilContextIsCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := New(1)
 		start(a)
@@ -152,20 +152,20 @@
 		a.Tell(func() {})
 		ctx, cancel := context.WithCancel(t.Context())
 		got := make(chan bool, 1)
-		go func() { got <- a.Do(ctx, func() { t.Error("it ran") }) }()
+		go func() { got <- a.Do(ctx, func() { t.Error("function ran after its context was canceled") }) }()
 		synctest.Wait()
 		cancel()
 		if <-got {
-			t.Error("Do told that it ran")
+			t.Error("Do with a full mailbox and a canceled context: got true, want false")
 		}
 		free()
 		a.End()
 	})
 }
 
-// Contexts that end at any moment of an Ask: what is told is what happened, and under the race detector
-// nothing is shared between the function and a caller who left.
-func TestWhatAskTellsIsWhatHappened(t *testing.T) {
+// Contexts are canceled at arbitrary points of an Ask. The result must say whether the function ran, and the race detector
+// must find nothing shared between the function and a caller that stopped waiting.
+func TestAskReportsWhetherFunctionRanUnderConcurrentCancellation(t *testing.T) {
 	a := New(4)
 	start(a)
 	var group sync.WaitGroup
@@ -183,7 +183,7 @@
 					return i
 				})
 				if ok != (v == i) || !ok && v != 0 {
-					t.Errorf("caller %d, ask %d: %d %v", c, i, v, ok)
+					t.Errorf("caller %d, ask %d: got %d, %v, want %d, true or 0, false", c, i, v, ok, i)
 				}
 				told[c][i] = ok
 			}
@@ -198,9 +198,9 @@
 				yes++
 			}
 			if told[c][i] != ran[c][i] {
-				t.Errorf("caller %d, ask %d: told %v, ran %v", c, i, told[c][i], ran[c][i])
+				t.Errorf("caller %d, ask %d: Ask returned %v, function ran: %v", c, i, told[c][i], ran[c][i])
 			}
 		}
 	}
-	t.Logf("%d of %d ran", yes, callers*asks)
+	t.Logf("%d of %d functions ran", yes, callers*asks)
 }
--- a/internal/process/actor/doc.go
+++ b/internal/process/actor/doc.go
@@ -1,4 +1,4 @@
-// Package actor runs a state that one goroutine owns: functions are sent to it and run there one at a time, beside
-// a periodic tick. The hosts of gateways (package gateway) and of control nodes (package controlnode) are built on it. It
-// knows nothing of what the state is, and it never runs two functions of one actor at the same time.
+// Package actor runs functions on a goroutine that owns a state: functions are sent to the actor and run one at a time,
+// interleaved with a periodic tick. The hosts of gateways (package gateway) and of control nodes (package controlnode) are
+// built on it. The package is independent of the state's type, and never runs two functions of one actor concurrently.
 package actor
--- a/internal/process/clock/clock.go
+++ b/internal/process/clock/clock.go
@@ -2,7 +2,8 @@
 
 import "golang.org/x/sys/unix"
 
-// NowUs reads the boot clock: it never jumps and it counts time spent suspended.
+// NowUs returns the time of the boot-time clock (CLOCK_BOOTTIME) in microseconds. It never jumps and includes the time for
+// which the machine was suspended.
 func NowUs() int64 {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -11,7 +12,7 @@
 	return ts.Sec*1_000_000 + ts.Nsec/1_000
 }
 
-// Ms and Sec are a millisecond and a second in microseconds, the unit of all times in the product.
+// Ms and Sec are a millisecond and a second in microseconds, the unit of times inside the product.
 const (
 	Ms  int64 = 1_000
 	Sec int64 = 1_000_000
--- a/internal/process/clock/doc.go
+++ b/internal/process/clock/doc.go
@@ -1,3 +1,3 @@
-// Package clock reads the machine's boot clock and names its units. Hosts call it once for each event and hand the
-// time on; reducers take the time from their events and never read it here.
+// Package clock reads the machine's boot-time clock and defines its units. Hosts read it once for each event and pass the
+// time on; reducers take the time from their events and never read the clock.
 package clock
--- a/internal/process/logring/doc.go
+++ b/internal/process/logring/doc.go
@@ -1,4 +1,4 @@
-// Package logring keeps the newest log lines in memory and writes them out only when something goes wrong, since
-// every line written costs processor time. Daemons make one each and hand it to their host. Its folder never grows
-// past a bound, and a disk that takes nothing costs no more than the dump.
+// Package logring keeps the newest log lines in memory and writes them out only when something goes wrong, because every
+// written line costs CPU time. Each daemon creates one ring and passes it to its host. The size of the dump folder is bounded,
+// and if the disk accepts no writes, only the dump is lost.
 package logring
--- a/internal/process/logring/logring.go
+++ b/internal/process/logring/logring.go
@@ -14,9 +14,10 @@
 	"github.com/go-kit/log"
 )
 
+// maxLines is the number of lines that a ring keeps.
 const maxLines = 4000
 
-// Ring keeps the last lines in memory; Dump writes them out when something goes wrong.
+// Ring is a ring buffer of the last maxLines log lines. Dump writes them out when something goes wrong.
 type Ring struct {
 	mu     sync.Mutex
 	lines  [][]byte
@@ -24,21 +25,21 @@
 	folder string
 	dumps  int
 	out    io.Writer
-	// Aloud writes every line out as it comes, beside keeping it.
+	// Aloud makes Write also copy every line to out immediately.
 	Aloud bool
 }
 
-// NewRing makes a ring that is dumped into files of a folder, or to out where the folder is empty.
+// NewRing returns a ring that is dumped into files in a folder, or to out if the folder is "".
 func NewRing(folder string, out io.Writer) *Ring {
 	return &Ring{lines: make([][]byte, 0, maxLines), folder: folder, out: out}
 }
 
-// Logger writes lines in the logfmt form to the ring, each with its time and the process's role and name.
+// Logger returns a logger that writes logfmt lines to the ring, each with its time and the role and name of the process.
 func (r *Ring) Logger(role, name string) log.Logger {
 	return log.With(log.NewLogfmtLogger(r), "at", log.DefaultTimestampUTC, "role", role, "name", name)
 }
 
-// Write keeps one line and drops the oldest where the ring is full. It never fails.
+// Write adds one line and drops the oldest if the ring is full. It never fails.
 func (r *Ring) Write(line []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,7 +56,7 @@
 	return len(line), nil
 }
 
-// Bytes are all lines that are kept, oldest first.
+// Bytes returns all lines in the ring, oldest first.
 func (r *Ring) Bytes() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,6 +67,8 @@
 	return buf.Bytes()
 }
 
+// maxDumps bounds the dumps of one process; maxRetainedDumps and maxRetainedBytes bound the dumps kept in the folder, and
+// maxDumpBytes the size of one dump.
 const (
 	maxDumps         = 20
 	maxRetainedDumps = 8
@@ -73,8 +76,8 @@
 	maxDumpBytes     = 1 << 20
 )
 
-// Dump writes the ring out. In a folder the older ones make room, of earlier lives too; a disk that takes
-// none costs nothing but the dump.
+// Dump writes the ring out. In a folder, the oldest dumps are removed to make room, including those of earlier processes. If
+// the disk accepts no writes, only the dump is lost.
 func (r *Ring) Dump(why string) {
 	content := r.Bytes()
 	content = content[max(0, len(content)-maxDumpBytes):]
@@ -98,7 +101,8 @@
 	}
 }
 
-// removeOldest removes the oldest dumps until there is room for one more in number and bytes.
+// removeOldest removes the oldest dumps, except the one at path but, until one more dump of the given size fits the bounds on
+// number and bytes.
 func (r *Ring) removeOldest(but string, bytes int64) {
 	type dump struct {
 		path string
--- a/internal/process/logring/logring_test.go
+++ b/internal/process/logring/logring_test.go
@@ -26,12 +26,12 @@
 	return count, bytes
 }
 
-// A process that is started again and again, each time with much to say, leaves no more than a few dumps,
-// and the newest is among them.
-func TestDumpsAreBoundedOverManyLives(t *testing.T) {
+// A process that restarts repeatedly and dumps a full ring each time leaves only a bounded number and size of dumps, and the
+// newest is among them.
+func TestDumpsAreBoundedAcrossRestarts(t *testing.T) {
 	folder := t.TempDir()
-	for life := range 12 {
-		old := filepath.Join(folder, fmt.Sprintf("log-%d-01.txt", 100_000+life))
+	for restart := range 12 {
+		old := filepath.Join(folder, fmt.Sprintf("log-%d-01.txt", 100_000+restart))
 		if err := os.WriteFile(old, []byte(strings.Repeat("x", 700_000)), 0o644); err != nil {
 			t.Fatal(err)
 		}
@@ -41,22 +41,22 @@
 		}
 		r.Dump("trouble")
 		if count, bytes := dumps(t, folder); count > maxRetainedDumps || bytes > maxRetainedBytes {
-			t.Fatalf("life %d: %d dumps of %d bytes", life, count, bytes)
+			t.Fatalf("restart %d: got %d dumps of %d bytes, want at most %d of %d bytes", restart, count, bytes, maxRetainedDumps, maxRetainedBytes)
 		}
 		mine := filepath.Join(folder, fmt.Sprintf("log-%d-01.txt", os.Getpid()))
 		raw, err := os.ReadFile(mine)
 		if err != nil || len(raw) > maxDumpBytes || !bytes.Contains(raw, []byte(fmt.Sprint("line ", maxLines-1))) {
-			t.Fatal(err, len(raw))
+			t.Fatalf("newest dump %s: got %d bytes, error %v, want at most %d bytes with the last line", mine, len(raw), err, maxDumpBytes)
 		}
 	}
 }
 
-func TestADumpThatFindsNoRoomIsOnlyLost(t *testing.T) {
+func TestDumpReportsWriteError(t *testing.T) {
 	var out bytes.Buffer
 	r := NewRing(filepath.Join(t.TempDir(), "missing"), &out)
 	fmt.Fprintln(r, "a line")
 	r.Dump("trouble")
 	if !strings.Contains(out.String(), "log ring: ") {
-		t.Fatal(out.String())
+		t.Fatalf("output after a failed dump: got %q, want an error with the prefix \"log ring: \"", out.String())
 	}
 }
--- a/internal/process/randomid/randomid.go
+++ b/internal/process/randomid/randomid.go
@@ -1,5 +1,5 @@
-// Package randomid makes names that nobody else has: of incarnations, changes, calls. Both planes use it; it holds no
-// state.
+// Package randomid generates unique random IDs, for example of incarnations, changes and calls. Both the control plane and
+// the data plane use it; it holds no state.
 package randomid
 
 import (
@@ -7,8 +7,8 @@
 	"encoding/hex"
 )
 
-// New returns so many random bytes in hexadecimal, two characters a byte. A system without a source of random bytes
-// can't run any of the programs: it panics.
+// New returns the given number of random bytes in hexadecimal, two characters per byte. It panics if the system has no source
+// of random bytes, as none of the programs can run without one.
 func New(bytes int) string {
 	raw := make([]byte, bytes)
 	if _, err := rand.Read(raw); err != nil {
--- a/internal/process/rpc/dial.go
+++ b/internal/process/rpc/dial.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// redialInterval is after how long without an answer an opening packet is taken for lost: one that was sent to a machine
-// without power is sent again by the system after a second only.
+// redialInterval is the time without an answer after which the SYN packet of a connection attempt is presumed lost. The
+// operating system retransmits a SYN that was sent to a powered-off machine only after one second.
 const redialInterval = 80 * time.Millisecond
 
-// dialFunc opens a connection.
+// dialFunc opens a connection, as net.Dialer.DialContext does.
 type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// dialed is how one attempt ended.
+// dialed is the result of one attempt.
 type dialed struct {
 	conn net.Conn
 	err  error
 }
 
-// redialer opens a connection by several attempts, each begun when those before have had no answer for a while. The
-// first answer counts, also a refusal.
+// redialer opens a connection with concurrent attempts: another one is started whenever redialInterval passes without an
+// answer to the previous ones. The first answer is the result, even if it is a refusal.
 type redialer struct {
 	dial    dialFunc
 	timeout time.Duration
 	after   func(time.Duration) <-chan time.Time
 }
 
-// DialContext returns the connection of the first attempt that is answered.
+// DialContext returns the connection or error of the first attempt that is answered.
 func (r *redialer) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.timeout)
 	answers := make(chan dialed)
@@ -52,7 +52,7 @@
 	}
 }
 
-// closeRest closes the connections of the attempts that are left.
+// closeRest waits for the remaining attempts and closes their connections.
 func closeRest(answers <-chan dialed, left int) {
 	for range left {
 		if late := <-answers; late.conn != nil {
--- a/internal/process/rpc/dial_test.go
+++ b/internal/process/rpc/dial_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// noted is a connection that tells when it is closed.
+// noted is a connection that closes a channel when it is closed.
 type noted struct {
 	net.Conn
 	closed chan struct{}
@@ -20,14 +20,14 @@
 	return nil
 }
 
-// A machine that comes back while another dials it has never seen the opening packet, and the system sends it again
-// after a second: gateways and control nodes met 250 to 400 ms late.
-func TestAnOpeningPacketThatWasLostIsNotWaitedFor(t *testing.T) {
+// A machine that comes back while another one dials it has not received the SYN packet, which the operating system
+// retransmits only after one second: gateways and control nodes connected 250 to 400 ms late.
+func TestRedialerStartsSecondAttemptIfFirstIsUnanswered(t *testing.T) {
 	refused := errors.New("refused")
 	for name, c := range map[string]struct {
 		err  error
 		late bool
-	}{"the second connects": {nil, false}, "the second is refused": {refused, false}, "the first connects late": {nil, true}} {
+	}{"second attempt connects": {nil, false}, "second attempt is refused": {refused, false}, "first attempt connects late": {nil, true}} {
 		t.Run(name, func(t *testing.T) {
 			var calls atomic.Int64
 			waits := make(chan time.Time, 1)
@@ -49,19 +49,19 @@
 			}}
 			conn, err := r.DialContext(context.Background(), "tcp", "a")
 			if !errors.Is(err, c.err) || (c.err == nil && conn != second) {
-				t.Fatalf("got %v, %v", conn, err)
+				t.Fatalf("DialContext: got %v, %v, want the second connection or error %v", conn, err, c.err)
 			}
 			if c.late {
 				<-first.closed
 			}
 			if n := calls.Load(); n != 2 {
-				t.Errorf("%d attempts", n)
+				t.Errorf("got %d attempts, want 2", n)
 			}
 		})
 	}
 }
 
-func TestDiallingEndsWithItsTime(t *testing.T) {
+func TestRedialerReturnsWhenContextIsCanceled(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	r := &redialer{timeout: time.Minute, after: func(time.Duration) <-chan time.Time { return nil }, dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -69,6 +69,6 @@
 		return nil, ctx.Err()
 	}}
 	if conn, err := r.DialContext(ctx, "tcp", "a"); conn != nil || !errors.Is(err, context.Canceled) {
-		t.Fatalf("got %v, %v", conn, err)
+		t.Fatalf("DialContext: got %v, %v, want nil, %v", conn, err, context.Canceled)
 	}
 }
--- a/internal/process/rpc/doc.go
+++ b/internal/process/rpc/doc.go
@@ -1,4 +1,4 @@
-// Package rpc carries calls and streams of ordinary structs between the system's own processes: Connect over HTTP
-// with JSON, zipped where that pays. Packages control node and gateway call and serve with it. It holds no state of the
-// cluster, and never sends a call again by itself.
+// Package rpc transports calls and streams of plain structs between the system's own processes, with the Connect protocol
+// over HTTP and JSON, compressed above a minimum size. Packages controlnode and gateway use it as clients and servers. It
+// holds no cluster state and never retries a call by itself.
 package rpc
--- a/internal/process/rpc/rpc.go
+++ b/internal/process/rpc/rpc.go
@@ -15,7 +15,7 @@
 	"connectrpc.com/connect"
 )
 
-// plain carries ordinary structs as JSON between our own processes.
+// plain is the Connect codec that encodes plain structs as JSON.
 type plain struct{}
 
 func (plain) Name() string { return "json" }
@@ -26,13 +26,14 @@
 	return json.Marshal(v)
 }
 
-// Unmarshal also takes what its writer has zipped: JSON never begins with these two bytes.
+// Unmarshal also accepts messages that the sender compressed with gzip, which it detects by the first two bytes; JSON never
+// begins with these.
 func (plain) Unmarshal(raw []byte, v any) error {
 	if len(raw) < 2 || raw[0] != 0x1f || raw[1] != 0x8b {
 		return json.Unmarshal(raw, v)
 	}
-	z := unzippers.Get().(*gzip.Reader)
-	defer unzippers.Put(z)
+	z := gzipReaders.Get().(*gzip.Reader)
+	defer gzipReaders.Put(z)
 	if err := z.Reset(bytes.NewReader(raw)); err != nil {
 		return err
 	}
@@ -46,9 +47,9 @@
 	return json.Unmarshal(bare, v)
 }
 
-var unzippers = sync.Pool{New: func() any { return new(gzip.Reader) }}
+var gzipReaders = sync.Pool{New: func() any { return new(gzip.Reader) }}
 
-// Paths of the procedures that control nodes and gateways serve to each other.
+// Paths of the procedures that control nodes and gateways serve to each other, and limits of messages in bytes.
 const (
 	BatchPath    = "/petreltide.Office/Post"
 	WherePath    = "/petreltide.Office/Where"
@@ -61,19 +62,22 @@
 	ReadPath     = "/petreltide.Office/Read"
 	QuotaPath    = "/petreltide.Office/Quota"
 	maxReadBytes = 256 << 20
-	// zipLeast is the least answer that is worth zipping: most are a few bytes.
-	zipLeast = 2048
+	// minCompressBytes is the minimum size of a message that is compressed: most have only a few bytes.
+	minCompressBytes = 2048
 )
 
-// Encoded streams carry messages that their writer has zipped once for all who read them.
+// Encoded is the handler option for streams of messages that the sender has already encoded and compressed, once for all
+// receivers. It disables compression by Connect.
 var Encoded = connect.WithCompressMinBytes(math.MaxInt)
 
-// Client dials from the IP that this process listens on, so that peers see the address they know.
+// Client returns an HTTP client that dials from the IP address that this process listens on, so that peers see the address
+// that they know. dialMs is the dial timeout.
 func Client(dialMs int, listen string) *http.Client {
 	return clientOf(dialerFor(dialMs, listen).DialContext)
 }
 
-// NodeClient is a Client for control nodes and gateways among themselves, who may dial a machine just as it comes back.
+// NodeClient is like Client, for connections between control nodes and gateways. It starts further attempts if one is not
+// answered, as the peer's machine may be just coming back up.
 func NodeClient(dialMs int, listen string) *http.Client {
 	dialer := dialerFor(dialMs, listen)
 	return clientOf((&redialer{dial: dialer.DialContext, timeout: dialer.Timeout, after: time.After}).DialContext)
@@ -97,18 +101,18 @@
 	}}
 }
 
-// Caller calls one procedure at one address. It is safe for use by several goroutines.
+// Caller calls one procedure at one address. It is safe for concurrent use.
 type Caller[Req, Res any] struct {
 	client *connect.Client[Req, Res]
 }
 
-// NewCaller makes a caller of the procedure at a path; h bounds how long dialling may take.
+// NewCaller returns a caller of the procedure at a path. The HTTP client determines the dial timeout.
 func NewCaller[Req, Res any](h *http.Client, addr, path string) *Caller[Req, Res] {
 	return &Caller[Req, Res]{client: connect.NewClient[Req, Res](h, "http://"+addr+path,
 		connect.WithCodec(plain{}), connect.WithReadMaxBytes(maxReadBytes))}
 }
 
-// Call sends one request and waits for its answer. It is sent once: whether to send again is for who calls.
+// Call sends one request and waits for its response. It does not retry; that is left to its caller.
 func (c *Caller[Req, Res]) Call(ctx context.Context, req *Req) (*Res, error) {
 	res, err := c.client.CallUnary(ctx, connect.NewRequest(req))
 	if err != nil {
@@ -117,12 +121,13 @@
 	return res.Msg, nil
 }
 
-// Stream sends one request and returns the stream of its answers, which ends with ctx.
+// Stream sends one request and returns the stream of responses, which ends when ctx is done.
 func (c *Caller[Req, Res]) Stream(ctx context.Context, req *Req) (*connect.ServerStreamForClient[Res], error) {
 	return c.client.CallServerStream(ctx, connect.NewRequest(req))
 }
 
-// Serve answers a procedure of one request and one answer at a path; an error reaches the caller as unavailable.
+// Serve registers the handler of a unary procedure at a path. The caller receives an error of serve with the code
+// unavailable.
 func Serve[Req, Res any](mux *http.ServeMux, path string, serve func(context.Context, *Req) (*Res, error)) {
 	mux.Handle(path, connect.NewUnaryHandler(path, func(ctx context.Context, req *connect.Request[Req]) (*connect.Response[Res], error) {
 		res, err := serve(ctx, req.Msg)
@@ -130,15 +135,15 @@
 			return nil, connect.NewError(connect.CodeUnavailable, err)
 		}
 		return connect.NewResponse(res), nil
-	}, connect.WithCodec(plain{}), connect.WithReadMaxBytes(maxReadBytes), connect.WithCompressMinBytes(zipLeast)))
+	}, connect.WithCodec(plain{}), connect.WithReadMaxBytes(maxReadBytes), connect.WithCompressMinBytes(minCompressBytes)))
 }
 
-// ServeStream answers a procedure whose answers are sent one by one, until serve returns.
+// ServeStream registers the handler of a server-streaming procedure at a path. The stream ends when serve returns.
 func ServeStream[Req, Res any](mux *http.ServeMux, path string, serve func(context.Context, *Req, func(*Res) error) error, opts ...connect.HandlerOption) {
 	mux.Handle(path, connect.NewServerStreamHandler(path, func(ctx context.Context, req *connect.Request[Req], stream *connect.ServerStream[Res]) error {
 		if err := serve(ctx, req.Msg, stream.Send); err != nil {
 			return connect.NewError(connect.CodeUnavailable, err)
 		}
 		return nil
-	}, append([]connect.HandlerOption{connect.WithCodec(plain{}), connect.WithReadMaxBytes(maxReadBytes), connect.WithCompressMinBytes(zipLeast)}, opts...)...))
+	}, append([]connect.HandlerOption{connect.WithCodec(plain{}), connect.WithReadMaxBytes(maxReadBytes), connect.WithCompressMinBytes(minCompressBytes)}, opts...)...))
 }
--- a/internal/process/rpc/rpc_test.go
+++ b/internal/process/rpc/rpc_test.go
@@ -8,9 +8,9 @@
 	"petreltide/internal/controlplane/chain"
 )
 
-// Zipping each answer by itself took two fifths of a control node's time at 63 gateways: a frame is zipped once, and
-// what is small not at all.
-func TestFramesAreZippedOnceAndReadBack(t *testing.T) {
+// Compressing each response separately took two fifths of a control node's CPU time with 63 gateways. A frame must be
+// compressed only once, and a small one not at all.
+func TestFrameIsEncodedOnceAndDecodes(t *testing.T) {
 	for name, c := range map[string]struct {
 		controlNode string
 		zipped      bool
@@ -22,14 +22,14 @@
 		}
 		again, _ := plain{}.Marshal(f)
 		if &first[0] != &again[0] || (first[0] == 0x1f) != c.zipped {
-			t.Errorf("%s: written twice, or zipped %v", name, first[0] == 0x1f)
+			t.Errorf("%s: encoded twice, or compressed: got %v, want %v", name, first[0] == 0x1f, c.zipped)
 		}
 		back := &wire.Frame{}
 		if err := (plain{}).Unmarshal(first, back); err != nil || back.ControlNode != c.controlNode || len(back.ControlNodes) != 1 {
-			t.Errorf("%s: read back as %.20q: %v", name, back.ControlNode, err)
+			t.Errorf("%s: decoded control node: got %.20q, error %v, want %.20q", name, back.ControlNode, err, c.controlNode)
 		}
 	}
 	if err := (plain{}).Unmarshal([]byte{0x1f, 0x8b, 1}, &wire.Frame{}); err == nil {
-		t.Error("what is cut off was read")
+		t.Error("decoding a truncated gzip message: got no error, want one")
 	}
 }
