--- a/internal/process/logring/logring.go
+++ b/internal/process/logring/logring.go
@@ -26,7 +26,7 @@
 	dumps  int
 	out    io.Writer
 	// Aloud makes Write also copy every line to out immediately.
-	Aloud bool
+	WriteThrough bool
 }
 
 // NewRing returns a ring that is dumped into files in a folder, or to out if the folder is "".
@@ -44,7 +44,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	kept := append([]byte(nil), line...)
-	if r.Aloud {
+	if r.WriteThrough {
 		_, _ = r.out.Write(kept)
 	}
 	if len(r.lines) < maxLines {
