--- a/internal/process/logring/logring.go
+++ b/internal/process/logring/logring.go
@@ -25,7 +25,7 @@
 	folder string
 	dumps  int
 	out    io.Writer
-	// Aloud makes Write also copy every line to out immediately.
+	// WriteThrough makes Write also copy every line to out immediately.
 	WriteThrough bool
 }
 
