--- a/tests/fleet/compare_test.go
+++ b/tests/fleet/compare_test.go
@@ -144,7 +144,7 @@
 		args []string
 		why  string
 	}{
-		{[]string{"add", "core-1"}, "has a vote already"},
+		{[]string{"add", "core-1"}, "is already a voter"},
 		{[]string{"replace", "core-1"}, "is alive"},
 		{[]string{"replace", "core-9"}, "no control node named"},
 		{[]string{"remove", "core-1"}, "fewer than three"},
--- a/tests/fleet/fleet_test.go
+++ b/tests/fleet/fleet_test.go
@@ -289,7 +289,7 @@
 	}
 	t.Cleanup(loop.Close)
 	out, err := run(t, "control-node", "--name", "core-1", "--listen", loop.Addr(), "--zone", "a", "--seeds", "127.0.0.1:1", "--data", folder, "--platform", "127.0.0.1:1", "--founding", "3")
-	if err == nil || !strings.Contains(out, "no partner") {
+	if err == nil || !strings.Contains(out, "no peer to copy one from was found") {
 		t.Fatalf("got %v: %s", err, out)
 	}
 	if _, err := os.Stat(kept); err != nil {
