--- a/internal/controlplane/quota/ledger.go
+++ b/internal/controlplane/quota/ledger.go
@@ -49,7 +49,7 @@
 // Invariants; W is the window, r the rate, and warm-up is the first window after a reset of the main buckets:
 //
 //  1. The main buckets of all processes together act as one token bucket for each tenant, of the depth Options.depth.
-//     a. No two processes count at the same time: Role.Counting is chain.Node.TailReady.
+//     a. No two processes count at the same time: Role.Counting is chain.Node.IsTailReady.
 //     b. A process keeps its main buckets only if it counts again in the same view or in the next one; otherwise it resets
 //     them. This needs more than that no two tails exist at once: while a lease of view v holds, no view with another
 //     tail is decided.
@@ -61,8 +61,8 @@
 //     later view in the meantime. A process that is the tail of views v and v+1 knows this of both views.
 //     e. After releaseLease the tail does not count until a majority has granted the lease anew.
 //     f. Nobody waits for a tail whose process is known to have ended (superseded): its buckets ended with the process.
-//     g. The explored model of the chain checks exactly these clauses (TestEveryInterleavingOfSmallChains,
-//     TestLongWalksThroughViewChanges).
+//     g. The explored model of the chain checks exactly these clauses (TestInvariantsHoldInEveryInterleaving,
+//     TestInvariantsHoldOnRandomWalksThroughViewChanges).
 //  2. Main buckets that are reset at time t are reset after the last grant of the process that counted before, as its lease
 //     has ended.
 //     a. Until t + W they grant at most r*(now - t). The previous process granted at most depth + r*x in the time x before t,
